--- a/internal/quota/holders.go
+++ b/internal/quota/holders.go
@@ -16,35 +16,35 @@
 
 // Burst is the time whose requests a bound lets come at once, all gateways together: a second, in which its rate is told. It also decides
 // how many gateways hold a part: as many as can have a whole request of their own in it.
-const Burst = time.Second
+const burstInterval = time.Second
 
 // Holders says which gateways hold parts of bounds. All that read the same list of gateways agree. A part changes hands only after the time
 // in which both could use it: one that is gone from the list goes on being a holder until it has stopped for certain, and a new one begins
 // when all others know of it. It is a pure state machine and not safe for concurrent use.
 type Holders struct {
-	own string
+	self string
 	// valid is how long a confirmation counts.
-	valid time.Duration
+	confirmationTTL time.Duration
 	// gateways are those that may hold parts, by name, with a zero time, and those that are gone, with the time until which they count.
-	gateways map[string]time.Time
+	expiries map[string]time.Time
 	// ordered are their names, as they are now, ranks the places of the own one for keys, and next when the next of those that are gone does
 	// not count any more; zero when none is.
-	ordered []string
-	ranks   map[string]int
-	next    time.Time
+	members    []string
+	ranks      map[string]int
+	nextExpiry time.Time
 	// since is when the own gateway came onto the list, or was confirmed first after a gap; zero while it is not on it.
-	since     time.Time
-	confirmed time.Time
+	listedSince   time.Time
+	lastConfirmed time.Time
 }
 
 // NewHolders returns the holders as a gateway sees them that knows of no other and of which no other knows. Valid is how long a
 // confirmation counts.
-func NewHolders(own string, valid time.Duration) *Holders {
-	return &Holders{own: own, valid: valid, gateways: map[string]time.Time{}, ranks: map[string]int{}}
+func NewHolders(self string, confirmationTTL time.Duration) *Holders {
+	return &Holders{self: self, confirmationTTL: confirmationTTL, expiries: map[string]time.Time{}, ranks: map[string]int{}}
 }
 
 // SetValid replaces how long a confirmation counts.
-func (h *Holders) SetValid(valid time.Duration) { h.valid = valid }
+func (h *Holders) SetValid(ttl time.Duration) { h.confirmationTTL = ttl }
 
 // SetGateways replaces the gateways that may hold parts, and tells whether that changes anything. Those that are missing count for twice the
 // time of a confirmation: one may go on for as long as its last one counts, and come back unseen for as long again.
@@ -53,35 +53,35 @@
 	listed := make(map[string]bool, len(names))
 	for _, name := range names {
 		listed[name] = true
-		if until, known := h.gateways[name]; !known || !until.IsZero() {
-			h.gateways[name], changed = time.Time{}, true
+		if expiry, known := h.expiries[name]; !known || !expiry.IsZero() {
+			h.expiries[name], changed = time.Time{}, true
 		}
 	}
-	for name, until := range h.gateways {
-		if until.IsZero() && !listed[name] {
-			h.gateways[name], changed = now.Add(2*h.valid), true
+	for name, expiry := range h.expiries {
+		if expiry.IsZero() && !listed[name] {
+			h.expiries[name], changed = now.Add(2*h.confirmationTTL), true
 		}
 	}
-	if !listed[h.own] {
-		h.since = time.Time{}
+	if !listed[h.self] {
+		h.listedSince = time.Time{}
 	}
 	if changed {
-		h.order(now)
+		h.rebuild(now)
 	}
 	return changed
 }
 
 // order takes those off the list that do not count any more.
-func (h *Holders) order(now time.Time) {
-	h.ordered, h.next = h.ordered[:0], time.Time{}
-	for name, until := range h.gateways {
-		if !until.IsZero() && !now.Before(until) {
-			delete(h.gateways, name)
+func (h *Holders) rebuild(now time.Time) {
+	h.members, h.nextExpiry = h.members[:0], time.Time{}
+	for name, expiry := range h.expiries {
+		if !expiry.IsZero() && !now.Before(expiry) {
+			delete(h.expiries, name)
 			continue
 		}
-		h.ordered = append(h.ordered, name)
-		if !until.IsZero() && (h.next.IsZero() || until.Before(h.next)) {
-			h.next = until
+		h.members = append(h.members, name)
+		if !expiry.IsZero() && (h.nextExpiry.IsZero() || expiry.Before(h.nextExpiry)) {
+			h.nextExpiry = expiry
 		}
 	}
 	clear(h.ranks)
@@ -90,31 +90,31 @@
 // Confirm tells that the store held the registration of this gateway at a moment, and that the list of the others holds all changes up to
 // then.
 func (h *Holders) Confirm(at time.Time) {
-	if until, known := h.gateways[h.own]; !known || !until.IsZero() {
+	if expiry, known := h.expiries[h.self]; !known || !expiry.IsZero() {
 		return
 	}
-	if h.since.IsZero() || at.Sub(h.confirmed) > h.valid {
-		h.since = at
+	if h.listedSince.IsZero() || at.Sub(h.lastConfirmed) > h.confirmationTTL {
+		h.listedSince = at
 	}
-	if at.After(h.confirmed) {
-		h.confirmed = at
+	if at.After(h.lastConfirmed) {
+		h.lastConfirmed = at
 	}
 }
 
 // InForce tells whether the own gateway may use what it holds. It was on the list for as long as a confirmation counts: each other one that
 // may use anything has read the list within that time, and counts it. A shorter stay may be seen by nobody.
-func (h *Holders) InForce(now time.Time) bool {
-	return !h.since.IsZero() && h.confirmed.Sub(h.since) >= h.valid && now.Sub(h.confirmed) <= h.valid
+func (h *Holders) isActive(now time.Time) bool {
+	return !h.listedSince.IsZero() && h.lastConfirmed.Sub(h.listedSince) >= h.confirmationTTL && now.Sub(h.lastConfirmed) <= h.confirmationTTL
 }
 
 // Part returns which part of a bound the own gateway holds, from 0 to 1. The bound is told by its key and its rate, per second: few gateways
 // hold one that is small.
-func (h *Holders) Part(now time.Time, key string, perSecond float64) float64 {
-	if !h.InForce(now) {
+func (h *Holders) Part(now time.Time, key string, rate float64) float64 {
+	if !h.isActive(now) {
 		return 0
 	}
-	h.expire(now)
-	holders := max(min(int(perSecond*Burst.Seconds()), len(h.ordered)), 1)
+	h.dropExpired(now)
+	holders := max(min(int(rate*burstInterval.Seconds()), len(h.members)), 1)
 	if rank := h.rank(key); rank < 0 || rank >= holders {
 		return 0
 	}
@@ -124,11 +124,11 @@
 // Places returns how many of a bound of places the own gateway has. All together have as many as the bound, or one each where it is less than
 // the number of gateways: callers come to any of them, and one without a place would turn away tenants that have nothing in hand. It goes on
 // without the store, as serving does.
-func (h *Holders) Places(now time.Time, key string, bound int) int {
-	h.expire(now)
-	gateways := max(len(h.ordered), 1)
-	places := bound / gateways
-	if rank := h.rank(key); rank >= 0 && rank < bound%gateways {
+func (h *Holders) Places(now time.Time, key string, limit int) int {
+	h.dropExpired(now)
+	gateways := max(len(h.members), 1)
+	places := limit / gateways
+	if rank := h.rank(key); rank >= 0 && rank < limit%gateways {
 		places++
 	}
 	return max(places, 1)
@@ -136,14 +136,14 @@
 
 // Gateways returns how many gateways count.
 func (h *Holders) Gateways(now time.Time) int {
-	h.expire(now)
-	return len(h.ordered)
+	h.dropExpired(now)
+	return len(h.members)
 }
 
 // expire notes that some do not count any more.
-func (h *Holders) expire(now time.Time) {
-	if !h.next.IsZero() && !now.Before(h.next) {
-		h.order(now)
+func (h *Holders) dropExpired(now time.Time) {
+	if !h.nextExpiry.IsZero() && !now.Before(h.nextExpiry) {
+		h.rebuild(now)
 	}
 }
 
@@ -151,8 +151,8 @@
 func (h *Holders) rank(key string) int {
 	rank, known := h.ranks[key]
 	if !known {
-		rank = slices.Index(rendezvous.Order(key, h.ordered), h.own)
-		if len(h.ranks) >= mostRanks {
+		rank = slices.Index(rendezvous.Order(key, h.members), h.self)
+		if len(h.ranks) >= maxCachedRanks {
 			clear(h.ranks)
 		}
 		h.ranks[key] = rank
@@ -161,4 +161,4 @@
 }
 
 // mostRanks bounds the places that are kept, as bounds come and go.
-const mostRanks = 4096
+const maxCachedRanks = 4096
