--- a/internal/quota/holders.go
+++ b/internal/quota/holders.go
@@ -1,10 +1,12 @@
-// Package quota divides bounds that all gateways keep together. Who holds which part follows from the list of gateways in the store, without
-// a message. What a gateway holds and does not need it lends to others.
+// Package quota divides fleet-wide rate limits among the gateways. The gateways that hold a share of a limit are
+// derived from the membership list in the store, without coordination messages. A gateway lends requests that it does
+// not need to gateways that lack them.
 //
-// Invariant: in no window does the sum over all gateways pass the rate of a bound times the window and LoanLife, and what may be kept besides:
-// what the rate brings in Burst, or one request where that is less. It holds whatever starts, ends, freezes, is cut off or reads an old list,
-// and whatever becomes of messages, as long as a list that was confirmed at a moment holds all changes up to then. While gateways know
-// different rates of a bound, the largest of them counts.
+// Invariant: in any window, the requests that all gateways send under a limit are at most its rate times (window +
+// loanTTL), plus a burst: the rate times burstInterval, or one request if that is less than one. This holds when
+// gateways start, stop, freeze, are partitioned or read a stale list, and when messages are lost, duplicated or late,
+// provided that a list confirmed as of some time contains every change up to that time. While gateways know different
+// rates for a limit, the largest rate applies.
 package quota
 
 import (
@@ -14,40 +16,42 @@
 	"github.com/granitebay/granitebay/internal/rendezvous"
 )
 
-// Burst is the time whose requests a bound lets come at once, all gateways together: a second, in which its rate is told. It also decides
-// how many gateways hold a part: as many as can have a whole request of their own in it.
+// burstInterval is the time for which unused requests of a limit accumulate, summed over all gateways. It also bounds
+// how many gateways hold a share: as many as earn at least one whole request within it.
 const burstInterval = time.Second
 
-// Holders says which gateways hold parts of bounds. All that read the same list of gateways agree. A part changes hands only after the time
-// in which both could use it: one that is gone from the list goes on being a holder until it has stopped for certain, and a new one begins
-// when all others know of it. It is a pure state machine and not safe for concurrent use.
+// Holders determines which gateways hold shares of limits. Gateways that read the same membership list agree on the
+// holders. A share never has two active holders: a gateway that leaves the list counts as a holder until it has
+// certainly stopped, and a new one becomes active once every other gateway has seen it. Holders is a pure state
+// machine and not safe for concurrent use.
 type Holders struct {
 	self string
-	// valid is how long a confirmation counts.
+	// confirmationTTL is how long a confirmation remains valid.
 	confirmationTTL time.Duration
-	// gateways are those that may hold parts, by name, with a zero time, and those that are gone, with the time until which they count.
+	// expiries maps each known gateway to the time until which it counts; the zero time means that it is listed.
 	expiries map[string]time.Time
-	// ordered are their names, as they are now, ranks the places of the own one for keys, and next when the next of those that are gone does
-	// not count any more; zero when none is.
+	// members are the names of the gateways that count, ranks caches the rank of this gateway by limit key, and
+	// nextExpiry is the earliest expiry of a gateway that left the list, or zero.
 	members    []string
 	ranks      map[string]int
 	nextExpiry time.Time
-	// since is when the own gateway came onto the list, or was confirmed first after a gap; zero while it is not on it.
+	// listedSince is when this gateway was listed, or first confirmed after a gap; zero while it is not listed.
 	listedSince   time.Time
 	lastConfirmed time.Time
 }
 
-// NewHolders returns the holders as a gateway sees them that knows of no other and of which no other knows. Valid is how long a
-// confirmation counts.
+// NewHolders returns the state of a gateway that knows no other gateway. A confirmation remains valid for
+// confirmationTTL.
 func NewHolders(self string, confirmationTTL time.Duration) *Holders {
 	return &Holders{self: self, confirmationTTL: confirmationTTL, expiries: map[string]time.Time{}, ranks: map[string]int{}}
 }
 
-// SetValid replaces how long a confirmation counts.
+// SetValid changes how long a confirmation remains valid.
 func (h *Holders) SetValid(ttl time.Duration) { h.confirmationTTL = ttl }
 
-// SetGateways replaces the gateways that may hold parts, and tells whether that changes anything. Those that are missing count for twice the
-// time of a confirmation: one may go on for as long as its last one counts, and come back unseen for as long again.
+// SetGateways replaces the membership list and reports whether that changed anything. A gateway that is missing from
+// the list counts for another two confirmation TTLs: its last confirmation remains valid for one, and it may be listed
+// again unnoticed for another.
 func (h *Holders) SetGateways(now time.Time, names []string) bool {
 	changed := false
 	listed := make(map[string]bool, len(names))
@@ -71,7 +75,7 @@
 	return changed
 }
 
-// order takes those off the list that do not count any more.
+// rebuild removes expired gateways and recomputes the members.
 func (h *Holders) rebuild(now time.Time) {
 	h.members, h.nextExpiry = h.members[:0], time.Time{}
 	for name, expiry := range h.expiries {
@@ -87,8 +91,8 @@
 	clear(h.ranks)
 }
 
-// Confirm tells that the store held the registration of this gateway at a moment, and that the list of the others holds all changes up to
-// then.
+// Confirm records that, as of the given time, the store held the registration of this gateway and the membership list
+// was complete.
 func (h *Holders) Confirm(at time.Time) {
 	if expiry, known := h.expiries[h.self]; !known || !expiry.IsZero() {
 		return
@@ -101,14 +105,14 @@
 	}
 }
 
-// InForce tells whether the own gateway may use what it holds. It was on the list for as long as a confirmation counts: each other one that
-// may use anything has read the list within that time, and counts it. A shorter stay may be seen by nobody.
+// isActive reports whether this gateway may use its shares. It must have been listed for a full confirmation TTL: by
+// then every other active gateway has read the list and counts it. A shorter listing may go unnoticed.
 func (h *Holders) isActive(now time.Time) bool {
 	return !h.listedSince.IsZero() && h.lastConfirmed.Sub(h.listedSince) >= h.confirmationTTL && now.Sub(h.lastConfirmed) <= h.confirmationTTL
 }
 
-// Part returns which part of a bound the own gateway holds, from 0 to 1. The bound is told by its key and its rate, per second: few gateways
-// hold one that is small.
+// Part returns the share of a limit that this gateway holds, from 0 to 1. The limit is identified by its key; a low
+// rate, in requests per second, is held by few gateways.
 func (h *Holders) Part(now time.Time, key string, rate float64) float64 {
 	if !h.isActive(now) {
 		return 0
@@ -121,9 +125,10 @@
 	return 1 / float64(holders)
 }
 
-// Places returns how many of a bound of places the own gateway has. All together have as many as the bound, or one each where it is less than
-// the number of gateways: callers come to any of them, and one without a place would turn away tenants that have nothing in hand. It goes on
-// without the store, as serving does.
+// Places returns how many concurrent requests of a concurrency limit this gateway may admit. The gateways together
+// admit the limit, or one request each if the limit is smaller than the number of gateways: callers may use any
+// gateway, and one without places would reject tenants that have no request in progress. Like serving itself, it works
+// without the store.
 func (h *Holders) Places(now time.Time, key string, limit int) int {
 	h.dropExpired(now)
 	gateways := max(len(h.members), 1)
@@ -140,14 +145,14 @@
 	return len(h.members)
 }
 
-// expire notes that some do not count any more.
+// dropExpired rebuilds the members if a gateway has expired.
 func (h *Holders) dropExpired(now time.Time) {
 	if !h.nextExpiry.IsZero() && !now.Before(h.nextExpiry) {
 		h.rebuild(now)
 	}
 }
 
-// rank returns the place of the own gateway among those that may hold a part of a bound.
+// rank returns the rank of this gateway among the members for a limit, or -1.
 func (h *Holders) rank(key string) int {
 	rank, known := h.ranks[key]
 	if !known {
@@ -160,5 +165,5 @@
 	return rank
 }
 
-// mostRanks bounds the places that are kept, as bounds come and go.
+// maxCachedRanks bounds the cache of ranks, since limits come and go.
 const maxCachedRanks = 4096
--- a/internal/quota/loans.go
+++ b/internal/quota/loans.go
@@ -2,38 +2,39 @@
 
 import "time"
 
-// LoanLife is how long after it was asked for a loan may be used, and answers count: a request that wants it is there, and what is lent passes
-// for used at the lender. Windows of the sum grow by as much.
+// loanTTL is how long after the question a loan may be used and answers are accepted. The lender counts lent requests
+// as sent, so any window may contain the requests of a window that is longer by loanTTL.
 const loanTTL = 500 * time.Millisecond
 
-// Pauses between two questions for loans. They double while nothing is lent: where all gateways lack requests nobody has any to lend. Each
-// question goes to all that take requests, so that the longest pause grows with them: 64 that all lack requests send each other 32 datagrams
-// of some 200 bytes a second.
+// Intervals between questions for loans. The interval doubles while nothing is lent, since no gateway may have
+// requests to spare. Each question goes to every active gateway, so the maximum grows with their number to bound the
+// traffic: 64 gateways that all lack requests send each other 32 datagrams of about 200 bytes per second.
 const (
 	initialAskInterval    = 100 * time.Millisecond
 	maxAskInterval        = loanTTL / 2
 	askIntervalPerGateway = 30 * time.Millisecond
 )
 
-// Asks are the questions of this gateway for loans. It is a pure state machine and not safe for concurrent use.
+// Asks tracks this gateway's questions for loans. It is a pure state machine and not safe for concurrent use.
 //
-// Invariant: what is lent is used once at the most, within LoanLife of the question that it answers, whatever becomes of messages: one that is
-// lost loses it, and one that comes late, twice, or to the next life of the one that asked is not taken.
+// Invariant: a loan is used at most once, within loanTTL of the question that it answers. A lost answer loses the
+// loan; answers that are late, duplicated or meant for an earlier process of this gateway are rejected.
 type Asks struct {
-	// serial is that of the last question, asked when it was; the lenders of which it was answered are kept, each once for each bound.
+	// serial and askedAt describe the last question; answered holds the answers accepted for it, one per lender and
+	// limit.
 	serial   int64
 	askedAt  time.Time
 	answered map[answer]bool
 	interval time.Duration
 }
 
-// answer names what one lender lends of one bound.
+// answer identifies the loan of one lender for one limit.
 type answer struct{ lender, key string }
 
-// NewAsks returns the questions of a process that begins at a moment. Their serials are above those of processes before it.
+// NewAsks returns the state of a process that starts now. Its serials are greater than those of earlier processes.
 func NewAsks(now time.Time) *Asks { return &Asks{serial: now.UnixNano(), answered: map[answer]bool{}} }
 
-// Ask begins a question to so many gateways and returns its serial, or false while it is too early for another one.
+// Ask starts a question to the given number of gateways and returns its serial, or false if it is too early.
 func (a *Asks) Ask(now time.Time, gateways int) (int64, bool) {
 	if !a.askedAt.IsZero() && now.Sub(a.askedAt) < a.interval {
 		return 0, false
@@ -48,7 +49,7 @@
 	return a.serial, true
 }
 
-// Answer tells until when a loan may be used that answers a question, or false if it may not.
+// Answer returns when a loan that answers a question expires, or false if the loan must not be used.
 func (a *Asks) Answer(now time.Time, serial int64, lender, key string) (time.Time, bool) {
 	expiry := a.askedAt.Add(loanTTL)
 	if serial != a.serial || a.askedAt.IsZero() || !now.Before(expiry) || a.answered[answer{lender, key}] {
@@ -58,7 +59,7 @@
 	return expiry, true
 }
 
-// Lend takes up to so many requests from the quota for another gateway, and returns how many.
+// Lend takes up to wanted requests from the quota for another gateway and returns how many it took.
 func (q *Quota) Lend(now time.Time, share float64, wanted int) int {
 	lent := 0
 	for lent < wanted && q.Spend(now, share) {
@@ -67,20 +68,20 @@
 	return lent
 }
 
-// Loans are requests of one bound that other gateways have lent. The zero value has none.
+// Loans holds the requests of one limit that other gateways have lent. The zero value is empty.
 type Loans struct{ expiries []time.Time }
 
-// Add takes requests that may be used until a moment.
+// Add adds requests that may be used until expiry.
 func (l *Loans) Add(count int, expiry time.Time) {
 	for range min(count, maxLoanSize) {
 		l.expiries = append(l.expiries, expiry)
 	}
 }
 
-// mostLent bounds what one answer lends, as it comes from another process.
+// maxLoanSize bounds the requests accepted from one answer, which is input from another process.
 const maxLoanSize = 64
 
-// Left returns how many may be used now.
+// Left returns how many lent requests may be used now.
 func (l *Loans) Left(now time.Time) int {
 	for len(l.expiries) > 0 && !now.Before(l.expiries[0]) {
 		l.expiries = l.expiries[1:]
@@ -88,7 +89,7 @@
 	return len(l.expiries)
 }
 
-// Spend uses one, and tells whether there was one.
+// Spend uses one lent request and reports whether there was one.
 func (l *Loans) Spend(now time.Time) bool {
 	if l.Left(now) == 0 {
 		return false
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -2,33 +2,33 @@
 
 import "time"
 
-// Quota is the part of one bound that this gateway holds. What it holds is earned bit by bit as time passes, and nothing of it is there when
-// it begins: nobody knows what was used before. It is a pure state machine and not safe for concurrent use.
+// Quota is this gateway's share of one limit, as a token bucket that fills at the share's rate. It starts empty, since
+// what was used before is unknown. It is a pure state machine and not safe for concurrent use.
 type Quota struct {
 	rate float64
-	// credits were earned until at, with a part.
+	// credits is the number of requests earned up to updatedAt, with the given share of the limit.
 	credits   float64
 	updatedAt time.Time
 	share     float64
 }
 
-// New returns a quota that has earned nothing, of a bound of so many requests a second.
+// New returns an empty quota of a limit with the given rate in requests per second.
 func New(now time.Time, rate, share float64) *Quota {
 	return &Quota{rate: rate, updatedAt: now, share: share}
 }
 
-// PerSecond returns the rate of the bound, of all gateways together.
+// PerSecond returns the rate of the limit for all gateways together.
 func (q *Quota) PerSecond() float64 { return q.rate }
 
-// SetRate replaces the rate of the bound. The part is that which follows from it.
+// SetRate changes the rate of the limit. The share is the one that results from the new rate.
 func (q *Quota) SetRate(now time.Time, rate, share float64) {
 	q.Earn(now, min(share, q.share))
 	q.rate = rate
 	q.Earn(now, share)
 }
 
-// Earn takes what was earned until now. It is called before and after each change of the part: between two calls the smaller one counts, and
-// one that holds nothing keeps nothing, as others hold it.
+// Earn adds the credits earned up to now. Call it before and after each change of the share: between two calls the
+// smaller share applies, and a quota without a share loses its credits, as another gateway now holds the share.
 func (q *Quota) Earn(now time.Time, share float64) {
 	if elapsed := now.Sub(q.updatedAt); elapsed > 0 {
 		q.credits += q.rate * min(share, q.share) * elapsed.Seconds()
@@ -41,22 +41,22 @@
 	}
 }
 
-// most is how much may be kept: what is earned in Burst, and a whole request at least, of which parts below one are a part.
+// capacity is the maximum number of credits: those earned in burstInterval, but at least one whole request.
 func (q *Quota) capacity() float64 { return max(q.rate*q.share*burstInterval.Seconds(), 1) }
 
-// Left returns how many requests may be sent now.
+// Left returns how many requests may be sent now, including a fraction.
 func (q *Quota) Left(now time.Time, share float64) float64 {
 	q.Earn(now, share)
 	return q.credits
 }
 
-// enough is a whole request, less what sums of parts lose.
+// requestCost is one request, less the rounding error of summed fractions.
 const requestCost = 1 - 1e-9
 
-// Takes tells whether a request may be sent now.
+// Takes reports whether a request may be sent now.
 func (q *Quota) Takes(now time.Time, share float64) bool { return q.Left(now, share) >= requestCost }
 
-// Spend takes a request from the quota, and tells whether there was one.
+// Spend takes one request from the quota and reports whether there was one.
 func (q *Quota) Spend(now time.Time, share float64) bool {
 	if !q.Takes(now, share) {
 		return false
@@ -65,7 +65,7 @@
 	return true
 }
 
-// Next returns when the next request may be sent, or false if this gateway holds nothing.
+// Next returns when the next request may be sent, or false if this gateway holds no share.
 func (q *Quota) Next(now time.Time, share float64) (time.Time, bool) {
 	missing := requestCost - q.Left(now, share)
 	if share == 0 {
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -10,33 +10,33 @@
 	"pgregory.net/rapid"
 )
 
-// start is where the tests begin, and valid how long confirmations count in them.
+// epoch is the start time of the tests.
 var epoch = time.Unix(1000, 0)
 
 const confirmationTTL = 2 * time.Second
 
-// fleet is gateways before one worker with a limit, and a store that lists them.
+// fleet simulates gateways that share the limit of one worker, and the store that lists them.
 type fleet struct {
 	now time.Time
-	// listed are the names that the store lists.
+	// listed holds the names in the membership list of the store.
 	listed   map[string]bool
 	gateways []*gateway
 	started  int
 	rate     float64
-	// messages are on their way, lost, told twice and late, and never in order.
+	// messages are in transit; they may be lost, duplicated, late and out of order.
 	messages []message
-	// sent is when requests were sent, and highest the largest rate at each moment.
+	// sentAt holds the time of each request sent.
 	sentAt []time.Time
 }
 
-// message is a question for a loan, or the answer to one.
+// message is a question for a loan, or the answer to one if lent is positive.
 type message struct {
 	asker, lender string
 	serial        int64
 	lent          int
 }
 
-// ask has a gateway ask all others for a loan.
+// ask sends a question for a loan to all other gateways.
 func (f *fleet) ask(g *gateway) {
 	if serial, may := g.asks.Ask(f.now, len(f.gateways)); may && !g.frozen {
 		for _, other := range f.gateways {
@@ -47,7 +47,8 @@
 	}
 }
 
-// deliver has one message arrive at a gateway that is not frozen.
+// deliver delivers a message to its receiver, unless that is frozen or gone, and keeps it in transit if duplicate is
+// set.
 func (f *fleet) deliver(index int, duplicate bool) {
 	m := f.messages[index]
 	to := m.lender
@@ -73,20 +74,20 @@
 	}
 }
 
-// gateway is one of them.
+// gateway is one simulated gateway.
 type gateway struct {
 	name    string
 	holders *Holders
 	quota   *Quota
 	asks    *Asks
 	loans   Loans
-	// frozen ones do nothing, and cut ones don't reach the store.
+	// frozen gateways do nothing; partitioned ones cannot reach the store.
 	frozen, partitioned bool
-	// knows is the rate that it knows.
+	// knownRate is the last rate of the limit that it has learned.
 	knownRate float64
 }
 
-// begin starts a gateway that isn't listed yet.
+// startGateway starts a gateway that is not listed yet.
 func (f *fleet) startGateway() *gateway {
 	name := fmt.Sprint("g", f.started)
 	f.started++
@@ -96,13 +97,13 @@
 	return g
 }
 
-// part is that of the gateway now.
+// share returns the current share of a gateway.
 func (f *fleet) share(g *gateway) float64 { return g.holders.Part(f.now, "worker", g.knownRate) }
 
-// earn has the quota earn before or after a change.
+// accrue adds earned credits before or after a change.
 func (f *fleet) accrue(g *gateway) { g.quota.Earn(f.now, f.share(g)) }
 
-// read has a gateway read the list as it is.
+// readList makes a gateway read the current membership list.
 func (f *fleet) readList(g *gateway) {
 	if g.frozen || g.partitioned {
 		return
@@ -115,14 +116,14 @@
 	f.accrue(g)
 }
 
-// send has a gateway send all that it may.
+// sendAll sends as many requests as a gateway may send.
 func (f *fleet) sendAll(g *gateway) {
 	for !g.frozen && (g.quota.Spend(f.now, f.share(g)) || g.loans.Spend(f.now)) {
 		f.sentAt = append(f.sentAt, f.now)
 	}
 }
 
-// hear has a gateway hear the rate of now.
+// learnRate tells a gateway the current rate.
 func (f *fleet) learnRate(g *gateway) {
 	if g.frozen || g.knownRate == f.rate {
 		return
@@ -132,7 +133,7 @@
 	g.quota.SetRate(f.now, g.knownRate, f.share(g))
 }
 
-// step changes one thing.
+// randomEvent applies one random event.
 func (f *fleet) randomEvent(t *rapid.T) {
 	pick := func() *gateway { return rapid.SampledFrom(f.gateways).Draw(t, "gateway") }
 	switch rapid.IntRange(0, 17).Draw(t, "event") {
@@ -149,7 +150,7 @@
 			f.listed[g.name] = true
 		}
 	case 2:
-		// A lease runs out, or the store has come back from an older copy.
+		// A lease expires, or the store was restored from a backup.
 		delete(f.listed, pick().name)
 	case 3:
 		g := pick()
@@ -162,7 +163,7 @@
 			f.gateways = slices.DeleteFunc(f.gateways, func(other *gateway) bool { return other == g })
 		}
 	case 6:
-		// One that is gone is listed again, as in an older copy.
+		// The list of a restored store contains a gateway that has stopped.
 		f.listed[fmt.Sprint("g", rapid.IntRange(0, f.started-1).Draw(t, "old"))] = true
 	case 7, 8, 9, 10:
 		f.readList(pick())
@@ -180,21 +181,21 @@
 	}
 }
 
-// checkWindows fails where a window has more requests than the rate allows: what is lent is used up to LoanLife later.
+// checkWindows fails if any window contains more requests than allowed, where loans extend the window by loanTTL.
 func checkWindows(t *rapid.T, sentAt []time.Time, rate float64) {
 	t.Helper()
 	burst := max(rate*burstInterval.Seconds(), 1)
 	for i := range sentAt {
 		for j := i; j < len(sentAt); j++ {
 			if allowed := rate*(sentAt[j].Sub(sentAt[i])+loanTTL).Seconds() + burst; float64(j-i+1) > allowed+1e-6 {
-				t.Fatalf("%d requests in %s at %v a second", j-i+1, sentAt[j].Sub(sentAt[i]), rate)
+				t.Fatalf("%d requests in %s at a limit of %v per second", j-i+1, sentAt[j].Sub(sentAt[i]), rate)
 			}
 		}
 	}
 }
 
-// TestNoWindowPassesTheBound checks the invariant of the package: whoever starts, ends, freezes, is cut off, reads an old list or has lost
-// its registration, no window of the sum passes the bound.
+// TestNoWindowExceedsLimit checks the invariant of the package under starts, stops, freezes, partitions, stale lists
+// and lost registrations.
 func TestNoWindowExceedsLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.OneOf(rapid.SampledFrom([]float64{0.1, 0.4, 1.1, 2, 5.4}), rapid.Float64Range(0.1, 50)).Draw(t, "rate")
@@ -207,8 +208,8 @@
 	})
 }
 
-// TestABoundThatChangesIsKept has the rate change, which gateways hear late: no window passes what the largest rate in it allows. While they
-// know two rates, those that hold parts of either count.
+// TestLimitHoldsWhileRateChanges guards against exceeding the largest rate while gateways learn of a rate change late
+// and disagree on the holders.
 func TestLimitHoldsWhileRateChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := settledFleet(rapid.IntRange(1, 5).Draw(t, "gateways"), 10)
@@ -225,7 +226,7 @@
 	})
 }
 
-// settled returns a fleet in which all have been listed for long.
+// settledFleet returns a fleet whose gateways have all been listed long enough to be active.
 func settledFleet(gateways int, rate float64) *fleet {
 	f := &fleet{now: epoch, listed: map[string]bool{}, rate: rate}
 	for range gateways {
@@ -240,7 +241,7 @@
 	return f
 }
 
-// TestTheWholeBoundIsServed has all gateways ask for more than there is.
+// TestFullLimitIsServed guards against losing part of a limit while every gateway has more demand than its share.
 func TestFullLimitIsServed(t *testing.T) {
 	for _, gateways := range []int{1, 3, 9, 60} {
 		for _, rate := range []float64{0.4, 1.1, 2, 20, 200} {
@@ -258,13 +259,14 @@
 				}
 			}
 			if served := float64(len(f.sentAt)) / seconds / rate; served < 0.9 || served > 1.1+1/(seconds*rate) {
-				t.Errorf("%d gateways serve %.2f of %v a second", gateways, served, rate)
+				t.Errorf("%d gateways serve %.2f times the limit of %v per second", gateways, served, rate)
 			}
 		}
 	}
 }
 
-// TestAPartChangesHands kills the holder of a small bound: another one holds it once that one has stopped for certain, and not before.
+// TestShareMovesAfterHolderStops guards against two holders of a low limit, and against none once the old holder has
+// certainly stopped.
 func TestShareMovesAfterHolderStops(t *testing.T) {
 	f := settledFleet(9, 0.4)
 	currentHolder := func() *gateway {
@@ -272,7 +274,7 @@
 		for _, g := range f.gateways {
 			if f.share(g) > 0 {
 				if holder != nil {
-					t.Fatalf("%s and %s hold it", holder.name, g.name)
+					t.Fatalf("both %s and %s hold the limit", holder.name, g.name)
 				}
 				holder = g
 			}
@@ -281,7 +283,7 @@
 	}
 	original := currentHolder()
 	if original == nil {
-		t.Fatal("nobody holds it")
+		t.Fatal("no gateway holds the limit")
 	}
 	delete(f.listed, original.name)
 	f.gateways = slices.DeleteFunc(f.gateways, func(g *gateway) bool { return g == original })
@@ -291,13 +293,13 @@
 			f.readList(g)
 		}
 		if holder := currentHolder(); (holder != nil) != (f.now.Sub(stoppedAt) >= 2*confirmationTTL) {
-			t.Fatalf("%s after the end of its holder: held is %v", f.now.Sub(stoppedAt), holder != nil)
+			t.Fatalf("%s after the holder stopped: held is %v", f.now.Sub(stoppedAt), holder != nil)
 		}
 		f.now = f.now.Add(500 * time.Millisecond)
 	}
 }
 
-// TestPlacesAreTheBoundTogether adds what the gateways of a settled fleet have of bounds of places.
+// TestPlacesSumToLimit guards against concurrency limits whose shares do not add up to the limit.
 func TestPlacesSumToLimit(t *testing.T) {
 	for _, gateways := range []int{1, 3, 9, 60} {
 		f := settledFleet(gateways, 1)
@@ -307,14 +309,14 @@
 				sum += g.holders.Places(f.now, "rule/tenant", limit)
 			}
 			if want := max(limit, gateways); sum != want {
-				t.Errorf("%d gateways have %d of %d places, expected %d", gateways, sum, limit, want)
+				t.Errorf("%d gateways have %d places under a limit of %d, want %d", gateways, sum, limit, want)
 			}
 		}
 	}
 }
 
-// TestDemandAtOneGatewayIsServedByLoans has callers at one gateway of some, and messages that take 5 ms: it gets most of
-// the bound from the third second on, at nine gateways; at 60 questions are rarer, and what they get is only shown.
+// TestLoansServeDemandAtOneGateway guards against a limit that stays unused while all demand arrives at one gateway.
+// Messages take 5 ms. The result is only asserted for up to nine gateways: at 60 the questions are too rare.
 func TestLoansServeDemandAtOneGateway(t *testing.T) {
 	for _, gateways := range []int{3, 9, 60} {
 		for _, rate := range []float64{0.4, 1.1, 2, 20, 200} {
@@ -344,9 +346,9 @@
 				}
 			}
 			fraction := float64(served) / (seconds - 3) / rate
-			t.Logf("%d gateways, callers at one: %.2f of %v a second", gateways, fraction, rate)
+			t.Logf("%d gateways, demand at one: %.2f times the limit of %v per second", gateways, fraction, rate)
 			if gateways <= 9 && fraction < 0.8 {
-				t.Errorf("%d gateways, callers at one: %.2f of %v a second", gateways, fraction, rate)
+				t.Errorf("%d gateways, demand at one: %.2f times the limit of %v per second", gateways, fraction, rate)
 			}
 		}
 	}
