--- a/internal/retrybudget/retrybudget.go
+++ b/internal/retrybudget/retrybudget.go
@@ -29,11 +29,11 @@
 const (
 	// keptAllowance is the part of the allowance that may be kept; the rest is earned over a window. More would bear a larger burst
 	// of failures, and take longer to be kept again: 0.8 and 0.2 four windows.
-	keptAllowance = 0.5
+	storedFraction = 0.5
 	// keptSlots are the slots, of which a window has slotsPerWindow, whose requests still count for what is kept: 2 s of 10 with the
 	// one that is under way. More bears a larger burst and, as Safety has to make room for it, less of a lasting need. A gateway that
 	// has just begun, without a share, has a whole repeat from some 3 requests a second on.
-	keptSlots      = 19
+	capacitySlots  = 19
 	slotsPerWindow = 100
 )
 
@@ -45,12 +45,12 @@
 type Budget struct {
 	settings Settings
 	// credits were earned until at, with a share of the allowance.
-	credits float64
-	at      time.Time
-	share   float64
+	credits   float64
+	updatedAt time.Time
+	share     float64
 	// requests is a ring of slots; index counts slots since the zero time.
-	requests [keptSlots + 1]int
-	index    int64
+	requests    [capacitySlots + 1]int
+	currentSlot int64
 	// granted and denied count since the start.
 	granted, denied int
 }
@@ -73,7 +73,7 @@
 	b.Earn(now, b.share)
 	if settings.Window != b.settings.Window {
 		// Slots of another length can't be told apart.
-		b.requests = [keptSlots + 1]int{}
+		b.requests = [capacitySlots + 1]int{}
 	}
 	b.settings = settings
 	b.Earn(now, b.share)
@@ -88,7 +88,7 @@
 // CountRequest notes a request that a caller sent. The share is that of this moment.
 func (b *Budget) CountRequest(now time.Time, share float64) {
 	b.Earn(now, share)
-	b.requests[b.index%int64(len(b.requests))]++
+	b.requests[b.currentSlot%int64(len(b.requests))]++
 	b.credits += b.settings.Safety * b.settings.Ratio
 }
 
@@ -105,23 +105,23 @@
 }
 
 // Begin has the budget keep a part of all that may be kept of the allowance, up to its own share of that.
-func (b *Budget) Begin(now time.Time, share, part float64) {
+func (b *Budget) Begin(now time.Time, share, fraction float64) {
 	b.Earn(now, share)
-	b.credits = min(b.credits+b.allowance(part)*keptAllowance, b.most())
+	b.credits = min(b.credits+b.allowance(fraction)*storedFraction, b.capacity())
 }
 
 // Earn takes what has been earned until now. It is called whenever the share changes: between two calls the smaller one counts.
 func (b *Budget) Earn(now time.Time, share float64) {
-	if !b.at.IsZero() {
-		passed := min(max(now.Sub(b.at), 0), b.settings.Window)
-		b.credits += b.allowance(min(share, b.share)) * (1 - keptAllowance) * float64(passed) / float64(b.settings.Window)
+	if !b.updatedAt.IsZero() {
+		elapsed := min(max(now.Sub(b.updatedAt), 0), b.settings.Window)
+		b.credits += b.allowance(min(share, b.share)) * (1 - storedFraction) * float64(elapsed) / float64(b.settings.Window)
 	}
 	b.share = share
-	if now.After(b.at) {
-		b.at = now
+	if now.After(b.updatedAt) {
+		b.updatedAt = now
 	}
 	b.advance(now)
-	b.credits = min(b.credits, b.most())
+	b.credits = min(b.credits, b.capacity())
 }
 
 // allowance is what a share of the allowance is worth in a window.
@@ -130,23 +130,23 @@
 }
 
 // most is how much may be kept.
-func (b *Budget) most() float64 {
+func (b *Budget) capacity() float64 {
 	requests := 0
-	for _, each := range b.requests {
-		requests += each
+	for _, count := range b.requests {
+		requests += count
 	}
-	return b.allowance(b.share)*keptAllowance + b.settings.Safety*b.settings.Ratio*float64(requests)
+	return b.allowance(b.share)*storedFraction + b.settings.Safety*b.settings.Ratio*float64(requests)
 }
 
 // advance moves the ring to the slot of now and empties the slots in between.
 func (b *Budget) advance(now time.Time) {
-	target := now.UnixNano() / int64(b.settings.Window/slotsPerWindow)
-	if target <= b.index {
+	slot := now.UnixNano() / int64(b.settings.Window/slotsPerWindow)
+	if slot <= b.currentSlot {
 		return
 	}
-	first := max(b.index+1, target-int64(len(b.requests))+1)
-	for index := first; index <= target; index++ {
-		b.requests[index%int64(len(b.requests))] = 0
+	oldest := max(b.currentSlot+1, slot-int64(len(b.requests))+1)
+	for cleared := oldest; cleared <= slot; cleared++ {
+		b.requests[cleared%int64(len(b.requests))] = 0
 	}
-	b.index = target
+	b.currentSlot = slot
 }
