--- a/internal/retrybudget/share.go
+++ b/internal/retrybudget/share.go
@@ -5,53 +5,58 @@
 	"time"
 )
 
-// confirmedFor is the part of a window for which a confirmed registration vouches that the others count this gateway.
+// confirmationFraction is how long a confirmed registration guarantees that the others count this gateway, as a
+// fraction of the window.
 const confirmationFraction = 0.7
 
-// freshPart is the part of that time for which the list of gateways may be out of date: the rest is for calls that are slow, and for
-// gateways that are told by another one, which add a second.
+// freshnessFraction is the fraction of that time for which the membership list may be stale. The rest allows for slow
+// calls and for gateways that learn the list from another one, which adds a second.
 const freshnessFraction = 0.6
 
-// FreshFor returns how old the list of gateways may become where a share is to last: 4.2 s of a window of 10 s.
+// FreshFor returns how stale the membership list may become without losing the share: 4.2 s for a window of 10 s.
 func FreshFor(window time.Duration) time.Duration {
 	return time.Duration(freshnessFraction * confirmationFraction * float64(window))
 }
 
-// Share is the part of the common allowance that belongs to this gateway. It is not safe for concurrent use.
+// Share is this gateway's share of the common allowance. It is not safe for concurrent use.
 //
-// It is 1 by the largest number of sharers of late, and nothing while the others need not know of this gateway. One that begins, or
-// comes back, waits until every other one that still has a share has read of it in the store; and one that can't confirm its
-// registration gives its share up before the others divide by fewer. So being cut off never makes a share larger.
+// The share is 1/n for the largest recent number of sharers n, and 0 while other gateways may not know this one. A
+// gateway that starts or returns waits until every other gateway that still has a share has read its registration in
+// the store. A gateway that cannot confirm its registration gives up its share before the others divide by fewer. So a
+// partition never makes a share larger.
 type Share struct {
 	window  time.Duration
 	sharers int
-	// fewer gateways share the allowance from fewerAt on.
+	// pendingSharers replaces sharers at pendingAt, if it is smaller.
 	pendingSharers int
 	pendingAt      time.Time
-	// changed is when another number of sharers began to count.
+	// sharersSince is when sharers last changed.
 	sharersSince time.Time
-	// confirmed is when the registration was confirmed last, and since when it has been without a gap.
+	// confirmedSince is the start of the uninterrupted confirmations of the registration, and lastConfirmed the last
+	// one.
 	confirmedSince, lastConfirmed time.Time
 }
 
-// NewShare returns the share of a gateway of which nobody knows yet.
+// NewShare returns the share of a gateway that no other gateway knows yet.
 func NewShare(window time.Duration) *Share {
 	return &Share{window: window, sharers: 1, pendingSharers: 1}
 }
 
-// valid is how long a confirmation counts.
+// confirmationTTL is how long a confirmation remains valid.
 func (s *Share) confirmationTTL() time.Duration { return ValidFor(s.window) }
 
-// ValidFor returns how long a confirmation counts: 7 s of a window of 10 s.
+// ValidFor returns how long a confirmation remains valid: 7 s for a window of 10 s.
 func ValidFor(window time.Duration) time.Duration {
 	return time.Duration(confirmationFraction * float64(window))
 }
 
-// BeginFirst is Confirm where the whole system starts for the first time: nobody goes on with a list of before. A share that was never
-// confirmed holds at once, and the part of all that may be kept is returned with which its budgets begin; else 0.
+// BeginFirst confirms the registration when the whole system starts for the first time, when no gateway still uses an
+// older list. A share that was never confirmed then applies at once, and the returned fraction of the total storable
+// credit is what its budgets start with; otherwise it is 0.
 //
-// The parts of all gateways are 1 together at the most: the k-th to register has k on its list at least, and 1/2 + 1/6 + 1/12 ... is 1.
-// Its share would be too much, as those that registered some tenths of a second sooner may have spent what they kept of larger ones.
+// The fractions of all gateways sum to at most 1: the k-th gateway to register sees at least k sharers, and 1/2 + 1/6
+// + 1/12 + ... is 1. Starting with 1/k would be too much, as gateways that registered slightly earlier may have spent
+// what they stored under larger shares.
 func (s *Share) BeginFirst(at time.Time) float64 {
 	if !s.confirmedSince.IsZero() {
 		s.Confirm(at)
@@ -61,11 +66,12 @@
 	return 1 / float64(s.sharers*(s.sharers+1))
 }
 
-// SetWindow replaces the window.
+// SetWindow changes the window.
 func (s *Share) SetWindow(window time.Duration) { s.window = window }
 
-// SetSharers tells by how many the allowance is divided. Fewer count only later: one that is gone from the list may go on for as long
-// as its last confirmation counts, and come back unseen for as long again.
+// SetSharers sets the number of gateways that divide the allowance. A decrease takes effect later: the last
+// confirmation of a gateway that left the list remains valid for one confirmation TTL, and it may be listed again
+// unnoticed for another.
 func (s *Share) SetSharers(now time.Time, sharers int) {
 	sharers = max(sharers, 1)
 	s.applyPending(now)
@@ -79,15 +85,15 @@
 	}
 }
 
-// settle lets fewer gateways count when it is time.
+// applyPending applies a pending decrease when it is due.
 func (s *Share) applyPending(now time.Time) {
 	if s.pendingSharers != s.sharers && !now.Before(s.pendingAt) {
 		s.sharers, s.sharersSince = s.pendingSharers, s.pendingAt
 	}
 }
 
-// Confirm tells that the store held the registration of this gateway at a moment, and that the list of the others holds all changes up to
-// then.
+// Confirm records that, as of the given time, the store held the registration of this gateway and the membership list
+// was complete.
 func (s *Share) Confirm(at time.Time) {
 	if s.confirmedSince.IsZero() || at.Sub(s.lastConfirmed) > s.confirmationTTL() {
 		s.confirmedSince = at
@@ -97,40 +103,41 @@
 	}
 }
 
-// Sharers returns by how many the allowance is divided.
+// Sharers returns the number of gateways that divide the allowance.
 func (s *Share) Sharers(now time.Time) int {
 	s.applyPending(now)
 	return s.sharers
 }
 
-// At returns the share of a moment.
+// At returns the share at the given time.
 func (s *Share) At(now time.Time) float64 {
 	s.applyPending(now)
-	// It was on the list for as long as a confirmation counts: a shorter stay may be seen by nobody.
-	if s.confirmedSince.IsZero() || now.Sub(s.confirmedSince) < s.confirmationTTL() || s.lastConfirmed.Sub(s.confirmedSince) < s.confirmationTTL() || now.Sub(s.lastConfirmed) > s.confirmationTTL() {
+	// The registration must have lasted for a confirmation TTL: a shorter one may go unnoticed.
+	if s.confirmedSince.IsZero() || now.Sub(s.confirmedSince) < s.confirmationTTL() ||
+		s.lastConfirmed.Sub(s.confirmedSince) < s.confirmationTTL() || now.Sub(s.lastConfirmed) > s.confirmationTTL() {
 		return 0
 	}
 	return 1 / float64(s.sharers)
 }
 
-// Since returns since when the share of a moment has been in force, or that moment.
+// Since returns when the share at the given time took effect, or that time if there is no share.
 func (s *Share) Since(now time.Time) time.Time {
 	if s.At(now) == 0 {
 		return now
 	}
-	inForceSince := s.confirmedSince.Add(s.confirmationTTL())
-	if s.sharersSince.After(inForceSince) {
-		inForceSince = s.sharersSince
+	effectiveSince := s.confirmedSince.Add(s.confirmationTTL())
+	if s.sharersSince.After(effectiveSince) {
+		effectiveSince = s.sharersSince
 	}
-	return inForceSince
+	return effectiveSince
 }
 
-// entriesAllowance is the part of the allowance of repeats that the entries have, where others stand by. The rest is for callers
-// that come to one of those with an old address.
+// entriesFraction is the fraction of the allowance that goes to the entry gateways while others stand by. The rest is
+// for callers that reach a standby gateway at an old address.
 const entriesFraction = 0.75
 
-// Sharers returns by how many the allowance is divided to give the share of a gateway that stands by, or takes requests as one of
-// the entries. The shares of all together are the whole at the most.
+// Sharers returns the number of sharers that gives the share of a standby or an entry gateway, of a total of serving
+// gateways. The shares of all gateways sum to at most 1.
 func Sharers(standby bool, entries, total int) int {
 	switch {
 	case entries >= total:
