--- a/internal/tenantlimit/tenantlimit_test.go
+++ b/internal/tenantlimit/tenantlimit_test.go
@@ -7,31 +7,31 @@
 )
 
 // TestShareIsNeverExceeded checks the invariant of Limiter, and that what ends makes room again.
-func TestShareIsNeverExceeded(t *testing.T) {
+func TestInFlightNeverExceedsShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		share := rapid.IntRange(1, 9).Draw(t, "share")
 		limit := share + rapid.IntRange(0, 9).Draw(t, "of others")
 		l := New(func(string, int) int { return share })
-		inHand := map[string]int{}
+		inFlight := map[string]int{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			tenant := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "tenant")
-			if rapid.Bool().Draw(t, "end") && inHand[tenant] > 0 {
+			if rapid.Bool().Draw(t, "end") && inFlight[tenant] > 0 {
 				l.End("rule", tenant)
-				inHand[tenant]--
+				inFlight[tenant]--
 				continue
 			}
 			granted := l.Begin("rule", tenant, limit)
-			if granted != (inHand[tenant] < share) {
-				t.Fatalf("tenant %s with %d of %d in hand: granted %t", tenant, inHand[tenant], share, granted)
+			if granted != (inFlight[tenant] < share) {
+				t.Fatalf("tenant %s with %d of %d in hand: granted %t", tenant, inFlight[tenant], share, granted)
 			}
 			if granted {
-				inHand[tenant]++
+				inFlight[tenant]++
 			}
 		}
 	})
 }
 
-func TestNoTenantAndNoLimitAreNotBounded(t *testing.T) {
+func TestUnlimitedWithoutTenantOrLimit(t *testing.T) {
 	l := New(func(_ string, bound int) int { return bound })
 	for range 100 {
 		if !l.Begin("rule", "", 1) || !l.Begin("rule", "tenant", 0) {
