--- a/internal/tenantlimit/tenantlimit.go
+++ b/internal/tenantlimit/tenantlimit.go
@@ -1,32 +1,35 @@
-// Package tenantlimit bounds how many requests of one tenant are in hand at once. Each gateway grants its own share of the
-// bound, so that no messages are needed.
+// Package tenantlimit limits how many requests of a tenant are in flight at once. Each gateway enforces its own share
+// of the limit, without coordination.
 package tenantlimit
 
 import "sync"
 
-// key names what one tenant has under one rule.
+// key identifies the requests of one tenant under one rule.
 type key struct {
 	rule   string
 	tenant string
 }
 
-// Limiter counts the requests in hand of one gateway. It is safe for concurrent use.
+// Limiter counts the requests in flight at one gateway. It is safe for concurrent use.
 //
-// Invariant: after each Begin that grants, the requests of a tenant under a rule are at most the share of this gateway.
+// Invariant: when Begin has admitted a request, the requests of that tenant under that rule do not exceed this
+// gateway's share of the limit.
 type Limiter struct {
-	// share returns which share of a bound is this gateway's.
+	// share returns this gateway's share of a limit.
 	share func(key string, bound int) int
 
 	mu       sync.Mutex
 	inFlight map[key]int
 }
 
-// New returns a limiter with nothing in hand. Share returns which share of a bound, named by a key, is this gateway's.
+// New returns a limiter without requests in flight. share returns this gateway's share of the limit with the given
+// key.
 func New(share func(key string, bound int) int) *Limiter {
 	return &Limiter{share: share, inFlight: map[key]int{}}
 }
 
-// Begin counts a request, or returns false when the tenant has as many as it may. A limit of zero is none.
+// Begin counts a request, or returns false if the tenant has reached this gateway's share of the limit. A limit of
+// zero means no limit.
 func (l *Limiter) Begin(rule, tenant string, limit int) bool {
 	if tenant == "" {
 		return true
@@ -45,7 +48,7 @@
 	return true
 }
 
-// End counts the end of a request that Begin granted.
+// End removes a request that Begin admitted.
 func (l *Limiter) End(rule, tenant string) {
 	if tenant == "" {
 		return
--- a/internal/tenantlimit/tenantlimit_test.go
+++ b/internal/tenantlimit/tenantlimit_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestShareIsNeverExceeded checks the invariant of Limiter, and that what ends makes room again.
+// TestInFlightNeverExceedsShare checks the invariant of Limiter, and that ended requests make room for new ones.
 func TestInFlightNeverExceedsShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		share := rapid.IntRange(1, 9).Draw(t, "share")
@@ -22,7 +22,7 @@
 			}
 			granted := l.Begin("rule", tenant, limit)
 			if granted != (inFlight[tenant] < share) {
-				t.Fatalf("tenant %s with %d of %d in hand: granted %t", tenant, inFlight[tenant], share, granted)
+				t.Fatalf("tenant %s with %d of %d requests in flight: granted %t", tenant, inFlight[tenant], share, granted)
 			}
 			if granted {
 				inFlight[tenant]++
@@ -35,7 +35,7 @@
 	l := New(func(_ string, bound int) int { return bound })
 	for range 100 {
 		if !l.Begin("rule", "", 1) || !l.Begin("rule", "tenant", 0) {
-			t.Fatal("refused without a bound")
+			t.Fatal("a request without tenant or limit was rejected")
 		}
 	}
 }
