--- a/internal/tenantlimit/tenantlimit.go
+++ b/internal/tenantlimit/tenantlimit.go
@@ -16,7 +16,7 @@
 // gateway's share of the limit.
 type Limiter struct {
 	// share returns this gateway's share of a limit.
-	share func(key string, bound int) int
+	share func(key string, limit int) int
 
 	mu       sync.Mutex
 	inFlight map[key]int
@@ -24,7 +24,7 @@
 
 // New returns a limiter without requests in flight. share returns this gateway's share of the limit with the given
 // key.
-func New(share func(key string, bound int) int) *Limiter {
+func New(share func(key string, limit int) int) *Limiter {
 	return &Limiter{share: share, inFlight: map[key]int{}}
 }
 
--- a/internal/tenantlimit/tenantlimit_test.go
+++ b/internal/tenantlimit/tenantlimit_test.go
@@ -10,7 +10,7 @@
 func TestInFlightNeverExceedsShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		share := rapid.IntRange(1, 9).Draw(t, "share")
-		limit := share + rapid.IntRange(0, 9).Draw(t, "of others")
+		limit := share + rapid.IntRange(0, 9).Draw(t, "shares of other gateways")
 		l := New(func(string, int) int { return share })
 		inFlight := map[string]int{}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
@@ -32,7 +32,7 @@
 }
 
 func TestUnlimitedWithoutTenantOrLimit(t *testing.T) {
-	l := New(func(_ string, bound int) int { return bound })
+	l := New(func(_ string, limit int) int { return limit })
 	for range 100 {
 		if !l.Begin("rule", "", 1) || !l.Begin("rule", "tenant", 0) {
 			t.Fatal("a request without tenant or limit was rejected")
