--- a/internal/backend/changes.go
+++ b/internal/backend/changes.go
@@ -23,15 +23,15 @@
 }
 
 // Since returns the changes by which one set becomes another. Workers are compared by their descriptions.
-func (s Set) Since(before Set) Changes {
+func (s Set) Since(previous Set) Changes {
 	var changes Changes
-	for id := range before {
+	for id := range previous {
 		if s[id] == nil {
 			changes.Gone = append(changes.Gone, id)
 		}
 	}
 	for id, worker := range s {
-		if known := before[id]; known == nil || !known.Equal(worker) {
+		if old := previous[id]; old == nil || !old.Equal(worker) {
 			changes.Put = append(changes.Put, worker)
 		}
 	}
--- a/internal/backend/roster.go
+++ b/internal/backend/roster.go
@@ -22,29 +22,29 @@
 type Roster struct {
 	settings RosterSettings
 	// recorded are the workers by the names of their records, and fading those without a record, by id.
-	recorded   map[string]*Worker
-	fading     map[string]fadingWorker
+	byRecord   map[string]*Worker
+	retained   map[string]retainedWorker
 	lastOutage time.Time
 	// lostUntil is until when records that are gone are taken to be lost with what the store held.
-	lostUntil time.Time
+	restoreGraceUntil time.Time
 	// leaving is when incarnations said that they leave, in their records or ahead of them, by id.
-	leaving map[string]time.Time
+	drainingSince map[string]time.Time
 	// told are the workers in use as Changes told them last, and touched the ids of those of which that may be out of date.
-	told    Set
-	touched map[string]*Worker
+	reported Set
+	pending  map[string]*Worker
 }
 
 // fadingWorker is a worker without a record.
-type fadingWorker struct {
+type retainedWorker struct {
 	worker *Worker
-	until  time.Time
+	expiry time.Time
 }
 
 // NewRoster returns an empty roster.
 func NewRoster(settings RosterSettings) *Roster {
 	return &Roster{
-		settings: settings, recorded: map[string]*Worker{}, fading: map[string]fadingWorker{}, leaving: map[string]time.Time{}, told: Set{},
-		touched: map[string]*Worker{},
+		settings: settings, byRecord: map[string]*Worker{}, retained: map[string]retainedWorker{}, drainingSince: map[string]time.Time{}, reported: Set{},
+		pending: map[string]*Worker{},
 	}
 }
 
@@ -52,7 +52,7 @@
 func (r *Roster) Outage(now time.Time) { r.lastOutage = now }
 
 // Restored tells that the store has come back from an older copy, before its records are told.
-func (r *Roster) Restored(now time.Time) { r.lostUntil = now.Add(r.settings.OutageMemory) }
+func (r *Roster) Restored(now time.Time) { r.restoreGraceUntil = now.Add(r.settings.OutageMemory) }
 
 // Reset replaces all records by those of these workers.
 func (r *Roster) Reset(now time.Time, workers []*Worker) {
@@ -60,7 +60,7 @@
 	for _, worker := range workers {
 		present[worker.RecordName()] = true
 	}
-	for name := range r.recorded {
+	for name := range r.byRecord {
 		if !present[name] {
 			r.Remove(now, name)
 		}
@@ -73,117 +73,117 @@
 // Put takes the record of a worker. One that started again under the same name takes the place of the one before, of which nothing holds
 // any more.
 func (r *Roster) Put(now time.Time, worker *Worker) {
-	if before := r.recorded[worker.RecordName()]; before != nil && before.ID != worker.ID {
-		r.touched[before.ID] = nil
+	if previous := r.byRecord[worker.RecordName()]; previous != nil && previous.ID != worker.ID {
+		r.pending[previous.ID] = nil
 	}
 	if worker.Draining {
-		r.noteLeaving(now, worker.ID)
+		r.markDraining(now, worker.ID)
 	}
-	if _, leaves := r.leaving[worker.ID]; leaves {
+	if _, draining := r.drainingSince[worker.ID]; draining {
 		worker = worker.AsDraining()
 	}
-	r.recorded[worker.RecordName()] = worker
-	delete(r.fading, worker.ID)
-	r.touched[worker.ID] = worker
+	r.byRecord[worker.RecordName()] = worker
+	delete(r.retained, worker.ID)
+	r.pending[worker.ID] = worker
 }
 
 // leavingMemory is how long the word of a worker that it leaves is kept once the worker is not in use any more. An old record of it may come
 // again, from a list that is late or a store that has lost changes; after this time a worker that leaves has ended.
-const leavingMemory = 10 * time.Minute
+const drainingMemory = 10 * time.Minute
 
 // noteLeaving keeps that an incarnation leaves, which nothing undoes, and tells whether that is news.
-func (r *Roster) noteLeaving(now time.Time, id string) bool {
-	if _, known := r.leaving[id]; known {
+func (r *Roster) markDraining(now time.Time, id string) bool {
+	if _, known := r.drainingSince[id]; known {
 		return false
 	}
-	for other, said := range r.leaving {
-		if now.Sub(said) > leavingMemory && r.inUse(other) == nil {
-			delete(r.leaving, other)
+	for otherID, since := range r.drainingSince {
+		if now.Sub(since) > drainingMemory && r.lookup(otherID) == nil {
+			delete(r.drainingSince, otherID)
 		}
 	}
-	r.leaving[id] = now
+	r.drainingSince[id] = now
 	return true
 }
 
 // Leaves takes the word of an incarnation that it leaves, ahead of its record, and tells whether a worker in use takes no new work for it
 // from now on.
 func (r *Roster) Leaves(now time.Time, id string) bool {
-	worker := r.inUse(id)
-	if !r.noteLeaving(now, id) || worker == nil || worker.Draining {
+	worker := r.lookup(id)
+	if !r.markDraining(now, id) || worker == nil || worker.Draining {
 		return false
 	}
 	worker = worker.AsDraining()
-	if faded, fades := r.fading[id]; fades {
-		r.fading[id] = fadingWorker{worker: worker, until: faded.until}
+	if retained, found := r.retained[id]; found {
+		r.retained[id] = retainedWorker{worker: worker, expiry: retained.expiry}
 	} else {
-		r.recorded[worker.RecordName()] = worker
+		r.byRecord[worker.RecordName()] = worker
 	}
-	r.touched[id] = worker
+	r.pending[id] = worker
 	return true
 }
 
 // inUse returns the worker in use with an id, as it is known now, or nil.
-func (r *Roster) inUse(id string) *Worker {
-	if faded, fades := r.fading[id]; fades {
-		return faded.worker
+func (r *Roster) lookup(id string) *Worker {
+	if retained, found := r.retained[id]; found {
+		return retained.worker
 	}
-	worker := r.told[id]
-	if touched, changed := r.touched[id]; changed {
-		worker = touched
+	worker := r.reported[id]
+	if current, found := r.pending[id]; found {
+		worker = current
 	}
 	return worker
 }
 
 // Remove takes note that a record is gone.
 func (r *Roster) Remove(now time.Time, name string) {
-	worker, known := r.recorded[name]
+	worker, known := r.byRecord[name]
 	if !known {
 		return
 	}
-	delete(r.recorded, name)
-	r.touched[worker.ID] = nil
+	delete(r.byRecord, name)
+	r.pending[worker.ID] = nil
 	recent := !r.lastOutage.IsZero() && now.Sub(r.lastOutage) < r.settings.OutageMemory
-	lasting := r.settings.FadeTime
-	if now.Before(r.lostUntil) {
-		recent, lasting = true, r.settings.LostTime
+	grace := r.settings.FadeTime
+	if now.Before(r.restoreGraceUntil) {
+		recent, grace = true, r.settings.LostTime
 	}
 	if recent && !worker.Draining {
-		r.fading[worker.ID] = fadingWorker{worker: worker, until: now.Add(lasting)}
-		r.touched[worker.ID] = worker
+		r.retained[worker.ID] = retainedWorker{worker: worker, expiry: now.Add(grace)}
+		r.pending[worker.ID] = worker
 	}
 }
 
 // Drop takes note that a record says nothing that can be used any more: its worker is not in use from now on.
 func (r *Roster) Drop(name string) {
-	if worker, known := r.recorded[name]; known {
-		delete(r.recorded, name)
-		r.touched[worker.ID] = nil
+	if worker, known := r.byRecord[name]; known {
+		delete(r.byRecord, name)
+		r.pending[worker.ID] = nil
 	}
 }
 
 // Changes returns what has changed of the workers in use since the last call, and when the next one fades out; the zero time is never.
 func (r *Roster) Changes(now time.Time) (Changes, time.Time) {
 	var next time.Time
-	for id, faded := range r.fading {
+	for id, retained := range r.retained {
 		switch {
-		case !now.Before(faded.until):
-			delete(r.fading, id)
-			r.touched[id] = nil
-		case next.IsZero() || faded.until.Before(next):
-			next = faded.until
+		case !now.Before(retained.expiry):
+			delete(r.retained, id)
+			r.pending[id] = nil
+		case next.IsZero() || retained.expiry.Before(next):
+			next = retained.expiry
 		}
 	}
 	var changes Changes
-	for id, worker := range r.touched {
-		before := r.told[id]
+	for id, worker := range r.pending {
+		previous := r.reported[id]
 		switch {
-		case worker == nil && before != nil:
+		case worker == nil && previous != nil:
 			changes.Gone = append(changes.Gone, id)
-		case worker != nil && (before == nil || !before.Equal(worker)):
+		case worker != nil && (previous == nil || !previous.Equal(worker)):
 			changes.Put = append(changes.Put, worker)
 		}
 	}
-	clear(r.touched)
-	changes.Apply(r.told)
+	clear(r.pending)
+	changes.Apply(r.reported)
 	return changes, next
 }
--- a/internal/backend/roster_test.go
+++ b/internal/backend/roster_test.go
@@ -7,46 +7,46 @@
 
 // TestRecordsThatGoWithAnOutageFade guards against losing all workers when the store comes back without their records, which
 // they write anew only with their next heartbeats.
-func TestRecordsThatGoWithAnOutageFade(t *testing.T) {
+func TestWorkersAreRetainedAfterOutage(t *testing.T) {
 	epoch := time.Unix(1000, 0)
 	settings := RosterSettings{FadeTime: 1500 * time.Millisecond, OutageMemory: 5 * time.Second}
 	ready, draining := &Worker{ID: "ready"}, &Worker{ID: "draining", Draining: true}
-	fill := func() *Roster {
+	newRoster := func() *Roster {
 		roster := NewRoster(settings)
 		roster.Put(epoch, ready)
 		roster.Put(epoch, draining)
 		return roster
 	}
-	inUse := func(roster *Roster, now time.Time) int {
+	countInUse := func(roster *Roster, now time.Time) int {
 		roster.Changes(now)
-		return len(roster.told)
+		return len(roster.reported)
 	}
-	roster := fill()
+	roster := newRoster()
 	roster.Remove(epoch, "ready")
-	if inUse(roster, epoch) != 1 {
+	if countInUse(roster, epoch) != 1 {
 		t.Error("a worker stays in use although its record is gone in quiet times")
 	}
-	roster = fill()
+	roster = newRoster()
 	roster.Outage(epoch)
 	roster.Reset(epoch.Add(time.Second), nil)
 	_, next := roster.Changes(epoch.Add(time.Second))
-	if len(roster.told) != 1 || roster.told["ready"] == nil {
-		t.Errorf("after an outage: %v", roster.told)
+	if len(roster.reported) != 1 || roster.reported["ready"] == nil {
+		t.Errorf("after an outage: %v", roster.reported)
 	}
 	if want := epoch.Add(time.Second + settings.FadeTime); !next.Equal(want) {
 		t.Errorf("the next one fades at %s, want %s", next, want)
 	}
-	if inUse(roster, next) != 0 {
+	if countInUse(roster, next) != 0 {
 		t.Error("a worker without a record stays in use for too long")
 	}
 	roster.Put(epoch, ready)
-	if inUse(roster, next) != 1 {
+	if countInUse(roster, next) != 1 {
 		t.Error("a worker that recorded itself again is not in use")
 	}
 }
 
 // TestAWorkerThatStartsAgainUnderItsRecordIsAnother has a worker start again, and then its record say nothing that can be used.
-func TestAWorkerThatStartsAgainUnderItsRecordIsAnother(t *testing.T) {
+func TestRestartUnderSameRecordReplacesWorker(t *testing.T) {
 	roster, now := NewRoster(RosterSettings{}), time.Unix(1000, 0)
 	roster.Put(now, &Worker{ID: "i@1", Record: "i", Address: "a"})
 	roster.Put(now, &Worker{ID: "other", Record: "other", Address: "b"})
@@ -68,15 +68,15 @@
 
 // TestAWorkerThatSaidThatItLeavesIsDraining guards against what may come after the word of a worker: its old record, alone or with a list, as
 // while the store is behind or has come back from a copy; that its record goes around an outage; and its next life.
-func TestAWorkerThatSaidThatItLeavesIsDraining(t *testing.T) {
+func TestLeavingWorkerStaysDraining(t *testing.T) {
 	now := time.Unix(1000, 0)
 	ready := &Worker{ID: "i@1", Record: "i", Address: "a"}
 	for _, test := range []struct {
 		desc  string
-		after func(roster *Roster)
+		event func(roster *Roster)
 		// wantIDs are the workers in use, and want whether the first is draining.
-		wantID string
-		want   bool
+		wantID       string
+		wantDraining bool
 	}{
 		{"nothing else", func(*Roster) {}, "i@1", true},
 		{"its record again", func(r *Roster) { r.Put(now, ready) }, "i@1", true},
@@ -86,7 +86,7 @@
 		{"its next life", func(r *Roster) { r.Put(now, &Worker{ID: "i@2", Record: "i", Address: "a"}) }, "i@2", false},
 	} {
 		t.Run(test.desc, func(t *testing.T) {
-			for word, leave := range map[string]func(roster *Roster) bool{
+			for source, leave := range map[string]func(roster *Roster) bool{
 				"answer": func(r *Roster) bool { return r.Leaves(now, "i@1") },
 				"record": func(r *Roster) bool { r.Put(now, ready.AsDraining()); return true },
 			} {
@@ -94,19 +94,19 @@
 				roster.Put(now, ready)
 				roster.Changes(now)
 				if !leave(roster) || roster.Leaves(now, "i@1") {
-					t.Errorf("%s: the word is news once", word)
+					t.Errorf("%s: the word is news once", source)
 				}
-				test.after(roster)
+				test.event(roster)
 				roster.Changes(now)
 				inUse := ""
-				for id, worker := range roster.told {
+				for id, worker := range roster.reported {
 					inUse = id
-					if worker.Draining != test.want {
-						t.Errorf("%s: %+v", word, worker)
+					if worker.Draining != test.wantDraining {
+						t.Errorf("%s: %+v", source, worker)
 					}
 				}
-				if inUse != test.wantID || len(roster.told) > 1 {
-					t.Errorf("%s: in use are %v, want %q", word, roster.told, test.wantID)
+				if inUse != test.wantID || len(roster.reported) > 1 {
+					t.Errorf("%s: in use are %v, want %q", source, roster.reported, test.wantID)
 				}
 			}
 		})
@@ -114,7 +114,7 @@
 }
 
 // TestAFadingWorkerThatLeavesIsDraining has a worker whose record went around an outage say that it leaves.
-func TestAFadingWorkerThatLeavesIsDraining(t *testing.T) {
+func TestRetainedWorkerThatLeavesIsDraining(t *testing.T) {
 	now := time.Unix(1000, 0)
 	roster := NewRoster(RosterSettings{FadeTime: time.Second, OutageMemory: time.Second})
 	roster.Put(now, &Worker{ID: "i"})
