--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -1,4 +1,4 @@
-// Package backend describes the workers that run requests.
+// Package backend describes the workers that process requests, their load and the changes to them.
 package backend
 
 import (
@@ -7,44 +7,44 @@
 	"sort"
 )
 
-// Role is the part that a model engine plays.
+// Role is the part that an inference engine plays in disaggregated serving.
 type Role string
 
 // The roles of workers.
 const (
 	// RoleNone is the role of plain application workers.
 	RoleNone Role = ""
-	// RolePrefill engines read prompts.
+	// RolePrefill engines process prompts.
 	RolePrefill Role = "prefill"
-	// RoleDecode engines write answers, and read short prompts.
+	// RoleDecode engines generate answers, and process short prompts.
 	RoleDecode Role = "decode"
 )
 
 // Worker is one incarnation of a process that runs requests.
 type Worker struct {
-	// ID is new at every start of the worker.
+	// ID differs for every start of the worker.
 	ID string
-	// Record is the name under which the worker records itself and which requests to it carry. It may keep that when it starts again.
-	// Empty is the ID.
+	// Record is the name of the worker's record in the store, which requests to it carry. It may stay the same across
+	// restarts. If empty, the ID is used.
 	Record string
 	Group  string
 	// Address is host:port.
 	Address string
 	Zone    string
-	// Slots is the number of requests on which the worker works at once.
+	// Slots is the number of requests that the worker processes concurrently.
 	Slots int
 	Role  Role
-	// Draining workers take no new work.
+	// Draining workers receive no new requests.
 	Draining bool
-	// Spot workers cost less, and may be taken away.
+	// Spot workers cost less and may be preempted.
 	Spot bool
-	// Labels that the worker tells of itself, with those of the operators on top.
+	// Labels are those reported by the worker, overridden by those that operators set.
 	Labels map[string]string
-	// Selected are the groups whose selectors select the worker, by name; it is a member of Group besides.
+	// Selected are the names of the groups whose selectors match the worker, in addition to Group.
 	Selected []string
 }
 
-// RecordName returns the name under which the worker records itself.
+// RecordName returns the name of the worker's record in the store.
 func (w *Worker) RecordName() string {
 	if w.Record == "" {
 		return w.ID
@@ -52,7 +52,7 @@
 	return w.Record
 }
 
-// AsDraining returns the worker as one that takes no new work.
+// AsDraining returns a copy of the worker that is draining, or the worker itself if it already is.
 func (w *Worker) AsDraining() *Worker {
 	if w.Draining {
 		return w
@@ -62,17 +62,17 @@
 	return &draining
 }
 
-// Equal tells whether two descriptions of a worker say the same.
+// Equal reports whether two descriptions of a worker are equal.
 func (w *Worker) Equal(other *Worker) bool {
 	return w == other || (w.ID == other.ID && w.Record == other.Record && w.Group == other.Group && w.Address == other.Address &&
 		w.Zone == other.Zone && w.Slots == other.Slots && w.Role == other.Role && w.Draining == other.Draining && w.Spot == other.Spot &&
 		maps.Equal(w.Labels, other.Labels) && slices.Equal(w.Selected, other.Selected))
 }
 
-// Groups returns all groups of which the worker is a member.
+// Groups returns all groups that the worker belongs to.
 func (w *Worker) Groups() []string { return append([]string{w.Group}, w.Selected...) }
 
-// RoleGroup returns the group within which the role of the worker is planned: each worker has one.
+// RoleGroup returns the one group in which the role of the worker is planned.
 func (w *Worker) RoleGroup() string {
 	if len(w.Selected) > 0 {
 		return w.Selected[0]
@@ -80,10 +80,10 @@
 	return w.Group
 }
 
-// Set is a snapshot of all workers by their ids.
+// Set is a snapshot of all workers by ID.
 type Set map[string]*Worker
 
-// OfGroup returns the workers of a group that take new work, ordered by id.
+// OfGroup returns the workers of a group that are not draining, ordered by ID.
 func (s Set) OfGroup(group string) []*Worker {
 	var workers []*Worker
 	for _, worker := range s {
@@ -95,24 +95,24 @@
 	return workers
 }
 
-// Part is a piece of a prompt that other prompts may share.
+// Part is a segment of a prompt that other prompts may share.
 type Part struct {
 	ID     string
 	Tokens int
 }
 
-// Demand is what a request asks of a worker.
+// Demand is what a request needs from a worker.
 type Demand struct {
-	// Model that is to answer; empty when the request does not say, or says it in its header.
+	// Model is the requested model; empty if the request does not name it, or names it in a header.
 	Model string
 	// PromptTokens and OutputTokens are zero for requests to plain workers.
 	PromptTokens int
 	OutputTokens int
-	// Parts of the prompt in their order. The last one belongs to the request itself or to its session.
+	// Parts are the segments of the prompt in order. The last one is specific to the request or its session.
 	Parts []Part
 }
 
-// SharedParts are the parts that other requests may share.
+// SharedParts returns the segments that other requests may share.
 func (d Demand) SharedParts() []Part {
 	if len(d.Parts) == 0 {
 		return nil
@@ -120,8 +120,8 @@
 	return d.Parts[:len(d.Parts)-1]
 }
 
-// AffinityKey names the prompts that are worth keeping together: the last shared part, or the own part when nothing is
-// shared. It is empty for requests without parts.
+// AffinityKey identifies prompts that benefit from running on the same worker: it is the last shared segment, or the
+// request's own one if there is no other. It is empty for requests without segments.
 func (d Demand) AffinityKey() string {
 	switch len(d.Parts) {
 	case 0:
@@ -133,5 +133,5 @@
 	}
 }
 
-// Clone returns a copy that shares the workers, which are never changed.
+// Clone returns a copy of the set. The workers are shared, as they are immutable.
 func (s Set) Clone() Set { return maps.Clone(s) }
--- a/internal/backend/changes.go
+++ b/internal/backend/changes.go
@@ -1,18 +1,18 @@
 package backend
 
-// Changes are what has become different in a set of workers. What takes them touches the workers that they name and no others, so that its
-// work does not grow with the fleet.
+// Changes is the difference between two sets of workers. Applying it takes time proportional to the changes, not to
+// the size of the fleet.
 type Changes struct {
-	// Put are workers that are new, or described anew.
+	// Put holds workers that were added or updated.
 	Put []*Worker
-	// Gone are the ids of those that are no more.
+	// Gone holds the IDs of workers that were removed.
 	Gone []string
 }
 
-// Empty tells whether nothing has changed.
+// Empty reports whether there are no changes.
 func (c Changes) Empty() bool { return len(c.Put) == 0 && len(c.Gone) == 0 }
 
-// Apply makes the changes in a set.
+// Apply applies the changes to a set.
 func (c Changes) Apply(set Set) {
 	for _, id := range c.Gone {
 		delete(set, id)
@@ -22,7 +22,7 @@
 	}
 }
 
-// Since returns the changes by which one set becomes another. Workers are compared by their descriptions.
+// Since returns the changes from the previous set to s. Workers are compared by their descriptions.
 func (s Set) Since(previous Set) Changes {
 	var changes Changes
 	for id := range previous {
--- a/internal/backend/load.go
+++ b/internal/backend/load.go
@@ -1,11 +1,13 @@
 package backend
 
-// Load is work at a worker.
+// Load is the amount of work at a worker.
 type Load struct {
-	// Running counts requests that were sent and have not ended; Reading counts those among them whose prompt is still to be read,
-	// with ReadingTokens to read. DeferredTokens are those of prompts that are read only while nothing else waits.
+	// Running counts requests that were sent and have not ended. Reading counts those whose prompt is still to be
+	// processed, with ReadingTokens prompt tokens in total. DeferredTokens counts the tokens of low-priority prompts,
+	// which are processed only when nothing else waits.
 	Running, Reading, ReadingTokens, DeferredTokens int
-	// Waiting counts late requests whose prompt was read elsewhere and that have not begun: all others go before them.
+	// Waiting counts low-priority requests whose prompt was processed elsewhere and that have not started decoding.
+	// All other requests take precedence.
 	Waiting int
 }
 
@@ -28,5 +30,6 @@
 	})
 }
 
-// Writing returns the requests that an engine is answering, or that wait there for a place before the late ones.
+// Writing returns the number of requests that an engine is decoding, or that wait to be decoded ahead of low-priority
+// ones.
 func (l Load) Writing() int { return max(l.Running-l.Reading-l.Waiting, 0) }
--- a/internal/backend/notice.go
+++ b/internal/backend/notice.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// Notice is what a worker says of itself in an answer, whatever the answer is about.
+// Notice is what a worker reports about itself in a response, independent of the request.
 type Notice struct {
-	// Leaving is set by a worker that takes no new work any more, and ends soon.
+	// Leaving is set by a worker that accepts no new requests and will stop soon.
 	Leaving bool
-	// BackOff is for how long the worker wants no more requests of the gateway to which it answered; zero when it does not say.
+	// BackOff is how long the gateway that receives the response should send no requests; zero if unset.
 	BackOff time.Duration
-	// Limit is how many requests a second the worker takes of all gateways together, for as long as its answers say so; zero when it
-	// names none.
+	// Limit is the number of requests per second that the worker accepts from all gateways together, for as long as
+	// its responses say so; zero if unset.
 	Limit float64
-	// Asked is when the request was sent that this is the answer to, and that the worker ran: that such an answer names no limit ends one
-	// that was named before. Zero for answers of another kind, which may name none although there is one.
+	// Asked is when the request was sent, if the worker ran it: a response to such a request without a limit revokes
+	// an earlier limit. It is zero for other responses, which may omit a limit that is in force.
 	Asked time.Time
 }
 
-// Empty tells whether the worker says nothing.
+// Empty reports whether the worker reports nothing.
 func (n Notice) Empty() bool { return !n.Leaving && n.BackOff == 0 && n.Limit == 0 && n.Asked.IsZero() }
--- a/internal/backend/roster.go
+++ b/internal/backend/roster.go
@@ -2,39 +2,41 @@
 
 import "time"
 
-// RosterSettings of a roster.
+// RosterSettings configures a roster.
 type RosterSettings struct {
-	// FadeTime is how long a worker whose record is gone around an outage of the store stays in use. The outage may have ended
-	// the record of a worker that lives, which records itself again with its next heartbeat.
+	// FadeTime is how long a worker stays in use after its record disappeared around an outage of the store. The
+	// outage may have expired the record of a running worker, which records itself again with its next heartbeat.
 	FadeTime time.Duration
-	// OutageMemory is how long after an outage missing records are put down to it.
+	// OutageMemory is how long after an outage missing records are attributed to it.
 	OutageMemory time.Duration
-	// LostTime is how long a worker stays in use whose record is gone since the store came back from an older copy: it came after the copy
-	// was made, and has not left, but the store does not know it yet.
+	// LostTime is how long a worker stays in use whose record is missing after the store was restored from a backup.
+	// It may have started after the backup was made, and not have recorded itself again yet.
 	LostTime time.Duration
 }
 
-// Roster is the list of workers as the store told it. It is a pure state machine and not safe for concurrent use.
+// Roster is the list of workers according to the store. It is a pure state machine and not safe for concurrent use.
 //
-// Invariants: a worker is in use only while its record is there, or for FadeTime after a record went that said it was ready, if that was
-// within OutageMemory of an outage; each record names one incarnation at a time; and an incarnation that said that it leaves is draining,
-// whatever its record says: that may be late by as long as the store is away.
+// Invariants: a worker is in use only while its record exists, or for FadeTime after a record that was not draining
+// disappeared within OutageMemory of an outage; each record names one incarnation at a time; and an incarnation that
+// announced that it is leaving is draining, whatever its record says, since the record may be stale for as long as the
+// store is unavailable.
 type Roster struct {
 	settings RosterSettings
-	// recorded are the workers by the names of their records, and fading those without a record, by id.
+	// byRecord holds the workers with a record, by record name; retained holds workers without one, by ID.
 	byRecord   map[string]*Worker
 	retained   map[string]retainedWorker
 	lastOutage time.Time
-	// lostUntil is until when records that are gone are taken to be lost with what the store held.
+	// restoreGraceUntil is the time until which missing records are attributed to a restore of the store.
 	restoreGraceUntil time.Time
-	// leaving is when incarnations said that they leave, in their records or ahead of them, by id.
+	// drainingSince is when incarnations announced that they are leaving, in their records or earlier, by ID.
 	drainingSince map[string]time.Time
-	// told are the workers in use as Changes told them last, and touched the ids of those of which that may be out of date.
+	// reported holds the workers in use as of the last call of Changes; pending holds the current state, nil if not in
+	// use, of workers that may have changed since, by ID.
 	reported Set
 	pending  map[string]*Worker
 }
 
-// fadingWorker is a worker without a record.
+// retainedWorker is a worker without a record that stays in use for a while.
 type retainedWorker struct {
 	worker *Worker
 	expiry time.Time
@@ -48,13 +50,13 @@
 	}
 }
 
-// Outage tells that the store failed.
+// Outage records that the store failed.
 func (r *Roster) Outage(now time.Time) { r.lastOutage = now }
 
-// Restored tells that the store has come back from an older copy, before its records are told.
+// Restored records that the store was restored from a backup. Call it before passing on the restored records.
 func (r *Roster) Restored(now time.Time) { r.restoreGraceUntil = now.Add(r.settings.OutageMemory) }
 
-// Reset replaces all records by those of these workers.
+// Reset replaces all records by those of the given workers.
 func (r *Roster) Reset(now time.Time, workers []*Worker) {
 	present := make(map[string]bool, len(workers))
 	for _, worker := range workers {
@@ -70,8 +72,8 @@
 	}
 }
 
-// Put takes the record of a worker. One that started again under the same name takes the place of the one before, of which nothing holds
-// any more.
+// Put adds or updates the record of a worker. A worker that restarted under the same record name replaces its previous
+// incarnation.
 func (r *Roster) Put(now time.Time, worker *Worker) {
 	if previous := r.byRecord[worker.RecordName()]; previous != nil && previous.ID != worker.ID {
 		r.pending[previous.ID] = nil
@@ -87,11 +89,11 @@
 	r.pending[worker.ID] = worker
 }
 
-// leavingMemory is how long the word of a worker that it leaves is kept once the worker is not in use any more. An old record of it may come
-// again, from a list that is late or a store that has lost changes; after this time a worker that leaves has ended.
+// drainingMemory is how long an announcement to leave is kept after the worker is no longer in use. A stale record of
+// the worker may still arrive, from a delayed list or a restored store; after this time the worker has ended.
 const drainingMemory = 10 * time.Minute
 
-// noteLeaving keeps that an incarnation leaves, which nothing undoes, and tells whether that is news.
+// markDraining records that an incarnation is leaving, which is final, and reports whether that is new.
 func (r *Roster) markDraining(now time.Time, id string) bool {
 	if _, known := r.drainingSince[id]; known {
 		return false
@@ -105,8 +107,8 @@
 	return true
 }
 
-// Leaves takes the word of an incarnation that it leaves, ahead of its record, and tells whether a worker in use takes no new work for it
-// from now on.
+// Leaves records that an incarnation announced that it is leaving, before its record says so, and reports whether this
+// makes a worker in use draining.
 func (r *Roster) Leaves(now time.Time, id string) bool {
 	worker := r.lookup(id)
 	if !r.markDraining(now, id) || worker == nil || worker.Draining {
@@ -122,7 +124,7 @@
 	return true
 }
 
-// inUse returns the worker in use with an id, as it is known now, or nil.
+// lookup returns the current state of the worker in use with the given ID, or nil.
 func (r *Roster) lookup(id string) *Worker {
 	if retained, found := r.retained[id]; found {
 		return retained.worker
@@ -134,7 +136,7 @@
 	return worker
 }
 
-// Remove takes note that a record is gone.
+// Remove records that a record disappeared.
 func (r *Roster) Remove(now time.Time, name string) {
 	worker, known := r.byRecord[name]
 	if !known {
@@ -153,7 +155,7 @@
 	}
 }
 
-// Drop takes note that a record says nothing that can be used any more: its worker is not in use from now on.
+// Drop records that a record became unusable. Its worker is no longer in use.
 func (r *Roster) Drop(name string) {
 	if worker, known := r.byRecord[name]; known {
 		delete(r.byRecord, name)
@@ -161,7 +163,8 @@
 	}
 }
 
-// Changes returns what has changed of the workers in use since the last call, and when the next one fades out; the zero time is never.
+// Changes returns the changes to the workers in use since the last call, and when the next retained worker expires, or
+// the zero time if none does.
 func (r *Roster) Changes(now time.Time) (Changes, time.Time) {
 	var next time.Time
 	for id, retained := range r.retained {
--- a/internal/backend/roster_test.go
+++ b/internal/backend/roster_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestRecordsThatGoWithAnOutageFade guards against losing all workers when the store comes back without their records, which
-// they write anew only with their next heartbeats.
+// TestWorkersAreRetainedAfterOutage guards against losing all workers when the store recovers without their records,
+// which they write again only with their next heartbeats.
 func TestWorkersAreRetainedAfterOutage(t *testing.T) {
 	epoch := time.Unix(1000, 0)
 	settings := RosterSettings{FadeTime: 1500 * time.Millisecond, OutageMemory: 5 * time.Second}
@@ -24,7 +24,7 @@
 	roster := newRoster()
 	roster.Remove(epoch, "ready")
 	if countInUse(roster, epoch) != 1 {
-		t.Error("a worker stays in use although its record is gone in quiet times")
+		t.Error("a worker without a record stays in use although there was no outage")
 	}
 	roster = newRoster()
 	roster.Outage(epoch)
@@ -34,10 +34,10 @@
 		t.Errorf("after an outage: %v", roster.reported)
 	}
 	if want := epoch.Add(time.Second + settings.FadeTime); !next.Equal(want) {
-		t.Errorf("the next one fades at %s, want %s", next, want)
+		t.Errorf("the next retained worker expires at %s, want %s", next, want)
 	}
 	if countInUse(roster, next) != 0 {
-		t.Error("a worker without a record stays in use for too long")
+		t.Error("a worker without a record is in use after FadeTime")
 	}
 	roster.Put(epoch, ready)
 	if countInUse(roster, next) != 1 {
@@ -45,7 +45,8 @@
 	}
 }
 
-// TestAWorkerThatStartsAgainUnderItsRecordIsAnother has a worker start again, and then its record say nothing that can be used.
+// TestRestartUnderSameRecordReplacesWorker guards against two incarnations of a record in use, and against keeping a
+// worker whose record became unusable.
 func TestRestartUnderSameRecordReplacesWorker(t *testing.T) {
 	roster, now := NewRoster(RosterSettings{}), time.Unix(1000, 0)
 	roster.Put(now, &Worker{ID: "i@1", Record: "i", Address: "a"})
@@ -54,47 +55,47 @@
 	roster.Put(now, &Worker{ID: "i@2", Record: "i", Address: "a"})
 	changes, _ := roster.Changes(now)
 	if len(changes.Gone) != 1 || changes.Gone[0] != "i@1" || len(changes.Put) != 1 || changes.Put[0].ID != "i@2" {
-		t.Errorf("started again: %+v", changes)
+		t.Errorf("after a restart: %+v", changes)
 	}
 	roster.Drop("i")
 	changes, _ = roster.Changes(now)
 	if len(changes.Gone) != 1 || changes.Gone[0] != "i@2" || len(changes.Put) != 0 {
-		t.Errorf("unreadable: %+v", changes)
+		t.Errorf("after the record became unusable: %+v", changes)
 	}
 	if changes, _ = roster.Changes(now); !changes.Empty() {
-		t.Errorf("nothing has changed: %+v", changes)
+		t.Errorf("got changes although nothing changed: %+v", changes)
 	}
 }
 
-// TestAWorkerThatSaidThatItLeavesIsDraining guards against what may come after the word of a worker: its old record, alone or with a list, as
-// while the store is behind or has come back from a copy; that its record goes around an outage; and its next life.
+// TestLeavingWorkerStaysDraining guards against stale records that undo a worker's announcement that it is leaving,
+// against retaining it around an outage, and against draining its next incarnation.
 func TestLeavingWorkerStaysDraining(t *testing.T) {
 	now := time.Unix(1000, 0)
 	ready := &Worker{ID: "i@1", Record: "i", Address: "a"}
 	for _, test := range []struct {
 		desc  string
 		event func(roster *Roster)
-		// wantIDs are the workers in use, and want whether the first is draining.
+		// wantID is the worker in use, if any, and wantDraining whether it is draining.
 		wantID       string
 		wantDraining bool
 	}{
 		{"nothing else", func(*Roster) {}, "i@1", true},
-		{"its record again", func(r *Roster) { r.Put(now, ready) }, "i@1", true},
-		{"a list with its record", func(r *Roster) { r.Reset(now, []*Worker{ready}) }, "i@1", true},
-		{"its record goes and comes again", func(r *Roster) { r.Remove(now, "i"); r.Changes(now); r.Put(now, ready) }, "i@1", true},
-		{"its record goes around an outage", func(r *Roster) { r.Outage(now); r.Remove(now, "i") }, "", false},
-		{"its next life", func(r *Roster) { r.Put(now, &Worker{ID: "i@2", Record: "i", Address: "a"}) }, "i@2", false},
+		{"stale record", func(r *Roster) { r.Put(now, ready) }, "i@1", true},
+		{"list with a stale record", func(r *Roster) { r.Reset(now, []*Worker{ready}) }, "i@1", true},
+		{"record removed and added again", func(r *Roster) { r.Remove(now, "i"); r.Changes(now); r.Put(now, ready) }, "i@1", true},
+		{"record removed around an outage", func(r *Roster) { r.Outage(now); r.Remove(now, "i") }, "", false},
+		{"restart", func(r *Roster) { r.Put(now, &Worker{ID: "i@2", Record: "i", Address: "a"}) }, "i@2", false},
 	} {
 		t.Run(test.desc, func(t *testing.T) {
 			for source, leave := range map[string]func(roster *Roster) bool{
-				"answer": func(r *Roster) bool { return r.Leaves(now, "i@1") },
-				"record": func(r *Roster) bool { r.Put(now, ready.AsDraining()); return true },
+				"response": func(r *Roster) bool { return r.Leaves(now, "i@1") },
+				"record":   func(r *Roster) bool { r.Put(now, ready.AsDraining()); return true },
 			} {
 				roster := NewRoster(RosterSettings{FadeTime: time.Second, OutageMemory: time.Second})
 				roster.Put(now, ready)
 				roster.Changes(now)
 				if !leave(roster) || roster.Leaves(now, "i@1") {
-					t.Errorf("%s: the word is news once", source)
+					t.Errorf("%s: an announcement must be new exactly once", source)
 				}
 				test.event(roster)
 				roster.Changes(now)
@@ -102,18 +103,19 @@
 				for id, worker := range roster.reported {
 					inUse = id
 					if worker.Draining != test.wantDraining {
-						t.Errorf("%s: %+v", source, worker)
+						t.Errorf("%s: wrong draining state of %+v", source, worker)
 					}
 				}
 				if inUse != test.wantID || len(roster.reported) > 1 {
-					t.Errorf("%s: in use are %v, want %q", source, roster.reported, test.wantID)
+					t.Errorf("%s: workers in use are %v, want %q", source, roster.reported, test.wantID)
 				}
 			}
 		})
 	}
 }
 
-// TestAFadingWorkerThatLeavesIsDraining has a worker whose record went around an outage say that it leaves.
+// TestRetainedWorkerThatLeavesIsDraining guards against ignoring the announcement of a worker whose record was lost in
+// an outage.
 func TestRetainedWorkerThatLeavesIsDraining(t *testing.T) {
 	now := time.Unix(1000, 0)
 	roster := NewRoster(RosterSettings{FadeTime: time.Second, OutageMemory: time.Second})
@@ -122,10 +124,10 @@
 	roster.Remove(now, "i")
 	roster.Changes(now)
 	if !roster.Leaves(now, "i") {
-		t.Error("the word is no news")
+		t.Error("the announcement did not make the worker draining")
 	}
 	changes, _ := roster.Changes(now)
 	if len(changes.Put) != 1 || !changes.Put[0].Draining {
-		t.Errorf("%+v", changes)
+		t.Errorf("got changes %+v, want one draining worker", changes)
 	}
 }
