--- a/internal/backend/roster.go
+++ b/internal/backend/roster.go
@@ -16,10 +16,10 @@
 
 // Roster is the list of workers according to the store. It is a pure state machine and not safe for concurrent use.
 //
-// Invariants: a worker is in use only while its record exists, or for FadeTime after a record that was not draining
-// disappeared within OutageMemory of an outage; each record names one incarnation at a time; and an incarnation that
-// announced that it is leaving is draining, whatever its record says, since the record may be stale for as long as the
-// store is unavailable.
+// Invariants: a worker is in use only while its record exists, or, unless it was draining, for FadeTime after its
+// record disappeared within OutageMemory of an outage, or for LostTime if it disappeared within OutageMemory of a
+// restore; each record names one incarnation at a time; and an incarnation that announced that it is leaving is
+// draining, whatever its record says, since the record may be stale for as long as the store is unavailable.
 type Roster struct {
 	settings RosterSettings
 	// byRecord holds the workers with a record, by record name; retained holds workers without one, by ID.
