--- a/internal/loadshare/board.go
+++ b/internal/loadshare/board.go
@@ -30,7 +30,7 @@
 }
 
 // load is the load without its worker.
-func (l Load) load() backend.Load {
+func (l Load) backendLoad() backend.Load {
 	return backend.Load{
 		Running: l.Running, Reading: l.Reading, ReadingTokens: l.ReadingTokens, DeferredTokens: l.DeferredTokens,
 		Waiting: l.Waiting,
@@ -123,56 +123,56 @@
 }
 
 // silenceTime is how long the word of a gateway counts that tells nothing more.
-const silenceTime = 3 * time.Second
+const peerTimeout = 3 * time.Second
 
 // Board holds what the other gateways told. It is a pure state machine and not safe for concurrent use.
 type Board struct {
-	senders map[string]*sender
-	totals  map[string]backend.Load
+	peers  map[string]*peerState
+	totals map[string]backend.Load
 }
 
 // sender is what one gateway told.
-type sender struct {
-	epoch    int64
-	sequence uint64
-	heard    time.Time
-	loads    map[string]backend.Load
-	offered  map[string]*Rate
-	busy     float64
+type peerState struct {
+	epoch        int64
+	sequence     uint64
+	lastReceived time.Time
+	loads        map[string]backend.Load
+	offered      map[string]*Rate
+	busy         float64
 }
 
 // NewBoard returns an empty board.
 func NewBoard() *Board {
-	return &Board{senders: map[string]*sender{}, totals: map[string]backend.Load{}}
+	return &Board{peers: map[string]*peerState{}, totals: map[string]backend.Load{}}
 }
 
 // Apply takes a message, and tells whether it was newer than what was known.
 func (b *Board) Apply(now time.Time, message *Message) bool {
-	b.expire(now)
-	known, found := b.senders[message.Sender]
-	if !found || message.Epoch > known.epoch {
-		b.remove(message.Sender)
-		known = &sender{epoch: message.Epoch, loads: map[string]backend.Load{}, offered: map[string]*Rate{}}
-		b.senders[message.Sender] = known
+	b.expirePeers(now)
+	peer, found := b.peers[message.Sender]
+	if !found || message.Epoch > peer.epoch {
+		b.removePeer(message.Sender)
+		peer = &peerState{epoch: message.Epoch, loads: map[string]backend.Load{}, offered: map[string]*Rate{}}
+		b.peers[message.Sender] = peer
 	}
-	if message.Epoch < known.epoch || message.Sequence <= known.sequence {
+	if message.Epoch < peer.epoch || message.Sequence <= peer.sequence {
 		return false
 	}
-	known.sequence, known.heard = message.Sequence, now
+	peer.sequence, peer.lastReceived = message.Sequence, now
 	if message.Full {
-		known.busy = message.Busy
-		for worker := range known.loads {
-			b.replace(known, worker, backend.Load{})
+		peer.busy = message.Busy
+		for worker := range peer.loads {
+			b.setLoad(peer, worker, backend.Load{})
 		}
 	}
 	for _, load := range message.Loads {
-		b.replace(known, load.Worker, load.load())
+		b.setLoad(peer, load.Worker, load.backendLoad())
 	}
 	for _, offered := range message.Offered {
-		rate, found := known.offered[offered.Group]
+		rate, found := peer.offered[offered.Group]
 		if !found {
 			rate = &Rate{}
-			known.offered[offered.Group] = rate
+			peer.offered[offered.Group] = rate
 		}
 		rate.Update(now, offered.Tokens)
 	}
@@ -181,10 +181,10 @@
 
 // Offered returns the tokens a second that callers offer for a group through the other gateways.
 func (b *Board) Offered(now time.Time, group string) float64 {
-	b.expire(now)
+	b.expirePeers(now)
 	total := 0.0
-	for _, known := range b.senders {
-		if rate, found := known.offered[group]; found {
+	for _, peer := range b.peers {
+		if rate, found := peer.offered[group]; found {
 			total += rate.PerSecond()
 		}
 	}
@@ -193,10 +193,10 @@
 
 // Busy returns what the other gateways use of their limits, by name.
 func (b *Board) Busy(now time.Time) map[string]float64 {
-	b.expire(now)
-	busy := make(map[string]float64, len(b.senders))
-	for name, known := range b.senders {
-		busy[name] = known.busy
+	b.expirePeers(now)
+	busy := make(map[string]float64, len(b.peers))
+	for name, peer := range b.peers {
+		busy[name] = peer.busy
 	}
 	return busy
 }
@@ -205,42 +205,42 @@
 func (b *Board) Load(worker string) backend.Load { return b.totals[worker] }
 
 // Senders returns how many gateways told something lately.
-func (b *Board) Senders(now time.Time) int {
-	b.expire(now)
-	return len(b.senders)
+func (b *Board) PeerCount(now time.Time) int {
+	b.expirePeers(now)
+	return len(b.peers)
 }
 
 // replace puts the load of a sender at a worker in place of the old one.
-func (b *Board) replace(from *sender, worker string, load backend.Load) {
-	total := b.totals[worker].Minus(from.loads[worker]).Plus(load)
+func (b *Board) setLoad(peer *peerState, worker string, load backend.Load) {
+	total := b.totals[worker].Minus(peer.loads[worker]).Plus(load)
 	b.totals[worker] = total
 	if total == (backend.Load{}) {
 		delete(b.totals, worker)
 	}
 	if load == (backend.Load{}) {
-		delete(from.loads, worker)
+		delete(peer.loads, worker)
 		return
 	}
-	from.loads[worker] = load
+	peer.loads[worker] = load
 }
 
 // remove forgets a sender.
-func (b *Board) remove(name string) {
-	known, found := b.senders[name]
+func (b *Board) removePeer(name string) {
+	peer, found := b.peers[name]
 	if !found {
 		return
 	}
-	for worker := range known.loads {
-		b.replace(known, worker, backend.Load{})
+	for worker := range peer.loads {
+		b.setLoad(peer, worker, backend.Load{})
 	}
-	delete(b.senders, name)
+	delete(b.peers, name)
 }
 
 // expire forgets senders that have been silent for long.
-func (b *Board) expire(now time.Time) {
-	for name, known := range b.senders {
-		if now.Sub(known.heard) > silenceTime {
-			b.remove(name)
+func (b *Board) expirePeers(now time.Time) {
+	for name, peer := range b.peers {
+		if now.Sub(peer.lastReceived) > peerTimeout {
+			b.removePeer(name)
 		}
 	}
 }
--- a/internal/loadshare/exchange.go
+++ b/internal/loadshare/exchange.go
@@ -69,7 +69,7 @@
 
 	// What follows is used by Send alone.
 	peers    []*net.UDPAddr
-	standsBy bool
+	standby  bool
 	lastSent time.Time
 	lastFull time.Time
 }
@@ -121,11 +121,11 @@
 func (e *Exchange) Close() { _ = e.socket.Close() }
 
 // maxDatagram bounds a received message.
-const maxDatagram = 64 << 10
+const maxDatagramSize = 64 << 10
 
 // Receive takes messages until the exchange is closed.
 func (e *Exchange) Receive() {
-	buffer := make([]byte, maxDatagram)
+	buffer := make([]byte, maxDatagramSize)
 	for {
 		count, from, err := e.socket.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -134,14 +134,14 @@
 		if err != nil {
 			continue
 		}
-		if err := e.receive(buffer[:count]); err != nil {
+		if err := e.handleDatagram(buffer[:count]); err != nil {
 			e.logger.WithError(err).WithField("peer", from).Warn("A message of a peer can't be read.")
 		}
 	}
 }
 
 // receive takes one datagram.
-func (e *Exchange) receive(encoded []byte) error {
+func (e *Exchange) handleDatagram(encoded []byte) error {
 	if isSupplement(encoded) {
 		supplement, err := DecodeSupplement(encoded)
 		if err == nil {
@@ -162,32 +162,32 @@
 	defer heartbeat.Stop()
 	for {
 		heartbeat.Reset(max(e.settings.Heartbeat-time.Since(e.lastSent), 0))
-		alive := heartbeat.C
-		if e.standsBy {
-			alive = nil
+		heartbeatC := heartbeat.C
+		if e.standby {
+			heartbeatC = nil
 		}
 		delay := e.settings.UrgentDelay
 		select {
 		case <-ctx.Done():
 			return
 		case audience := <-e.audience:
-			e.setAudience(audience)
+			e.applyAudience(audience)
 			continue
 		case <-e.urgent:
-		case <-alive:
+		case <-heartbeatC:
 		case <-e.changed:
 			delay = max(e.settings.Interval-time.Since(e.lastSent), delay)
 		}
-		if !e.gather(ctx, delay) {
+		if !e.coalesce(ctx, delay) {
 			return
 		}
 		e.lastSent = time.Now()
-		e.tell()
+		e.sendUpdate()
 	}
 }
 
 // gather waits for more to tell, and less when it gets urgent. It returns false when the context has ended.
-func (e *Exchange) gather(ctx context.Context, delay time.Duration) bool {
+func (e *Exchange) coalesce(ctx context.Context, delay time.Duration) bool {
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	select {
@@ -200,11 +200,11 @@
 }
 
 // setAudience takes those that are told. A gateway that begins to stand by says so to all that have heard it.
-func (e *Exchange) setAudience(audience Audience) {
-	begins := audience.StandsBy && !e.standsBy
-	e.standsBy = audience.StandsBy
-	if begins {
-		e.send(Message{})
+func (e *Exchange) applyAudience(audience Audience) {
+	becameStandby := audience.StandsBy && !e.standby
+	e.standby = audience.StandsBy
+	if becameStandby {
+		e.sendMessage(Message{})
 	}
 	e.peers = e.resolve(audience.Peers)
 }
@@ -224,27 +224,27 @@
 }
 
 // tell sends what has changed to the peers, and everything once in a while.
-func (e *Exchange) tell() {
+func (e *Exchange) sendUpdate() {
 	full := e.lastSent.Sub(e.lastFull) >= e.settings.FullEvery
 	if full {
 		e.lastFull = e.lastSent
 	}
 	message := e.source.Drain(full)
 	message.Full = full
-	e.send(message)
+	e.sendMessage(message)
 	e.sendSupplement(e.source.DrainSupplement(full))
 }
 
 // send sends one message to all peers. Datagrams that can't be sent are lost, as others are on the way.
-func (e *Exchange) send(message Message) {
+func (e *Exchange) sendMessage(message Message) {
 	e.sequence++
-	message.Sender, message.Epoch, message.Sequence, message.StandsBy = e.settings.Name, e.epoch, e.sequence, e.standsBy
+	message.Sender, message.Epoch, message.Sequence, message.StandsBy = e.settings.Name, e.epoch, e.sequence, e.standby
 	encoded, err := message.Encode()
 	if err != nil {
 		e.logger.WithError(err).Error("A message to peers can't be written.")
 		return
 	}
-	e.sendToPeers(encoded)
+	e.broadcast(encoded)
 }
 
 // sendSupplement sends a supplement to all peers, if it tells anything.
@@ -257,11 +257,11 @@
 		e.logger.WithError(err).Error("A supplement to peers can't be written.")
 		return
 	}
-	e.sendToPeers(encoded)
+	e.broadcast(encoded)
 }
 
 // sendToPeers sends a datagram to all peers.
-func (e *Exchange) sendToPeers(encoded []byte) {
+func (e *Exchange) broadcast(encoded []byte) {
 	for _, target := range e.peers {
 		_, _ = e.socket.WriteToUDP(encoded, target)
 	}
--- a/internal/loadshare/loadshare_test.go
+++ b/internal/loadshare/loadshare_test.go
@@ -13,7 +13,7 @@
 // epoch is where the tests begin.
 var epoch = time.Unix(1000, 0)
 
-func TestMessagesKeepTheirContent(t *testing.T) {
+func TestMessageRoundTrip(t *testing.T) {
 	message := &Message{
 		Sender: "a", Epoch: 3, Sequence: 9, Full: true,
 		Loads: []Load{{Worker: "w", Running: 2, ReadingTokens: 300}}, Kept: []Kept{{Worker: "w", Key: "k", Tokens: 9, Ready: true}},
@@ -33,7 +33,7 @@
 
 // TestTotalsAreTheSumOfTheLatestWord plays messages in any order, some lost, and compares the totals with the latest message
 // of each sender.
-func TestTotalsAreTheSumOfTheLatestWord(t *testing.T) {
+func TestTotalsSumLatestMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		board := NewBoard()
 		latest := map[string]*Message{}
@@ -47,10 +47,10 @@
 			if running := rapid.IntRange(0, 3).Draw(t, "running"); running > 0 {
 				message.Loads = []Load{{Worker: "w", Running: running, ReadingTokens: running * 10}}
 			}
-			known := latest[message.Sender]
-			newer := known == nil || message.Epoch > known.Epoch || (message.Epoch == known.Epoch && message.Sequence > known.Sequence)
+			previous := latest[message.Sender]
+			newer := previous == nil || message.Epoch > previous.Epoch || (message.Epoch == previous.Epoch && message.Sequence > previous.Sequence)
 			if board.Apply(epoch, message) != newer {
-				t.Fatalf("%+v after %+v: newer should be %v", message, known, newer)
+				t.Fatalf("%+v after %+v: newer should be %v", message, previous, newer)
 			}
 			if newer {
 				latest[message.Sender] = message
@@ -68,47 +68,47 @@
 	})
 }
 
-func TestSilentSendersAreForgotten(t *testing.T) {
+func TestSilentPeersExpire(t *testing.T) {
 	board := NewBoard()
 	board.Apply(epoch, &Message{Sender: "a", Epoch: 1, Sequence: 1, Loads: []Load{{Worker: "w", Running: 5}}})
-	if board.Senders(epoch.Add(silenceTime+1)) != 0 || board.Load("w").Running != 0 {
+	if board.PeerCount(epoch.Add(peerTimeout+1)) != 0 || board.Load("w").Running != 0 {
 		t.Error("the load of a silent sender still counts")
 	}
 }
 
 // memorySource tells a fixed load and keeps what it hears.
-type memorySource struct {
-	mutex sync.Mutex
-	heard []*Message
+type fakeSource struct {
+	mutex    sync.Mutex
+	received []*Message
 }
 
-func (m *memorySource) Drain(bool) Message { return Message{Loads: []Load{{Worker: "w", Running: 1}}} }
+func (s *fakeSource) Drain(bool) Message { return Message{Loads: []Load{{Worker: "w", Running: 1}}} }
 
-func (m *memorySource) DrainSupplement(bool) Supplement { return Supplement{} }
+func (s *fakeSource) DrainSupplement(bool) Supplement { return Supplement{} }
 
-func (m *memorySource) HearSupplement(*Supplement) {}
+func (s *fakeSource) HearSupplement(*Supplement) {}
 
-func (m *memorySource) Hear(message *Message) {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
-	m.heard = append(m.heard, message)
+func (s *fakeSource) Hear(message *Message) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.received = append(s.received, message)
 }
 
-func (m *memorySource) count() int {
-	m.mutex.Lock()
-	defer m.mutex.Unlock()
-	return len(m.heard)
+func (s *fakeSource) receivedCount() int {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return len(s.received)
 }
 
 // exchangePair returns two exchanges that run until the test ends, and what each has heard.
-func exchangePair(t *testing.T) (exchanges [2]*Exchange, sources [2]*memorySource) {
+func exchangePair(t *testing.T) (exchanges [2]*Exchange, sources [2]*fakeSource) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
 	for i := range exchanges {
 		settings := DefaultSettings()
 		settings.Name, settings.Listen, settings.Heartbeat = string(rune('a'+i)), "127.0.0.1:0", 30*time.Millisecond
-		sources[i] = &memorySource{}
+		sources[i] = &fakeSource{}
 		exchange, err := NewExchange(settings, sources[i], logrus.New())
 		if err != nil {
 			t.Fatal(err)
@@ -125,18 +125,18 @@
 func address(exchange *Exchange) string { return exchange.socket.LocalAddr().String() }
 
 // waitForMessages waits until a source has heard a number of messages.
-func waitForMessages(t *testing.T, source *memorySource, count int) {
+func waitForMessages(t *testing.T, source *fakeSource, count int) {
 	t.Helper()
 	for range 200 {
-		if source.count() >= count {
+		if source.receivedCount() >= count {
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatalf("heard %d messages, want %d", source.count(), count)
+	t.Fatalf("heard %d messages, want %d", source.receivedCount(), count)
 }
 
-func TestPeersHearChangesAndHeartbeats(t *testing.T) {
+func TestPeersReceiveChangesAndHeartbeats(t *testing.T) {
 	exchanges, sources := exchangePair(t)
 	exchanges[0].SetAudience(Audience{Peers: []string{address(exchanges[1])}})
 	exchanges[0].Changed(true)
@@ -145,32 +145,32 @@
 
 // TestPeersHearThatAGatewayLivesUntilItStandsBy has a gateway stand by. From then on it tells only its changes, each with the word
 // that it stands by, so that nobody waits for it.
-func TestPeersHearThatAGatewayLivesUntilItStandsBy(t *testing.T) {
+func TestStandbyStopsHeartbeats(t *testing.T) {
 	exchanges, sources := exchangePair(t)
 	peers := []string{address(exchanges[1])}
 	exchanges[0].SetAudience(Audience{Peers: peers})
 	waitForMessages(t, sources[1], 3)
 	exchanges[0].SetAudience(Audience{Peers: peers, StandsBy: true})
-	heard := func() (messages []*Message) {
+	received := func() (messages []*Message) {
 		sources[1].mutex.Lock()
 		defer sources[1].mutex.Unlock()
-		return append(messages, sources[1].heard...)
+		return append(messages, sources[1].received...)
 	}
 	for range 200 {
-		if messages := heard(); messages[len(messages)-1].StandsBy {
+		if messages := received(); messages[len(messages)-1].StandsBy {
 			break
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	count := sources[1].count()
+	count := sources[1].receivedCount()
 	time.Sleep(100 * time.Millisecond)
-	messages := heard()
+	messages := received()
 	if len(messages) != count || !messages[count-1].StandsBy {
 		t.Errorf("%d messages after %d, the last one says that the sender stands by: %t", len(messages), count, messages[count-1].StandsBy)
 	}
 	exchanges[0].Changed(true)
 	waitForMessages(t, sources[1], count+1)
-	if messages := heard(); !messages[count].StandsBy || len(messages[count].Loads) == 0 {
+	if messages := received(); !messages[count].StandsBy || len(messages[count].Loads) == 0 {
 		t.Errorf("a change is told as %+v", messages[count])
 	}
 }
--- a/internal/loadshare/rate.go
+++ b/internal/loadshare/rate.go
@@ -11,27 +11,27 @@
 }
 
 // rateInterval is the least time over which a rate is taken.
-const rateInterval = 500 * time.Millisecond
+const minRateInterval = 500 * time.Millisecond
 
 // Rate turns a count that rises into a count a second. The zero value has seen nothing.
 type Rate struct {
 	count     int64
-	at        time.Time
+	updatedAt time.Time
 	perSecond float64
 }
 
 // Update takes the count of a moment.
 func (r *Rate) Update(now time.Time, count int64) {
-	took := now.Sub(r.at)
+	elapsed := now.Sub(r.updatedAt)
 	switch {
-	case r.at.IsZero() || count < r.count:
+	case r.updatedAt.IsZero() || count < r.count:
 		r.perSecond = 0
-	case took < rateInterval:
+	case elapsed < minRateInterval:
 		return
 	default:
-		r.perSecond = float64(count-r.count) / took.Seconds()
+		r.perSecond = float64(count-r.count) / elapsed.Seconds()
 	}
-	r.count, r.at = count, now
+	r.count, r.updatedAt = count, now
 }
 
 // PerSecond returns the rate between the last two counts.
--- a/internal/loadshare/supplement_test.go
+++ b/internal/loadshare/supplement_test.go
@@ -8,7 +8,7 @@
 )
 
 // TestSupplementsOfOtherBuilds reads a supplement of a build that tells more, and one of a build that tells nothing this one knows.
-func TestSupplementsOfOtherBuilds(t *testing.T) {
+func TestSupplementsOfOtherVersions(t *testing.T) {
 	type newer struct {
 		Leaving []string       `cbor:"1,keyasint,omitempty"`
 		More    map[string]int `cbor:"77,keyasint,omitempty"`
@@ -29,7 +29,7 @@
 }
 
 // TestMessagesAreNoSupplements keeps both kinds of datagrams apart.
-func TestMessagesAreNoSupplements(t *testing.T) {
+func TestDatagramKindsAreDistinguished(t *testing.T) {
 	message, err := (&Message{Sender: "a"}).Encode()
 	if err != nil || isSupplement(message) || isSupplement(nil) {
 		t.Errorf("a message is taken for a supplement: %v", err)
