--- a/internal/loadshare/board.go
+++ b/internal/loadshare/board.go
@@ -1,7 +1,9 @@
-// Package loadshare lets gateways tell each other what work they have at which workers and what prompt parts they had read
-// there. Each gateway sees only its part of the traffic; with what the others tell it knows the queue of every worker.
+// Package loadshare exchanges load between gateways over UDP: how much work each gateway has at which workers, and
+// which prompt segments the workers cache. A gateway sees only its own part of the traffic; with the load of its peers
+// it knows the queue of every worker.
 //
-// What is told is a hint: a message that is lost, late or doubled makes a choice worse, never wrong.
+// The messages are hints: one that is lost, late or duplicated leads to a worse choice of worker, never to a wrong
+// result.
 package loadshare
 
 import (
@@ -19,17 +21,18 @@
 type Load struct {
 	_      struct{} `cbor:",toarray"`
 	Worker string
-	// Running requests, and Reading among them whose prompt is still to be read, with ReadingTokens to read.
+	// Running counts requests; Reading counts those whose prompt is still to be processed, with ReadingTokens prompt
+	// tokens in total.
 	Running       int
 	ReadingTokens int
 	Reading       int
-	// DeferredTokens of prompts that are read only while nothing else waits.
+	// DeferredTokens counts the tokens of low-priority prompts, which are processed only when nothing else waits.
 	DeferredTokens int
-	// Waiting late requests that have not begun.
+	// Waiting counts low-priority requests that have not started.
 	Waiting int
 }
 
-// load is the load without its worker.
+// backendLoad returns the load without its worker.
 func (l Load) backendLoad() backend.Load {
 	return backend.Load{
 		Running: l.Running, Reading: l.Reading, ReadingTokens: l.ReadingTokens, DeferredTokens: l.DeferredTokens,
@@ -37,7 +40,7 @@
 	}
 }
 
-// LoadAt returns a load as it is told.
+// LoadAt returns the message form of a load.
 func LoadAt(worker string, load backend.Load) Load {
 	return Load{
 		Worker: worker, Running: load.Running, Reading: load.Reading, ReadingTokens: load.ReadingTokens,
@@ -45,93 +48,94 @@
 	}
 }
 
-// Kept tells that a worker keeps a part of prompts, or is about to.
+// Kept announces that a worker caches a prompt segment, or is about to.
 type Kept struct {
 	_      struct{} `cbor:",toarray"`
 	Worker string
 	Key    string
 	Tokens int
 	Ready  bool
-	// Own tokens of the request, which no other one can use, and which the worker keeps all the same.
+	// Own counts tokens specific to the request, which the worker caches although no other request can use them.
 	Own int
 }
 
-// Changing tells that work is kept off a worker, because it changes its role.
+// Changing announces that a worker is changing its role, during which it receives no work.
 type Changing struct {
 	_      struct{} `cbor:",toarray"`
 	Worker string
-	// Role that the worker takes; once its record says so the change is over.
+	// Role is the new role. The change is over once the worker's record contains it.
 	Role string
-	// ForMs is how long at the most, in milliseconds from when this is heard, and ReadyMs when it is expected to be done.
+	// ForMs limits how long the change may take, and ReadyMs is when it should be done, in milliseconds from receipt
+	// of the message.
 	ForMs, ReadyMs int64
 }
 
-// Changed tells that a worker says that it has a role now, although its record may not tell it yet.
+// Changed announces that a worker reports a new role that its record may not contain yet.
 type Changed struct {
 	_      struct{} `cbor:",toarray"`
 	Worker string
 	Role   string
 }
 
-// Message is what one gateway tells the others.
+// Message is an update from one gateway to its peers.
 type Message struct {
 	_ struct{} `cbor:",toarray"`
-	// Sender is the name of the gateway.
+	// Sender is the name of the sending gateway.
 	Sender string
-	// Epoch rises with each start of the sender and Sequence with each message.
+	// Epoch increases with each start of the sender, and Sequence with each message.
 	Epoch    int64
 	Sequence uint64
-	// Full is set when workers that are not listed have no load of the sender.
+	// Full is set if the sender has no load at the workers that are not listed.
 	Full  bool
 	Loads []Load
 	Kept  []Kept
-	// Offered work by groups, told with Full.
+	// Offered is the work offered per group. It is sent in full messages only.
 	Offered []Offered
-	// Changing workers, by the word of the gateway that gives orders.
+	// Changing lists workers that are changing their role, according to the controlling gateway.
 	Changing []Changing
-	// Failed workers were set aside by the sender since the last message, because they did not answer.
+	// Failed lists workers that the sender excluded since the last message because they did not respond.
 	Failed []string
-	// Changed workers have a new role, Refused ones are engines whose addresses refuse connections, and Answering ones are engines
-	// that were taken for such and live.
+	// Changed lists workers with a new role. Refused lists engines whose addresses refuse connections, and Answering
+	// lists engines that were suspected of that but respond.
 	Changed            []Changed
 	Refused, Answering []string
-	// Busy is the part of its limits that the sender uses, of the one that is used most, told with Full.
+	// Busy is the utilization of the sender's most used resource limit. It is sent in full messages only.
 	Busy float64
-	// StandsBy is set by a sender to which no callers are sent. It tells its work, but not that it lives.
+	// StandsBy is set by a standby gateway, which receives no callers. It sends its load but no heartbeats.
 	StandsBy bool
-	// WallMs is the time of day at the sender, in milliseconds since the start of 1970.
+	// WallMs is the wall-clock time at the sender, in milliseconds since the Unix epoch.
 	WallMs int64
-	// Used is what tenants have used.
+	// Used is the usage of tenants.
 	Used []usage.Count
-	// Poison is what is held of requests that may end workers.
+	// Poison is the sender's knowledge of requests that may crash workers.
 	Poison poison.Told
 }
 
-// Encode returns the bytes of a message.
+// Encode returns the encoding of a message.
 func (m *Message) Encode() ([]byte, error) {
 	encoded, err := cbor.Marshal(m)
-	return encoded, errors.Wrap(err, "step encode a message to a peer")
+	return encoded, errors.Wrap(err, "encode message to peers")
 }
 
-// Decode reads a message.
+// Decode decodes a message.
 func Decode(encoded []byte) (*Message, error) {
 	var message Message
 	if err := cbor.Unmarshal(encoded, &message); err != nil {
-		return nil, errors.Wrap(err, "step decode a message of a peer")
+		return nil, errors.Wrap(err, "decode message from peer")
 	}
 	return &message, nil
 }
 
-// silenceTime is how long the word of a gateway counts that tells nothing more.
+// peerTimeout is how long the state of a silent peer remains valid.
 const peerTimeout = 3 * time.Second
 
-// Board holds what the other gateways told. It is a pure state machine and not safe for concurrent use.
+// Board holds the state received from the peers. It is a pure state machine and not safe for concurrent use.
 type Board struct {
 	peers  map[string]*peerState
 	totals map[string]backend.Load
 }
 
-// sender is what one gateway told.
+// peerState is the state received from one peer.
 type peerState struct {
 	epoch        int64
 	sequence     uint64
@@ -146,7 +150,7 @@
 	return &Board{peers: map[string]*peerState{}, totals: map[string]backend.Load{}}
 }
 
-// Apply takes a message, and tells whether it was newer than what was known.
+// Apply applies a message and reports whether it was newer than the known state of its sender.
 func (b *Board) Apply(now time.Time, message *Message) bool {
 	b.expirePeers(now)
 	peer, found := b.peers[message.Sender]
@@ -179,7 +183,7 @@
 	return true
 }
 
-// Offered returns the tokens a second that callers offer for a group through the other gateways.
+// Offered returns the prompt tokens per second that callers offer to a group through the other gateways.
 func (b *Board) Offered(now time.Time, group string) float64 {
 	b.expirePeers(now)
 	total := 0.0
@@ -191,7 +195,7 @@
 	return total
 }
 
-// Busy returns what the other gateways use of their limits, by name.
+// Busy returns the utilization of the other gateways by name.
 func (b *Board) Busy(now time.Time) map[string]float64 {
 	b.expirePeers(now)
 	busy := make(map[string]float64, len(b.peers))
@@ -204,13 +208,13 @@
 // Load returns the work that the other gateways have at a worker.
 func (b *Board) Load(worker string) backend.Load { return b.totals[worker] }
 
-// Senders returns how many gateways told something lately.
+// PeerCount returns the number of gateways that were heard from recently.
 func (b *Board) PeerCount(now time.Time) int {
 	b.expirePeers(now)
 	return len(b.peers)
 }
 
-// replace puts the load of a sender at a worker in place of the old one.
+// setLoad replaces the load of a peer at a worker and updates the total.
 func (b *Board) setLoad(peer *peerState, worker string, load backend.Load) {
 	total := b.totals[worker].Minus(peer.loads[worker]).Plus(load)
 	b.totals[worker] = total
@@ -224,7 +228,7 @@
 	peer.loads[worker] = load
 }
 
-// remove forgets a sender.
+// removePeer removes a peer and its load.
 func (b *Board) removePeer(name string) {
 	peer, found := b.peers[name]
 	if !found {
@@ -236,7 +240,7 @@
 	delete(b.peers, name)
 }
 
-// expire forgets senders that have been silent for long.
+// expirePeers removes peers that have been silent for longer than peerTimeout.
 func (b *Board) expirePeers(now time.Time) {
 	for name, peer := range b.peers {
 		if now.Sub(peer.lastReceived) > peerTimeout {
--- a/internal/loadshare/exchange.go
+++ b/internal/loadshare/exchange.go
@@ -9,34 +9,34 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Source gives what is to be told.
+// Source provides the outgoing updates and consumes the incoming ones.
 type Source interface {
-	// Drain returns what has changed since the last call, or everything with full set, without a sender.
+	// Drain returns what changed since the last call, or everything if full is set. The exchange fills in the sender.
 	Drain(full bool) Message
-	// Hear takes what a peer told.
+	// Hear consumes a message from a peer.
 	Hear(message *Message)
-	// DrainSupplement returns what is to be told beside that, again with full set, and HearSupplement takes what a peer told so.
+	// DrainSupplement does the same as Drain for supplements, and HearSupplement consumes one from a peer.
 	DrainSupplement(full bool) Supplement
 	HearSupplement(supplement *Supplement)
 }
 
-// Settings of an exchange.
+// Settings configures an exchange.
 type Settings struct {
-	// Name of the own gateway.
+	// Name is the name of this gateway.
 	Name string
-	// Listen is host:port for datagrams.
+	// Listen is the host:port on which datagrams are received.
 	Listen string
-	// Interval between two messages about changes that are not urgent.
+	// Interval is the minimum time between two messages with changes that are not urgent.
 	Interval time.Duration
-	// UrgentDelay is how long urgent changes are gathered.
+	// UrgentDelay is how long urgent changes are collected before they are sent.
 	UrgentDelay time.Duration
-	// FullEvery is how often everything is told.
+	// FullEvery is the interval of full messages.
 	FullEvery time.Duration
-	// Heartbeat is the longest time in which nothing is told.
+	// Heartbeat is the maximum time between two messages.
 	Heartbeat time.Duration
 }
 
-// DefaultSettings return settings without a name and an address.
+// DefaultSettings returns settings without a name and an address.
 func DefaultSettings() Settings {
 	return Settings{
 		Interval:    100 * time.Millisecond,
@@ -46,16 +46,16 @@
 	}
 }
 
-// Audience says whom an exchange tells what.
+// Audience is the set of receivers of updates.
 type Audience struct {
-	// Peers are told everything. None is left out: what one of them does not know of the queues of workers and of what they keep
-	// costs far more than its datagrams.
+	// Peers are the addresses that receive every update. It must be complete: gateways that lack each other's load and
+	// cached segments cost far more than the datagrams.
 	Peers []string
-	// StandsBy is set for a gateway that tells its changes but not that it lives.
+	// StandsBy is set for a standby gateway, which sends changes but no heartbeats.
 	StandsBy bool
 }
 
-// Exchange sends and receives datagrams.
+// Exchange sends and receives updates as datagrams.
 type Exchange struct {
 	settings Settings
 	source   Source
@@ -67,7 +67,7 @@
 	epoch    int64
 	sequence uint64
 
-	// What follows is used by Send alone.
+	// The following fields are used only by the goroutine that runs Send.
 	peers    []*net.UDPAddr
 	standby  bool
 	lastSent time.Time
@@ -78,11 +78,11 @@
 func NewExchange(settings Settings, source Source, logger logrus.FieldLogger) (*Exchange, error) {
 	address, err := net.ResolveUDPAddr("udp4", settings.Listen)
 	if err != nil {
-		return nil, errors.Wrapf(err, "step listen for peers, address %s", settings.Listen)
+		return nil, errors.Wrapf(err, "resolve peer listen address %s", settings.Listen)
 	}
 	socket, err := net.ListenUDP("udp4", address)
 	if err != nil {
-		return nil, errors.Wrapf(err, "step listen for peers, address %s", settings.Listen)
+		return nil, errors.Wrapf(err, "listen for peers on %s", settings.Listen)
 	}
 	return &Exchange{
 		settings: settings, source: source, logger: logger, socket: socket, epoch: time.Now().UnixNano(),
@@ -90,7 +90,7 @@
 	}, nil
 }
 
-// Changed tells that there is something to tell, at once if urgent.
+// Changed signals that there is something to send, soon if urgent is set.
 func (e *Exchange) Changed(urgent bool) {
 	channel := e.changed
 	if urgent {
@@ -102,7 +102,7 @@
 	}
 }
 
-// SetAudience replaces those that are told.
+// SetAudience replaces the receivers.
 func (e *Exchange) SetAudience(audience Audience) {
 	for {
 		select {
@@ -117,13 +117,13 @@
 	}
 }
 
-// Close ends both loops.
+// Close closes the socket, which ends Receive.
 func (e *Exchange) Close() { _ = e.socket.Close() }
 
-// maxDatagram bounds a received message.
+// maxDatagramSize is the size of the receive buffer.
 const maxDatagramSize = 64 << 10
 
-// Receive takes messages until the exchange is closed.
+// Receive handles datagrams until the exchange is closed.
 func (e *Exchange) Receive() {
 	buffer := make([]byte, maxDatagramSize)
 	for {
@@ -140,7 +140,7 @@
 	}
 }
 
-// receive takes one datagram.
+// handleDatagram decodes one datagram and passes it on.
 func (e *Exchange) handleDatagram(encoded []byte) error {
 	if isSupplement(encoded) {
 		supplement, err := DecodeSupplement(encoded)
@@ -156,7 +156,7 @@
 	return err
 }
 
-// Send tells changes until the context ends, and that the gateway lives when there are none.
+// Send sends changes until the context is canceled, and heartbeats in between.
 func (e *Exchange) Send(ctx context.Context) {
 	heartbeat := time.NewTimer(e.settings.Heartbeat)
 	defer heartbeat.Stop()
@@ -186,7 +186,7 @@
 	}
 }
 
-// gather waits for more to tell, and less when it gets urgent. It returns false when the context has ended.
+// coalesce waits for further changes, and stops early on an urgent one. It returns false if the context is canceled.
 func (e *Exchange) coalesce(ctx context.Context, delay time.Duration) bool {
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
@@ -199,7 +199,8 @@
 	return true
 }
 
-// setAudience takes those that are told. A gateway that begins to stand by says so to all that have heard it.
+// applyAudience applies new receivers. A gateway that becomes standby first tells the peers that received its
+// heartbeats.
 func (e *Exchange) applyAudience(audience Audience) {
 	becameStandby := audience.StandsBy && !e.standby
 	e.standby = audience.StandsBy
@@ -209,13 +210,13 @@
 	e.peers = e.resolve(audience.Peers)
 }
 
-// resolve returns addresses as the socket takes them.
+// resolve returns the UDP addresses of the given host:port addresses, and skips invalid ones.
 func (e *Exchange) resolve(addresses []string) []*net.UDPAddr {
 	var resolved []*net.UDPAddr
 	for _, address := range addresses {
 		target, err := net.ResolveUDPAddr("udp4", address)
 		if err != nil {
-			e.logger.WithError(err).WithField("peer", address).Warn("The address of a peer can't be read.")
+			e.logger.WithError(err).WithField("peer", address).Warn("Cannot resolve the address of a peer.")
 			continue
 		}
 		resolved = append(resolved, target)
@@ -223,7 +224,7 @@
 	return resolved
 }
 
-// tell sends what has changed to the peers, and everything once in a while.
+// sendUpdate sends the changes to all peers, or everything if a full message is due.
 func (e *Exchange) sendUpdate() {
 	full := e.lastSent.Sub(e.lastFull) >= e.settings.FullEvery
 	if full {
@@ -235,32 +236,32 @@
 	e.sendSupplement(e.source.DrainSupplement(full))
 }
 
-// send sends one message to all peers. Datagrams that can't be sent are lost, as others are on the way.
+// sendMessage sends a message to all peers. Send errors are ignored, as datagrams may be lost anyway.
 func (e *Exchange) sendMessage(message Message) {
 	e.sequence++
 	message.Sender, message.Epoch, message.Sequence, message.StandsBy = e.settings.Name, e.epoch, e.sequence, e.standby
 	encoded, err := message.Encode()
 	if err != nil {
-		e.logger.WithError(err).Error("A message to peers can't be written.")
+		e.logger.WithError(err).Error("Cannot encode a message to peers.")
 		return
 	}
 	e.broadcast(encoded)
 }
 
-// sendSupplement sends a supplement to all peers, if it tells anything.
+// sendSupplement sends a supplement to all peers, unless it is empty.
 func (e *Exchange) sendSupplement(supplement Supplement) {
 	if supplement.Empty() {
 		return
 	}
 	encoded, err := supplement.Encode()
 	if err != nil {
-		e.logger.WithError(err).Error("A supplement to peers can't be written.")
+		e.logger.WithError(err).Error("Cannot encode a supplement to peers.")
 		return
 	}
 	e.broadcast(encoded)
 }
 
-// sendToPeers sends a datagram to all peers.
+// broadcast sends a datagram to all peers.
 func (e *Exchange) broadcast(encoded []byte) {
 	for _, target := range e.peers {
 		_, _ = e.socket.WriteToUDP(encoded, target)
--- a/internal/loadshare/loadshare_test.go
+++ b/internal/loadshare/loadshare_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// epoch is where the tests begin.
+// epoch is the start time of the tests.
 var epoch = time.Unix(1000, 0)
 
 func TestMessageRoundTrip(t *testing.T) {
@@ -27,12 +27,12 @@
 		t.Fatalf("got %+v, %v", decoded, err)
 	}
 	if _, err := Decode([]byte("nonsense")); err == nil {
-		t.Error("nonsense was read")
+		t.Error("an invalid message was decoded")
 	}
 }
 
-// TestTotalsAreTheSumOfTheLatestWord plays messages in any order, some lost, and compares the totals with the latest message
-// of each sender.
+// TestTotalsSumLatestMessages guards against totals that differ from the latest message of each sender when messages
+// are lost, reordered or duplicated.
 func TestTotalsSumLatestMessages(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		board := NewBoard()
@@ -72,11 +72,11 @@
 	board := NewBoard()
 	board.Apply(epoch, &Message{Sender: "a", Epoch: 1, Sequence: 1, Loads: []Load{{Worker: "w", Running: 5}}})
 	if board.PeerCount(epoch.Add(peerTimeout+1)) != 0 || board.Load("w").Running != 0 {
-		t.Error("the load of a silent sender still counts")
+		t.Error("the load of a silent peer still counts")
 	}
 }
 
-// memorySource tells a fixed load and keeps what it hears.
+// fakeSource provides a fixed load and records the messages it receives.
 type fakeSource struct {
 	mutex    sync.Mutex
 	received []*Message
@@ -100,7 +100,7 @@
 	return len(s.received)
 }
 
-// exchangePair returns two exchanges that run until the test ends, and what each has heard.
+// exchangePair returns two exchanges that run until the test ends, and their sources.
 func exchangePair(t *testing.T) (exchanges [2]*Exchange, sources [2]*fakeSource) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -121,10 +121,10 @@
 	return exchanges, sources
 }
 
-// address returns where an exchange is reached.
+// address returns the address of an exchange.
 func address(exchange *Exchange) string { return exchange.socket.LocalAddr().String() }
 
-// waitForMessages waits until a source has heard a number of messages.
+// waitForMessages waits until a source has received a number of messages.
 func waitForMessages(t *testing.T, source *fakeSource, count int) {
 	t.Helper()
 	for range 200 {
@@ -133,7 +133,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatalf("heard %d messages, want %d", source.receivedCount(), count)
+	t.Fatalf("received %d messages, want %d", source.receivedCount(), count)
 }
 
 func TestPeersReceiveChangesAndHeartbeats(t *testing.T) {
@@ -143,8 +143,8 @@
 	waitForMessages(t, sources[1], 5)
 }
 
-// TestPeersHearThatAGatewayLivesUntilItStandsBy has a gateway stand by. From then on it tells only its changes, each with the word
-// that it stands by, so that nobody waits for it.
+// TestStandbyStopsHeartbeats guards against peers that wait for the heartbeats of a standby gateway, and against a
+// standby gateway that sends no changes.
 func TestStandbyStopsHeartbeats(t *testing.T) {
 	exchanges, sources := exchangePair(t)
 	peers := []string{address(exchanges[1])}
@@ -166,11 +166,11 @@
 	time.Sleep(100 * time.Millisecond)
 	messages := received()
 	if len(messages) != count || !messages[count-1].StandsBy {
-		t.Errorf("%d messages after %d, the last one says that the sender stands by: %t", len(messages), count, messages[count-1].StandsBy)
+		t.Errorf("%d messages after %d, StandsBy of the last one: %t", len(messages), count, messages[count-1].StandsBy)
 	}
 	exchanges[0].Changed(true)
 	waitForMessages(t, sources[1], count+1)
 	if messages := received(); !messages[count].StandsBy || len(messages[count].Loads) == 0 {
-		t.Errorf("a change is told as %+v", messages[count])
+		t.Errorf("the change was sent as %+v", messages[count])
 	}
 }
--- a/internal/loadshare/rate.go
+++ b/internal/loadshare/rate.go
@@ -2,25 +2,25 @@
 
 import "time"
 
-// Offered is the work that callers have offered for a group through one gateway.
+// Offered is the work that callers have offered to a group through one gateway.
 type Offered struct {
 	_     struct{} `cbor:",toarray"`
 	Group string
-	// Tokens of prompts that engines were to read, counted since the start of the sender.
+	// Tokens counts the prompt tokens for engines since the start of the sender.
 	Tokens int64
 }
 
-// rateInterval is the least time over which a rate is taken.
+// minRateInterval is the minimum interval over which a rate is computed.
 const minRateInterval = 500 * time.Millisecond
 
-// Rate turns a count that rises into a count a second. The zero value has seen nothing.
+// Rate converts an increasing count to a rate. The zero value has no counts yet.
 type Rate struct {
 	count     int64
 	updatedAt time.Time
 	perSecond float64
 }
 
-// Update takes the count of a moment.
+// Update adds a count. A decrease means that the counter restarted.
 func (r *Rate) Update(now time.Time, count int64) {
 	elapsed := now.Sub(r.updatedAt)
 	switch {
--- a/internal/loadshare/supplement.go
+++ b/internal/loadshare/supplement.go
@@ -5,31 +5,31 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Supplement is what a gateway tells the others beside its messages. Its fields are numbered, so that builds pass over those that they do
-// not know, and take those that are missing for empty. What is new to tell comes in here: a Message of another length could not be read by
-// the build before, which would lose all that it tells, and that its sender lives.
+// Supplement is a second kind of update. Its fields are numbered, so that other versions skip fields that they do not
+// know and treat missing ones as empty. Put new kinds of updates here: a Message of another length cannot be decoded
+// by older versions, which would lose the whole message and miss the sender's heartbeat.
 type Supplement struct {
-	// Leaving are workers that said in answers to the sender that they leave.
+	// Leaving lists workers that announced in responses to the sender that they are leaving.
 	Leaving []string `cbor:"1,keyasint,omitempty"`
-	// Limits are workers that named to the sender how many requests a second they take, or no limit any more.
+	// Limits lists workers that set or revoked a rate limit in responses to the sender.
 	Limits []Limit `cbor:"2,keyasint,omitempty"`
-	// Asks are questions of the sender for requests at workers with limits, and Loans what it lends to others.
+	// Asks are the sender's questions for loans of requests at workers with limits, and Loans are its loans to others.
 	Asks  []Ask  `cbor:"3,keyasint,omitempty"`
 	Loans []Loan `cbor:"4,keyasint,omitempty"`
 }
 
-// Ask asks whoever holds more than it needs for requests at workers.
+// Ask asks the other gateways for a loan of requests at workers with limits.
 type Ask struct {
 	_     struct{} `cbor:",toarray"`
 	Asker string
-	// Serial tells the questions of an asker apart, also those of its lives.
+	// Serial identifies a question of an asker, also across its restarts.
 	Serial  int64
 	Workers []string
-	// Wanted is how many requests are wanted of each at the most.
+	// Wanted is the maximum number of requests per worker.
 	Wanted int
 }
 
-// Loan lends requests at a worker to the gateway that asked for them. What is lent is gone at the lender.
+// Loan lends requests at a worker to the gateway that asked for them. The lender does not use them anymore.
 type Loan struct {
 	_      struct{} `cbor:",toarray"`
 	Asker  string
@@ -39,43 +39,45 @@
 	Count  int
 }
 
-// Limit is how many requests a second a worker takes of all gateways together, as it said in an answer to the sender.
+// Limit is the number of requests per second that a worker accepts from all gateways together, according to a response
+// to the sender.
 type Limit struct {
 	_      struct{} `cbor:",toarray"`
 	Worker string
-	// PerSecond is zero if it named no limit any more.
+	// PerSecond is zero if the worker revoked its limit.
 	PerSecond float64
-	// AgeMs is how long ago the word holds from, in milliseconds: it was heard then, or the request was sent then whose answer named none.
+	// AgeMs is the age of the limit in milliseconds: since the response arrived, or, for a revoked limit, since the
+	// request was sent whose response contained none.
 	AgeMs int64
 }
 
-// Empty tells whether there is nothing to tell.
+// Empty reports whether there is nothing to send.
 func (s *Supplement) Empty() bool {
 	return len(s.Leaving) == 0 && len(s.Limits) == 0 && len(s.Asks) == 0 && len(s.Loans) == 0
 }
 
-// Encode returns the bytes of a supplement.
+// Encode returns the encoding of a supplement.
 func (s *Supplement) Encode() ([]byte, error) {
 	encoded, err := cbor.Marshal(s)
-	return encoded, errors.Wrap(err, "step encode a supplement to a peer")
+	return encoded, errors.Wrap(err, "encode supplement to peers")
 }
 
-// DecodeSupplement reads a supplement.
+// DecodeSupplement decodes a supplement.
 func DecodeSupplement(encoded []byte) (*Supplement, error) {
 	var supplement Supplement
 	if err := cbor.Unmarshal(encoded, &supplement); err != nil {
-		return nil, errors.Wrap(err, "step decode a supplement of a peer")
+		return nil, errors.Wrap(err, "decode supplement from peer")
 	}
 	return &supplement, nil
 }
 
-// Datagrams begin with the type of what they hold: a map is a supplement, everything else a message.
+// The first CBOR byte tells the kind of a datagram: supplements are maps, messages are not.
 const (
 	majorTypeShift = 5
 	majorTypeMap   = 5
 )
 
-// isSupplement tells whether a datagram holds a supplement.
+// isSupplement reports whether a datagram holds a supplement.
 func isSupplement(encoded []byte) bool {
 	return len(encoded) > 0 && encoded[0]>>majorTypeShift == majorTypeMap
 }
--- a/internal/loadshare/supplement_test.go
+++ b/internal/loadshare/supplement_test.go
@@ -7,7 +7,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// TestSupplementsOfOtherBuilds reads a supplement of a build that tells more, and one of a build that tells nothing this one knows.
+// TestSupplementsOfOtherVersions guards against rejecting supplements with unknown or missing fields.
 func TestSupplementsOfOtherVersions(t *testing.T) {
 	type newer struct {
 		Leaving []string       `cbor:"1,keyasint,omitempty"`
@@ -19,7 +19,7 @@
 			t.Fatal(err)
 		}
 		if !isSupplement(encoded) {
-			t.Error("it is taken for a message")
+			t.Error("the supplement was taken for a message")
 		}
 		read, err := DecodeSupplement(encoded)
 		if err != nil || !slices.Equal(read.Leaving, sent.Leaving) {
@@ -28,7 +28,7 @@
 	}
 }
 
-// TestMessagesAreNoSupplements keeps both kinds of datagrams apart.
+// TestDatagramKindsAreDistinguished guards against decoding a datagram as the wrong kind.
 func TestDatagramKindsAreDistinguished(t *testing.T) {
 	message, err := (&Message{Sender: "a"}).Encode()
 	if err != nil || isSupplement(message) || isSupplement(nil) {
