--- a/internal/usage/ledger.go
+++ b/internal/usage/ledger.go
@@ -36,26 +36,26 @@
 }
 
 // maxReports bounds the reports that wait to be taken: twenty minutes of windows of five seconds.
-const maxReports = 240
+const maxPendingReports = 240
 
 // with returns the ledger with one more report, and without those that were taken.
-func (l Ledger) with(added []Report, taken func(window int64) bool) Ledger {
-	next := Ledger{Next: l.Next}
-	next.Reports = slices.DeleteFunc(slices.Clone(l.Reports), func(r Report) bool { return taken(r.Window) })
+func (l Ledger) withReports(added []Report, accepted func(window int64) bool) Ledger {
+	updated := Ledger{Next: l.Next}
+	updated.Reports = slices.DeleteFunc(slices.Clone(l.Reports), func(r Report) bool { return accepted(r.Window) })
 	for _, report := range added {
-		next.Reports = append(next.Reports, report)
-		next.Next = report.Window + 1
+		updated.Reports = append(updated.Reports, report)
+		updated.Next = report.Window + 1
 	}
-	if excess := len(next.Reports) - maxReports; excess > 0 {
-		next.Reports = next.Reports[excess:]
+	if excess := len(updated.Reports) - maxPendingReports; excess > 0 {
+		updated.Reports = updated.Reports[excess:]
 	}
-	return next
+	return updated
 }
 
 // WindowAt returns the number of the window of a length in which a moment lies. Windows are counted from the start of 1970.
 func WindowAt(moment time.Time, length time.Duration) int64 { return moment.UnixNano() / int64(length) }
 
 // endOf returns when a window is over.
-func endOf(window int64, length time.Duration) time.Time {
+func windowEnd(window int64, length time.Duration) time.Time {
 	return time.Unix(0, (window+1)*int64(length))
 }
--- a/internal/usage/model_test.go
+++ b/internal/usage/model_test.go
@@ -23,7 +23,7 @@
 
 // world is a store, the platform that takes reports, and gateways of which one has the authority. Whenever one of them calls, others
 // may act before the call arrives: the caller stands still in the middle of a step.
-type world struct {
+type simulation struct {
 	t        *rapid.T
 	now      time.Time
 	gateways []*gateway
@@ -33,13 +33,13 @@
 	item     store.Item
 	revision store.Revision
 	// late are commits that got no answer and are carried out later, if their condition still holds.
-	late []store.Transaction
+	lateCommits []store.Transaction
 
 	holder int
 	fence  int64
 	// highest is the highest fence that the platform has seen, and taken are the counts that it took.
-	highest int64
-	taken   map[int64]map[string]int64
+	highestFence int64
+	accepted     map[int64]map[string]int64
 	// lateCalls are reports that got no answer and are carried out later.
 	lateCalls []lateCall
 	healthy   bool
@@ -57,23 +57,23 @@
 	reporter *Reporter
 }
 
-func newWorld(t *rapid.T) *world {
-	w := &world{t: t, now: epoch, holder: -1, taken: map[int64]map[string]int64{}}
+func newSimulation(t *rapid.T) *simulation {
+	s := &simulation{t: t, now: epoch, holder: -1, accepted: map[int64]map[string]int64{}}
 	for i := range 3 {
-		w.gateways = append(w.gateways, w.start(i, int64(i)))
+		s.gateways = append(s.gateways, s.startGateway(i, int64(i)))
 	}
-	return w
+	return s
 }
 
 // start returns a gateway that knows nothing.
-func (w *world) start(number int, epoch int64) *gateway {
+func (s *simulation) startGateway(number int, epoch int64) *gateway {
 	g := &gateway{number: number, tally: NewTally(fmt.Sprint("g", number), epoch)}
 	settings := DefaultSettings()
 	settings.Holder, settings.Window, settings.Due = fmt.Sprint("g", number), testWindow, 10*time.Second
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
-	g.reporter = NewReporter(settings, w, sender{w}, g.tally, func() time.Time { return w.now }, func() (int64, bool) {
-		return w.fence, w.holder == g.number
+	g.reporter = NewReporter(settings, s, simulatedPlatform{s}, g.tally, func() time.Time { return s.now }, func() (int64, bool) {
+		return s.fence, s.holder == g.number
 	}, logger, func(decision.Record) {})
 	return g
 }
@@ -82,148 +82,150 @@
 
 // interfere lets others act before a call arrives, and says what becomes of the call: carried out and answered, carried out without
 // an answer, later, or never.
-func (w *world) interfere() string {
-	if w.healthy {
+func (s *simulation) interfere() string {
+	if s.healthy {
 		return "answered"
 	}
-	if w.depth < 2 && rapid.Bool().Draw(w.t, "stands still") {
-		w.depth++
-		for range rapid.IntRange(1, 3).Draw(w.t, "actions") {
-			w.act()
+	if s.depth < 2 && rapid.Bool().Draw(s.t, "stands still") {
+		s.depth++
+		for range rapid.IntRange(1, 3).Draw(s.t, "actions") {
+			s.randomAction()
 		}
-		w.depth--
+		s.depth--
 	}
-	return rapid.SampledFrom([]string{"answered", "answered", "answered", "unanswered", "late", "lost"}).Draw(w.t, "call")
+	return rapid.SampledFrom([]string{"answered", "answered", "answered", "unanswered", "late", "lost"}).Draw(s.t, "call")
 }
 
 // act is one thing that happens.
-func (w *world) act() {
-	switch rapid.SampledFrom([]string{"step", "step", "count", "tell", "time", "time", "holder", "late", "restart"}).Draw(w.t, "action") {
+func (s *simulation) randomAction() {
+	switch rapid.SampledFrom([]string{"step", "step", "count", "tell", "time", "time", "holder", "late", "restart"}).Draw(s.t, "action") {
 	case "step":
-		w.step(rapid.IntRange(0, len(w.gateways)-1).Draw(w.t, "who"))
+		s.stepGateway(rapid.IntRange(0, len(s.gateways)-1).Draw(s.t, "who"))
 	case "count":
-		g := w.gateways[rapid.IntRange(0, len(w.gateways)-1).Draw(w.t, "who")]
-		g.tally.Add(WindowAt(w.now, testWindow), rapid.SampledFrom([]string{"a", "b"}).Draw(w.t, "tenant"))
+		g := s.gateways[rapid.IntRange(0, len(s.gateways)-1).Draw(s.t, "who")]
+		g.tally.Add(WindowAt(s.now, testWindow), rapid.SampledFrom([]string{"a", "b"}).Draw(s.t, "tenant"))
 	case "tell":
-		w.tell()
+		s.exchangeCounts()
 	case "time":
-		w.now = w.now.Add(time.Duration(rapid.IntRange(1, 4000).Draw(w.t, "ms")) * time.Millisecond)
+		s.now = s.now.Add(time.Duration(rapid.IntRange(1, 4000).Draw(s.t, "ms")) * time.Millisecond)
 	case "holder":
-		w.holder = rapid.IntRange(-1, len(w.gateways)-1).Draw(w.t, "holder")
-		w.fence++
+		s.holder = rapid.IntRange(-1, len(s.gateways)-1).Draw(s.t, "holder")
+		s.fence++
 	case "late":
-		w.carryOutLate()
+		s.executeLate()
 	case "restart":
-		number := rapid.IntRange(0, len(w.gateways)-1).Draw(w.t, "who")
-		if w.depth == 0 {
-			w.gateways[number] = w.start(number, w.now.UnixNano())
+		number := rapid.IntRange(0, len(s.gateways)-1).Draw(s.t, "who")
+		if s.depth == 0 {
+			s.gateways[number] = s.startGateway(number, s.now.UnixNano())
 		}
 	}
 }
 
 // step has a gateway do what is due. Only the holder does, but one that stands still may go on when another is holder.
-func (w *world) step(number int) {
-	w.gateways[number].reporter.Step(context.Background(), w.now)
+func (s *simulation) stepGateway(number int) {
+	s.gateways[number].reporter.Step(context.Background(), s.now)
 }
 
 // tell has each gateway tell the others everything.
-func (w *world) tell() {
-	for _, from := range w.gateways {
-		told := from.tally.All(w.now)
-		for _, to := range w.gateways {
+func (s *simulation) exchangeCounts() {
+	for _, from := range s.gateways {
+		counts := from.tally.All(s.now)
+		for _, to := range s.gateways {
 			if to != from {
-				to.tally.Merge(w.now, fmt.Sprint("g", from.number), told)
+				to.tally.Merge(s.now, fmt.Sprint("g", from.number), counts)
 			}
 		}
 	}
 }
 
 // carryOutLate carries out what got no answer.
-func (w *world) carryOutLate() {
-	for _, transaction := range w.late {
-		_, _ = w.commit(transaction)
+func (s *simulation) executeLate() {
+	for _, transaction := range s.lateCommits {
+		_, _ = s.commit(transaction)
 	}
-	for _, call := range w.lateCalls {
-		_ = w.take(call.fence, call.report)
+	for _, call := range s.lateCalls {
+		_ = s.acceptReport(call.fence, call.report)
 	}
-	w.late, w.lateCalls = nil, nil
+	s.lateCommits, s.lateCalls = nil, nil
 }
 
 // commit carries out a transaction.
-func (w *world) commit(transaction store.Transaction) (store.Revision, error) {
-	if transaction.Conditions[0].Revision != w.item.Revision {
+func (s *simulation) commit(transaction store.Transaction) (store.Revision, error) {
+	if transaction.Conditions[0].Revision != s.item.Revision {
 		return 0, store.ErrConflict
 	}
-	w.revision++
-	w.item = store.Item{Key: Key, Value: transaction.Puts[0].Value, Revision: w.revision}
-	ledger, err := DecodeLedger(w.item.Value)
+	s.revision++
+	s.item = store.Item{Key: Key, Value: transaction.Puts[0].Value, Revision: s.revision}
+	ledger, err := DecodeLedger(s.item.Value)
 	if err != nil {
-		w.t.Fatal(err)
+		s.t.Fatal(err)
 	}
-	for _, g := range w.gateways {
-		if rapid.Bool().Draw(w.t, "watch tells") {
+	for _, g := range s.gateways {
+		if rapid.Bool().Draw(s.t, "watch tells") {
 			g.tally.Agreed(ledger.Next)
 		}
 	}
-	return w.revision, nil
+	return s.revision, nil
 }
 
 // take is the platform that takes a report.
-func (w *world) take(fence int64, report Report) error {
-	if fence < w.highest {
+func (s *simulation) acceptReport(fence int64, report Report) error {
+	if fence < s.highestFence {
 		return ErrSuperseded
 	}
-	w.highest = fence
-	known, before := w.taken[report.Window]
-	if before && !maps.Equal(known, report.Requests) {
-		w.t.Fatalf("window %d was reported as %v and as %v", report.Window, known, report.Requests)
+	s.highestFence = fence
+	previous, found := s.accepted[report.Window]
+	if found && !maps.Equal(previous, report.Requests) {
+		s.t.Fatalf("window %d was reported as %v and as %v", report.Window, previous, report.Requests)
 	}
-	w.taken[report.Window] = report.Requests
+	s.accepted[report.Window] = report.Requests
 	return nil
 }
 
-func (w *world) ListUntil(context.Context, string, func([]store.Item) bool) ([]store.Item, store.Revision, bool, error) {
+func (s *simulation) ListUntil(context.Context, string, func([]store.Item) bool) ([]store.Item, store.Revision, bool, error) {
 	return nil, 0, false, nil
 }
 
-func (w *world) List(context.Context, string) ([]store.Item, store.Revision, error) {
-	if outcome := w.interfere(); outcome != "answered" {
+func (s *simulation) List(context.Context, string) ([]store.Item, store.Revision, error) {
+	if outcome := s.interfere(); outcome != "answered" {
 		return nil, 0, errNoAnswer
 	}
-	if w.item.Revision == 0 {
-		return nil, w.revision, nil
+	if s.item.Revision == 0 {
+		return nil, s.revision, nil
 	}
-	return []store.Item{w.item}, w.revision, nil
+	return []store.Item{s.item}, s.revision, nil
 }
 
-func (w *world) Commit(_ context.Context, transaction store.Transaction) (store.Revision, error) {
-	switch w.interfere() {
+func (s *simulation) Commit(_ context.Context, transaction store.Transaction) (store.Revision, error) {
+	switch s.interfere() {
 	case "answered":
-		return w.commit(transaction)
+		return s.commit(transaction)
 	case "unanswered":
-		_, _ = w.commit(transaction)
+		_, _ = s.commit(transaction)
 	case "late":
-		w.late = append(w.late, transaction)
+		s.lateCommits = append(s.lateCommits, transaction)
 	}
 	return 0, errNoAnswer
 }
 
-func (w *world) Watch(context.Context, string, store.Revision, time.Duration) ([]store.Event, store.Revision, error) {
+func (s *simulation) Watch(context.Context, string, store.Revision, time.Duration) ([]store.Event, store.Revision, error) {
 	return nil, 0, nil
 }
-func (w *world) Grant(context.Context, time.Duration) (store.Lease, error) { return store.Lease{}, nil }
-func (w *world) KeepAlive(context.Context, int64) error                    { return nil }
-func (w *world) Revoke(context.Context, int64) error                       { return nil }
+func (s *simulation) Grant(context.Context, time.Duration) (store.Lease, error) {
+	return store.Lease{}, nil
+}
+func (s *simulation) KeepAlive(context.Context, int64) error { return nil }
+func (s *simulation) Revoke(context.Context, int64) error    { return nil }
 
 // sender is the platform as a reporter calls it.
-type sender struct{ *world }
+type simulatedPlatform struct{ *simulation }
 
-func (s sender) SendUsage(_ context.Context, _ string, fence int64, report Report) error {
+func (s simulatedPlatform) SendUsage(_ context.Context, _ string, fence int64, report Report) error {
 	switch s.interfere() {
 	case "answered":
-		return s.take(fence, report)
+		return s.acceptReport(fence, report)
 	case "unanswered":
-		_ = s.take(fence, report)
+		_ = s.acceptReport(fence, report)
 	case "late":
 		s.lateCalls = append(s.lateCalls, lateCall{fence, report})
 	}
@@ -232,35 +234,35 @@
 
 // Whoever reports, and wherever holders stand still: the platform never gets two counts of one window, and once all is well no
 // window is missing.
-func TestEachWindowIsReportedOnceAndWithOneCount(t *testing.T) {
+func TestEachWindowIsReportedWithOneCount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		s := newSimulation(t)
 		for range rapid.IntRange(5, 60).Draw(t, "actions") {
-			w.act()
+			s.randomAction()
 		}
-		w.carryOutLate()
-		w.healthy = true
-		w.holder = 0
-		w.fence++
+		s.executeLate()
+		s.healthy = true
+		s.holder = 0
+		s.fence++
 		for range 20 {
-			w.now = w.now.Add(testWindow)
-			w.tell()
-			w.step(0)
+			s.now = s.now.Add(testWindow)
+			s.exchangeCounts()
+			s.stepGateway(0)
 		}
-		ledger, err := DecodeLedger(w.item.Value)
+		ledger, err := DecodeLedger(s.item.Value)
 		if err != nil {
 			t.Fatal(err)
 		}
-		first := ledger.Next
-		for window := range w.taken {
-			first = min(first, window)
+		oldest := ledger.Next
+		for window := range s.accepted {
+			oldest = min(oldest, window)
 		}
-		for window := first; window < ledger.Next; window++ {
-			if _, taken := w.taken[window]; !taken {
+		for window := oldest; window < ledger.Next; window++ {
+			if _, accepted := s.accepted[window]; !accepted {
 				t.Fatalf("window %d was not reported", window)
 			}
 		}
-		if settled := WindowAt(w.now.Add(-DefaultSettings().Settle), testWindow); ledger.Next != settled {
+		if settled := WindowAt(s.now.Add(-DefaultSettings().Settle), testWindow); ledger.Next != settled {
 			t.Fatalf("the ledger stands at %d, want %d", ledger.Next, settled)
 		}
 	})
--- a/internal/usage/reporter.go
+++ b/internal/usage/reporter.go
@@ -63,27 +63,27 @@
 	tally    *Tally
 	now      func() time.Time
 	// authority tells whether this process may call, and its fence.
-	authority func() (int64, bool)
-	logger    logrus.FieldLogger
-	decide    func(decision.Record)
+	authority      func() (int64, bool)
+	logger         logrus.FieldLogger
+	recordDecision func(decision.Record)
 
 	// What follows is used by one goroutine, but for what mu guards.
-	fence   int64
-	since   time.Time
-	refused int64
+	fence           int64
+	authoritySince  time.Time
+	supersededFence int64
 	// known is set once the ledger was read under the fence.
-	known    bool
-	ledger   Ledger
-	revision store.Revision
-	pause    time.Duration
-	callFrom time.Time
+	ledgerKnown bool
+	ledger      Ledger
+	revision    store.Revision
+	backoff     time.Duration
+	retryAt     time.Time
 
 	mu sync.Mutex
 	// taken are the windows whose reports the platform has taken from this process, with the time; those that the ledger still has.
-	taken map[int64]time.Time
+	acceptedAt map[int64]time.Time
 	// heard is the newest ledger that the store is known to have held. It may hold an older one, after it has come back from a copy.
-	heard   Ledger
-	figures Figures
+	newestLedger Ledger
+	figures      Figures
 }
 
 // Figures of a reporter.
@@ -94,11 +94,11 @@
 // NewReporter returns a reporter that does nothing before Run. Now is the time of day.
 func NewReporter(
 	settings Settings, store store.Store, sender Sender, tally *Tally, now func() time.Time, authority func() (int64, bool),
-	logger logrus.FieldLogger, decide func(decision.Record),
+	logger logrus.FieldLogger, recordDecision func(decision.Record),
 ) *Reporter {
 	return &Reporter{
-		settings: settings, store: store, sender: sender, tally: tally, now: now, authority: authority, logger: logger, decide: decide,
-		taken: map[int64]time.Time{},
+		settings: settings, store: store, sender: sender, tally: tally, now: now, authority: authority, logger: logger, recordDecision: recordDecision,
+		acceptedAt: map[int64]time.Time{},
 	}
 }
 
@@ -110,10 +110,10 @@
 }
 
 // count changes the figures.
-func (r *Reporter) count(change func(*Figures)) {
+func (r *Reporter) updateFigures(update func(*Figures)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	change(&r.figures)
+	update(&r.figures)
 }
 
 // Run reports until the context ends.
@@ -131,55 +131,55 @@
 }
 
 // Step agrees on the windows that are over, and reports those that are agreed on. The moment is one of the steady clock.
-func (r *Reporter) Step(ctx context.Context, moment time.Time) {
-	fence, may := r.authority()
-	if !may || fence == r.refused || moment.Before(r.callFrom) {
+func (r *Reporter) Step(ctx context.Context, now time.Time) {
+	fence, allowed := r.authority()
+	if !allowed || fence == r.supersededFence || now.Before(r.retryAt) {
 		return
 	}
 	if fence != r.fence {
-		r.fence, r.since, r.known = fence, moment, false
+		r.fence, r.authoritySince, r.ledgerKnown = fence, now, false
 	}
-	if err := r.work(ctx, moment.Sub(r.since) >= r.settings.Hear); err != nil {
-		r.failed(moment, err)
+	if err := r.process(ctx, now.Sub(r.authoritySince) >= r.settings.Hear); err != nil {
+		r.handleError(now, err)
 		return
 	}
-	r.pause = 0
+	r.backoff = 0
 }
 
 // failed notes a failure and puts off the next call.
-func (r *Reporter) failed(moment time.Time, err error) {
+func (r *Reporter) handleError(now time.Time, err error) {
 	if errors.Is(err, ErrSuperseded) {
-		r.refused = r.fence
-		r.count(func(f *Figures) { f.Refused++ })
+		r.supersededFence = r.fence
+		r.updateFigures(func(f *Figures) { f.Refused++ })
 		r.logger.WithField("fence", r.fence).Warn("Another gateway reports the usage. This one stops.")
 		return
 	}
-	r.count(func(f *Figures) { f.Failed++ })
-	r.pause = min(max(2*r.pause, r.settings.Tick), r.settings.LongestPause)
-	r.callFrom = moment.Add(r.pause)
-	r.logger.WithError(err).WithField("pause", r.pause).Warn("The usage was not reported. It is tried again.")
+	r.updateFigures(func(f *Figures) { f.Failed++ })
+	r.backoff = min(max(2*r.backoff, r.settings.Tick), r.settings.LongestPause)
+	r.retryAt = now.Add(r.backoff)
+	r.logger.WithError(err).WithField("pause", r.backoff).Warn("The usage was not reported. It is tried again.")
 }
 
 // work does what is due. Before all were heard it sends what others have agreed on.
-func (r *Reporter) work(ctx context.Context, heard bool) error {
-	if !r.known {
-		if err := r.read(ctx); err != nil {
+func (r *Reporter) process(ctx context.Context, countsComplete bool) error {
+	if !r.ledgerKnown {
+		if err := r.readLedger(ctx); err != nil {
 			return err
 		}
 	}
-	if !heard {
-		return r.send(ctx)
+	if !countsComplete {
+		return r.sendReports(ctx)
 	}
-	if err := r.agree(ctx); err != nil {
+	if err := r.finalizeWindows(ctx); err != nil {
 		// The ledger may have changed, or may yet.
-		r.known = false
+		r.ledgerKnown = false
 		return err
 	}
-	return r.send(ctx)
+	return r.sendReports(ctx)
 }
 
 // read reads the ledger.
-func (r *Reporter) read(ctx context.Context) error {
+func (r *Reporter) readLedger(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, r.settings.CallTimeout)
 	defer cancel()
 	items, _, err := r.store.List(ctx, Key)
@@ -197,39 +197,39 @@
 		}
 		r.ledger, r.revision = ledger, item.Revision
 	}
-	r.known = true
-	return r.restore(ctx)
+	r.ledgerKnown = true
+	return r.restoreLedger(ctx)
 }
 
 // Heard takes a ledger that the store holds.
 func (r *Reporter) Heard(ledger Ledger) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if ledger.Next > r.heard.Next {
-		r.heard = ledger
+	if ledger.Next > r.newestLedger.Next {
+		r.newestLedger = ledger
 	}
 }
 
 // restore writes the newest ledger again if the store holds an older one: its windows are agreed on, and may be reported.
-func (r *Reporter) restore(ctx context.Context) error {
+func (r *Reporter) restoreLedger(ctx context.Context) error {
 	r.mu.Lock()
-	heard := r.heard
+	newest := r.newestLedger
 	r.mu.Unlock()
-	if heard.Next <= r.ledger.Next {
+	if newest.Next <= r.ledger.Next {
 		return nil
 	}
-	r.logger.WithFields(logrus.Fields{"held": r.ledger.Next, "known": heard.Next}).Warn("The store holds an older ledger of the usage. It is written again.")
-	r.known = false
-	if err := r.write(ctx, heard); err != nil {
+	r.logger.WithFields(logrus.Fields{"held": r.ledger.Next, "known": newest.Next}).Warn("The store holds an older ledger of the usage. It is written again.")
+	r.ledgerKnown = false
+	if err := r.writeLedger(ctx, newest); err != nil {
 		return err
 	}
-	r.known = true
+	r.ledgerKnown = true
 	return nil
 }
 
 // write writes a ledger in place of the one that was read.
-func (r *Reporter) write(ctx context.Context, next Ledger) error {
-	value, err := json.Marshal(next)
+func (r *Reporter) writeLedger(ctx context.Context, updated Ledger) error {
+	value, err := json.Marshal(updated)
 	if err != nil {
 		return errors.Wrap(err, "step write the ledger of the usage")
 	}
@@ -241,107 +241,107 @@
 	if err != nil {
 		return errors.Wrap(err, "step write the ledger of the usage")
 	}
-	r.ledger, r.revision = next, revision
-	r.Heard(next)
+	r.ledger, r.revision = updated, revision
+	r.Heard(updated)
 	return nil
 }
 
 // mostAtOnce bounds the windows that are agreed on in one step.
-const mostAtOnce = 24
+const maxWindowsPerStep = 24
 
 // agree writes the windows that are over into the store.
-func (r *Reporter) agree(ctx context.Context) error {
-	added := r.due()
-	if len(added) == 0 {
+func (r *Reporter) finalizeWindows(ctx context.Context) error {
+	reports := r.settledReports()
+	if len(reports) == 0 {
 		return nil
 	}
-	next := r.ledger.with(added, r.isTaken)
-	if err := r.write(ctx, next); err != nil {
+	updated := r.ledger.withReports(reports, r.isAccepted)
+	if err := r.writeLedger(ctx, updated); err != nil {
 		return err
 	}
-	r.forgetTaken()
-	r.tally.Agreed(next.Next)
-	r.count(func(f *Figures) { f.Agreed += len(added) })
+	r.pruneAccepted()
+	r.tally.Agreed(updated.Next)
+	r.updateFigures(func(f *Figures) { f.Agreed += len(reports) })
 	return nil
 }
 
 // forgetTaken drops the windows that the ledger does not have any more.
-func (r *Reporter) forgetTaken() {
-	listed := lo.SliceToMap(r.ledger.Reports, func(report Report) (int64, bool) { return report.Window, true })
+func (r *Reporter) pruneAccepted() {
+	pending := lo.SliceToMap(r.ledger.Reports, func(report Report) (int64, bool) { return report.Window, true })
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	maps.DeleteFunc(r.taken, func(window int64, _ time.Time) bool { return !listed[window] })
+	maps.DeleteFunc(r.acceptedAt, func(window int64, _ time.Time) bool { return !pending[window] })
 }
 
 // due returns the sums of the windows that are over and settled.
-func (r *Reporter) due() []Report {
-	var due []Report
+func (r *Reporter) settledReports() []Report {
+	var reports []Report
 	settled := r.now().Add(-r.settings.Settle)
-	first := max(r.ledger.Next, WindowAt(settled, r.settings.Window)-keptWindows)
+	first := max(r.ledger.Next, WindowAt(settled, r.settings.Window)-maxOpenWindows)
 	if missed := first - r.ledger.Next; missed > 0 {
 		r.logger.WithField("windows", missed).Error("Windows are too long ago: nobody has kept their counts.")
 	}
-	for window := first; len(due) < mostAtOnce && !endOf(window, r.settings.Window).After(settled); window++ {
-		due = append(due, Report{Window: window, Requests: r.tally.Sum(window)})
+	for window := first; len(reports) < maxWindowsPerStep && !windowEnd(window, r.settings.Window).After(settled); window++ {
+		reports = append(reports, Report{Window: window, Requests: r.tally.Sum(window)})
 	}
-	return due
+	return reports
 }
 
 // send reports the windows that are agreed on, the oldest first. One that gets no answer does not hold up the others.
-func (r *Reporter) send(ctx context.Context) error {
-	var failed error
+func (r *Reporter) sendReports(ctx context.Context) error {
+	var failures error
 	for _, report := range r.ledger.Reports {
-		if r.isTaken(report.Window) {
+		if r.isAccepted(report.Window) {
 			continue
 		}
-		if fence, may := r.authority(); !may || fence != r.fence {
+		if fence, allowed := r.authority(); !allowed || fence != r.fence {
 			break
 		}
-		err := r.sendOne(ctx, report)
+		err := r.sendReport(ctx, report)
 		if errors.Is(err, ErrSuperseded) {
 			return err
 		}
-		failed = errors.CombineErrors(failed, err)
+		failures = errors.CombineErrors(failures, err)
 	}
-	return failed
+	return failures
 }
 
 // sendOne reports one window.
-func (r *Reporter) sendOne(ctx context.Context, report Report) error {
+func (r *Reporter) sendReport(ctx context.Context, report Report) error {
 	ctx, cancel := context.WithTimeout(ctx, r.settings.CallTimeout)
 	defer cancel()
 	if err := r.sender.SendUsage(ctx, r.settings.Holder, r.fence, report); err != nil {
 		return errors.Wrapf(err, "step report window %d", report.Window)
 	}
 	now := r.now()
-	late := now.Sub(endOf(report.Window, r.settings.Window))
+	delay := now.Sub(windowEnd(report.Window, r.settings.Window))
 	r.mu.Lock()
-	r.taken[report.Window] = now
+	r.acceptedAt[report.Window] = now
 	r.figures.Sent++
-	if late > r.settings.Due {
+	if delay > r.settings.Due {
 		r.figures.Late++
 	}
 	r.mu.Unlock()
-	r.note(report, late)
+	r.recordReport(report, delay)
 	return nil
 }
 
 // isTaken tells whether the platform has taken the report of a window from this process.
-func (r *Reporter) isTaken(window int64) bool {
+func (r *Reporter) isAccepted(window int64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	_, taken := r.taken[window]
-	return taken
+	_, accepted := r.acceptedAt[window]
+	return accepted
 }
 
 // note records a report as a decision.
-func (r *Reporter) note(report Report, after time.Duration) {
+func (r *Reporter) recordReport(report Report, delay time.Duration) {
 	total := lo.Sum(lo.Values(report.Requests))
-	r.decide(decision.Record{
+	r.recordDecision(decision.Record{
 		Kind: decision.KindUsage, Subject: fmt.Sprint("window ", report.Window), Outcome: "reported", Fence: r.fence,
 		Reason: "The window is over, and the store holds its counts.",
 		Inputs: map[string]string{
-			"requests": fmt.Sprint(total), "tenants": fmt.Sprint(len(report.Requests)), "after_ms": fmt.Sprint(after.Milliseconds()),
+			"requests": fmt.Sprint(total), "tenants": fmt.Sprint(len(report.Requests)), "after_ms": fmt.Sprint(delay.Milliseconds()),
 		},
 	})
 }
--- a/internal/usage/restore_test.go
+++ b/internal/usage/restore_test.go
@@ -27,73 +27,73 @@
 	return []store.Item{{Key: Key, Value: l.value, Revision: l.revision}}, l.revision, nil
 }
 
-func (l *ledgerStore) Commit(_ context.Context, wanted store.Transaction) (store.Revision, error) {
-	held := l.revision
+func (l *ledgerStore) Commit(_ context.Context, transaction store.Transaction) (store.Revision, error) {
+	revision := l.revision
 	if l.value == nil {
-		held = 0
+		revision = 0
 	}
-	if wanted.Conditions[0].Revision != held {
+	if transaction.Conditions[0].Revision != revision {
 		return 0, store.ErrConflict
 	}
-	l.value = wanted.Puts[0].Value
+	l.value = transaction.Puts[0].Value
 	l.revision++
 	return l.revision, nil
 }
 
 // sentReports counts the reports of each window.
-type sentReports map[int64]int
+type reportCounts map[int64]int
 
-func (s sentReports) SendUsage(_ context.Context, _ string, _ int64, report Report) error {
+func (s reportCounts) SendUsage(_ context.Context, _ string, _ int64, report Report) error {
 	s[report.Window]++
 	return nil
 }
 
 // TestAWindowIsReportedOnceThoughTheLedgerGoesBack has the store come back with an older ledger, for the holder that goes on and for one that
 // takes over and has heard the newest ledger.
-func TestAWindowIsReportedOnceThoughTheLedgerGoesBack(t *testing.T) {
+func TestRestoredLedgerCausesNoDuplicateReports(t *testing.T) {
 	for _, takesOver := range []bool{false, true} {
-		held, sent := &ledgerStore{revision: store.NewRevision(1, 10)}, sentReports{}
+		ledgers, sent := &ledgerStore{revision: store.NewRevision(1, 10)}, reportCounts{}
 		now, holder := time.Unix(1_000_000, 0), "a"
 		logger := logrus.New()
 		logger.SetOutput(io.Discard)
 		reporter := func(name string) *Reporter {
 			settings := DefaultSettings()
 			settings.Holder, settings.Window, settings.Hear = name, time.Second, 0
-			return NewReporter(settings, held, sent, NewTally(name, 1), func() time.Time { return now }, func() (int64, bool) {
+			return NewReporter(settings, ledgers, sent, NewTally(name, 1), func() time.Time { return now }, func() (int64, bool) {
 				return map[string]int64{"a": 1, "b": 2}[name], holder == name
 			}, logger, func(decision.Record) {})
 		}
 		a, b := reporter("a"), reporter("b")
-		play := func(r *Reporter, windows int) {
+		run := func(r *Reporter, windows int) {
 			for range 4 * windows {
 				now = now.Add(250 * time.Millisecond)
 				r.Step(t.Context(), now)
 			}
 		}
-		play(a, 5)
-		older := *held
-		play(a, 5)
+		run(a, 5)
+		backup := *ledgers
+		run(a, 5)
 		var newest Ledger
-		if err := json.Unmarshal(held.value, &newest); err != nil {
+		if err := json.Unmarshal(ledgers.value, &newest); err != nil {
 			t.Fatal(err)
 		}
 		b.Heard(newest)
-		held.value, held.revision = older.value, store.NewRevision(2, older.revision.Number())
+		ledgers.value, ledgers.revision = backup.value, store.NewRevision(2, backup.revision.Number())
 		next := a
 		if takesOver {
 			holder, next = "b", b
 		}
-		play(next, 10)
+		run(next, 10)
 		if len(sent) < 15 {
 			t.Errorf("takes over %t: %d windows were reported", takesOver, len(sent))
 		}
-		again := 0
-		for _, times := range sent {
-			again += times - 1
+		duplicates := 0
+		for _, count := range sent {
+			duplicates += count - 1
 		}
 		// What the old ledger does not tell as taken may be sent again with the same count: that of the last window, as without a loss.
-		if again > 1 {
-			t.Errorf("takes over %t: %d windows were reported again: %v", takesOver, again, sent)
+		if duplicates > 1 {
+			t.Errorf("takes over %t: %d windows were reported again: %v", takesOver, duplicates, sent)
 		}
 	}
 }
--- a/internal/usage/tally.go
+++ b/internal/usage/tally.go
@@ -37,10 +37,10 @@
 const (
 	// keptWindows is how many windows are kept that nobody has agreed on yet: ten minutes of windows of five seconds, longer than
 	// the store is away.
-	keptWindows = 120
+	maxOpenWindows = 120
 	// silentAfter is how long a gateway says nothing before the others tell what it has counted: longer than the time between two
 	// messages that tell everything.
-	silentAfter = 1500 * time.Millisecond
+	silenceTimeout = 1500 * time.Millisecond
 )
 
 // Tally holds the counts of all gateways. It is safe for concurrent use.
@@ -51,10 +51,10 @@
 	own    origin
 	counts map[int64]map[origin]map[string]int64
 	// untold holds the own counts that have changed since they were told.
-	untold map[int64]map[string]bool
-	heard  map[origin]time.Time
+	unsent    map[int64]map[string]bool
+	lastHeard map[origin]time.Time
 	// next is the first window that may still be counted for; those before are agreed on.
-	next int64
+	firstOpen int64
 	// newest is the highest window that was counted for.
 	newest int64
 }
@@ -62,8 +62,8 @@
 // NewTally returns the tally of a gateway that starts with an epoch of its own.
 func NewTally(gateway string, epoch int64) *Tally {
 	return &Tally{
-		own: origin{gateway, epoch}, counts: map[int64]map[origin]map[string]int64{}, untold: map[int64]map[string]bool{},
-		heard: map[origin]time.Time{},
+		own: origin{gateway, epoch}, counts: map[int64]map[origin]map[string]int64{}, unsent: map[int64]map[string]bool{},
+		lastHeard: map[origin]time.Time{},
 	}
 }
 
@@ -71,24 +71,24 @@
 func (t *Tally) Add(window int64, tenant string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	window = max(window, t.next)
-	t.of(window, t.own)[tenant]++
-	changed, found := t.untold[window]
+	window = max(window, t.firstOpen)
+	t.countsOf(window, t.own)[tenant]++
+	changed, found := t.unsent[window]
 	if !found {
 		changed = map[string]bool{}
-		t.untold[window] = changed
+		t.unsent[window] = changed
 	}
 	changed[tenant] = true
 }
 
 // of returns the counts of an origin in a window. The mutex is held.
-func (t *Tally) of(window int64, from origin) map[string]int64 {
+func (t *Tally) countsOf(window int64, from origin) map[string]int64 {
 	byOrigin, found := t.counts[window]
 	if !found {
 		byOrigin = map[origin]map[string]int64{}
 		t.counts[window] = byOrigin
 		t.newest = max(t.newest, window)
-		t.forget()
+		t.prune()
 	}
 	requests, found := byOrigin[from]
 	if !found {
@@ -99,30 +99,30 @@
 }
 
 // forget drops windows that are too old. The mutex is held.
-func (t *Tally) forget() {
+func (t *Tally) prune() {
 	for window := range t.counts {
-		if window < t.next || window <= t.newest-keptWindows {
+		if window < t.firstOpen || window <= t.newest-maxOpenWindows {
 			delete(t.counts, window)
-			delete(t.untold, window)
+			delete(t.unsent, window)
 		}
 	}
 }
 
 // Merge takes what another gateway told at a moment: its own counts, and those of gateways that are silent.
-func (t *Tally) Merge(now time.Time, teller string, told []Count) {
+func (t *Tally) Merge(now time.Time, sender string, counts []Count) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, count := range told {
+	for _, count := range counts {
 		from := count.origin()
-		if from == t.own || count.Window < t.next {
+		if from == t.own || count.Window < t.firstOpen {
 			continue
 		}
-		if count.Gateway == teller {
-			t.heard[from] = now
-		} else if _, known := t.heard[from]; !known {
-			t.heard[from] = time.Time{}
+		if count.Gateway == sender {
+			t.lastHeard[from] = now
+		} else if _, known := t.lastHeard[from]; !known {
+			t.lastHeard[from] = time.Time{}
 		}
-		requests := t.of(count.Window, from)
+		requests := t.countsOf(count.Window, from)
 		for tenant, n := range count.Requests {
 			requests[tenant] = max(requests[tenant], n)
 		}
@@ -133,36 +133,36 @@
 func (t *Tally) Untold() []Count {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var told []Count
-	for window, tenants := range t.untold {
+	var counts []Count
+	for window, tenants := range t.unsent {
 		requests := make(map[string]int64, len(tenants))
 		for tenant := range tenants {
 			requests[tenant] = t.counts[window][t.own][tenant]
 		}
-		told = append(told, t.count(window, t.own, requests))
+		counts = append(counts, t.newCount(window, t.own, requests))
 	}
-	clear(t.untold)
-	return told
+	clear(t.unsent)
+	return counts
 }
 
 // All returns everything that this gateway has to tell: its own counts, and those of gateways that have fallen silent.
 func (t *Tally) All(now time.Time) []Count {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	clear(t.untold)
-	var told []Count
+	clear(t.unsent)
+	var counts []Count
 	for window, byOrigin := range t.counts {
 		for from, requests := range byOrigin {
-			if from == t.own || now.Sub(t.heard[from]) > silentAfter {
-				told = append(told, t.count(window, from, maps.Clone(requests)))
+			if from == t.own || now.Sub(t.lastHeard[from]) > silenceTimeout {
+				counts = append(counts, t.newCount(window, from, maps.Clone(requests)))
 			}
 		}
 	}
-	return told
+	return counts
 }
 
 // count returns counts as they are told.
-func (t *Tally) count(window int64, from origin, requests map[string]int64) Count {
+func (t *Tally) newCount(window int64, from origin, requests map[string]int64) Count {
 	return Count{Gateway: from.gateway, Epoch: from.epoch, Window: window, Requests: requests}
 }
 
@@ -190,13 +190,13 @@
 func (t *Tally) Agreed(next int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.next = max(t.next, next)
-	t.forget()
+	t.firstOpen = max(t.firstOpen, next)
+	t.prune()
 	present := map[origin]bool{}
 	for _, byOrigin := range t.counts {
 		for from := range byOrigin {
 			present[from] = true
 		}
 	}
-	maps.DeleteFunc(t.heard, func(from origin, _ time.Time) bool { return !present[from] })
+	maps.DeleteFunc(t.lastHeard, func(from origin, _ time.Time) bool { return !present[from] })
 }
