--- a/internal/usage/clock.go
+++ b/internal/usage/clock.go
@@ -9,39 +9,39 @@
 	"github.com/granitebay/granitebay/internal/boottime"
 )
 
-// tellTime is how long the clock of another gateway counts after it was heard: some messages that tell everything.
+// readingTTL is how long the clock reading of a peer remains valid: the interval of several full messages.
 const readingTTL = 5 * time.Second
 
-// Clock tells the time of day as most gateways have it. Clocks of machines disagree, and some jump by seconds and back; the steady
-// clock of the process goes on. So the middle of what all clocks say counts, each taken as its distance from the own steady clock.
-// It is safe for concurrent use.
+// Clock estimates the time of day from the clocks of all gateways. Machine clocks disagree, and some jump by seconds
+// and back, while the monotonic clock of the process does not. Clock therefore uses the median of all clocks, each as
+// an offset from the own monotonic clock. It is safe for concurrent use.
 type Clock struct {
-	// read returns the steady clock and the time of day.
+	// readClocks returns the monotonic clock and the time of day.
 	readClocks func() (steady time.Duration, wall time.Time)
 
 	mu    sync.Mutex
 	peers map[string]reading
 }
 
-// reading is the distance of the clock of another gateway from the own steady clock, and when it was heard.
+// reading is the offset of a peer's clock from the own monotonic clock, and when it was received.
 type reading struct {
 	offset     time.Duration
 	receivedAt time.Duration
 }
 
-// NewClock returns the clock of a gateway that has heard no other. It reads the steady clock and the time of day.
+// NewClock returns a clock without readings of peers. It reads the monotonic clock and the time of day with read.
 func NewClock(read func() (steady time.Duration, wall time.Time)) *Clock {
 	return &Clock{readClocks: read, peers: map[string]reading{}}
 }
 
-// ReadClocks returns a function that reads the clocks of the machine. The steady one counts the time in which it is suspended: else the
-// distances to the clocks of others, which went on, would be off by that.
+// ReadClocks returns a function that reads the clocks of the machine. The monotonic clock includes suspended time;
+// otherwise the offsets of the peers, whose clocks continue, would be wrong after a suspend.
 func ReadClocks() func() (steady time.Duration, wall time.Time) {
 	start := boottime.Now()
 	return func() (time.Duration, time.Time) { return boottime.Now().Sub(start), time.Now().Round(0) }
 }
 
-// Heard takes the time of day that another gateway tells in a message which has just come.
+// Heard records the time of day in a message that has just arrived from another gateway.
 func (c *Clock) Heard(gateway string, wall time.Time) {
 	steady, _ := c.readClocks()
 	c.mu.Lock()
@@ -49,7 +49,7 @@
 	c.peers[gateway] = reading{offset: time.Duration(wall.UnixNano()) - steady, receivedAt: steady}
 }
 
-// Now returns the time of day, without a reading of the steady clock.
+// Now returns the median time of day, without a monotonic clock reading.
 func (c *Clock) Now() time.Time {
 	steady, wall := c.readClocks()
 	own := time.Duration(wall.UnixNano()) - steady
--- a/internal/usage/ledger.go
+++ b/internal/usage/ledger.go
@@ -8,37 +8,38 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Key of the ledger in the store.
+// Key is the key of the ledger in the store.
 const Key = "usage"
 
-// Report is the count of a window on which all agree.
+// Report is the final count of a window.
 type Report struct {
 	Window int64 `json:"window"`
-	// Requests that began in the window, by tenant.
+	// Requests counts the requests that began in the window, by tenant.
 	Requests map[string]int64 `json:"requests"`
 }
 
-// Ledger is what the store holds of the windows.
+// Ledger is the state of the windows in the store.
 //
-// Invariant: as each ledger is written under the condition that the one it was made of still stands, each window is agreed on once.
+// Invariant: each window is finalized once, as a ledger is only written if the version that it was derived from is
+// still current.
 type Ledger struct {
-	// Next is the first window that is not agreed on.
+	// Next is the first window that is not finalized.
 	Next int64 `json:"next"`
-	// Reports are agreed on, and not known to be taken.
+	// Reports are the finalized windows that are not known to be accepted by the platform.
 	Reports []Report `json:"reports"`
 }
 
-// DecodeLedger reads a ledger.
+// DecodeLedger decodes a ledger.
 func DecodeLedger(value []byte) (Ledger, error) {
 	var ledger Ledger
 	err := json.Unmarshal(value, &ledger)
-	return ledger, errors.Wrap(err, "step decode the ledger of the usage")
+	return ledger, errors.Wrap(err, "decode usage ledger")
 }
 
-// maxReports bounds the reports that wait to be taken: twenty minutes of windows of five seconds.
+// maxPendingReports bounds the reports that wait to be accepted: 20 minutes of windows of 5 s.
 const maxPendingReports = 240
 
-// with returns the ledger with one more report, and without those that were taken.
+// withReports returns the ledger with reports added, and without those that were accepted.
 func (l Ledger) withReports(added []Report, accepted func(window int64) bool) Ledger {
 	updated := Ledger{Next: l.Next}
 	updated.Reports = slices.DeleteFunc(slices.Clone(l.Reports), func(r Report) bool { return accepted(r.Window) })
@@ -52,10 +53,11 @@
 	return updated
 }
 
-// WindowAt returns the number of the window of a length in which a moment lies. Windows are counted from the start of 1970.
+// WindowAt returns the number of the window that contains a time. Windows of the given length are counted from the
+// Unix epoch.
 func WindowAt(moment time.Time, length time.Duration) int64 { return moment.UnixNano() / int64(length) }
 
-// endOf returns when a window is over.
+// windowEnd returns the end of a window.
 func windowEnd(window int64, length time.Duration) time.Time {
 	return time.Unix(0, (window+1)*int64(length))
 }
--- a/internal/usage/model_test.go
+++ b/internal/usage/model_test.go
@@ -18,29 +18,31 @@
 
 const testWindow = 5 * time.Second
 
-// epoch begins a window.
+// epoch is the start of a window.
 var epoch = time.Unix(1_700_000_000, 0)
 
-// world is a store, the platform that takes reports, and gateways of which one has the authority. Whenever one of them calls, others
-// may act before the call arrives: the caller stands still in the middle of a step.
+// simulation is a store, a platform that accepts reports, and gateways of which at most one has the authority.
+// Whenever a gateway makes a call, others may act before it arrives, as if the caller were suspended in the middle of
+// a step.
 type simulation struct {
 	t        *rapid.T
 	now      time.Time
 	gateways []*gateway
-	// depth bounds how many gateways stand still at once.
+	// depth is the number of gateways that are currently suspended.
 	depth int
 
 	item     store.Item
 	revision store.Revision
-	// late are commits that got no answer and are carried out later, if their condition still holds.
+	// lateCommits are commits without a response that are executed later if their condition still holds.
 	lateCommits []store.Transaction
 
 	holder int
 	fence  int64
-	// highest is the highest fence that the platform has seen, and taken are the counts that it took.
+	// highestFence is the highest fence that the platform has seen, and accepted holds the counts that it accepted by
+	// window.
 	highestFence int64
 	accepted     map[int64]map[string]int64
-	// lateCalls are reports that got no answer and are carried out later.
+	// lateCalls are reports without a response that are executed later.
 	lateCalls []lateCall
 	healthy   bool
 }
@@ -65,7 +67,7 @@
 	return s
 }
 
-// start returns a gateway that knows nothing.
+// startGateway returns a gateway without counts.
 func (s *simulation) startGateway(number int, epoch int64) *gateway {
 	g := &gateway{number: number, tally: NewTally(fmt.Sprint("g", number), epoch)}
 	settings := DefaultSettings()
@@ -80,13 +82,13 @@
 
 var errNoAnswer = errors.New("no answer")
 
-// interfere lets others act before a call arrives, and says what becomes of the call: carried out and answered, carried out without
-// an answer, later, or never.
+// interfere lets others act before a call arrives and returns the outcome of the call: executed and answered, executed
+// without an answer, executed late, or lost.
 func (s *simulation) interfere() string {
 	if s.healthy {
 		return "answered"
 	}
-	if s.depth < 2 && rapid.Bool().Draw(s.t, "stands still") {
+	if s.depth < 2 && rapid.Bool().Draw(s.t, "suspended") {
 		s.depth++
 		for range rapid.IntRange(1, 3).Draw(s.t, "actions") {
 			s.randomAction()
@@ -96,15 +98,15 @@
 	return rapid.SampledFrom([]string{"answered", "answered", "answered", "unanswered", "late", "lost"}).Draw(s.t, "call")
 }
 
-// act is one thing that happens.
+// randomAction performs one random action.
 func (s *simulation) randomAction() {
-	switch rapid.SampledFrom([]string{"step", "step", "count", "tell", "time", "time", "holder", "late", "restart"}).Draw(s.t, "action") {
+	switch rapid.SampledFrom([]string{"step", "step", "count", "exchange", "time", "time", "holder", "late", "restart"}).Draw(s.t, "action") {
 	case "step":
 		s.stepGateway(rapid.IntRange(0, len(s.gateways)-1).Draw(s.t, "who"))
 	case "count":
 		g := s.gateways[rapid.IntRange(0, len(s.gateways)-1).Draw(s.t, "who")]
 		g.tally.Add(WindowAt(s.now, testWindow), rapid.SampledFrom([]string{"a", "b"}).Draw(s.t, "tenant"))
-	case "tell":
+	case "exchange":
 		s.exchangeCounts()
 	case "time":
 		s.now = s.now.Add(time.Duration(rapid.IntRange(1, 4000).Draw(s.t, "ms")) * time.Millisecond)
@@ -121,12 +123,13 @@
 	}
 }
 
-// step has a gateway do what is due. Only the holder does, but one that stands still may go on when another is holder.
+// stepGateway runs one step of a gateway. Only the holder acts, but a suspended one may resume after another took
+// over.
 func (s *simulation) stepGateway(number int) {
 	s.gateways[number].reporter.Step(context.Background(), s.now)
 }
 
-// tell has each gateway tell the others everything.
+// exchangeCounts sends all counts of each gateway to the others.
 func (s *simulation) exchangeCounts() {
 	for _, from := range s.gateways {
 		counts := from.tally.All(s.now)
@@ -138,7 +141,7 @@
 	}
 }
 
-// carryOutLate carries out what got no answer.
+// executeLate executes the calls that got no response.
 func (s *simulation) executeLate() {
 	for _, transaction := range s.lateCommits {
 		_, _ = s.commit(transaction)
@@ -149,7 +152,7 @@
 	s.lateCommits, s.lateCalls = nil, nil
 }
 
-// commit carries out a transaction.
+// commit executes a transaction.
 func (s *simulation) commit(transaction store.Transaction) (store.Revision, error) {
 	if transaction.Conditions[0].Revision != s.item.Revision {
 		return 0, store.ErrConflict
@@ -161,14 +164,14 @@
 		s.t.Fatal(err)
 	}
 	for _, g := range s.gateways {
-		if rapid.Bool().Draw(s.t, "watch tells") {
+		if rapid.Bool().Draw(s.t, "watch notifies") {
 			g.tally.Agreed(ledger.Next)
 		}
 	}
 	return s.revision, nil
 }
 
-// take is the platform that takes a report.
+// acceptReport is how the platform handles a report.
 func (s *simulation) acceptReport(fence int64, report Report) error {
 	if fence < s.highestFence {
 		return ErrSuperseded
@@ -217,7 +220,7 @@
 func (s *simulation) KeepAlive(context.Context, int64) error { return nil }
 func (s *simulation) Revoke(context.Context, int64) error    { return nil }
 
-// sender is the platform as a reporter calls it.
+// simulatedPlatform is the platform as seen by a reporter.
 type simulatedPlatform struct{ *simulation }
 
 func (s simulatedPlatform) SendUsage(_ context.Context, _ string, fence int64, report Report) error {
@@ -232,8 +235,8 @@
 	return errNoAnswer
 }
 
-// Whoever reports, and wherever holders stand still: the platform never gets two counts of one window, and once all is well no
-// window is missing.
+// TestEachWindowIsReportedWithOneCount guards against reporting two different counts of a window, and against missing
+// windows once everything works again.
 func TestEachWindowIsReportedWithOneCount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(t)
@@ -263,7 +266,7 @@
 			}
 		}
 		if settled := WindowAt(s.now.Add(-DefaultSettings().Settle), testWindow); ledger.Next != settled {
-			t.Fatalf("the ledger stands at %d, want %d", ledger.Next, settled)
+			t.Fatalf("the first open window is %d, want %d", ledger.Next, settled)
 		}
 	})
 }
--- a/internal/usage/reporter.go
+++ b/internal/usage/reporter.go
@@ -16,38 +16,40 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// ErrSuperseded is returned by a Sender when a call with a higher fence was seen: the holder has lost its authority.
+// ErrSuperseded is returned by a Sender when the platform has seen a higher fence: the holder has lost its authority.
 var ErrSuperseded = errors.New("another holder has a higher fence")
 
-// Sender carries reports to the platform.
+// Sender sends reports to the platform.
 type Sender interface {
-	// SendUsage returns nil once the report was taken. After other errors it may be taken later.
+	// SendUsage returns nil once the report was accepted. After any other error than ErrSuperseded it may still be
+	// accepted.
 	SendUsage(ctx context.Context, holder string, fence int64, report Report) error
 }
 
-// Settings of a reporter.
+// Settings configures a reporter.
 type Settings struct {
 	// Holder is the name of the process, unique in the fleet.
 	Holder string
-	// Window is the length of the windows, and Due how long after its end the report of a window is wanted.
+	// Window is the length of a window, and Due how long after its end a report counts as late.
 	Window, Due time.Duration
-	// Settle is how long after its end a window is agreed on: until then all have told what they counted.
+	// Settle is how long after its end a window is finalized. By then all gateways have sent their counts.
 	Settle time.Duration
-	// Hear is how long after it got the authority a process agrees on windows: until then the others have learnt of it and told it
-	// what they counted.
+	// Hear is how long after it acquired the authority a process starts to finalize windows. By then the other
+	// gateways know the new holder and have sent it their counts.
 	Hear time.Duration
-	// Tick is how often windows are looked at, and LongestPause bounds the pause after failed calls, which doubles.
+	// Tick is the interval between steps, and LongestPause bounds the exponential backoff after failed calls.
 	Tick, LongestPause time.Duration
-	// CallTimeout bounds one call.
+	// CallTimeout is the timeout of one call.
 	CallTimeout time.Duration
 }
 
 // DefaultSettings returns settings without a holder and windows.
 func DefaultSettings() Settings {
 	return Settings{
-		// A message that tells everything each second, and its way.
+		// Full messages are sent every second; the rest is for their delivery.
 		Settle: 1200 * time.Millisecond,
-		// Those that stand by hear of the new holder within a question to the feed (0.7 s), and then tell everything within a second.
+		// Standby gateways learn of the new holder with their next poll of the feed (0.7 s) and then send everything
+		// within a second.
 		Hear:         1900 * time.Millisecond,
 		Tick:         250 * time.Millisecond,
 		LongestPause: 2 * time.Second,
@@ -55,23 +57,23 @@
 	}
 }
 
-// Reporter reports windows while this process has the authority.
+// Reporter finalizes and reports windows while this process has the authority.
 type Reporter struct {
 	settings Settings
 	store    store.Store
 	sender   Sender
 	tally    *Tally
 	now      func() time.Time
-	// authority tells whether this process may call, and its fence.
+	// authority returns the fence of this process, and whether it may make calls.
 	authority      func() (int64, bool)
 	logger         logrus.FieldLogger
 	recordDecision func(decision.Record)
 
-	// What follows is used by one goroutine, but for what mu guards.
+	// The following fields are used by one goroutine, except those guarded by mu.
 	fence           int64
 	authoritySince  time.Time
 	supersededFence int64
-	// known is set once the ledger was read under the fence.
+	// ledgerKnown is set once the ledger was read under the current fence.
 	ledgerKnown bool
 	ledger      Ledger
 	revision    store.Revision
@@ -79,19 +81,21 @@
 	retryAt     time.Time
 
 	mu sync.Mutex
-	// taken are the windows whose reports the platform has taken from this process, with the time; those that the ledger still has.
+	// acceptedAt holds when the platform accepted reports from this process, by window, for those that are still in
+	// the ledger.
 	acceptedAt map[int64]time.Time
-	// heard is the newest ledger that the store is known to have held. It may hold an older one, after it has come back from a copy.
+	// newestLedger is the newest ledger known to have been stored. After a restore from a backup the store may hold an
+	// older one.
 	newestLedger Ledger
 	figures      Figures
 }
 
-// Figures of a reporter.
+// Figures counts the actions of a reporter.
 type Figures struct {
 	Agreed, Sent, Late, Failed, Refused int
 }
 
-// NewReporter returns a reporter that does nothing before Run. Now is the time of day.
+// NewReporter returns a reporter. It does nothing until Run or Step is called. now returns the time of day.
 func NewReporter(
 	settings Settings, store store.Store, sender Sender, tally *Tally, now func() time.Time, authority func() (int64, bool),
 	logger logrus.FieldLogger, recordDecision func(decision.Record),
@@ -102,21 +106,21 @@
 	}
 }
 
-// Figures returns what was done so far.
+// Figures returns the counts of actions so far.
 func (r *Reporter) Figures() Figures {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.figures
 }
 
-// count changes the figures.
+// updateFigures updates the figures under the mutex.
 func (r *Reporter) updateFigures(update func(*Figures)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	update(&r.figures)
 }
 
-// Run reports until the context ends.
+// Run performs steps until the context is canceled.
 func (r *Reporter) Run(ctx context.Context) {
 	ticker := time.NewTicker(r.settings.Tick)
 	defer ticker.Stop()
@@ -130,7 +134,7 @@
 	}
 }
 
-// Step agrees on the windows that are over, and reports those that are agreed on. The moment is one of the steady clock.
+// Step finalizes the windows that are over and reports those that are finalized. now is a time of the monotonic clock.
 func (r *Reporter) Step(ctx context.Context, now time.Time) {
 	fence, allowed := r.authority()
 	if !allowed || fence == r.supersededFence || now.Before(r.retryAt) {
@@ -146,21 +150,22 @@
 	r.backoff = 0
 }
 
-// failed notes a failure and puts off the next call.
+// handleError logs an error and delays the next call.
 func (r *Reporter) handleError(now time.Time, err error) {
 	if errors.Is(err, ErrSuperseded) {
 		r.supersededFence = r.fence
 		r.updateFigures(func(f *Figures) { f.Refused++ })
-		r.logger.WithField("fence", r.fence).Warn("Another gateway reports the usage. This one stops.")
+		r.logger.WithField("fence", r.fence).Warn("Another gateway has taken over usage reporting. Stopping.")
 		return
 	}
 	r.updateFigures(func(f *Figures) { f.Failed++ })
 	r.backoff = min(max(2*r.backoff, r.settings.Tick), r.settings.LongestPause)
 	r.retryAt = now.Add(r.backoff)
-	r.logger.WithError(err).WithField("pause", r.backoff).Warn("The usage was not reported. It is tried again.")
+	r.logger.WithError(err).WithField("pause", r.backoff).Warn("Cannot report usage. Retrying.")
 }
 
-// work does what is due. Before all were heard it sends what others have agreed on.
+// process does what is due. Until the counts of all gateways are complete it only reports windows that earlier holders
+// finalized.
 func (r *Reporter) process(ctx context.Context, countsComplete bool) error {
 	if !r.ledgerKnown {
 		if err := r.readLedger(ctx); err != nil {
@@ -171,20 +176,20 @@
 		return r.sendReports(ctx)
 	}
 	if err := r.finalizeWindows(ctx); err != nil {
-		// The ledger may have changed, or may yet.
+		// The ledger may have changed, or a late commit may still change it.
 		r.ledgerKnown = false
 		return err
 	}
 	return r.sendReports(ctx)
 }
 
-// read reads the ledger.
+// readLedger reads the ledger.
 func (r *Reporter) readLedger(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, r.settings.CallTimeout)
 	defer cancel()
 	items, _, err := r.store.List(ctx, Key)
 	if err != nil {
-		return errors.Wrap(err, "step read the ledger of the usage")
+		return errors.Wrap(err, "read usage ledger")
 	}
 	r.ledger, r.revision = Ledger{Next: WindowAt(r.now(), r.settings.Window)}, 0
 	for _, item := range items {
@@ -201,7 +206,7 @@
 	return r.restoreLedger(ctx)
 }
 
-// Heard takes a ledger that the store holds.
+// Heard records a ledger that the store holds.
 func (r *Reporter) Heard(ledger Ledger) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -210,7 +215,8 @@
 	}
 }
 
-// restore writes the newest ledger again if the store holds an older one: its windows are agreed on, and may be reported.
+// restoreLedger writes the newest known ledger again if the store holds an older one, since its windows are final and
+// may have been reported.
 func (r *Reporter) restoreLedger(ctx context.Context) error {
 	r.mu.Lock()
 	newest := r.newestLedger
@@ -218,7 +224,7 @@
 	if newest.Next <= r.ledger.Next {
 		return nil
 	}
-	r.logger.WithFields(logrus.Fields{"held": r.ledger.Next, "known": newest.Next}).Warn("The store holds an older ledger of the usage. It is written again.")
+	r.logger.WithFields(logrus.Fields{"held": r.ledger.Next, "known": newest.Next}).Warn("The store holds an older usage ledger. Writing the newest one again.")
 	r.ledgerKnown = false
 	if err := r.writeLedger(ctx, newest); err != nil {
 		return err
@@ -227,11 +233,11 @@
 	return nil
 }
 
-// write writes a ledger in place of the one that was read.
+// writeLedger replaces the ledger that was read.
 func (r *Reporter) writeLedger(ctx context.Context, updated Ledger) error {
 	value, err := json.Marshal(updated)
 	if err != nil {
-		return errors.Wrap(err, "step write the ledger of the usage")
+		return errors.Wrap(err, "encode usage ledger")
 	}
 	ctx, cancel := context.WithTimeout(ctx, r.settings.CallTimeout)
 	defer cancel()
@@ -239,17 +245,17 @@
 		Conditions: []store.Condition{{Key: Key, Revision: r.revision}}, Puts: []store.Put{{Key: Key, Value: value}},
 	})
 	if err != nil {
-		return errors.Wrap(err, "step write the ledger of the usage")
+		return errors.Wrap(err, "write usage ledger")
 	}
 	r.ledger, r.revision = updated, revision
 	r.Heard(updated)
 	return nil
 }
 
-// mostAtOnce bounds the windows that are agreed on in one step.
+// maxWindowsPerStep bounds the windows that are finalized in one step.
 const maxWindowsPerStep = 24
 
-// agree writes the windows that are over into the store.
+// finalizeWindows stores the reports of the windows that are over.
 func (r *Reporter) finalizeWindows(ctx context.Context) error {
 	reports := r.settledReports()
 	if len(reports) == 0 {
@@ -265,7 +271,7 @@
 	return nil
 }
 
-// forgetTaken drops the windows that the ledger does not have any more.
+// pruneAccepted forgets the windows that are no longer in the ledger.
 func (r *Reporter) pruneAccepted() {
 	pending := lo.SliceToMap(r.ledger.Reports, func(report Report) (int64, bool) { return report.Window, true })
 	r.mu.Lock()
@@ -273,13 +279,13 @@
 	maps.DeleteFunc(r.acceptedAt, func(window int64, _ time.Time) bool { return !pending[window] })
 }
 
-// due returns the sums of the windows that are over and settled.
+// settledReports returns the reports of the windows that are over and settled.
 func (r *Reporter) settledReports() []Report {
 	var reports []Report
 	settled := r.now().Add(-r.settings.Settle)
 	first := max(r.ledger.Next, WindowAt(settled, r.settings.Window)-maxOpenWindows)
 	if missed := first - r.ledger.Next; missed > 0 {
-		r.logger.WithField("windows", missed).Error("Windows are too long ago: nobody has kept their counts.")
+		r.logger.WithField("windows", missed).Error("Windows are too old to report: no gateway has kept their counts.")
 	}
 	for window := first; len(reports) < maxWindowsPerStep && !windowEnd(window, r.settings.Window).After(settled); window++ {
 		reports = append(reports, Report{Window: window, Requests: r.tally.Sum(window)})
@@ -287,7 +293,7 @@
 	return reports
 }
 
-// send reports the windows that are agreed on, the oldest first. One that gets no answer does not hold up the others.
+// sendReports sends the reports of the finalized windows, oldest first. A failed one does not block the others.
 func (r *Reporter) sendReports(ctx context.Context) error {
 	var failures error
 	for _, report := range r.ledger.Reports {
@@ -306,12 +312,12 @@
 	return failures
 }
 
-// sendOne reports one window.
+// sendReport sends the report of one window.
 func (r *Reporter) sendReport(ctx context.Context, report Report) error {
 	ctx, cancel := context.WithTimeout(ctx, r.settings.CallTimeout)
 	defer cancel()
 	if err := r.sender.SendUsage(ctx, r.settings.Holder, r.fence, report); err != nil {
-		return errors.Wrapf(err, "step report window %d", report.Window)
+		return errors.Wrapf(err, "report window %d", report.Window)
 	}
 	now := r.now()
 	delay := now.Sub(windowEnd(report.Window, r.settings.Window))
@@ -326,7 +332,7 @@
 	return nil
 }
 
-// isTaken tells whether the platform has taken the report of a window from this process.
+// isAccepted reports whether the platform accepted the report of a window from this process.
 func (r *Reporter) isAccepted(window int64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -334,7 +340,7 @@
 	return accepted
 }
 
-// note records a report as a decision.
+// recordReport records a report as a decision.
 func (r *Reporter) recordReport(report Report, delay time.Duration) {
 	total := lo.Sum(lo.Values(report.Requests))
 	r.recordDecision(decision.Record{
--- a/internal/usage/restore_test.go
+++ b/internal/usage/restore_test.go
@@ -13,7 +13,7 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// ledgerStore holds one ledger.
+// ledgerStore is a store with one ledger.
 type ledgerStore struct {
 	store.Store
 	value    []byte
@@ -40,7 +40,7 @@
 	return l.revision, nil
 }
 
-// sentReports counts the reports of each window.
+// reportCounts counts the reports of each window.
 type reportCounts map[int64]int
 
 func (s reportCounts) SendUsage(_ context.Context, _ string, _ int64, report Report) error {
@@ -48,8 +48,8 @@
 	return nil
 }
 
-// TestAWindowIsReportedOnceThoughTheLedgerGoesBack has the store come back with an older ledger, for the holder that goes on and for one that
-// takes over and has heard the newest ledger.
+// TestRestoredLedgerCausesNoDuplicateReports guards against reporting windows again after the store was restored from
+// a backup with an older ledger, both for a continuing holder and for a new one that knows the newest ledger.
 func TestRestoredLedgerCausesNoDuplicateReports(t *testing.T) {
 	for _, takesOver := range []bool{false, true} {
 		ledgers, sent := &ledgerStore{revision: store.NewRevision(1, 10)}, reportCounts{}
@@ -91,7 +91,8 @@
 		for _, count := range sent {
 			duplicates += count - 1
 		}
-		// What the old ledger does not tell as taken may be sent again with the same count: that of the last window, as without a loss.
+		// The restored ledger may not show the last window before the backup as accepted, so that it is sent again
+		// with the same count, as may happen without a restore.
 		if duplicates > 1 {
 			t.Errorf("takes over %t: %d windows were reported again: %v", takesOver, duplicates, sent)
 		}
--- a/internal/usage/tally.go
+++ b/internal/usage/tally.go
@@ -1,9 +1,9 @@
-// Package usage counts what each tenant has used by windows of time, agrees on one count for each window through the store, and
-// reports it.
+// Package usage counts the requests of each tenant per time window, finalizes one count for each window through the
+// store, and reports it to the platform.
 //
-// Each gateway counts by itself and tells the others, so that counts outlive the gateway that made them. The gateway that gives
-// orders adds up a window that is over, writes the sum into the store under a condition, and only then reports it: whoever reports
-// that window later finds the same numbers there.
+// Each gateway counts on its own and sends its counts to the others, so that they survive its failure. The gateway
+// that holds the authority sums a window that is over, commits the sum to the store with a compare-and-swap, and only
+// then reports it: whoever reports the window later finds the same numbers there.
 package usage
 
 import (
@@ -13,53 +13,53 @@
 	"time"
 )
 
-// Count is what one gateway has counted in one window.
+// Count holds what one gateway has counted in one window.
 type Count struct {
 	_ struct{} `cbor:",toarray"`
-	// Gateway that counted, and the Epoch that tells its starts apart.
+	// Gateway is the gateway that counted, and Epoch distinguishes its starts.
 	Gateway string
 	Epoch   int64
-	// Window is the number of the window, and Requests the requests that began in it, by tenant.
+	// Window is the number of the window, and Requests counts the requests that began in it, by tenant.
 	Window   int64
 	Requests map[string]int64
 }
 
-// origin is one life of a gateway.
+// origin identifies one start of a gateway.
 type origin struct {
 	gateway string
 	epoch   int64
 }
 
-// origin returns who counted.
+// origin returns the origin of a count.
 func (c Count) origin() origin { return origin{c.Gateway, c.Epoch} }
 
-// Bounds of what a tally keeps.
+// Limits of a tally.
 const (
-	// keptWindows is how many windows are kept that nobody has agreed on yet: ten minutes of windows of five seconds, longer than
-	// the store is away.
+	// maxOpenWindows is how many windows that are not finalized are kept: 10 minutes of windows of 5 s, longer than
+	// outages of the store.
 	maxOpenWindows = 120
-	// silentAfter is how long a gateway says nothing before the others tell what it has counted: longer than the time between two
-	// messages that tell everything.
+	// silenceTimeout is how long a gateway must be silent before others forward its counts. It is longer than the
+	// interval of full messages.
 	silenceTimeout = 1500 * time.Millisecond
 )
 
 // Tally holds the counts of all gateways. It is safe for concurrent use.
 //
-// Invariants: what an origin has counted in a window never falls; hearing the same counts again changes nothing.
+// Invariants: the count of an origin in a window never decreases; merging the same counts again has no effect.
 type Tally struct {
 	mu     sync.Mutex
 	own    origin
 	counts map[int64]map[origin]map[string]int64
-	// untold holds the own counts that have changed since they were told.
+	// unsent holds the windows and tenants whose own counts have changed since they were last sent.
 	unsent    map[int64]map[string]bool
 	lastHeard map[origin]time.Time
-	// next is the first window that may still be counted for; those before are agreed on.
+	// firstOpen is the first window that is not finalized.
 	firstOpen int64
-	// newest is the highest window that was counted for.
+	// newest is the highest window with counts.
 	newest int64
 }
 
-// NewTally returns the tally of a gateway that starts with an epoch of its own.
+// NewTally returns the tally of a gateway. The epoch must differ for each of its starts.
 func NewTally(gateway string, epoch int64) *Tally {
 	return &Tally{
 		own: origin{gateway, epoch}, counts: map[int64]map[origin]map[string]int64{}, unsent: map[int64]map[string]bool{},
@@ -67,7 +67,7 @@
 	}
 }
 
-// Add counts a request that has begun in a window. When the window is agreed on already, the request counts for the next one.
+// Add counts a request that began in a window. If that window is finalized, the request counts for the first open one.
 func (t *Tally) Add(window int64, tenant string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -81,7 +81,7 @@
 	changed[tenant] = true
 }
 
-// of returns the counts of an origin in a window. The mutex is held.
+// countsOf returns the counts of an origin in a window. The caller must hold the mutex.
 func (t *Tally) countsOf(window int64, from origin) map[string]int64 {
 	byOrigin, found := t.counts[window]
 	if !found {
@@ -98,7 +98,7 @@
 	return requests
 }
 
-// forget drops windows that are too old. The mutex is held.
+// prune drops windows that are finalized or too old. The caller must hold the mutex.
 func (t *Tally) prune() {
 	for window := range t.counts {
 		if window < t.firstOpen || window <= t.newest-maxOpenWindows {
@@ -108,7 +108,7 @@
 	}
 }
 
-// Merge takes what another gateway told at a moment: its own counts, and those of gateways that are silent.
+// Merge adds counts received from another gateway: its own ones and those that it forwards for silent gateways.
 func (t *Tally) Merge(now time.Time, sender string, counts []Count) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -129,7 +129,7 @@
 	}
 }
 
-// Untold returns the own counts that have changed since the last call.
+// Untold returns the own counts that have changed since the last call of Untold or All.
 func (t *Tally) Untold() []Count {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -145,7 +145,7 @@
 	return counts
 }
 
-// All returns everything that this gateway has to tell: its own counts, and those of gateways that have fallen silent.
+// All returns the own counts, and those to be forwarded for gateways that have been silent.
 func (t *Tally) All(now time.Time) []Count {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -161,12 +161,12 @@
 	return counts
 }
 
-// count returns counts as they are told.
+// newCount returns counts in message form.
 func (t *Tally) newCount(window int64, from origin, requests map[string]int64) Count {
 	return Count{Gateway: from.gateway, Epoch: from.epoch, Window: window, Requests: requests}
 }
 
-// Open returns the windows that were counted for and are not agreed on, the oldest first.
+// Open returns the windows with counts that are not finalized, oldest first.
 func (t *Tally) Open() []int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -186,7 +186,7 @@
 	return sum
 }
 
-// Agreed drops the windows before the first one that is not agreed on.
+// Agreed records that the windows before next are finalized, and drops them.
 func (t *Tally) Agreed(next int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -8,7 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// However counts are told, doubled, late or in part, a sum is never above what was counted, and is that once all was told.
+// TestCountsAreSummedOnce guards against counting requests twice or losing them when messages are duplicated, delayed
+// or partial.
 func TestCountsAreSummedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const window = 7
@@ -54,19 +55,19 @@
 }
 
 func TestPeersForwardCountsOfDeadGateway(t *testing.T) {
-	dead, peer, other := NewTally("dies", 1), NewTally("heard", 1), NewTally("late", 1)
+	dead, peer, other := NewTally("dead", 1), NewTally("peer", 1), NewTally("other", 1)
 	dead.Add(7, "a")
-	peer.Merge(epoch, "dies", dead.Untold())
-	other.Merge(epoch.Add(time.Second), "heard", peer.All(epoch.Add(time.Second)))
+	peer.Merge(epoch, "dead", dead.Untold())
+	other.Merge(epoch.Add(time.Second), "peer", peer.All(epoch.Add(time.Second)))
 	if sum := other.Sum(7)["a"]; sum != 0 {
-		t.Fatalf("the counts of a gateway that lives are told by another: %d", sum)
+		t.Fatalf("the counts of a live gateway were forwarded: %d", sum)
 	}
 	now := epoch.Add(silenceTimeout + time.Millisecond)
-	other.Merge(now, "heard", peer.All(now))
-	// It comes back, and counts anew.
-	restarted := NewTally("dies", 2)
+	other.Merge(now, "peer", peer.All(now))
+	// The gateway restarts and counts again.
+	restarted := NewTally("dead", 2)
 	restarted.Add(7, "a")
-	other.Merge(now, "dies", restarted.All(now))
+	other.Merge(now, "dead", restarted.All(now))
 	if sum := other.Sum(7)["a"]; sum != 2 {
 		t.Fatalf("got %d requests, want 2", sum)
 	}
@@ -78,7 +79,7 @@
 	tally.Agreed(8)
 	tally.Add(7, "a")
 	if before, after := tally.Sum(7)["a"], tally.Sum(8)["a"]; before != 0 || after != 1 {
-		t.Fatalf("got %d and %d", before, after)
+		t.Fatalf("got %d requests in the finalized window and %d in the next one, want 0 and 1", before, after)
 	}
 }
 
@@ -91,13 +92,13 @@
 			t.Errorf("%s: got %v ahead, want %v", desc, got, ahead)
 		}
 	}
-	expect("alone", 0)
+	expect("no peers", 0)
 	for i, ms := range []time.Duration{2, 10, -3000, 5} {
 		clock.Heard(fmt.Sprint("g", i), epoch.Add(ms*time.Millisecond))
 	}
-	expect("one other is behind", 2*time.Millisecond)
+	expect("one peer is behind", 2*time.Millisecond)
 	steady, wall = time.Second, epoch.Add(3*time.Second)
 	expect("the own clock has jumped", time.Second+5*time.Millisecond)
 	steady, wall = 2*readingTTL, epoch.Add(2*readingTTL)
-	expect("the others are silent", 2*readingTTL)
+	expect("the peers are silent", 2*readingTTL)
 }
