--- a/internal/absence/absence.go
+++ b/internal/absence/absence.go
@@ -24,7 +24,7 @@
 }
 
 // maxRemembered bounds the ended engines whose return is waited for to learn how long it takes.
-const maxRemembered = 1024
+const maxTrackedReturns = 1024
 
 // Table holds which engines have ended. It is a pure state machine and not safe for concurrent use.
 //
@@ -32,13 +32,13 @@
 // a word; it is confirmed only by a connection that this process itself saw refused.
 type Table struct {
 	settings Settings
-	absent   map[string]*absent
+	absent   map[string]*absentEngine
 	// ended are the engines that ended, by their addresses, until another one records itself there.
-	ended map[string]ended
+	endedByAddress map[string]endedEngine
 	// trusted engines were found to answer although another process said otherwise, and until when its word counts for nothing: it may
 	// be cut off itself.
-	trusted map[string]time.Time
-	returns spread
+	trustedUntil map[string]time.Time
+	returnTimes  durationEstimate
 }
 
 // Return is an engine that recorded itself again, under another id.
@@ -48,49 +48,49 @@
 }
 
 // absent is an engine that has ended.
-type absent struct {
-	worker       *backend.Worker
-	since, until time.Time
-	confirmed    bool
+type absentEngine struct {
+	worker        *backend.Worker
+	since, expiry time.Time
+	confirmed     bool
 }
 
 // ended is when an engine ended.
-type ended struct {
+type endedEngine struct {
 	id    string
 	since time.Time
 }
 
 // New returns a table in which nothing is absent.
 func New(settings Settings) *Table {
-	return &Table{settings: settings, absent: map[string]*absent{}, ended: map[string]ended{}, trusted: map[string]time.Time{}}
+	return &Table{settings: settings, absent: map[string]*absentEngine{}, endedByAddress: map[string]endedEngine{}, trustedUntil: map[string]time.Time{}}
 }
 
 // Refused notes that the address of an engine refused a connection, of this process or, as hearsay, of another one. It tells whether
 // that is news: the engine was not known to be absent, or is now confirmed.
-func (t *Table) Refused(now time.Time, worker *backend.Worker, own bool) bool {
-	if !own && now.Before(t.trusted[worker.ID]) {
+func (t *Table) Refused(now time.Time, worker *backend.Worker, direct bool) bool {
+	if !direct && now.Before(t.trustedUntil[worker.ID]) {
 		return false
 	}
-	known, found := t.absent[worker.ID]
-	if !found || !now.Before(known.until) {
-		known = &absent{worker: worker, since: now}
-		t.absent[worker.ID] = known
-		t.remember(now, worker)
+	entry, found := t.absent[worker.ID]
+	if !found || !now.Before(entry.expiry) {
+		entry = &absentEngine{worker: worker, since: now}
+		t.absent[worker.ID] = entry
+		t.trackReturn(now, worker)
 		found = false
 	}
-	known.until = now.Add(t.settings.Mark)
-	news := !found || (own && !known.confirmed)
-	known.confirmed = known.confirmed || own
-	return news
+	entry.expiry = now.Add(t.settings.Mark)
+	isNew := !found || (direct && !entry.confirmed)
+	entry.confirmed = entry.confirmed || direct
+	return isNew
 }
 
 // remember keeps when an engine ended, to learn how long it stays away.
-func (t *Table) remember(now time.Time, worker *backend.Worker) {
-	if before, found := t.ended[worker.Address]; found && before.id == worker.ID {
+func (t *Table) trackReturn(now time.Time, worker *backend.Worker) {
+	if previous, found := t.endedByAddress[worker.Address]; found && previous.id == worker.ID {
 		return
 	}
-	if len(t.ended) < maxRemembered {
-		t.ended[worker.Address] = ended{id: worker.ID, since: now}
+	if len(t.endedByAddress) < maxTrackedReturns {
+		t.endedByAddress[worker.Address] = endedEngine{id: worker.ID, since: now}
 	}
 }
 
@@ -99,28 +99,28 @@
 	_, found := t.absent[worker.ID]
 	delete(t.absent, worker.ID)
 	if found {
-		t.trusted[worker.ID] = now.Add(t.settings.Mark)
+		t.trustedUntil[worker.ID] = now.Add(t.settings.Mark)
 	}
-	if before := t.ended[worker.Address]; before.id == worker.ID {
-		delete(t.ended, worker.Address)
+	if previous := t.endedByAddress[worker.Address]; previous.id == worker.ID {
+		delete(t.endedByAddress, worker.Address)
 	}
 	return found
 }
 
 // Absent tells whether an engine has ended, and whether this process itself saw its address refuse a connection.
 func (t *Table) Absent(now time.Time, id string) (absent, confirmed bool) {
-	known, found := t.absent[id]
-	if !found || !now.Before(known.until) {
+	entry, found := t.absent[id]
+	if !found || !now.Before(entry.expiry) {
 		return false, false
 	}
-	return true, known.confirmed
+	return true, entry.confirmed
 }
 
 // Engines returns the absent engines, also those of which nobody said anything for Mark.
 func (t *Table) Engines() []*backend.Worker {
 	engines := make([]*backend.Worker, 0, len(t.absent))
-	for _, known := range t.absent {
-		engines = append(engines, known.worker)
+	for _, entry := range t.absent {
+		engines = append(engines, entry.worker)
 	}
 	return engines
 }
@@ -130,29 +130,29 @@
 	for _, id := range changes.Gone {
 		delete(t.absent, id)
 	}
-	for id, until := range t.trusted {
-		if !now.Before(until) {
-			delete(t.trusted, id)
+	for id, expiry := range t.trustedUntil {
+		if !now.Before(expiry) {
+			delete(t.trustedUntil, id)
 		}
 	}
-	if len(t.ended) == 0 {
+	if len(t.endedByAddress) == 0 {
 		return nil
 	}
 	var returns []Return
 	for _, worker := range changes.Put {
-		before, found := t.ended[worker.Address]
-		if !found || before.id == worker.ID {
+		previous, found := t.endedByAddress[worker.Address]
+		if !found || previous.id == worker.ID {
 			continue
 		}
-		if away := now.Sub(before.since); away <= t.settings.LongestReturn {
-			t.returns.add(away)
+		if away := now.Sub(previous.since); away <= t.settings.LongestReturn {
+			t.returnTimes.add(away)
 			returns = append(returns, Return{Worker: worker, Away: away})
 		}
-		delete(t.ended, worker.Address)
+		delete(t.endedByAddress, worker.Address)
 	}
-	for address, before := range t.ended {
-		if now.Sub(before.since) > t.settings.LongestReturn {
-			delete(t.ended, address)
+	for address, previous := range t.endedByAddress {
+		if now.Sub(previous.since) > t.settings.LongestReturn {
+			delete(t.endedByAddress, address)
 		}
 	}
 	return returns
@@ -160,40 +160,40 @@
 
 // Since returns when an absent engine was first known to have ended.
 func (t *Table) Since(id string) time.Time {
-	known, found := t.absent[id]
+	entry, found := t.absent[id]
 	if !found {
 		return time.Time{}
 	}
-	if before := t.ended[known.worker.Address]; before.id == id {
-		return before.since
+	if previous := t.endedByAddress[entry.worker.Address]; previous.id == id {
+		return previous.since
 	}
-	return known.since
+	return entry.since
 }
 
 // Until returns until when an absent engine is to be passed over.
 func (t *Table) Until(id string) time.Time {
-	known, found := t.absent[id]
+	entry, found := t.absent[id]
 	if !found {
 		return time.Time{}
 	}
-	return known.until
+	return entry.expiry
 }
 
 // BackAt returns when an absent engine is expected to take requests again under another id, and whether that is known from others or
 // only guessed.
-func (t *Table) BackAt(id string) (at time.Time, learnt bool) {
+func (t *Table) BackAt(id string) (at time.Time, learned bool) {
 	since := t.Since(id)
 	if since.IsZero() {
 		return since, false
 	}
-	if away, learnt := t.returns.high(); learnt {
-		return since.Add(away), true
+	if duration, known := t.returnTimes.upperBound(); known {
+		return since.Add(duration), true
 	}
 	return since.Add(t.settings.Return), false
 }
 
 // spread is the mean of a duration and its mean deviation, as TCP keeps them of round trips (RFC 6298).
-type spread struct{ mean, deviation time.Duration }
+type durationEstimate struct{ mean, deviation time.Duration }
 
 // Weights of a new value, and how many deviations above the mean the high end is taken to be.
 const (
@@ -204,16 +204,16 @@
 )
 
 // add takes a value.
-func (s *spread) add(value time.Duration) {
-	if s.mean == 0 {
-		s.mean, s.deviation = value, value/firstDeviation
+func (e *durationEstimate) add(value time.Duration) {
+	if e.mean == 0 {
+		e.mean, e.deviation = value, value/firstDeviation
 		return
 	}
-	s.deviation += ((value - s.mean).Abs() - s.deviation) / deviationWeight
-	s.mean += (value - s.mean) / meanWeight
+	e.deviation += ((value - e.mean).Abs() - e.deviation) / deviationWeight
+	e.mean += (value - e.mean) / meanWeight
 }
 
 // high returns what most values are below, or false when none is known.
-func (s *spread) high() (time.Duration, bool) {
-	return s.mean + highDeviations*s.deviation, s.mean > 0
+func (e *durationEstimate) upperBound() (time.Duration, bool) {
+	return e.mean + highDeviations*e.deviation, e.mean > 0
 }
--- a/internal/absence/absence_test.go
+++ b/internal/absence/absence_test.go
@@ -19,7 +19,7 @@
 }
 
 // TestAnAbsenceEnds has an engine refuse a connection, and each of the ways in which it is not held to be absent any more.
-func TestAnAbsenceEnds(t *testing.T) {
+func TestAbsenceEnds(t *testing.T) {
 	settings := DefaultSettings()
 	for _, c := range []struct {
 		desc string
@@ -48,18 +48,18 @@
 
 // TestTheWordOfOneThatIsCutOffCountsOnce plays a gateway that reaches no engine and says so over and over, while others find the engine
 // well.
-func TestTheWordOfOneThatIsCutOffCountsOnce(t *testing.T) {
+func TestPartitionedReporterIsIgnoredAfterAnswer(t *testing.T) {
 	table, worker := New(DefaultSettings()), engine("a", "x")
-	passedOver := 0
+	excluded := 0
 	for i := range 100 {
 		now := epoch.Add(time.Duration(i) * 10 * time.Millisecond)
 		if table.Refused(now, worker, false) {
-			passedOver++
+			excluded++
 			table.Answers(now.Add(5*time.Millisecond), worker)
 		}
 	}
-	if passedOver != 1 {
-		t.Errorf("the engine was passed over %d times within a second", passedOver)
+	if excluded != 1 {
+		t.Errorf("the engine was passed over %d times within a second", excluded)
 	}
 	now := epoch.Add(time.Second)
 	if !table.Refused(now, worker, true) {
@@ -68,19 +68,19 @@
 }
 
 // TestReturnsAreLearnt ends engines that come back with another id after about as long, and asks when the next is expected.
-func TestReturnsAreLearnt(t *testing.T) {
+func TestReturnTimeIsLearned(t *testing.T) {
 	table := New(DefaultSettings())
 	now := epoch
 	for i := range 10 {
-		before, after := engine(fmt.Sprint("a", i), "x"), engine(fmt.Sprint("a", i+1), "x")
-		table.Change(now, backend.Changes{Put: []*backend.Worker{before}})
-		table.Refused(now, before, true)
-		if at, learnt := table.BackAt(before.ID); learnt != (i > 0) || at.Sub(now) < time.Second || at.Sub(now) > 4*time.Second {
-			t.Errorf("life %d: expected back in %s, learnt: %v", i, at.Sub(now), learnt)
+		previous, next := engine(fmt.Sprint("a", i), "x"), engine(fmt.Sprint("a", i+1), "x")
+		table.Change(now, backend.Changes{Put: []*backend.Worker{previous}})
+		table.Refused(now, previous, true)
+		if at, learned := table.BackAt(previous.ID); learned != (i > 0) || at.Sub(now) < time.Second || at.Sub(now) > 4*time.Second {
+			t.Errorf("life %d: expected back in %s, learnt: %v", i, at.Sub(now), learned)
 		}
 		now = now.Add(2 * time.Second)
-		table.Change(now, backend.Changes{Gone: []string{before.ID}})
-		returned := table.Change(now, backend.Changes{Put: []*backend.Worker{after}})
+		table.Change(now, backend.Changes{Gone: []string{previous.ID}})
+		returned := table.Change(now, backend.Changes{Put: []*backend.Worker{next}})
 		if len(returned) != 1 || returned[0].Away != 2*time.Second {
 			t.Fatalf("life %d: returned %+v", i, returned)
 		}
@@ -88,40 +88,40 @@
 }
 
 // TestOnlyWhatIsSaidIsAbsent plays words in any order and checks the invariants.
-func TestOnlyWhatIsSaidIsAbsent(t *testing.T) {
+func TestTableInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := DefaultSettings()
 		table, now := New(settings), epoch
 		set := backend.Set{}
 		for i := range 4 {
-			one := engine(fmt.Sprint("e", i), fmt.Sprint("x", i))
-			set[one.ID] = one
+			worker := engine(fmt.Sprint("e", i), fmt.Sprint("x", i))
+			set[worker.ID] = worker
 		}
-		heard, own := map[string]time.Time{}, map[string]bool{}
+		reportedAt, direct := map[string]time.Time{}, map[string]bool{}
 		for range 60 {
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "ms")) * time.Millisecond)
 			worker := set[fmt.Sprint("e", rapid.IntRange(0, 3).Draw(t, "engine"))]
 			switch rapid.IntRange(0, 3).Draw(t, "word") {
 			case 0:
 				table.Refused(now, worker, true)
-				heard[worker.ID], own[worker.ID] = now, true
+				reportedAt[worker.ID], direct[worker.ID] = now, true
 			case 1:
 				table.Refused(now, worker, false)
-				heard[worker.ID] = now
+				reportedAt[worker.ID] = now
 			case 2:
 				table.Answers(now, worker)
-				delete(heard, worker.ID)
-				delete(own, worker.ID)
+				delete(reportedAt, worker.ID)
+				delete(direct, worker.ID)
 			default:
 				table.Change(now, set.Since(nil))
 			}
 			for id := range set {
 				absent, confirmed := table.Absent(now, id)
-				at, said := heard[id]
-				if absent && (!said || now.Sub(at) >= settings.Mark) {
+				at, reported := reportedAt[id]
+				if absent && (!reported || now.Sub(at) >= settings.Mark) {
 					t.Fatalf("%s is absent, last heard of at %s, now %s", id, at, now)
 				}
-				if confirmed && (!absent || !own[id]) {
+				if confirmed && (!absent || !direct[id]) {
 					t.Fatalf("%s is confirmed and was not seen", id)
 				}
 			}
