--- a/internal/absence/absence.go
+++ b/internal/absence/absence.go
@@ -1,5 +1,6 @@
-// Package absence holds which engines are known to have ended although their records are still there. Records go seconds after the
-// process, by when it may run again; a connection that is refused shows the same within milliseconds.
+// Package absence tracks engines that have ended although their records still exist. A record expires seconds after
+// its process ended, when the engine may already be running again; a refused connection shows the same within
+// milliseconds.
 package absence
 
 import (
@@ -8,65 +9,66 @@
 	"github.com/granitebay/granitebay/internal/backend"
 )
 
-// Settings of a table.
+// Settings configures a table.
 type Settings struct {
-	// Mark is how long the word counts that the address of an engine refuses connections. Whoever asks the engine again says it
-	// anew; when nobody does, a request finds out, and all know again.
+	// Mark is how long a report that the address of an engine refuses connections is valid. Probes that fail again
+	// renew it; without probes, the next request detects the absence again.
 	Mark time.Duration
-	// Return is how long an engine is taken to stay away while none has been seen to come back, and LongestReturn bounds what is
-	// learnt: one that was away for longer was not just started again.
+	// Return is the assumed time until an engine is back while no return has been observed. LongestReturn bounds the
+	// observed times that are learned from: an engine that was away for longer was not simply restarted.
 	Return, LongestReturn time.Duration
 }
 
-// DefaultSettings count a word for some rounds of questions, and expect an engine back within about the time that its record takes to go.
+// DefaultSettings returns a Mark of several probe intervals, and a Return of about the time until a record expires.
 func DefaultSettings() Settings {
 	return Settings{Mark: 1500 * time.Millisecond, Return: 3 * time.Second, LongestReturn: time.Minute}
 }
 
-// maxRemembered bounds the ended engines whose return is waited for to learn how long it takes.
+// maxTrackedReturns bounds the ended engines whose return is awaited to measure its duration.
 const maxTrackedReturns = 1024
 
-// Table holds which engines have ended. It is a pure state machine and not safe for concurrent use.
+// Table holds the engines that have ended. It is a pure state machine and not safe for concurrent use.
 //
-// Invariants: only engines with records are absent; an absence is over at the word that the engine answers, or after Mark without
-// a word; it is confirmed only by a connection that this process itself saw refused.
+// Invariants: only engines with records are absent; an absence ends when the engine responds, or after Mark without a
+// report; an absence is confirmed only by a refused connection of this process.
 type Table struct {
 	settings Settings
 	absent   map[string]*absentEngine
-	// ended are the engines that ended, by their addresses, until another one records itself there.
+	// endedByAddress holds the engines that ended, until another one is recorded at the address.
 	endedByAddress map[string]endedEngine
-	// trusted engines were found to answer although another process said otherwise, and until when its word counts for nothing: it may
-	// be cut off itself.
+	// trustedUntil holds the engines that responded although another process reported them, and until when such
+	// reports are ignored: the reporter may be partitioned.
 	trustedUntil map[string]time.Time
 	returnTimes  durationEstimate
 }
 
-// Return is an engine that recorded itself again, under another id.
+// Return is an engine that was recorded again under another ID.
 type Return struct {
 	Worker *backend.Worker
 	Away   time.Duration
 }
 
-// absent is an engine that has ended.
+// absentEngine is an engine that has ended.
 type absentEngine struct {
 	worker        *backend.Worker
 	since, expiry time.Time
 	confirmed     bool
 }
 
-// ended is when an engine ended.
+// endedEngine records when an engine ended.
 type endedEngine struct {
 	id    string
 	since time.Time
 }
 
-// New returns a table in which nothing is absent.
+// New returns an empty table.
 func New(settings Settings) *Table {
 	return &Table{settings: settings, absent: map[string]*absentEngine{}, endedByAddress: map[string]endedEngine{}, trustedUntil: map[string]time.Time{}}
 }
 
-// Refused notes that the address of an engine refused a connection, of this process or, as hearsay, of another one. It tells whether
-// that is news: the engine was not known to be absent, or is now confirmed.
+// Refused records that the address of an engine refused a connection, either of this process (direct) or as reported
+// by another one. It reports whether that is new: the engine was not known to be absent, or its absence is now
+// confirmed.
 func (t *Table) Refused(now time.Time, worker *backend.Worker, direct bool) bool {
 	if !direct && now.Before(t.trustedUntil[worker.ID]) {
 		return false
@@ -84,7 +86,7 @@
 	return isNew
 }
 
-// remember keeps when an engine ended, to learn how long it stays away.
+// trackReturn records when an engine ended, to measure the time until its return.
 func (t *Table) trackReturn(now time.Time, worker *backend.Worker) {
 	if previous, found := t.endedByAddress[worker.Address]; found && previous.id == worker.ID {
 		return
@@ -94,7 +96,7 @@
 	}
 }
 
-// Answers notes that an engine lives, and tells whether it was taken to be absent.
+// Answers records that an engine responds, and reports whether it was known to be absent.
 func (t *Table) Answers(now time.Time, worker *backend.Worker) bool {
 	_, found := t.absent[worker.ID]
 	delete(t.absent, worker.ID)
@@ -107,7 +109,7 @@
 	return found
 }
 
-// Absent tells whether an engine has ended, and whether this process itself saw its address refuse a connection.
+// Absent reports whether an engine has ended, and whether this process itself was refused a connection.
 func (t *Table) Absent(now time.Time, id string) (absent, confirmed bool) {
 	entry, found := t.absent[id]
 	if !found || !now.Before(entry.expiry) {
@@ -116,7 +118,7 @@
 	return true, entry.confirmed
 }
 
-// Engines returns the absent engines, also those of which nobody said anything for Mark.
+// Engines returns the absent engines, including those whose reports have expired.
 func (t *Table) Engines() []*backend.Worker {
 	engines := make([]*backend.Worker, 0, len(t.absent))
 	for _, entry := range t.absent {
@@ -125,7 +127,7 @@
 	return engines
 }
 
-// Change forgets engines whose records are gone, and learns from those that came back, which it returns.
+// Change removes engines whose records are gone, and learns from those that returned, which it returns.
 func (t *Table) Change(now time.Time, changes backend.Changes) []Return {
 	for _, id := range changes.Gone {
 		delete(t.absent, id)
@@ -170,7 +172,7 @@
 	return entry.since
 }
 
-// Until returns until when an absent engine is to be passed over.
+// Until returns when the report about an absent engine expires.
 func (t *Table) Until(id string) time.Time {
 	entry, found := t.absent[id]
 	if !found {
@@ -179,8 +181,8 @@
 	return entry.expiry
 }
 
-// BackAt returns when an absent engine is expected to take requests again under another id, and whether that is known from others or
-// only guessed.
+// BackAt returns when an absent engine is expected to accept requests again under another ID, and whether that is
+// based on observed returns.
 func (t *Table) BackAt(id string) (at time.Time, learned bool) {
 	since := t.Since(id)
 	if since.IsZero() {
@@ -192,28 +194,29 @@
 	return since.Add(t.settings.Return), false
 }
 
-// spread is the mean of a duration and its mean deviation, as TCP keeps them of round trips (RFC 6298).
+// durationEstimate is a smoothed mean of a duration and its mean deviation, as TCP keeps for round-trip times (RFC
+// 6298).
 type durationEstimate struct{ mean, deviation time.Duration }
 
-// Weights of a new value, and how many deviations above the mean the high end is taken to be.
+// Divisors that weight a new value, and how many deviations the upper bound is above the mean.
 const (
-	meanWeight      = 4
-	deviationWeight = 4
-	firstDeviation  = 8
-	highDeviations  = 2
+	meanDivisor             = 4
+	deviationDivisor        = 4
+	initialDeviationDivisor = 8
+	boundDeviations         = 2
 )
 
-// add takes a value.
+// add adds an observed duration.
 func (e *durationEstimate) add(value time.Duration) {
 	if e.mean == 0 {
-		e.mean, e.deviation = value, value/firstDeviation
+		e.mean, e.deviation = value, value/initialDeviationDivisor
 		return
 	}
-	e.deviation += ((value - e.mean).Abs() - e.deviation) / deviationWeight
-	e.mean += (value - e.mean) / meanWeight
+	e.deviation += ((value - e.mean).Abs() - e.deviation) / deviationDivisor
+	e.mean += (value - e.mean) / meanDivisor
 }
 
-// high returns what most values are below, or false when none is known.
+// upperBound returns a duration that most values do not exceed, or false without any observation.
 func (e *durationEstimate) upperBound() (time.Duration, bool) {
-	return e.mean + highDeviations*e.deviation, e.mean > 0
+	return e.mean + boundDeviations*e.deviation, e.mean > 0
 }
--- a/internal/absence/absence_test.go
+++ b/internal/absence/absence_test.go
@@ -10,15 +10,16 @@
 	"github.com/granitebay/granitebay/internal/backend"
 )
 
-// epoch is where the tests begin.
+// epoch is the start time of the tests.
 var epoch = time.Unix(1000, 0)
 
-// engine returns one at an address of its own.
+// engine returns an engine at the given address.
 func engine(id, address string) *backend.Worker {
 	return &backend.Worker{ID: id, Address: address, Role: backend.RoleDecode}
 }
 
-// TestAnAbsenceEnds has an engine refuse a connection, and each of the ways in which it is not held to be absent any more.
+// TestAbsenceEnds guards against engines that stay absent after their report expired, they responded or their record
+// was removed.
 func TestAbsenceEnds(t *testing.T) {
 	settings := DefaultSettings()
 	for _, c := range []struct {
@@ -27,16 +28,16 @@
 		at   time.Duration
 		want bool
 	}{
-		{"nothing", func(*Table, *backend.Worker) {}, settings.Mark - 1, true},
-		{"nobody says anything", func(*Table, *backend.Worker) {}, settings.Mark, false},
-		{"it is said again", func(table *Table, worker *backend.Worker) { table.Refused(epoch.Add(time.Second), worker, false) }, settings.Mark, true},
-		{"it answers", func(table *Table, worker *backend.Worker) { table.Answers(epoch, worker) }, 0, false},
-		{"its record goes", func(table *Table, _ *backend.Worker) { table.Change(epoch, backend.Changes{Gone: []string{"a"}}) }, 0, false},
+		{"before the report expires", func(*Table, *backend.Worker) {}, settings.Mark - 1, true},
+		{"the report has expired", func(*Table, *backend.Worker) {}, settings.Mark, false},
+		{"reported again", func(table *Table, worker *backend.Worker) { table.Refused(epoch.Add(time.Second), worker, false) }, settings.Mark, true},
+		{"the engine responds", func(table *Table, worker *backend.Worker) { table.Answers(epoch, worker) }, 0, false},
+		{"the record is removed", func(table *Table, _ *backend.Worker) { table.Change(epoch, backend.Changes{Gone: []string{"a"}}) }, 0, false},
 	} {
 		t.Run(c.desc, func(t *testing.T) {
 			table, worker := New(settings), engine("a", "x")
 			if !table.Refused(epoch, worker, true) {
-				t.Fatal("the first word is no news")
+				t.Fatal("the first report is not new")
 			}
 			c.end(table, worker)
 			if got, _ := table.Absent(epoch.Add(c.at), "a"); got != c.want {
@@ -46,8 +47,8 @@
 	}
 }
 
-// TestTheWordOfOneThatIsCutOffCountsOnce plays a gateway that reaches no engine and says so over and over, while others find the engine
-// well.
+// TestPartitionedReporterIsIgnoredAfterAnswer guards against a partitioned gateway that keeps reporting an engine as
+// absent that others can reach.
 func TestPartitionedReporterIsIgnoredAfterAnswer(t *testing.T) {
 	table, worker := New(DefaultSettings()), engine("a", "x")
 	excluded := 0
@@ -59,15 +60,16 @@
 		}
 	}
 	if excluded != 1 {
-		t.Errorf("the engine was passed over %d times within a second", excluded)
+		t.Errorf("the engine became absent %d times within a second, want once", excluded)
 	}
 	now := epoch.Add(time.Second)
 	if !table.Refused(now, worker, true) {
-		t.Error("what this process saw itself does not count")
+		t.Error("a refused connection of this process was ignored")
 	}
 }
 
-// TestReturnsAreLearnt ends engines that come back with another id after about as long, and asks when the next is expected.
+// TestReturnTimeIsLearned guards against wrong estimates of when an engine is back, after engines that returned under
+// another ID in a constant time.
 func TestReturnTimeIsLearned(t *testing.T) {
 	table := New(DefaultSettings())
 	now := epoch
@@ -76,18 +78,18 @@
 		table.Change(now, backend.Changes{Put: []*backend.Worker{previous}})
 		table.Refused(now, previous, true)
 		if at, learned := table.BackAt(previous.ID); learned != (i > 0) || at.Sub(now) < time.Second || at.Sub(now) > 4*time.Second {
-			t.Errorf("life %d: expected back in %s, learnt: %v", i, at.Sub(now), learned)
+			t.Errorf("incarnation %d: expected back in %s, learned: %v", i, at.Sub(now), learned)
 		}
 		now = now.Add(2 * time.Second)
 		table.Change(now, backend.Changes{Gone: []string{previous.ID}})
 		returned := table.Change(now, backend.Changes{Put: []*backend.Worker{next}})
 		if len(returned) != 1 || returned[0].Away != 2*time.Second {
-			t.Fatalf("life %d: returned %+v", i, returned)
+			t.Fatalf("incarnation %d: returned %+v", i, returned)
 		}
 	}
 }
 
-// TestOnlyWhatIsSaidIsAbsent plays words in any order and checks the invariants.
+// TestTableInvariants checks the invariants of Table under random reports.
 func TestTableInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := DefaultSettings()
@@ -101,7 +103,7 @@
 		for range 60 {
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "ms")) * time.Millisecond)
 			worker := set[fmt.Sprint("e", rapid.IntRange(0, 3).Draw(t, "engine"))]
-			switch rapid.IntRange(0, 3).Draw(t, "word") {
+			switch rapid.IntRange(0, 3).Draw(t, "report") {
 			case 0:
 				table.Refused(now, worker, true)
 				reportedAt[worker.ID], direct[worker.ID] = now, true
@@ -119,10 +121,10 @@
 				absent, confirmed := table.Absent(now, id)
 				at, reported := reportedAt[id]
 				if absent && (!reported || now.Sub(at) >= settings.Mark) {
-					t.Fatalf("%s is absent, last heard of at %s, now %s", id, at, now)
+					t.Fatalf("%s is absent, last reported at %s, now %s", id, at, now)
 				}
 				if confirmed && (!absent || !direct[id]) {
-					t.Fatalf("%s is confirmed and was not seen", id)
+					t.Fatalf("%s is confirmed without a refused connection of this process", id)
 				}
 			}
 		}
