--- a/internal/authority/authority.go
+++ b/internal/authority/authority.go
@@ -43,33 +43,33 @@
 	lease      int64
 	validUntil time.Time
 	// heldWith is the lease with which the key goes; zero when the key is not held.
-	heldWith int64
+	keyLease int64
 	fence    int64
 	// orderFrom and callFrom are when the first order and the first call may be given, and notUntil keeps back both.
-	orderFrom, callFrom, notUntil time.Time
+	orderFrom, callFrom, pausedUntil time.Time
 	// ttl is that of leases. restoredAt is when the store came back from an older copy, and isDoubted is set until it has told since who
 	// holds the key.
-	ttl        time.Duration
-	restoredAt time.Time
-	isDoubted  bool
-	lastTick   time.Time
+	ttl               time.Duration
+	restoredAt        time.Time
+	needsConfirmation bool
+	lastTick          time.Time
 }
 
 // New returns an authority that holds nothing.
 func New(settings Settings) *Authority { return &Authority{settings: settings} }
 
 // Leased tells that a lease was granted or renewed by a call that began at a moment.
-func (a *Authority) Leased(begun time.Time, lease int64, ttl time.Duration) {
-	a.lease, a.validUntil, a.ttl = lease, begun.Add(ttl), ttl
+func (a *Authority) Leased(requestedAt time.Time, lease int64, ttl time.Duration) {
+	a.lease, a.validUntil, a.ttl = lease, requestedAt.Add(ttl), ttl
 }
 
 // Restored tells that the store has come back from an older copy. Somebody else may have got the key in what is gone, and goes on until its
 // lease ends by its own clock or it hears of this; so nothing is granted until the store has told who holds the key, and one that gets it
 // from now on waits for that lease besides.
-func (a *Authority) Restored(now time.Time) { a.restoredAt, a.isDoubted = now, true }
+func (a *Authority) Restored(now time.Time) { a.restoredAt, a.needsConfirmation = now, true }
 
 // Confirmed tells that the store, come back, holds the key for this process as before, with the fence that it has now.
-func (a *Authority) Confirmed(fence int64) { a.fence, a.isDoubted = fence, false }
+func (a *Authority) Confirmed(fence int64) { a.fence, a.needsConfirmation = fence, false }
 
 // Succession says who held the key before.
 type Succession int
@@ -86,25 +86,25 @@
 
 // Acquired tells that the key was written with a lease, at the revision that is its fence.
 func (a *Authority) Acquired(now time.Time, lease, revision int64, succession Succession) {
-	a.heldWith, a.fence = lease, revision
-	before := a.callFrom
+	a.keyLease, a.fence = lease, revision
+	previousCallFrom := a.callFrom
 	a.orderFrom, a.callFrom = now.Add(a.settings.Handover), now.Add(a.settings.Handover)
 	switch succession {
 	case First:
 		a.orderFrom, a.callFrom = now, now
 	case Following:
 		// One that follows itself may still have waited for those before.
-		a.callFrom = later(before, now.Add(a.settings.CallHandover))
+		a.callFrom = laterOf(previousCallFrom, now.Add(a.settings.CallHandover))
 	}
-	a.isDoubted = false
+	a.needsConfirmation = false
 	if !a.restoredAt.IsZero() {
 		from := a.restoredAt.Add(a.ttl + a.settings.Handover)
-		a.orderFrom, a.callFrom = later(a.orderFrom, from), later(a.callFrom, from)
+		a.orderFrom, a.callFrom = laterOf(a.orderFrom, from), laterOf(a.callFrom, from)
 	}
 }
 
 // later returns the later of two moments.
-func later(one, other time.Time) time.Time {
+func laterOf(one, other time.Time) time.Time {
 	if one.After(other) {
 		return one
 	}
@@ -112,10 +112,10 @@
 }
 
 // Lost tells that the key is not held any more.
-func (a *Authority) Lost() { a.heldWith, a.fence = 0, 0 }
+func (a *Authority) Lost() { a.keyLease, a.fence = 0, 0 }
 
 // Holds tells whether the key is held, as far as is known.
-func (a *Authority) Holds() bool { return a.heldWith != 0 && a.heldWith == a.lease }
+func (a *Authority) Holds() bool { return a.keyLease != 0 && a.keyLease == a.lease }
 
 // Fence of the key that is held, or zero.
 func (a *Authority) Fence() int64 { return a.fence }
@@ -130,18 +130,18 @@
 
 // MayOrder tells whether an order may be given at this moment, and its fence.
 func (a *Authority) MayOrder(now time.Time) (int64, bool) {
-	return a.may(now, a.orderFrom)
+	return a.permitted(now, a.orderFrom)
 }
 
 // MayCall tells whether the platform may be called at this moment in the name of all, and the fence of the call.
 func (a *Authority) MayCall(now time.Time) (int64, bool) {
-	return a.may(now, a.callFrom)
+	return a.permitted(now, a.callFrom)
 }
 
 // may tells whether the lease is valid, the handover over, and the process has not stood still of late.
-func (a *Authority) may(now, from time.Time) (int64, bool) {
+func (a *Authority) permitted(now, from time.Time) (int64, bool) {
 	a.Tick(now)
-	if !a.Holds() || a.isDoubted || now.Before(from) || now.Before(a.notUntil) || !now.Add(a.settings.Margin).Before(a.validUntil) {
+	if !a.Holds() || a.needsConfirmation || now.Before(from) || now.Before(a.pausedUntil) || !now.Add(a.settings.Margin).Before(a.validUntil) {
 		return 0, false
 	}
 	return a.fence, true
@@ -149,7 +149,7 @@
 
 // postpone allows no order before a moment.
 func (a *Authority) postpone(until time.Time) {
-	if until.After(a.notUntil) {
-		a.notUntil = until
+	if until.After(a.pausedUntil) {
+		a.pausedUntil = until
 	}
 }
--- a/internal/authority/authority_test.go
+++ b/internal/authority/authority_test.go
@@ -13,44 +13,44 @@
 
 const ttl = 3 * time.Second
 
-func TestOrdersAreGivenOnlyWithAValidLeaseAndAfterTheHandover(t *testing.T) {
+func TestOrdersRequireValidLeaseAndHandover(t *testing.T) {
 	settings := DefaultSettings()
 	a := New(settings)
 	now := epoch
 	// until ticks up to a moment and tells whether an order may be given then.
-	until := func(offset time.Duration) bool {
+	mayOrderAt := func(offset time.Duration) bool {
 		for now.Before(epoch.Add(offset)) {
 			now = now.Add(settings.TickInterval)
 			a.Tick(now)
 		}
-		_, may := a.MayOrder(now)
-		return may
+		_, allowed := a.MayOrder(now)
+		return allowed
 	}
 	a.Leased(epoch, 1, ttl)
-	if until(0) {
+	if mayOrderAt(0) {
 		t.Fatal("an order without the key")
 	}
 	a.Acquired(epoch, 1, 42, Following)
 	a.Leased(epoch.Add(2*time.Second), 1, ttl)
-	if until(3 * time.Second) {
+	if mayOrderAt(3 * time.Second) {
 		t.Fatal("an order within the handover")
 	}
-	if !until(4 * time.Second) {
+	if !mayOrderAt(4 * time.Second) {
 		t.Fatal("no order with a valid lease")
 	}
 	if fence, _ := a.MayOrder(now); fence != 42 {
 		t.Fatalf("the fence is %d", fence)
 	}
-	if until(4500 * time.Millisecond) {
+	if mayOrderAt(4500 * time.Millisecond) {
 		t.Fatal("an order although the lease may end before it arrives")
 	}
 	a.Leased(now, 2, ttl)
-	if until(4500 * time.Millisecond) {
+	if mayOrderAt(4500 * time.Millisecond) {
 		t.Fatal("an order with a key that went with an older lease")
 	}
 }
 
-func TestAProcessThatStoodStillWaits(t *testing.T) {
+func TestSuspendedProcessWaits(t *testing.T) {
 	a := New(DefaultSettings())
 	a.Leased(epoch, 1, time.Hour)
 	a.Acquired(epoch, 1, 1, Following)
@@ -70,15 +70,15 @@
 
 // TestTwoHoldersNeverTakeTurns plays two processes on one key with pauses or sleep, lost renewals and expiries, and checks the distance
 // between orders of different holders, and that fences rise. Each goes by a clock that counts the time asleep.
-func TestTwoHoldersNeverTakeTurns(t *testing.T) {
+func TestTwoHoldersNeverAlternateWithinLease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if wrong := playTurns(t, true); wrong != "" {
-			t.Fatal(wrong)
+		if violation := simulateTurns(t, true); violation != "" {
+			t.Fatal(violation)
 		}
 	})
 }
 
-func TestTheFirstHolderWaitsForNobody(t *testing.T) {
+func TestFirstHolderDoesNotWait(t *testing.T) {
 	a := New(DefaultSettings())
 	a.Leased(epoch, 1, ttl)
 	a.Acquired(epoch, 1, 1, First)
@@ -96,14 +96,14 @@
 	rapid.Check(t, func(t *rapid.T) {
 		settings := DefaultSettings()
 		processes := []*Authority{New(settings), New(settings), New(settings)}
-		paused := make([]time.Time, len(processes))
+		suspendedUntil := make([]time.Time, len(processes))
 		holder, leaseUntil, revision := -1, epoch, int64(0)
-		var before []int
-		type made struct {
+		var previousHolders []int
+		type call struct {
 			who int
 			at  time.Time
 		}
-		var calls []made
+		var calls []call
 		now := epoch
 		for range 300 {
 			now = now.Add(settings.TickInterval)
@@ -115,11 +115,11 @@
 				holder = -1
 			}
 			for i, process := range processes {
-				if now.Before(paused[i]) {
+				if now.Before(suspendedUntil[i]) {
 					continue
 				}
 				if rapid.IntRange(0, 40).Draw(t, "pause") == 0 {
-					paused[i] = now.Add(time.Duration(rapid.IntRange(1, 6000).Draw(t, "for")) * time.Millisecond)
+					suspendedUntil[i] = now.Add(time.Duration(rapid.IntRange(1, 6000).Draw(t, "for")) * time.Millisecond)
 					continue
 				}
 				if holder < 0 {
@@ -127,12 +127,12 @@
 					holder, leaseUntil = i, now.Add(ttl)
 					succession := Following
 					switch {
-					case len(before) == 0:
+					case len(previousHolders) == 0:
 						succession = First
-					case slices.Contains(before[:len(before)-1], i):
+					case slices.Contains(previousHolders[:len(previousHolders)-1], i):
 						succession = Returning
 					}
-					before = append(slices.DeleteFunc(before, func(each int) bool { return each == i }), i)
+					previousHolders = append(slices.DeleteFunc(previousHolders, func(other int) bool { return other == i }), i)
 					process.Leased(now, revision, ttl)
 					process.Acquired(now, revision, revision, succession)
 				}
@@ -150,7 +150,7 @@
 						t.Fatalf("%d called in turns with another", i)
 					}
 				}
-				calls = append(calls, made{i, now})
+				calls = append(calls, call{i, now})
 			}
 		}
 	})
@@ -158,10 +158,10 @@
 
 // playTurns plays two processes on one key that stand still between any two steps, and returns what is wrong with their orders. Each goes
 // by a clock that goes on meanwhile, as after a pause or by one that counts the time asleep, or by one that stands still with it.
-func playTurns(t *rapid.T, countsSleep bool) string {
+func simulateTurns(t *rapid.T, countsSleep bool) string {
 	settings := DefaultSettings()
 	processes := []*Authority{New(settings), New(settings)}
-	slept, asleep := make([]time.Duration, 2), make([]time.Time, 2)
+	suspended, suspendedUntil := make([]time.Duration, 2), make([]time.Time, 2)
 	holder, leaseUntil, revision := -1, epoch, int64(0)
 	var lastOrder time.Time
 	lastHolder, lastFence := -1, int64(0)
@@ -172,18 +172,18 @@
 			holder = -1
 		}
 		for i, process := range processes {
-			if now.Before(asleep[i]) {
+			if now.Before(suspendedUntil[i]) {
 				continue
 			}
 			if rapid.IntRange(0, 60).Draw(t, "pause") == 0 {
 				length := time.Duration(rapid.IntRange(1, 8000).Draw(t, "for")) * time.Millisecond
-				asleep[i] = now.Add(length)
-				slept[i] += length
+				suspendedUntil[i] = now.Add(length)
+				suspended[i] += length
 				continue
 			}
 			clock := now
 			if !countsSleep {
-				clock = now.Add(-slept[i])
+				clock = now.Add(-suspended[i])
 			}
 			if holder < 0 {
 				revision++
@@ -212,10 +212,10 @@
 }
 
 // TestAClockThatStandsStillAsleepIsFound shows that the property above can fail: with the steady clock holders take turns.
-func TestAClockThatStandsStillAsleepIsFound(t *testing.T) {
+func TestClockWithoutSuspendedTimeIsDetected(t *testing.T) {
 	found := false
 	for seed := range 200 {
-		found = found || rapid.Custom(func(t *rapid.T) string { return playTurns(t, false) }).Example(seed) != ""
+		found = found || rapid.Custom(func(t *rapid.T) string { return simulateTurns(t, false) }).Example(seed) != ""
 	}
 	if !found {
 		t.Error("no play of 200 shows holders that take turns")
@@ -225,7 +225,7 @@
 // TestOneThatFollowsItselfWaitsForThoseBefore plays a holder that has given the key to another one and got it back, and loses it and gets it
 // once more while it still waits: by then it is the last of those before, and took the short wait of one that follows itself, so that it
 // called, the other one called, and it called again within a lease. Found by TestHoldersNeverCallInTurns with seed 6951 of one of its runs.
-func TestOneThatFollowsItselfWaitsForThoseBefore(t *testing.T) {
+func TestReacquiringHolderWaitsForEarlierHolders(t *testing.T) {
 	settings := DefaultSettings()
 	at := func(ms int) time.Time { return epoch.Add(time.Duration(ms) * time.Millisecond) }
 	a := New(settings)
--- a/internal/authority/restored_test.go
+++ b/internal/authority/restored_test.go
@@ -7,33 +7,33 @@
 
 // TestAHolderStopsUntilTheStoreHasToldWhoHoldsTheKey has the store come back from an older copy, in which the key is this holder's as before,
 // or is nobody's.
-func TestAHolderStopsUntilTheStoreHasToldWhoHoldsTheKey(t *testing.T) {
+func TestHolderStopsAfterRestoreUntilConfirmed(t *testing.T) {
 	settings := DefaultSettings()
 	a := New(settings)
 	a.Leased(epoch, 1, time.Hour)
 	a.Acquired(epoch, 1, 42, First)
-	may := func(at time.Time) (bool, bool) {
+	check := func(at time.Time) (bool, bool) {
 		a.lastTick = time.Time{}
 		_, order := a.MayOrder(at)
 		_, call := a.MayCall(at)
 		return order, call
 	}
 	now := epoch.Add(time.Minute)
-	if order, call := may(now); !order || !call {
+	if order, call := check(now); !order || !call {
 		t.Fatal("a holder that nothing speaks against may not act")
 	}
 	a.Restored(now)
-	if order, call := may(now); order || call {
+	if order, call := check(now); order || call {
 		t.Error("a holder acts before it is known who holds the key")
 	}
 	a.Confirmed(1 << 40)
-	if order, call := may(now); !order || !call || a.Fence() != 1<<40 {
+	if order, call := check(now); !order || !call || a.Fence() != 1<<40 {
 		t.Errorf("confirmed: order %t, call %t, fence %d", order, call, a.Fence())
 	}
 }
 
 // TestWhoGetsTheKeyAfterAReturnWaitsForALease follows a holder of whom the store knows nothing any more.
-func TestWhoGetsTheKeyAfterAReturnWaitsForALease(t *testing.T) {
+func TestNewHolderAfterRestoreWaitsForOldLease(t *testing.T) {
 	for _, succession := range []Succession{First, Following, Returning} {
 		settings := DefaultSettings()
 		a := New(settings)
