--- a/internal/authority/authority.go
+++ b/internal/authority/authority.go
@@ -1,27 +1,29 @@
-// Package authority decides whether this process may give orders to workers. At most one process may at a time: the one that
-// holds a key of the store which goes with its lease. It is a pure state machine, is not safe for concurrent use, and takes
-// time from a clock that never jumps.
+// Package authority decides whether this process may act as the elected controller, which gives orders to workers and
+// calls the platform. At most one process may at a time: the holder of a key in the store that is bound to its lease.
+// It is a pure state machine, not safe for concurrent use, and expects times of a monotonic clock that includes
+// suspended time.
 package authority
 
 import "time"
 
-// Settings of an authority.
+// Settings configures an authority.
 type Settings struct {
-	// Handover is how long after it got the key a holder waits with its first order. The one before it may have given its last
-	// order just before its lease ended, and two holders must not give orders within this time.
+	// Handover is how long a new holder waits before its first order. Its predecessor may have given its last order
+	// just before its lease ended, and orders of two holders must be at least this far apart.
 	Handover time.Duration
-	// CallHandover is how long a holder that was none of late waits with its first call to the platform, which bars only holders
-	// that take turns: as long as a call of the one before may be on its way beyond the end of its lease.
+	// CallHandover is how long a holder that did not hold the key recently waits before its first call to the
+	// platform: as long as a call of its predecessor may be in transit after the end of its lease. It may be shorter
+	// than Handover, as the platform rejects only holders that alternate.
 	CallHandover time.Duration
-	// Margin by which a holder counts its lease shorter than the store does.
+	// Margin is how much earlier than the store a holder considers its lease expired.
 	Margin time.Duration
-	// TickInterval is how often Tick is called. A longer pause shows that the process stood still.
+	// TickInterval is how often Tick is called. A gap of more than twice as long means that the process was suspended.
 	TickInterval time.Duration
-	// ThawPause is how long no order is given after the process stood still.
+	// ThawPause is how long, in addition to Margin, nothing is permitted after the process was suspended.
 	ThawPause time.Duration
 }
 
-// DefaultSettings for leases of three seconds.
+// DefaultSettings returns settings for leases of three seconds.
 func DefaultSettings() Settings {
 	return Settings{
 		Handover:     3500 * time.Millisecond,
@@ -32,59 +34,60 @@
 	}
 }
 
-// Authority of one process.
+// Authority is the state of one process.
 //
-// Invariants: MayOrder and MayCall grant only while the lease with which the key goes is valid at the store, whenever the process
-// stood still before the call; MayOrder never within Handover of getting a key that somebody held before; and each grant of the key
-// has a fence of its own, higher than all before.
+// Invariants: MayOrder and MayCall permit only while the lease of the key is valid at the store, whenever the process
+// was suspended before the call; MayOrder never permits within Handover of acquiring a key that another process held
+// before; and each acquisition of the key has a fence higher than all earlier ones.
 type Authority struct {
 	settings Settings
-	// lease that is valid until a moment by the own clock.
+	// lease is valid until validUntil by the own clock.
 	lease      int64
 	validUntil time.Time
-	// heldWith is the lease with which the key goes; zero when the key is not held.
+	// keyLease is the lease that the key is bound to; zero if the key is not held.
 	keyLease int64
 	fence    int64
-	// orderFrom and callFrom are when the first order and the first call may be given, and notUntil keeps back both.
+	// orderFrom and callFrom are when the first order and the first call are permitted; pausedUntil delays both.
 	orderFrom, callFrom, pausedUntil time.Time
-	// ttl is that of leases. restoredAt is when the store came back from an older copy, and isDoubted is set until it has told since who
-	// holds the key.
+	// ttl is the duration of leases. restoredAt is when the store was last restored from a backup, and
+	// needsConfirmation is set until the store has reported since then who holds the key.
 	ttl               time.Duration
 	restoredAt        time.Time
 	needsConfirmation bool
 	lastTick          time.Time
 }
 
-// New returns an authority that holds nothing.
+// New returns an authority without a lease or key.
 func New(settings Settings) *Authority { return &Authority{settings: settings} }
 
-// Leased tells that a lease was granted or renewed by a call that began at a moment.
+// Leased records that a lease was granted or renewed by a call that started at requestedAt.
 func (a *Authority) Leased(requestedAt time.Time, lease int64, ttl time.Duration) {
 	a.lease, a.validUntil, a.ttl = lease, requestedAt.Add(ttl), ttl
 }
 
-// Restored tells that the store has come back from an older copy. Somebody else may have got the key in what is gone, and goes on until its
-// lease ends by its own clock or it hears of this; so nothing is granted until the store has told who holds the key, and one that gets it
-// from now on waits for that lease besides.
+// Restored records that the store was restored from a backup. Another process may have acquired the key after the
+// backup was made, and continues until its lease ends by its own clock or it learns of the restore. So nothing is
+// permitted until the store has reported who holds the key, and a holder that acquires it from now on also waits for
+// that lease to end.
 func (a *Authority) Restored(now time.Time) { a.restoredAt, a.needsConfirmation = now, true }
 
-// Confirmed tells that the store, come back, holds the key for this process as before, with the fence that it has now.
+// Confirmed records that this process holds the key in the restored store, with its current fence.
 func (a *Authority) Confirmed(fence int64) { a.fence, a.needsConfirmation = fence, false }
 
-// Succession says who held the key before.
+// Succession describes who held the key before.
 type Succession int
 
-// The successions.
+// The kinds of succession.
 const (
-	// Returning holders held the key of late, or may have.
+	// Returning holders held the key recently, or may have.
 	Returning Succession = iota
-	// Following holders did not.
+	// Following holders did not hold the key recently.
 	Following
-	// First holders are those before whom there was none.
+	// First holders have no predecessor.
 	First
 )
 
-// Acquired tells that the key was written with a lease, at the revision that is its fence.
+// Acquired records that the key was written with a lease, at the revision that is its fence.
 func (a *Authority) Acquired(now time.Time, lease, revision int64, succession Succession) {
 	a.keyLease, a.fence = lease, revision
 	previousCallFrom := a.callFrom
@@ -93,7 +96,7 @@
 	case First:
 		a.orderFrom, a.callFrom = now, now
 	case Following:
-		// One that follows itself may still have waited for those before.
+		// A holder that succeeds itself may still be waiting for earlier holders.
 		a.callFrom = laterOf(previousCallFrom, now.Add(a.settings.CallHandover))
 	}
 	a.needsConfirmation = false
@@ -103,7 +106,7 @@
 	}
 }
 
-// later returns the later of two moments.
+// laterOf returns the later of two times.
 func laterOf(one, other time.Time) time.Time {
 	if one.After(other) {
 		return one
@@ -111,16 +114,16 @@
 	return other
 }
 
-// Lost tells that the key is not held any more.
+// Lost records that the key is no longer held.
 func (a *Authority) Lost() { a.keyLease, a.fence = 0, 0 }
 
-// Holds tells whether the key is held, as far as is known.
+// Holds reports whether the key is held, as far as known.
 func (a *Authority) Holds() bool { return a.keyLease != 0 && a.keyLease == a.lease }
 
-// Fence of the key that is held, or zero.
+// Fence returns the fence of the key, or zero if it is not held.
 func (a *Authority) Fence() int64 { return a.fence }
 
-// Tick notices that the process stood still.
+// Tick detects that the process was suspended. Call it every TickInterval.
 func (a *Authority) Tick(now time.Time) {
 	if !a.lastTick.IsZero() && now.Sub(a.lastTick) > 2*a.settings.TickInterval {
 		a.postpone(now.Add(a.settings.ThawPause + a.settings.Margin))
@@ -128,17 +131,17 @@
 	a.lastTick = now
 }
 
-// MayOrder tells whether an order may be given at this moment, and its fence.
+// MayOrder reports whether an order is permitted now, and returns its fence.
 func (a *Authority) MayOrder(now time.Time) (int64, bool) {
 	return a.permitted(now, a.orderFrom)
 }
 
-// MayCall tells whether the platform may be called at this moment in the name of all, and the fence of the call.
+// MayCall reports whether a call to the platform is permitted now, and returns its fence.
 func (a *Authority) MayCall(now time.Time) (int64, bool) {
 	return a.permitted(now, a.callFrom)
 }
 
-// may tells whether the lease is valid, the handover over, and the process has not stood still of late.
+// permitted reports whether the lease is valid, the handover is over, and the process was not suspended recently.
 func (a *Authority) permitted(now, from time.Time) (int64, bool) {
 	a.Tick(now)
 	if !a.Holds() || a.needsConfirmation || now.Before(from) || now.Before(a.pausedUntil) || !now.Add(a.settings.Margin).Before(a.validUntil) {
@@ -147,7 +150,7 @@
 	return a.fence, true
 }
 
-// postpone allows no order before a moment.
+// postpone permits nothing before the given time.
 func (a *Authority) postpone(until time.Time) {
 	if until.After(a.pausedUntil) {
 		a.pausedUntil = until
--- a/internal/authority/authority_test.go
+++ b/internal/authority/authority_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// epoch is where the tests begin.
+// epoch is the start time of the tests.
 var epoch = time.Unix(1000, 0)
 
 const ttl = 3 * time.Second
@@ -17,7 +17,7 @@
 	settings := DefaultSettings()
 	a := New(settings)
 	now := epoch
-	// until ticks up to a moment and tells whether an order may be given then.
+	// mayOrderAt ticks up to the given offset and reports whether an order is permitted then.
 	mayOrderAt := func(offset time.Duration) bool {
 		for now.Before(epoch.Add(offset)) {
 			now = now.Add(settings.TickInterval)
@@ -28,25 +28,25 @@
 	}
 	a.Leased(epoch, 1, ttl)
 	if mayOrderAt(0) {
-		t.Fatal("an order without the key")
+		t.Fatal("an order is permitted without the key")
 	}
 	a.Acquired(epoch, 1, 42, Following)
 	a.Leased(epoch.Add(2*time.Second), 1, ttl)
 	if mayOrderAt(3 * time.Second) {
-		t.Fatal("an order within the handover")
+		t.Fatal("an order is permitted within the handover")
 	}
 	if !mayOrderAt(4 * time.Second) {
-		t.Fatal("no order with a valid lease")
+		t.Fatal("no order is permitted with a valid lease")
 	}
 	if fence, _ := a.MayOrder(now); fence != 42 {
-		t.Fatalf("the fence is %d", fence)
+		t.Fatalf("the fence is %d, want 42", fence)
 	}
 	if mayOrderAt(4500 * time.Millisecond) {
-		t.Fatal("an order although the lease may end before it arrives")
+		t.Fatal("an order is permitted although the lease may end before it arrives")
 	}
 	a.Leased(now, 2, ttl)
 	if mayOrderAt(4500 * time.Millisecond) {
-		t.Fatal("an order with a key that went with an older lease")
+		t.Fatal("an order is permitted with a key bound to an older lease")
 	}
 }
 
@@ -60,16 +60,16 @@
 		a.Tick(now)
 	}
 	if _, may := a.MayOrder(now); !may {
-		t.Fatal("no order although nothing speaks against it")
+		t.Fatal("no order is permitted after the handover")
 	}
 	now = now.Add(4 * time.Second)
 	if _, may := a.MayOrder(now); may {
-		t.Fatal("an order just after the process stood still")
+		t.Fatal("an order is permitted just after the process was suspended")
 	}
 }
 
-// TestTwoHoldersNeverTakeTurns plays two processes on one key with pauses or sleep, lost renewals and expiries, and checks the distance
-// between orders of different holders, and that fences rise. Each goes by a clock that counts the time asleep.
+// TestTwoHoldersNeverAlternateWithinLease guards against orders of different holders within a lease, and against
+// decreasing fences, under suspended processes, lost renewals and expired leases. The clock includes suspended time.
 func TestTwoHoldersNeverAlternateWithinLease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		if violation := simulateTurns(t, true); violation != "" {
@@ -83,15 +83,15 @@
 	a.Leased(epoch, 1, ttl)
 	a.Acquired(epoch, 1, 1, First)
 	if _, may := a.MayOrder(epoch); !may {
-		t.Error("the first holder waits with its orders")
+		t.Error("the first holder may not give orders at once")
 	}
 	if _, may := a.MayCall(epoch); !may {
-		t.Error("the first holder waits with its calls")
+		t.Error("the first holder may not make calls at once")
 	}
 }
 
-// TestHoldersNeverCallInTurns plays three processes on one key, as for orders, and checks that no process calls, then another and then
-// the first again within a lease.
+// TestHoldersNeverCallInTurns guards against a process that calls, then another, and then the first again within a
+// lease.
 func TestHoldersNeverCallInTurns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := DefaultSettings()
@@ -107,7 +107,7 @@
 		now := epoch
 		for range 300 {
 			now = now.Add(settings.TickInterval)
-			// The lease may also be given up before its end.
+			// The lease may also be given up early.
 			if holder >= 0 && (now.After(leaseUntil) || rapid.IntRange(0, 20).Draw(t, "resigns") == 0) {
 				if now.Before(leaseUntil) {
 					processes[holder].Lost()
@@ -147,7 +147,7 @@
 				for j := len(calls) - 1; j >= 0 && now.Sub(calls[j].at) < ttl; j-- {
 					other = other || calls[j].who != i
 					if other && calls[j].who == i {
-						t.Fatalf("%d called in turns with another", i)
+						t.Fatalf("process %d called within a lease both before and after another process", i)
 					}
 				}
 				calls = append(calls, call{i, now})
@@ -156,8 +156,8 @@
 	})
 }
 
-// playTurns plays two processes on one key that stand still between any two steps, and returns what is wrong with their orders. Each goes
-// by a clock that goes on meanwhile, as after a pause or by one that counts the time asleep, or by one that stands still with it.
+// simulateTurns runs two processes on one key that are suspended at random, and returns a description of the first
+// violation of the order of holders. The clocks of the processes include suspended time if countsSleep is set.
 func simulateTurns(t *rapid.T, countsSleep bool) string {
 	settings := DefaultSettings()
 	processes := []*Authority{New(settings), New(settings)}
@@ -200,10 +200,10 @@
 				continue
 			}
 			if i != lastHolder && lastHolder >= 0 && now.Sub(lastOrder) < ttl {
-				return "holders took turns within " + now.Sub(lastOrder).String()
+				return "orders of different holders within " + now.Sub(lastOrder).String()
 			}
 			if fence < lastFence {
-				return "a fence fell"
+				return "a fence decreased"
 			}
 			lastOrder, lastHolder, lastFence = now, i, fence
 		}
@@ -211,20 +211,20 @@
 	return ""
 }
 
-// TestAClockThatStandsStillAsleepIsFound shows that the property above can fail: with the steady clock holders take turns.
+// TestClockWithoutSuspendedTimeIsDetected shows that the property above can fail: holders alternate if their clocks
+// exclude suspended time.
 func TestClockWithoutSuspendedTimeIsDetected(t *testing.T) {
 	found := false
 	for seed := range 200 {
 		found = found || rapid.Custom(func(t *rapid.T) string { return simulateTurns(t, false) }).Example(seed) != ""
 	}
 	if !found {
-		t.Error("no play of 200 shows holders that take turns")
+		t.Error("no simulation of 200 shows holders that alternate")
 	}
 }
 
-// TestOneThatFollowsItselfWaitsForThoseBefore plays a holder that has given the key to another one and got it back, and loses it and gets it
-// once more while it still waits: by then it is the last of those before, and took the short wait of one that follows itself, so that it
-// called, the other one called, and it called again within a lease. Found by TestHoldersNeverCallInTurns with seed 6951 of one of its runs.
+// TestReacquiringHolderWaitsForEarlierHolders guards against a holder that loses the key and acquires it again while
+// it waits for an earlier holder: it must not shorten that wait. TestHoldersNeverCallInTurns found this case.
 func TestReacquiringHolderWaitsForEarlierHolders(t *testing.T) {
 	settings := DefaultSettings()
 	at := func(ms int) time.Time { return epoch.Add(time.Duration(ms) * time.Millisecond) }
@@ -241,7 +241,7 @@
 		a.lastTick = time.Time{}
 		a.Leased(at(ms), 4, ttl)
 		if _, may := a.MayCall(at(ms)); may {
-			t.Fatalf("it calls %d ms after the other one may have", ms-1750)
+			t.Fatalf("a call is permitted %d ms after the earlier holder may have called", ms-1750)
 		}
 	}
 }
--- a/internal/authority/restored_test.go
+++ b/internal/authority/restored_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// TestAHolderStopsUntilTheStoreHasToldWhoHoldsTheKey has the store come back from an older copy, in which the key is this holder's as before,
-// or is nobody's.
+// TestHolderStopsAfterRestoreUntilConfirmed guards against a holder that acts after a restore of the store before it
+// is known who holds the key.
 func TestHolderStopsAfterRestoreUntilConfirmed(t *testing.T) {
 	settings := DefaultSettings()
 	a := New(settings)
@@ -20,11 +20,11 @@
 	}
 	now := epoch.Add(time.Minute)
 	if order, call := check(now); !order || !call {
-		t.Fatal("a holder that nothing speaks against may not act")
+		t.Fatal("a holder may not act before the restore")
 	}
 	a.Restored(now)
 	if order, call := check(now); order || call {
-		t.Error("a holder acts before it is known who holds the key")
+		t.Error("a holder may act before it is known who holds the key")
 	}
 	a.Confirmed(1 << 40)
 	if order, call := check(now); !order || !call || a.Fence() != 1<<40 {
@@ -32,7 +32,8 @@
 	}
 }
 
-// TestWhoGetsTheKeyAfterAReturnWaitsForALease follows a holder of whom the store knows nothing any more.
+// TestNewHolderAfterRestoreWaitsForOldLease guards against a new holder that acts while a holder unknown to the
+// restored store may still act.
 func TestNewHolderAfterRestoreWaitsForOldLease(t *testing.T) {
 	for _, succession := range []Succession{First, Following, Returning} {
 		settings := DefaultSettings()
