--- a/internal/backend/roster.go
+++ b/internal/backend/roster.go
@@ -56,7 +56,7 @@
 // Restored records that the store was restored from a backup. Call it before passing on the restored records.
 func (r *Roster) Restored(now time.Time) { r.restoreGraceUntil = now.Add(r.settings.OutageMemory) }
 
-// Reset replaces all records by those of the given workers.
+// Reset replaces all records with those of the given workers.
 func (r *Roster) Reset(now time.Time, workers []*Worker) {
 	present := make(map[string]bool, len(workers))
 	for _, worker := range workers {
--- a/internal/backend/roster_test.go
+++ b/internal/backend/roster_test.go
@@ -79,7 +79,7 @@
 		wantID       string
 		wantDraining bool
 	}{
-		{"nothing else", func(*Roster) {}, "i@1", true},
+		{"no other event", func(*Roster) {}, "i@1", true},
 		{"stale record", func(r *Roster) { r.Put(now, ready) }, "i@1", true},
 		{"list with a stale record", func(r *Roster) { r.Reset(now, []*Worker{ready}) }, "i@1", true},
 		{"record removed and added again", func(r *Roster) { r.Remove(now, "i"); r.Changes(now); r.Put(now, ready) }, "i@1", true},
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -141,7 +141,7 @@
 		f.ask(pick())
 	case 16, 17:
 		for range min(len(f.messages), 4) {
-			f.deliver(rapid.IntRange(0, len(f.messages)-1).Draw(t, "message"), rapid.IntRange(0, 5).Draw(t, "twice") == 0)
+			f.deliver(rapid.IntRange(0, len(f.messages)-1).Draw(t, "message"), rapid.IntRange(0, 5).Draw(t, "duplicate") == 0)
 		}
 	case 0:
 		f.startGateway()
@@ -218,7 +218,7 @@
 			if rapid.IntRange(0, 9).Draw(t, "changes") == 0 {
 				f.rate = rapid.SampledFrom([]float64{0.4, 1, 2, 3, 10}).Draw(t, "rate")
 			}
-			f.learnRate(rapid.SampledFrom(f.gateways).Draw(t, "hears"))
+			f.learnRate(rapid.SampledFrom(f.gateways).Draw(t, "gateway"))
 			f.randomEvent(t)
 			f.now = f.now.Add(time.Duration(rapid.IntRange(0, 700).Draw(t, "pause")) * time.Millisecond)
 		}
--- a/internal/usage/clock.go
+++ b/internal/usage/clock.go
@@ -17,7 +17,7 @@
 // an offset from the own monotonic clock. It is safe for concurrent use.
 type Clock struct {
 	// readClocks returns the monotonic clock and the time of day.
-	readClocks func() (steady time.Duration, wall time.Time)
+	readClocks func() (monotonic time.Duration, wall time.Time)
 
 	mu    sync.Mutex
 	peers map[string]reading
@@ -30,37 +30,37 @@
 }
 
 // NewClock returns a clock without readings of peers. It reads the monotonic clock and the time of day with read.
-func NewClock(read func() (steady time.Duration, wall time.Time)) *Clock {
+func NewClock(read func() (monotonic time.Duration, wall time.Time)) *Clock {
 	return &Clock{readClocks: read, peers: map[string]reading{}}
 }
 
 // ReadClocks returns a function that reads the clocks of the machine. The monotonic clock includes suspended time;
 // otherwise the offsets of the peers, whose clocks continue, would be wrong after a suspend.
-func ReadClocks() func() (steady time.Duration, wall time.Time) {
+func ReadClocks() func() (monotonic time.Duration, wall time.Time) {
 	start := boottime.Now()
 	return func() (time.Duration, time.Time) { return boottime.Now().Sub(start), time.Now().Round(0) }
 }
 
 // Heard records the time of day in a message that has just arrived from another gateway.
 func (c *Clock) Heard(gateway string, wall time.Time) {
-	steady, _ := c.readClocks()
+	monotonic, _ := c.readClocks()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.peers[gateway] = reading{offset: time.Duration(wall.UnixNano()) - steady, receivedAt: steady}
+	c.peers[gateway] = reading{offset: time.Duration(wall.UnixNano()) - monotonic, receivedAt: monotonic}
 }
 
 // Now returns the median time of day, without a monotonic clock reading.
 func (c *Clock) Now() time.Time {
-	steady, wall := c.readClocks()
-	own := time.Duration(wall.UnixNano()) - steady
+	monotonic, wall := c.readClocks()
+	own := time.Duration(wall.UnixNano()) - monotonic
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	maps.DeleteFunc(c.peers, func(_ string, peer reading) bool { return steady-peer.receivedAt > readingTTL })
+	maps.DeleteFunc(c.peers, func(_ string, peer reading) bool { return monotonic-peer.receivedAt > readingTTL })
 	offsets := make([]time.Duration, 0, len(c.peers)+1)
 	offsets = append(offsets, own)
 	for _, peer := range c.peers {
 		offsets = append(offsets, peer.offset)
 	}
 	slices.Sort(offsets)
-	return time.Unix(0, int64(offsets[len(offsets)/2]+steady))
+	return time.Unix(0, int64(offsets[len(offsets)/2]+monotonic))
 }
--- a/internal/usage/model_test.go
+++ b/internal/usage/model_test.go
@@ -80,10 +80,10 @@
 	return g
 }
 
-var errNoAnswer = errors.New("no answer")
+var errNoResponse = errors.New("no response")
 
-// interfere lets others act before a call arrives and returns the outcome of the call: executed and answered, executed
-// without an answer, executed late, or lost.
+// interfere lets others act before a call arrives and returns the outcome of the call: executed with a response,
+// executed without one, executed late, or lost.
 func (s *simulation) interfere() string {
 	if s.healthy {
 		return "answered"
@@ -102,9 +102,9 @@
 func (s *simulation) randomAction() {
 	switch rapid.SampledFrom([]string{"step", "step", "count", "exchange", "time", "time", "holder", "late", "restart"}).Draw(s.t, "action") {
 	case "step":
-		s.stepGateway(rapid.IntRange(0, len(s.gateways)-1).Draw(s.t, "who"))
+		s.stepGateway(rapid.IntRange(0, len(s.gateways)-1).Draw(s.t, "gateway"))
 	case "count":
-		g := s.gateways[rapid.IntRange(0, len(s.gateways)-1).Draw(s.t, "who")]
+		g := s.gateways[rapid.IntRange(0, len(s.gateways)-1).Draw(s.t, "gateway")]
 		g.tally.Add(WindowAt(s.now, testWindow), rapid.SampledFrom([]string{"a", "b"}).Draw(s.t, "tenant"))
 	case "exchange":
 		s.exchangeCounts()
@@ -116,15 +116,15 @@
 	case "late":
 		s.executeLate()
 	case "restart":
-		number := rapid.IntRange(0, len(s.gateways)-1).Draw(s.t, "who")
+		number := rapid.IntRange(0, len(s.gateways)-1).Draw(s.t, "gateway")
 		if s.depth == 0 {
 			s.gateways[number] = s.startGateway(number, s.now.UnixNano())
 		}
 	}
 }
 
-// stepGateway runs one step of a gateway. Only the holder acts, but a suspended one may resume after another took
-// over.
+// stepGateway runs one step of a gateway. Only the holder starts to act, but a suspended gateway may resume after
+// another one became the holder.
 func (s *simulation) stepGateway(number int) {
 	s.gateways[number].reporter.Step(context.Background(), s.now)
 }
@@ -191,7 +191,7 @@
 
 func (s *simulation) List(context.Context, string) ([]store.Item, store.Revision, error) {
 	if outcome := s.interfere(); outcome != "answered" {
-		return nil, 0, errNoAnswer
+		return nil, 0, errNoResponse
 	}
 	if s.item.Revision == 0 {
 		return nil, s.revision, nil
@@ -208,15 +208,17 @@
 	case "late":
 		s.lateCommits = append(s.lateCommits, transaction)
 	}
-	return 0, errNoAnswer
+	return 0, errNoResponse
 }
 
 func (s *simulation) Watch(context.Context, string, store.Revision, time.Duration) ([]store.Event, store.Revision, error) {
 	return nil, 0, nil
 }
+
 func (s *simulation) Grant(context.Context, time.Duration) (store.Lease, error) {
 	return store.Lease{}, nil
 }
+
 func (s *simulation) KeepAlive(context.Context, int64) error { return nil }
 func (s *simulation) Revoke(context.Context, int64) error    { return nil }
 
@@ -232,7 +234,7 @@
 	case "late":
 		s.lateCalls = append(s.lateCalls, lateCall{fence, report})
 	}
-	return errNoAnswer
+	return errNoResponse
 }
 
 // TestEachWindowIsReportedWithOneCount guards against reporting two different counts of a window, and against missing
--- a/internal/usage/restore_test.go
+++ b/internal/usage/restore_test.go
@@ -43,8 +43,8 @@
 // reportCounts counts the reports of each window.
 type reportCounts map[int64]int
 
-func (s reportCounts) SendUsage(_ context.Context, _ string, _ int64, report Report) error {
-	s[report.Window]++
+func (c reportCounts) SendUsage(_ context.Context, _ string, _ int64, report Report) error {
+	c[report.Window]++
 	return nil
 }
 
--- a/internal/usage/tally.go
+++ b/internal/usage/tally.go
@@ -48,7 +48,7 @@
 // Invariants: the count of an origin in a window never decreases; merging the same counts again has no effect.
 type Tally struct {
 	mu     sync.Mutex
-	own    origin
+	self   origin
 	counts map[int64]map[origin]map[string]int64
 	// unsent holds the windows and tenants whose own counts have changed since they were last sent.
 	unsent    map[int64]map[string]bool
@@ -62,7 +62,7 @@
 // NewTally returns the tally of a gateway. The epoch must differ for each of its starts.
 func NewTally(gateway string, epoch int64) *Tally {
 	return &Tally{
-		own: origin{gateway, epoch}, counts: map[int64]map[origin]map[string]int64{}, unsent: map[int64]map[string]bool{},
+		self: origin{gateway, epoch}, counts: map[int64]map[origin]map[string]int64{}, unsent: map[int64]map[string]bool{},
 		lastHeard: map[origin]time.Time{},
 	}
 }
@@ -72,7 +72,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	window = max(window, t.firstOpen)
-	t.countsOf(window, t.own)[tenant]++
+	t.countsOf(window, t.self)[tenant]++
 	changed, found := t.unsent[window]
 	if !found {
 		changed = map[string]bool{}
@@ -114,7 +114,7 @@
 	defer t.mu.Unlock()
 	for _, count := range counts {
 		from := count.origin()
-		if from == t.own || count.Window < t.firstOpen {
+		if from == t.self || count.Window < t.firstOpen {
 			continue
 		}
 		if count.Gateway == sender {
@@ -137,9 +137,9 @@
 	for window, tenants := range t.unsent {
 		requests := make(map[string]int64, len(tenants))
 		for tenant := range tenants {
-			requests[tenant] = t.counts[window][t.own][tenant]
+			requests[tenant] = t.counts[window][t.self][tenant]
 		}
-		counts = append(counts, t.newCount(window, t.own, requests))
+		counts = append(counts, t.newCount(window, t.self, requests))
 	}
 	clear(t.unsent)
 	return counts
@@ -153,7 +153,7 @@
 	var counts []Count
 	for window, byOrigin := range t.counts {
 		for from, requests := range byOrigin {
-			if from == t.own || now.Sub(t.lastHeard[from]) > silenceTimeout {
+			if from == t.self || now.Sub(t.lastHeard[from]) > silenceTimeout {
 				counts = append(counts, t.newCount(window, from, maps.Clone(requests)))
 			}
 		}
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -84,8 +84,8 @@
 }
 
 func TestClockUsesMedian(t *testing.T) {
-	steady, wall := time.Duration(0), epoch
-	clock := NewClock(func() (time.Duration, time.Time) { return steady, wall })
+	monotonic, wall := time.Duration(0), epoch
+	clock := NewClock(func() (time.Duration, time.Time) { return monotonic, wall })
 	expect := func(desc string, ahead time.Duration) {
 		t.Helper()
 		if got := clock.Now().Sub(epoch); got != ahead {
@@ -97,8 +97,8 @@
 		clock.Heard(fmt.Sprint("g", i), epoch.Add(ms*time.Millisecond))
 	}
 	expect("one peer is behind", 2*time.Millisecond)
-	steady, wall = time.Second, epoch.Add(3*time.Second)
+	monotonic, wall = time.Second, epoch.Add(3*time.Second)
 	expect("the own clock has jumped", time.Second+5*time.Millisecond)
-	steady, wall = 2*readingTTL, epoch.Add(2*readingTTL)
+	monotonic, wall = 2*readingTTL, epoch.Add(2*readingTTL)
 	expect("the peers are silent", 2*readingTTL)
 }
