--- a/internal/authority/authority_test.go
+++ b/internal/authority/authority_test.go
@@ -59,11 +59,11 @@
 		now = now.Add(250 * time.Millisecond)
 		a.Tick(now)
 	}
-	if _, may := a.MayOrder(now); !may {
+	if _, allowed := a.MayOrder(now); !allowed {
 		t.Fatal("no order is permitted after the handover")
 	}
 	now = now.Add(4 * time.Second)
-	if _, may := a.MayOrder(now); may {
+	if _, allowed := a.MayOrder(now); allowed {
 		t.Fatal("an order is permitted just after the process was suspended")
 	}
 }
@@ -82,10 +82,10 @@
 	a := New(DefaultSettings())
 	a.Leased(epoch, 1, ttl)
 	a.Acquired(epoch, 1, 1, First)
-	if _, may := a.MayOrder(epoch); !may {
+	if _, allowed := a.MayOrder(epoch); !allowed {
 		t.Error("the first holder may not give orders at once")
 	}
-	if _, may := a.MayCall(epoch); !may {
+	if _, allowed := a.MayCall(epoch); !allowed {
 		t.Error("the first holder may not make calls at once")
 	}
 }
@@ -100,8 +100,8 @@
 		holder, leaseUntil, revision := -1, epoch, int64(0)
 		var previousHolders []int
 		type call struct {
-			who int
-			at  time.Time
+			process int
+			at      time.Time
 		}
 		var calls []call
 		now := epoch
@@ -140,13 +140,13 @@
 					leaseUntil = now.Add(ttl)
 					process.Leased(now, revision, ttl)
 				}
-				if _, may := process.MayCall(now); !may {
+				if _, allowed := process.MayCall(now); !allowed {
 					continue
 				}
 				other := false
 				for j := len(calls) - 1; j >= 0 && now.Sub(calls[j].at) < ttl; j-- {
-					other = other || calls[j].who != i
-					if other && calls[j].who == i {
+					other = other || calls[j].process != i
+					if other && calls[j].process == i {
 						t.Fatalf("process %d called within a lease both before and after another process", i)
 					}
 				}
@@ -157,8 +157,8 @@
 }
 
 // simulateTurns runs two processes on one key that are suspended at random, and returns a description of the first
-// violation of the order of holders. The clocks of the processes include suspended time if countsSleep is set.
-func simulateTurns(t *rapid.T, countsSleep bool) string {
+// violation of the order of holders. The clocks of the processes include suspended time if clockIncludesSuspend is set.
+func simulateTurns(t *rapid.T, clockIncludesSuspend bool) string {
 	settings := DefaultSettings()
 	processes := []*Authority{New(settings), New(settings)}
 	suspended, suspendedUntil := make([]time.Duration, 2), make([]time.Time, 2)
@@ -182,7 +182,7 @@
 				continue
 			}
 			clock := now
-			if !countsSleep {
+			if !clockIncludesSuspend {
 				clock = now.Add(-suspended[i])
 			}
 			if holder < 0 {
@@ -195,8 +195,8 @@
 				leaseUntil = now.Add(ttl)
 				process.Leased(clock, revision, ttl)
 			}
-			fence, may := process.MayOrder(clock)
-			if !may {
+			fence, allowed := process.MayOrder(clock)
+			if !allowed {
 				continue
 			}
 			if i != lastHolder && lastHolder >= 0 && now.Sub(lastOrder) < ttl {
@@ -240,7 +240,7 @@
 	for ms := 2000; ms < 1750+int(settings.Handover.Milliseconds()); ms += 50 {
 		a.lastTick = time.Time{}
 		a.Leased(at(ms), 4, ttl)
-		if _, may := a.MayCall(at(ms)); may {
+		if _, allowed := a.MayCall(at(ms)); allowed {
 			t.Fatalf("a call is permitted %d ms after the earlier holder may have called", ms-1750)
 		}
 	}
--- a/internal/loadshare/supplement_test.go
+++ b/internal/loadshare/supplement_test.go
@@ -23,7 +23,7 @@
 		}
 		read, err := DecodeSupplement(encoded)
 		if err != nil || !slices.Equal(read.Leaving, sent.Leaving) {
-			t.Errorf("%+v, %v", read, err)
+			t.Errorf("got %+v, %v", read, err)
 		}
 	}
 }
--- a/internal/quota/holders.go
+++ b/internal/quota/holders.go
@@ -92,7 +92,7 @@
 }
 
 // Confirm records that, as of the given time, the store held the registration of this gateway and the membership list
-// was complete.
+// contained all changes made until then.
 func (h *Holders) Confirm(at time.Time) {
 	if expiry, known := h.expiries[h.self]; !known || !expiry.IsZero() {
 		return
--- a/internal/quota/loans.go
+++ b/internal/quota/loans.go
@@ -7,8 +7,8 @@
 const loanTTL = 500 * time.Millisecond
 
 // Intervals between questions for loans. The interval doubles while nothing is lent, since no gateway may have
-// requests to spare. Each question goes to every gateway that takes requests, so the maximum grows with their number to bound the
-// traffic: 64 gateways that all lack requests send each other 32 datagrams of about 200 bytes per second.
+// requests to spare. Each question goes to every gateway that takes requests, so the maximum grows with their number
+// to bound the traffic: 64 gateways that all lack requests send each other 32 datagrams of about 200 bytes per second.
 const (
 	initialAskInterval    = 100 * time.Millisecond
 	maxAskInterval        = loanTTL / 2
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -38,7 +38,7 @@
 
 // ask sends a question for a loan to all other gateways.
 func (f *fleet) ask(g *gateway) {
-	if serial, may := g.asks.Ask(f.now, len(f.gateways)); may && !g.frozen {
+	if serial, allowed := g.asks.Ask(f.now, len(f.gateways)); allowed && !g.frozen {
 		for _, other := range f.gateways {
 			if other != g {
 				f.messages = append(f.messages, message{asker: g.name, lender: other.name, serial: serial})
--- a/internal/retrybudget/retrybudget_test.go
+++ b/internal/retrybudget/retrybudget_test.go
@@ -32,7 +32,7 @@
 				budget.Earn(now, share)
 				share = shareGen.Draw(t, "share")
 				changes = append(changes, shareChange{now, share})
-				if rapid.Bool().Draw(t, "told") {
+				if rapid.Bool().Draw(t, "notified") {
 					budget.Earn(now, share)
 				}
 			case 2:
--- a/internal/retrybudget/share.go
+++ b/internal/retrybudget/share.go
@@ -93,7 +93,7 @@
 }
 
 // Confirm records that, as of the given time, the store held the registration of this gateway and the membership list
-// was complete.
+// contained all changes made until then.
 func (s *Share) Confirm(at time.Time) {
 	if s.confirmedSince.IsZero() || at.Sub(s.lastConfirmed) > s.confirmationTTL() {
 		s.confirmedSince = at
--- a/internal/usage/ledger.go
+++ b/internal/usage/ledger.go
@@ -55,7 +55,7 @@
 
 // WindowAt returns the number of the window that contains a time. Windows of the given length are counted from the
 // Unix epoch.
-func WindowAt(moment time.Time, length time.Duration) int64 { return moment.UnixNano() / int64(length) }
+func WindowAt(at time.Time, length time.Duration) int64 { return at.UnixNano() / int64(length) }
 
 // windowEnd returns the end of a window.
 func windowEnd(window int64, length time.Duration) time.Time {
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -21,22 +21,22 @@
 		var messages [][]Count
 		var senders []int
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
-			who := rapid.IntRange(0, len(tallies)-1).Draw(t, "who")
+			gateway := rapid.IntRange(0, len(tallies)-1).Draw(t, "gateway")
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
-				tallies[who].Add(window, "a")
+				tallies[gateway].Add(window, "a")
 				total++
 			case 1:
-				messages, senders = append(messages, tallies[who].Untold()), append(senders, who)
+				messages, senders = append(messages, tallies[gateway].Untold()), append(senders, gateway)
 			case 2:
-				messages, senders = append(messages, tallies[who].All(epoch)), append(senders, who)
+				messages, senders = append(messages, tallies[gateway].All(epoch)), append(senders, gateway)
 			case 3:
 				if len(messages) > 0 {
 					i := rapid.IntRange(0, len(messages)-1).Draw(t, "message")
-					tallies[who].Merge(epoch, fmt.Sprint("g", senders[i]), messages[i])
+					tallies[gateway].Merge(epoch, fmt.Sprint("g", senders[i]), messages[i])
 				}
 			}
-			if sum := tallies[who].Sum(window)["a"]; sum > total {
+			if sum := tallies[gateway].Sum(window)["a"]; sum > total {
 				t.Fatalf("%d of %d requests", sum, total)
 			}
 		}
