--- a/internal/balance/backoff.go
+++ b/internal/balance/backoff.go
@@ -6,11 +6,11 @@
 type BackOffSettings struct {
 	// Longest is how long such a time may be. A worker that is out for longer is replaced or looked after by people; a longer one, as of a
 	// date that was written wrong, would take a worker that lives out of use until its next start.
-	Longest time.Duration
+	MaxDuration time.Duration
 }
 
 // DefaultBackOffSettings keep times of up to ten minutes, which is longer than a worker takes to load what it serves.
-func DefaultBackOffSettings() BackOffSettings { return BackOffSettings{Longest: 10 * time.Minute} }
+func DefaultBackOffSettings() BackOffSettings { return BackOffSettings{MaxDuration: 10 * time.Minute} }
 
 // backOffs are until when workers want no requests of this gateway, by the ids of their incarnations. They outlast records that go and
 // come again.
@@ -20,19 +20,19 @@
 type backOffs map[string]time.Time
 
 // BackOff keeps requests off a worker for a time, as it asked for. One that asks again may lengthen the time. It returns until when.
-func (b *Balancer) BackOff(now time.Time, id string, wanted time.Duration) time.Time {
-	until := now.Add(min(wanted, b.settings.BackOff.Longest))
-	if before := b.backOffs[id]; before.After(until) {
-		until = before
+func (b *Balancer) BackOff(now time.Time, id string, duration time.Duration) time.Time {
+	until := now.Add(min(duration, b.settings.BackOff.MaxDuration))
+	if previous := b.backOffs[id]; previous.After(until) {
+		until = previous
 	}
-	for other, ends := range b.backOffs {
-		if !now.Before(ends) {
+	for other, otherUntil := range b.backOffs {
+		if !now.Before(otherUntil) {
 			delete(b.backOffs, other)
 		}
 	}
 	b.backOffs[id] = until
-	if known, found := b.workers[id]; found {
-		known.backOffUntil = until
+	if state, found := b.workers[id]; found {
+		state.backOffUntil = until
 	}
 	return until
 }
@@ -41,4 +41,4 @@
 func (b *Balancer) BacksOffUntil(id string) time.Time { return b.backOffs[id] }
 
 // backsOff tells whether the worker wants no requests of this gateway.
-func (s *state) backsOff(now time.Time) bool { return now.Before(s.backOffUntil) }
+func (s *workerState) backingOff(now time.Time) bool { return now.Before(s.backOffUntil) }
--- a/internal/balance/backoff_test.go
+++ b/internal/balance/backoff_test.go
@@ -16,13 +16,13 @@
 )
 
 // backOffRun plays one script.
-type backOffRun struct {
+type scriptRun struct {
 	t        *testing.T
 	now      time.Time
 	balancer *Balancer
 	workers  backend.Set
 	// part is which part of limits is held here.
-	part float64
+	share float64
 }
 
 // outcomesByName are the outcomes in scripts.
@@ -31,84 +31,84 @@
 }
 
 // duration reads a duration of a script.
-func (r *backOffRun) duration(text string) time.Duration {
-	read, err := time.ParseDuration(text)
+func (r *scriptRun) duration(text string) time.Duration {
+	parsed, err := time.ParseDuration(text)
 	if err != nil {
 		r.t.Fatal(err)
 	}
-	return read
+	return parsed
 }
 
 // holdings are parts of limits, with nothing lent.
-type holdings func(worker string) float64
+type quotaShares func(worker string) float64
 
-func (h holdings) Part(worker string, _ float64) float64 { return h(worker) }
-func (holdings) Lent(string) int                         { return 0 }
-func (holdings) UseLent(string) bool                     { return false }
+func (h quotaShares) Part(worker string, _ float64) float64 { return h(worker) }
+func (quotaShares) Lent(string) int                         { return 0 }
+func (quotaShares) UseLent(string) bool                     { return false }
 
 // taking returns the workers that take requests, in their order.
-func (r *backOffRun) taking() []string {
-	var taking, tried []string
+func (r *scriptRun) accepting() []string {
+	var accepting, excluded []string
 	for {
-		choice, found := r.balancer.Pick(r.now, Query{Group: "g", Role: backend.RoleDecode, Request: "r", Excluded: tried})
+		choice, found := r.balancer.Pick(r.now, Query{Group: "g", Role: backend.RoleDecode, Request: "r", Excluded: excluded})
 		if !found {
 			break
 		}
-		taking, tried = append(taking, choice.Worker.ID), append(tried, choice.Worker.ID)
+		accepting, excluded = append(accepting, choice.Worker.ID), append(excluded, choice.Worker.ID)
 	}
-	slices.Sort(taking)
-	return taking
+	slices.Sort(accepting)
+	return accepting
 }
 
 // step plays one line, and returns what is wrong.
-func (r *backOffRun) step(verb string, words []string) string {
+func (r *scriptRun) step(verb string, arguments []string) string {
 	switch verb {
-	case "ask":
-		r.balancer.BackOff(r.now, words[0], r.duration(words[1]+"s"))
+	case "backoff":
+		r.balancer.BackOff(r.now, arguments[0], r.duration(arguments[1]+"s"))
 	case "wait":
-		r.now = r.now.Add(r.duration(words[0]))
+		r.now = r.now.Add(r.duration(arguments[0]))
 	case "end":
-		count, _ := strconv.Atoi(words[2])
+		count, _ := strconv.Atoi(arguments[2])
 		for range count {
-			r.balancer.End(r.now, words[0], outcomesByName[words[1]])
+			r.balancer.End(r.now, arguments[0], outcomesByName[arguments[1]])
 		}
-	case "gone":
-		r.balancer.SetGone(r.now, words[0], r.now.Add(time.Second))
-	case "back":
-		r.balancer.SetGone(r.now, words[0], time.Time{})
-	case "removed":
-		r.balancer.Change(backend.Changes{Gone: words})
-	case "recorded":
-		r.balancer.Change(backend.Changes{Put: []*backend.Worker{r.workers[words[0]]}})
-	case "next":
-		next := *r.workers[words[0]]
-		next.ID += "@2"
-		r.balancer.Change(backend.Changes{Gone: words, Put: []*backend.Worker{&next}})
-	case "takes":
-		if taking := r.taking(); !slices.Equal(taking, words) {
-			return fmt.Sprintf("%v take requests", taking)
+	case "unreachable":
+		r.balancer.SetGone(r.now, arguments[0], r.now.Add(time.Second))
+	case "reachable":
+		r.balancer.SetGone(r.now, arguments[0], time.Time{})
+	case "remove":
+		r.balancer.Change(backend.Changes{Gone: arguments})
+	case "add":
+		r.balancer.Change(backend.Changes{Put: []*backend.Worker{r.workers[arguments[0]]}})
+	case "restart":
+		restarted := *r.workers[arguments[0]]
+		restarted.ID += "@2"
+		r.balancer.Change(backend.Changes{Gone: arguments, Put: []*backend.Worker{&restarted}})
+	case "accepting":
+		if accepting := r.accepting(); !slices.Equal(accepting, arguments) {
+			return fmt.Sprintf("%v take requests", accepting)
 		}
 	case "limit":
-		rate, _ := strconv.ParseFloat(words[1], 64)
-		r.balancer.Limit(r.now, words[0], rate, r.now.Add(-r.duration(words[2])))
-	case "unlimited":
-		r.balancer.Unlimit(words[0], r.now.Add(-r.duration(words[1])))
-	case "part":
+		rate, _ := strconv.ParseFloat(arguments[1], 64)
+		r.balancer.Limit(r.now, arguments[0], rate, r.now.Add(-r.duration(arguments[2])))
+	case "no-limit":
+		r.balancer.Unlimit(arguments[0], r.now.Add(-r.duration(arguments[1])))
+	case "share":
 		r.balancer.EarnLimits(r.now)
-		r.part, _ = strconv.ParseFloat(words[0], 64)
+		r.share, _ = strconv.ParseFloat(arguments[0], 64)
 		r.balancer.EarnLimits(r.now)
 	case "spend":
-		got := 0
-		for r.balancer.Spend(r.now, words[0]) && got < 100 {
-			got++
+		spent := 0
+		for r.balancer.Spend(r.now, arguments[0]) && spent < 100 {
+			spent++
 		}
-		if strconv.Itoa(got) != words[1] {
-			return fmt.Sprintf("%d were spent", got)
+		if strconv.Itoa(spent) != arguments[1] {
+			return fmt.Sprintf("%d were spent", spent)
 		}
-	case "ends":
-		full, all := r.balancer.FullUntil(r.now, "g", backend.RoleDecode)
-		if got := full.Until.Sub(r.now).String(); (all && got != words[0]) || (!all && words[0] != "never") {
-			return fmt.Sprintf("it ends after %s, %t", got, all)
+	case "accepts-in":
+		full, allFull := r.balancer.FullUntil(r.now, "g", backend.RoleDecode)
+		if got := full.Until.Sub(r.now).String(); (allFull && got != arguments[0]) || (!allFull && arguments[0] != "never") {
+			return fmt.Sprintf("it ends after %s, %t", got, allFull)
 		}
 	default:
 		return "there is no such step"
@@ -116,12 +116,12 @@
 	return ""
 }
 
-func TestBackOffs(t *testing.T) { playBackOffs(t, "testdata/backoff.txtar") }
+func TestBackOffScripts(t *testing.T) { runScripts(t, "testdata/backoff.txtar") }
 
-func TestLimits(t *testing.T) { playBackOffs(t, "testdata/limits.txtar") }
+func TestLimitScripts(t *testing.T) { runScripts(t, "testdata/limits.txtar") }
 
 // playBackOffs plays the scripts of a file.
-func playBackOffs(t *testing.T, file string) {
+func runScripts(t *testing.T, file string) {
 	t.Helper()
 	scripts, err := txtar.ParseFile(file)
 	if err != nil {
@@ -134,16 +134,16 @@
 				id := fmt.Sprint("w", i)
 				workers[id] = &backend.Worker{ID: id, Group: "g", Address: fmt.Sprint(id, ":1"), Slots: 8, Role: backend.RoleDecode}
 			}
-			run := &backOffRun{t: t, now: epoch, balancer: New(DefaultSettings(), enginemodel.New(), nil), workers: workers, part: 1}
-			run.balancer.ShareLimits(holdings(func(string) float64 { return run.part }))
+			run := &scriptRun{t: t, now: epoch, balancer: New(DefaultSettings(), enginemodel.New(), nil), workers: workers, share: 1}
+			run.balancer.ShareLimits(quotaShares(func(string) float64 { return run.share }))
 			run.balancer.SetWorkers(workers)
 			for line := range strings.Lines(string(script.Data)) {
-				words := strings.Fields(line)
-				if len(words) == 0 {
+				fields := strings.Fields(line)
+				if len(fields) == 0 {
 					continue
 				}
-				if fault := run.step(words[0], words[1:]); fault != "" {
-					t.Errorf("%s: %s", strings.TrimSpace(line), fault)
+				if failure := run.step(fields[0], fields[1:]); failure != "" {
+					t.Errorf("%s: %s", strings.TrimSpace(line), failure)
 				}
 			}
 		})
@@ -152,10 +152,10 @@
 
 // TestAWorkerThatBacksOffIsNeverPicked looks at all ways to choose: of few workers and of many, for a request that is known to do no harm
 // and for one that may end workers.
-func TestAWorkerThatBacksOffIsNeverPicked(t *testing.T) {
+func TestBackingOffWorkerIsNeverPicked(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := DefaultSettings()
-		settings.Shortlist.ScanUpTo = rapid.SampledFrom([]int{0, 256}).Draw(t, "scan up to")
+		settings.Shortlist.ScanLimit = rapid.SampledFrom([]int{0, 256}).Draw(t, "scan up to")
 		balancer := New(settings, enginemodel.New(), nil)
 		set := engines(backend.RoleDecode, 12)
 		balancer.SetWorkers(set)
@@ -178,12 +178,12 @@
 
 // TestAWorkerWithALimitGetsNoMore asks in all ways to choose, and counts what each worker gets: what its limit allows, and nothing of a limit
 // that others hold.
-func TestAWorkerWithALimitGetsNoMore(t *testing.T) {
+func TestLimitedWorkerGetsNoMoreThanItsLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := DefaultSettings()
-		settings.Shortlist.ScanUpTo = rapid.SampledFrom([]int{0, 256}).Draw(t, "scan up to")
+		settings.Shortlist.ScanLimit = rapid.SampledFrom([]int{0, 256}).Draw(t, "scan up to")
 		balancer := New(settings, enginemodel.New(), nil)
-		balancer.ShareLimits(holdings(func(worker string) float64 { return float64(len(worker)%2) / 2 }))
+		balancer.ShareLimits(quotaShares(func(worker string) float64 { return float64(len(worker)%2) / 2 }))
 		set := engines(backend.RoleDecode, 12)
 		balancer.SetWorkers(set)
 		limits, got := map[string]float64{}, map[string]int{}
@@ -207,9 +207,9 @@
 			got[choice.Worker.ID]++
 		}
 		for id, limit := range limits {
-			held := limit * float64(len(id)%2) / 2
-			if most := held*seconds + max(held, 1); held == 0 && got[id] > 0 || float64(got[id]) > most {
-				t.Fatalf("%s got %d requests in %d s of a part of %v a second", id, got[id], seconds, held)
+			share := limit * float64(len(id)%2) / 2
+			if maxRequests := share*seconds + max(share, 1); share == 0 && got[id] > 0 || float64(got[id]) > maxRequests {
+				t.Fatalf("%s got %d requests in %d s of a part of %v a second", id, got[id], seconds, share)
 			}
 		}
 	})
--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -89,15 +89,15 @@
 type Settings struct {
 	// SecondsPerRun is the delay that one run in progress adds at an engine; plain workers take the time of a run, shared by
 	// their slots.
-	SecondsPerRun float64
+	SecondsPerRequest float64
 	// HoldUpWeight is the part of the delay of each other answer that counts where prompts are read beside them. An engine does
 	// one thing at a time, so a second of reading delays each of its answers by up to a second.
-	HoldUpWeight float64
+	InterferenceWeight float64
 	// OtherZoneSeconds is the cost of a worker in another zone.
 	OtherZoneSeconds float64
 	// ApartSeconds is how much more than the cheapest a worker may cost for a request that is to be apart from others: a third of the
 	// tightest objective of the users' deployments, 0.25 s.
-	ApartSeconds float64
+	SuspectSpreadSeconds float64
 	// Risk bounds the workers that such requests may end.
 	Risk RiskSettings
 	// Shortlist bounds the workers that are looked at.
@@ -111,99 +111,99 @@
 // DefaultSettings count the delay of each answer alike.
 func DefaultSettings() Settings {
 	return Settings{
-		SecondsPerRun: 0.002, HoldUpWeight: 1, OtherZoneSeconds: 0.010, ApartSeconds: 0.08, Risk: DefaultRiskSettings(),
+		SecondsPerRequest: 0.002, InterferenceWeight: 1, OtherZoneSeconds: 0.010, SuspectSpreadSeconds: 0.08, Risk: DefaultRiskSettings(),
 		Shortlist: DefaultShortlistSettings(), Health: DefaultHealthSettings(), BackOff: DefaultBackOffSettings(),
 	}
 }
 
 // Elsewhere tells what other gateways have at a worker.
-type Elsewhere func(worker string) backend.Load
+type RemoteLoad func(worker string) backend.Load
 
 // Balancer holds what one gateway knows of the workers.
 type Balancer struct {
-	settings  Settings
-	model     *enginemodel.Model
-	elsewhere Elsewhere
-	workers   map[string]*state
+	settings   Settings
+	model      *enginemodel.Model
+	remoteLoad RemoteLoad
+	workers    map[string]*workerState
 	// loaded are the workers at which this gateway has work.
-	loaded   map[string]*state
-	pools    pools
-	losses   losses
+	loaded   map[string]*workerState
+	index    workerIndex
+	crashes  crashes
 	backOffs backOffs
 	limits   limits
 }
 
 // state is one worker as this gateway sees it.
-type state struct {
+type workerState struct {
 	worker *backend.Worker
 	// load is the own work at the worker.
 	load   backend.Load
 	health health
 	// goneUntil is how long the worker is passed over because its address refuses connections.
-	goneUntil time.Time
+	unreachableUntil time.Time
 	// changingUntil is how long work is kept off the worker, because it changes its role.
-	changingUntil time.Time
+	roleChangeUntil time.Time
 	// backOffUntil is until when the worker wants no requests of this gateway.
 	backOffUntil time.Time
 	// limit is how many requests the worker takes; nil if it does not say.
-	limit *limit
+	limit *workerLimit
 	// place is that in the rings, which the address decides.
-	place uint64
+	ringPosition uint64
 }
 
 // New returns a balancer without workers. The model tells how fast they are; the caller feeds it.
-func New(settings Settings, model *enginemodel.Model, elsewhere Elsewhere) *Balancer {
+func New(settings Settings, model *enginemodel.Model, remoteLoad RemoteLoad) *Balancer {
 	return &Balancer{
-		settings: settings, model: model, elsewhere: elsewhere, workers: map[string]*state{}, loaded: map[string]*state{},
-		pools: newPools(), losses: losses{workers: map[string]*loss{}}, backOffs: backOffs{},
-		limits: limits{workers: map[string]*limit{}, held: everything{}},
+		settings: settings, model: model, remoteLoad: remoteLoad, workers: map[string]*workerState{}, loaded: map[string]*workerState{},
+		index: newWorkerIndex(), crashes: crashes{byWorker: map[string]*crash{}}, backOffs: backOffs{},
+		limits: limits{byWorker: map[string]*workerLimit{}, shares: soleGateway{}},
 	}
 }
 
 // SetWorkers replaces the workers. What is known of those that stay is kept.
 func (b *Balancer) SetWorkers(set backend.Set) {
-	before := make(backend.Set, len(b.workers))
-	for id, known := range b.workers {
-		before[id] = known.worker
+	previous := make(backend.Set, len(b.workers))
+	for id, state := range b.workers {
+		previous[id] = state.worker
 	}
-	b.Change(set.Since(before))
+	b.Change(set.Since(previous))
 }
 
 // Change takes workers that are new, described anew or gone. What is known of the others stays as it is.
 func (b *Balancer) Change(changes backend.Changes) {
 	for _, id := range changes.Gone {
-		if known, found := b.workers[id]; found {
-			b.pools.remove(known)
+		if state, found := b.workers[id]; found {
+			b.index.remove(state)
 			delete(b.workers, id)
 			delete(b.loaded, id)
 		}
 	}
 	for _, worker := range changes.Put {
-		known, found := b.workers[worker.ID]
+		state, found := b.workers[worker.ID]
 		if !found {
-			known = &state{backOffUntil: b.backOffs[worker.ID], limit: b.limits.workers[worker.ID]}
-			b.workers[worker.ID] = known
-			b.losses.newcomers = append(b.losses.newcomers, known)
+			state = &workerState{backOffUntil: b.backOffs[worker.ID], limit: b.limits.byWorker[worker.ID]}
+			b.workers[worker.ID] = state
+			b.crashes.added = append(b.crashes.added, state)
 		}
-		if found && known.worker.Role != worker.Role {
+		if found && state.worker.Role != worker.Role {
 			// The change of role is over.
-			known.changingUntil = time.Time{}
+			state.roleChangeUntil = time.Time{}
 		}
-		b.describe(known, worker)
+		b.updateDescription(state, worker)
 	}
 }
 
 // describe gives a worker another description, and the place in the pools that goes with it.
-func (b *Balancer) describe(known *state, worker *backend.Worker) {
-	if known.worker != nil && hasPlaceOf(known.worker, worker) {
-		known.worker = worker
+func (b *Balancer) updateDescription(state *workerState, worker *backend.Worker) {
+	if state.worker != nil && sameIndexKeys(state.worker, worker) {
+		state.worker = worker
 		return
 	}
-	if known.worker != nil {
-		b.pools.remove(known)
+	if state.worker != nil {
+		b.index.remove(state)
 	}
-	known.worker = worker
-	b.pools.add(known)
+	state.worker = worker
+	b.index.add(state)
 }
 
 // LoadOf is the load of one request whose prompt has so many tokens to read.
@@ -223,19 +223,19 @@
 
 // Begin notes that a request was sent to a worker.
 func (b *Balancer) Begin(id string, load backend.Load) {
-	if known, found := b.workers[id]; found {
-		known.load = known.load.Plus(load)
-		b.noteLoad(known)
+	if state, found := b.workers[id]; found {
+		state.load = state.load.Plus(load)
+		b.updateLoaded(state)
 	}
 }
 
 // noteLoad keeps the list of the workers at which there is work.
-func (b *Balancer) noteLoad(known *state) {
-	if known.load == (backend.Load{}) {
-		delete(b.loaded, known.worker.ID)
+func (b *Balancer) updateLoaded(state *workerState) {
+	if state.load == (backend.Load{}) {
+		delete(b.loaded, state.worker.ID)
 		return
 	}
-	b.loaded[known.worker.ID] = known
+	b.loaded[state.worker.ID] = state
 }
 
 // Loaded returns the ids of the workers at which this gateway has work, in their order.
@@ -243,118 +243,118 @@
 
 // Answered notes that a worker has read the prompt of a request, which still runs there.
 func (b *Balancer) Answered(id string, load backend.Load) {
-	if known, found := b.workers[id]; found {
+	if state, found := b.workers[id]; found {
 		load.Running = 0
-		known.load = known.load.Minus(load)
-		b.noteLoad(known)
+		state.load = state.load.Minus(load)
+		b.updateLoaded(state)
 	}
 }
 
 // End notes that a request has left a worker, with what it showed of the worker's health. It tells whether the worker is set
 // aside for that.
 func (b *Balancer) End(now time.Time, id string, outcome Outcome) bool {
-	known, found := b.workers[id]
+	state, found := b.workers[id]
 	if !found {
 		return false
 	}
-	known.load.Running = max(known.load.Running-1, 0)
-	b.noteLoad(known)
-	return known.health.record(now, outcome, &b.settings.Health)
+	state.load.Running = max(state.load.Running-1, 0)
+	b.updateLoaded(state)
+	return state.health.record(now, outcome, &b.settings.Health)
 }
 
 // Hearsay notes that another gateway has set a worker aside. It counts as one failure: two gateways, or one and an own
 // failure, set it aside here too.
 func (b *Balancer) Hearsay(now time.Time, id string) {
-	if known, found := b.workers[id]; found {
-		known.health.record(now, OutcomeSilent, &b.settings.Health)
+	if state, found := b.workers[id]; found {
+		state.health.record(now, OutcomeSilent, &b.settings.Health)
 	}
 }
 
 // Load returns what this gateway has at a worker.
 func (b *Balancer) Load(id string) backend.Load {
-	known, found := b.workers[id]
+	state, found := b.workers[id]
 	if !found {
 		return backend.Load{}
 	}
-	return known.load
+	return state.load
 }
 
 // TotalLoad returns what all gateways have at a worker.
 func (b *Balancer) TotalLoad(id string) backend.Load {
-	known, found := b.workers[id]
+	state, found := b.workers[id]
 	if !found {
-		known = &state{worker: &backend.Worker{ID: id}}
+		state = &workerState{worker: &backend.Worker{ID: id}}
 	}
-	return b.loadAt(known)
+	return b.combinedLoad(state)
 }
 
 // loadAt returns what all gateways have at a worker.
-func (b *Balancer) loadAt(known *state) backend.Load {
-	if b.elsewhere == nil {
-		return known.load
+func (b *Balancer) combinedLoad(state *workerState) backend.Load {
+	if b.remoteLoad == nil {
+		return state.load
 	}
-	return known.load.Plus(b.elsewhere(known.worker.ID))
+	return state.load.Plus(b.remoteLoad(state.worker.ID))
 }
 
 // Usable tells whether a worker takes work and is not set aside.
 func (b *Balancer) Usable(now time.Time, id string) bool {
-	known, found := b.workers[id]
-	return found && known.usable(now)
+	state, found := b.workers[id]
+	return found && state.usable(now)
 }
 
 // usable tells whether the worker takes work and is not set aside. One with a limit does, also while its quota here is used up.
-func (s *state) usable(now time.Time) bool {
-	return s.inUse(now) && !s.backsOff(now) && !s.health.ejected(now)
+func (s *workerState) usable(now time.Time) bool {
+	return s.inService(now) && !s.backingOff(now) && !s.health.ejected(now)
 }
 
 // takesWork tells whether the worker takes a request of this gateway now, be it set aside or not.
-func (s *state) takesWork(now time.Time) bool { return s.inUse(now) && s.mayBeAsked(now) }
+func (s *workerState) acceptsNow(now time.Time) bool { return s.inService(now) && s.admitsNow(now) }
 
 // mayBeAsked tells whether the worker's own words let this gateway send it a request now.
-func (s *state) mayBeAsked(now time.Time) bool { return !s.backsOff(now) && s.hasRoom(now) }
+func (s *workerState) admitsNow(now time.Time) bool { return !s.backingOff(now) && s.hasQuota(now) }
 
 // inUse tells whether the worker takes work, unless it wants none for a time or no more of this gateway.
-func (s *state) inUse(now time.Time) bool {
-	return !s.worker.Draining && !s.gone(now) && !s.changing(now)
+func (s *workerState) inService(now time.Time) bool {
+	return !s.worker.Draining && !s.unreachable(now) && !s.changingRole(now)
 }
 
 // KeptOff tells whether a worker is set aside for its failures, and whether work is kept off it while it changes its role.
-func (b *Balancer) KeptOff(now time.Time, id string) (setAside, changing bool) {
-	known, found := b.workers[id]
+func (b *Balancer) KeptOff(now time.Time, id string) (ejected, changingRole bool) {
+	state, found := b.workers[id]
 	if !found {
 		return false, false
 	}
-	return known.health.ejected(now) || known.gone(now), known.changing(now)
+	return state.health.ejected(now) || state.unreachable(now), state.changingRole(now)
 }
 
 // SetGone passes a worker over until a moment. One that is not gone after all is no more set aside for what was held against it.
 func (b *Balancer) SetGone(now time.Time, id string, until time.Time) {
-	known, found := b.workers[id]
+	state, found := b.workers[id]
 	if !found {
 		return
 	}
-	known.goneUntil = until
+	state.unreachableUntil = until
 	if !now.Before(until) {
-		known.health = health{}
+		state.health = health{}
 	}
 }
 
 // gone tells whether the worker is passed over because its address refuses connections.
-func (s *state) gone(now time.Time) bool { return now.Before(s.goneUntil) }
+func (s *workerState) unreachable(now time.Time) bool { return now.Before(s.unreachableUntil) }
 
 // Replace puts another description in place of that of a worker, which has changed its role. Work is not kept off it any more.
 func (b *Balancer) Replace(worker *backend.Worker) {
-	if known, found := b.workers[worker.ID]; found {
-		known.changingUntil = time.Time{}
-		b.describe(known, worker)
+	if state, found := b.workers[worker.ID]; found {
+		state.roleChangeUntil = time.Time{}
+		b.updateDescription(state, worker)
 	}
 }
 
 // OfGroup returns the workers of a group, ordered by id.
 func (b *Balancer) OfGroup(group string) iter.Seq[*backend.Worker] {
 	return func(yield func(*backend.Worker) bool) {
-		for _, known := range b.pools.groups[group] {
-			if !yield(known.worker) {
+		for _, state := range b.index.byGroup[group] {
+			if !yield(state.worker) {
 				return
 			}
 		}
@@ -363,21 +363,21 @@
 
 // SetChanging keeps work off a worker until a moment.
 func (b *Balancer) SetChanging(id string, until time.Time) {
-	if known, found := b.workers[id]; found {
-		known.changingUntil = until
+	if state, found := b.workers[id]; found {
+		state.roleChangeUntil = until
 	}
 }
 
 // changing tells whether work is kept off the worker.
-func (s *state) changing(now time.Time) bool { return now.Before(s.changingUntil) }
+func (s *workerState) changingRole(now time.Time) bool { return now.Before(s.roleChangeUntil) }
 
 // Worker returns a worker by its id.
 func (b *Balancer) Worker(id string) (*backend.Worker, bool) {
-	known, found := b.workers[id]
+	state, found := b.workers[id]
 	if !found {
 		return nil, false
 	}
-	return known.worker, true
+	return state.worker, true
 }
 
 // IDs returns the ids of all workers in their order.
@@ -386,13 +386,13 @@
 }
 
 // Count returns how many workers a group has.
-func (b *Balancer) Count(group string) int { return len(b.pools.groups[group]) }
+func (b *Balancer) Count(group string) int { return len(b.index.byGroup[group]) }
 
 // Engines tells of each worker of a group, ordered by id, what all gateways have there and whether it takes work.
 func (b *Balancer) Engines(now time.Time, group string) iter.Seq2[*backend.Worker, Standing] {
 	return func(yield func(*backend.Worker, Standing) bool) {
-		for _, known := range b.pools.groups[group] {
-			if !yield(known.worker, Standing{Load: b.loadAt(known), Usable: known.usable(now)}) {
+		for _, state := range b.index.byGroup[group] {
+			if !yield(state.worker, Standing{Load: b.combinedLoad(state), Usable: state.usable(now)}) {
 				return
 			}
 		}
@@ -409,8 +409,8 @@
 
 // Home returns the worker at which prompts of a key are kept together while nothing speaks against it, or nil.
 func (b *Balancer) Home(now time.Time, query Query) *backend.Worker {
-	if home := b.list(now, query).home; home != nil {
-		return home.worker
+	if preferred := b.eligibleOrSampled(now, query).preferred; preferred != nil {
+		return preferred.worker
 	}
 	return nil
 }
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -26,7 +26,7 @@
 	return set
 }
 
-func TestGatewaysAgreeOnTheWorkerOfAPrompt(t *testing.T) {
+func TestGatewaysPickTheSameWorkerForAPrompt(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := engines(backend.RolePrefill, rapid.IntRange(1, 12).Draw(t, "workers"))
 		key := rapid.String().Draw(t, "key")
@@ -83,7 +83,7 @@
 	})
 }
 
-func TestFailingWorkersAreSetAsideForAWhile(t *testing.T) {
+func TestFailingWorkersAreEjectedTemporarily(t *testing.T) {
 	balancer := New(DefaultSettings(), enginemodel.New(), nil)
 	balancer.SetWorkers(engines(backend.RoleNone, 2))
 	query := Query{Request: "r", Group: "g", Zone: "z0"}
@@ -100,7 +100,7 @@
 	}
 }
 
-func TestSomeWorkersStayInUseWhenAllFail(t *testing.T) {
+func TestPickFindsAWorkerWhenAllAreEjected(t *testing.T) {
 	balancer := New(DefaultSettings(), enginemodel.New(), nil)
 	set := engines(backend.RoleDecode, 4)
 	balancer.SetWorkers(set)
@@ -113,7 +113,7 @@
 	}
 }
 
-func TestWhatIsKnownOfWorkersOutlivesAChangeOfTheList(t *testing.T) {
+func TestSetWorkersKeepsStateOfRemainingWorkers(t *testing.T) {
 	balancer := New(DefaultSettings(), enginemodel.New(), nil)
 	set := engines(backend.RoleDecode, 2)
 	balancer.SetWorkers(set)
@@ -129,7 +129,7 @@
 	}
 }
 
-func TestWorkOfOtherGatewaysCounts(t *testing.T) {
+func TestLoadOfOtherGatewaysCounts(t *testing.T) {
 	busy := func(worker string) backend.Load {
 		if worker == "prefill-1" {
 			return backend.Load{}
@@ -144,7 +144,7 @@
 	}
 }
 
-func TestTheWordOfOneGatewayAloneSetsNobodyAside(t *testing.T) {
+func TestOneReportFromAnotherGatewayDoesNotEject(t *testing.T) {
 	balancer := New(DefaultSettings(), enginemodel.New(), nil)
 	balancer.SetWorkers(engines(backend.RoleDecode, 4))
 	balancer.Hearsay(epoch, "decode-0")
@@ -159,7 +159,7 @@
 
 // TestAWorkerThatRefusesDoesNotDrawEveryRequest guards against a worker that carries an order out: it has nothing running and
 // refuses everything.
-func TestAWorkerThatRefusesDoesNotDrawEveryRequest(t *testing.T) {
+func TestRefusingWorkerDoesNotAttractEveryRequest(t *testing.T) {
 	balancer := New(DefaultSettings(), enginemodel.New(), func(worker string) backend.Load {
 		if worker == "decode-0" {
 			return backend.Load{}
@@ -186,7 +186,7 @@
 
 // TestWorkersThatAnswerGoBeforeThoseThatDoNot guards against sending every request to dead workers first, because they look
 // idle and too few others are left.
-func TestWorkersThatAnswerGoBeforeThoseThatDoNot(t *testing.T) {
+func TestHealthyWorkersArePreferredOverEjected(t *testing.T) {
 	balancer := New(DefaultSettings(), enginemodel.New(), func(worker string) backend.Load {
 		if worker == "decode-0" {
 			return backend.Load{Running: 30, ReadingTokens: 2000}
@@ -207,7 +207,7 @@
 
 // TestSuspectsAreSpreadOverTheCheapWorkers places requests that may have ended a worker. They go to a quarter of the engines, and there
 // to all but the one that has much to read.
-func TestSuspectsAreSpreadOverTheCheapWorkers(t *testing.T) {
+func TestSuspectsAreSpreadOverCheapWorkers(t *testing.T) {
 	balancer := New(DefaultSettings(), enginemodel.New(), nil)
 	balancer.SetWorkers(engines(backend.RoleDecode, 32))
 	suspect := func(i int) Query {
@@ -215,23 +215,23 @@
 	}
 	busy, _ := balancer.Pick(epoch, suspect(0))
 	balancer.Begin(busy.Worker.ID, backend.Load{Running: 1, Reading: 1, ReadingTokens: 500_000})
-	together, chosen := map[string]int{}, map[string]int{}
+	pickedWithoutSpread, pickedForSuspects := map[string]int{}, map[string]int{}
 	for i := range 200 {
 		query := suspect(i)
 		query.Apart = ""
 		choice, _ := balancer.Pick(epoch, query)
-		together[choice.Worker.ID]++
+		pickedWithoutSpread[choice.Worker.ID]++
 		first, _ := balancer.Pick(epoch, suspect(i))
 		again, _ := balancer.Pick(epoch, suspect(i))
 		if first.Worker != again.Worker {
 			t.Errorf("%s goes to %s and then to %s", suspect(i).Apart, first.Worker.ID, again.Worker.ID)
 		}
-		chosen[first.Worker.ID]++
+		pickedForSuspects[first.Worker.ID]++
 	}
-	if len(together) != 1 {
-		t.Errorf("others go to %v", together)
+	if len(pickedWithoutSpread) != 1 {
+		t.Errorf("others go to %v", pickedWithoutSpread)
 	}
-	if len(chosen) != 7 || chosen[busy.Worker.ID] > 0 {
-		t.Errorf("suspects go to %v", chosen)
+	if len(pickedForSuspects) != 7 || pickedForSuspects[busy.Worker.ID] > 0 {
+		t.Errorf("suspects go to %v", pickedForSuspects)
 	}
 }
--- a/internal/balance/changes_test.go
+++ b/internal/balance/index_test.go
@@ -14,9 +14,9 @@
 
 // TestChangesOneByOneAreTheSameAsAList has workers come, go and be described anew one at a time, at one balancer, while another one is given
 // the list at the end. Both have the same workers at the same places.
-func TestChangesOneByOneAreTheSameAsAList(t *testing.T) {
+func TestIncrementalChangesMatchSetWorkers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		stepwise, atOnce := New(DefaultSettings(), enginemodel.New(), nil), New(DefaultSettings(), enginemodel.New(), nil)
+		incremental, replaced := New(DefaultSettings(), enginemodel.New(), nil), New(DefaultSettings(), enginemodel.New(), nil)
 		set := backend.Set{}
 		for range rapid.IntRange(1, 60).Draw(t, "changes") {
 			id := fmt.Sprint("w", rapid.IntRange(0, 9).Draw(t, "worker"))
@@ -31,31 +31,31 @@
 				}}}
 			}
 			changes.Apply(set)
-			stepwise.Change(changes)
+			incremental.Change(changes)
 		}
-		atOnce.SetWorkers(set)
-		if one, other := places(stepwise), places(atOnce); !maps.EqualFunc(one, other, slices.Equal) {
-			t.Fatalf("one by one %v, as a list %v", one, other)
+		replaced.SetWorkers(set)
+		if got, want := indexContents(incremental), indexContents(replaced); !maps.EqualFunc(got, want, slices.Equal) {
+			t.Fatalf("one by one %v, as a list %v", got, want)
 		}
 	})
 }
 
 // places returns the workers that stand at each place, by its name.
-func places(b *Balancer) map[string][]string {
-	all := map[string][]string{"all": b.IDs()}
-	note := func(place string, states []*state) {
-		for _, each := range states {
-			all[place] = append(all[place], fmt.Sprint(*each.worker))
+func indexContents(b *Balancer) map[string][]string {
+	contents := map[string][]string{"all": b.IDs()}
+	add := func(name string, states []*workerState) {
+		for _, state := range states {
+			contents[name] = append(contents[name], fmt.Sprint(*state.worker))
 		}
 	}
-	for group, states := range b.pools.groups {
-		note("group "+group, states)
+	for group, states := range b.index.byGroup {
+		add("group "+group, states)
 	}
-	for key, ring := range b.pools.rings {
-		note(fmt.Sprint("ring ", key), ring.members)
+	for key, ring := range b.index.rings {
+		add(fmt.Sprint("ring ", key), ring.members)
 	}
-	for address, states := range b.pools.addresses {
-		note("address "+address, slices.SortedFunc(slices.Values(states), byPlace))
+	for address, states := range b.index.byAddress {
+		add("address "+address, slices.SortedFunc(slices.Values(states), compareRingPositions))
 	}
-	return all
+	return contents
 }
--- a/internal/balance/shortlist.go
+++ b/internal/balance/shortlist.go
@@ -10,120 +10,120 @@
 // ShortlistSettings bound how many workers are looked at for one request.
 type ShortlistSettings struct {
 	// ScanUpTo is the number of workers of a role up to which all are looked at: so few cost less than what they would otherwise miss.
-	ScanUpTo int
+	ScanLimit int
 	// Home is how many workers are looked at that follow the key of the prompt, of the zone and of all zones each: the same ones for all
 	// gateways, so that parts of prompts are found again.
-	Home int
+	Affinity int
 	// Random is how many are looked at beside them, of the zone and of all zones each: with some to choose among, the chance that all are
 	// busy falls with their power, whatever the size of the fleet (Mitzenmacher, 2001).
 	Random int
 	// Near bounds those looked at that keep a part of the prompt.
-	Near int
+	Holders int
 	// Reach is how many times as many workers are passed in search of such that take work: of a fleet of which nine in ten are away some
 	// are found all the same.
-	Reach int
+	SearchFactor int
 }
 
 // DefaultShortlistSettings look at some sixty workers.
 func DefaultShortlistSettings() ShortlistSettings {
-	return ShortlistSettings{ScanUpTo: 256, Home: 12, Random: 12, Near: 32, Reach: 12}
+	return ShortlistSettings{ScanLimit: 256, Affinity: 12, Random: 12, Holders: 32, SearchFactor: 12}
 }
 
 // shortlist is the workers that are looked at for a query.
 type shortlist struct {
-	states []*state
+	states []*workerState
 	// home is the worker that wins ties; nil when there is none.
-	home *state
+	preferred *workerState
 }
 
 // list returns the workers that may take the request: all, or of a large role some.
-func (b *Balancer) list(now time.Time, query Query) shortlist {
-	all := b.pools.ring(poolKey{group: query.Group, role: query.Role})
-	if len(all.members) <= b.settings.Shortlist.ScanUpTo {
-		states := b.filter(now, query)
-		return shortlist{states: states, home: preferred(query, states)}
+func (b *Balancer) eligibleOrSampled(now time.Time, query Query) shortlist {
+	all := b.index.ring(ringKey{group: query.Group, role: query.Role})
+	if len(all.members) <= b.settings.Shortlist.ScanLimit {
+		states := b.eligibleWorkers(now, query)
+		return shortlist{states: states, preferred: preferredWorker(query, states)}
 	}
-	return b.short(now, query, all)
+	return b.sampleRole(now, query, all)
 }
 
 // short returns some of the workers of a large role: those that keep parts of the prompt, those at the place of its key, and some at random.
-func (b *Balancer) short(now time.Time, query Query, all *ring) shortlist {
+func (b *Balancer) sampleRole(now time.Time, query Query, all *ring) shortlist {
 	settings := b.settings.Shortlist
 	zone := all
 	if query.Zone != "" {
-		zone = b.pools.ring(poolKey{group: query.Group, role: query.Role, zone: query.Zone})
+		zone = b.index.ring(ringKey{group: query.Group, role: query.Role, zone: query.Zone})
 	}
-	found := gathering{now: now, query: &query, limit: settings.Reach}
-	for _, id := range query.Near[:min(len(query.Near), settings.Near)] {
-		if known := b.workers[id]; known != nil && known.worker.Role == query.Role && slices.Contains(known.worker.Groups(), query.Group) {
-			found.take(known)
+	collected := collector{now: now, query: &query, searchFactor: settings.SearchFactor}
+	for _, id := range query.Near[:min(len(query.Near), settings.Holders)] {
+		if state := b.workers[id]; state != nil && state.worker.Role == query.Role && slices.Contains(state.worker.Groups(), query.Group) {
+			collected.add(state)
 		}
 	}
 	key := query.Key
 	if key == "" {
 		key = query.Request
 	}
-	home := place(key)
+	affinityStart := hashPosition(key)
 	if query.Gather {
-		home = place(query.Zone)
+		affinityStart = hashPosition(query.Zone)
 	}
-	random := place(query.Request + "/random")
-	first := len(found.healthy)
-	found.walk(zone, home, settings.Home)
-	gathered := found.healthy[first:]
-	listed := shortlist{home: found.walk(all, home, settings.Home)}
-	found.walk(zone, random, settings.Random)
-	found.walk(all, random, settings.Random)
-	listed.states = b.withEjected(found.healthy, found.ejected)
-	if query.Gather && len(gathered) > 0 {
-		listed.home = preferred(query, gathered)
+	randomStart := hashPosition(query.Request + "/random")
+	holders := len(collected.healthy)
+	collected.walk(zone, affinityStart, settings.Affinity)
+	nearKey := collected.healthy[holders:]
+	result := shortlist{preferred: collected.walk(all, affinityStart, settings.Affinity)}
+	collected.walk(zone, randomStart, settings.Random)
+	collected.walk(all, randomStart, settings.Random)
+	result.states = b.withEjected(collected.healthy, collected.ejected)
+	if query.Gather && len(nearKey) > 0 {
+		result.preferred = preferredWorker(query, nearKey)
 	}
-	return listed
+	return result
 }
 
 // place returns the place of a key on the rings.
-func place(key string) uint64 { return xxhash.Sum64String(key) }
+func hashPosition(key string) uint64 { return xxhash.Sum64String(key) }
 
 // gathering collects workers that may take a request, each once.
-type gathering struct {
+type collector struct {
 	now              time.Time
 	query            *Query
-	limit            int
-	healthy, ejected []*state
+	searchFactor     int
+	healthy, ejected []*workerState
 }
 
 // walk takes so many workers that may run the request from a place on, and returns the first of them.
-func (g *gathering) walk(r *ring, from uint64, wanted int) *state {
-	passed, taken := 0, 0
-	var first *state
-	for one := range r.from(from) {
-		if taken >= wanted || passed >= wanted*g.limit {
+func (c *collector) walk(r *ring, position uint64, count int) *workerState {
+	visited, added := 0, 0
+	var first *workerState
+	for state := range r.startingAt(position) {
+		if added >= count || visited >= count*c.searchFactor {
 			break
 		}
-		passed++
-		if !g.take(one) {
+		visited++
+		if !c.add(state) {
 			continue
 		}
-		taken++
+		added++
 		if first == nil {
-			first = one
+			first = state
 		}
 	}
 	return first
 }
 
 // take notes a worker once, and tells whether it may run the request and is not set aside.
-func (g *gathering) take(one *state) bool {
+func (c *collector) add(state *workerState) bool {
 	switch {
-	case !one.takesWork(g.now) || slices.Contains(g.query.Excluded, one.worker.ID):
+	case !state.acceptsNow(c.now) || slices.Contains(c.query.Excluded, state.worker.ID):
 		return false
-	case one.health.ejected(g.now):
-		if !slices.Contains(g.ejected, one) {
-			g.ejected = append(g.ejected, one)
+	case state.health.ejected(c.now):
+		if !slices.Contains(c.ejected, state) {
+			c.ejected = append(c.ejected, state)
 		}
 		return false
-	case !slices.Contains(g.healthy, one):
-		g.healthy = append(g.healthy, one)
+	case !slices.Contains(c.healthy, state):
+		c.healthy = append(c.healthy, state)
 	}
 	return true
 }
--- a/internal/balance/shortlist_test.go
+++ b/internal/balance/shortlist_test.go
@@ -12,7 +12,7 @@
 )
 
 // fleetOf returns writers of one group in six zones.
-func fleetOf(size int) backend.Set {
+func decodeFleet(size int) backend.Set {
 	set := make(backend.Set, size)
 	for i := range size {
 		id := fmt.Sprintf("w%05d", i)
@@ -24,17 +24,17 @@
 }
 
 // TestAChoiceLooksAtNoMoreOfTwiceTheFleet counts the candidates of choices at fleets of both sizes.
-func TestAChoiceLooksAtNoMoreOfTwiceTheFleet(t *testing.T) {
+func TestCandidatesAreBoundedForAnyFleetSize(t *testing.T) {
 	settings := DefaultShortlistSettings()
-	most := settings.Near + 2*(settings.Home+settings.Random)
+	maxCandidates := settings.Holders + 2*(settings.Affinity+settings.Random)
 	for _, size := range []int{1_000, 10_000, 20_000} {
 		balancer := New(DefaultSettings(), enginemodel.New(), nil)
-		balancer.SetWorkers(fleetOf(size))
+		balancer.SetWorkers(decodeFleet(size))
 		for i := range 100 {
 			query := Query{Request: fmt.Sprint("r", i), Group: "g", Role: backend.RoleDecode, Key: fmt.Sprint("k", i%7), Zone: fmt.Sprint("z", i%6)}
 			choice, found := balancer.Pick(epoch, query)
-			if !found || choice.Candidates > most {
-				t.Fatalf("at %d workers %d were looked at, at the most %d are to be: %t", size, choice.Candidates, most, found)
+			if !found || choice.Candidates > maxCandidates {
+				t.Fatalf("at %d workers %d were looked at, at the most %d are to be: %t", size, choice.Candidates, maxCandidates, found)
 			}
 		}
 	}
@@ -42,10 +42,10 @@
 
 // TestGatewaysOfALargeFleetKeepAPromptTogether asks gateways of all zones, which share nothing but the list of workers, for prompts of one
 // key: the worker that keeps it is among those that each looks at, and without a cost of distance all choose it.
-func TestGatewaysOfALargeFleetKeepAPromptTogether(t *testing.T) {
+func TestGatewaysOfALargeFleetPickTheSameWorkerForAKey(t *testing.T) {
 	settings := DefaultSettings()
 	settings.OtherZoneSeconds = 0
-	set := fleetOf(3_000)
+	set := decodeFleet(3_000)
 	for number := range 50 {
 		chosen := map[string]bool{}
 		for zone := range 6 {
@@ -63,12 +63,12 @@
 }
 
 // TestSomeOfALargeFleetAreFoundWhenFewAreLeft has most workers drain, fail or be tried before.
-func TestSomeOfALargeFleetAreFoundWhenFewAreLeft(t *testing.T) {
+func TestPickFindsTheFewAvailableWorkersOfALargeFleet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		set := fleetOf(1_200)
-		one := rapid.IntRange(1, 9).Draw(t, "one in so many takes work")
+		set := decodeFleet(1_200)
+		availableOneIn := rapid.IntRange(1, 9).Draw(t, "one in so many takes work")
 		for i := range 1_200 {
-			set[fmt.Sprintf("w%05d", i)].Draining = i%one != 0
+			set[fmt.Sprintf("w%05d", i)].Draining = i%availableOneIn != 0
 		}
 		balancer := New(DefaultSettings(), enginemodel.New(), nil)
 		balancer.SetWorkers(set)
@@ -90,11 +90,11 @@
 // TestShortPromptsOfALargeFleetNeedFewConnections sends the short prompts of a minute, 100 a second that take 30 ms each, through one
 // gateway of a fleet of ten thousand. They are kept together at a few workers of its zone, each of which is a connection to open, and none
 // of them has more than its places to do.
-func TestShortPromptsOfALargeFleetNeedFewConnections(t *testing.T) {
+func TestShortPromptsOfALargeFleetUseFewWorkers(t *testing.T) {
 	balancer := New(DefaultSettings(), enginemodel.New(), nil)
-	balancer.SetWorkers(fleetOf(10_000))
+	balancer.SetWorkers(decodeFleet(10_000))
 	used := map[string]bool{}
-	var under []string
+	var running []string
 	for i := range 6_000 {
 		choice, _ := balancer.Pick(epoch, Query{
 			Request: fmt.Sprint("r", i), Group: "g", Role: backend.RoleDecode, Key: fmt.Sprint("short ", i%3355), Zone: "z2", Gather: true,
@@ -104,29 +104,29 @@
 			t.Fatalf("%d run at %s while thousands are idle", load.Running, choice.Worker.ID)
 		}
 		used[choice.Worker.ID] = true
-		if under = append(under, choice.Worker.ID); len(under) > 3 {
-			balancer.End(epoch, under[0], OutcomeGood)
-			under = under[1:]
+		if running = append(running, choice.Worker.ID); len(running) > 3 {
+			balancer.End(epoch, running[0], OutcomeGood)
+			running = running[1:]
 		}
 	}
-	if len(used) > 2*DefaultShortlistSettings().Home {
+	if len(used) > 2*DefaultShortlistSettings().Affinity {
 		t.Errorf("%d workers were used", len(used))
 	}
 }
 
 // TestRandomOnesBearALoadBeyondTheHome sends 2,000 prompts of one key at a moment: the workers of its home fill, and the others get
 // the rest.
-func TestRandomOnesBearALoadBeyondTheHome(t *testing.T) {
+func TestRandomCandidatesAbsorbLoadOfAHotKey(t *testing.T) {
 	balancer := New(DefaultSettings(), enginemodel.New(), nil)
-	balancer.SetWorkers(fleetOf(10_000))
-	most := 0
+	balancer.SetWorkers(decodeFleet(10_000))
+	maxRunning := 0
 	for i := range 2_000 {
 		choice, _ := balancer.Pick(epoch, Query{Request: fmt.Sprint("r", i), Group: "g", Role: backend.RoleDecode, Key: "one", Zone: "z2"})
 		balancer.Begin(choice.Worker.ID, LoadOf(0, false))
-		most = max(most, balancer.Load(choice.Worker.ID).Running)
+		maxRunning = max(maxRunning, balancer.Load(choice.Worker.ID).Running)
 	}
 	// Spread at random over the 1,667 of the zone alone some would have six and more.
-	if most > 8 {
-		t.Errorf("one worker has %d of 2,000", most)
+	if maxRunning > 8 {
+		t.Errorf("one worker has %d of 2,000", maxRunning)
 	}
 }
--- a/internal/balance/risk_test.go
+++ b/internal/balance/suspects_test.go
@@ -15,7 +15,7 @@
 )
 
 // balancerOf returns a balancer that knows some workers.
-func balancerOf(set backend.Set) *Balancer {
+func newBalancer(set backend.Set) *Balancer {
 	balancer := New(DefaultSettings(), enginemodel.New(), nil)
 	balancer.SetWorkers(set)
 	balancer.Returned(epoch)
@@ -23,75 +23,75 @@
 }
 
 // suspectOf asks for a worker for a request that may end it.
-func suspectOf(name string) Query {
+func suspectQuery(name string) Query {
 	return Query{Group: "g", Role: backend.RoleDecode, Apart: name}
 }
 
 // TestSuspectsPutNoMoreAtRiskThanTheRoleCanLose tells gateways of the same ends in any order, and has them set workers aside as they
 // like. Those that are away and those where suspects may run are never more than a quarter of the role together, or one.
-func TestSuspectsPutNoMoreAtRiskThanTheRoleCanLose(t *testing.T) {
+func TestSuspectsAreBoundedByRiskShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(1, 40).Draw(t, "workers")
 		set := engines(backend.RoleDecode, size)
 		ids := slices.Sorted(maps.Keys(set))
-		ended := rapid.SliceOfNDistinct(rapid.SampledFrom(ids), 0, size, rapid.ID).Draw(t, "ended")
-		now := epoch.Add(time.Duration(len(ended)) * time.Second / 10)
+		crashed := rapid.SliceOfNDistinct(rapid.SampledFrom(ids), 0, size, rapid.ID).Draw(t, "ended")
+		now := epoch.Add(time.Duration(len(crashed)) * time.Second / 10)
 		exposed := map[string]bool{}
 		for gateway := range 3 {
-			balancer := balancerOf(set)
-			for _, i := range rapid.Permutation(lo.Range(len(ended))).Draw(t, "order") {
-				balancer.Ended(now, epoch.Add(time.Duration(i)*time.Second/10), ended[i])
+			balancer := newBalancer(set)
+			for _, i := range rapid.Permutation(lo.Range(len(crashed))).Draw(t, "order") {
+				balancer.Ended(now, epoch.Add(time.Duration(i)*time.Second/10), crashed[i])
 			}
-			aside := rapid.SampledFrom(ids).Draw(t, "aside")
-			balancer.Begin(aside, LoadOf(0, false))
-			balancer.End(now, aside, OutcomeUnreachable)
+			ejected := rapid.SampledFrom(ids).Draw(t, "aside")
+			balancer.Begin(ejected, LoadOf(0, false))
+			balancer.End(now, ejected, OutcomeUnreachable)
 			for number := range 20 {
-				query := suspectOf(fmt.Sprint(gateway, "-", number))
+				query := suspectQuery(fmt.Sprint(gateway, "-", number))
 				query.Begun = rapid.Bool().Draw(t, "begun")
 				query.Excluded = rapid.SliceOfN(rapid.SampledFrom(ids), 0, 2).Draw(t, "excluded")
 				choice, found := balancer.Pick(now, query)
 				if !found {
 					continue
 				}
-				if slices.Contains(ended, choice.Worker.ID) || slices.Contains(query.Excluded, choice.Worker.ID) {
-					t.Fatalf("%s was picked, of which %v ended and %v failed it", choice.Worker.ID, ended, query.Excluded)
+				if slices.Contains(crashed, choice.Worker.ID) || slices.Contains(query.Excluded, choice.Worker.ID) {
+					t.Fatalf("%s was picked, of which %v ended and %v failed it", choice.Worker.ID, crashed, query.Excluded)
 				}
 				exposed[choice.Worker.ID] = true
 			}
 		}
-		if most := max(size/4, 1); len(exposed) > 0 && len(ended)+len(exposed) > most {
-			t.Fatalf("%d of %d are away, and suspects run at %v", len(ended), size, exposed)
+		if maxExposed := max(size/4, 1); len(exposed) > 0 && len(crashed)+len(exposed) > maxExposed {
+			t.Fatalf("%d of %d are away, and suspects run at %v", len(crashed), size, exposed)
 		}
 	})
 }
 
 // TestEachSuspectHasItsTurn asks at a role that can lose one worker, after one has ended and come back.
-func TestEachSuspectHasItsTurn(t *testing.T) {
+func TestEverySuspectGetsATurn(t *testing.T) {
 	settings := DefaultRiskSettings()
 	set := engines(backend.RoleDecode, 4)
-	balancer := balancerOf(set)
+	balancer := newBalancer(set)
 	balancer.Ended(epoch, epoch, "decode-1")
-	if _, found := balancer.Pick(epoch, suspectOf("a")); found {
+	if _, found := balancer.Pick(epoch, suspectQuery("a")); found {
 		t.Fatal("a suspect runs while one of four is away")
 	}
-	if in := balancer.RunsIn(epoch.Add(time.Second), suspectOf("a")); in != settings.Away-time.Second {
-		t.Errorf("it is to run in %s", in)
+	if wait := balancer.RunsIn(epoch.Add(time.Second), suspectQuery("a")); wait != settings.Away-time.Second {
+		t.Errorf("it is to run in %s", wait)
 	}
 	set = set.Clone()
 	set["again"] = &backend.Worker{ID: "again", Group: "g", Address: set["decode-1"].Address, Role: backend.RoleDecode, Slots: 8}
 	delete(set, "decode-1")
-	back := epoch.Add(3 * time.Second)
+	replacedAt := epoch.Add(3 * time.Second)
 	balancer.SetWorkers(set)
-	balancer.Returned(back)
+	balancer.Returned(replacedAt)
 	turns := map[string]int{}
 	for step := range int(settings.Round() / (10 * time.Millisecond)) {
-		now := back.Add(time.Duration(step) * 10 * time.Millisecond)
+		now := replacedAt.Add(time.Duration(step) * 10 * time.Millisecond)
 		for number := range 20 {
-			query := suspectOf(fmt.Sprint("suspect ", number))
+			query := suspectQuery(fmt.Sprint("suspect ", number))
 			choice, found := balancer.Pick(now, query)
-			in := balancer.RunsIn(now, query)
-			if found != (in == 0) || in >= settings.Round() {
-				t.Fatalf("%s runs: %t, and is to run in %s", query.Apart, found, in)
+			wait := balancer.RunsIn(now, query)
+			if found != (wait == 0) || wait >= settings.Round() {
+				t.Fatalf("%s runs: %t, and is to run in %s", query.Apart, found, wait)
 			}
 			if found {
 				turns[query.Apart]++
@@ -109,38 +109,38 @@
 	if len(turns) != 20 {
 		t.Errorf("%d of 20 had a turn", len(turns))
 	}
-	balancer.Ended(back, back, "decode-2")
-	if in := balancer.RunsIn(back, suspectOf("a")); in != 3*time.Second {
-		t.Errorf("after the next end one is to run in %s, as long as the last one was away", in)
+	balancer.Ended(replacedAt, replacedAt, "decode-2")
+	if wait := balancer.RunsIn(replacedAt, suspectQuery("a")); wait != 3*time.Second {
+		t.Errorf("after the next end one is to run in %s, as long as the last one was away", wait)
 	}
 }
 
 // TestAnotherWorkerTakesThePlaceOfOneThatEnded has all workers end and others start at other addresses, as schedulers of containers do.
-func TestAnotherWorkerTakesThePlaceOfOneThatEnded(t *testing.T) {
+func TestNewWorkerReplacesCrashedWorker(t *testing.T) {
 	set := engines(backend.RoleDecode, 4)
-	balancer := balancerOf(set)
+	balancer := newBalancer(set)
 	for id := range set {
 		balancer.Ended(epoch, epoch, id)
 	}
-	others := backend.Set{}
+	replacements := backend.Set{}
 	for i := range 4 {
 		id := fmt.Sprint("other-", i)
-		others[id] = &backend.Worker{ID: id, Group: "g", Address: "10.0.1." + fmt.Sprint(i), Role: backend.RoleDecode, Slots: 8}
+		replacements[id] = &backend.Worker{ID: id, Group: "g", Address: "10.0.1." + fmt.Sprint(i), Role: backend.RoleDecode, Slots: 8}
 	}
-	query := suspectOf("a")
+	query := suspectQuery("a")
 	query.Begun = true
 	for count := range 5 {
-		some := backend.Set{}
+		current := backend.Set{}
 		for i := range count {
-			some[fmt.Sprint("other-", i)] = others[fmt.Sprint("other-", i)]
+			current[fmt.Sprint("other-", i)] = replacements[fmt.Sprint("other-", i)]
 		}
-		balancer.SetWorkers(some)
+		balancer.SetWorkers(current)
 		balancer.Returned(epoch.Add(time.Second))
 		if _, found := balancer.Pick(epoch.Add(time.Second), query); found != (count == 4) {
 			t.Errorf("with %d others a suspect runs: %t", count, found)
 		}
 	}
-	balancer = balancerOf(set)
+	balancer = newBalancer(set)
 	balancer.Ended(epoch, epoch, "decode-0")
 	if _, found := balancer.Pick(epoch.Add(DefaultRiskSettings().Away), query); !found {
 		t.Error("a worker that does not come back keeps suspects from the others for good")
@@ -149,8 +149,8 @@
 
 // TestAWorkerThatIsGoneIsNoneForSuspects has the one worker of four that may be put at risk refuse connections before its end was told. It
 // counts as away, so that no other one is put at risk, and a suspect is told to come back in place of being sent there.
-func TestAWorkerThatIsGoneIsNoneForSuspects(t *testing.T) {
-	b, now, query := balancerOf(engines(backend.RoleDecode, 4)), epoch, suspectOf("a")
+func TestUnreachableWorkerCountsAsMissingForSuspects(t *testing.T) {
+	b, now, query := newBalancer(engines(backend.RoleDecode, 4)), epoch, suspectQuery("a")
 	choice, found := b.Pick(now, query)
 	if !found {
 		t.Fatal("no worker for a suspect")
@@ -159,14 +159,14 @@
 	if again, found := b.Pick(now, query); found {
 		t.Errorf("%s was picked beside one that is gone", again.Worker.ID)
 	}
-	if in := b.RunsIn(now, query); in <= 0 {
-		t.Errorf("it is to come back after %s", in)
+	if wait := b.RunsIn(now, query); wait <= 0 {
+		t.Errorf("it is to come back after %s", wait)
 	}
 }
 
 // TestASuspectThatWasTriedEverywhereIsNotToldToWait excludes the one worker at which a suspect may run.
-func TestASuspectThatWasTriedEverywhereIsNotToldToWait(t *testing.T) {
-	b, now, query := balancerOf(engines(backend.RoleDecode, 4)), epoch, suspectOf("a")
+func TestSuspectTriedOnEveryAllowedWorker(t *testing.T) {
+	b, now, query := newBalancer(engines(backend.RoleDecode, 4)), epoch, suspectQuery("a")
 	choice, _ := b.Pick(now, query)
 	query.Excluded = []string{choice.Worker.ID}
 	if !b.Tried(now, query) {
