--- a/internal/balance/backoff.go
+++ b/internal/balance/backoff.go
@@ -2,24 +2,25 @@
 
 import "time"
 
-// BackOffSettings bound the times for which workers want no requests of this gateway.
+// BackOffSettings limits the back-off times that workers may ask for.
 type BackOffSettings struct {
-	// Longest is how long such a time may be. A worker that is out for longer is replaced or looked after by people; a longer one, as of a
-	// date that was written wrong, would take a worker that lives out of use until its next start.
+	// MaxDuration limits a back-off time. Without it, a worker that announces a wrong date would be out of use until
+	// it restarts.
 	MaxDuration time.Duration
 }
 
-// DefaultBackOffSettings keep times of up to ten minutes, which is longer than a worker takes to load what it serves.
+// DefaultBackOffSettings returns the default settings. The limit is longer than a worker takes to load a model.
 func DefaultBackOffSettings() BackOffSettings { return BackOffSettings{MaxDuration: 10 * time.Minute} }
 
-// backOffs are until when workers want no requests of this gateway, by the ids of their incarnations. They outlast records that go and
-// come again.
+// backOffs maps the ID of a worker to the time until which it has asked for no requests. Entries outlive the
+// registration of the worker.
 //
-// Invariant: nothing but its time and the next start of its worker ends one. Failures, successes and a worker that is set aside or answers
-// connections again have no part in it: those are what this gateway thinks of a worker, and this is what the worker asked for.
+// Invariant: a back-off ends only when its time has passed or the worker restarts. Successes, failures and ejections
+// reflect what this gateway observes, and don't shorten what the worker has asked for.
 type backOffs map[string]time.Time
 
-// BackOff keeps requests off a worker for a time, as it asked for. One that asks again may lengthen the time. It returns until when.
+// BackOff stops requests to a worker for the duration that it asked for, and returns when the back-off ends. A
+// repeated call may extend the back-off but not shorten it.
 func (b *Balancer) BackOff(now time.Time, id string, duration time.Duration) time.Time {
 	until := now.Add(min(duration, b.settings.BackOff.MaxDuration))
 	if previous := b.backOffs[id]; previous.After(until) {
@@ -37,8 +38,9 @@
 	return until
 }
 
-// BacksOffUntil returns until when a worker wants no requests; a time that has passed if it takes them.
+// BacksOffUntil returns when the back-off of a worker ends. The time is in the past or zero if the worker accepts
+// requests.
 func (b *Balancer) BacksOffUntil(id string) time.Time { return b.backOffs[id] }
 
-// backsOff tells whether the worker wants no requests of this gateway.
+// backingOff reports whether the worker has asked for no requests.
 func (s *workerState) backingOff(now time.Time) bool { return now.Before(s.backOffUntil) }
--- a/internal/balance/backoff_test.go
+++ b/internal/balance/backoff_test.go
@@ -15,22 +15,22 @@
 	"github.com/granitebay/granitebay/internal/enginemodel"
 )
 
-// backOffRun plays one script.
+// scriptRun runs one script of testdata.
 type scriptRun struct {
 	t        *testing.T
 	now      time.Time
 	balancer *Balancer
 	workers  backend.Set
-	// part is which part of limits is held here.
+	// share is the share of this gateway in all limits.
 	share float64
 }
 
-// outcomesByName are the outcomes in scripts.
+// outcomesByName maps the outcomes in scripts.
 var outcomesByName = map[string]Outcome{
 	"good": OutcomeGood, "full": OutcomeFull, "silent": OutcomeSilent, "broken": OutcomeBroken,
 }
 
-// duration reads a duration of a script.
+// duration parses a duration of a script.
 func (r *scriptRun) duration(text string) time.Duration {
 	parsed, err := time.ParseDuration(text)
 	if err != nil {
@@ -39,14 +39,14 @@
 	return parsed
 }
 
-// holdings are parts of limits, with nothing lent.
+// quotaShares returns the share of this gateway by worker, and has no loans.
 type quotaShares func(worker string) float64
 
-func (h quotaShares) Part(worker string, _ float64) float64 { return h(worker) }
+func (s quotaShares) Part(worker string, _ float64) float64 { return s(worker) }
 func (quotaShares) Lent(string) int                         { return 0 }
 func (quotaShares) UseLent(string) bool                     { return false }
 
-// taking returns the workers that take requests, in their order.
+// accepting returns the sorted IDs of the workers that can be picked.
 func (r *scriptRun) accepting() []string {
 	var accepting, excluded []string
 	for {
@@ -60,7 +60,7 @@
 	return accepting
 }
 
-// step plays one line, and returns what is wrong.
+// step runs one line, and returns how it failed, or an empty string.
 func (r *scriptRun) step(verb string, arguments []string) string {
 	switch verb {
 	case "backoff":
@@ -86,7 +86,7 @@
 		r.balancer.Change(backend.Changes{Gone: arguments, Put: []*backend.Worker{&restarted}})
 	case "accepting":
 		if accepting := r.accepting(); !slices.Equal(accepting, arguments) {
-			return fmt.Sprintf("%v take requests", accepting)
+			return fmt.Sprintf("%v accept requests", accepting)
 		}
 	case "limit":
 		rate, _ := strconv.ParseFloat(arguments[1], 64)
@@ -103,15 +103,15 @@
 			spent++
 		}
 		if strconv.Itoa(spent) != arguments[1] {
-			return fmt.Sprintf("%d were spent", spent)
+			return fmt.Sprintf("spent %d requests", spent)
 		}
 	case "accepts-in":
 		full, allFull := r.balancer.FullUntil(r.now, "g", backend.RoleDecode)
 		if got := full.Until.Sub(r.now).String(); (allFull && got != arguments[0]) || (!allFull && arguments[0] != "never") {
-			return fmt.Sprintf("it ends after %s, %t", got, allFull)
+			return fmt.Sprintf("accepts in %s, all full: %t", got, allFull)
 		}
 	default:
-		return "there is no such step"
+		return "unknown step"
 	}
 	return ""
 }
@@ -120,7 +120,7 @@
 
 func TestLimitScripts(t *testing.T) { runScripts(t, "testdata/limits.txtar") }
 
-// playBackOffs plays the scripts of a file.
+// runScripts runs the scripts of a file.
 func runScripts(t *testing.T, file string) {
 	t.Helper()
 	scripts, err := txtar.ParseFile(file)
@@ -150,12 +150,11 @@
 	}
 }
 
-// TestAWorkerThatBacksOffIsNeverPicked looks at all ways to choose: of few workers and of many, for a request that is known to do no harm
-// and for one that may end workers.
+// TestBackingOffWorkerIsNeverPicked covers small and large roles, and suspects.
 func TestBackingOffWorkerIsNeverPicked(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := DefaultSettings()
-		settings.Shortlist.ScanLimit = rapid.SampledFrom([]int{0, 256}).Draw(t, "scan up to")
+		settings.Shortlist.ScanLimit = rapid.SampledFrom([]int{0, 256}).Draw(t, "scan limit")
 		balancer := New(settings, enginemodel.New(), nil)
 		set := engines(backend.RoleDecode, 12)
 		balancer.SetWorkers(set)
@@ -171,17 +170,17 @@
 		now := epoch.Add(time.Duration(rapid.IntRange(0, 5000).Draw(t, "later")) * time.Millisecond)
 		query := Query{Group: "g", Role: backend.RoleDecode, Request: rapid.String().Draw(t, "request"), Apart: rapid.SampledFrom([]string{"", "a"}).Draw(t, "apart")}
 		if choice, found := balancer.Pick(now, query); found && now.Before(until[choice.Worker.ID]) {
-			t.Fatalf("%s was picked, which wants none for %s", choice.Worker.ID, until[choice.Worker.ID].Sub(now))
+			t.Fatalf("picked %s, which backs off for %s", choice.Worker.ID, until[choice.Worker.ID].Sub(now))
 		}
 	})
 }
 
-// TestAWorkerWithALimitGetsNoMore asks in all ways to choose, and counts what each worker gets: what its limit allows, and nothing of a limit
-// that others hold.
+// TestLimitedWorkerGetsNoMoreThanItsLimit covers small and large roles, and suspects. Each worker may get at most the
+// share of this gateway in its limit.
 func TestLimitedWorkerGetsNoMoreThanItsLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := DefaultSettings()
-		settings.Shortlist.ScanLimit = rapid.SampledFrom([]int{0, 256}).Draw(t, "scan up to")
+		settings.Shortlist.ScanLimit = rapid.SampledFrom([]int{0, 256}).Draw(t, "scan limit")
 		balancer := New(settings, enginemodel.New(), nil)
 		balancer.ShareLimits(quotaShares(func(worker string) float64 { return float64(len(worker)%2) / 2 }))
 		set := engines(backend.RoleDecode, 12)
@@ -202,14 +201,14 @@
 				continue
 			}
 			if !balancer.Spend(now, choice.Worker.ID) {
-				t.Fatalf("%s was picked, and may not be asked", choice.Worker.ID)
+				t.Fatalf("picked %s without a quota", choice.Worker.ID)
 			}
 			got[choice.Worker.ID]++
 		}
 		for id, limit := range limits {
 			share := limit * float64(len(id)%2) / 2
 			if maxRequests := share*seconds + max(share, 1); share == 0 && got[id] > 0 || float64(got[id]) > maxRequests {
-				t.Fatalf("%s got %d requests in %d s of a part of %v a second", id, got[id], seconds, share)
+				t.Fatalf("%s got %d requests in %d s with a share of %v requests per second", id, got[id], seconds, share)
 			}
 		}
 	})
--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -1,10 +1,10 @@
-// Package balance chooses the worker for a request in three stages, in the manner of the Kubernetes scheduler: filters remove
-// workers that can't take it, scores estimate what each remaining one would cost, and the pick takes the cheapest.
+// Package balance chooses the worker for a request in three stages, like the Kubernetes scheduler: filters remove the
+// workers that can't accept it, scores estimate the cost of each remaining worker, and the cheapest one is picked.
 //
-// All scores have one unit, seconds of expected delay, so that keeping prompts together is worth exactly the reading that it
-// saves times a weight. A Balancer is a pure state machine: it has no clock, no goroutine and no randomness, and it is not
-// safe for concurrent use. Several gateways that know the same workers choose the same one for a prompt without talking to
-// each other, because the order of preference comes from rendezvous hashing.
+// Scores are in seconds of expected delay, so the value of a prefix cache hit is the prefill time that it saves. A
+// Balancer is a pure state machine: it has no clock, no goroutine and no randomness, and it is not safe for
+// concurrent use. Gateways with the same workers pick the same one for a prompt without communication, because ties
+// are broken by rendezvous hashing.
 package balance
 
 import (
@@ -17,98 +17,101 @@
 	"github.com/granitebay/granitebay/internal/enginemodel"
 )
 
-// Query asks for a worker.
+// Query describes a request that needs a worker.
 type Query struct {
-	// Request is the id of the request; it breaks ties.
+	// Request is the request ID. It breaks ties between workers if Key is empty.
 	Request string
 	Group   string
 	Role    backend.Role
-	// Key names prompts that are worth keeping together; it breaks ties before the request does. Empty has no preference.
+	// Key is the affinity key: prompts with the same key share a cacheable prefix. It breaks ties between workers.
+	// Empty means no preference.
 	Key string
-	// Reading estimates what the prompt would cost a worker. Nil is nothing.
+	// Reading estimates the prefill cost of the prompt at a worker. Nil means no cost.
 	Reading func(worker *backend.Worker) Reading
-	// Deferred prompts are read after all others.
+	// Deferred prompts are prefilled after all others.
 	Deferred bool
-	// Zone of the preferred workers.
+	// Zone is the preferred zone.
 	Zone string
-	// Near are workers that keep a part of the prompt, by id. They are looked at also where not all workers are.
+	// Near lists the IDs of workers that have a part of the prompt cached. They are candidates even if the role is
+	// sampled.
 	Near []string
-	// Gather has prompts whose key is not worth a worker of its own kept together by zones, so that few connections serve them.
+	// Gather concentrates prompts whose key is not worth a worker of its own on a few workers of the zone, to limit
+	// the number of connections.
 	Gather bool
-	// Excluded workers are not to be tried again.
+	// Excluded lists workers that must not be tried again.
 	Excluded []string
-	// Apart is set for a request that may have ended a worker. Such ones go only to as many workers as the role can lose, and are spread
-	// over those that cost little more than the cheapest of them, by this key: those that ran beside each other at one worker do not
-	// meet again at the next, and are told apart.
+	// Apart is set for a suspect: a request that may crash its worker. Suspects are restricted to as many workers as
+	// the role can afford to lose. Among those whose cost is close to the cheapest, this key selects one, so that
+	// suspects that ran on the same worker are separated on the next and can be told apart.
 	Apart string
-	// Begun is set when the prompt of such a request was read in its turn, and is to be answered.
+	// Begun is set for a suspect that has been prefilled in its turn and now needs a worker for decoding.
 	Begun bool
 }
 
-// Reading is what a prompt costs a worker.
+// Reading is the prefill cost of a prompt at a worker.
 type Reading struct {
-	// Tokens that the worker reads itself.
+	// Tokens is the number of tokens that the worker must prefill.
 	Tokens int
-	// TransferSeconds is the cost of getting the rest there, and of reading what others keep.
+	// TransferSeconds is the time to transfer the rest from the caches of other workers, and the cost of recomputing
+	// what they have cached.
 	TransferSeconds float64
 }
 
 // Score is the estimated cost of a worker, in seconds.
 type Score struct {
-	// Queue is the time until the work that is already there is done.
+	// Queue is the time until the work already at the worker is done.
 	Queue float64
-	// Reading is the time to read what the worker doesn't keep, and HoldUp the delay that this puts on the answers which the
-	// worker is writing.
+	// Reading is the time to prefill the tokens that the worker has not cached, and HoldUp is the delay that this
+	// adds to the responses that the worker is decoding.
 	Reading float64
 	HoldUp  float64
-	// Transfer is the cost of getting there what others keep.
+	// Transfer is the cost of transferring cached tokens from other workers.
 	Transfer float64
-	// Distance is the cost of another zone.
+	// Distance is the cost of crossing zones.
 	Distance float64
-	// Answer is when the worker is expected to give its first sign, and Wait the part of it in which others come first. They are
-	// no part of the cost.
+	// Answer is the expected time to the first token, and Wait is the part of it that is spent queueing. They are not
+	// part of the total.
 	Answer, Wait float64
-	// Doubt is the cost of a worker that is set aside, and used because too few others are left.
+	// Doubt is the penalty of an ejected worker that is used because too few healthy workers are left.
 	Doubt float64
 }
 
-// Total is the sum.
+// Total returns the total cost in seconds.
 func (s Score) Total() float64 {
 	return s.Queue + s.Reading + s.HoldUp + s.Transfer + s.Distance + s.Doubt
 }
 
-// Choice is the worker that was picked.
+// Choice is a picked worker and its score.
 type Choice struct {
 	Worker *backend.Worker
 	Score  Score
-	// Candidates is the number of workers that passed all filters.
+	// Candidates is the number of workers that were scored.
 	Candidates int
 }
 
-// Settings of a balancer.
+// Settings configures a Balancer.
 type Settings struct {
-	// SecondsPerRun is the delay that one run in progress adds at an engine; plain workers take the time of a run, shared by
-	// their slots.
+	// SecondsPerRequest is the delay that each running request adds at an engine. For plain workers the estimated
+	// service time is used instead.
 	SecondsPerRequest float64
-	// HoldUpWeight is the part of the delay of each other answer that counts where prompts are read beside them. An engine does
-	// one thing at a time, so a second of reading delays each of its answers by up to a second.
+	// InterferenceWeight scales the delay that prefill adds to the responses being decoded. An engine does one thing
+	// at a time, so a second of prefill delays each response by up to a second.
 	InterferenceWeight float64
 	// OtherZoneSeconds is the cost of a worker in another zone.
 	OtherZoneSeconds float64
-	// ApartSeconds is how much more than the cheapest a worker may cost for a request that is to be apart from others: a third of the
-	// tightest objective of the users' deployments, 0.25 s.
+	// SuspectSpreadSeconds is the maximum cost above the cheapest worker at which a suspect may be placed.
 	SuspectSpreadSeconds float64
-	// Risk bounds the workers that such requests may end.
+	// Risk limits how many workers suspects may crash.
 	Risk RiskSettings
-	// Shortlist bounds the workers that are looked at.
+	// Shortlist limits how many workers of a large role are considered.
 	Shortlist ShortlistSettings
-	// Health of workers.
+	// Health configures the ejection of failing workers.
 	Health HealthSettings
-	// BackOff bounds the times for which workers want no requests.
+	// BackOff limits the back-off times that workers may ask for.
 	BackOff BackOffSettings
 }
 
-// DefaultSettings count the delay of each answer alike.
+// DefaultSettings returns the default settings.
 func DefaultSettings() Settings {
 	return Settings{
 		SecondsPerRequest: 0.002, InterferenceWeight: 1, OtherZoneSeconds: 0.010, SuspectSpreadSeconds: 0.08, Risk: DefaultRiskSettings(),
@@ -116,16 +119,16 @@
 	}
 }
 
-// Elsewhere tells what other gateways have at a worker.
+// RemoteLoad returns the load that other gateways have placed on a worker.
 type RemoteLoad func(worker string) backend.Load
 
-// Balancer holds what one gateway knows of the workers.
+// Balancer holds the state of all workers as one gateway knows it.
 type Balancer struct {
 	settings   Settings
 	model      *enginemodel.Model
 	remoteLoad RemoteLoad
 	workers    map[string]*workerState
-	// loaded are the workers at which this gateway has work.
+	// loaded holds the workers with load from this gateway.
 	loaded   map[string]*workerState
 	index    workerIndex
 	crashes  crashes
@@ -133,25 +136,25 @@
 	limits   limits
 }
 
-// state is one worker as this gateway sees it.
+// workerState is the state of one worker as this gateway knows it.
 type workerState struct {
 	worker *backend.Worker
-	// load is the own work at the worker.
+	// load is the load that this gateway has placed on the worker.
 	load   backend.Load
 	health health
-	// goneUntil is how long the worker is passed over because its address refuses connections.
+	// unreachableUntil is until when the worker is skipped because its address refuses connections.
 	unreachableUntil time.Time
-	// changingUntil is how long work is kept off the worker, because it changes its role.
+	// roleChangeUntil is until when the worker is skipped because it is changing its role.
 	roleChangeUntil time.Time
-	// backOffUntil is until when the worker wants no requests of this gateway.
+	// backOffUntil is until when the worker has asked for no requests.
 	backOffUntil time.Time
-	// limit is how many requests the worker takes; nil if it does not say.
+	// limit is the request rate limit that the worker has announced, or nil.
 	limit *workerLimit
-	// place is that in the rings, which the address decides.
+	// ringPosition is the hash of the address.
 	ringPosition uint64
 }
 
-// New returns a balancer without workers. The model tells how fast they are; the caller feeds it.
+// New returns a Balancer without workers. The model estimates their speed; the caller updates it.
 func New(settings Settings, model *enginemodel.Model, remoteLoad RemoteLoad) *Balancer {
 	return &Balancer{
 		settings: settings, model: model, remoteLoad: remoteLoad, workers: map[string]*workerState{}, loaded: map[string]*workerState{},
@@ -160,7 +163,7 @@
 	}
 }
 
-// SetWorkers replaces the workers. What is known of those that stay is kept.
+// SetWorkers replaces the workers and keeps the state of those that remain.
 func (b *Balancer) SetWorkers(set backend.Set) {
 	previous := make(backend.Set, len(b.workers))
 	for id, state := range b.workers {
@@ -169,7 +172,7 @@
 	b.Change(set.Since(previous))
 }
 
-// Change takes workers that are new, described anew or gone. What is known of the others stays as it is.
+// Change adds, updates and removes workers. The state of all others is unchanged.
 func (b *Balancer) Change(changes backend.Changes) {
 	for _, id := range changes.Gone {
 		if state, found := b.workers[id]; found {
@@ -186,14 +189,14 @@
 			b.crashes.added = append(b.crashes.added, state)
 		}
 		if found && state.worker.Role != worker.Role {
-			// The change of role is over.
+			// The role change is complete.
 			state.roleChangeUntil = time.Time{}
 		}
 		b.updateDescription(state, worker)
 	}
 }
 
-// describe gives a worker another description, and the place in the pools that goes with it.
+// updateDescription replaces the description of a worker and updates the index.
 func (b *Balancer) updateDescription(state *workerState, worker *backend.Worker) {
 	if state.worker != nil && sameIndexKeys(state.worker, worker) {
 		state.worker = worker
@@ -206,7 +209,7 @@
 	b.index.add(state)
 }
 
-// LoadOf is the load of one request whose prompt has so many tokens to read.
+// LoadOf returns the load of one request with the given number of tokens to prefill.
 func LoadOf(tokens int, deferred bool) backend.Load {
 	load := backend.Load{Running: 1}
 	switch {
@@ -221,7 +224,7 @@
 	return load
 }
 
-// Begin notes that a request was sent to a worker.
+// Begin records that a request was sent to a worker.
 func (b *Balancer) Begin(id string, load backend.Load) {
 	if state, found := b.workers[id]; found {
 		state.load = state.load.Plus(load)
@@ -229,7 +232,7 @@
 	}
 }
 
-// noteLoad keeps the list of the workers at which there is work.
+// updateLoaded adds the worker to the loaded workers or removes it.
 func (b *Balancer) updateLoaded(state *workerState) {
 	if state.load == (backend.Load{}) {
 		delete(b.loaded, state.worker.ID)
@@ -238,10 +241,10 @@
 	b.loaded[state.worker.ID] = state
 }
 
-// Loaded returns the ids of the workers at which this gateway has work, in their order.
+// Loaded returns the sorted IDs of the workers with load from this gateway.
 func (b *Balancer) Loaded() []string { return slices.Sorted(maps.Keys(b.loaded)) }
 
-// Answered notes that a worker has read the prompt of a request, which still runs there.
+// Answered records that a worker has prefilled the prompt of a request, which is still running there.
 func (b *Balancer) Answered(id string, load backend.Load) {
 	if state, found := b.workers[id]; found {
 		load.Running = 0
@@ -250,8 +253,8 @@
 	}
 }
 
-// End notes that a request has left a worker, with what it showed of the worker's health. It tells whether the worker is set
-// aside for that.
+// End records that a request has left a worker, and its outcome. It reports whether the worker is ejected because of
+// it.
 func (b *Balancer) End(now time.Time, id string, outcome Outcome) bool {
 	state, found := b.workers[id]
 	if !found {
@@ -262,15 +265,15 @@
 	return state.health.record(now, outcome, &b.settings.Health)
 }
 
-// Hearsay notes that another gateway has set a worker aside. It counts as one failure: two gateways, or one and an own
-// failure, set it aside here too.
+// Hearsay records that another gateway has ejected a worker. It counts as one failure: reports from two gateways, or
+// one report and one local failure, eject the worker here too.
 func (b *Balancer) Hearsay(now time.Time, id string) {
 	if state, found := b.workers[id]; found {
 		state.health.record(now, OutcomeSilent, &b.settings.Health)
 	}
 }
 
-// Load returns what this gateway has at a worker.
+// Load returns the load that this gateway has placed on a worker.
 func (b *Balancer) Load(id string) backend.Load {
 	state, found := b.workers[id]
 	if !found {
@@ -279,7 +282,7 @@
 	return state.load
 }
 
-// TotalLoad returns what all gateways have at a worker.
+// TotalLoad returns the load that all gateways have placed on a worker.
 func (b *Balancer) TotalLoad(id string) backend.Load {
 	state, found := b.workers[id]
 	if !found {
@@ -288,7 +291,7 @@
 	return b.combinedLoad(state)
 }
 
-// loadAt returns what all gateways have at a worker.
+// combinedLoad returns the load that all gateways have placed on a worker.
 func (b *Balancer) combinedLoad(state *workerState) backend.Load {
 	if b.remoteLoad == nil {
 		return state.load
@@ -296,29 +299,31 @@
 	return state.load.Plus(b.remoteLoad(state.worker.ID))
 }
 
-// Usable tells whether a worker takes work and is not set aside.
+// Usable reports whether a worker is in service, not backing off and not ejected.
 func (b *Balancer) Usable(now time.Time, id string) bool {
 	state, found := b.workers[id]
 	return found && state.usable(now)
 }
 
-// usable tells whether the worker takes work and is not set aside. One with a limit does, also while its quota here is used up.
+// usable reports whether the worker is in service, not backing off and not ejected. A spent quota does not make it
+// unusable.
 func (s *workerState) usable(now time.Time) bool {
 	return s.inService(now) && !s.backingOff(now) && !s.health.ejected(now)
 }
 
-// takesWork tells whether the worker takes a request of this gateway now, be it set aside or not.
+// acceptsNow reports whether the worker accepts a request from this gateway now, ejected or not.
 func (s *workerState) acceptsNow(now time.Time) bool { return s.inService(now) && s.admitsNow(now) }
 
-// mayBeAsked tells whether the worker's own words let this gateway send it a request now.
+// admitsNow reports whether the back-off time and the rate limit of the worker allow a request from this gateway now.
 func (s *workerState) admitsNow(now time.Time) bool { return !s.backingOff(now) && s.hasQuota(now) }
 
-// inUse tells whether the worker takes work, unless it wants none for a time or no more of this gateway.
+// inService reports whether the worker is available, regardless of its back-off time and its rate limit.
 func (s *workerState) inService(now time.Time) bool {
 	return !s.worker.Draining && !s.unreachable(now) && !s.changingRole(now)
 }
 
-// KeptOff tells whether a worker is set aside for its failures, and whether work is kept off it while it changes its role.
+// KeptOff reports whether a worker is skipped because it is ejected or unreachable, and whether it is changing its
+// role.
 func (b *Balancer) KeptOff(now time.Time, id string) (ejected, changingRole bool) {
 	state, found := b.workers[id]
 	if !found {
@@ -327,7 +332,8 @@
 	return state.health.ejected(now) || state.unreachable(now), state.changingRole(now)
 }
 
-// SetGone passes a worker over until a moment. One that is not gone after all is no more set aside for what was held against it.
+// SetGone marks a worker as unreachable until the given time. A time that has passed marks it as reachable and clears
+// its health record.
 func (b *Balancer) SetGone(now time.Time, id string, until time.Time) {
 	state, found := b.workers[id]
 	if !found {
@@ -339,10 +345,10 @@
 	}
 }
 
-// gone tells whether the worker is passed over because its address refuses connections.
+// unreachable reports whether the worker is skipped because its address refuses connections.
 func (s *workerState) unreachable(now time.Time) bool { return now.Before(s.unreachableUntil) }
 
-// Replace puts another description in place of that of a worker, which has changed its role. Work is not kept off it any more.
+// Replace replaces the description of a worker that has changed its role, which ends the role change.
 func (b *Balancer) Replace(worker *backend.Worker) {
 	if state, found := b.workers[worker.ID]; found {
 		state.roleChangeUntil = time.Time{}
@@ -350,7 +356,7 @@
 	}
 }
 
-// OfGroup returns the workers of a group, ordered by id.
+// OfGroup returns the workers of a group, ordered by ID.
 func (b *Balancer) OfGroup(group string) iter.Seq[*backend.Worker] {
 	return func(yield func(*backend.Worker) bool) {
 		for _, state := range b.index.byGroup[group] {
@@ -361,17 +367,17 @@
 	}
 }
 
-// SetChanging keeps work off a worker until a moment.
+// SetChanging marks a worker as changing its role until the given time.
 func (b *Balancer) SetChanging(id string, until time.Time) {
 	if state, found := b.workers[id]; found {
 		state.roleChangeUntil = until
 	}
 }
 
-// changing tells whether work is kept off the worker.
+// changingRole reports whether the worker is changing its role.
 func (s *workerState) changingRole(now time.Time) bool { return now.Before(s.roleChangeUntil) }
 
-// Worker returns a worker by its id.
+// Worker returns the worker with the given ID.
 func (b *Balancer) Worker(id string) (*backend.Worker, bool) {
 	state, found := b.workers[id]
 	if !found {
@@ -380,15 +386,15 @@
 	return state.worker, true
 }
 
-// IDs returns the ids of all workers in their order.
+// IDs returns the sorted IDs of all workers.
 func (b *Balancer) IDs() []string {
 	return slices.Sorted(maps.Keys(b.workers))
 }
 
-// Count returns how many workers a group has.
+// Count returns the number of workers of a group.
 func (b *Balancer) Count(group string) int { return len(b.index.byGroup[group]) }
 
-// Engines tells of each worker of a group, ordered by id, what all gateways have there and whether it takes work.
+// Engines returns the workers of a group, ordered by ID, each with its total load and whether it is usable.
 func (b *Balancer) Engines(now time.Time, group string) iter.Seq2[*backend.Worker, Standing] {
 	return func(yield func(*backend.Worker, Standing) bool) {
 		for _, state := range b.index.byGroup[group] {
@@ -399,17 +405,17 @@
 	}
 }
 
-// Standing is what is known of a worker at a moment.
+// Standing is the state of a worker at one moment.
 type Standing struct {
-	// Load of all gateways.
+	// Load is the load that all gateways have placed on the worker.
 	Load backend.Load
-	// Usable workers take work and are not set aside.
+	// Usable is set if the worker is in service, not backing off and not ejected.
 	Usable bool
 }
 
-// Home returns the worker at which prompts of a key are kept together while nothing speaks against it, or nil.
+// Home returns the preferred worker of the query, or nil if there is none.
 func (b *Balancer) Home(now time.Time, query Query) *backend.Worker {
-	if preferred := b.eligibleOrSampled(now, query).preferred; preferred != nil {
+	if preferred := b.shortlistWorkers(now, query).preferred; preferred != nil {
 		return preferred.worker
 	}
 	return nil
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -11,10 +11,10 @@
 	"github.com/granitebay/granitebay/internal/enginemodel"
 )
 
-// epoch is where the tests begin.
+// epoch is the start time of the tests.
 var epoch = time.Unix(1000, 0)
 
-// engines returns workers of one group and role.
+// engines returns workers of one group and role in three zones.
 func engines(role backend.Role, count int) backend.Set {
 	set := backend.Set{}
 	for i := range count {
@@ -38,12 +38,12 @@
 			query.Request = "request of " + zone
 			choice, found := balancer.Pick(epoch, query)
 			if !found {
-				t.Fatal("no worker")
+				t.Fatal("no worker was picked")
 			}
 			chosen[choice.Worker.ID] = true
 		}
 		if len(chosen) != 1 {
-			t.Fatalf("gateways chose %v", chosen)
+			t.Fatalf("gateways picked different workers: %v", chosen)
 		}
 	})
 }
@@ -88,15 +88,15 @@
 	balancer.SetWorkers(engines(backend.RoleNone, 2))
 	query := Query{Request: "r", Group: "g", Zone: "z0"}
 	if choice, _ := balancer.Pick(epoch, query); choice.Worker.Zone != "z0" {
-		t.Fatalf("the near worker was not preferred: %+v", choice)
+		t.Fatalf("the worker in the same zone was not preferred: %+v", choice)
 	}
 	balancer.Begin("-0", LoadOf(0, false))
 	balancer.End(epoch, "-0", OutcomeUnreachable)
 	if choice, _ := balancer.Pick(epoch, query); choice.Worker.ID == "-0" {
-		t.Fatal("a worker that can't be reached was picked")
+		t.Fatal("an unreachable worker was picked")
 	}
 	if choice, _ := balancer.Pick(epoch.Add(2*time.Second), query); choice.Worker.ID != "-0" {
-		t.Fatal("the worker was not tried again")
+		t.Fatal("the worker was not used again after its ejection")
 	}
 }
 
@@ -109,7 +109,7 @@
 		balancer.End(epoch, id, OutcomeUnreachable)
 	}
 	if _, found := balancer.Pick(epoch, Query{Request: "r", Group: "g", Role: backend.RoleDecode}); !found {
-		t.Fatal("no worker was left")
+		t.Fatal("no worker was picked")
 	}
 }
 
@@ -120,12 +120,12 @@
 	balancer.Begin("decode-0", LoadOf(100, false))
 	balancer.SetWorkers(set.Clone())
 	if balancer.workers["decode-0"].load.Running != 1 {
-		t.Fatal("the running request was forgotten")
+		t.Fatal("the running request was lost")
 	}
 	balancer.End(epoch, "decode-0", OutcomeGood)
 	balancer.End(epoch, "decode-0", OutcomeGood)
 	if balancer.workers["decode-0"].load.Running != 0 {
-		t.Fatal("more requests ended than began")
+		t.Fatal("the load is not zero after more requests ended than began")
 	}
 }
 
@@ -140,7 +140,7 @@
 	balancer.SetWorkers(engines(backend.RolePrefill, 3))
 	choice, _ := balancer.Pick(epoch, Query{Request: "r", Group: "g", Role: backend.RolePrefill, Key: "k"})
 	if choice.Worker.ID != "prefill-1" {
-		t.Fatalf("picked %s", choice.Worker.ID)
+		t.Fatalf("picked %s, want prefill-1", choice.Worker.ID)
 	}
 }
 
@@ -149,16 +149,15 @@
 	balancer.SetWorkers(engines(backend.RoleDecode, 4))
 	balancer.Hearsay(epoch, "decode-0")
 	if !balancer.Usable(epoch, "decode-0") {
-		t.Error("one word was enough")
+		t.Error("one report ejected the worker")
 	}
 	balancer.Hearsay(epoch, "decode-0")
 	if balancer.Usable(epoch, "decode-0") {
-		t.Error("two words were not enough")
+		t.Error("two reports did not eject the worker")
 	}
 }
 
-// TestAWorkerThatRefusesDoesNotDrawEveryRequest guards against a worker that carries an order out: it has nothing running and
-// refuses everything.
+// TestRefusingWorkerDoesNotAttractEveryRequest covers a worker that refuses everything and therefore looks idle.
 func TestRefusingWorkerDoesNotAttractEveryRequest(t *testing.T) {
 	balancer := New(DefaultSettings(), enginemodel.New(), func(worker string) backend.Load {
 		if worker == "decode-0" {
@@ -180,12 +179,12 @@
 		balancer.End(now, choice.Worker.ID, outcome)
 	}
 	if refused == 0 || refused > 6 {
-		t.Errorf("%d of 100 requests went to a worker that refuses", refused)
+		t.Errorf("%d of 100 requests went to the refusing worker", refused)
 	}
 }
 
-// TestWorkersThatAnswerGoBeforeThoseThatDoNot guards against sending every request to dead workers first, because they look
-// idle and too few others are left.
+// TestHealthyWorkersArePreferredOverEjected guards against picking ejected workers, which look idle, before a busy
+// healthy one when too few healthy workers are left.
 func TestHealthyWorkersArePreferredOverEjected(t *testing.T) {
 	balancer := New(DefaultSettings(), enginemodel.New(), func(worker string) backend.Load {
 		if worker == "decode-0" {
@@ -201,12 +200,12 @@
 	}
 	choice, _ := balancer.Pick(epoch, Query{Request: "r", Group: "g", Role: backend.RoleDecode})
 	if choice.Worker.ID != "decode-0" {
-		t.Errorf("picked %s", choice.Worker.ID)
+		t.Errorf("picked %s, want decode-0", choice.Worker.ID)
 	}
 }
 
-// TestSuspectsAreSpreadOverTheCheapWorkers places requests that may have ended a worker. They go to a quarter of the engines, and there
-// to all but the one that has much to read.
+// TestSuspectsAreSpreadOverCheapWorkers checks that suspects go to a quarter of the engines, except to the one that
+// is much costlier.
 func TestSuspectsAreSpreadOverCheapWorkers(t *testing.T) {
 	balancer := New(DefaultSettings(), enginemodel.New(), nil)
 	balancer.SetWorkers(engines(backend.RoleDecode, 32))
@@ -224,12 +223,12 @@
 		first, _ := balancer.Pick(epoch, suspect(i))
 		again, _ := balancer.Pick(epoch, suspect(i))
 		if first.Worker != again.Worker {
-			t.Errorf("%s goes to %s and then to %s", suspect(i).Apart, first.Worker.ID, again.Worker.ID)
+			t.Errorf("suspect %q goes to %s and then to %s", suspect(i).Apart, first.Worker.ID, again.Worker.ID)
 		}
 		pickedForSuspects[first.Worker.ID]++
 	}
 	if len(pickedWithoutSpread) != 1 {
-		t.Errorf("others go to %v", pickedWithoutSpread)
+		t.Errorf("queries without a suspect key go to %v", pickedWithoutSpread)
 	}
 	if len(pickedForSuspects) != 7 || pickedForSuspects[busy.Worker.ID] > 0 {
 		t.Errorf("suspects go to %v", pickedForSuspects)
--- a/internal/balance/health.go
+++ b/internal/balance/health.go
@@ -2,48 +2,50 @@
 
 import "time"
 
-// Outcome is what one request showed of the health of its worker.
+// Outcome is what the result of a request says about the health of its worker.
 type Outcome int
 
-// The outcomes.
+// Outcomes of requests.
 const (
-	// OutcomeNone showed nothing, for example because the caller left.
+	// OutcomeNone says nothing about the worker, for example because the client disconnected.
 	OutcomeNone Outcome = iota
-	// OutcomeGood is a whole answer.
+	// OutcomeGood is a complete response.
 	OutcomeGood
-	// OutcomeFull is a refusal of a worker that has no room.
+	// OutcomeFull is a refusal by a worker at capacity.
 	OutcomeFull
-	// OutcomeError is an answer by which the worker says that it failed.
+	// OutcomeError is an error response.
 	OutcomeError
-	// OutcomeBroken is an answer that broke off, or bytes that are no answer.
+	// OutcomeBroken is a truncated or malformed response.
 	OutcomeBroken
-	// OutcomeSilent is no answer within the time in which others answer.
+	// OutcomeSilent is a timeout.
 	OutcomeSilent
-	// OutcomeUnreachable is a connection that could not be opened.
+	// OutcomeUnreachable is a failed connection attempt.
 	OutcomeUnreachable
 )
 
-// HealthSettings say when a worker is set aside.
+// HealthSettings configures the ejection of failing workers.
 type HealthSettings struct {
-	// FailureWeight is the part by which one outcome moves the failure rate of a worker, between 0 and 1.
+	// FailureRateSmoothing is the weight of the newest outcome in the moving average of the failure rate, between 0
+	// and 1.
 	FailureRateSmoothing float64
-	// EjectRate is the failure rate above which a worker is set aside.
+	// EjectionThreshold is the failure rate above which a worker is ejected.
 	EjectionThreshold float64
-	// FirstEjection is how long a worker is set aside for the first time; each further time takes twice as long.
+	// InitialEjection is the duration of the first ejection; it doubles with each further one.
 	InitialEjection time.Duration
-	// LongestEjection bounds it.
+	// MaxEjection limits the duration of an ejection.
 	MaxEjection time.Duration
-	// FirstRefusal is how long a worker is passed over after it refused a request; each further refusal in a row takes twice as
-	// long, up to LongestRefusal. A worker that refuses looks idle, and would draw every request.
+	// InitialRefusalPause is how long a worker is skipped after it refused a request; it doubles with each
+	// consecutive refusal, up to MaxRefusalPause. Without the pause, a refusing worker would look idle and attract
+	// every request.
 	InitialRefusalPause time.Duration
 	MaxRefusalPause     time.Duration
-	// LeastHealthyShare of the workers is always used, healthy or not.
+	// MinHealthyShare is the share of healthy workers below which ejected workers are used too.
 	MinHealthyShare float64
-	// DoubtSeconds is the cost of a worker that is used although it is set aside.
+	// EjectedPenaltySeconds is the cost added to an ejected worker that is used.
 	EjectedPenaltySeconds float64
 }
 
-// DefaultHealthSettings set a worker aside after about two failures in a row.
+// DefaultHealthSettings returns settings that eject a worker after about two consecutive failures.
 func DefaultHealthSettings() HealthSettings {
 	return HealthSettings{
 		FailureRateSmoothing:  0.3,
@@ -57,8 +59,8 @@
 	}
 }
 
-// failureCosts say how much an outcome speaks against a worker, from 0 to 1. An error that the worker itself answers is
-// often the request's fault.
+// failureSeverity is the failure rate that each outcome counts as, from 0 to 1. An error response counts less because
+// the request may have caused it.
 var failureSeverity = map[Outcome]float64{
 	OutcomeGood:        0,
 	OutcomeError:       0.7,
@@ -67,10 +69,10 @@
 	OutcomeUnreachable: 1,
 }
 
-// unreachableWeight is the weight of a connection that could not be opened: one is enough to set a worker aside.
+// unreachableSmoothing is the weight of a failed connection attempt: a single one ejects the worker.
 const unreachableSmoothing = 0.6
 
-// health is the recent record of one worker.
+// health tracks the recent outcomes of one worker.
 type health struct {
 	failureRate  float64
 	ejections    int
@@ -78,10 +80,10 @@
 	ejectedUntil time.Time
 }
 
-// ejected tells whether the worker is set aside.
+// ejected reports whether the worker is ejected.
 func (h *health) ejected(now time.Time) bool { return now.Before(h.ejectedUntil) }
 
-// record takes one outcome, and tells whether the worker is set aside for it.
+// record updates the failure rate with one outcome, and reports whether the worker is ejected because of it.
 func (h *health) record(now time.Time, outcome Outcome, settings *HealthSettings) bool {
 	if outcome == OutcomeFull {
 		h.recordRefusal(now, settings)
@@ -107,7 +109,7 @@
 	return true
 }
 
-// refuse passes the worker over for a while.
+// recordRefusal skips the worker for a pause that grows with consecutive refusals.
 func (h *health) recordRefusal(now time.Time, settings *HealthSettings) {
 	if h.ejected(now) {
 		return
@@ -116,7 +118,7 @@
 	h.refusals++
 }
 
-// eject sets the worker aside. Afterwards one more failure sets it aside again.
+// eject ejects the worker and lowers its failure rate so that one more failure ejects it again.
 func (h *health) eject(now time.Time, settings *HealthSettings) {
 	pause := min(settings.InitialEjection<<min(h.ejections, 8), settings.MaxEjection)
 	h.ejectedUntil = now.Add(pause)
--- a/internal/balance/index_test.go
+++ b/internal/balance/index_test.go
@@ -12,8 +12,8 @@
 	"github.com/granitebay/granitebay/internal/enginemodel"
 )
 
-// TestChangesOneByOneAreTheSameAsAList has workers come, go and be described anew one at a time, at one balancer, while another one is given
-// the list at the end. Both have the same workers at the same places.
+// TestIncrementalChangesMatchSetWorkers compares the index after many single changes with that of a balancer that is
+// given the final workers at once.
 func TestIncrementalChangesMatchSetWorkers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		incremental, replaced := New(DefaultSettings(), enginemodel.New(), nil), New(DefaultSettings(), enginemodel.New(), nil)
@@ -35,12 +35,12 @@
 		}
 		replaced.SetWorkers(set)
 		if got, want := indexContents(incremental), indexContents(replaced); !maps.EqualFunc(got, want, slices.Equal) {
-			t.Fatalf("one by one %v, as a list %v", got, want)
+			t.Fatalf("after single changes %v, set at once %v", got, want)
 		}
 	})
 }
 
-// places returns the workers that stand at each place, by its name.
+// indexContents returns the workers in each list of the index, by the name of the list.
 func indexContents(b *Balancer) map[string][]string {
 	contents := map[string][]string{"all": b.IDs()}
 	add := func(name string, states []*workerState) {
--- a/internal/balance/limits.go
+++ b/internal/balance/limits.go
@@ -7,54 +7,57 @@
 	"github.com/granitebay/granitebay/internal/quota"
 )
 
-// Holdings are what this gateway may send of what workers with limits take.
+// QuotaShares tells which share of the rate limits of workers this gateway may use.
 type QuotaShares interface {
-	// Part returns which part it holds of the requests that a worker takes, of which that names so many a second.
+	// Part returns the share of this gateway in the limit of a worker, given the limit in requests per second.
 	Part(worker string, perSecond float64) float64
-	// Lent returns how many requests at a worker other gateways have lent it, and UseLent uses one, and tells whether there was one.
+	// Lent returns how many requests to a worker this gateway may send on loan from other gateways. UseLent uses one
+	// of them, and reports whether there was one.
 	Lent(worker string) int
 	UseLent(worker string) bool
 }
 
-// everything is the holdings of the only gateway.
+// soleGateway implements QuotaShares for a single gateway.
 type soleGateway struct{}
 
 func (soleGateway) Part(string, float64) float64 { return 1 }
 func (soleGateway) Lent(string) int              { return 0 }
 func (soleGateway) UseLent(string) bool          { return false }
 
-// limits are the workers that name how many requests a second they take of all gateways together, by the ids of their incarnations. They
-// outlast records that go and come again.
+// limits holds the workers that have announced a request rate limit, which applies to all gateways together, by
+// worker ID. Entries outlive the registration of the worker.
 //
-// Invariant: nothing but the worker's own word, to whichever gateway, and its next start ends a limit, and a worker with one is asked only
-// by a request of the quota here, whoever asks: failures, successes and a worker that is set aside have no part in it.
+// Invariant: a limit ends only when the worker withdraws it, to any gateway, or restarts. Every request to a limited
+// worker spends the local quota. Successes, failures and ejections have no effect on it.
 type limits struct {
 	byWorker map[string]*workerLimit
 	shares   QuotaShares
-	// turn is how often workers were asked for that lack room.
+	// nextLacking is where Lacking continues.
 	nextLacking int
 }
 
-// limit is what this gateway may send of what a worker takes.
+// workerLimit is the rate limit of a worker and the local quota of it.
 type workerLimit struct {
 	id     string
 	quota  *quota.Quota
 	shares QuotaShares
-	// heard is when the worker named it last.
+	// reportedAt is when the worker last announced the limit.
 	reportedAt time.Time
 }
 
-// own returns the part that this gateway holds.
+// share returns the share of this gateway.
 func (l *workerLimit) share() float64 { return l.shares.Part(l.id, l.quota.PerSecond()) }
 
-// limitMemory is how long a limit is kept of which nothing more is heard: longer than a worker in need takes to recover, and to be replaced.
+// limitTTL is how long the limit of a removed worker is kept: longer than an overloaded worker takes to recover or to
+// be replaced.
 const limitTTL = 10 * time.Minute
 
-// ShareLimits tells what this gateway holds of limits; without it that is the whole. It is called before the first limit.
+// ShareLimits sets the shares of this gateway in rate limits; by default it has the whole. It must be called before
+// the first limit is set.
 func (b *Balancer) ShareLimits(shares QuotaShares) { b.limits.shares = shares }
 
-// Limit takes how many requests a second a worker takes, as it said at a moment, and tells whether that is news. Of two words the later
-// one holds.
+// Limit sets the request rate limit that a worker announced at the given time, and reports whether that changes it.
+// Earlier announcements than the current one are ignored.
 func (b *Balancer) Limit(now time.Time, id string, perSecond float64, reportedAt time.Time) bool {
 	limit := b.limits.byWorker[id]
 	if limit == nil {
@@ -79,8 +82,9 @@
 	return true
 }
 
-// Unlimit takes that a worker named no limit in the answer to a request which was sent at a moment, and tells whether that ends one. A limit
-// that was named later holds on: answers overtake one another.
+// Unlimit records that a worker announced no limit in the response to a request sent at the given time, and reports
+// whether that removes its limit. A limit that was announced later is kept, because responses may arrive out of
+// order.
 func (b *Balancer) Unlimit(id string, sentAt time.Time) bool {
 	limit := b.limits.byWorker[id]
 	if limit == nil || !sentAt.After(limit.reportedAt) {
@@ -93,7 +97,7 @@
 	return true
 }
 
-// forgetLimits drops limits of workers that are gone, once nothing was heard of them for long.
+// forgetLimits deletes expired limits of removed workers.
 func (b *Balancer) forgetLimits(now time.Time) {
 	for id, limit := range b.limits.byWorker {
 		if now.Sub(limit.reportedAt) > limitTTL && b.workers[id] == nil {
@@ -102,21 +106,21 @@
 	}
 }
 
-// EarnLimits has all quotas earn, before and after the parts of this gateway change.
+// EarnLimits accrues all quotas. It must be called before and after the shares of this gateway change.
 func (b *Balancer) EarnLimits(now time.Time) {
 	for _, limit := range b.limits.byWorker {
 		limit.quota.Earn(now, limit.share())
 	}
 }
 
-// Spend takes a request from the quota of a worker, and tells whether there was one; without a limit there always is. It is called for all that
-// is sent to a worker and may take a place there.
+// Spend takes a request from the quota of a worker, and reports whether it could; it always can if there is no limit.
+// It must be called for every request that may take a slot of the worker.
 func (b *Balancer) Spend(now time.Time, id string) bool {
 	limit := b.limits.byWorker[id]
 	return limit == nil || limit.quota.Spend(now, limit.share()) || limit.shares.UseLent(id)
 }
 
-// Lend takes up to so many requests from the quota of a worker for another gateway, and returns how many.
+// Lend takes up to count requests from the quota of a worker for another gateway, and returns how many it took.
 func (b *Balancer) Lend(now time.Time, id string, count int) int {
 	limit := b.limits.byWorker[id]
 	if limit == nil {
@@ -125,7 +129,8 @@
 	return limit.quota.Lend(now, limit.share(), count)
 }
 
-// Lacking returns up to so many workers of a role that would take work if this gateway held more of their limits, others each time.
+// Lacking returns up to maxWorkers workers of a role that are available but for the local quota. Successive calls
+// rotate through the workers.
 func (b *Balancer) Lacking(now time.Time, group string, role backend.Role, maxWorkers int) []string {
 	workers := b.index.byGroup[group]
 	var lacking []string
@@ -141,15 +146,15 @@
 	return lacking
 }
 
-// Quota is what this gateway may send to a worker that names a limit.
+// Quota is the limit of a worker and the share of this gateway.
 type Quota struct {
-	// PerSecond is the limit, of all gateways together, and Part which part of it this gateway holds.
+	// PerSecond is the limit of all gateways together, and Part the share of this gateway.
 	PerSecond, Part float64
-	// Heard is when the worker named it last.
+	// Heard is when the worker last announced the limit.
 	Heard time.Time
 }
 
-// QuotaOf returns the quota of a worker, or false if it names no limit.
+// QuotaOf returns the quota of a worker, or false if it has no limit.
 func (b *Balancer) QuotaOf(id string) (Quota, bool) {
 	limit := b.limits.byWorker[id]
 	if limit == nil {
@@ -158,13 +163,14 @@
 	return Quota{PerSecond: limit.quota.PerSecond(), Part: limit.share(), Heard: limit.reportedAt}, true
 }
 
-// hasRoom tells whether the quota of the worker allows one more request now.
+// hasQuota reports whether the quota of the worker allows a request now.
 func (s *workerState) hasQuota(now time.Time) bool {
 	return s.limit == nil || s.limit.quota.Takes(now, s.limit.share()) || s.limit.shares.Lent(s.worker.ID) > 0
 }
 
-// takesFrom returns from when on the worker takes requests of this gateway, if nothing else speaks against that: a time that has passed if it
-// takes them. Of a limit that others hold it is when one of theirs is due: callers that come back find them.
+// acceptsFrom returns the earliest time at which the worker accepts a request from this gateway, as far as its
+// back-off time and its limit tell. If this gateway has no share of the limit, it is when the next request of any
+// gateway is due, since a retry may reach another gateway.
 func (s *workerState) acceptsFrom(now time.Time) time.Time {
 	from := s.backOffUntil
 	if s.limit == nil {
@@ -180,15 +186,16 @@
 	return from
 }
 
-// Full is why none of the workers of a role that would take work takes any now.
+// Full describes a role of which no worker in service accepts requests now.
 type Full struct {
-	// Until is when the first of them takes requests again.
+	// Until is when the first of them accepts requests again.
 	Until time.Time
-	// PerSecond is how many requests the workers with limits take, of all gateways together; zero if none of them has one.
+	// PerSecond is the sum of the limits of these workers, zero if none has one.
 	PerSecond float64
 }
 
-// FullUntil returns why and until when no worker of a role takes requests, or false unless all that would take work want none now.
+// FullUntil returns when a full role accepts requests again. It returns false if a worker of the role accepts requests
+// now, or if none is in service.
 func (b *Balancer) FullUntil(now time.Time, group string, role backend.Role) (Full, bool) {
 	var full Full
 	for _, state := range b.index.byGroup[group] {
--- a/internal/balance/pick.go
+++ b/internal/balance/pick.go
@@ -9,7 +9,7 @@
 	"github.com/granitebay/granitebay/internal/rendezvous"
 )
 
-// Pick returns the cheapest worker for a query, or false when every worker was filtered out.
+// Pick returns the cheapest worker for a query, or false if no worker is eligible.
 func (b *Balancer) Pick(now time.Time, query Query) (Choice, bool) {
 	candidates := b.candidates(now, query)
 	if len(candidates.states) == 0 {
@@ -20,7 +20,7 @@
 	var bestScore Score
 	for _, candidate := range candidates.states {
 		score := b.scoreWithPenalty(now, query, candidate, estimate)
-		if best == nil || lessCost(score, bestScore, candidate == candidates.preferred) {
+		if best == nil || isCheaper(score, bestScore, candidate == candidates.preferred) {
 			best, bestScore = candidate, score
 		}
 	}
@@ -30,16 +30,16 @@
 	return Choice{Worker: best.worker, Score: bestScore, Candidates: len(candidates.states)}, true
 }
 
-// candidates returns the workers that are looked at for the request.
+// candidates returns the workers to score for the query.
 func (b *Balancer) candidates(now time.Time, query Query) shortlist {
 	if query.Apart != "" {
 		states := b.suspectCandidates(now, query)
 		return shortlist{states: states, preferred: preferredWorker(query, states)}
 	}
-	return b.eligibleOrSampled(now, query)
+	return b.shortlistWorkers(now, query)
 }
 
-// apart returns the candidate that the key of a query prefers among those that cost little more than the cheapest.
+// spreadSuspect returns the candidate that the suspect key prefers among those whose cost is close to the cheapest.
 func (b *Balancer) spreadSuspect(
 	now time.Time, query Query, candidates []*workerState, cheapest Score, estimate enginemodel.Estimate,
 ) (*workerState, Score) {
@@ -55,7 +55,7 @@
 	return chosen, b.scoreWithPenalty(now, query, chosen, estimate)
 }
 
-// scoreInDoubt estimates the cost of one worker, with that of one that is set aside.
+// scoreWithPenalty returns the score of a worker, including the penalty for an ejected one.
 func (b *Balancer) scoreWithPenalty(now time.Time, query Query, candidate *workerState, estimate enginemodel.Estimate) Score {
 	score := b.score(now, query, candidate, estimate)
 	if candidate.health.ejected(now) {
@@ -64,16 +64,16 @@
 	return score
 }
 
-// cheaper compares two scores; the candidate wins a tie if it is preferred.
-func lessCost(score, best Score, preferred bool) bool {
+// isCheaper reports whether a score is lower than the best one so far. A preferred candidate wins a tie.
+func isCheaper(score, best Score, preferred bool) bool {
 	if score.Total() == best.Total() {
 		return preferred
 	}
 	return score.Total() < best.Total()
 }
 
-// filter returns the workers that may take the request. Workers that are set aside for their failures come back when too
-// few others are left.
+// eligibleWorkers returns the workers that can accept the request. Ejected workers are included if too few healthy
+// ones are left.
 func (b *Balancer) eligibleWorkers(now time.Time, query Query) []*workerState {
 	var healthy, ejected []*workerState
 	for _, candidate := range b.index.byGroup[query.Group] {
@@ -89,7 +89,7 @@
 	return b.withEjected(healthy, ejected)
 }
 
-// withEjected returns the healthy workers, and those that are set aside where too few others are left.
+// withEjected returns the healthy workers, and the ejected ones too if too few are healthy.
 func (b *Balancer) withEjected(healthy, ejected []*workerState) []*workerState {
 	minHealthy := float64(len(healthy)+len(ejected)) * b.settings.Health.MinHealthyShare
 	if len(healthy) == 0 || float64(len(healthy)) < minHealthy {
@@ -125,7 +125,7 @@
 	return score
 }
 
-// tokensAhead is what a worker reads before the prompt of a query.
+// tokensAhead returns how many tokens the worker prefills before the prompt of the query.
 func tokensAhead(query Query, load backend.Load) int {
 	if query.Deferred {
 		return load.ReadingTokens + load.DeferredTokens
@@ -133,7 +133,7 @@
 	return load.ReadingTokens
 }
 
-// addReading adds what the prompt costs a worker that reads a token in a time.
+// addPrefill adds the prefill cost of the prompt at a worker with the given time per token.
 func (s *Score) addPrefill(query Query, worker *backend.Worker, perToken float64) {
 	if query.Reading == nil {
 		return
@@ -143,7 +143,7 @@
 	s.Transfer = prefill.TransferSeconds
 }
 
-// slotSeconds is how long a new run waits for a place among those that are running.
+// slotWaitSeconds returns how long a new request waits for a slot.
 func slotWaitSeconds(estimate enginemodel.Estimate, running, slots int) float64 {
 	excess := running + 1 - slots
 	if excess <= 0 || slots <= 0 {
@@ -152,7 +152,7 @@
 	return float64(excess) * estimate.RunSeconds / float64(slots)
 }
 
-// preferred returns the worker that wins ties: the same one for all gateways that know the same workers.
+// preferredWorker returns the worker that wins ties. It is the same on all gateways with the same workers.
 func preferredWorker(query Query, candidates []*workerState) *workerState {
 	key := query.Key
 	if key == "" {
@@ -167,7 +167,7 @@
 	return nil
 }
 
-// addresses lists the addresses of workers. Unlike ids they stay the same when a worker starts again.
+// addresses returns the addresses of the candidates. Unlike IDs, they survive a restart of the worker.
 func addresses(candidates []*workerState) []string {
 	result := make([]string, len(candidates))
 	for i, candidate := range candidates {
--- a/internal/balance/shortlist.go
+++ b/internal/balance/shortlist.go
@@ -7,37 +7,37 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// ShortlistSettings bound how many workers are looked at for one request.
+// ShortlistSettings limits how many workers of a large role are considered for one request.
 type ShortlistSettings struct {
-	// ScanUpTo is the number of workers of a role up to which all are looked at: so few cost less than what they would otherwise miss.
+	// ScanLimit is the maximum size of a role of which all workers are considered.
 	ScanLimit int
-	// Home is how many workers are looked at that follow the key of the prompt, of the zone and of all zones each: the same ones for all
-	// gateways, so that parts of prompts are found again.
+	// Affinity is the number of workers that follow the key of the prompt on the ring of the zone and on that of all
+	// zones. All gateways consider the same ones, which leads to prefix cache hits.
 	Affinity int
-	// Random is how many are looked at beside them, of the zone and of all zones each: with some to choose among, the chance that all are
-	// busy falls with their power, whatever the size of the fleet (Mitzenmacher, 2001).
+	// Random is the number of further workers, from random positions on the same rings. The probability that all are
+	// busy falls exponentially with their number, whatever the size of the fleet (Mitzenmacher, 2001).
 	Random int
-	// Near bounds those looked at that keep a part of the prompt.
+	// Holders is the maximum number of workers that have a part of the prompt cached.
 	Holders int
-	// Reach is how many times as many workers are passed in search of such that take work: of a fleet of which nine in ten are away some
-	// are found all the same.
+	// SearchFactor limits how many ring positions are visited, as a multiple of the workers wanted, so that some are
+	// found even if most of the fleet is unavailable.
 	SearchFactor int
 }
 
-// DefaultShortlistSettings look at some sixty workers.
+// DefaultShortlistSettings returns the default settings.
 func DefaultShortlistSettings() ShortlistSettings {
 	return ShortlistSettings{ScanLimit: 256, Affinity: 12, Random: 12, Holders: 32, SearchFactor: 12}
 }
 
-// shortlist is the workers that are looked at for a query.
+// shortlist holds the workers that are considered for a query.
 type shortlist struct {
 	states []*workerState
-	// home is the worker that wins ties; nil when there is none.
+	// preferred is the worker that wins ties, or nil.
 	preferred *workerState
 }
 
-// list returns the workers that may take the request: all, or of a large role some.
-func (b *Balancer) eligibleOrSampled(now time.Time, query Query) shortlist {
+// shortlistWorkers returns the workers that can accept the request: all of a small role, some of a large one.
+func (b *Balancer) shortlistWorkers(now time.Time, query Query) shortlist {
 	all := b.index.ring(ringKey{group: query.Group, role: query.Role})
 	if len(all.members) <= b.settings.Shortlist.ScanLimit {
 		states := b.eligibleWorkers(now, query)
@@ -46,7 +46,8 @@
 	return b.sampleRole(now, query, all)
 }
 
-// short returns some of the workers of a large role: those that keep parts of the prompt, those at the place of its key, and some at random.
+// sampleRole returns some workers of a large role: those with a part of the prompt cached, those that follow its key
+// on the ring, and random ones.
 func (b *Balancer) sampleRole(now time.Time, query Query, all *ring) shortlist {
 	settings := b.settings.Shortlist
 	zone := all
@@ -68,23 +69,23 @@
 		affinityStart = hashPosition(query.Zone)
 	}
 	randomStart := hashPosition(query.Request + "/random")
-	holders := len(collected.healthy)
+	holderCount := len(collected.healthy)
 	collected.walk(zone, affinityStart, settings.Affinity)
-	nearKey := collected.healthy[holders:]
+	zoneAffinity := collected.healthy[holderCount:]
 	result := shortlist{preferred: collected.walk(all, affinityStart, settings.Affinity)}
 	collected.walk(zone, randomStart, settings.Random)
 	collected.walk(all, randomStart, settings.Random)
 	result.states = b.withEjected(collected.healthy, collected.ejected)
-	if query.Gather && len(nearKey) > 0 {
-		result.preferred = preferredWorker(query, nearKey)
+	if query.Gather && len(zoneAffinity) > 0 {
+		result.preferred = preferredWorker(query, zoneAffinity)
 	}
 	return result
 }
 
-// place returns the place of a key on the rings.
+// hashPosition returns the ring position of a key.
 func hashPosition(key string) uint64 { return xxhash.Sum64String(key) }
 
-// gathering collects workers that may take a request, each once.
+// collector collects eligible workers, each once.
 type collector struct {
 	now              time.Time
 	query            *Query
@@ -92,7 +93,7 @@
 	healthy, ejected []*workerState
 }
 
-// walk takes so many workers that may run the request from a place on, and returns the first of them.
+// walk adds up to count eligible workers in ring order from a position on, and returns the first of them.
 func (c *collector) walk(r *ring, position uint64, count int) *workerState {
 	visited, added := 0, 0
 	var first *workerState
@@ -112,7 +113,7 @@
 	return first
 }
 
-// take notes a worker once, and tells whether it may run the request and is not set aside.
+// add records a worker that can accept the request, and reports whether it is also healthy.
 func (c *collector) add(state *workerState) bool {
 	switch {
 	case !state.acceptsNow(c.now) || slices.Contains(c.query.Excluded, state.worker.ID):
--- a/internal/balance/shortlist_test.go
+++ b/internal/balance/shortlist_test.go
@@ -11,7 +11,7 @@
 	"github.com/granitebay/granitebay/internal/enginemodel"
 )
 
-// fleetOf returns writers of one group in six zones.
+// decodeFleet returns decode engines of one group in six zones.
 func decodeFleet(size int) backend.Set {
 	set := make(backend.Set, size)
 	for i := range size {
@@ -23,7 +23,7 @@
 	return set
 }
 
-// TestAChoiceLooksAtNoMoreOfTwiceTheFleet counts the candidates of choices at fleets of both sizes.
+// TestCandidatesAreBoundedForAnyFleetSize checks that the number of candidates does not grow with the fleet.
 func TestCandidatesAreBoundedForAnyFleetSize(t *testing.T) {
 	settings := DefaultShortlistSettings()
 	maxCandidates := settings.Holders + 2*(settings.Affinity+settings.Random)
@@ -34,14 +34,14 @@
 			query := Query{Request: fmt.Sprint("r", i), Group: "g", Role: backend.RoleDecode, Key: fmt.Sprint("k", i%7), Zone: fmt.Sprint("z", i%6)}
 			choice, found := balancer.Pick(epoch, query)
 			if !found || choice.Candidates > maxCandidates {
-				t.Fatalf("at %d workers %d were looked at, at the most %d are to be: %t", size, choice.Candidates, maxCandidates, found)
+				t.Fatalf("%d workers: %d candidates, want at most %d (found: %t)", size, choice.Candidates, maxCandidates, found)
 			}
 		}
 	}
 }
 
-// TestGatewaysOfALargeFleetKeepAPromptTogether asks gateways of all zones, which share nothing but the list of workers, for prompts of one
-// key: the worker that keeps it is among those that each looks at, and without a cost of distance all choose it.
+// TestGatewaysOfALargeFleetPickTheSameWorkerForAKey checks that gateways of all zones, which only share the list of
+// workers, have the worker of a key among their candidates. Without a zone cost all of them pick it.
 func TestGatewaysOfALargeFleetPickTheSameWorkerForAKey(t *testing.T) {
 	settings := DefaultSettings()
 	settings.OtherZoneSeconds = 0
@@ -57,16 +57,16 @@
 			chosen[choice.Worker.ID] = true
 		}
 		if len(chosen) != 1 {
-			t.Errorf("prompts of k%d went to %v", number, chosen)
+			t.Errorf("prompts with key k%d went to %v", number, chosen)
 		}
 	}
 }
 
-// TestSomeOfALargeFleetAreFoundWhenFewAreLeft has most workers drain, fail or be tried before.
+// TestPickFindsTheFewAvailableWorkersOfALargeFleet makes most workers draining, failing or excluded.
 func TestPickFindsTheFewAvailableWorkersOfALargeFleet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := decodeFleet(1_200)
-		availableOneIn := rapid.IntRange(1, 9).Draw(t, "one in so many takes work")
+		availableOneIn := rapid.IntRange(1, 9).Draw(t, "available one in")
 		for i := range 1_200 {
 			set[fmt.Sprintf("w%05d", i)].Draining = i%availableOneIn != 0
 		}
@@ -78,7 +78,7 @@
 			query.Gather = rapid.Bool().Draw(t, "gather")
 			choice, found := balancer.Pick(epoch, query)
 			if !found || choice.Worker.Draining || slices.Contains(excluded, choice.Worker.ID) {
-				t.Fatalf("picked %+v, tried %v", choice, excluded)
+				t.Fatalf("picked %+v, excluded %v", choice, excluded)
 			}
 			excluded = append(excluded, choice.Worker.ID)
 			balancer.Begin(choice.Worker.ID, LoadOf(0, false))
@@ -87,9 +87,9 @@
 	})
 }
 
-// TestShortPromptsOfALargeFleetNeedFewConnections sends the short prompts of a minute, 100 a second that take 30 ms each, through one
-// gateway of a fleet of ten thousand. They are kept together at a few workers of its zone, each of which is a connection to open, and none
-// of them has more than its places to do.
+// TestShortPromptsOfALargeFleetUseFewWorkers sends short prompts, of which up to three run at a time, through one
+// gateway of a large fleet. They must be concentrated on a few workers, to open few connections, without overloading
+// any.
 func TestShortPromptsOfALargeFleetUseFewWorkers(t *testing.T) {
 	balancer := New(DefaultSettings(), enginemodel.New(), nil)
 	balancer.SetWorkers(decodeFleet(10_000))
@@ -101,7 +101,7 @@
 		})
 		balancer.Begin(choice.Worker.ID, LoadOf(0, false))
 		if load := balancer.Load(choice.Worker.ID); load.Running > 2 {
-			t.Fatalf("%d run at %s while thousands are idle", load.Running, choice.Worker.ID)
+			t.Fatalf("%d requests run at %s while thousands of workers are idle", load.Running, choice.Worker.ID)
 		}
 		used[choice.Worker.ID] = true
 		if running = append(running, choice.Worker.ID); len(running) > 3 {
@@ -110,12 +110,12 @@
 		}
 	}
 	if len(used) > 2*DefaultShortlistSettings().Affinity {
-		t.Errorf("%d workers were used", len(used))
+		t.Errorf("%d workers were used, which is too many", len(used))
 	}
 }
 
-// TestRandomOnesBearALoadBeyondTheHome sends 2,000 prompts of one key at a moment: the workers of its home fill, and the others get
-// the rest.
+// TestRandomCandidatesAbsorbLoadOfAHotKey checks that random candidates take the load that the affinity candidates of
+// one key can't.
 func TestRandomCandidatesAbsorbLoadOfAHotKey(t *testing.T) {
 	balancer := New(DefaultSettings(), enginemodel.New(), nil)
 	balancer.SetWorkers(decodeFleet(10_000))
@@ -125,8 +125,8 @@
 		balancer.Begin(choice.Worker.ID, LoadOf(0, false))
 		maxRunning = max(maxRunning, balancer.Load(choice.Worker.ID).Running)
 	}
-	// Spread at random over the 1,667 of the zone alone some would have six and more.
+	// Random placement within the 1,667 workers of the zone alone would give some of them six or more requests.
 	if maxRunning > 8 {
-		t.Errorf("one worker has %d of 2,000", maxRunning)
+		t.Errorf("one worker has %d of 2,000 requests", maxRunning)
 	}
 }
--- a/internal/balance/suspects.go
+++ b/internal/balance/suspects.go
@@ -9,52 +9,54 @@
 	"github.com/granitebay/granitebay/internal/rendezvous"
 )
 
-// RiskSettings bound what requests under which workers have ended may do to a role.
+// RiskSettings limits the damage that suspects, requests that may crash their worker, can do to a role.
 type RiskSettings struct {
-	// Share is the part of a role that may be away, or run such requests, at one moment: what a fleet spares for a zone or a release.
-	// One worker is always allowed; otherwise small roles would never find out.
+	// Share is the share of a role that may be missing or serving suspects at any one time. One worker is always
+	// allowed, so that suspects can be cleared or confirmed in small roles too.
 	Share float64
-	// Away is how long a worker that ended and is not back counts as a loss. Then the role is taken to be that much smaller. It is some
-	// times what the record of a worker needs to lapse, so that one which starts again at once is back before.
+	// Away is how long a crashed worker that has not been replaced counts as missing. Afterwards the role is
+	// considered smaller. It exceeds the time in which a worker registration expires, so that a worker that restarts
+	// at once is back before.
 	Away time.Duration
-	// Memory is how long the address of a worker that ended comes after the others: one that ends by itself, again and again, would have
-	// requests barred that do no harm.
+	// CrashMemory is how long the address of a crashed worker is tried last. Otherwise a worker that keeps crashing
+	// by itself would get harmless requests blocked.
 	CrashMemory time.Duration
-	// Sets is into how many sets such requests are divided, so that one which ends workers meets few of the others again: over the workers
-	// at risk as far as there are so many, and over time beyond, in turns of Turn. Without turns, of 50 plays at a role of four three ended
-	// with a bar of an often asked request that does no harm. A turn is somewhat longer than such a request takes to end its worker.
+	// Sets is the number of sets into which suspects are divided, so that a suspect that crashes workers runs beside
+	// few of the others. Sets beyond the number of allowed workers take turns. Turn is the length of a turn, somewhat
+	// longer than a suspect takes to crash its worker.
 	Sets int
 	Turn time.Duration
 }
 
-// Round is how long the turns of all sets take, at the most.
+// Round returns the maximum duration of one turn of each set.
 func (s RiskSettings) Round() time.Duration { return time.Duration(s.Sets) * s.Turn }
 
-// DefaultRiskSettings allow a quarter of a role.
+// DefaultRiskSettings returns the default settings.
 func DefaultRiskSettings() RiskSettings {
 	return RiskSettings{Share: 0.25, Away: 10 * time.Second, CrashMemory: 10 * time.Minute, Sets: 8, Turn: 100 * time.Millisecond}
 }
 
-// loss is the end of a worker.
+// crash records the crash of a worker.
 type crash struct {
 	worker *backend.Worker
 	at     time.Time
-	// isBack is set once there is another worker at its address, or in its place.
+	// replaced is set once another worker has registered at the same address or in place of the crashed one.
 	replaced bool
 }
 
-// losses are the workers that ended, by the ids of their incarnations.
+// crashes holds the recent crashes.
 type crashes struct {
 	byWorker map[string]*crash
-	// backAfter is how long the last one took that came back; zero before.
+	// lastRecovery is how long the replacement of the last replaced worker took, zero if there was none.
 	lastRecovery time.Duration
-	// newcomers have come since Returned was called last.
+	// added holds the workers that were added since the last call of Returned.
 	added []*workerState
-	// counting is set once newcomers can be told from those that were there before.
+	// initialized is set once the initial workers are known, so that later ones can be told from them.
 	initialized bool
 }
 
-// Ended notes that a worker ended at a moment, as its connections or other gateways tell. Hearing it again changes nothing.
+// Ended records that a worker crashed at the given time, as its connections or other gateways report. Repeated calls
+// have no effect.
 func (b *Balancer) Ended(now, at time.Time, id string) {
 	state, found := b.workers[id]
 	if b.crashes.byWorker[id] != nil || !found {
@@ -68,8 +70,8 @@
 	b.crashes.byWorker[id] = &crash{worker: state.worker, at: at}
 }
 
-// Returned notes which of the workers that ended have come back at their addresses, or have others in their place. It is called when the
-// workers have changed.
+// Returned matches added workers with the crashed workers that they replace. It must be called after each change of
+// the workers.
 func (b *Balancer) Returned(now time.Time) {
 	for _, crash := range b.crashes.byWorker {
 		if crash.replaced {
@@ -92,18 +94,19 @@
 			}
 		}
 	}
-	// Those that are there when the first ones are known are no newcomers.
+	// The initial workers replace no crashed one.
 	b.crashes.initialized = b.crashes.initialized || len(b.workers) > 0
 }
 
-// isBack notes that a worker which ended is back, or that another one takes its place.
+// markReplaced records that a crashed worker has been replaced.
 func (b *Balancer) markReplaced(now time.Time, crash *crash) {
 	if !crash.replaced {
 		crash.replaced, b.crashes.lastRecovery = true, min(now.Sub(crash.at), b.settings.Risk.Away)
 	}
 }
 
-// firstAway returns the worker that ended first of those in whose place a newcomer may have come, or nil: another one has its address.
+// oldestUnreplaced returns the earliest crash in the role of an added worker that has not been replaced. It returns
+// nil if a worker crashed at the address of the added one, which is matched by address.
 func (b *Balancer) oldestUnreplaced(added *workerState) *crash {
 	var oldest *crash
 	for _, crash := range b.crashes.byWorker {
@@ -118,8 +121,8 @@
 	return oldest
 }
 
-// upAndAway returns the workers of a role that are up, by their addresses, and when those ended that are not back. One whose address
-// refuses connections is away from now on, if its end was not told yet.
+// liveAndMissing returns the live workers of a role by address, and since when the missing ones are missing. A worker
+// whose address refuses connections counts as missing from now on if its crash has not been reported.
 func (b *Balancer) liveAndMissing(now time.Time, query Query) (map[string]*workerState, []time.Time) {
 	live := map[string]*workerState{}
 	var missingSince []time.Time
@@ -143,18 +146,19 @@
 	return live, missingSince
 }
 
-// isOf tells whether a worker that ended was of the role of a query.
+// affects reports whether the crashed worker belongs to the role of the query.
 func (c *crash) affects(query Query) bool {
 	return c.worker.Role == query.Role && slices.Contains(c.worker.Groups(), query.Group)
 }
 
-// mostAtRisk returns at how many workers of a role requests may run that may end them.
+// suspectCapacity returns how many workers of a role may serve suspects.
 func (b *Balancer) suspectCapacity(live, missing int) int {
 	return max(int(b.settings.Risk.Share*float64(live+missing)), 1) - missing
 }
 
-// atRisk returns the workers at which requests may run that may end them: as many as the role can lose besides those that are away. All
-// gateways that heard of the same ends choose the same ones, so that requests which come to several of them put no more at risk.
+// suspectCandidates returns the workers that may serve the suspect now: as many as the role can lose in addition to
+// those that are missing. Gateways that know the same crashes return the same workers, so that together they put no
+// more at risk.
 func (b *Balancer) suspectCandidates(now time.Time, query Query) []*workerState {
 	live, missingSince := b.liveAndMissing(now, query)
 	capacity := b.suspectCapacity(len(live), len(missingSince))
@@ -170,8 +174,8 @@
 	return candidates
 }
 
-// mayEnd returns the workers that a request may end, of those that are up and so many at the most. Others do not take the place of one that
-// it was tried at, or that wants no requests now.
+// suspectTargets returns the live workers that may serve the suspect, at most capacity. Workers where it has been
+// tried are left out, and no others take their place.
 func (b *Balancer) suspectTargets(query Query, live map[string]*workerState, capacity int) []*workerState {
 	var workers []*workerState
 	for _, address := range b.suspectOrder(query, live)[:min(capacity, len(live))] {
@@ -182,7 +186,7 @@
 	return workers
 }
 
-// untilOneTakes returns how long it takes until the first of some workers takes requests again.
+// untilFirstAccepts returns the time until the first of the workers accepts requests.
 func untilFirstAccepts(now time.Time, workers []*workerState) time.Duration {
 	if len(workers) == 0 {
 		return 0
@@ -191,8 +195,9 @@
 	return max(first.acceptsFrom(now).Sub(now), 0)
 }
 
-// untilTurn returns how long a request waits for its turn at so many workers; zero when it is its turn. Turns are counted from the last
-// end in the role, which all gateways know within some milliseconds, and each end shuffles the sets.
+// untilTurn returns the time until the turn of the suspect when that many workers serve suspects, zero if it is its
+// turn. Turns are counted from the last crash in the role, which all gateways learn within milliseconds, and each
+// crash reshuffles the sets.
 func (b *Balancer) untilTurn(now time.Time, query Query, workers int) time.Duration {
 	sets := (b.settings.Risk.Sets + workers - 1) / workers
 	lastCrash := ""
@@ -214,7 +219,8 @@
 	return time.Duration(turns)*turn - elapsed%turn
 }
 
-// riskOrder returns the addresses of workers, those at which none ended first, and those where it is longest ago.
+// suspectOrder returns the addresses of the workers in the order of preference: those without a recent crash first,
+// then by the time of the last crash, the earliest first.
 func (b *Balancer) suspectOrder(query Query, live map[string]*workerState) []string {
 	crashedAt := map[string]time.Time{}
 	for _, crash := range b.crashes.byWorker {
@@ -231,8 +237,8 @@
 	return ordered
 }
 
-// RunsIn returns after how long a request that may end workers is expected to run: when it is its turn and a worker takes it, or when the first worker of the
-// role that ended is back, as long as the last one took, or does not count as a loss any more.
+// RunsIn returns the expected time until the suspect can run: when it is its turn and a worker accepts it. If too
+// many workers are missing, it is when the first of them is expected to be replaced, or no longer counts as missing.
 func (b *Balancer) RunsIn(now time.Time, query Query) time.Duration {
 	live, missingSince := b.liveAndMissing(now, query)
 	if capacity := b.suspectCapacity(len(live), len(missingSince)); capacity > 0 {
@@ -245,7 +251,7 @@
 	return max(recovery-now.Sub(slices.MinFunc(missingSince, time.Time.Compare)), 0)
 }
 
-// Tried tells whether a request that may end workers was tried at all those at which it may run: another one does not take their place.
+// Tried reports whether the suspect has been tried at every worker that may serve it.
 func (b *Balancer) Tried(now time.Time, query Query) bool {
 	live, missingSince := b.liveAndMissing(now, query)
 	capacity := min(b.suspectCapacity(len(live), len(missingSince)), len(live))
--- a/internal/balance/suspects_test.go
+++ b/internal/balance/suspects_test.go
@@ -14,7 +14,7 @@
 	"github.com/granitebay/granitebay/internal/enginemodel"
 )
 
-// balancerOf returns a balancer that knows some workers.
+// newBalancer returns a balancer with the given workers.
 func newBalancer(set backend.Set) *Balancer {
 	balancer := New(DefaultSettings(), enginemodel.New(), nil)
 	balancer.SetWorkers(set)
@@ -22,19 +22,19 @@
 	return balancer
 }
 
-// suspectOf asks for a worker for a request that may end it.
+// suspectQuery returns a query for a suspect with the given key.
 func suspectQuery(name string) Query {
 	return Query{Group: "g", Role: backend.RoleDecode, Apart: name}
 }
 
-// TestSuspectsPutNoMoreAtRiskThanTheRoleCanLose tells gateways of the same ends in any order, and has them set workers aside as they
-// like. Those that are away and those where suspects may run are never more than a quarter of the role together, or one.
+// TestSuspectsAreBoundedByRiskShare reports the same crashes to several gateways in different orders, with different
+// ejections. The missing workers and those that serve suspects must not exceed a quarter of the role, or one.
 func TestSuspectsAreBoundedByRiskShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(1, 40).Draw(t, "workers")
 		set := engines(backend.RoleDecode, size)
 		ids := slices.Sorted(maps.Keys(set))
-		crashed := rapid.SliceOfNDistinct(rapid.SampledFrom(ids), 0, size, rapid.ID).Draw(t, "ended")
+		crashed := rapid.SliceOfNDistinct(rapid.SampledFrom(ids), 0, size, rapid.ID).Draw(t, "crashed")
 		now := epoch.Add(time.Duration(len(crashed)) * time.Second / 10)
 		exposed := map[string]bool{}
 		for gateway := range 3 {
@@ -42,7 +42,7 @@
 			for _, i := range rapid.Permutation(lo.Range(len(crashed))).Draw(t, "order") {
 				balancer.Ended(now, epoch.Add(time.Duration(i)*time.Second/10), crashed[i])
 			}
-			ejected := rapid.SampledFrom(ids).Draw(t, "aside")
+			ejected := rapid.SampledFrom(ids).Draw(t, "ejected")
 			balancer.Begin(ejected, LoadOf(0, false))
 			balancer.End(now, ejected, OutcomeUnreachable)
 			for number := range 20 {
@@ -54,28 +54,28 @@
 					continue
 				}
 				if slices.Contains(crashed, choice.Worker.ID) || slices.Contains(query.Excluded, choice.Worker.ID) {
-					t.Fatalf("%s was picked, of which %v ended and %v failed it", choice.Worker.ID, crashed, query.Excluded)
+					t.Fatalf("picked %s; crashed: %v, excluded: %v", choice.Worker.ID, crashed, query.Excluded)
 				}
 				exposed[choice.Worker.ID] = true
 			}
 		}
 		if maxExposed := max(size/4, 1); len(exposed) > 0 && len(crashed)+len(exposed) > maxExposed {
-			t.Fatalf("%d of %d are away, and suspects run at %v", len(crashed), size, exposed)
+			t.Fatalf("%d of %d workers are missing, and suspects run at %v", len(crashed), size, exposed)
 		}
 	})
 }
 
-// TestEachSuspectHasItsTurn asks at a role that can lose one worker, after one has ended and come back.
+// TestEverySuspectGetsATurn uses a role that can lose one worker, after one has crashed and been replaced.
 func TestEverySuspectGetsATurn(t *testing.T) {
 	settings := DefaultRiskSettings()
 	set := engines(backend.RoleDecode, 4)
 	balancer := newBalancer(set)
 	balancer.Ended(epoch, epoch, "decode-1")
 	if _, found := balancer.Pick(epoch, suspectQuery("a")); found {
-		t.Fatal("a suspect runs while one of four is away")
+		t.Fatal("a suspect runs while one of four workers is missing")
 	}
 	if wait := balancer.RunsIn(epoch.Add(time.Second), suspectQuery("a")); wait != settings.Away-time.Second {
-		t.Errorf("it is to run in %s", wait)
+		t.Errorf("RunsIn = %s, want the time until the worker no longer counts as missing", wait)
 	}
 	set = set.Clone()
 	set["again"] = &backend.Worker{ID: "again", Group: "g", Address: set["decode-1"].Address, Role: backend.RoleDecode, Slots: 8}
@@ -91,31 +91,31 @@
 			choice, found := balancer.Pick(now, query)
 			wait := balancer.RunsIn(now, query)
 			if found != (wait == 0) || wait >= settings.Round() {
-				t.Fatalf("%s runs: %t, and is to run in %s", query.Apart, found, wait)
+				t.Fatalf("%s: found = %t, RunsIn = %s", query.Apart, found, wait)
 			}
 			if found {
 				turns[query.Apart]++
 				if choice.Worker.ID == "again" {
-					t.Errorf("%s runs where a worker ended last", query.Apart)
+					t.Errorf("%s runs at the address of the last crash", query.Apart)
 				}
 			}
 		}
 	}
 	for suspect, steps := range turns {
 		if steps != int(settings.Turn/(10*time.Millisecond)) {
-			t.Errorf("%s runs in %d steps", suspect, steps)
+			t.Errorf("%s can run in %d steps", suspect, steps)
 		}
 	}
 	if len(turns) != 20 {
-		t.Errorf("%d of 20 had a turn", len(turns))
+		t.Errorf("%d of 20 suspects had a turn", len(turns))
 	}
 	balancer.Ended(replacedAt, replacedAt, "decode-2")
 	if wait := balancer.RunsIn(replacedAt, suspectQuery("a")); wait != 3*time.Second {
-		t.Errorf("after the next end one is to run in %s, as long as the last one was away", wait)
+		t.Errorf("RunsIn after the next crash = %s, want the last recovery time of 3s", wait)
 	}
 }
 
-// TestAnotherWorkerTakesThePlaceOfOneThatEnded has all workers end and others start at other addresses, as schedulers of containers do.
+// TestNewWorkerReplacesCrashedWorker has replacements start at other addresses, as container schedulers do.
 func TestNewWorkerReplacesCrashedWorker(t *testing.T) {
 	set := engines(backend.RoleDecode, 4)
 	balancer := newBalancer(set)
@@ -137,43 +137,43 @@
 		balancer.SetWorkers(current)
 		balancer.Returned(epoch.Add(time.Second))
 		if _, found := balancer.Pick(epoch.Add(time.Second), query); found != (count == 4) {
-			t.Errorf("with %d others a suspect runs: %t", count, found)
+			t.Errorf("%d replacements: a suspect runs: %t", count, found)
 		}
 	}
 	balancer = newBalancer(set)
 	balancer.Ended(epoch, epoch, "decode-0")
 	if _, found := balancer.Pick(epoch.Add(DefaultRiskSettings().Away), query); !found {
-		t.Error("a worker that does not come back keeps suspects from the others for good")
+		t.Error("suspects are held back although the crashed worker no longer counts as missing")
 	}
 }
 
-// TestAWorkerThatIsGoneIsNoneForSuspects has the one worker of four that may be put at risk refuse connections before its end was told. It
-// counts as away, so that no other one is put at risk, and a suspect is told to come back in place of being sent there.
+// TestUnreachableWorkerCountsAsMissingForSuspects makes the only worker that may serve suspects refuse connections
+// before its crash is reported. No other worker may be put at risk, and RunsIn must ask for a retry.
 func TestUnreachableWorkerCountsAsMissingForSuspects(t *testing.T) {
 	b, now, query := newBalancer(engines(backend.RoleDecode, 4)), epoch, suspectQuery("a")
 	choice, found := b.Pick(now, query)
 	if !found {
-		t.Fatal("no worker for a suspect")
+		t.Fatal("no worker was picked for a suspect")
 	}
 	b.SetGone(now, choice.Worker.ID, now.Add(time.Second))
 	if again, found := b.Pick(now, query); found {
-		t.Errorf("%s was picked beside one that is gone", again.Worker.ID)
+		t.Errorf("picked %s although another worker is missing", again.Worker.ID)
 	}
 	if wait := b.RunsIn(now, query); wait <= 0 {
-		t.Errorf("it is to come back after %s", wait)
+		t.Errorf("RunsIn = %s, want more than zero", wait)
 	}
 }
 
-// TestASuspectThatWasTriedEverywhereIsNotToldToWait excludes the one worker at which a suspect may run.
+// TestSuspectTriedOnEveryAllowedWorker guards against telling a suspect to wait that no worker is left for.
 func TestSuspectTriedOnEveryAllowedWorker(t *testing.T) {
 	b, now, query := newBalancer(engines(backend.RoleDecode, 4)), epoch, suspectQuery("a")
 	choice, _ := b.Pick(now, query)
 	query.Excluded = []string{choice.Worker.ID}
 	if !b.Tried(now, query) {
-		t.Error("a worker is left for it")
+		t.Error("Tried = false although every allowed worker is excluded")
 	}
 	query.Excluded = nil
 	if b.Tried(now, query) {
-		t.Error("none is left for it")
+		t.Error("Tried = true although no worker is excluded")
 	}
 }
