--- a/internal/routing/configuration.go
+++ b/internal/routing/configuration.go
@@ -174,14 +174,14 @@
 	merged.WorkerLabels = byLabels.WorkerLabels
 	merged.Groups = slices.Clone(c.Groups)
 	for _, group := range byLabels.Groups {
-		merged.Groups = append(merged.Groups, c.selectedFrom(group))
+		merged.Groups = append(merged.Groups, c.withBaseSettings(group))
 	}
 	merged.Rules = slices.Concat(c.Rules, byLabels.Rules)
 	return &merged
 }
 
 // selectedFrom gives a group what it takes over from the one from which it selects.
-func (c *Configuration) selectedFrom(group Group) Group {
+func (c *Configuration) withBaseSettings(group Group) Group {
 	for _, base := range c.Groups {
 		if base.Name == group.Of {
 			group.Engine, group.MaxConnections = base.Engine, base.MaxConnections
@@ -193,31 +193,31 @@
 
 // Select returns the workers with the labels of the operators and the groups that select them. Workers are not changed.
 func (c *Configuration) Select(workers backend.Set) backend.Set {
-	if !c.selects() {
+	if !c.changesWorkers() {
 		return workers
 	}
 	selected := make(backend.Set, len(workers))
 	for id, worker := range workers {
-		selected[id] = c.selectWorker(worker)
+		selected[id] = c.applyLabelsAndGroups(worker)
 	}
 	return selected
 }
 
 // selects tells whether workers get labels or groups besides their own.
-func (c *Configuration) selects() bool {
+func (c *Configuration) changesWorkers() bool {
 	return c != nil && (len(c.WorkerLabels) > 0 || slices.ContainsFunc(c.Groups, func(g Group) bool { return g.Of != "" }))
 }
 
 // SelectChanges is Select for workers that have changed.
 func (c *Configuration) SelectChanges(changes backend.Changes) backend.Changes {
-	if c.selects() {
-		changes.Put = lo.Map(changes.Put, func(worker *backend.Worker, _ int) *backend.Worker { return c.selectWorker(worker) })
+	if c.changesWorkers() {
+		changes.Put = lo.Map(changes.Put, func(worker *backend.Worker, _ int) *backend.Worker { return c.applyLabelsAndGroups(worker) })
 	}
 	return changes
 }
 
 // selectWorker returns one worker with its labels and groups.
-func (c *Configuration) selectWorker(worker *backend.Worker) *backend.Worker {
+func (c *Configuration) applyLabelsAndGroups(worker *backend.Worker) *backend.Worker {
 	labelled := *worker
 	labelled.Labels = lo.Assign(worker.Labels, c.WorkerLabels[worker.Address])
 	labelled.Selected = nil
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -9,7 +9,7 @@
 )
 
 // sample returns a valid configuration with two rules on one host.
-func sample() *Configuration {
+func validConfiguration() *Configuration {
 	return &Configuration{
 		Version: 1,
 		Rules: []Rule{
@@ -26,8 +26,8 @@
 	}
 }
 
-func TestMatchTakesTheLongestPrefixOfTheHost(t *testing.T) {
-	table := NewTable(sample(), nil)
+func TestMatchPrefersLongestPrefixOfHost(t *testing.T) {
+	table := NewTable(validConfiguration(), nil)
 	cases := []struct{ host, path, want string }{
 		{"a.example", "/x/1", "outer"},
 		{"A.example:8080", "/x/1", "outer"},
@@ -44,8 +44,8 @@
 	}
 }
 
-func TestValidateNamesEveryFault(t *testing.T) {
-	configuration := sample()
+func TestValidateReportsEveryError(t *testing.T) {
+	configuration := validConfiguration()
 	configuration.Rules[0].Match = PathMatch{Host: "a.example", PathPrefix: "x"}
 	configuration.Rules[0].Timeout = 0
 	configuration.Rules[1].Shares[1].Group = "nobody"
@@ -56,13 +56,13 @@
 			t.Errorf("%v does not name %s", err, want)
 		}
 	}
-	if err := sample().Validate(); err != nil {
+	if err := validConfiguration().Validate(); err != nil {
 		t.Errorf("a valid configuration: %v", err)
 	}
 }
 
 // TestSharesStayWithinOneRequest checks the invariant of a rotation.
-func TestSharesStayWithinOneRequest(t *testing.T) {
+func TestRotationStaysWithinOneRequestOfShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.IntRange(0, 20), 2, 4).Filter(func(weights []int) bool {
 			sum := 0
@@ -91,20 +91,20 @@
 	})
 }
 
-func TestChangeKeepsSharesOfRulesThatStay(t *testing.T) {
-	first := NewTable(sample(), nil)
+func TestNewTableKeepsRotationOfUnchangedShares(t *testing.T) {
+	first := NewTable(validConfiguration(), nil)
 	first.Match("a.example", "/x/y/1")
-	changed := sample()
+	changed := validConfiguration()
 	changed.Version = 2
 	changed.Rules[1].Timeout = 2 * time.Second
 	second := NewTable(changed, first)
-	if first.byHost["a.example"][0].shares != second.byHost["a.example"][0].shares {
+	if first.byHost["a.example"][0].rotation != second.byHost["a.example"][0].rotation {
 		t.Error("the shares of a rule began anew although they did not change")
 	}
-	changed = sample()
+	changed = validConfiguration()
 	changed.Rules[1].Shares[0].Weight = 1
 	third := NewTable(changed, second)
-	if third.byHost["a.example"][0].shares == second.byHost["a.example"][0].shares {
+	if third.byHost["a.example"][0].rotation == second.byHost["a.example"][0].rotation {
 		t.Error("changed shares did not begin anew")
 	}
 }
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -22,7 +22,7 @@
 type entry struct {
 	rule   *Rule
 	match  Matcher
-	shares *rotation
+	rotation *rotation
 }
 
 // Match is the rule of a request and the group that is to serve it.
@@ -45,7 +45,7 @@
 	}
 	for i := range configuration.Rules {
 		rule := &configuration.Rules[i]
-		table.add(&entry{rule: rule, match: rule.Match, shares: previous.rotationOf(rule)})
+		table.add(&entry{rule: rule, match: rule.Match, rotation: previous.rotationOf(rule)})
 	}
 	table.sort()
 	return table
@@ -70,8 +70,8 @@
 		})
 	}
 	slices.SortStableFunc(t.byLabels, func(a, b *entry) int {
-		before := cmp.Compare(b.match.(LabelMatch).Precedence, a.match.(LabelMatch).Precedence)
-		return cmp.Or(before, cmp.Compare(a.rule.Name, b.rule.Name))
+		byPrecedence := cmp.Compare(b.match.(LabelMatch).Precedence, a.match.(LabelMatch).Precedence)
+		return cmp.Or(byPrecedence, cmp.Compare(a.rule.Name, b.rule.Name))
 	})
 }
 
@@ -81,33 +81,33 @@
 // Match returns the rule with the longest prefix of the path among those of the host, and picks the group by the shares of
 // the rule. The host may carry a port.
 func (t *Table) Match(host, path string) (Match, bool) {
-	return t.matchOf(t.find(host, path))
+	return t.resolve(t.findByPath(host, path))
 }
 
 // MatchLabels returns the first rule that selects labels, and picks the group by the shares of the rule.
 func (t *Table) MatchLabels(labels map[string]string) (Match, bool) {
 	for _, candidate := range t.byLabels {
 		if candidate.match.(LabelMatch).Selector.MatchesLabels(labels) {
-			return t.matchOf(candidate)
+			return t.resolve(candidate)
 		}
 	}
 	return Match{}, false
 }
 
 // matchOf picks the group of an entry, which may be nil.
-func (t *Table) matchOf(found *entry) (Match, bool) {
+func (t *Table) resolve(found *entry) (Match, bool) {
 	if found == nil {
 		return Match{}, false
 	}
-	group, known := t.groups[found.shares.next()]
-	if !known {
+	group, exists := t.groups[found.rotation.next()]
+	if !exists {
 		return Match{}, false
 	}
 	return Match{Rule: found.rule, Group: group}, true
 }
 
 // find returns the entry of a host and a path, or nil.
-func (t *Table) find(host, path string) *entry {
+func (t *Table) findByPath(host, path string) *entry {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
 	}
@@ -125,16 +125,16 @@
 	if t == nil {
 		return fresh
 	}
-	for _, candidate := range t.beside(rule) {
-		if candidate.shares.same(rule.Shares) {
-			return candidate.shares
+	for _, candidate := range t.entriesLike(rule) {
+		if candidate.rotation.hasShares(rule.Shares) {
+			return candidate.rotation
 		}
 	}
 	return fresh
 }
 
 // beside returns the entries that stand where a rule does.
-func (t *Table) beside(rule *Rule) []*entry {
+func (t *Table) entriesLike(rule *Rule) []*entry {
 	var found []*entry
 	switch match := rule.Match.(type) {
 	case PathMatch:
@@ -173,7 +173,7 @@
 }
 
 // same tells whether the rotation deals by these shares.
-func (r *rotation) same(shares []Share) bool {
+func (r *rotation) hasShares(shares []Share) bool {
 	if len(shares) != len(r.shares) {
 		return false
 	}
