--- a/internal/routing/configuration.go
+++ b/internal/routing/configuration.go
@@ -1,5 +1,5 @@
-// Package routing holds the dynamic configuration of the request path: which rule a request falls under, which group of
-// workers serves it and under which limits. A configuration is a whole validated snapshot and is never changed.
+// Package routing holds the dynamic configuration of the request path: which rule applies to a request, which group
+// of workers serves it, and with which limits. A Configuration is a complete validated snapshot and is immutable.
 package routing
 
 import (
@@ -12,38 +12,40 @@
 	"github.com/granitebay/granitebay/internal/tenant"
 )
 
-// Kind says how often a request may run.
+// Kind tells whether a request may be retried, and whether its response is a stream.
 type Kind int
 
-// The kinds of requests.
+// Kinds of requests.
 const (
-	// KindRunOnce requests run at most once.
+	// KindRunOnce requests are executed at most once.
 	KindRunOnce Kind = iota
-	// KindRepeatable requests may run again after any failure.
+	// KindRepeatable requests may be executed again after any failure.
 	KindRepeatable
-	// KindStream requests are answered by events. They run at most once unless their rule is resumable.
+	// KindStream requests are answered with a stream of events. They are executed at most once unless their rule is
+	// resumable.
 	KindStream
 )
 
-// Share is one part of the traffic of a rule.
+// Share is a group's share of the traffic of a rule.
 type Share struct {
-	// Group that serves the part.
+	// Group serves the share.
 	Group string
-	// Weight of the part among all parts, at least 0.
+	// Weight is relative to the weights of the other shares of the rule, at least 0.
 	Weight int
 }
 
-// Matcher says which requests a rule is for. It is a PathMatch or a LabelMatch.
+// Matcher selects the requests of a rule. It is a PathMatch or a LabelMatch.
 type Matcher interface{ isMatcher() }
 
-// PathMatch selects the requests of one host below one path. Among several the longest path wins.
+// PathMatch selects the requests of one host by path prefix. The longest matching prefix wins.
 type PathMatch struct {
 	Host string
 	// PathPrefix begins and ends with a slash.
 	PathPrefix string
 }
 
-// LabelMatch selects requests by their labels. Among several the highest precedence wins, then the first name.
+// LabelMatch selects requests by labels. Among several matching rules the highest precedence wins, then the name that
+// sorts first.
 type LabelMatch struct {
 	Selector   Selector
 	Precedence int
@@ -52,116 +54,117 @@
 func (PathMatch) isMatcher()  {}
 func (LabelMatch) isMatcher() {}
 
-// Selector selects what has certain labels.
+// Selector reports whether a set of labels matches.
 type Selector interface {
 	MatchesLabels(labels map[string]string) bool
 }
 
-// Rule says how the requests that it matches are served.
+// Rule defines how matching requests are served.
 type Rule struct {
 	Name  string
 	Match Matcher
 	Kind  Kind
-	// Timeout bounds a request from its arrival to its end.
+	// Timeout limits the total time of a request.
 	Timeout time.Duration
-	// Objective is the time within which the first byte of an answer is wanted.
+	// Objective is the target for the time to the first byte of the response.
 	Objective time.Duration
-	// GapObjective is the longest pause wanted between two events of a stream.
+	// GapObjective is the target for the longest pause between two events of a stream.
 	GapObjective time.Duration
-	// Priority is the rank of the rule, 0 the most urgent.
+	// Priority is the priority class of the rule, 0 being the most urgent.
 	Priority int
-	// MaxAttempts is the largest number of workers on which one request may run.
+	// MaxAttempts is the maximum number of workers that may execute one request.
 	MaxAttempts int
-	// Resumable streams may go on at another worker after the last event that was passed on.
+	// Resumable streams may continue on another worker after the last forwarded event.
 	Resumable bool
 	// Shares of the traffic, at least one.
 	Shares []Share
-	// Public rules serve callers without a key.
+	// Public rules require no API key.
 	Public bool
-	// TenantInFlight is the most requests of one tenant that all gateways together have in hand; zero is no limit.
+	// TenantInFlight limits the concurrent requests of one tenant over all gateways; zero means no limit.
 	TenantInFlight int
 }
 
-// Repeatable tells whether a request of the rule may run more than once.
+// Repeatable reports whether a request of the rule may be executed more than once.
 func (r *Rule) Repeatable() bool {
 	return r.Kind == KindRepeatable || (r.Kind == KindStream && r.Resumable)
 }
 
-// Engine describes the model engines of a group.
+// Engine describes the inference engines of a group.
 type Engine struct {
-	// MemoryTokens is the number of tokens for which one engine has KV cache.
+	// MemoryTokens is the capacity of the KV cache of one engine.
 	MemoryTokens int
-	// BytesPerToken is the size of the KV cache of one token.
+	// BytesPerToken is the size of one token in the KV cache.
 	BytesPerToken int
-	// LinkMbps is the speed of the links between engines in Mbit/s.
+	// LinkMbps is the bandwidth between engines in Mbit/s.
 	LinkMbps float64
-	// TokensPerEvent is the number of tokens that one event of a stream carries.
+	// TokensPerEvent is the number of tokens in one event of a stream.
 	TokensPerEvent int
-	// HandleTTL is how long the KV cache of a read prompt is kept for the engine that goes on with it.
+	// HandleTTL is how long the KV cache of a prefilled prompt is kept for the decode engine.
 	HandleTTL time.Duration
-	// RoleChange is how long a change of role takes.
+	// RoleChange is how long a role change takes.
 	RoleChange time.Duration
 }
 
-// Group is a set of interchangeable workers: those that record themselves as its members, or those of another group that its
-// selector selects.
+// Group is a set of interchangeable workers: those that register as its members, or those of another group that its
+// selector matches.
 type Group struct {
 	Name string
-	// Of is the group whose workers the selector selects from; empty for a group without a selector.
+	// Of is the group from which the selector selects workers; empty for a group without a selector.
 	Of       string
 	Selector Selector
-	// HealthPath is the path at which a worker tells who it is; empty when it does not.
+	// HealthPath is the path at which a worker reports its identity; empty if it does not.
 	HealthPath string
-	// LeastOfRole is the number of engines that each role keeps at the least.
+	// LeastOfRole is the minimum number of engines of each role.
 	LeastOfRole map[backend.Role]int
 	// MaxConnections is the number of connections that one worker accepts from all callers together.
 	MaxConnections int
 	// Engine is nil for groups of plain application workers.
 	Engine *Engine
-	// Scaling says what workers may be ordered; nil is none.
+	// Scaling limits the workers that may be provisioned; nil means none.
 	Scaling *Scaling
 }
 
-// Scaling says what workers of a group may be ordered.
+// Scaling limits the workers of a group that may be provisioned.
 type Scaling struct {
-	// Least and Most workers of a zone.
+	// Least and Most limit the number of workers in each zone.
 	Least, Most int
-	// Boot is how long an ordered worker takes until it serves.
+	// Boot is the time from ordering a worker until it serves requests.
 	Boot time.Duration
-	// SpotPrice is the price of a worker that may be taken away, as a part of that of others; zero when there are none.
+	// SpotPrice is the price of a preemptible worker relative to a regular one; zero if there are none.
 	SpotPrice float64
-	// ZonePrices are the prices of a worker for a second, by zone.
+	// ZonePrices are the prices of a worker per second, by zone.
 	ZonePrices map[string]float64
 }
 
-// Limits bound what a caller may send.
+// Limits restricts the requests of clients.
 type Limits struct {
-	// MaxHeaderBytes bounds the head of a request.
+	// MaxHeaderBytes limits the size of the request header.
 	MaxHeaderBytes int
-	// MaxBodyBytes bounds the body of a request.
+	// MaxBodyBytes limits the size of the request body.
 	MaxBodyBytes int64
-	// HeaderTimeout bounds how long the head of a request may take.
+	// HeaderTimeout limits the time to receive the request header.
 	HeaderTimeout time.Duration
-	// IdleTimeout is how long a connection may rest between two requests.
+	// IdleTimeout limits how long a connection may stay idle between requests.
 	IdleTimeout time.Duration
 }
 
-// Configuration is one revision of everything that an operator decides about the request path.
+// Configuration is one revision of everything that operators configure for the request path.
 type Configuration struct {
-	// Version of the routes and services, and Revision of the groups and rules by labels. Each rises with each change.
+	// Version is the version of routes and services, Revision that of groups and label rules. Each increases with
+	// every change.
 	Version  int64
 	Revision int64
 	Rules    []Rule
 	Groups   []Group
 	Limits   Limits
-	// Tenants says whose key is whose. Without it callers need no key.
+	// Tenants maps API keys to tenants. If nil, clients need no key.
 	Tenants *tenant.Table
-	// WorkerLabels are put on workers by operators, by address of the worker and key of the label.
+	// WorkerLabels are the labels that operators assign to workers, by worker address and label key.
 	WorkerLabels map[string]map[string]string
 }
 
-// WithLabels returns the configuration with groups and rules by labels besides its own. Groups take the engines of those from
-// which they select. Either part may be nil; nil is returned when both are.
+// WithLabels returns the configuration merged with label-based groups and rules. These groups take the engine
+// settings of the groups that they select from. Either configuration may be nil; the result is nil if both are.
 func (c *Configuration) WithLabels(byLabels *Configuration) *Configuration {
 	switch {
 	case byLabels == nil:
@@ -180,7 +183,7 @@
 	return &merged
 }
 
-// selectedFrom gives a group what it takes over from the one from which it selects.
+// withBaseSettings returns the group with the engine settings of the group that it selects from.
 func (c *Configuration) withBaseSettings(group Group) Group {
 	for _, base := range c.Groups {
 		if base.Name == group.Of {
@@ -191,7 +194,8 @@
 	return group
 }
 
-// Select returns the workers with the labels of the operators and the groups that select them. Workers are not changed.
+// Select returns the workers with the labels that operators assigned and the groups that select them. The argument is
+// not modified.
 func (c *Configuration) Select(workers backend.Set) backend.Set {
 	if !c.changesWorkers() {
 		return workers
@@ -203,12 +207,12 @@
 	return selected
 }
 
-// selects tells whether workers get labels or groups besides their own.
+// changesWorkers reports whether Select may change any worker.
 func (c *Configuration) changesWorkers() bool {
 	return c != nil && (len(c.WorkerLabels) > 0 || slices.ContainsFunc(c.Groups, func(g Group) bool { return g.Of != "" }))
 }
 
-// SelectChanges is Select for workers that have changed.
+// SelectChanges is like Select, for changed workers.
 func (c *Configuration) SelectChanges(changes backend.Changes) backend.Changes {
 	if c.changesWorkers() {
 		changes.Put = lo.Map(changes.Put, func(worker *backend.Worker, _ int) *backend.Worker { return c.applyLabelsAndGroups(worker) })
@@ -216,7 +220,7 @@
 	return changes
 }
 
-// selectWorker returns one worker with its labels and groups.
+// applyLabelsAndGroups returns a copy of the worker with its labels and groups.
 func (c *Configuration) applyLabelsAndGroups(worker *backend.Worker) *backend.Worker {
 	labelled := *worker
 	labelled.Labels = lo.Assign(worker.Labels, c.WorkerLabels[worker.Address])
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// sample returns a valid configuration with two rules on one host.
+// validConfiguration returns a valid configuration with two rules on one host.
 func validConfiguration() *Configuration {
 	return &Configuration{
 		Version: 1,
@@ -39,7 +39,7 @@
 	for _, c := range cases {
 		match, found := table.Match(c.host, c.path)
 		if found != (c.want != "") || (found && match.Rule.Name != c.want) {
-			t.Errorf("%s%s: got %v, want %q", c.host, c.path, match.Rule, c.want)
+			t.Errorf("%s%s: got rule %v, want %q", c.host, c.path, match.Rule, c.want)
 		}
 	}
 }
@@ -53,15 +53,15 @@
 	err := configuration.Validate()
 	for _, want := range []string{"rules[0].pathPrefix", "rules[0].timeout", "rules[1].shares[1].group", "groups[1].name"} {
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%v does not name %s", err, want)
+			t.Errorf("error %v does not mention %s", err, want)
 		}
 	}
 	if err := validConfiguration().Validate(); err != nil {
-		t.Errorf("a valid configuration: %v", err)
+		t.Errorf("valid configuration: %v", err)
 	}
 }
 
-// TestSharesStayWithinOneRequest checks the invariant of a rotation.
+// TestRotationStaysWithinOneRequestOfShares checks the invariant of rotation.
 func TestRotationStaysWithinOneRequestOfShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.IntRange(0, 20), 2, 4).Filter(func(weights []int) bool {
@@ -84,7 +84,7 @@
 			for _, share := range shares {
 				want := float64(n*share.Weight) / float64(total)
 				if got := float64(counts[share.Group]); got > want+1 || got < want-1 {
-					t.Fatalf("after %d requests %s has %v, its share is %v", n, share.Group, got, want)
+					t.Fatalf("after %d requests, %s got %v, want %v within one request", n, share.Group, got, want)
 				}
 			}
 		}
@@ -99,12 +99,12 @@
 	changed.Rules[1].Timeout = 2 * time.Second
 	second := NewTable(changed, first)
 	if first.byHost["a.example"][0].rotation != second.byHost["a.example"][0].rotation {
-		t.Error("the shares of a rule began anew although they did not change")
+		t.Error("unchanged shares got a new rotation")
 	}
 	changed = validConfiguration()
 	changed.Rules[1].Shares[0].Weight = 1
 	third := NewTable(changed, second)
 	if third.byHost["a.example"][0].rotation == second.byHost["a.example"][0].rotation {
-		t.Error("changed shares did not begin anew")
+		t.Error("changed shares kept their rotation")
 	}
 }
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -8,31 +8,31 @@
 	"sync"
 )
 
-// Table finds the rule of a request in one configuration. It is safe for concurrent use.
+// Table matches requests to the rules of one configuration. It is safe for concurrent use.
 type Table struct {
 	configuration *Configuration
 	groups        map[string]*Group
-	// byHost holds the entries of each host, the longest prefix first.
+	// byHost holds the path entries of each host, the longest prefix first.
 	byHost map[string][]*entry
-	// byLabels holds the entries that match by labels, in the order in which they are tried.
+	// byLabels holds the label entries in matching order.
 	byLabels []*entry
 }
 
-// entry is a rule with the state of its shares.
+// entry is a rule with the rotation over its shares.
 type entry struct {
-	rule   *Rule
-	match  Matcher
+	rule     *Rule
+	match    Matcher
 	rotation *rotation
 }
 
-// Match is the rule of a request and the group that is to serve it.
+// Match is the rule of a request and the group that serves it.
 type Match struct {
 	Rule  *Rule
 	Group *Group
 }
 
-// NewTable compiles a valid configuration. The shares of rules that stay as they were in the previous table, which may be
-// nil, go on where they stand, so that a change of the configuration does not disturb them.
+// NewTable compiles a valid configuration. Rules whose shares are unchanged from the previous table, which may be
+// nil, keep their rotation, so that a configuration change does not disturb the traffic split.
 func NewTable(configuration *Configuration, previous *Table) *Table {
 	table := &Table{
 		configuration: configuration,
@@ -51,7 +51,7 @@
 	return table
 }
 
-// add puts an entry where requests find it.
+// add adds an entry to the list of its host or to the label entries.
 func (t *Table) add(added *entry) {
 	switch match := added.match.(type) {
 	case PathMatch:
@@ -62,7 +62,7 @@
 	}
 }
 
-// sort brings the entries into the order in which they are tried.
+// sort sorts the entries into matching order.
 func (t *Table) sort() {
 	for _, entries := range t.byHost {
 		slices.SortStableFunc(entries, func(a, b *entry) int {
@@ -75,16 +75,16 @@
 	})
 }
 
-// Configuration returns what the table was made of.
+// Configuration returns the configuration of the table.
 func (t *Table) Configuration() *Configuration { return t.configuration }
 
-// Match returns the rule with the longest prefix of the path among those of the host, and picks the group by the shares of
-// the rule. The host may carry a port.
+// Match returns the rule of the host with the longest matching path prefix, and selects its next group. The host may
+// include a port.
 func (t *Table) Match(host, path string) (Match, bool) {
 	return t.resolve(t.findByPath(host, path))
 }
 
-// MatchLabels returns the first rule that selects labels, and picks the group by the shares of the rule.
+// MatchLabels returns the first rule whose selector matches the labels, and selects its next group.
 func (t *Table) MatchLabels(labels map[string]string) (Match, bool) {
 	for _, candidate := range t.byLabels {
 		if candidate.match.(LabelMatch).Selector.MatchesLabels(labels) {
@@ -94,7 +94,7 @@
 	return Match{}, false
 }
 
-// matchOf picks the group of an entry, which may be nil.
+// resolve selects the next group of an entry, which may be nil.
 func (t *Table) resolve(found *entry) (Match, bool) {
 	if found == nil {
 		return Match{}, false
@@ -106,7 +106,7 @@
 	return Match{Rule: found.rule, Group: group}, true
 }
 
-// find returns the entry of a host and a path, or nil.
+// findByPath returns the entry for a host and a path, or nil.
 func (t *Table) findByPath(host, path string) *entry {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// rotationOf returns the state of the shares of a rule: that of the same rule in this table if its shares are the same.
+// rotationOf returns the rotation of the same rule in this table if its shares are unchanged, otherwise a new one.
 func (t *Table) rotationOf(rule *Rule) *rotation {
 	fresh := newRotation(rule.Shares)
 	if t == nil {
@@ -133,7 +133,7 @@
 	return fresh
 }
 
-// beside returns the entries that stand where a rule does.
+// entriesLike returns the entries with the path of the rule, or with its name if it matches by labels.
 func (t *Table) entriesLike(rule *Rule) []*entry {
 	var found []*entry
 	switch match := rule.Match.(type) {
@@ -153,8 +153,8 @@
 	return found
 }
 
-// rotation deals requests to groups by smooth weighted round robin: after any number of requests each group is within one
-// request of its share.
+// rotation distributes requests over groups by smooth weighted round robin: after any number of requests, each group
+// is within one request of its share.
 type rotation struct {
 	shares []Share
 	total  int
@@ -163,7 +163,7 @@
 	credits []int
 }
 
-// newRotation starts a rotation.
+// newRotation returns a new rotation over the shares.
 func newRotation(shares []Share) *rotation {
 	r := &rotation{shares: shares, credits: make([]int, len(shares))}
 	for _, share := range shares {
@@ -172,7 +172,7 @@
 	return r
 }
 
-// same tells whether the rotation deals by these shares.
+// hasShares reports whether the rotation uses exactly these shares.
 func (r *rotation) hasShares(shares []Share) bool {
 	if len(shares) != len(r.shares) {
 		return false
--- a/internal/routing/validate.go
+++ b/internal/routing/validate.go
@@ -7,7 +7,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Validate returns all faults of a configuration together, each with the path of its field, or nil.
+// Validate returns all errors of the configuration joined together, each with the path of its field, or nil.
 func (c *Configuration) Validate() error {
 	var errs []error
 	addError := func(path, format string, args ...any) {
@@ -38,7 +38,7 @@
 	return errors.Join(errs...)
 }
 
-// validate adds the faults of one rule.
+// validate adds the errors of one rule.
 func (r *Rule) validate(path string, groups map[string]bool, addError func(path, format string, args ...any)) {
 	switch match := r.Match.(type) {
 	case PathMatch:
