--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -10,7 +10,7 @@
 )
 
 // scored is a node with its weight for one key.
-type scored struct {
+type weightedNode struct {
 	node   string
 	weight uint64
 }
@@ -18,9 +18,9 @@
 // First returns the node of the highest weight, or the empty string when there are no nodes. The order of the argument does
 // not matter. Names must differ.
 func First(key string, nodes []string) string {
-	var best scored
+	var best weightedNode
 	for i, node := range nodes {
-		candidate := scored{node: node, weight: weight(key, node)}
+		candidate := weightedNode{node: node, weight: weight(key, node)}
 		if i == 0 || compare(candidate, best) < 0 {
 			best = candidate
 		}
@@ -30,14 +30,14 @@
 
 // Order returns the nodes by their weights, the first as First chooses it. Names must differ.
 func Order(key string, nodes []string) []string {
-	ordered := make([]scored, len(nodes))
+	ordered := make([]weightedNode, len(nodes))
 	for i, node := range nodes {
-		ordered[i] = scored{node: node, weight: weight(key, node)}
+		ordered[i] = weightedNode{node: node, weight: weight(key, node)}
 	}
 	slices.SortFunc(ordered, compare)
 	names := make([]string, len(ordered))
-	for i, each := range ordered {
-		names[i] = each.node
+	for i, candidate := range ordered {
+		names[i] = candidate.node
 	}
 	return names
 }
@@ -49,7 +49,7 @@
 func Hash(key string) uint64 { return weight(key, "") }
 
 // compare puts the higher weight first, and the lower name first among equal weights.
-func compare(a, b scored) int {
+func compare(a, b weightedNode) int {
 	return cmp.Or(cmp.Compare(b.weight, a.weight), cmp.Compare(a.node, b.node))
 }
 
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -10,11 +10,11 @@
 	"github.com/granitebay/granitebay/internal/rendezvous"
 )
 
-func names(n int) []string {
+func nodeNames(n int) []string {
 	return lo.Times(n, func(i int) string { return fmt.Sprintf("worker-%d", i) })
 }
 
-func TestFirstIgnoresTheOrderOfNodesAndMovesOnlyKeysOfALostNode(t *testing.T) {
+func TestFirstIgnoresOrderAndMovesOnlyKeysOfRemovedNode(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.SliceOfNDistinct(rapid.String(), 1, 12, rapid.ID).Draw(t, "nodes")
 		key := rapid.String().Draw(t, "key")
@@ -26,15 +26,15 @@
 		if again := rendezvous.First(key, shuffled); again != first {
 			t.Fatalf("First = %q, and %q in another order of the nodes", first, again)
 		}
-		lost := rapid.SampledFrom(nodes).Draw(t, "lost")
-		after := rendezvous.First(key, lo.Without(nodes, lost))
-		if lost != first && after != first {
-			t.Fatalf("losing %q moved the key from %q to %q", lost, first, after)
+		removed := rapid.SampledFrom(nodes).Draw(t, "lost")
+		after := rendezvous.First(key, lo.Without(nodes, removed))
+		if removed != first && after != first {
+			t.Fatalf("losing %q moved the key from %q to %q", removed, first, after)
 		}
 	})
 }
 
-func TestFirstMovesOnlyToAnAddedNode(t *testing.T) {
+func TestFirstMovesKeysOnlyToAddedNode(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.SliceOfNDistinct(rapid.String(), 2, 12, rapid.ID).Draw(t, "nodes")
 		key := rapid.String().Draw(t, "key")
@@ -49,7 +49,7 @@
 func TestFirstSpreadsKeysEvenly(t *testing.T) {
 	const keys, nodes = 20000, 8
 	counts := lo.CountValues(lo.Times(keys, func(i int) string {
-		return rendezvous.First(fmt.Sprintf("engine-%d", i), names(nodes))
+		return rendezvous.First(fmt.Sprintf("engine-%d", i), nodeNames(nodes))
 	}))
 	for node, count := range counts {
 		if count < keys/nodes*9/10 || count > keys/nodes*11/10 {
@@ -58,7 +58,7 @@
 	}
 }
 
-func TestFirstOfNoNodes(t *testing.T) {
+func TestFirstWithoutNodes(t *testing.T) {
 	if got := rendezvous.First("key", nil); got != "" {
 		t.Errorf("First of no nodes = %q", got)
 	}
