--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,5 +1,6 @@
-// Package rendezvous chooses a node for a key by highest-random-weight hashing (Thaler and Ravishankar, 1998). Processes that
-// know the same nodes choose the same one without talking to each other, and when a node goes only its own keys move.
+// Package rendezvous assigns keys to nodes by rendezvous hashing, also known as highest-random-weight hashing (Thaler
+// and Ravishankar, 1998). Processes with the same nodes make the same assignment without communication, and removing
+// a node moves only its own keys.
 package rendezvous
 
 import (
@@ -9,14 +10,14 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// scored is a node with its weight for one key.
+// weightedNode is a node with its weight for one key.
 type weightedNode struct {
 	node   string
 	weight uint64
 }
 
-// First returns the node of the highest weight, or the empty string when there are no nodes. The order of the argument does
-// not matter. Names must differ.
+// First returns the node with the highest weight for the key, or the empty string if there are no nodes. The order of
+// the nodes does not matter. They must be distinct.
 func First(key string, nodes []string) string {
 	var best weightedNode
 	for i, node := range nodes {
@@ -28,7 +29,8 @@
 	return best.node
 }
 
-// Order returns the nodes by their weights, the first as First chooses it. Names must differ.
+// Order returns the nodes by descending weight for the key, so its first element is the result of First. The nodes
+// must be distinct.
 func Order(key string, nodes []string) []string {
 	ordered := make([]weightedNode, len(nodes))
 	for i, node := range nodes {
@@ -42,18 +44,19 @@
 	return names
 }
 
-// Slot returns the one of so many slots that is a key's.
+// Slot maps a key to one of the given number of slots.
 func Slot(key string, slots int) int { return int(weight(key, "") % uint64(slots)) }
 
-// Hash returns a number that is a key's.
+// Hash returns the hash of a key.
 func Hash(key string) uint64 { return weight(key, "") }
 
-// compare puts the higher weight first, and the lower name first among equal weights.
+// compare sorts by descending weight, and by node for equal weights.
 func compare(a, b weightedNode) int {
 	return cmp.Or(cmp.Compare(b.weight, a.weight), cmp.Compare(a.node, b.node))
 }
 
-// weight hashes a key with a node. The zero byte keeps ("ab", "c") and ("a", "bc") apart.
+// weight returns the hash of a key and a node. The zero byte separates them, so that ("ab", "c") and ("a", "bc")
+// differ.
 func weight(key, node string) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -20,16 +20,16 @@
 		key := rapid.String().Draw(t, "key")
 		first := rendezvous.First(key, nodes)
 		if !lo.Contains(nodes, first) {
-			t.Fatalf("First = %q, which is none of %q", first, nodes)
+			t.Fatalf("First = %q, want one of %q", first, nodes)
 		}
 		shuffled := rapid.Permutation(nodes).Draw(t, "shuffled")
 		if again := rendezvous.First(key, shuffled); again != first {
-			t.Fatalf("First = %q, and %q in another order of the nodes", first, again)
+			t.Fatalf("First = %q, but %q with the nodes reordered", first, again)
 		}
 		removed := rapid.SampledFrom(nodes).Draw(t, "lost")
 		after := rendezvous.First(key, lo.Without(nodes, removed))
 		if removed != first && after != first {
-			t.Fatalf("losing %q moved the key from %q to %q", removed, first, after)
+			t.Fatalf("removing %q moved the key from %q to %q", removed, first, after)
 		}
 	})
 }
@@ -60,6 +60,6 @@
 
 func TestFirstWithoutNodes(t *testing.T) {
 	if got := rendezvous.First("key", nil); got != "" {
-		t.Errorf("First of no nodes = %q", got)
+		t.Errorf("First = %q, want an empty string", got)
 	}
 }
