--- a/internal/residency/residency.go
+++ b/internal/residency/residency.go
@@ -16,16 +16,16 @@
 
 // Table is a pure state machine and not safe for concurrent use.
 type Table struct {
-	workers map[string]*memory
+	workers map[string]*engineCache
 	// holders indexes the workers by key, in the order in which they got the part.
 	holders map[string][]string
 }
 
 // memory is what one engine keeps, used last at the front.
-type memory struct {
+type engineCache struct {
 	capacity int
 	tokens   int
-	recent   *list.List
+	lru      *list.List
 	parts    map[string]*list.Element
 }
 
@@ -38,84 +38,86 @@
 
 // New returns an empty table.
 func New() *Table {
-	return &Table{workers: map[string]*memory{}, holders: map[string][]string{}}
+	return &Table{workers: map[string]*engineCache{}, holders: map[string][]string{}}
 }
 
 // Keep notes that an engine with memory for so many tokens keeps a part, or is about to.
 func (t *Table) Keep(worker string, capacity int, key string, tokens int, ready bool) {
-	kept, known := t.workers[worker]
-	if !known {
-		kept = &memory{recent: list.New(), parts: map[string]*list.Element{}}
-		t.workers[worker] = kept
+	cache, exists := t.workers[worker]
+	if !exists {
+		cache = &engineCache{lru: list.New(), parts: map[string]*list.Element{}}
+		t.workers[worker] = cache
 	}
-	kept.capacity = capacity
-	if element, found := kept.parts[key]; found {
-		kept.recent.MoveToFront(element)
-		known := element.Value.(*part)
-		known.ready = known.ready || ready
+	cache.capacity = capacity
+	if element, found := cache.parts[key]; found {
+		cache.lru.MoveToFront(element)
+		existing := element.Value.(*part)
+		existing.ready = existing.ready || ready
 		return
 	}
-	kept.parts[key] = kept.recent.PushFront(&part{key: key, tokens: tokens, ready: ready})
-	kept.tokens += tokens
+	cache.parts[key] = cache.lru.PushFront(&part{key: key, tokens: tokens, ready: ready})
+	cache.tokens += tokens
 	t.holders[key] = append(t.holders[key], worker)
-	t.shrink(worker, kept)
+	t.evict(worker, cache)
 }
 
 // maxFilling bounds the tokens of requests' own parts that are kept as one.
-const maxFilling = 5000
+const maxAnonymousTokens = 5000
 
 // Fill notes that an engine keeps so many tokens that no other request can use. They give way as others do.
 func (t *Table) Fill(worker string, tokens int) {
-	kept, known := t.workers[worker]
-	if !known || tokens <= 0 {
+	cache, exists := t.workers[worker]
+	if !exists || tokens <= 0 {
 		return
 	}
-	kept.tokens += tokens
-	if front := kept.recent.Front(); front != nil && front.Value.(*part).takes(tokens) {
+	cache.tokens += tokens
+	if front := cache.lru.Front(); front != nil && front.Value.(*part).canAbsorb(tokens) {
 		front.Value.(*part).tokens += tokens
 	} else {
-		kept.recent.PushFront(&part{tokens: tokens})
+		cache.lru.PushFront(&part{tokens: tokens})
 	}
-	t.shrink(worker, kept)
+	t.evict(worker, cache)
 }
 
 // takes tells whether tokens that no other request can use are kept together with a part.
-func (p *part) takes(tokens int) bool { return p.key == "" && p.tokens+tokens <= maxFilling }
+func (p *part) canAbsorb(tokens int) bool {
+	return p.key == "" && p.tokens+tokens <= maxAnonymousTokens
+}
 
 // shrink drops what was used longest ago until the rest fits.
-func (t *Table) shrink(worker string, kept *memory) {
-	for kept.tokens > kept.capacity && kept.recent.Len() > 1 {
-		t.drop(worker, kept, kept.recent.Back())
+func (t *Table) evict(worker string, cache *engineCache) {
+	for cache.tokens > cache.capacity && cache.lru.Len() > 1 {
+		t.remove(worker, cache, cache.lru.Back())
 	}
 }
 
 // Forget notes that an engine does not keep a part.
 func (t *Table) Forget(worker, key string) {
-	kept, known := t.workers[worker]
-	if !known {
+	cache, exists := t.workers[worker]
+	if !exists {
 		return
 	}
-	if element, found := kept.parts[key]; found {
-		t.drop(worker, kept, element)
+	if element, found := cache.parts[key]; found {
+		t.remove(worker, cache, element)
 	}
 }
 
 // ForgetWorker drops an engine with all that it keeps.
 func (t *Table) ForgetWorker(worker string) {
-	kept, known := t.workers[worker]
-	if !known {
+	cache, exists := t.workers[worker]
+	if !exists {
 		return
 	}
-	for element := kept.recent.Front(); element != nil; element = kept.recent.Front() {
-		t.drop(worker, kept, element)
+	for element := cache.lru.Front(); element != nil; element = cache.lru.Front() {
+		t.remove(worker, cache, element)
 	}
 	delete(t.workers, worker)
 }
 
 // Keeps tells whether an engine keeps a part, or is about to.
 func (t *Table) Keeps(worker, key string) bool {
-	kept, known := t.workers[worker]
-	return known && kept.parts[key] != nil
+	cache, exists := t.workers[worker]
+	return exists && cache.parts[key] != nil
 }
 
 // Holders returns the engines that keep a part, in the order in which they got it.
@@ -129,12 +131,12 @@
 }
 
 // All returns what engines keep, of each engine those parts used last at the end.
-func (t *Table) All() iter.Seq2[string, Kept] {
-	return func(yield func(string, Kept) bool) {
-		for worker, kept := range t.workers {
-			for element := kept.recent.Back(); element != nil; element = element.Prev() {
-				one := element.Value.(*part)
-				if one.key != "" && !yield(worker, Kept{Key: one.key, Tokens: one.tokens, Ready: one.ready}) {
+func (t *Table) All() iter.Seq2[string, CachedPart] {
+	return func(yield func(string, CachedPart) bool) {
+		for worker, cache := range t.workers {
+			for element := cache.lru.Back(); element != nil; element = element.Prev() {
+				cached := element.Value.(*part)
+				if cached.key != "" && !yield(worker, CachedPart{Key: cached.key, Tokens: cached.tokens, Ready: cached.ready}) {
 					return
 				}
 			}
@@ -143,21 +145,21 @@
 }
 
 // Kept is a part that an engine keeps, or is about to.
-type Kept struct {
+type CachedPart struct {
 	Key    string
 	Tokens int
 	Ready  bool
 }
 
 // drop forgets one part of one engine.
-func (t *Table) drop(worker string, kept *memory, element *list.Element) {
-	dropped := kept.recent.Remove(element).(*part)
-	kept.tokens -= dropped.tokens
-	if dropped.key == "" {
+func (t *Table) remove(worker string, cache *engineCache, element *list.Element) {
+	removed := cache.lru.Remove(element).(*part)
+	cache.tokens -= removed.tokens
+	if removed.key == "" {
 		return
 	}
-	delete(kept.parts, dropped.key)
-	holders := t.holders[dropped.key]
+	delete(cache.parts, removed.key)
+	holders := t.holders[removed.key]
 	for i, holder := range holders {
 		if holder == worker {
 			holders = append(holders[:i:i], holders[i+1:]...)
@@ -165,8 +167,8 @@
 		}
 	}
 	if len(holders) == 0 {
-		delete(t.holders, dropped.key)
+		delete(t.holders, removed.key)
 		return
 	}
-	t.holders[dropped.key] = holders
+	t.holders[removed.key] = holders
 }
--- a/internal/residency/residency_test.go
+++ b/internal/residency/residency_test.go
@@ -17,52 +17,52 @@
 )
 
 // modelPart is a part that an engine of the model keeps.
-type modelPart struct {
+type referencePart struct {
 	key    string
 	tokens int
 	ready  bool
 }
 
 // model keeps the parts of each engine, those used last first, in the plainest way.
-type model map[string][]modelPart
+type referenceTable map[string][]referencePart
 
 // keep is residency.Table.Keep.
-func (m model) keep(worker, key string, tokens int, ready bool) {
+func (m referenceTable) keep(worker, key string, tokens int, ready bool) {
 	parts := m[worker]
-	at := slices.IndexFunc(parts, func(p modelPart) bool { return p.key == key })
-	if at >= 0 {
-		known := parts[at]
-		known.ready = known.ready || ready
-		parts = slices.Delete(parts, at, at+1)
-		m[worker] = slices.Insert(parts, 0, known)
+	i := slices.IndexFunc(parts, func(p referencePart) bool { return p.key == key })
+	if i >= 0 {
+		existing := parts[i]
+		existing.ready = existing.ready || ready
+		parts = slices.Delete(parts, i, i+1)
+		m[worker] = slices.Insert(parts, 0, existing)
 		return
 	}
-	parts = slices.Insert(parts, 0, modelPart{key: key, tokens: tokens, ready: ready})
-	for len(parts) > 1 && total(parts) > largeCapacity {
+	parts = slices.Insert(parts, 0, referencePart{key: key, tokens: tokens, ready: ready})
+	for len(parts) > 1 && totalTokens(parts) > largeCapacity {
 		parts = parts[:len(parts)-1]
 	}
 	m[worker] = parts
 }
 
 // fill is residency.Table.Fill, for fillings that are too large to be kept as one.
-func (m model) fill(worker string, tokens int) {
-	if _, known := m[worker]; !known {
+func (m referenceTable) fill(worker string, tokens int) {
+	if _, exists := m[worker]; !exists {
 		return
 	}
-	parts := slices.Insert(m[worker], 0, modelPart{tokens: tokens})
-	for len(parts) > 1 && total(parts) > largeCapacity {
+	parts := slices.Insert(m[worker], 0, referencePart{tokens: tokens})
+	for len(parts) > 1 && totalTokens(parts) > largeCapacity {
 		parts = parts[:len(parts)-1]
 	}
 	m[worker] = parts
 }
 
 // forget is residency.Table.Forget.
-func (m model) forget(worker, key string) {
-	m[worker] = slices.DeleteFunc(m[worker], func(p modelPart) bool { return p.key == key })
+func (m referenceTable) forget(worker, key string) {
+	m[worker] = slices.DeleteFunc(m[worker], func(p referencePart) bool { return p.key == key })
 }
 
 // holders returns who keeps a key, in the order of their names.
-func (m model) holders(key string) []residency.Holder {
+func (m referenceTable) holders(key string) []residency.Holder {
 	var found []residency.Holder
 	for worker, parts := range m {
 		for _, part := range parts {
@@ -71,11 +71,11 @@
 			}
 		}
 	}
-	return sorted(found)
+	return sortHolders(found)
 }
 
 // total sums up the tokens of parts.
-func total(parts []modelPart) int {
+func totalTokens(parts []referencePart) int {
 	sum := 0
 	for _, part := range parts {
 		sum += part.tokens
@@ -84,7 +84,7 @@
 }
 
 // sorted returns holders in the order of their names.
-func sorted(holders []residency.Holder) []residency.Holder {
+func sortHolders(holders []residency.Holder) []residency.Holder {
 	slices.SortFunc(holders, func(a, b residency.Holder) int {
 		if a.Worker < b.Worker {
 			return -1
@@ -95,32 +95,32 @@
 }
 
 // TestTableKeepsWhatThePlainModelKeeps makes random changes to a table and to the model, and compares every key after each.
-func TestTableKeepsWhatThePlainModelKeeps(t *testing.T) {
+func TestTableMatchesReference(t *testing.T) {
 	workers := []string{"w0", "w1", "w2"}
 	keys := []string{"k0", "k1", "k2", "k3", "k4", "k5"}
 	rapid.Check(t, func(t *rapid.T) {
-		table, plain := residency.New(), model{}
+		table, reference := residency.New(), referenceTable{}
 		for range rapid.IntRange(1, 60).Draw(t, "changes") {
 			worker := rapid.SampledFrom(workers).Draw(t, "worker")
 			key := rapid.SampledFrom(keys).Draw(t, "key")
 			switch rapid.IntRange(0, 7).Draw(t, "change") {
 			case 0:
 				table.Forget(worker, key)
-				plain.forget(worker, key)
+				reference.forget(worker, key)
 			case 1:
 				table.ForgetWorker(worker)
-				delete(plain, worker)
+				delete(reference, worker)
 			case 2:
 				tokens := rapid.IntRange(3000, 9000).Draw(t, "own")
 				table.Fill(worker, tokens)
-				plain.fill(worker, tokens)
+				reference.fill(worker, tokens)
 			default:
 				tokens, ready := rapid.IntRange(1, 24_000).Draw(t, "tokens"), rapid.Bool().Draw(t, "ready")
 				table.Keep(worker, largeCapacity, key, tokens, ready)
-				plain.keep(worker, key, tokens, ready)
+				reference.keep(worker, key, tokens, ready)
 			}
 			for _, each := range keys {
-				got, want := fmt.Sprint(sorted(table.Holders(each))), fmt.Sprint(plain.holders(each))
+				got, want := fmt.Sprint(sortHolders(table.Holders(each))), fmt.Sprint(reference.holders(each))
 				if got != want {
 					t.Fatalf("%s is kept by %s, want %s", each, got, want)
 				}
@@ -130,7 +130,7 @@
 }
 
 // TestHoldersComeInTheOrderInWhichTheyGotThePart keeps one part on three engines.
-func TestHoldersComeInTheOrderInWhichTheyGotThePart(t *testing.T) {
+func TestHoldersAreInCachingOrder(t *testing.T) {
 	table := residency.New()
 	for _, worker := range []string{"w2", "w0", "w1"} {
 		table.Keep(worker, capacity, "k", 10, true)
@@ -143,7 +143,7 @@
 }
 
 // TestShortFillingsAreKeptAsOne guards against a table that grows with each request.
-func TestShortFillingsAreKeptAsOne(t *testing.T) {
+func TestSmallFillsAreMerged(t *testing.T) {
 	table := residency.New()
 	table.Keep("w", largeCapacity, "first", 1000, true)
 	for range 180 {
