--- a/internal/residency/residency.go
+++ b/internal/residency/residency.go
@@ -1,5 +1,5 @@
-// Package residency remembers which engines keep the KV cache of which shared prompt parts, as far as the gateways have
-// caused it. Engines forget the parts that were used longest ago when their memory is full, and so does the table.
+// Package residency tracks which engines have the KV cache of which shared prompt parts, as far as it results from
+// requests of the gateways. Like the engines, the table evicts the least recently used parts when a cache is full.
 package residency
 
 import (
@@ -7,21 +7,21 @@
 	"iter"
 )
 
-// Holder is an engine that keeps a part.
+// Holder is an engine that has a part in its cache.
 type Holder struct {
 	Worker string
-	// Ready is set once the part was read or fetched; before that the engine is about to.
+	// Ready is set once the part has been prefilled or fetched, and not while that is still in progress.
 	Ready bool
 }
 
-// Table is a pure state machine and not safe for concurrent use.
+// Table is the state of all engine caches. It is a pure state machine and not safe for concurrent use.
 type Table struct {
 	workers map[string]*engineCache
-	// holders indexes the workers by key, in the order in which they got the part.
+	// holders maps the key of a part to the workers that have it, in the order in which they got it.
 	holders map[string][]string
 }
 
-// memory is what one engine keeps, used last at the front.
+// engineCache is the cache of one engine, the most recently used part first.
 type engineCache struct {
 	capacity int
 	tokens   int
@@ -29,7 +29,7 @@
 	parts    map[string]*list.Element
 }
 
-// part is one kept part. One without a key is of use for no other request.
+// part is a cached part. A part without a key can't be used by other requests.
 type part struct {
 	key    string
 	tokens int
@@ -41,7 +41,8 @@
 	return &Table{workers: map[string]*engineCache{}, holders: map[string][]string{}}
 }
 
-// Keep notes that an engine with memory for so many tokens keeps a part, or is about to.
+// Keep records that an engine with the given cache capacity in tokens has a part, or is about to have it, and marks
+// the part as used.
 func (t *Table) Keep(worker string, capacity int, key string, tokens int, ready bool) {
 	cache, exists := t.workers[worker]
 	if !exists {
@@ -61,10 +62,11 @@
 	t.evict(worker, cache)
 }
 
-// maxFilling bounds the tokens of requests' own parts that are kept as one.
+// maxAnonymousTokens limits the size of a merged part without a key.
 const maxAnonymousTokens = 5000
 
-// Fill notes that an engine keeps so many tokens that no other request can use. They give way as others do.
+// Fill records that a request has filled the cache of an engine with tokens that no other request can use. They are
+// evicted like parts.
 func (t *Table) Fill(worker string, tokens int) {
 	cache, exists := t.workers[worker]
 	if !exists || tokens <= 0 {
@@ -79,19 +81,19 @@
 	t.evict(worker, cache)
 }
 
-// takes tells whether tokens that no other request can use are kept together with a part.
+// canAbsorb reports whether the part has no key and room for more tokens.
 func (p *part) canAbsorb(tokens int) bool {
 	return p.key == "" && p.tokens+tokens <= maxAnonymousTokens
 }
 
-// shrink drops what was used longest ago until the rest fits.
+// evict removes the least recently used parts until the rest fits. It keeps at least one part.
 func (t *Table) evict(worker string, cache *engineCache) {
 	for cache.tokens > cache.capacity && cache.lru.Len() > 1 {
 		t.remove(worker, cache, cache.lru.Back())
 	}
 }
 
-// Forget notes that an engine does not keep a part.
+// Forget records that an engine does not have a part.
 func (t *Table) Forget(worker, key string) {
 	cache, exists := t.workers[worker]
 	if !exists {
@@ -102,7 +104,7 @@
 	}
 }
 
-// ForgetWorker drops an engine with all that it keeps.
+// ForgetWorker removes an engine and its cache.
 func (t *Table) ForgetWorker(worker string) {
 	cache, exists := t.workers[worker]
 	if !exists {
@@ -114,13 +116,13 @@
 	delete(t.workers, worker)
 }
 
-// Keeps tells whether an engine keeps a part, or is about to.
+// Keeps reports whether an engine has a part, or is about to have it.
 func (t *Table) Keeps(worker, key string) bool {
 	cache, exists := t.workers[worker]
 	return exists && cache.parts[key] != nil
 }
 
-// Holders returns the engines that keep a part, in the order in which they got it.
+// Holders returns the engines that have a part, in the order in which they got it.
 func (t *Table) Holders(key string) []Holder {
 	var holders []Holder
 	for _, worker := range t.holders[key] {
@@ -130,7 +132,7 @@
 	return holders
 }
 
-// All returns what engines keep, of each engine those parts used last at the end.
+// All returns the cached parts of all engines, of each engine the least recently used first.
 func (t *Table) All() iter.Seq2[string, CachedPart] {
 	return func(yield func(string, CachedPart) bool) {
 		for worker, cache := range t.workers {
@@ -144,14 +146,14 @@
 	}
 }
 
-// Kept is a part that an engine keeps, or is about to.
+// CachedPart is a part that an engine has, or is about to have.
 type CachedPart struct {
 	Key    string
 	Tokens int
 	Ready  bool
 }
 
-// drop forgets one part of one engine.
+// remove removes one part from the cache of an engine.
 func (t *Table) remove(worker string, cache *engineCache, element *list.Element) {
 	removed := cache.lru.Remove(element).(*part)
 	cache.tokens -= removed.tokens
--- a/internal/residency/residency_test.go
+++ b/internal/residency/residency_test.go
@@ -10,23 +10,24 @@
 	"github.com/granitebay/granitebay/internal/residency"
 )
 
-// Capacities of engines in the tests, tokens.
+// Cache capacities in tokens.
 const (
 	capacity      = 100
 	largeCapacity = 20_000
 )
 
-// modelPart is a part that an engine of the model keeps.
+// referencePart is a cached part in the reference implementation.
 type referencePart struct {
 	key    string
 	tokens int
 	ready  bool
 }
 
-// model keeps the parts of each engine, those used last first, in the plainest way.
+// referenceTable is a simple implementation of residency.Table, with the most recently used part of each engine
+// first.
 type referenceTable map[string][]referencePart
 
-// keep is residency.Table.Keep.
+// keep implements Table.Keep.
 func (m referenceTable) keep(worker, key string, tokens int, ready bool) {
 	parts := m[worker]
 	i := slices.IndexFunc(parts, func(p referencePart) bool { return p.key == key })
@@ -44,7 +45,7 @@
 	m[worker] = parts
 }
 
-// fill is residency.Table.Fill, for fillings that are too large to be kept as one.
+// fill implements Table.Fill, for fills that are too large to be merged.
 func (m referenceTable) fill(worker string, tokens int) {
 	if _, exists := m[worker]; !exists {
 		return
@@ -56,12 +57,12 @@
 	m[worker] = parts
 }
 
-// forget is residency.Table.Forget.
+// forget implements Table.Forget.
 func (m referenceTable) forget(worker, key string) {
 	m[worker] = slices.DeleteFunc(m[worker], func(p referencePart) bool { return p.key == key })
 }
 
-// holders returns who keeps a key, in the order of their names.
+// holders implements Table.Holders, sorted by worker.
 func (m referenceTable) holders(key string) []residency.Holder {
 	var found []residency.Holder
 	for worker, parts := range m {
@@ -74,7 +75,7 @@
 	return sortHolders(found)
 }
 
-// total sums up the tokens of parts.
+// totalTokens returns the sum of the tokens of the parts.
 func totalTokens(parts []referencePart) int {
 	sum := 0
 	for _, part := range parts {
@@ -83,7 +84,7 @@
 	return sum
 }
 
-// sorted returns holders in the order of their names.
+// sortHolders sorts holders by worker.
 func sortHolders(holders []residency.Holder) []residency.Holder {
 	slices.SortFunc(holders, func(a, b residency.Holder) int {
 		if a.Worker < b.Worker {
@@ -94,7 +95,7 @@
 	return holders
 }
 
-// TestTableKeepsWhatThePlainModelKeeps makes random changes to a table and to the model, and compares every key after each.
+// TestTableMatchesReference applies random changes to a table and to the reference implementation.
 func TestTableMatchesReference(t *testing.T) {
 	workers := []string{"w0", "w1", "w2"}
 	keys := []string{"k0", "k1", "k2", "k3", "k4", "k5"}
@@ -122,14 +123,14 @@
 			for _, each := range keys {
 				got, want := fmt.Sprint(sortHolders(table.Holders(each))), fmt.Sprint(reference.holders(each))
 				if got != want {
-					t.Fatalf("%s is kept by %s, want %s", each, got, want)
+					t.Fatalf("holders of %s: got %s, want %s", each, got, want)
 				}
 			}
 		}
 	})
 }
 
-// TestHoldersComeInTheOrderInWhichTheyGotThePart keeps one part on three engines.
+// TestHoldersAreInCachingOrder checks that using a part again does not change the order.
 func TestHoldersAreInCachingOrder(t *testing.T) {
 	table := residency.New()
 	for _, worker := range []string{"w2", "w0", "w1"} {
@@ -142,7 +143,7 @@
 	}
 }
 
-// TestShortFillingsAreKeptAsOne guards against a table that grows with each request.
+// TestSmallFillsAreMerged guards against a table that grows with every request.
 func TestSmallFillsAreMerged(t *testing.T) {
 	table := residency.New()
 	table.Keep("w", largeCapacity, "first", 1000, true)
@@ -150,12 +151,12 @@
 		table.Fill("w", 100)
 	}
 	if len(table.Holders("first")) != 1 {
-		t.Fatal("a part gave way although there was room")
+		t.Fatal("a part was evicted although the cache had room")
 	}
 	for range 20 {
 		table.Fill("w", 100)
 	}
 	if len(table.Holders("first")) != 0 {
-		t.Fatal("a part is taken to be kept although newer tokens fill the memory")
+		t.Fatal("a part was kept although newer tokens fill the cache")
 	}
 }
