--- a/internal/keptshare/keptshare.go
+++ b/internal/keptshare/keptshare.go
@@ -24,18 +24,18 @@
 // Bounds of one answer.
 const (
 	// mostParts is the most parts that are told: some of each of ten thousand engines, which are 4 MB.
-	mostParts = 100_000
+	maxParts = 100_000
 	// maxAnswerBytes bounds what is read of an answer.
-	maxAnswerBytes = 16 << 20
+	maxResponseBytes = 16 << 20
 	// askTimeout bounds a question: what engines keep is asked of them where no gateway tells it, and callers wait meanwhile. A table of a
 	// thousand documents is some hundred kilobytes, 0.1 s of a link of 10 Mbit/s.
-	askTimeout = 500 * time.Millisecond
+	requestTimeout = 500 * time.Millisecond
 )
 
 // Handler tells the parts that a source knows, of each engine those used last at the end.
-func Handler(source func(most int) []loadshare.Kept) http.Handler {
+func Handler(source func(maxParts int) []loadshare.Kept) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		encoded, err := cbor.Marshal(source(mostParts))
+		encoded, err := cbor.Marshal(source(maxParts))
 		if err != nil {
 			w.WriteHeader(http.StatusInternalServerError)
 			return
@@ -54,18 +54,18 @@
 
 // Ask returns what the gateway at an address knows that engines keep.
 func (a *Asker) Ask(ctx context.Context, address string) ([]loadshare.Kept, error) {
-	ctx, cancel := context.WithTimeout(ctx, askTimeout)
+	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	response, err := a.client.Do(ctx, address, &httpclient.Request{Method: http.MethodGet, Target: Path, Host: address, Header: http.Header{}})
 	if err != nil {
 		return nil, errors.Wrapf(err, "step ask what engines keep, peer %s", address)
 	}
 	defer response.Body.Close()
-	content, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerBytes))
+	content, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil || response.Status != http.StatusOK {
 		return nil, errors.Newf("step ask what engines keep, peer %s: it answered %d, %v", address, response.Status, err)
 	}
 	var parts []loadshare.Kept
 	err = cbor.Unmarshal(content, &parts)
-	return parts, errors.Wrapf(err, "step ask what engines keep, peer %s: at most %d bytes are read", address, maxAnswerBytes)
+	return parts, errors.Wrapf(err, "step ask what engines keep, peer %s: at most %d bytes are read", address, maxResponseBytes)
 }
