--- a/internal/keptshare/keptshare.go
+++ b/internal/keptshare/keptshare.go
@@ -1,8 +1,8 @@
-// Package keptshare lets a gateway that begins to take requests learn from others what engines keep of prompts. What gateways tell each
-// other as it happens reaches only those that take requests at that moment; and of a fleet of thousands of engines asking each one takes
-// longer than callers wait.
+// Package keptshare lets a gateway that starts serving requests learn from other gateways which prompt parts the
+// engines have cached. Broadcast updates only reach gateways that are serving when they are sent, and querying
+// thousands of engines takes longer than clients wait.
 //
-// What is told is a hint: a part that an engine has dropped meanwhile is read again.
+// The information is a hint: if an engine has evicted a part, the part is prefilled again.
 package keptshare
 
 import (
@@ -18,21 +18,21 @@
 	"github.com/granitebay/granitebay/internal/loadshare"
 )
 
-// Path is where gateways tell what engines keep.
+// Path is the path at which gateways serve the cached parts.
 const Path = "/kept"
 
-// Bounds of one answer.
+// Limits of a request.
 const (
-	// mostParts is the most parts that are told: some of each of ten thousand engines, which are 4 MB.
+	// maxParts is the maximum number of parts in a response, which is about 4 MB for ten thousand engines.
 	maxParts = 100_000
-	// maxAnswerBytes bounds what is read of an answer.
+	// maxResponseBytes limits the size of a response.
 	maxResponseBytes = 16 << 20
-	// askTimeout bounds a question: what engines keep is asked of them where no gateway tells it, and callers wait meanwhile. A table of a
-	// thousand documents is some hundred kilobytes, 0.1 s of a link of 10 Mbit/s.
+	// requestTimeout limits the time of a request. It must be short, because the gateway queries the engines if no
+	// other gateway responds, and clients wait meanwhile.
 	requestTimeout = 500 * time.Millisecond
 )
 
-// Handler tells the parts that a source knows, of each engine those used last at the end.
+// Handler serves the cached parts that source returns, of each engine the least recently used first.
 func Handler(source func(maxParts int) []loadshare.Kept) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		encoded, err := cbor.Marshal(source(maxParts))
@@ -41,31 +41,31 @@
 			return
 		}
 		w.Header().Set("Content-Type", "application/cbor")
-		// An error is that of a peer that has left.
+		// A write error means that the peer has disconnected.
 		_, _ = w.Write(encoded)
 	})
 }
 
-// Asker asks other gateways.
+// Asker queries other gateways.
 type Asker struct{ client *httpclient.Client }
 
-// New returns an asker.
+// New returns an Asker.
 func New() *Asker { return &Asker{httpclient.New(httpclient.DefaultSettings())} }
 
-// Ask returns what the gateway at an address knows that engines keep.
+// Ask returns the cached parts that the gateway at the address knows.
 func (a *Asker) Ask(ctx context.Context, address string) ([]loadshare.Kept, error) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	response, err := a.client.Do(ctx, address, &httpclient.Request{Method: http.MethodGet, Target: Path, Host: address, Header: http.Header{}})
 	if err != nil {
-		return nil, errors.Wrapf(err, "step ask what engines keep, peer %s", address)
+		return nil, errors.Wrapf(err, "step query cached parts, peer %s", address)
 	}
 	defer response.Body.Close()
 	content, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil || response.Status != http.StatusOK {
-		return nil, errors.Newf("step ask what engines keep, peer %s: it answered %d, %v", address, response.Status, err)
+		return nil, errors.Newf("step query cached parts, peer %s: status %d, read error %v", address, response.Status, err)
 	}
 	var parts []loadshare.Kept
 	err = cbor.Unmarshal(content, &parts)
-	return parts, errors.Wrapf(err, "step ask what engines keep, peer %s: at most %d bytes are read", address, maxResponseBytes)
+	return parts, errors.Wrapf(err, "step query cached parts, peer %s: decode response, limited to %d bytes", address, maxResponseBytes)
 }
--- a/internal/keptshare/keptshare_test.go
+++ b/internal/keptshare/keptshare_test.go
@@ -10,7 +10,7 @@
 	"github.com/granitebay/granitebay/internal/loadshare"
 )
 
-// serve serves a handler and returns its address.
+// startServer starts a server with the handler and returns its address.
 func startServer(t *testing.T, handler http.Handler) string {
 	t.Helper()
 	server := httptest.NewServer(handler)
@@ -28,12 +28,12 @@
 
 func TestAskReportsInvalidResponses(t *testing.T) {
 	for name, handler := range map[string]http.HandlerFunc{
-		"an error":     func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
-		"nonsense":     func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("nonsense")) },
-		"another kind": func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte{0x05}) },
+		"error status":    func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusServiceUnavailable) },
+		"not CBOR":        func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("nonsense")) },
+		"other CBOR type": func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte{0x05}) },
 	} {
-		if parts, err := New().Ask(t.Context(), startServer(t, handler)); err == nil || len(parts) > 0 || !strings.Contains(err.Error(), "what engines keep") {
-			t.Errorf("%s: %v, %v", name, parts, err)
+		if parts, err := New().Ask(t.Context(), startServer(t, handler)); err == nil || len(parts) > 0 || !strings.Contains(err.Error(), "query cached parts") {
+			t.Errorf("%s: got parts %v, error %v", name, parts, err)
 		}
 	}
 }
