--- a/internal/balance/pick.go
+++ b/internal/balance/pick.go
@@ -104,13 +104,13 @@
 	load := b.combinedLoad(candidate)
 	var score Score
 	if worker.Role == backend.RoleNone {
-		score.Queue = float64(load.Running) * estimate.RunSeconds / float64(max(worker.Slots, 1))
+		score.Queue = float64(load.Running) * estimate.ServiceSeconds / float64(max(worker.Slots, 1))
 	} else {
-		perToken := estimate.SecondsPerToken * b.model.Slowness(now, enginemodel.ClassOf(worker), worker.ID)
+		perToken := estimate.SecondsPerToken * b.model.Slowdown(now, enginemodel.ClassOf(worker), worker.ID)
 		score.Queue = float64(load.Running)*b.settings.SecondsPerRequest + float64(tokensAhead(query, load))*perToken
 		score.addPrefill(query, worker, perToken)
 		score.Wait = float64(tokensAhead(query, load)) * perToken
-		score.Answer = estimate.StartSeconds + score.Wait + score.Reading
+		score.Answer = estimate.BaseSeconds + score.Wait + score.Reading
 	}
 	if worker.Role == backend.RoleDecode {
 		wait := slotWaitSeconds(estimate, load.Writing(), worker.Slots)
@@ -149,7 +149,7 @@
 	if excess <= 0 || slots <= 0 {
 		return 0
 	}
-	return float64(excess) * estimate.RunSeconds / float64(slots)
+	return float64(excess) * estimate.ServiceSeconds / float64(slots)
 }
 
 // preferredWorker returns the worker that wins ties. It is the same on all gateways with the same workers.
--- a/internal/enginemodel/enginemodel.go
+++ b/internal/enginemodel/enginemodel.go
@@ -37,143 +37,143 @@
 // Memory of a model and the strength of its assumptions.
 const (
 	// memory is the time after which an observation counts 1/e.
-	memory = 20 * time.Second
+	decayTime = 20 * time.Second
 	// clipFactor bounds how far one observation may lie off the estimate, once enough were made.
-	clipFactor = 4.0
-	clipAfter  = 10.0
+	clipFactor     = 4.0
+	clipMinSamples = 10.0
 	// assumedStart and assumedPerToken hold for engines that read prompts while nothing was observed: a cautious pace of 50,000
 	// tokens a second. startWeight is the number of observations that the assumed start counts for, and tokensWeight is the
 	// length of the one prompt that the assumed pace counts for.
-	assumedStart    = 0.008
-	assumedPerToken = 1.0 / 50_000
-	startWeight     = 10.0
-	tokensWeight    = 1000.0
+	priorBaseSeconds     = 0.008
+	priorSecondsPerToken = 1.0 / 50_000
+	priorBaseWeight      = 10.0
+	priorPromptTokens    = 1000.0
 	// decodeFactor is how much slower engines read that write answers too, while nothing was observed.
-	decodeFactor = 2.0
+	decodeSlowdown = 2.0
 )
 
 // Estimate is what a class is expected to do.
 type Estimate struct {
 	// StartSeconds is the time that a reading takes besides its tokens, and SecondsPerToken that of each token.
-	StartSeconds    float64
+	BaseSeconds     float64
 	SecondsPerToken float64
 	// Readings is how many observations this rests on, old ones counted in part.
-	Readings float64
+	PrefillSamples float64
 	// RunSeconds is the mean time for which a request occupies a worker, and Runs how many observations that rests on.
-	RunSeconds float64
-	Runs       float64
+	ServiceSeconds float64
+	RequestSamples float64
 }
 
 // class is what was observed of the workers of a class.
-type class struct {
-	line    line
-	runs    mean
-	workers map[string]*worker
+type classStats struct {
+	prefill     regression
+	serviceTime decayingMean
+	workers     map[string]*workerStats
 }
 
 // worker is what was observed of one worker in particular: the logarithm of how much longer it took than its class.
-type worker struct{ slowness mean }
+type workerStats struct{ logSlowdown decayingMean }
 
 // Model holds what was learnt of all classes.
-type Model struct{ classes map[Class]*class }
+type Model struct{ classes map[Class]*classStats }
 
 // New returns a model that has observed nothing.
-func New() *Model { return &Model{classes: map[Class]*class{}} }
+func New() *Model { return &Model{classes: map[Class]*classStats{}} }
 
 // of returns the observations of a class.
-func (m *Model) of(name Class) *class {
-	known, found := m.classes[name]
+func (m *Model) statsOf(class Class) *classStats {
+	stats, found := m.classes[class]
 	if !found {
-		known = &class{workers: map[string]*worker{}}
-		m.classes[name] = known
+		stats = &classStats{workers: map[string]*workerStats{}}
+		m.classes[class] = stats
 	}
-	return known
+	return stats
 }
 
 // ObserveReading takes one reading of a worker. Readings behind long queues tell little of the pace, because what is known of
 // queues is old.
-func (m *Model) ObserveReading(now time.Time, name Class, id string, reading Reading) {
+func (m *Model) ObserveReading(now time.Time, class Class, id string, reading Reading) {
 	if reading.Tokens <= 0 || reading.Took <= 0 || reading.Ahead < 0 {
 		return
 	}
-	known := m.of(name)
-	expected := m.Estimate(now, name)
+	stats := m.statsOf(class)
+	expected := m.Estimate(now, class)
 	tokens := float64(reading.Ahead + reading.Tokens)
 	seconds := reading.Took.Seconds()
-	predicted := expected.StartSeconds + expected.SecondsPerToken*tokens
-	if known.line.weight > clipAfter {
+	predicted := expected.BaseSeconds + expected.SecondsPerToken*tokens
+	if stats.prefill.weight > clipMinSamples {
 		seconds = min(max(seconds, predicted/clipFactor), predicted*clipFactor)
 	}
-	share := float64(reading.Tokens) / tokens
-	weight := share * share * share * share
-	known.line.add(now, tokens, seconds, weight)
-	one, found := known.workers[id]
+	ownShare := float64(reading.Tokens) / tokens
+	weight := ownShare * ownShare * ownShare * ownShare
+	stats.prefill.add(now, tokens, seconds, weight)
+	worker, found := stats.workers[id]
 	if !found {
-		one = &worker{}
-		known.workers[id] = one
+		worker = &workerStats{}
+		stats.workers[id] = worker
 	}
-	one.slowness.add(now, math.Log(seconds/predicted), weight)
+	worker.logSlowdown.add(now, math.Log(seconds/predicted), weight)
 }
 
 // ObserveRun takes the time for which a request occupied a worker.
-func (m *Model) ObserveRun(now time.Time, name Class, took time.Duration) {
+func (m *Model) ObserveRun(now time.Time, class Class, took time.Duration) {
 	if took <= 0 {
 		return
 	}
-	m.of(name).runs.add(now, took.Seconds(), 1)
+	m.statsOf(class).serviceTime.add(now, took.Seconds(), 1)
 }
 
 // Estimate returns what a class is expected to do.
-func (m *Model) Estimate(now time.Time, name Class) Estimate {
-	start, perToken := assumedStart, assumedPerToken
-	if name.Role == backend.RoleDecode {
-		if readers, found := m.classes[Class{Group: name.Group, Role: backend.RolePrefill}]; found {
-			start, perToken = readers.line.solve(now, start, perToken)
+func (m *Model) Estimate(now time.Time, class Class) Estimate {
+	base, perToken := priorBaseSeconds, priorSecondsPerToken
+	if class.Role == backend.RoleDecode {
+		if prefillClass, found := m.classes[Class{Group: class.Group, Role: backend.RolePrefill}]; found {
+			base, perToken = prefillClass.prefill.solve(now, base, perToken)
 		}
-		perToken *= decodeFactor
+		perToken *= decodeSlowdown
 	}
-	known, found := m.classes[name]
+	stats, found := m.classes[class]
 	if !found {
-		return Estimate{StartSeconds: start, SecondsPerToken: perToken, RunSeconds: assumedRun}
+		return Estimate{BaseSeconds: base, SecondsPerToken: perToken, ServiceSeconds: priorServiceSeconds}
 	}
-	estimate := Estimate{Readings: known.line.weightAt(now), Runs: known.runs.weightAt(now)}
-	estimate.StartSeconds, estimate.SecondsPerToken = known.line.solve(now, start, perToken)
-	estimate.RunSeconds = known.runs.value(now, assumedRun)
+	estimate := Estimate{PrefillSamples: stats.prefill.weightAt(now), RequestSamples: stats.serviceTime.weightAt(now)}
+	estimate.BaseSeconds, estimate.SecondsPerToken = stats.prefill.solve(now, base, perToken)
+	estimate.ServiceSeconds = stats.serviceTime.value(now, priorServiceSeconds)
 	return estimate
 }
 
 // assumedRun is the time of a run while none was observed.
-const assumedRun = 0.030
+const priorServiceSeconds = 0.030
 
 // Slowness returns how many times as long a worker takes as its class. It is one for all but workers that stand out clearly, so
 // that those which are alike are estimated alike.
-func (m *Model) Slowness(now time.Time, name Class, id string) float64 {
-	known, found := m.classes[name]
+func (m *Model) Slowdown(now time.Time, class Class, id string) float64 {
+	stats, found := m.classes[class]
 	if !found {
 		return 1
 	}
-	one, found := known.workers[id]
-	if !found || one.slowness.weightAt(now) < slownessAfter {
+	worker, found := stats.workers[id]
+	if !found || worker.logSlowdown.weightAt(now) < slowdownMinSamples {
 		return 1
 	}
-	factor := math.Exp(one.slowness.value(now, 0))
-	if factor < slownessFrom {
+	factor := math.Exp(worker.logSlowdown.value(now, 0))
+	if factor < slowdownThreshold {
 		return 1
 	}
-	return math.Round(factor*slownessSteps) / slownessSteps
+	return math.Round(factor*slowdownSteps) / slowdownSteps
 }
 
 // A worker stands out from slownessFrom times the time of its class on, seen at slownessAfter readings; its factor is rounded
 // to a part of one.
 const (
-	slownessAfter = 5.0
-	slownessFrom  = 1.6
-	slownessSteps = 2.0
+	slowdownMinSamples = 5.0
+	slowdownThreshold  = 1.6
+	slowdownSteps      = 2.0
 )
 
 // ForgetWorker drops what was observed of one worker in particular.
 func (m *Model) ForgetWorker(id string) {
-	for _, known := range m.classes {
-		delete(known.workers, id)
+	for _, stats := range m.classes {
+		delete(stats.workers, id)
 	}
 }
--- a/internal/enginemodel/enginemodel_test.go
+++ b/internal/enginemodel/enginemodel_test.go
@@ -21,7 +21,7 @@
 func classOf(role string) Class { return Class{Group: "g", Role: backend.Role(role)} }
 
 // script plays one trace.
-type script struct {
+type trace struct {
 	t      *testing.T
 	model  *Model
 	now    time.Time
@@ -29,18 +29,18 @@
 }
 
 // bounds reads LEAST..MOST.
-func (s *script) bounds(text string) (least, most float64) {
+func (s *trace) parseRange(text string) (minimum, maximum float64) {
 	low, high, found := strings.Cut(text, "..")
-	least, lowErr := strconv.ParseFloat(low, 64)
-	most, highErr := strconv.ParseFloat(high, 64)
+	minimum, lowErr := strconv.ParseFloat(low, 64)
+	maximum, highErr := strconv.ParseFloat(high, 64)
 	if !found || lowErr != nil || highErr != nil {
 		s.t.Fatalf("%q is not LEAST..MOST", text)
 	}
-	return least, most
+	return minimum, maximum
 }
 
 // scaled reads NAME*FACTOR.
-func (s *script) scaled(text string) (string, float64) {
+func (s *trace) parseScaled(text string) (string, float64) {
 	name, factor, found := strings.Cut(text, "*")
 	value, err := strconv.ParseFloat(factor, 64)
 	if text != "" && (!found || err != nil) {
@@ -50,7 +50,7 @@
 }
 
 // duration reads a duration.
-func (s *script) duration(text string) time.Duration {
+func (s *trace) parseDuration(text string) time.Duration {
 	value, err := time.ParseDuration(text)
 	if err != nil {
 		s.t.Fatal(err)
@@ -59,7 +59,7 @@
 }
 
 // number reads a number, or nothing as zero.
-func (s *script) number(text string) int {
+func (s *trace) parseInt(text string) int {
 	if text == "" {
 		return 0
 	}
@@ -71,54 +71,54 @@
 }
 
 // observe makes up readings and shows them to the model.
-func (s *script) observe(role string, workers int, words []string) {
+func (s *trace) observe(role string, workers int, arguments []string) {
 	options := map[string]string{"tokens": "4000..4000"}
-	for _, word := range words {
-		name, value, _ := strings.Cut(word, "=")
+	for _, argument := range arguments {
+		name, value, _ := strings.Cut(argument, "=")
 		options[name] = value
 	}
-	least, most := s.bounds(options["tokens"])
-	slow, slowFactor := s.scaled(options["slow"])
-	outliers, outlierFactor := s.scaled(options["outliers"])
-	count, every := s.number(options["readings"]), s.duration(options["every"])
+	minTokens, maxTokens := s.parseRange(options["tokens"])
+	slow, slowFactor := s.parseScaled(options["slow"])
+	outliers, outlierFactor := s.parseScaled(options["outliers"])
+	count, every := s.parseInt(options["samples"]), s.parseDuration(options["every"])
 	for i := range count {
 		id := fmt.Sprintf("w%d", i%workers)
-		reading := Reading{Ahead: s.number(options["ahead"]), Tokens: int(least) + s.random.IntN(int(most-least)+1)}
-		seconds := float64(reading.Ahead+reading.Tokens) / float64(s.number(options["pace"]))
+		reading := Reading{Ahead: s.parseInt(options["ahead"]), Tokens: int(minTokens) + s.random.IntN(int(maxTokens-minTokens)+1)}
+		seconds := float64(reading.Ahead+reading.Tokens) / float64(s.parseInt(options["rate"]))
 		if id == slow {
 			seconds *= slowFactor
 		}
-		if wanted := s.number(outliers); wanted > 0 && i%(count/wanted) == 0 {
+		if outlierCount := s.parseInt(outliers); outlierCount > 0 && i%(count/outlierCount) == 0 {
 			seconds *= outlierFactor
 		}
-		reading.Took = s.duration(options["start"]) + time.Duration(seconds*float64(time.Second))
+		reading.Took = s.parseDuration(options["base"]) + time.Duration(seconds*float64(time.Second))
 		s.now = s.now.Add(every)
 		s.model.ObserveReading(s.now, classOf(role), id, reading)
 	}
 }
 
 // line plays one line.
-func (s *script) line(text string) {
-	words := strings.Fields(text)
-	switch words[0] {
+func (s *trace) step(text string) {
+	fields := strings.Fields(text)
+	switch fields[0] {
 	case "observe":
-		s.observe(words[1], s.number(words[2]), words[3:])
+		s.observe(fields[1], s.parseInt(fields[2]), fields[3:])
 	case "pause":
-		s.now = s.now.Add(s.duration(words[1]))
-	case "pace":
-		s.expect(text, 1/s.model.Estimate(s.now, classOf(words[1])).SecondsPerToken, words[2])
-	case "start":
-		s.expect(text, 1000*s.model.Estimate(s.now, classOf(words[1])).StartSeconds, words[2])
-	case "slowness":
-		s.expect(text, s.model.Slowness(s.now, classOf(words[1]), words[2]), words[3])
+		s.now = s.now.Add(s.parseDuration(fields[1]))
+	case "rate":
+		s.expectWithin(text, 1/s.model.Estimate(s.now, classOf(fields[1])).SecondsPerToken, fields[2])
+	case "base":
+		s.expectWithin(text, 1000*s.model.Estimate(s.now, classOf(fields[1])).BaseSeconds, fields[2])
+	case "slowdown":
+		s.expectWithin(text, s.model.Slowdown(s.now, classOf(fields[1]), fields[2]), fields[3])
 	default:
 		s.t.Fatalf("unknown line %q", text)
 	}
 }
 
 // expect compares a value with its bounds.
-func (s *script) expect(text string, got float64, within string) {
-	if least, most := s.bounds(within); got < least || got > most {
+func (s *trace) expectWithin(text string, got float64, within string) {
+	if minimum, maximum := s.parseRange(within); got < minimum || got > maximum {
 		s.t.Errorf("%s: got %.4g", text, got)
 	}
 }
@@ -130,16 +130,16 @@
 	}
 	for _, file := range archive.Files {
 		t.Run(file.Name, func(t *testing.T) {
-			s := &script{t: t, model: New(), now: epoch, random: rand.New(rand.NewPCG(1, 2))}
+			s := &trace{t: t, model: New(), now: epoch, random: rand.New(rand.NewPCG(1, 2))}
 			for line := range strings.Lines(string(file.Data)) {
-				s.line(line)
+				s.step(line)
 			}
 		})
 	}
 }
 
 // TestEstimatesAreSane shows arbitrary observations: estimates stay finite, positive, and grow with the work.
-func TestEstimatesAreSane(t *testing.T) {
+func TestEstimatesStayPlausible(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model, now := New(), epoch
 		roles := []string{"prefill", "decode"}
@@ -154,7 +154,7 @@
 		}
 		for _, role := range roles {
 			estimate := model.Estimate(now, classOf(role))
-			for _, value := range []float64{estimate.StartSeconds, estimate.SecondsPerToken, estimate.RunSeconds} {
+			for _, value := range []float64{estimate.BaseSeconds, estimate.SecondsPerToken, estimate.ServiceSeconds} {
 				if !(value >= 0 && value < 1e6) {
 					t.Fatalf("%s: %+v", role, estimate)
 				}
@@ -162,7 +162,7 @@
 			if estimate.SecondsPerToken == 0 {
 				t.Fatalf("%s: reading takes no time: %+v", role, estimate)
 			}
-			if slowness := model.Slowness(now, classOf(role), "w"); slowness < 1 {
+			if slowness := model.Slowdown(now, classOf(role), "w"); slowness < 1 {
 				t.Fatalf("slowness %v", slowness)
 			}
 		}
@@ -170,21 +170,21 @@
 }
 
 // TestTheModelConverges shows readings of one pace, whatever it is: a few dozen are enough.
-func TestTheModelConverges(t *testing.T) {
+func TestModelConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		pace := rapid.Float64Range(2_000, 1_000_000).Draw(t, "pace")
+		rate := rapid.Float64Range(2_000, 1_000_000).Draw(t, "pace")
 		model, now := New(), epoch
 		for i := range 60 {
 			now = now.Add(50 * time.Millisecond)
 			tokens := rapid.IntRange(2000, 20_000).Draw(t, "tokens")
-			took := 0.008 + float64(tokens)/pace
+			took := 0.008 + float64(tokens)/rate
 			model.ObserveReading(now, classOf("prefill"), fmt.Sprint(i%3), Reading{
 				Tokens: tokens, Took: time.Duration(took * float64(time.Second)),
 			})
 		}
 		got := 1 / model.Estimate(now, classOf("prefill")).SecondsPerToken
-		if got < pace*0.8 || got > pace*1.25 {
-			t.Fatalf("learnt %.0f tokens a second of engines that read %.0f", got, pace)
+		if got < rate*0.8 || got > rate*1.25 {
+			t.Fatalf("learnt %.0f tokens a second of engines that read %.0f", got, rate)
 		}
 	})
 }
