--- a/internal/enginemodel/enginemodel.go
+++ b/internal/enginemodel/enginemodel.go
@@ -1,12 +1,12 @@
-// Package enginemodel learns how fast workers are from what requests show, so that no pace of an engine stands in the code.
+// Package enginemodel estimates the speed of workers from observed requests, so that no engine speed is hard-coded.
 //
-// Workers of one group and role are taken to be alike, as long as one of them does not show otherwise. For each such class a
-// line is fitted through the observed readings: seconds from sending a prompt to the sign that it was read, against the tokens
-// that the engine had to read until then. A Model is a pure state machine: it has no clock and no goroutine, and it is not safe
-// for concurrent use.
+// Workers of the same group and role form a class and are assumed to be equally fast, unless one of them deviates
+// clearly. For each class, a linear regression models the time from sending a prompt until it is prefilled as a
+// function of the tokens that the engine has to prefill until then. A Model is a pure state machine: it has no clock
+// and no goroutine, and it is not safe for concurrent use.
 //
-// Invariants: estimates are finite, never negative, and do not fall when there is more to read; a class that was not observed
-// for long is estimated as one that was never observed.
+// Invariants: estimates are finite, never negative, and monotonic in the number of tokens; without recent
+// observations they revert to the prior.
 package enginemodel
 
 import (
@@ -16,7 +16,7 @@
 	"github.com/granitebay/granitebay/internal/backend"
 )
 
-// Class names workers that are taken to be alike.
+// Class identifies workers that are assumed to be equally fast.
 type Class struct {
 	Group string
 	Role  backend.Role
@@ -25,62 +25,63 @@
 // ClassOf returns the class of a worker.
 func ClassOf(worker *backend.Worker) Class { return Class{Group: worker.Group, Role: worker.Role} }
 
-// Reading is one prompt that a worker has read.
+// Reading is the observation of one prefill.
 type Reading struct {
-	// Ahead are the tokens that waited at the worker when the prompt was sent, and Tokens those of the prompt itself that the
-	// worker was expected to read.
+	// Ahead is the number of tokens queued at the worker when the prompt was sent, and Tokens is the number of tokens
+	// of the prompt that the worker was expected to prefill.
 	Ahead, Tokens int
-	// Took is the time from sending the prompt until it was read.
+	// Took is the time from sending the prompt until it was prefilled.
 	Took time.Duration
 }
 
-// Memory of a model and the strength of its assumptions.
+// Parameters of the estimation.
 const (
-	// memory is the time after which an observation counts 1/e.
+	// decayTime is the time after which the weight of an observation has dropped to 1/e.
 	decayTime = 20 * time.Second
-	// clipFactor bounds how far one observation may lie off the estimate, once enough were made.
+	// Once there are clipMinSamples observations, each further one is clipped to the estimate times or divided by
+	// clipFactor.
 	clipFactor     = 4.0
 	clipMinSamples = 10.0
-	// assumedStart and assumedPerToken hold for engines that read prompts while nothing was observed: a cautious pace of 50,000
-	// tokens a second. startWeight is the number of observations that the assumed start counts for, and tokensWeight is the
-	// length of the one prompt that the assumed pace counts for.
+	// The prior for prefill is a conservative rate of 50,000 tokens per second. Its base time weighs as much as
+	// priorBaseWeight observations, and its time per token as much as one prompt of priorPromptTokens.
 	priorBaseSeconds     = 0.008
 	priorSecondsPerToken = 1.0 / 50_000
 	priorBaseWeight      = 10.0
 	priorPromptTokens    = 1000.0
-	// decodeFactor is how much slower engines read that write answers too, while nothing was observed.
+	// decodeSlowdown is the prior for how much slower prefill is on engines that also decode.
 	decodeSlowdown = 2.0
 )
 
-// Estimate is what a class is expected to do.
+// Estimate is the expected performance of a class.
 type Estimate struct {
-	// StartSeconds is the time that a reading takes besides its tokens, and SecondsPerToken that of each token.
+	// BaseSeconds is the fixed time of a prefill, and SecondsPerToken the time per token.
 	BaseSeconds     float64
 	SecondsPerToken float64
-	// Readings is how many observations this rests on, old ones counted in part.
+	// PrefillSamples is the decayed number of prefill observations.
 	PrefillSamples float64
-	// RunSeconds is the mean time for which a request occupies a worker, and Runs how many observations that rests on.
+	// ServiceSeconds is the mean time for which a request occupies a worker, and RequestSamples the decayed number of
+	// observations of it.
 	ServiceSeconds float64
 	RequestSamples float64
 }
 
-// class is what was observed of the workers of a class.
+// classStats holds the observations of a class.
 type classStats struct {
 	prefill     regression
 	serviceTime decayingMean
 	workers     map[string]*workerStats
 }
 
-// worker is what was observed of one worker in particular: the logarithm of how much longer it took than its class.
+// workerStats holds the mean logarithm of how much longer one worker took than expected of its class.
 type workerStats struct{ logSlowdown decayingMean }
 
-// Model holds what was learnt of all classes.
+// Model holds the observations of all classes.
 type Model struct{ classes map[Class]*classStats }
 
-// New returns a model that has observed nothing.
+// New returns a Model without observations.
 func New() *Model { return &Model{classes: map[Class]*classStats{}} }
 
-// of returns the observations of a class.
+// statsOf returns the observations of a class, and creates them if needed.
 func (m *Model) statsOf(class Class) *classStats {
 	stats, found := m.classes[class]
 	if !found {
@@ -90,8 +91,8 @@
 	return stats
 }
 
-// ObserveReading takes one reading of a worker. Readings behind long queues tell little of the pace, because what is known of
-// queues is old.
+// ObserveReading records a prefill. The weight drops with the share of tokens that were queued ahead, because the
+// known queue length may be outdated.
 func (m *Model) ObserveReading(now time.Time, class Class, id string, reading Reading) {
 	if reading.Tokens <= 0 || reading.Took <= 0 || reading.Ahead < 0 {
 		return
@@ -115,7 +116,7 @@
 	worker.logSlowdown.add(now, math.Log(seconds/predicted), weight)
 }
 
-// ObserveRun takes the time for which a request occupied a worker.
+// ObserveRun records the time for which a request occupied a worker.
 func (m *Model) ObserveRun(now time.Time, class Class, took time.Duration) {
 	if took <= 0 {
 		return
@@ -123,7 +124,7 @@
 	m.statsOf(class).serviceTime.add(now, took.Seconds(), 1)
 }
 
-// Estimate returns what a class is expected to do.
+// Estimate returns the expected performance of a class.
 func (m *Model) Estimate(now time.Time, class Class) Estimate {
 	base, perToken := priorBaseSeconds, priorSecondsPerToken
 	if class.Role == backend.RoleDecode {
@@ -142,11 +143,11 @@
 	return estimate
 }
 
-// assumedRun is the time of a run while none was observed.
+// priorServiceSeconds is the prior for the service time of a request.
 const priorServiceSeconds = 0.030
 
-// Slowness returns how many times as long a worker takes as its class. It is one for all but workers that stand out clearly, so
-// that those which are alike are estimated alike.
+// Slowdown returns how many times as long a worker takes as its class. It is 1 unless the worker deviates clearly, so
+// that equally fast workers get equal estimates.
 func (m *Model) Slowdown(now time.Time, class Class, id string) float64 {
 	stats, found := m.classes[class]
 	if !found {
@@ -163,15 +164,15 @@
 	return math.Round(factor*slowdownSteps) / slowdownSteps
 }
 
-// A worker stands out from slownessFrom times the time of its class on, seen at slownessAfter readings; its factor is rounded
-// to a part of one.
+// A worker deviates clearly if it takes slowdownThreshold times as long as its class, over slowdownMinSamples
+// observations. The slowdown is rounded to multiples of 1/slowdownSteps.
 const (
 	slowdownMinSamples = 5.0
 	slowdownThreshold  = 1.6
 	slowdownSteps      = 2.0
 )
 
-// ForgetWorker drops what was observed of one worker in particular.
+// ForgetWorker deletes the observations of one worker.
 func (m *Model) ForgetWorker(id string) {
 	for _, stats := range m.classes {
 		delete(stats.workers, id)
--- a/internal/enginemodel/enginemodel_test.go
+++ b/internal/enginemodel/enginemodel_test.go
@@ -14,112 +14,112 @@
 	"github.com/granitebay/granitebay/internal/backend"
 )
 
-// epoch is where the tests begin.
+// epoch is the start time of the tests.
 var epoch = time.Unix(1000, 0)
 
-// classOf is the class of the engines of a role.
+// classOf returns the class of the engines with a role.
 func classOf(role string) Class { return Class{Group: "g", Role: backend.Role(role)} }
 
-// script plays one trace.
-type trace struct {
+// traceRun runs one trace of testdata.
+type traceRun struct {
 	t      *testing.T
 	model  *Model
 	now    time.Time
 	random *rand.Rand
 }
 
-// bounds reads LEAST..MOST.
-func (s *trace) parseRange(text string) (minimum, maximum float64) {
+// parseRange parses MIN..MAX.
+func (r *traceRun) parseRange(text string) (minimum, maximum float64) {
 	low, high, found := strings.Cut(text, "..")
 	minimum, lowErr := strconv.ParseFloat(low, 64)
 	maximum, highErr := strconv.ParseFloat(high, 64)
 	if !found || lowErr != nil || highErr != nil {
-		s.t.Fatalf("%q is not LEAST..MOST", text)
+		r.t.Fatalf("%q is not MIN..MAX", text)
 	}
 	return minimum, maximum
 }
 
-// scaled reads NAME*FACTOR.
-func (s *trace) parseScaled(text string) (string, float64) {
+// parseScaled parses NAME*FACTOR, or an empty string.
+func (r *traceRun) parseScaled(text string) (string, float64) {
 	name, factor, found := strings.Cut(text, "*")
 	value, err := strconv.ParseFloat(factor, 64)
 	if text != "" && (!found || err != nil) {
-		s.t.Fatalf("%q is not NAME*FACTOR", text)
+		r.t.Fatalf("%q is not NAME*FACTOR", text)
 	}
 	return name, value
 }
 
-// duration reads a duration.
-func (s *trace) parseDuration(text string) time.Duration {
+// parseDuration parses a duration.
+func (r *traceRun) parseDuration(text string) time.Duration {
 	value, err := time.ParseDuration(text)
 	if err != nil {
-		s.t.Fatal(err)
+		r.t.Fatal(err)
 	}
 	return value
 }
 
-// number reads a number, or nothing as zero.
-func (s *trace) parseInt(text string) int {
+// parseInt parses an integer, and an empty string as zero.
+func (r *traceRun) parseInt(text string) int {
 	if text == "" {
 		return 0
 	}
 	value, err := strconv.Atoi(text)
 	if err != nil {
-		s.t.Fatal(err)
+		r.t.Fatal(err)
 	}
 	return value
 }
 
-// observe makes up readings and shows them to the model.
-func (s *trace) observe(role string, workers int, arguments []string) {
+// observe generates samples and adds them to the model.
+func (r *traceRun) observe(role string, workers int, arguments []string) {
 	options := map[string]string{"tokens": "4000..4000"}
 	for _, argument := range arguments {
 		name, value, _ := strings.Cut(argument, "=")
 		options[name] = value
 	}
-	minTokens, maxTokens := s.parseRange(options["tokens"])
-	slow, slowFactor := s.parseScaled(options["slow"])
-	outliers, outlierFactor := s.parseScaled(options["outliers"])
-	count, every := s.parseInt(options["samples"]), s.parseDuration(options["every"])
+	minTokens, maxTokens := r.parseRange(options["tokens"])
+	slow, slowFactor := r.parseScaled(options["slow"])
+	outliers, outlierFactor := r.parseScaled(options["outliers"])
+	count, every := r.parseInt(options["samples"]), r.parseDuration(options["every"])
 	for i := range count {
 		id := fmt.Sprintf("w%d", i%workers)
-		reading := Reading{Ahead: s.parseInt(options["ahead"]), Tokens: int(minTokens) + s.random.IntN(int(maxTokens-minTokens)+1)}
-		seconds := float64(reading.Ahead+reading.Tokens) / float64(s.parseInt(options["rate"]))
+		reading := Reading{Ahead: r.parseInt(options["ahead"]), Tokens: int(minTokens) + r.random.IntN(int(maxTokens-minTokens)+1)}
+		seconds := float64(reading.Ahead+reading.Tokens) / float64(r.parseInt(options["rate"]))
 		if id == slow {
 			seconds *= slowFactor
 		}
-		if outlierCount := s.parseInt(outliers); outlierCount > 0 && i%(count/outlierCount) == 0 {
+		if outlierCount := r.parseInt(outliers); outlierCount > 0 && i%(count/outlierCount) == 0 {
 			seconds *= outlierFactor
 		}
-		reading.Took = s.parseDuration(options["base"]) + time.Duration(seconds*float64(time.Second))
-		s.now = s.now.Add(every)
-		s.model.ObserveReading(s.now, classOf(role), id, reading)
+		reading.Took = r.parseDuration(options["base"]) + time.Duration(seconds*float64(time.Second))
+		r.now = r.now.Add(every)
+		r.model.ObserveReading(r.now, classOf(role), id, reading)
 	}
 }
 
-// line plays one line.
-func (s *trace) step(text string) {
+// step runs one line.
+func (r *traceRun) step(text string) {
 	fields := strings.Fields(text)
 	switch fields[0] {
 	case "observe":
-		s.observe(fields[1], s.parseInt(fields[2]), fields[3:])
+		r.observe(fields[1], r.parseInt(fields[2]), fields[3:])
 	case "pause":
-		s.now = s.now.Add(s.parseDuration(fields[1]))
+		r.now = r.now.Add(r.parseDuration(fields[1]))
 	case "rate":
-		s.expectWithin(text, 1/s.model.Estimate(s.now, classOf(fields[1])).SecondsPerToken, fields[2])
+		r.expectWithin(text, 1/r.model.Estimate(r.now, classOf(fields[1])).SecondsPerToken, fields[2])
 	case "base":
-		s.expectWithin(text, 1000*s.model.Estimate(s.now, classOf(fields[1])).BaseSeconds, fields[2])
+		r.expectWithin(text, 1000*r.model.Estimate(r.now, classOf(fields[1])).BaseSeconds, fields[2])
 	case "slowdown":
-		s.expectWithin(text, s.model.Slowdown(s.now, classOf(fields[1]), fields[2]), fields[3])
+		r.expectWithin(text, r.model.Slowdown(r.now, classOf(fields[1]), fields[2]), fields[3])
 	default:
-		s.t.Fatalf("unknown line %q", text)
+		r.t.Fatalf("unknown step %q", text)
 	}
 }
 
-// expect compares a value with its bounds.
-func (s *trace) expectWithin(text string, got float64, within string) {
-	if minimum, maximum := s.parseRange(within); got < minimum || got > maximum {
-		s.t.Errorf("%s: got %.4g", text, got)
+// expectWithin checks that a value is within a range.
+func (r *traceRun) expectWithin(text string, got float64, within string) {
+	if minimum, maximum := r.parseRange(within); got < minimum || got > maximum {
+		r.t.Errorf("%s: got %.4g, out of range", text, got)
 	}
 }
 
@@ -130,15 +130,15 @@
 	}
 	for _, file := range archive.Files {
 		t.Run(file.Name, func(t *testing.T) {
-			s := &trace{t: t, model: New(), now: epoch, random: rand.New(rand.NewPCG(1, 2))}
+			run := &traceRun{t: t, model: New(), now: epoch, random: rand.New(rand.NewPCG(1, 2))}
 			for line := range strings.Lines(string(file.Data)) {
-				s.step(line)
+				run.step(line)
 			}
 		})
 	}
 }
 
-// TestEstimatesAreSane shows arbitrary observations: estimates stay finite, positive, and grow with the work.
+// TestEstimatesStayPlausible checks that estimates stay finite and positive for arbitrary observations.
 func TestEstimatesStayPlausible(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		model, now := New(), epoch
@@ -160,19 +160,19 @@
 				}
 			}
 			if estimate.SecondsPerToken == 0 {
-				t.Fatalf("%s: reading takes no time: %+v", role, estimate)
+				t.Fatalf("%s: prefill takes no time: %+v", role, estimate)
 			}
-			if slowness := model.Slowdown(now, classOf(role), "w"); slowness < 1 {
-				t.Fatalf("slowness %v", slowness)
+			if slowdown := model.Slowdown(now, classOf(role), "w"); slowdown < 1 {
+				t.Fatalf("slowdown = %v, want at least 1", slowdown)
 			}
 		}
 	})
 }
 
-// TestTheModelConverges shows readings of one pace, whatever it is: a few dozen are enough.
+// TestModelConverges checks that 60 observations suffice for any prefill rate.
 func TestModelConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		rate := rapid.Float64Range(2_000, 1_000_000).Draw(t, "pace")
+		rate := rapid.Float64Range(2_000, 1_000_000).Draw(t, "rate")
 		model, now := New(), epoch
 		for i := range 60 {
 			now = now.Add(50 * time.Millisecond)
@@ -184,7 +184,7 @@
 		}
 		got := 1 / model.Estimate(now, classOf("prefill")).SecondsPerToken
 		if got < rate*0.8 || got > rate*1.25 {
-			t.Fatalf("learnt %.0f tokens a second of engines that read %.0f", got, rate)
+			t.Fatalf("estimated %.0f tokens per second, want about %.0f", got, rate)
 		}
 	})
 }
