--- a/internal/balance/suspects.go
+++ b/internal/balance/suspects.go
@@ -22,8 +22,8 @@
 	// by itself would get harmless requests blocked.
 	CrashMemory time.Duration
 	// Sets is the number of sets into which suspects are divided, so that a suspect that crashes workers runs beside
-	// few of the others. Sets beyond the number of allowed workers take turns. Turn is the length of a turn, somewhat
-	// longer than a suspect takes to crash its worker.
+	// few of the others. If fewer workers may serve suspects, the sets take turns. Turn is the length of a turn,
+	// somewhat longer than a suspect needs to crash its worker.
 	Sets int
 	Turn time.Duration
 }
--- a/internal/enginemodel/fit.go
+++ b/internal/enginemodel/fit.go
@@ -23,26 +23,26 @@
 }
 
 // add adds an observation.
-func (l *regression) add(now time.Time, tokens, seconds, weight float64) {
-	factor := decay(l.last, now)
-	l.weight = l.weight*factor + weight
-	l.tokens = l.tokens*factor + weight*tokens
-	l.seconds = l.seconds*factor + weight*seconds
-	l.squares = l.squares*factor + weight*tokens*tokens
-	l.products = l.products*factor + weight*tokens*seconds
-	l.last = now
+func (r *regression) add(now time.Time, tokens, seconds, weight float64) {
+	factor := decay(r.last, now)
+	r.weight = r.weight*factor + weight
+	r.tokens = r.tokens*factor + weight*tokens
+	r.seconds = r.seconds*factor + weight*seconds
+	r.squares = r.squares*factor + weight*tokens*tokens
+	r.products = r.products*factor + weight*tokens*seconds
+	r.last = now
 }
 
 // weightAt returns the decayed number of observations.
-func (l *regression) weightAt(now time.Time) float64 { return l.weight * decay(l.last, now) }
+func (r *regression) weightAt(now time.Time) float64 { return r.weight * decay(r.last, now) }
 
 // solve returns the base time and the time per token of the best fit, given those of the prior.
-func (l *regression) solve(now time.Time, base, perToken float64) (float64, float64) {
+func (r *regression) solve(now time.Time, base, perToken float64) (float64, float64) {
 	const squaresPrior = priorPromptTokens * priorPromptTokens
-	factor := decay(l.last, now)
+	factor := decay(r.last, now)
 	// Normal equations of the sum of squared errors with both priors.
-	a11, a12, a22 := factor*l.weight+priorBaseWeight, factor*l.tokens, factor*l.squares+squaresPrior
-	b1, b2 := factor*l.seconds+priorBaseWeight*base, factor*l.products+squaresPrior*perToken
+	a11, a12, a22 := factor*r.weight+priorBaseWeight, factor*r.tokens, factor*r.squares+squaresPrior
+	b1, b2 := factor*r.seconds+priorBaseWeight*base, factor*r.products+squaresPrior*perToken
 	determinant := a11*a22 - a12*a12
 	if determinant <= 0 {
 		return base, perToken
