--- a/internal/balance/health.go
+++ b/internal/balance/health.go
@@ -2,64 +2,66 @@
 
 import "time"
 
-// Outcome is what one request showed of the health of its worker.
+// Outcome is what the result of a request says about the health of its worker.
 type Outcome int
 
-// The outcomes.
+// Outcomes of requests.
 const (
-	// OutcomeNone showed nothing, for example because the caller left.
+	// OutcomeNone says nothing about the worker, for example because the client disconnected.
 	OutcomeNone Outcome = iota
-	// OutcomeGood is a whole answer.
+	// OutcomeGood is a complete response.
 	OutcomeGood
-	// OutcomeFull is a refusal of a worker that has no room.
+	// OutcomeFull is a refusal by a worker at capacity.
 	OutcomeFull
-	// OutcomeError is an answer by which the worker says that it failed.
+	// OutcomeError is an error response.
 	OutcomeError
-	// OutcomeBroken is an answer that broke off, or bytes that are no answer.
+	// OutcomeBroken is a truncated or malformed response.
 	OutcomeBroken
-	// OutcomeSilent is no answer within the time in which others answer.
+	// OutcomeSilent is a timeout.
 	OutcomeSilent
-	// OutcomeUnreachable is a connection that could not be opened.
+	// OutcomeUnreachable is a failed connection attempt.
 	OutcomeUnreachable
 )
 
-// HealthSettings say when a worker is set aside.
+// HealthSettings configures the ejection of failing workers.
 type HealthSettings struct {
-	// FailureWeight is the part by which one outcome moves the failure rate of a worker, between 0 and 1.
-	FailureWeight float64
-	// EjectRate is the failure rate above which a worker is set aside.
-	EjectRate float64
-	// FirstEjection is how long a worker is set aside for the first time; each further time takes twice as long.
-	FirstEjection time.Duration
-	// LongestEjection bounds it.
-	LongestEjection time.Duration
-	// FirstRefusal is how long a worker is passed over after it refused a request; each further refusal in a row takes twice as
-	// long, up to LongestRefusal. A worker that refuses looks idle, and would draw every request.
-	FirstRefusal   time.Duration
-	LongestRefusal time.Duration
-	// LeastHealthyShare of the workers is always used, healthy or not.
-	LeastHealthyShare float64
-	// DoubtSeconds is the cost of a worker that is used although it is set aside.
-	DoubtSeconds float64
+	// FailureRateSmoothing is the weight of the newest outcome in the moving average of the failure rate, between 0
+	// and 1.
+	FailureRateSmoothing float64
+	// EjectionThreshold is the failure rate above which a worker is ejected.
+	EjectionThreshold float64
+	// InitialEjection is the duration of the first ejection; it doubles with each further one.
+	InitialEjection time.Duration
+	// MaxEjection limits the duration of an ejection.
+	MaxEjection time.Duration
+	// InitialRefusalPause is how long a worker is skipped after it refused a request; it doubles with each
+	// consecutive refusal, up to MaxRefusalPause. Without the pause, a refusing worker would look idle and attract
+	// every request.
+	InitialRefusalPause time.Duration
+	MaxRefusalPause     time.Duration
+	// MinHealthyShare is the share of healthy workers below which ejected workers are used too.
+	MinHealthyShare float64
+	// EjectedPenaltySeconds is the cost added to an ejected worker that is used.
+	EjectedPenaltySeconds float64
 }
 
-// DefaultHealthSettings set a worker aside after about two failures in a row.
+// DefaultHealthSettings returns settings that eject a worker after about two consecutive failures.
 func DefaultHealthSettings() HealthSettings {
 	return HealthSettings{
-		FailureWeight:     0.3,
-		EjectRate:         0.5,
-		FirstEjection:     time.Second,
-		LongestEjection:   4 * time.Second,
-		FirstRefusal:      100 * time.Millisecond,
-		LongestRefusal:    800 * time.Millisecond,
-		LeastHealthyShare: 0.34,
-		DoubtSeconds:      0.5,
+		FailureRateSmoothing:  0.3,
+		EjectionThreshold:     0.5,
+		InitialEjection:       time.Second,
+		MaxEjection:           4 * time.Second,
+		InitialRefusalPause:   100 * time.Millisecond,
+		MaxRefusalPause:       800 * time.Millisecond,
+		MinHealthyShare:       0.34,
+		EjectedPenaltySeconds: 0.5,
 	}
 }
 
-// failureCosts say how much an outcome speaks against a worker, from 0 to 1. An error that the worker itself answers is
-// often the request's fault.
-var failureCosts = map[Outcome]float64{
+// failureSeverity is the failure rate that each outcome counts as, from 0 to 1. An error response counts less because
+// the request may have caused it.
+var failureSeverity = map[Outcome]float64{
 	OutcomeGood:        0,
 	OutcomeError:       0.7,
 	OutcomeBroken:      1,
@@ -67,59 +69,59 @@
 	OutcomeUnreachable: 1,
 }
 
-// unreachableWeight is the weight of a connection that could not be opened: one is enough to set a worker aside.
-const unreachableWeight = 0.6
+// unreachableSmoothing is the weight of a failed connection attempt: a single one ejects the worker.
+const unreachableSmoothing = 0.6
 
-// health is the recent record of one worker.
+// health tracks the recent outcomes of one worker.
 type health struct {
-	rate      float64
-	ejections int
-	refusals  int
-	until     time.Time
+	failureRate  float64
+	ejections    int
+	refusals     int
+	ejectedUntil time.Time
 }
 
-// ejected tells whether the worker is set aside.
-func (h *health) ejected(now time.Time) bool { return now.Before(h.until) }
+// ejected reports whether the worker is ejected.
+func (h *health) ejected(now time.Time) bool { return now.Before(h.ejectedUntil) }
 
-// record takes one outcome, and tells whether the worker is set aside for it.
+// record updates the failure rate with one outcome, and reports whether the worker is ejected because of it.
 func (h *health) record(now time.Time, outcome Outcome, settings *HealthSettings) bool {
 	if outcome == OutcomeFull {
-		h.refuse(now, settings)
+		h.recordRefusal(now, settings)
 		return false
 	}
-	cost, counts := failureCosts[outcome]
+	severity, counts := failureSeverity[outcome]
 	if !counts {
 		return false
 	}
 	h.refusals = 0
-	weight := settings.FailureWeight
+	smoothing := settings.FailureRateSmoothing
 	if outcome == OutcomeUnreachable {
-		weight = unreachableWeight
+		smoothing = unreachableSmoothing
 	}
-	h.rate += weight * (cost - h.rate)
-	if outcome == OutcomeGood && h.rate < settings.EjectRate/2 {
+	h.failureRate += smoothing * (severity - h.failureRate)
+	if outcome == OutcomeGood && h.failureRate < settings.EjectionThreshold/2 {
 		h.ejections = 0
 	}
-	if h.rate <= settings.EjectRate || h.ejected(now) {
+	if h.failureRate <= settings.EjectionThreshold || h.ejected(now) {
 		return false
 	}
 	h.eject(now, settings)
 	return true
 }
 
-// refuse passes the worker over for a while.
-func (h *health) refuse(now time.Time, settings *HealthSettings) {
+// recordRefusal skips the worker for a pause that grows with consecutive refusals.
+func (h *health) recordRefusal(now time.Time, settings *HealthSettings) {
 	if h.ejected(now) {
 		return
 	}
-	h.until = now.Add(min(settings.FirstRefusal<<min(h.refusals, 8), settings.LongestRefusal))
+	h.ejectedUntil = now.Add(min(settings.InitialRefusalPause<<min(h.refusals, 8), settings.MaxRefusalPause))
 	h.refusals++
 }
 
-// eject sets the worker aside. Afterwards one more failure sets it aside again.
+// eject ejects the worker and lowers its failure rate so that one more failure ejects it again.
 func (h *health) eject(now time.Time, settings *HealthSettings) {
-	pause := min(settings.FirstEjection<<min(h.ejections, 8), settings.LongestEjection)
-	h.until = now.Add(pause)
+	pause := min(settings.InitialEjection<<min(h.ejections, 8), settings.MaxEjection)
+	h.ejectedUntil = now.Add(pause)
 	h.ejections++
-	h.rate = settings.EjectRate * (1 - settings.FailureWeight)
+	h.failureRate = settings.EjectionThreshold * (1 - settings.FailureRateSmoothing)
 }
--- a/internal/residency/residency.go
+++ b/internal/residency/residency.go
@@ -1,5 +1,5 @@
-// Package residency remembers which engines keep the KV cache of which shared prompt parts, as far as the gateways have
-// caused it. Engines forget the parts that were used longest ago when their memory is full, and so does the table.
+// Package residency tracks which engines have the KV cache of which shared prompt parts, as far as it results from
+// requests of the gateways. Like the engines, the table evicts the least recently used parts when a cache is full.
 package residency
 
 import (
@@ -7,29 +7,29 @@
 	"iter"
 )
 
-// Holder is an engine that keeps a part.
+// Holder is an engine that has a part in its cache.
 type Holder struct {
 	Worker string
-	// Ready is set once the part was read or fetched; before that the engine is about to.
+	// Ready is set once the part has been prefilled or fetched, and not while that is still in progress.
 	Ready bool
 }
 
-// Table is a pure state machine and not safe for concurrent use.
+// Table is the state of all engine caches. It is a pure state machine and not safe for concurrent use.
 type Table struct {
-	workers map[string]*memory
-	// holders indexes the workers by key, in the order in which they got the part.
+	workers map[string]*engineCache
+	// holders maps the key of a part to the workers that have it, in the order in which they got it.
 	holders map[string][]string
 }
 
-// memory is what one engine keeps, used last at the front.
-type memory struct {
+// engineCache is the cache of one engine, the most recently used part first.
+type engineCache struct {
 	capacity int
 	tokens   int
-	recent   *list.List
+	lru      *list.List
 	parts    map[string]*list.Element
 }
 
-// part is one kept part. One without a key is of use for no other request.
+// part is a cached part. A part without a key can't be used by other requests.
 type part struct {
 	key    string
 	tokens int
@@ -38,87 +38,91 @@
 
 // New returns an empty table.
 func New() *Table {
-	return &Table{workers: map[string]*memory{}, holders: map[string][]string{}}
+	return &Table{workers: map[string]*engineCache{}, holders: map[string][]string{}}
 }
 
-// Keep notes that an engine with memory for so many tokens keeps a part, or is about to.
+// Keep records that an engine with the given cache capacity in tokens has a part, or is about to have it, and marks
+// the part as used.
 func (t *Table) Keep(worker string, capacity int, key string, tokens int, ready bool) {
-	kept, known := t.workers[worker]
-	if !known {
-		kept = &memory{recent: list.New(), parts: map[string]*list.Element{}}
-		t.workers[worker] = kept
+	cache, exists := t.workers[worker]
+	if !exists {
+		cache = &engineCache{lru: list.New(), parts: map[string]*list.Element{}}
+		t.workers[worker] = cache
 	}
-	kept.capacity = capacity
-	if element, found := kept.parts[key]; found {
-		kept.recent.MoveToFront(element)
-		known := element.Value.(*part)
-		known.ready = known.ready || ready
+	cache.capacity = capacity
+	if element, found := cache.parts[key]; found {
+		cache.lru.MoveToFront(element)
+		existing := element.Value.(*part)
+		existing.ready = existing.ready || ready
 		return
 	}
-	kept.parts[key] = kept.recent.PushFront(&part{key: key, tokens: tokens, ready: ready})
-	kept.tokens += tokens
+	cache.parts[key] = cache.lru.PushFront(&part{key: key, tokens: tokens, ready: ready})
+	cache.tokens += tokens
 	t.holders[key] = append(t.holders[key], worker)
-	t.shrink(worker, kept)
+	t.evict(worker, cache)
 }
 
-// maxFilling bounds the tokens of requests' own parts that are kept as one.
-const maxFilling = 5000
+// maxAnonymousTokens limits the size of a merged part without a key.
+const maxAnonymousTokens = 5000
 
-// Fill notes that an engine keeps so many tokens that no other request can use. They give way as others do.
+// Fill records that a request has filled the cache of an engine with tokens that no other request can use. They are
+// evicted like parts.
 func (t *Table) Fill(worker string, tokens int) {
-	kept, known := t.workers[worker]
-	if !known || tokens <= 0 {
+	cache, exists := t.workers[worker]
+	if !exists || tokens <= 0 {
 		return
 	}
-	kept.tokens += tokens
-	if front := kept.recent.Front(); front != nil && front.Value.(*part).takes(tokens) {
+	cache.tokens += tokens
+	if front := cache.lru.Front(); front != nil && front.Value.(*part).canAbsorb(tokens) {
 		front.Value.(*part).tokens += tokens
 	} else {
-		kept.recent.PushFront(&part{tokens: tokens})
+		cache.lru.PushFront(&part{tokens: tokens})
 	}
-	t.shrink(worker, kept)
+	t.evict(worker, cache)
 }
 
-// takes tells whether tokens that no other request can use are kept together with a part.
-func (p *part) takes(tokens int) bool { return p.key == "" && p.tokens+tokens <= maxFilling }
+// canAbsorb reports whether the part has no key and room for more tokens.
+func (p *part) canAbsorb(tokens int) bool {
+	return p.key == "" && p.tokens+tokens <= maxAnonymousTokens
+}
 
-// shrink drops what was used longest ago until the rest fits.
-func (t *Table) shrink(worker string, kept *memory) {
-	for kept.tokens > kept.capacity && kept.recent.Len() > 1 {
-		t.drop(worker, kept, kept.recent.Back())
+// evict removes the least recently used parts until the rest fits. It keeps at least one part.
+func (t *Table) evict(worker string, cache *engineCache) {
+	for cache.tokens > cache.capacity && cache.lru.Len() > 1 {
+		t.remove(worker, cache, cache.lru.Back())
 	}
 }
 
-// Forget notes that an engine does not keep a part.
+// Forget records that an engine does not have a part.
 func (t *Table) Forget(worker, key string) {
-	kept, known := t.workers[worker]
-	if !known {
+	cache, exists := t.workers[worker]
+	if !exists {
 		return
 	}
-	if element, found := kept.parts[key]; found {
-		t.drop(worker, kept, element)
+	if element, found := cache.parts[key]; found {
+		t.remove(worker, cache, element)
 	}
 }
 
-// ForgetWorker drops an engine with all that it keeps.
+// ForgetWorker removes an engine and its cache.
 func (t *Table) ForgetWorker(worker string) {
-	kept, known := t.workers[worker]
-	if !known {
+	cache, exists := t.workers[worker]
+	if !exists {
 		return
 	}
-	for element := kept.recent.Front(); element != nil; element = kept.recent.Front() {
-		t.drop(worker, kept, element)
+	for element := cache.lru.Front(); element != nil; element = cache.lru.Front() {
+		t.remove(worker, cache, element)
 	}
 	delete(t.workers, worker)
 }
 
-// Keeps tells whether an engine keeps a part, or is about to.
+// Keeps reports whether an engine has a part, or is about to have it.
 func (t *Table) Keeps(worker, key string) bool {
-	kept, known := t.workers[worker]
-	return known && kept.parts[key] != nil
+	cache, exists := t.workers[worker]
+	return exists && cache.parts[key] != nil
 }
 
-// Holders returns the engines that keep a part, in the order in which they got it.
+// Holders returns the engines that have a part, in the order in which they got it.
 func (t *Table) Holders(key string) []Holder {
 	var holders []Holder
 	for _, worker := range t.holders[key] {
@@ -128,13 +132,13 @@
 	return holders
 }
 
-// All returns what engines keep, of each engine those parts used last at the end.
-func (t *Table) All() iter.Seq2[string, Kept] {
-	return func(yield func(string, Kept) bool) {
-		for worker, kept := range t.workers {
-			for element := kept.recent.Back(); element != nil; element = element.Prev() {
-				one := element.Value.(*part)
-				if one.key != "" && !yield(worker, Kept{Key: one.key, Tokens: one.tokens, Ready: one.ready}) {
+// All returns the cached parts of all engines, of each engine the least recently used first.
+func (t *Table) All() iter.Seq2[string, CachedPart] {
+	return func(yield func(string, CachedPart) bool) {
+		for worker, cache := range t.workers {
+			for element := cache.lru.Back(); element != nil; element = element.Prev() {
+				cached := element.Value.(*part)
+				if cached.key != "" && !yield(worker, CachedPart{Key: cached.key, Tokens: cached.tokens, Ready: cached.ready}) {
 					return
 				}
 			}
@@ -142,22 +146,22 @@
 	}
 }
 
-// Kept is a part that an engine keeps, or is about to.
-type Kept struct {
+// CachedPart is a part that an engine has, or is about to have.
+type CachedPart struct {
 	Key    string
 	Tokens int
 	Ready  bool
 }
 
-// drop forgets one part of one engine.
-func (t *Table) drop(worker string, kept *memory, element *list.Element) {
-	dropped := kept.recent.Remove(element).(*part)
-	kept.tokens -= dropped.tokens
-	if dropped.key == "" {
+// remove removes one part from the cache of an engine.
+func (t *Table) remove(worker string, cache *engineCache, element *list.Element) {
+	removed := cache.lru.Remove(element).(*part)
+	cache.tokens -= removed.tokens
+	if removed.key == "" {
 		return
 	}
-	delete(kept.parts, dropped.key)
-	holders := t.holders[dropped.key]
+	delete(cache.parts, removed.key)
+	holders := t.holders[removed.key]
 	for i, holder := range holders {
 		if holder == worker {
 			holders = append(holders[:i:i], holders[i+1:]...)
@@ -165,8 +169,8 @@
 		}
 	}
 	if len(holders) == 0 {
-		delete(t.holders, dropped.key)
+		delete(t.holders, removed.key)
 		return
 	}
-	t.holders[dropped.key] = holders
+	t.holders[removed.key] = holders
 }
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// sample returns a valid configuration with two rules on one host.
-func sample() *Configuration {
+// validConfiguration returns a valid configuration with two rules on one host.
+func validConfiguration() *Configuration {
 	return &Configuration{
 		Version: 1,
 		Rules: []Rule{
@@ -26,8 +26,8 @@
 	}
 }
 
-func TestMatchTakesTheLongestPrefixOfTheHost(t *testing.T) {
-	table := NewTable(sample(), nil)
+func TestMatchPrefersLongestPrefixOfHost(t *testing.T) {
+	table := NewTable(validConfiguration(), nil)
 	cases := []struct{ host, path, want string }{
 		{"a.example", "/x/1", "outer"},
 		{"A.example:8080", "/x/1", "outer"},
@@ -39,13 +39,13 @@
 	for _, c := range cases {
 		match, found := table.Match(c.host, c.path)
 		if found != (c.want != "") || (found && match.Rule.Name != c.want) {
-			t.Errorf("%s%s: got %v, want %q", c.host, c.path, match.Rule, c.want)
+			t.Errorf("%s%s: got rule %v, want %q", c.host, c.path, match.Rule, c.want)
 		}
 	}
 }
 
-func TestValidateNamesEveryFault(t *testing.T) {
-	configuration := sample()
+func TestValidateReportsEveryError(t *testing.T) {
+	configuration := validConfiguration()
 	configuration.Rules[0].Match = PathMatch{Host: "a.example", PathPrefix: "x"}
 	configuration.Rules[0].Timeout = 0
 	configuration.Rules[1].Shares[1].Group = "nobody"
@@ -53,16 +53,16 @@
 	err := configuration.Validate()
 	for _, want := range []string{"rules[0].pathPrefix", "rules[0].timeout", "rules[1].shares[1].group", "groups[1].name"} {
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%v does not name %s", err, want)
+			t.Errorf("error %v does not mention %s", err, want)
 		}
 	}
-	if err := sample().Validate(); err != nil {
-		t.Errorf("a valid configuration: %v", err)
+	if err := validConfiguration().Validate(); err != nil {
+		t.Errorf("valid configuration: %v", err)
 	}
 }
 
-// TestSharesStayWithinOneRequest checks the invariant of a rotation.
-func TestSharesStayWithinOneRequest(t *testing.T) {
+// TestRotationStaysWithinOneRequestOfShares checks the invariant of rotation.
+func TestRotationStaysWithinOneRequestOfShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.IntRange(0, 20), 2, 4).Filter(func(weights []int) bool {
 			sum := 0
@@ -84,27 +84,27 @@
 			for _, share := range shares {
 				want := float64(n*share.Weight) / float64(total)
 				if got := float64(counts[share.Group]); got > want+1 || got < want-1 {
-					t.Fatalf("after %d requests %s has %v, its share is %v", n, share.Group, got, want)
+					t.Fatalf("after %d requests, %s got %v, want %v within one request", n, share.Group, got, want)
 				}
 			}
 		}
 	})
 }
 
-func TestChangeKeepsSharesOfRulesThatStay(t *testing.T) {
-	first := NewTable(sample(), nil)
+func TestNewTableKeepsRotationOfUnchangedShares(t *testing.T) {
+	first := NewTable(validConfiguration(), nil)
 	first.Match("a.example", "/x/y/1")
-	changed := sample()
+	changed := validConfiguration()
 	changed.Version = 2
 	changed.Rules[1].Timeout = 2 * time.Second
 	second := NewTable(changed, first)
-	if first.byHost["a.example"][0].shares != second.byHost["a.example"][0].shares {
-		t.Error("the shares of a rule began anew although they did not change")
+	if first.byHost["a.example"][0].rotation != second.byHost["a.example"][0].rotation {
+		t.Error("unchanged shares got a new rotation")
 	}
-	changed = sample()
+	changed = validConfiguration()
 	changed.Rules[1].Shares[0].Weight = 1
 	third := NewTable(changed, second)
-	if third.byHost["a.example"][0].shares == second.byHost["a.example"][0].shares {
-		t.Error("changed shares did not begin anew")
+	if third.byHost["a.example"][0].rotation == second.byHost["a.example"][0].rotation {
+		t.Error("changed shares kept their rotation")
 	}
 }
