--- a/internal/forward/attempts.go
+++ b/internal/forward/attempts.go
@@ -12,31 +12,31 @@
 	"github.com/granitebay/granitebay/internal/routing"
 )
 
-// Causes for which the context of a try ends.
+// Causes for which the context of an attempt is cancelled.
 var (
-	errDeadline = errors.New("the time of the request is over")
+	errDeadline = errors.New("the request deadline has passed")
 	errSilent   = errors.New("the worker was silent for too long")
 )
 
-// failure says how one try failed.
+// failure classifies how an attempt failed.
 type failure int
 
 const (
-	// failureNone is no failure.
+	// failureNone means success.
 	failureNone failure = iota
-	// failureUnreachable means that nothing was sent.
+	// failureUnreachable means that no connection was made, so nothing was sent.
 	failureUnreachable
-	// failureRefused is the worker's word that it did not run the request.
+	// failureRefused means that the worker guaranteed not to have run the request.
 	failureRefused
-	// failureMoved is the word of another worker at the address: the one that was meant is gone.
+	// failureMoved means that another worker now runs at the address.
 	failureMoved
-	// failureSilent, failureBroken and failureError may have run, or have.
+	// After failureSilent, failureBroken and failureError the request may have run.
 	failureSilent
 	failureBroken
 	failureError
-	// failureDeadline means that the time of the request is over.
+	// failureDeadline means that the deadline of the request has passed.
 	failureDeadline
-	// failureCallerGone means that nobody waits for the answer any more.
+	// failureCallerGone means that the caller has disconnected.
 	failureCallerGone
 )
 
@@ -53,10 +53,10 @@
 	failureCallerGone:  "caller gone",
 }
 
-// String returns the name of a failure.
+// String returns the name of the failure as it appears in reports.
 func (f failure) String() string { return failureNames[f] }
 
-// mayHaveRun tells whether the worker may have run the request.
+// mayHaveRun reports whether the worker may have run the request.
 func (f failure) mayHaveRun() bool {
 	switch f {
 	case failureSilent, failureBroken, failureError:
@@ -66,7 +66,7 @@
 	}
 }
 
-// reachedWorker tells whether a worker has the request, and has not refused it.
+// reachedWorker reports whether a worker received the request and did not refuse it.
 func (f failure) reachedWorker() bool {
 	switch f {
 	case failureUnreachable, failureRefused, failureMoved:
@@ -76,7 +76,7 @@
 	}
 }
 
-// outcome is what the failure shows of the health of the worker.
+// outcome returns what the failure says about the health of the worker.
 func (f failure) outcome() balance.Outcome {
 	switch f {
 	case failureNone:
@@ -96,7 +96,7 @@
 	}
 }
 
-// classify turns the error of a port into a failure. The context is that of the try.
+// classify maps the error of an attempt to a failure. The context is that of the attempt.
 func classify(ctx context.Context, err error) failure {
 	if err == nil {
 		return failureNone
@@ -133,53 +133,53 @@
 	return failureBroken
 }
 
-// next is what to do after a failed try.
+// decision is what to do after a failed attempt.
 type decision int
 
 const (
-	// nextAgain tries another worker.
+	// decisionRetry tries another worker.
 	decisionRetry decision = iota
-	// nextRefuse tells the caller that the request did not run.
+	// decisionNotRun tells the caller that the request did not run.
 	decisionNotRun
-	// nextFail tells the caller that the request failed and may have run.
+	// decisionFail tells the caller that the request failed and may have run.
 	decisionFail
 )
 
-// Bounds of the workers that one request is offered to, whatever came of it. Those that could not be reached cost little.
+// Limits on the number of workers that one request is sent to. Unreachable workers cost little, so more of them are allowed.
 const (
 	maxReached     = 4
 	maxUnreachable = 8
 )
 
-// attempts is the state of the tries of one request. It decides whether there is another one.
+// attempts tracks the attempts of one request and decides whether to make another.
 //
-// Invariants: a request that may run once is never sent again after a try that may have run; a request never runs at more
-// workers than its rule allows; a refusal is told only when no try may have run.
+// Invariants: a request that may run once is never sent again after an attempt that may have run; a request never runs at more workers than
+// its rule allows; the caller is told that the request did not run only if no attempt may have run it.
 type attempts struct {
 	rule *routing.Rule
-	// runOnce is set when the caller forbids that the request runs again.
+	// runOnce is set if the caller forbids running the request again.
 	runOnce bool
 	// unreachable counts workers to which nothing was sent.
 	unreachable int
-	// sent counts workers that the request reached, whether they ran it or not.
+	// reached counts workers that received the request, whether or not they ran it.
 	reached int
-	// runs counts those that may have run it.
+	// possibleRuns counts workers that may have run the request.
 	possibleRuns int
-	// excluded are the ids of workers that failed it.
+	// excluded are the ids of workers at which the request failed.
 	excluded []string
-	// refused are those of them that did not run it.
+	// refused are the excluded workers that refused the request.
 	refused []string
-	// prepaid is set when the next repeat was taken from the budget already.
+	// retryPrepaid is set if the next retry has already been taken from the budget.
 	retryPrepaid atomic.Bool
 }
 
-// budget grants repeats.
+// retrySource grants retries.
 type retrySource interface {
-	// spend takes one repeat and tells whether there was one.
+	// spend takes one retry and reports whether one was available.
 	spend() bool
 }
 
-// record notes a failed try at a worker.
+// record adds a failed attempt at a worker.
 func (a *attempts) record(worker string, failed failure) {
 	a.excluded = append(a.excluded, worker)
 	if failed == failureRefused {
@@ -195,13 +195,13 @@
 	}
 }
 
-// askAgain lets the request go to workers again that refused it for a time which is over.
+// reincludeRefused makes workers eligible again whose back-off time has passed.
 func (a *attempts) reincludeRefused() {
 	a.excluded = slices.DeleteFunc(a.excluded, func(worker string) bool { return slices.Contains(a.refused, worker) })
 	a.refused = nil
 }
 
-// next decides what follows a failed try, which was recorded before.
+// decide returns what to do after a failed attempt that has been recorded.
 func (a *attempts) decide(failed failure, retries retrySource) decision {
 	if failed == failureDeadline || failed == failureCallerGone || !a.allowsAnother() || !a.takeRetry(retries) {
 		return a.final(failed)
@@ -209,7 +209,7 @@
 	return decisionRetry
 }
 
-// another tells whether the rule allows one more try.
+// allowsAnother reports whether the limits and the rule allow another attempt.
 func (a *attempts) allowsAnother() bool {
 	if a.reached >= maxReached || a.unreachable >= maxUnreachable {
 		return false
@@ -220,15 +220,15 @@
 	return a.repeatable() && a.possibleRuns < a.rule.MaxAttempts
 }
 
-// repeatable tells whether the request may run more than once.
+// repeatable reports whether the request may run more than once.
 func (a *attempts) repeatable() bool { return a.rule.Repeatable() && !a.runOnce }
 
-// granted takes a repeat from the budget when the request has reached a worker before.
+// takeRetry takes a retry from the budget if the request has reached a worker before.
 func (a *attempts) takeRetry(retries retrySource) bool {
 	return a.reached == 0 || a.retryPrepaid.Swap(false) || retries.spend()
 }
 
-// final returns the answer to give when there is no other try.
+// final returns the decision when there is no further attempt.
 func (a *attempts) final(failed failure) decision {
 	if a.possibleRuns == 0 && failed != failureDeadline {
 		return decisionNotRun
--- a/internal/forward/availability.go
+++ b/internal/forward/availability.go
@@ -9,16 +9,16 @@
 	"github.com/granitebay/granitebay/internal/pause"
 )
 
-// outlook is why no worker takes a request now, and when one is expected to.
+// availability says why no worker accepts a request now, and when one is expected to.
 type availability struct {
-	// loss is the role that is gone; nil where workers live and want no requests for a time, or no more of them.
+	// loss is the lost role; nil if the workers are up but backing off or at their limits.
 	loss       *Loss
 	expectedAt time.Time
-	// full is why workers that live take no requests.
+	// full says why workers that are up accept no requests.
 	full balance.Full
 }
 
-// outlook returns when a worker is expected to take the request again that none takes now, or false when nothing is known of that.
+// availability returns when a worker is expected to accept the request, or false if that is unknown.
 func (c *call) availability() (availability, bool) {
 	d := c.handler.dispatcher
 	if loss, lost := d.LossOf(c.match.Group); lost {
@@ -28,15 +28,15 @@
 	return availability{expectedAt: full.Until, full: full}, known
 }
 
-// awaitWorker waits for a worker that takes the request, if none does and one is expected soon. It tells whether to look again.
+// awaitWorker waits for a worker to accept the request if one is expected soon. It reports whether to try placement again.
 func (c *call) awaitWorker(ctx context.Context) bool {
 	expected, known := c.availability()
 	if !known {
 		return false
 	}
 	if expected.full.PerSecond > 0 {
-		// The places of workers with limits go to those that come when they are due: more wait than there are. What others hold and do not
-		// need is asked for.
+		// Waiting does not help at rate-limited workers: capacity goes to requests that arrive when it becomes available. Other gateways
+		// may lend unused capacity.
 		return c.handler.dispatcher.borrow(ctx, c.match.Group)
 	}
 	objective := c.match.Rule.Objective
@@ -51,7 +51,7 @@
 	if expected.loss != nil {
 		return awaitRecovery(ctx, expected.loss, latest.Sub(now))
 	}
-	// Those that wait do not reach the first worker together: it would have to refuse them again.
+	// The jitter keeps waiting requests from reaching the first worker at once and being refused again.
 	jitter := time.Duration(hashFraction(c.request.ID) * float64(wakeJitter))
 	if !pause.For(ctx, min(expected.expectedAt.Sub(now)+jitter, latest.Sub(now))) {
 		return false
@@ -60,11 +60,10 @@
 	return true
 }
 
-// wakeSpread is the time over which requests that wait for a worker are sent to it: the fourth part of the tightest objective of the users'
-// deployments that wait so, 0.25 s, and long enough for the answer to the first of them to be there.
+// wakeJitter is the interval over which requests that wait for a worker are sent. It is long enough to see the first of them answered.
 const wakeJitter = 60 * time.Millisecond
 
-// awaitRevival waits until an engine of a lost role takes requests, and no longer than a time. It tells whether one does.
+// awaitRecovery waits, up to the timeout, until an engine of a lost role accepts requests. It reports whether one does.
 func awaitRecovery(ctx context.Context, loss *Loss, timeout time.Duration) bool {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
@@ -77,15 +76,15 @@
 	return false
 }
 
-// Bounds of the time after which callers are asked to come back while no worker takes their requests.
+// Bounds of the Retry-After time while no worker accepts requests.
 const (
-	// wordTime is added to when a worker is expected: a question to it, and the word of its answer to all gateways.
+	// recoveryNoticeTime is the delay from a worker's recovery until all gateways know of it.
 	recoveryNoticeTime = 60 * time.Millisecond
-	// spreadShare of the time is added at random, so that all that were refused do not come back at one moment.
+	// retryAfterJitter is the fraction of the time that is added as jitter, so that refused callers do not return all at once.
 	retryAfterJitter = 0.15
 )
 
-// refuseNow tells the caller that its request did not run, and to come back: when a worker is expected to take it, or shortly.
+// refuseWithRetryAfter tells the caller that its request did not run and when to retry.
 func (c *call) refuseWithRetryAfter() connAction {
 	expected, known := c.availability()
 	if !known {
@@ -107,7 +106,7 @@
 	return respondRetryAfter(c.writer, c.report, reason, after.Round(time.Millisecond))
 }
 
-// fraction returns a number from 0 up to 1 that looks random, the same one for each id.
+// hashFraction returns a pseudo-random number in [0, 1) that depends only on the id.
 func hashFraction(id string) float64 {
 	const parts = 1 << 16
 	digest := fnv.New64a()
--- a/internal/forward/body.go
+++ b/internal/forward/body.go
@@ -9,24 +9,23 @@
 	"github.com/cockroachdb/errors"
 )
 
-// writeSlack is how long after the time of its request an answer may still be written. A caller that does not read it, or is cut off,
-// would otherwise hold its request in hand for as long as its connection stands.
+// writeGrace is how long after the deadline of its request a response may still be written. The bound frees requests whose callers have
+// stopped reading or lost their connection.
 const writeGrace = 2 * time.Second
 
-// allowWriting has the time in which an answer may be written begin anew if it is ready after the time of its request: this process may have
-// stood still for longer than the bound of before, and would close the connection in place of the answer. Most answers are written once
-// their handler has returned.
+// extendWriteDeadline extends the write deadline if the response is ready only after the request deadline. Otherwise the server would close
+// the connection without a response, for example after the process was suspended.
 func extendWriteDeadline(writer http.ResponseWriter, deadline time.Time) {
 	if now := time.Now(); now.After(deadline) {
-		// An error is that of a writer without a connection, which has nobody to wait for.
+		// Writers without a connection return an error, which is ignored.
 		_ = http.NewResponseController(writer).SetWriteDeadline(now.Add(writeGrace))
 	}
 }
 
-// boundedReadBody reads the body of a request within the time of the request, and bounds the time in which its answer is written.
+// readBodyByDeadline reads the request body before the deadline, and sets the deadline for writing the response.
 func readBodyByDeadline(writer http.ResponseWriter, incoming *http.Request, request *Request, limit int64, deadline time.Time) (int, error) {
 	connection := http.NewResponseController(writer)
-	// Errors are those of a writer without a connection, which has nobody to wait for.
+	// Writers without a connection return errors, which are ignored.
 	_ = connection.SetWriteDeadline(deadline.Add(writeGrace))
 	if incoming.ContentLength == 0 {
 		return 0, nil
@@ -34,16 +33,16 @@
 	_ = connection.SetReadDeadline(deadline)
 	status, err := readBody(writer, incoming, request, limit)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		// What is left of the body must not be taken for the next request.
+		// The rest of the body must not be parsed as the next request.
 		writer.Header().Set("Connection", "close")
 		return http.StatusRequestTimeout, err
 	}
-	// From here on the server reads beside the request, and takes the end of a time for the end of the caller.
+	// The server keeps reading in the background and would treat a read timeout as a disconnect.
 	_ = connection.SetReadDeadline(time.Time{})
 	return status, err
 }
 
-// reasonOfBody names the reason for which a body was not read.
+// bodyErrorReason returns the report's reason for a body that could not be read.
 func bodyErrorReason(status int) Reason {
 	if status == http.StatusRequestTimeout {
 		return ReasonTimeout
@@ -51,13 +50,13 @@
 	return ReasonInvalid
 }
 
-// readBody reads the body of a request, which a second try may need again. The status is that of a failed one.
+// readBody buffers the request body, which retries need. On error it returns the status to respond with.
 func readBody(writer http.ResponseWriter, incoming *http.Request, request *Request, limit int64) (int, error) {
 	if incoming.ContentLength == 0 {
 		return 0, nil
 	}
 	if incoming.ContentLength > limit {
-		return http.StatusRequestEntityTooLarge, errors.Newf("step read the body: %d bytes are above the limit of %d",
+		return http.StatusRequestEntityTooLarge, errors.Newf("step read the body: %d bytes exceed the limit of %d",
 			incoming.ContentLength, limit)
 	}
 	var err error
--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -10,7 +10,7 @@
 	"github.com/granitebay/granitebay/internal/routing"
 )
 
-// call is one request on its way.
+// call is one request in progress.
 type call struct {
 	handler  *Handler
 	writer   http.ResponseWriter
@@ -21,26 +21,26 @@
 	guarded  *guardedRequest
 	attempts attempts
 	relay    relay
-	// brokenOff returns the event that ends a stream which broke off; nil where the protocol has none.
+	// truncationEvent returns the event that ends a stream that was cut off; nil if the protocol has none.
 	truncationEvent func(Reason) []byte
-	// reads counts the readings that engines took up.
+	// prefills counts prefill calls that an engine accepted.
 	prefills int
-	// readFailures counts prompts that could not be read elsewhere.
+	// prefillFailures counts failed prefill calls.
 	prefillFailures int
-	// readAt is the engine that has read the prompt in vain: its handle was refused, but the parts may still be there.
+	// prefilledAt is the engine whose prompt handle was refused. Its cache may still hold the prompt.
 	prefilledAt *backend.Worker
-	// isSolo is set while the call is the one copy of a suspect that runs.
+	// isExclusive is set while this call holds the exclusive run of a suspect request.
 	isExclusive bool
-	// counted is set once the request has begun to run, and so counts as used.
+	// usageCounted is set once the request has been counted for its tenant.
 	usageCounted bool
-	// lastError is the answer of a worker that failed, to be passed on when there is no better one.
+	// lastError is the response of a worker that failed, sent to the caller if no attempt succeeds.
 	lastError *bufferedAnswer
 }
 
-// maxReadFailures is how often a prompt is read elsewhere in vain before the runner reads it itself.
+// maxPrefillFailures is the number of failed prefill calls after which the runner prefills the prompt itself.
 const maxPrefillFailures = 2
 
-// run offers the request to workers until one has answered it or nothing is left to try.
+// run makes attempts until one succeeds or no further attempt is allowed.
 func (c *call) run(ctx context.Context) connAction {
 	defer c.endExclusive()
 	for {
@@ -83,7 +83,7 @@
 	}
 }
 
-// placeOptions say how a request of a standing may be placed now. Suspects are placed apart from each other.
+// placeOptions returns the placement constraints for the next attempt. Suspect requests are kept on separate workers.
 func (c *call) placeOptions(status poison.Standing) PlaceOptions {
 	options := PlaceOptions{Excluded: c.attempts.excluded, Direct: c.mustColocate()}
 	if status == poison.Suspected {
@@ -94,12 +94,11 @@
 	return options
 }
 
-// resumable tells whether the stream may go on at another worker.
+// resumable reports whether another worker may continue the stream.
 func (c *call) resumable() bool { return c.match.Rule.Resumable && !c.attempts.runOnce }
 
-// direct tells whether the runner is to read the prompt itself: when it could not be read elsewhere, when its parts lie at an
-// engine that has read it in vain, or when no repeat is left for one more reading. The first reading that an engine takes up
-// is no repeat.
+// mustColocate reports whether the runner has to prefill the prompt itself: after too many failed prefill calls, if another engine's cache
+// still holds the prompt, or if the budget has no retry for another prefill call. The first prefill call is not a retry.
 func (c *call) mustColocate() bool {
 	switch {
 	case c.prefillFailures >= maxPrefillFailures || c.prefilledAt != nil:
@@ -111,7 +110,7 @@
 	}
 }
 
-// try offers the request to the workers of a placement. It returns the worker that failed.
+// attempt sends the request to the workers of a placement. On failure it returns the id of the worker that failed.
 func (c *call) attempt(ctx context.Context, placement *Placement) (string, failure) {
 	record := Try{Begun: time.Now(), Deferred: placement.Deferred}
 	runner := placement.Runner
@@ -152,7 +151,7 @@
 	return record.Worker, failed
 }
 
-// notRun turns the failure to read a prompt into one that left nothing run.
+// asNotRun converts the failure of a prefill call, after which the request itself cannot have run.
 func (f failure) asNotRun() failure {
 	if f.mayHaveRun() {
 		return failureRefused
@@ -160,7 +159,7 @@
 	return f
 }
 
-// endTry adds a try to the report.
+// recordAttempt adds an attempt to the report.
 func (c *call) recordAttempt(record Try, prefix string, failed failure) {
 	record.Ended = time.Now()
 	if failed != failureNone {
@@ -173,7 +172,7 @@
 	c.report.Tries = append(c.report.Tries, record)
 }
 
-// runAt has a worker run the request and passes its answer on.
+// runOn runs the request at a worker and forwards the response.
 func (c *call) runOn(ctx context.Context, runner *Assignment, options RunOptions) failure {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -206,8 +205,8 @@
 	return failed
 }
 
-// countUsed counts the request for its tenant, once however often it runs: engines begin with the first token, plain workers as soon
-// as they have the request.
+// countUsage counts the request for its tenant, at most once over all attempts. Engines count from the first token, plain workers as soon
+// as they have received the request.
 func (c *call) countUsage() {
 	if c.usageCounted || c.request.Tenant == "" || c.handler.onTenantStart == nil {
 		return
@@ -216,7 +215,7 @@
 	c.handler.onTenantStart(c.request.Tenant)
 }
 
-// fetchFrom returns the engine from which the runner takes what is kept of the prompt, or nil.
+// fetchFrom returns the engine from which the runner fetches the cached part of the prompt, or nil.
 func (c *call) fetchFrom(prompt *Prompt, holder *backend.Worker) *backend.Worker {
 	switch {
 	case c.prefilledAt != nil:
--- a/internal/forward/exclusive.go
+++ b/internal/forward/exclusive.go
@@ -8,36 +8,34 @@
 	"github.com/granitebay/granitebay/internal/poison"
 )
 
-// Bounds of the copies of one suspect.
+// Limits on concurrent copies of a suspect request.
 const (
-	// soloFrom is from how many ends of workers at different moments on one copy runs at a time. A request that ran beside another one that
-	// ends workers has seldom seen two of them, and one that is asked often has run at many workers of a rack that goes, so that few wait
-	// which do no harm; one that ends workers ends one more before it is barred.
+	// exclusiveFromCrashes is the number of crashes at different moments from which on only one copy runs at a time. Harmless requests
+	// rarely see two, so few of them have to wait.
 	exclusiveFromCrashes = 2
-	// soloTurn is for how long one gateway is the one that runs copies, from the last end on; then it is another one, so that a caller who
-	// asks a single gateway is served, too. None begins in the last soloRun of a turn: a copy that ends its worker takes about as long.
+	// exclusiveTurn is how long one gateway may run the copies before another is elected, so that callers that use a single gateway are
+	// served too. No copy starts in the last exclusiveRunTime of a turn, which is about how long a copy takes to crash its worker.
 	exclusiveTurn    = time.Second
 	exclusiveRunTime = 200 * time.Millisecond
 )
 
-// soloRuns has one copy of a suspect run at a time in the fleet: at the gateway whose turn it is, and there after each other. A bound on
-// workers alone does not see that copies at several gateways share what it allows: they would wait there, and reach a worker together.
-// It is safe for concurrent use.
+// exclusiveRuns lets one copy of a suspect request run at a time in the fleet: at the elected gateway, one after the other. A limit on
+// workers alone would not keep copies at several gateways from reaching a worker at once. It is safe for concurrent use.
 type exclusiveRuns struct {
-	// chosen tells whether this gateway is the one for a key; nil chooses it for all.
+	// isElected reports whether this gateway is elected for a key; if nil, it always is.
 	isElected func(key string) bool
 
 	mu      sync.Mutex
 	running map[poison.Digest]bool
 }
 
-// ChooseForSuspects tells the handler how to ask whether this gateway is the one of all for a key. Without it each is. It is called before
-// the first request.
+// ChooseForSuspects sets the function that reports whether this gateway is elected for a key. Without it, every gateway is. It must be
+// called before the first request.
 func (h *Handler) ChooseForSuspects(isElected func(key string) bool) {
 	h.exclusive.isElected = isElected
 }
 
-// hasTurn tells whether copies of a suspect may begin to run here, so long after the last end under it.
+// hasTurn reports whether copies of a suspect request may start at this gateway. The time since the last crash determines the turn.
 func (s *exclusiveRuns) hasTurn(digest poison.Digest, sinceCrash time.Duration) bool {
 	if s.isElected == nil {
 		return true
@@ -45,7 +43,7 @@
 	return sinceCrash%exclusiveTurn < exclusiveTurn-exclusiveRunTime && s.isElected(fmt.Sprint(digest, "/", int(sinceCrash/exclusiveTurn)))
 }
 
-// begin tells whether a copy of a suspect is the one that may run; then end is called once it does not run any more.
+// begin reports whether a copy may run now. If so, end must be called when it is done.
 func (s *exclusiveRuns) begin(digest poison.Digest) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -59,14 +57,14 @@
 	return true
 }
 
-// end notes that a copy does not run any more.
+// end marks the copy of a request as done.
 func (s *exclusiveRuns) end(digest poison.Digest) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.running, digest)
 }
 
-// maySolo tells whether the call may be placed now as far as other copies of what it asks for are concerned.
+// mayRunExclusively reports whether the call may be placed now with regard to other copies of the same request.
 func (c *call) mayRunExclusively(status poison.Standing, bar poison.Bar) bool {
 	if status != poison.Suspected || bar.Moments < exclusiveFromCrashes {
 		return true
@@ -78,7 +76,7 @@
 	return c.isExclusive
 }
 
-// endSolo lets the next copy run.
+// endExclusive lets the next copy run.
 func (c *call) endExclusive() {
 	if c.isExclusive {
 		c.handler.exclusive.end(c.guarded.requestDigest())
--- a/internal/forward/guarded.go
+++ b/internal/forward/guarded.go
@@ -12,26 +12,26 @@
 	"github.com/granitebay/granitebay/internal/poison"
 )
 
-// identity is a request as the guard of the workers knows it. Its digest is reckoned only once it is needed: on most days never.
+// guardedRequest is a request as seen by the guard. Its digest is computed on first use, since most requests never need it.
 type guardedRequest struct {
-	// guard is nil where none keeps requests from workers.
+	// guard is nil if requests are not guarded.
 	guard   *poison.Guard
 	request *Request
 	rule    string
 
 	digest    poison.Digest
 	hasDigest bool
-	// probed is closed once it is known whether the worker has ended whose connection broke last; nil when that is known.
+	// probeDone is closed once the guard knows whether the last worker whose connection broke has crashed; nil if no probe is pending.
 	probeDone <-chan struct{}
-	// broke is set once a connection broke under the request.
+	// connectionBroke is set once a connection to a worker broke during the request.
 	connectionBroke bool
 }
 
-// tellTime is how long the failure of a suspect is kept from its caller, who may send it to another gateway at once: by then that one has
-// been told of the end. A datagram is gathered for 2 ms and takes some 20 ms between regions.
+// peerNotifyDelay is how long the failure of a suspect request is withheld from its caller. By then other gateways have heard of the crash,
+// so that an immediate retry through one of them is recognized.
 const peerNotifyDelay = 30 * time.Millisecond
 
-// asked returns the digest of the request.
+// requestDigest returns the digest of the request.
 func (i *guardedRequest) requestDigest() poison.Digest {
 	if !i.hasDigest {
 		i.digest, i.hasDigest = i.request.digest(), true
@@ -39,7 +39,7 @@
 	return i.digest
 }
 
-// standing returns what the guard holds of the request, with its bar if it is barred.
+// status returns the guard's status of the request, and its bar if it is barred.
 func (i *guardedRequest) status() (poison.Standing, poison.Bar) {
 	if i.guard == nil || !i.guard.Watches() {
 		return poison.Clear, poison.Bar{}
@@ -47,14 +47,14 @@
 	return i.guard.Standing(i.requestDigest())
 }
 
-// is tells whether the guard holds one of some things of the request.
+// hasStatus reports whether the request has one of the statuses.
 func (i *guardedRequest) hasStatus(statuses ...poison.Standing) bool {
 	status, _ := i.status()
 	return slices.Contains(statuses, status)
 }
 
-// failed tells the guard of a try that failed: of a connection to a worker that broke under the request, or of a worker that was given up
-// for its silence. An answer that is not valid shows a worker that lives.
+// reportFailure tells the guard that a connection to a worker broke during the request, or that a silent worker was given up. An invalid
+// response is not reported, since its worker is up.
 func (i *guardedRequest) reportFailure(worker *backend.Worker, failed failure, err error) {
 	if i.guard == nil {
 		return
@@ -69,7 +69,8 @@
 	}
 }
 
-// awaitProbe waits until it is known whether the last worker has ended, which the guard bounds. A repeat before would go to any worker.
+// awaitProbe waits until the guard knows whether the last worker has crashed. The guard bounds the wait. Only then can the retry avoid
+// workers that must not be put at risk.
 func (i *guardedRequest) awaitProbe(ctx context.Context) {
 	if i.probeDone == nil {
 		return
@@ -81,7 +82,7 @@
 	i.probeDone = nil
 }
 
-// awaitTold waits until other gateways are told of the end of a worker under the request, if there was one.
+// awaitPeersNotified waits until other gateways have heard of a worker crash during the request, if there was one.
 func (i *guardedRequest) awaitPeersNotified(ctx context.Context) {
 	if !i.connectionBroke || i.hasStatus(poison.Clear, poison.Excused) {
 		return
@@ -94,7 +95,7 @@
 	}
 }
 
-// endedWell tells the guard of a good end of the request.
+// reportSuccess tells the guard that the request completed.
 func (i *guardedRequest) reportSuccess() {
 	if !i.hasStatus(poison.Clear) {
 		i.guard.EndedWell(i.requestDigest())
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -18,24 +18,25 @@
 	"github.com/granitebay/granitebay/internal/tenantlimit"
 )
 
-// Settings of the request path.
+// Settings configure the request path.
 type Settings struct {
-	// NotReadyRetryAfter is told to callers while no configuration is known.
+	// NotReadyRetryAfter is the Retry-After time while no configuration is loaded.
 	NotReadyRetryAfter time.Duration
-	// StoppingRetryAfter is told to callers of a gateway that takes no new requests any more.
+	// StoppingRetryAfter is the Retry-After time of a gateway that is shutting down.
 	StoppingRetryAfter time.Duration
-	// RefusedRetryAfter is told to callers when no worker takes their request.
+	// RefusedRetryAfter is the Retry-After time if no worker accepts the request.
 	RefusedRetryAfter time.Duration
-	// JudgedRetryAfter is told to callers whose request may have ended workers, until that is judged: a little longer than it takes.
+	// VerdictRetryAfter is the Retry-After time of a request that may have crashed workers while that is being determined. It is a little
+	// longer than the check takes.
 	VerdictRetryAfter time.Duration
-	// HoldShare is the part of its objective for which a request waits while a role is gone and is expected back within that time: a
-	// caller that comes back earns less than one that was served at once, and one that waited for nothing is lost to it.
+	// HoldFraction is the fraction of its objective for which a request waits for a role that is expected back within that time. Waiting
+	// saves the caller a retry, but the objective is missed if the wait fails.
 	HoldFraction float64
-	// LeastTime is the remaining time below which a request is not offered to a worker.
+	// MinRemaining is the time before the deadline below which no attempt is started.
 	MinRemaining time.Duration
 }
 
-// DefaultSettings of the request path.
+// DefaultSettings returns the default settings.
 func DefaultSettings() Settings {
 	return Settings{
 		NotReadyRetryAfter: 200 * time.Millisecond,
@@ -69,7 +70,7 @@
 	active           atomic.Int64
 }
 
-// NewHandler returns a handler that knows no configuration and refuses every request.
+// NewHandler returns a handler without a configuration, which refuses every request.
 func NewHandler(settings Settings, protocol Protocol, workers Workers, dispatcher *Dispatcher, observer Observer) *Handler {
 	return &Handler{
 		settings: settings, protocol: protocol, workers: workers, dispatcher: dispatcher, observer: observer,
@@ -77,51 +78,50 @@
 	}
 }
 
-// ServeLabelled makes the handler serve requests that are matched by labels, besides those that are matched by path. It is
-// called before the first request.
+// ServeLabelled adds a protocol whose requests are matched by labels when no path matches. It must be called before the first request.
 func (h *Handler) ServeLabelled(protocol LabelledProtocol) { h.labelled = protocol }
 
-// SetFreshness tells the handler how to ask whether the configuration is known to be fresh. Without it every configuration is. It
-// is called before the first request.
+// SetFreshness sets the function that reports whether the configuration is up to date. Without it, the configuration is assumed to be up to
+// date. It must be called before the first request.
 func (h *Handler) SetFreshness(isFresh func() bool) { h.isConfigurationFresh = isFresh }
 
-// GuardWorkers has a guard keep requests that end workers from further ones. It is called before the first request.
+// GuardWorkers sets the guard that blocks requests which crash workers. It must be called before the first request.
 func (h *Handler) GuardWorkers(guard *poison.Guard) { h.guard = guard }
 
-// CountUsage tells the handler whom to tell that a request of a tenant has begun to run. It is called before the first request.
+// CountUsage sets a callback for each request of a tenant that starts running. It must be called before the first request.
 func (h *Handler) CountUsage(onStart func(tenant string)) { h.onTenantStart = onStart }
 
-// NameClosers tells the handler how to ask who ended the connection on which the request of a context came. Without it that is always
-// the caller. It is called before the first request.
+// NameClosers sets the function that returns which side closed the connection of a request. Without it, that is always the caller. It must
+// be called before the first request.
 func (h *Handler) NameClosers(closerOf func(ctx context.Context) Closer) { h.closerOf = closerOf }
 
-// SetTable puts a configuration in force for the requests that come from now on.
+// SetTable installs a configuration for new requests.
 func (h *Handler) SetTable(table *routing.Table) {
 	h.dispatcher.SetGroups(table.Configuration().Groups)
 	h.table.Store(table)
 }
 
-// Table returns the configuration in force, or nil.
+// Table returns the current configuration, or nil.
 func (h *Handler) Table() *routing.Table { return h.table.Load() }
 
-// Leave makes every answer ask its caller to close the connection.
+// Leave adds "Connection: close" to all responses from now on.
 func (h *Handler) Leave() { h.closeConnections.Store(true) }
 
-// Stop makes the handler refuse new requests. Those in hand are finished.
+// Stop refuses new requests. Requests in progress are finished.
 func (h *Handler) Stop() {
 	h.closeConnections.Store(true)
 	h.stopping.Store(true)
 }
 
-// Active returns the number of requests in hand.
+// Active returns the number of requests in progress.
 func (h *Handler) Active() int64 { return h.active.Load() }
 
-// ServeHTTP is part of http.Handler.
+// ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(writer http.ResponseWriter, incoming *http.Request) {
 	h.active.Add(1)
 	defer h.active.Add(-1)
 	arrived := time.Now()
-	// The date is the worker's to give.
+	// The Date header is set by the worker.
 	writer.Header()["Date"] = nil
 	if h.closeConnections.Load() {
 		writer.Header().Set("Connection", "close")
@@ -137,7 +137,7 @@
 	}
 }
 
-// serveGuarded answers one request. A panic is reported like any other end, with the id of the request.
+// serveRecovering serves one request and turns a panic into a report.
 func (h *Handler) serveRecovering(writer http.ResponseWriter, incoming *http.Request, report *Report) (action connAction) {
 	defer func() {
 		if value := recover(); value != nil {
@@ -148,8 +148,8 @@
 	return h.serve(writer, incoming, report)
 }
 
-// noteUnanswered notes in a report whether the connection ended before the caller had a whole answer, and by whom. An answer of the
-// gateway's own is sent after this, so it arrives nowhere when the connection has ended.
+// recordUnanswered records whether the connection ended before the caller had a complete response, and which side closed it. A response
+// generated by the gateway is flushed only after this point, so it is lost if the connection has ended.
 func (h *Handler) recordUnanswered(ctx context.Context, report *Report, action connAction) {
 	report.Unanswered = action == connAbort || (ctx.Err() != nil && report.FirstByte.IsZero())
 	switch {
@@ -163,17 +163,17 @@
 	}
 }
 
-// finish says how the connection of a caller goes on.
+// connAction says what happens to the connection after a request.
 type connAction int
 
 const (
-	// finishWhole means that a whole answer was written.
+	// connKeep means that a complete response was written.
 	connKeep connAction = iota
-	// finishAbort closes the connection, so that an answer that broke off does not look whole.
+	// connAbort closes the connection, so that a truncated response is not taken for a complete one.
 	connAbort
 )
 
-// serve answers one request.
+// serve handles one request.
 func (h *Handler) serve(writer http.ResponseWriter, incoming *http.Request, report *Report) connAction {
 	table := h.table.Load()
 	switch {
@@ -224,8 +224,8 @@
 		return respondRetryAfter(writer, report, ReasonVerdictPending, h.settings.VerdictRetryAfter)
 	case poison.Barred:
 		report.Asked = &guarded.digest
-		report.Err = errors.Newf("step admit: %d workers ended under it: %s; it is barred until %s", len(bar.Workers),
-			strings.Join(bar.Workers, ", "), bar.Until.UTC().Format(time.RFC3339))
+		report.Err = errors.Newf("step admit: the request is barred until %s: %d workers ended while running it: %s",
+			bar.Until.UTC().Format(time.RFC3339), len(bar.Workers), strings.Join(bar.Workers, ", "))
 		return respondError(writer, report, http.StatusUnprocessableEntity, ReasonBarred)
 	}
 	if !h.tenants.Begin(match.Rule.Name, request.Tenant, match.Rule.TenantInFlight) {
@@ -244,7 +244,7 @@
 	return current.run(ctx)
 }
 
-// ownerOf returns the tenant of a request, nil where none is needed, or false when its key belongs to nobody.
+// tenantOf returns the tenant that a key belongs to, nil if the rule needs none, or false if the key is unknown.
 func tenantOf(configuration *routing.Configuration, rule *routing.Rule, key string) (*tenant.Tenant, bool) {
 	if configuration.Tenants == nil || rule.Public {
 		return nil, true
@@ -252,8 +252,8 @@
 	return configuration.Tenants.Find(key)
 }
 
-// deny tells a caller that the configuration does not allow its request. Where the configuration may be an old one, a newer one
-// may allow it: the caller is told to come back, since the request has not run.
+// respondDenied rejects a request that the configuration does not allow. If the configuration may be out of date, the caller is told to
+// retry instead.
 func (h *Handler) respondDenied(writer http.ResponseWriter, report *Report, status int, reason Reason) connAction {
 	if h.isConfigurationFresh != nil && !h.isConfigurationFresh() {
 		return respondRetryAfter(writer, report, ReasonStale, h.settings.NotReadyRetryAfter)
@@ -261,7 +261,7 @@
 	return respondError(writer, report, status, reason)
 }
 
-// match returns the rule of a request, with the protocol in which its caller speaks: the path decides, or else the labels.
+// match returns the rule of a request and the protocol that its caller uses. The path is matched first, then the labels.
 func (h *Handler) match(table *routing.Table, incoming *http.Request) (Protocol, routing.Match, bool) {
 	if match, found := table.Match(incoming.Host, pathOf(incoming)); found {
 		return h.protocol, match, true
@@ -271,7 +271,7 @@
 	}
 	var owner *tenant.Tenant
 	if tenants := table.Configuration().Tenants; tenants != nil {
-		// A request whose key is unknown is denied once its rule is known.
+		// An unknown key is rejected once the rule has been found.
 		owner, _ = tenants.Find(h.labelled.Key(incoming))
 	}
 	labels, isLabelled := h.labelled.Labels(incoming, owner)
@@ -283,7 +283,7 @@
 	return h.labelled, match, found
 }
 
-// headBytes returns the size of the head of a request as it came.
+// headerBytes returns the size of the request line and the headers as received.
 func headerBytes(incoming *http.Request) int {
 	const separators = len(": ") + len("\r\n")
 	size := len(incoming.Method) + len(incoming.RequestURI) + len(incoming.Proto) + len(incoming.Host) + len("Host") + 2*separators
@@ -295,7 +295,7 @@
 	return size
 }
 
-// pathOf returns the path as the caller wrote it.
+// pathOf returns the path as the caller sent it, without normalization.
 func pathOf(incoming *http.Request) string {
 	path, _, _ := strings.Cut(incoming.RequestURI, "?")
 	if strings.HasPrefix(path, "/") {
@@ -304,7 +304,7 @@
 	return incoming.URL.EscapedPath()
 }
 
-// deadlineOf returns when the request ends at the latest.
+// deadlineFor returns the deadline of a request.
 func deadlineFor(arrived time.Time, rule *routing.Rule, request *Request) time.Time {
 	limit := rule.Timeout
 	if request.Patience > 0 {
@@ -313,13 +313,13 @@
 	return arrived.Add(limit)
 }
 
-// refuse tells a caller that its request did not run, and when to come back.
+// respondRetryAfter tells the caller that its request did not run and when to retry.
 func respondRetryAfter(writer http.ResponseWriter, report *Report, reason Reason, after time.Duration) connAction {
 	writer.Header().Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', -1, 64))
 	return respondError(writer, report, http.StatusServiceUnavailable, reason)
 }
 
-// fail answers with an error of the gateway's own.
+// respondError sends an error response generated by the gateway.
 func respondError(writer http.ResponseWriter, report *Report, status int, reason Reason) connAction {
 	report.Status, report.Reason = status, reason
 	body := `{"error":"` + string(reason) + `"}`
--- a/internal/forward/prefill.go
+++ b/internal/forward/prefill.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// readPrompt has an engine read the prompt.
+// prefill has an engine compute the KV cache of the prompt.
 func (c *call) prefill(ctx context.Context, placement *Placement) (*Prompt, failure) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -35,20 +35,20 @@
 	return prompt, failed
 }
 
-// urgencyClasses are times of reading up to which prompts are read with an urgency: short ones first, so that few wait for long
-// ones.
+// urgencyClasses map the expected prefill time, up to a bound in seconds, to an urgency. Short prompts come first, so that few prompts wait
+// for long ones.
 var urgencyClasses = []struct {
 	seconds float64
 	urgency int
 }{{0.03, 1}, {0.08, 3}, {0.2, 5}}
 
-// leastUrgency is that of the longest prompts that are in time.
+// urgencyLongest is the urgency of the longest prompts that are on time.
 const urgencyLongest = 7
 
-// urgencyDeferred is that of prompts whose answers are expected too late.
+// urgencyDeferred is the urgency of prompts whose answers are expected too late.
 const urgencyDeferred = 9
 
-// urgency is that of reading the prompt of a placed request.
+// urgency returns the urgency for prefilling the prompt of a placed request.
 func (p *Placement) urgency() int {
 	if p.Deferred {
 		return urgencyDeferred
@@ -56,7 +56,7 @@
 	return urgencyOf(p.Reader.Score.Reading)
 }
 
-// urgencyOf returns the urgency of a prompt that takes so long to read.
+// urgencyOf returns the urgency of a prompt by its expected prefill time.
 func urgencyOf(seconds float64) int {
 	for _, class := range urgencyClasses {
 		if seconds <= class.seconds {
@@ -66,10 +66,10 @@
 	return urgencyLongest
 }
 
-// releaseTimeout bounds the freeing of a prompt that nobody uses.
+// releaseTimeout bounds the call that releases an unused prompt.
 const releaseTimeout = time.Second
 
-// release frees a prompt that was not used, beside the request.
+// releasePrompt releases an unused prompt in the background.
 func (c *call) releasePrompt(prompt *Prompt) {
 	if prompt == nil {
 		return
--- a/internal/forward/relay.go
+++ b/internal/forward/relay.go
@@ -12,32 +12,32 @@
 	"github.com/granitebay/granitebay/internal/eventstream"
 )
 
-// maxEventBytes bounds one event of a stream.
+// maxEventBytes bounds the size of one event of a stream.
 const maxEventBytes = 1 << 20
 
-// maxWholeBytes bounds the answers that are not streams.
+// maxBufferedBytes bounds the size of responses that are not streams.
 const maxBufferedBytes = 16 << 20
 
-// wholeAnswer is an answer that is not a stream, read to its end.
+// bufferedAnswer is a complete response that is not a stream.
 type bufferedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// readWhole reads an answer to its end, so that one that breaks off can still be replaced by another.
+// readBuffered reads a response completely, so that a retry can replace one that is cut off.
 func readBuffered(answer *Answer) (*bufferedAnswer, error) {
 	body, err := io.ReadAll(io.LimitReader(answer.Body, maxBufferedBytes+1))
 	if err != nil {
 		return nil, err
 	}
 	if len(body) > maxBufferedBytes {
-		return nil, errors.Newf("step receive the answer: it is above %d bytes", maxBufferedBytes)
+		return nil, errors.Newf("step receive the answer: the response exceeds %d bytes", maxBufferedBytes)
 	}
 	return &bufferedAnswer{status: answer.Status, header: answer.Header, body: body}, nil
 }
 
-// write gives the answer to the caller.
+// write sends the response to the caller.
 func (w *bufferedAnswer) write(writer http.ResponseWriter) {
 	copyHeaders(writer.Header(), w.header)
 	writer.Header().Set("Content-Length", strconv.Itoa(len(w.body)))
@@ -45,7 +45,7 @@
 	_, _ = writer.Write(w.body)
 }
 
-// copyHeader copies the header of a worker and keeps net/http from guessing a type.
+// copyHeaders copies the headers of a worker's response and keeps net/http from guessing a content type.
 func copyHeaders(dst, src http.Header) {
 	maps.Copy(dst, src)
 	if _, present := dst["Content-Type"]; !present {
@@ -53,24 +53,23 @@
 	}
 }
 
-// relay passes the events of a stream on to a caller. Several workers may serve one stream after another; the head is that
-// of the first one.
+// relay forwards the events of a stream to the caller. Several workers may serve parts of one stream; the headers are those of the first.
 //
-// Invariant: the caller gets whole events, each once and in order.
+// Invariant: the caller gets complete events, each once and in order.
 type relay struct {
 	writer http.ResponseWriter
-	// onAnswer is called at the first sign of an answer of each worker.
+	// onResponse is called at the first event of each worker's response.
 	onResponse func()
-	// mayPass is called before that, and tells whether the answer may be passed on.
+	// acceptResponse is called before onResponse. It reports whether the response may be forwarded.
 	acceptResponse func() bool
-	// started is set once the head was passed on.
+	// started is set once the headers have been written.
 	started   bool
 	firstByte time.Time
-	// lastEvent is the id of the last event that the caller has, or empty.
+	// lastEvent is the id of the last event that was sent to the caller, or empty.
 	lastEvent string
 }
 
-// stream passes on the events of one worker. It returns nil at a clean end.
+// stream forwards the events of one worker. It returns nil at the regular end of the stream.
 func (r *relay) stream(answer *Answer) error {
 	events := eventstream.NewReader(answer.Body, maxEventBytes)
 	accepted := false
@@ -100,7 +99,7 @@
 	}
 }
 
-// begin passes the head on, once.
+// writeHead writes the status and the headers once.
 func (r *relay) writeHead(answer *Answer) {
 	if r.started {
 		return
@@ -111,7 +110,7 @@
 	r.writer.WriteHeader(answer.Status)
 }
 
-// pass writes one event, and sends it on its way unless more has arrived already.
+// writeEvent writes one event, and flushes it if asked to.
 func (r *relay) writeEvent(event eventstream.Event, flush bool) error {
 	if _, err := r.writer.Write(event.Raw); err != nil {
 		return &CallerError{Cause: err}
@@ -128,7 +127,7 @@
 	return nil
 }
 
-// repeated tells whether the caller has an event already.
+// isDuplicate reports whether the caller already has an event.
 func (r *relay) isDuplicate(event eventstream.Event) bool {
 	last, lastErr := strconv.ParseInt(r.lastEvent, 10, 64)
 	current, currentErr := strconv.ParseInt(event.ID, 10, 64)
--- a/internal/forward/report.go
+++ b/internal/forward/report.go
@@ -8,7 +8,7 @@
 	"github.com/granitebay/granitebay/internal/poison"
 )
 
-// Reason says why a gateway gave an answer of its own.
+// Reason says why the gateway generated a response or a failure.
 type Reason string
 
 // The reasons.
@@ -36,23 +36,23 @@
 	ReasonPanic           Reason = "the gateway failed while it served the request"
 )
 
-// Closer is who ended the connection of a caller.
+// Closer is the side that closed the connection of a caller.
 type Closer int32
 
-// The closers. CloserCaller stands for all that is not the gateway: the caller, its machine, the network.
+// The closers. CloserCaller stands for everything outside the gateway: the caller, its machine, the network.
 const (
 	CloserCaller Closer = iota
-	// CloserRest is the bound on connections that rest, and CloserHead that on the head of a request.
+	// CloserRest is the idle timeout, and CloserHead the timeout for reading the request headers.
 	CloserRest
 	CloserHead
-	// CloserStop is the end of the gateway.
+	// CloserStop is the shutdown of the gateway.
 	CloserStop
-	// CloserAnswer ends a connection whose answer broke off at the worker, and CloserPanic one whose request the gateway failed to serve.
+	// CloserBrokenAnswer closes a connection whose response was cut off at the worker, and CloserPanic one whose request caused a panic.
 	CloserBrokenAnswer
 	CloserPanic
 )
 
-// closerNames are the names of closers in logs and figures.
+// closerNames are the names of closers in logs and metrics.
 var closerNames = map[Closer]string{
 	CloserCaller:       "caller",
 	CloserRest:         "bound on rest",
@@ -62,54 +62,54 @@
 	CloserPanic:        "panic",
 }
 
-// String returns the name of a closer.
+// String returns the name of the closer as it appears in logs and metrics.
 func (c Closer) String() string { return closerNames[c] }
 
 // PanicError is a panic of the gateway while it served a request.
 type PanicError struct {
 	Value any
-	// Stack is where it came from.
+	// Stack is the stack trace of the panic.
 	Stack []byte
 }
 
-// Error is part of error.
+// Error implements error.
 func (p *PanicError) Error() string { return fmt.Sprintf("step serve: panic: %v", p.Value) }
 
-// Report tells what became of one request.
+// Report describes the course and the result of one request.
 type Report struct {
-	// Request is nil for requests that were refused before they were read.
+	// Request is nil if the request was rejected before it was parsed.
 	Request *Request
-	// Caller is the address from which it came.
+	// Caller is the remote address.
 	Caller string
-	// Unanswered is set when the connection of the caller ended before it had a whole answer, and ClosedBy is who ended it.
+	// Unanswered is set if the connection ended before the caller had a complete response; ClosedBy is the side that closed it.
 	Unanswered bool
 	ClosedBy   Closer
-	// Target is the host and the path for which the caller asked.
+	// Target is the requested host and path.
 	Target  string
 	Arrived time.Time
-	// FirstByte is when the first part of the answer was passed on; zero when there was none.
+	// FirstByte is when the response started; zero if it did not.
 	FirstByte time.Time
 	Ended     time.Time
-	// deadline is when the time of the request is over; zero of one that was refused before that was known.
+	// deadline is the deadline of the request; zero if the request was rejected before it was known.
 	deadline time.Time
 	Rule     string
 	Group    string
-	// Version of the configuration under which the request was served.
+	// Version is the version of the configuration that served the request.
 	Version int64
 	Status  int
 	Reason  Reason
-	// Tries at workers in their order.
+	// Tries are the attempts in order.
 	Tries []Try
 	// Err is the last error, or nil.
 	Err error
-	// Asked is the digest of what was asked for, and known only of requests at which a worker broke off and of those that are barred:
-	// requests with other ids may ask for the same.
+	// Asked is the digest of the request, set only if a connection to a worker broke or the request is barred. Requests with different ids
+	// may have the same digest.
 	Asked *poison.Digest
-	// Loss is the role that is gone, of a request that was refused for it.
+	// Loss is the lost role for which the request was refused, or nil.
 	Loss *Loss
 }
 
-// Step names how far a request came that got no whole answer.
+// Step returns how far a request got that had no complete response.
 func (r *Report) Step() string {
 	switch {
 	case len(r.Tries) == 0:
@@ -121,7 +121,7 @@
 	}
 }
 
-// PassedOn returns the worker that has the request, or had it last, and empty when none was reached.
+// PassedOn returns the worker that received the request last, or empty if none did.
 func (r *Report) PassedOn() string {
 	for i := len(r.Tries) - 1; i >= 0; i-- {
 		switch try := r.Tries[i]; {
@@ -135,25 +135,25 @@
 	return ""
 }
 
-// Try is one worker to which a request was offered.
+// Try is one attempt to serve a request at a worker.
 type Try struct {
 	Worker string
-	// Reader is the engine that read the prompt, or empty.
+	// Reader is the engine that prefilled the prompt, or empty.
 	Reader string
-	// Begun and Ended bound the try; ReadIn is how long the reading took.
+	// Begun and Ended are the bounds of the attempt; ReadIn is how long the prefill took.
 	Begun  time.Time
 	Ended  time.Time
 	ReadIn time.Duration
-	// Score is the expected cost for which the worker was picked, or its reader if there was one, among so many Candidates.
+	// Score is the cost for which the worker, or the prefill engine if there was one, was picked among Candidates.
 	Score      balance.Score
 	Candidates int
-	// Deferred is set when the answer was expected too late, so that all others went first.
+	// Deferred is set if the answer was expected too late, so that other requests went first.
 	Deferred bool
-	// Failure is empty for a try that succeeded.
+	// Failure is empty if the attempt succeeded.
 	Failure string
 }
 
-// Observer is told what becomes of requests.
+// Observer receives the report of each request.
 type Observer interface {
 	RequestEnded(report *Report)
 }
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -1,5 +1,5 @@
-// Package forward carries requests of callers to workers and their answers back. It is the one request path of a gateway:
-// its entry and its exit are ports, Protocol and Workers, which say how callers and workers speak.
+// Package forward proxies requests from callers to workers. Protocol and Workers are its ports: they define how callers and workers are
+// spoken to.
 package forward
 
 import (
@@ -13,145 +13,144 @@
 	"github.com/granitebay/granitebay/internal/tenant"
 )
 
-// Request is one request as a caller sent it. It is not changed once it was read.
+// Request is a parsed request. It is immutable after parsing.
 type Request struct {
-	// ID names the request at callers and workers.
+	// ID identifies the request to callers and workers.
 	ID     string
 	Method string
-	// Target is the path with the query, byte for byte as the caller wrote it.
+	// Target is the path with the query, byte for byte as received.
 	Target string
 	Host   string
-	// Header holds what is passed on to workers.
+	// Header holds the headers that are passed to workers.
 	Header http.Header
 	Body   []byte
-	// Patience is how long the caller waits; zero when it does not say.
+	// Patience is how long the caller waits; zero if unknown.
 	Patience time.Duration
 	Demand   backend.Demand
-	// ResumeAfter is the id of the last event that the caller of a stream already has, or empty.
+	// ResumeAfter is the id of the last event of a stream that the caller already has, or empty.
 	ResumeAfter string
-	// RunOnce is set when the caller forbids that the request runs again, whatever its rule says.
+	// RunOnce is set if the caller forbids running the request again, whatever the rule allows.
 	RunOnce bool
-	// Tenant whose limits hold, or empty.
+	// Tenant is the tenant whose limits apply, or empty.
 	Tenant string
-	// Whole is set when the caller wants the answer in one piece where its rule would stream it.
+	// Whole is set if the caller wants a single response although the rule would stream it.
 	Whole bool
 }
 
-// asked returns the digest of what a request asks for.
+// digest returns the digest that identifies equal requests.
 func (r *Request) digest() poison.Digest {
 	return poison.Asked{Tenant: r.Tenant, Method: r.Method, Host: r.Host, Target: r.Target, Body: r.Body}.Digest()
 }
 
-// Protocol is how callers speak.
+// Protocol is the protocol of the callers.
 type Protocol interface {
-	// Key returns the key with which a caller shows whose request it is, or nothing. It is not kept with the request.
+	// Key returns the API key of a request, or empty. It is not stored with the request.
 	Key(request *http.Request) string
-	// Read takes the head of a request over, without its body. An error says what is wrong with it.
+	// Read parses the request line and the headers. The error describes an invalid request.
 	Read(request *http.Request) (*Request, error)
-	// Complete takes what the body of a request tells. An error says what is wrong with it.
+	// Complete parses the body of a request. The error describes an invalid request.
 	Complete(request *Request) error
 }
 
-// LabelledProtocol is a protocol whose requests are matched by their labels.
+// LabelledProtocol is a protocol whose requests are matched by labels.
 type LabelledProtocol interface {
 	Protocol
-	// Labels returns the labels of a request, or false when it is not one of the protocol. The owner is the tenant whose key the
-	// caller has, or nil where none is known.
+	// Labels returns the labels of a request, or false if the request does not use this protocol. The owner is the tenant of the request's
+	// key, or nil if unknown.
 	Labels(request *http.Request, owner *tenant.Tenant) (map[string]string, bool)
-	// BrokenOff returns the event that ends a stream whose answer broke off, for a reason, so that its caller is told what became of the
-	// request. It does not look like the end of a whole answer.
+	// BrokenOff returns the event that ends a stream which was cut off, with the reason. It must differ from the regular end of a stream.
 	BrokenOff(reason Reason) []byte
 }
 
-// Prompt is a prompt that an engine has read and keeps for the engine that goes on with it.
+// Prompt is a prefilled prompt whose KV cache an engine holds for the engine that decodes it.
 type Prompt struct {
-	// Reader is the engine that keeps it.
+	// Reader is the engine that holds the KV cache.
 	Reader *backend.Worker
-	// Handle names it there.
+	// Handle identifies the prompt at that engine.
 	Handle string
 }
 
-// RunOptions say how a worker is to run a request.
+// RunOptions configure how a worker runs a request.
 type RunOptions struct {
-	// Deadline after which the answer is of no use.
+	// Deadline is when the response is no longer needed.
 	Deadline time.Time
-	// Prompt that was read elsewhere, or nil.
+	// Prompt is the prefilled prompt, or nil.
 	Prompt *Prompt
-	// FetchFrom keeps a part of the prompt that need not be read again, or is nil. It goes without Prompt.
+	// FetchFrom is an engine whose cache holds a prefix of the prompt, or nil. It excludes Prompt.
 	FetchFrom *backend.Worker
 	// ResumeAfter is the id of the last event that the caller has, or empty.
 	ResumeAfter string
-	// Deferred runs give way to all others.
+	// Deferred runs yield to all others.
 	Deferred bool
 }
 
-// ReadOptions say how an engine is to read a prompt.
+// ReadOptions configure how an engine prefills a prompt.
 type ReadOptions struct {
-	// Deadline after which the prompt is of no use.
+	// Deadline is when the prompt is no longer needed.
 	Deadline time.Time
-	// FetchFrom keeps a part of the prompt that need not be read again, or is nil.
+	// FetchFrom is an engine whose cache holds a prefix of the prompt, or nil.
 	FetchFrom *backend.Worker
-	// Urgency orders the prompts that wait at an engine, 0 the first and 9 the last.
+	// Urgency orders the queue of the engine, from 0 for the first to 9 for the last.
 	Urgency int
 }
 
-// Workers carries requests to workers. Errors are of type *httpclient.Error, *Refusal or *InvalidAnswer.
+// Workers sends requests to workers. Errors are of type *httpclient.Error, *Refusal or *InvalidAnswer.
 type Workers interface {
-	// Run has a worker run a request. When the context ends, the worker is told so by the end of the connection.
+	// Run runs a request at a worker. Cancelling the context closes the connection to the worker.
 	Run(ctx context.Context, worker *backend.Worker, request *Request, options RunOptions) (*Answer, error)
-	// ReadPrompt has an engine read the prompt of a request.
+	// ReadPrompt has an engine prefill the prompt of a request.
 	ReadPrompt(ctx context.Context, worker *backend.Worker, request *Request, options ReadOptions) (*Prompt, error)
-	// ReleasePrompt frees a prompt that nobody will use.
+	// ReleasePrompt releases a prompt that will not be used.
 	ReleasePrompt(ctx context.Context, prompt *Prompt)
 }
 
-// Answer is the answer of a worker that has run a request.
+// Answer is the response of a worker that has run a request.
 type Answer struct {
 	Status int
-	// Header holds what is passed on to the caller.
+	// Header holds the headers that are passed to the caller.
 	Header http.Header
-	// ContentLength is -1 when it is not known beforehand.
+	// ContentLength is -1 if unknown.
 	ContentLength int64
 	Body          io.ReadCloser
 }
 
-// Refusal is the word of a worker that it has not run a request and never will.
+// Refusal is the guarantee of a worker that it has not run a request and never will.
 type Refusal struct {
 	// Peer is the address of the worker.
 	Peer   string
 	Status int
-	// Moved is set when the worker at the address is another one than expected.
+	// Moved is set if another worker than expected runs at the address.
 	Moved bool
 }
 
-// Error is part of error.
+// Error implements error.
 func (r *Refusal) Error() string {
 	return "step run, peer " + r.Peer + ": the worker refused the request: " + http.StatusText(r.Status)
 }
 
-// InvalidAnswer is an answer that can't be that of a worker to the request. The request may have run.
+// InvalidAnswer is a malformed or unexpected response. The request may have run.
 type InvalidAnswer struct {
 	Peer   string
 	Reason string
 }
 
-// Error is part of error.
+// Error implements error.
 func (i *InvalidAnswer) Error() string {
 	return "step run, peer " + i.Peer + ": invalid answer: " + i.Reason
 }
 
-// WorkerError is the answer of a worker that has run a request and failed.
+// WorkerError is an error response of a worker that has run a request.
 type WorkerError struct{ Status int }
 
-// Error is part of error.
+// Error implements error.
 func (w *WorkerError) Error() string {
 	return "step run: the worker answered " + http.StatusText(w.Status)
 }
 
-// CallerError is a failure to pass an answer on to its caller.
+// CallerError is a failure to send a response to the caller.
 type CallerError struct{ Cause error }
 
-// Error is part of error.
+// Error implements error.
 func (c *CallerError) Error() string { return "step pass the answer on: " + c.Cause.Error() }
 
 // Unwrap returns the cause.
--- a/internal/forward/response.go
+++ b/internal/forward/response.go
@@ -7,7 +7,7 @@
 	"github.com/granitebay/granitebay/internal/routing"
 )
 
-// giveUp gives the final answer to a request that no worker answered.
+// giveUp answers a request for which all attempts have failed, or aborts its connection.
 func (c *call) giveUp(failed failure, decided decision) connAction {
 	c.report.Reason = reasonOf(failed)
 	switch {
@@ -32,18 +32,19 @@
 	}
 }
 
-// tellBrokenOff tells the caller of a stream that it broke off, and why, where its protocol has a word for that. The connection ends after it.
+// writeTruncationEvent ends a stream that was cut off with an event that names the reason, if the caller's protocol has such an event. The
+// connection is closed after it.
 func (c *call) writeTruncationEvent() {
 	if c.truncationEvent == nil {
 		return
 	}
-	// An error is that of a caller that has left.
+	// A write error means that the caller has disconnected.
 	if _, err := c.writer.Write(c.truncationEvent(c.report.Reason)); err == nil {
 		_ = http.NewResponseController(c.writer).Flush()
 	}
 }
 
-// reasonOf names a failure for the report.
+// reasonOf returns the reason that the report gives for a failure.
 func reasonOf(failed failure) Reason {
 	switch failed {
 	case failureCallerGone:
@@ -59,8 +60,8 @@
 	}
 }
 
-// pass gives the answer of a worker to the caller. The answer of a worker that failed is kept back while there may be a
-// better one.
+// forwardAnswer passes the response of a worker to the caller. The response of a worker that failed is held back, since a retry may produce
+// a better one.
 func (c *call) forwardAnswer(answer *Answer) error {
 	defer answer.Body.Close()
 	if c.match.Rule.Kind == routing.KindStream && answer.Status == http.StatusOK && !c.request.Whole {
@@ -70,11 +71,11 @@
 	if err != nil {
 		return err
 	}
-	// What is whole is served, also when the worker was given up just then.
+	// A complete response is served even if the worker was just given up as silent.
 	c.relay.acceptResponse()
 	c.relay.onResponse()
 	if promisesNotRun(buffered.status) {
-		// The worker did not say that it has not run; told by this gateway, the status would.
+		// The status would tell the caller that the request did not run, but the worker did not guarantee that.
 		return &WorkerError{Status: buffered.status}
 	}
 	if buffered.status >= http.StatusInternalServerError {
@@ -87,7 +88,7 @@
 	return nil
 }
 
-// promisesNotRun tells whether a status promises a caller that its request has not run and never will.
+// promisesNotRun reports whether a status tells a caller that its request has not run and never will.
 func promisesNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
@@ -97,7 +98,7 @@
 	}
 }
 
-// passEvents gives a stream to the caller.
+// forwardStream passes an event stream to the caller.
 func (c *call) forwardStream(answer *Answer) error {
 	err := c.relay.stream(answer)
 	c.report.FirstByte = c.relay.firstByte
--- a/internal/forward/responsegate.go
+++ b/internal/forward/responsegate.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// patience returns how long to wait for the first sign of an answer before another worker is tried, or zero for no bound.
+// responseTimeout returns how long to wait for the start of a response before trying another worker; zero means no limit.
 func (c *call) responseTimeout(runner *Assignment) time.Duration {
 	if runner.deferred || c.relay.started || !c.attempts.repeatable() || c.attempts.possibleRuns+1 >= c.match.Rule.MaxAttempts {
 		return 0
@@ -15,7 +15,7 @@
 	return runner.responseTimeout()
 }
 
-// leave gives up a silent worker if there are another one and a repeat for it. Otherwise the worker may still answer.
+// abandonSilent gives up a silent worker if there is another worker and the budget has a retry for it. Otherwise it keeps waiting.
 func (c *call) abandonSilent(gate *responseGate, cancel context.CancelCauseFunc, worker string) {
 	gate.abandon(func() bool {
 		if !c.handler.dispatcher.hasAlternative(c.request, c.match.Group, append(slices.Clone(c.attempts.excluded), worker)) {
@@ -30,16 +30,16 @@
 	})
 }
 
-// silence is that of a worker before the first sign of its answer.
+// responseGate decides between forwarding a worker's response and giving the worker up as silent.
 //
-// Invariant: a worker is left, or its answer is passed on, never both. A timer that fires just as the answer begins, as after a standstill
-// of the process, would cut an answer of which the caller has a part, and spend a repeat on it.
+// Invariant: only one of the two happens. Otherwise a timer that fires just as the response starts could cut off a response that the caller
+// has partly received, and waste a retry.
 type responseGate struct {
 	mu                   sync.Mutex
 	responded, abandoned bool
 }
 
-// end notes the first sign of an answer and tells whether it may be passed on.
+// accept marks the response as started and reports whether it may be forwarded.
 func (s *responseGate) accept() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,7 +47,7 @@
 	return !s.abandoned
 }
 
-// leave gives the worker up, unless it has answered or the way of giving up fails.
+// abandon gives the worker up unless it has responded. The worker counts as given up if giveUp returns true.
 func (s *responseGate) abandon(giveUp func() bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/forward/suspects.go
+++ b/internal/forward/suspects.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// giveUpSuspect ends a request that became known meanwhile as one that may end workers, or of which another copy runs. One that has not run
-// comes back, and is told then what was found.
+// refuseSuspect ends a request that was recognized as a suspect, or of which another copy is running. If it has not run yet, the caller is
+// told to retry.
 func (c *call) refuseSuspect(reason Reason) connAction {
 	if c.attempts.possibleRuns == 0 {
 		return respondRetryAfter(c.writer, c.report, reason, c.handler.settings.VerdictRetryAfter)
@@ -14,18 +14,18 @@
 	return c.giveUp(failureBroken, decisionFail)
 }
 
-// turnPoll is how often it is looked whether a suspect that waits may run: the time that other gateways take to tell of an end.
+// turnPollInterval is how often a waiting suspect request checks whether it may run.
 const turnPollInterval = 20 * time.Millisecond
 
-// awaitTurn lets a suspect wait while its role can't lose one more worker, or others come first. One that has not run is refused when a
-// worker has to come back before; one that has may not be. It tells whether the request has ended.
+// awaitTurn waits while a suspect request may not put another worker at risk. If that takes long, the request is refused unless it may have
+// run. It reports whether the request is done.
 func (c *call) awaitTurn(ctx context.Context, suspectKey string) (bool, connAction) {
 	turn := c.handler.dispatcher.SuspectTurnOf(c.match.Group, suspectKey, c.attempts.excluded)
 	if turn.Exhausted {
 		return true, c.giveUp(failureRefused, c.attempts.final(failureRefused))
 	}
 	if c.isExclusive && c.attempts.possibleRuns > 0 && !turn.WorthWaiting {
-		// Copies that wait for a worker to come back would reach it together.
+		// Copies that wait for a worker to come back would all reach it at once.
 		return true, c.giveUp(failureBroken, decisionFail)
 	}
 	if c.attempts.possibleRuns == 0 && !turn.WorthWaiting {
