--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -224,8 +224,8 @@
 		return respondRetryAfter(writer, report, ReasonVerdictPending, h.settings.VerdictRetryAfter)
 	case poison.Barred:
 		report.Asked = &guarded.digest
-		report.Err = errors.Newf("step admit: the request is barred until %s: %d workers ended while running it: %s",
-			bar.Until.UTC().Format(time.RFC3339), len(bar.Workers), strings.Join(bar.Workers, ", "))
+		report.Err = errors.Newf("step admit: %d workers ended while running the request: %s; it is barred until %s", len(bar.Workers),
+			strings.Join(bar.Workers, ", "), bar.Until.UTC().Format(time.RFC3339))
 		return respondError(writer, report, http.StatusUnprocessableEntity, ReasonBarred)
 	}
 	if !h.tenants.Begin(match.Rule.Name, request.Tenant, match.Rule.TenantInFlight) {
