--- a/internal/forward/availability.go
+++ b/internal/forward/availability.go
@@ -21,10 +21,10 @@
 // availability returns when a worker is expected to accept the request, or false if that is unknown.
 func (c *call) availability() (availability, bool) {
 	d := c.handler.dispatcher
-	if loss, lost := d.LossOf(c.match.Group); lost {
+	if loss, lost := d.RoleLoss(c.match.Group); lost {
 		return availability{loss: &loss, expectedAt: loss.Back}, true
 	}
-	full, known := d.fullUntil(c.match.Group)
+	full, known := d.saturatedUntil(c.match.Group)
 	return availability{expectedAt: full.Until, full: full}, known
 }
 
@@ -68,7 +68,7 @@
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
-	case <-loss.Revived:
+	case <-loss.Recovered:
 		return true
 	case <-timer.C:
 	case <-ctx.Done():
@@ -91,7 +91,7 @@
 		return respondRetryAfter(c.writer, c.report, ReasonNoWorker, c.handler.settings.RefusedRetryAfter)
 	}
 	if expected.full.PerSecond > 0 {
-		expected.expectedAt = c.handler.dispatcher.bookPlace(c.match.Group.Name, expected.full, c.deadline)
+		expected.expectedAt = c.handler.dispatcher.reserveSlot(c.match.Group.Name, expected.full, c.deadline)
 	}
 	after := max(expected.expectedAt.Sub(c.handler.dispatcher.now()), 0) + recoveryNoticeTime
 	after += time.Duration(retryAfterJitter * hashFraction(c.request.ID) * float64(after))
--- a/internal/forward/budgets_test.go
+++ b/internal/forward/budgets_test.go
@@ -76,7 +76,7 @@
 			told <- 0
 		}
 	})
-	for d.Repeats("group").spend() {
+	for d.RetryBudget("group").spend() {
 	}
 	if count := <-told; count != 1 {
 		t.Errorf("the one that is told can't read the budgets: %d", count)
@@ -101,7 +101,7 @@
 			clock.after += time.Duration(float64(time.Second) / test.perSecond)
 			d.ConfirmShare(clock.now())
 			d.CountRequest("group")
-			if clock.after > 20*time.Second && d.Repeats("group").spend() {
+			if clock.after > 20*time.Second && d.RetryBudget("group").spend() {
 				repeats++
 			}
 		}
--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -56,14 +56,14 @@
 		}
 		options := c.placeOptions(status)
 		placement, found := c.handler.dispatcher.Place(c.request, c.match.Group, options)
-		if !found && options.Apart == "" {
+		if !found && options.SuspectKey == "" {
 			if c.awaitWorker(ctx) {
 				continue
 			}
 			return c.giveUp(failureRefused, c.attempts.final(failureRefused))
 		}
 		if !found {
-			if isDone, action := c.awaitTurn(ctx, options.Apart); isDone {
+			if isDone, action := c.awaitTurn(ctx, options.SuspectKey); isDone {
 				return action
 			}
 			continue
@@ -75,7 +75,7 @@
 		}
 		c.guarded.awaitProbe(ctx)
 		c.attempts.record(worker, failed)
-		decided := c.attempts.decide(failed, c.handler.dispatcher.Repeats(c.match.Group.Name))
+		decided := c.attempts.decide(failed, c.handler.dispatcher.RetryBudget(c.match.Group.Name))
 		if decided != decisionRetry || (c.relay.started && !c.resumable()) {
 			c.guarded.awaitPeersNotified(ctx)
 			return c.giveUp(failed, decided)
@@ -85,9 +85,9 @@
 
 // placeOptions returns the placement constraints for the next attempt. Suspect requests are kept on separate workers.
 func (c *call) placeOptions(status poison.Standing) PlaceOptions {
-	options := PlaceOptions{Excluded: c.attempts.excluded, Direct: c.mustColocate()}
+	options := PlaceOptions{Excluded: c.attempts.excluded, Colocated: c.mustColocate()}
 	if status == poison.Suspected {
-		options.Apart = c.guarded.requestDigest().String()
+		options.SuspectKey = c.guarded.requestDigest().String()
 	}
 	options.Objective = c.match.Rule.Objective
 	options.Left = options.Objective - time.Since(c.report.Arrived)
@@ -106,7 +106,7 @@
 	case c.prefills == 0 || c.match.Group.Engine == nil:
 		return false
 	default:
-		return !c.handler.dispatcher.Repeats(c.match.Group.Name).spend()
+		return !c.handler.dispatcher.RetryBudget(c.match.Group.Name).spend()
 	}
 }
 
@@ -115,10 +115,10 @@
 	record := Try{Begun: time.Now(), Deferred: placement.Deferred}
 	runner := placement.Runner
 	var prompt *Prompt
-	if placement.Reader != nil {
-		prefillEngine := placement.Reader.Worker
+	if placement.Prefill != nil {
+		prefillEngine := placement.Prefill.Worker
 		record.Reader = prefillEngine.ID
-		record.Score, record.Candidates = placement.Reader.Score, placement.Reader.Candidates
+		record.Score, record.Candidates = placement.Prefill.Score, placement.Prefill.Candidates
 		prefilled, failed := c.prefill(ctx, placement)
 		record.ReadIn = time.Since(record.Begun)
 		if failed != failureNone {
@@ -126,7 +126,7 @@
 			return prefillEngine.ID, failed.asNotRun()
 		}
 		found := false
-		runner, found = c.handler.dispatcher.PlaceRunner(c.request, c.match.Group, c.attempts.excluded, placement.Reader)
+		runner, found = c.handler.dispatcher.PlaceRunner(c.request, c.match.Group, c.attempts.excluded, placement.Prefill)
 		if !found {
 			c.releasePrompt(prefilled)
 			c.recordAttempt(record, "no runner: ", failureUnreachable)
@@ -142,7 +142,7 @@
 		Deadline: c.deadline, Prompt: prompt, FetchFrom: c.fetchFrom(prompt, placement.FetchFrom), Deferred: placement.Deferred,
 	})
 	if failed == failureNone {
-		c.handler.dispatcher.HasRead(runner.Worker, c.request)
+		c.handler.dispatcher.RecordPrefilled(runner.Worker, c.request)
 	}
 	c.recordAttempt(record, "", failed)
 	if prompt != nil && failed == failureRefused {
@@ -177,7 +177,7 @@
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	c.relay.onResponse = func() {
-		runner.answered()
+		runner.prefilled()
 		c.countUsage()
 	}
 	gate := &responseGate{}
@@ -197,7 +197,7 @@
 		c.releasePrompt(options.Prompt)
 	}
 	c.guarded.reportFailure(runner.Worker, failed, err)
-	c.handler.dispatcher.noteRefused(runner.Worker, err)
+	c.handler.dispatcher.recordIfRefused(runner.Worker, err)
 	if c.match.Group.Engine == nil && failed.reachedWorker() {
 		c.countUsage()
 	}
--- a/internal/forward/offered.go
+++ b/internal/forward/demand.go
@@ -7,37 +7,37 @@
 )
 
 // offered counts the reading that callers have offered for the engines of one group through this gateway.
-type offered struct {
+type demandCounter struct {
 	tokens int64
 	rate   loadshare.Rate
 }
 
 // countOffered notes the work of reading one prompt, once for each request. The mutex is held.
-func (d *Dispatcher) countOffered(worker *backend.Worker, tokens int) {
+func (d *Dispatcher) countDemand(worker *backend.Worker, tokens int) {
 	group := worker.RoleGroup()
-	known, found := d.offered[group]
+	counter, found := d.demand[group]
 	if !found {
-		known = &offered{}
-		d.offered[group] = known
+		counter = &demandCounter{}
+		d.demand[group] = counter
 	}
-	known.tokens += int64(tokens)
+	counter.tokens += int64(tokens)
 }
 
 // toTellOffered returns what was offered, for the other gateways. The mutex is held.
-func (d *Dispatcher) toTellOffered() []loadshare.Offered {
-	var told []loadshare.Offered
-	for group, known := range d.offered {
-		told = append(told, loadshare.Offered{Group: group, Tokens: known.tokens})
+func (d *Dispatcher) demandToSend() []loadshare.Offered {
+	var demand []loadshare.Offered
+	for group, counter := range d.demand {
+		demand = append(demand, loadshare.Offered{Group: group, Tokens: counter.tokens})
 	}
-	return told
+	return demand
 }
 
 // readingDemand returns how many engines that only read would be busy with the prompts that callers offer for a group through all
 // gateways. The engines are of a service. The mutex is held.
-func (d *Dispatcher) readingDemand(group, service string) float64 {
+func (d *Dispatcher) prefillDemand(group, service string) float64 {
 	now := d.now()
-	perSecond := d.sharing.board.Offered(now, group)
-	if own, found := d.offered[group]; found {
+	perSecond := d.peers.board.Offered(now, group)
+	if own, found := d.demand[group]; found {
 		own.rate.Update(now, own.tokens)
 		perSecond += own.rate.PerSecond()
 	}
--- a/internal/forward/dispatcher.go
+++ b/internal/forward/dispatcher.go
@@ -18,36 +18,36 @@
 	// Zone of this gateway; near workers are preferred.
 	Zone string
 	// ApartSeconds is the cost of having a prompt read by an engine of its own: one more call and the move.
-	ApartSeconds float64
+	DisaggregationSeconds float64
 	// LongReading is the time from which reading makes pauses in other answers that are too long, at the cost of
 	// LongReadingSeconds.
-	LongReading        time.Duration
-	LongReadingSeconds float64
+	LongPrefill        time.Duration
+	LongPrefillSeconds float64
 	// UrgentTokens is the length from which other gateways are told of a reading at once.
-	UrgentTokens int
+	UrgentNotifyTokens int
 	// LeastSharedTokens is the length from which shared parts of prompts are followed over the engines.
-	LeastSharedTokens int
+	MinSharedTokens int
 	// RereadWeight scales the time of reading a shared part that another engine keeps, and FetchWeight that of fetching it.
-	RereadWeight float64
-	FetchWeight  float64
+	RecomputeWeight float64
+	FetchWeight     float64
 	// MoveSeconds is the cost of moving a prompt to an engine that does not keep its shared part.
-	MoveSeconds float64
-	Balance     balance.Settings
-	Budget      retrybudget.Settings
+	TransferSeconds float64
+	Balance         balance.Settings
+	Budget          retrybudget.Settings
 }
 
 // DefaultDispatchSettings returns the settings in which only the zone and the budget are missing.
 func DefaultDispatchSettings() DispatchSettings {
 	return DispatchSettings{
-		ApartSeconds:       0.012,
-		LongReading:        60 * time.Millisecond,
-		LongReadingSeconds: 0.5,
-		UrgentTokens:       1500,
-		LeastSharedTokens:  500,
-		RereadWeight:       8,
-		FetchWeight:        40,
-		MoveSeconds:        0.03,
-		Balance:            balance.DefaultSettings(),
+		DisaggregationSeconds: 0.012,
+		LongPrefill:           60 * time.Millisecond,
+		LongPrefillSeconds:    0.5,
+		UrgentNotifyTokens:    1500,
+		MinSharedTokens:       500,
+		RecomputeWeight:       8,
+		FetchWeight:           40,
+		TransferSeconds:       0.03,
+		Balance:               balance.DefaultSettings(),
 	}
 }
 
@@ -56,26 +56,26 @@
 	settings DispatchSettings
 	now      func() time.Time
 
-	mutex     sync.Mutex
-	model     *enginemodel.Model
-	balancer  *balance.Balancer
-	residency *residency.Table
-	sharing   *sharing
-	repeats   *repeats
-	known     *engines
+	mutex       sync.Mutex
+	model       *enginemodel.Model
+	balancer    *balance.Balancer
+	residency   *residency.Table
+	peers       *peerExchange
+	retries     *retryBudgets
+	engineState *engineState
 	// engines holds the engines of each group.
-	engines map[string]*routing.Engine
-	offered map[string]*offered
+	engineGroups map[string]*routing.Engine
+	demand       map[string]*demandCounter
 	// chosen is told of each choice; nil is nobody.
-	chosen func(took time.Duration, candidates int)
+	onPlacement func(took time.Duration, candidates int)
 	// full is that workers of groups take no requests, as it was found last, by group, and booked when the last place is expected that
 	// callers of groups were told.
-	full   map[string]foundFull
-	booked map[string]time.Time
+	saturation    map[string]cachedSaturation
+	reservedUntil map[string]time.Time
 	// limits is what this gateway holds of what workers with limits take; nil where that is the whole.
-	limits *limitShare
+	limits *limitHoldings
 	// recorded are the workers as they were told, without what is known of them beyond that.
-	recorded backend.Set
+	records backend.Set
 }
 
 // NewDispatcher returns a dispatcher that knows no workers yet. Its budgets of repeats go by boottime.
@@ -85,22 +85,22 @@
 
 // newDispatcher is NewDispatcher with both clocks: that of the work of this process, and that of what others may do without it.
 func newDispatcher(settings DispatchSettings, now, sinceBoot func() time.Time) *Dispatcher {
-	shared := newSharing()
+	peers := newPeerExchange()
 	model := enginemodel.New()
 	return &Dispatcher{
-		settings:  settings,
-		now:       now,
-		model:     model,
-		balancer:  balance.New(settings.Balance, model, shared.elsewhere),
-		residency: residency.New(),
-		sharing:   shared,
-		repeats:   newRepeats(settings.Budget, sinceBoot),
-		known:     newEngines(),
-		engines:   map[string]*routing.Engine{},
-		offered:   map[string]*offered{},
-		full:      map[string]foundFull{},
-		booked:    map[string]time.Time{},
-		recorded:  backend.Set{},
+		settings:      settings,
+		now:           now,
+		model:         model,
+		balancer:      balance.New(settings.Balance, model, peers.peerLoad),
+		residency:     residency.New(),
+		peers:         peers,
+		retries:       newRetryBudgets(settings.Budget, sinceBoot),
+		engineState:   newEngineState(),
+		engineGroups:  map[string]*routing.Engine{},
+		demand:        map[string]*demandCounter{},
+		saturation:    map[string]cachedSaturation{},
+		reservedUntil: map[string]time.Time{},
+		records:       backend.Set{},
 	}
 }
 
@@ -108,10 +108,10 @@
 func (d *Dispatcher) SetGroups(groups []routing.Group) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	clear(d.engines)
+	clear(d.engineGroups)
 	for i := range groups {
 		if groups[i].Engine != nil {
-			d.engines[groups[i].Name] = groups[i].Engine
+			d.engineGroups[groups[i].Name] = groups[i].Engine
 		}
 	}
 }
@@ -120,7 +120,7 @@
 func (d *Dispatcher) SetWorkers(workers backend.Set) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.changeWorkers(workers.Since(d.recorded))
+	d.changeWorkers(workers.Since(d.records))
 }
 
 // ChangeWorkers takes workers that are new, described anew or gone. Its work does not grow with the number of the others.
@@ -133,15 +133,15 @@
 // changeWorkers is ChangeWorkers with the mutex held.
 func (d *Dispatcher) changeWorkers(changes backend.Changes) {
 	now := d.now()
-	changes.Apply(d.recorded)
-	changes.Put = d.known.withTaken(now, changes.Put, changes.Gone)
-	d.known.expireChanges(now, d.balancer)
-	d.known.noteWriters(changes.Put)
-	d.known.returned = append(d.known.returned, d.known.absent.Change(now, changes)...)
+	changes.Apply(d.records)
+	changes.Put = d.engineState.applyReportedRoles(now, changes.Put, changes.Gone)
+	d.engineState.expirePendingRoles(now, d.balancer)
+	d.engineState.recordDecoders(changes.Put)
+	d.engineState.returns = append(d.engineState.returns, d.engineState.absences.Change(now, changes)...)
 	d.balancer.Change(changes)
-	d.known.revive()
-	if len(d.known.changes) > 0 || len(d.known.absent.Engines()) > 0 {
-		d.known.tellNews()
+	d.engineState.signalRecovered()
+	if len(d.engineState.pendingRoles) > 0 || len(d.engineState.absences.Engines()) > 0 {
+		d.engineState.notifyChange()
 	}
 	d.balancer.Returned(now)
 	for _, id := range changes.Gone {
@@ -151,11 +151,11 @@
 }
 
 // WorkerEnded notes that a worker ended under a request, so long ago.
-func (d *Dispatcher) WorkerEnded(worker string, ago time.Duration) {
+func (d *Dispatcher) WorkerEnded(worker string, sinceEnd time.Duration) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := d.now()
-	d.balancer.Ended(now, now.Add(-ago), worker)
+	d.balancer.Ended(now, now.Add(-sinceEnd), worker)
 }
 
 // SuspectTurn is when a suspect may run.
@@ -169,10 +169,10 @@
 }
 
 // TurnOf returns when a suspect may run that was tried at some workers.
-func (d *Dispatcher) SuspectTurnOf(group *routing.Group, apart string, excluded []string) SuspectTurn {
+func (d *Dispatcher) SuspectTurnOf(group *routing.Group, suspectKey string, excluded []string) SuspectTurn {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	query := balance.Query{Group: group.Name, Role: backend.RoleDecode, Apart: apart, Excluded: excluded}
+	query := balance.Query{Group: group.Name, Role: backend.RoleDecode, Apart: suspectKey, Excluded: excluded}
 	if group.Engine == nil {
 		query.Role = backend.RoleNone
 	}
@@ -184,14 +184,14 @@
 // assign counts work at a worker. The mutex is held.
 func (d *Dispatcher) assign(choice balance.Choice, tokens int, deferred bool, objective time.Duration) *Assignment {
 	worker := choice.Worker
-	ahead := d.balancer.TotalLoad(worker.ID)
+	queued := d.balancer.TotalLoad(worker.ID)
 	load := balance.LoadOf(tokens, deferred)
 	d.balancer.Begin(worker.ID, load)
 	d.balancer.Spend(d.now(), worker.ID)
-	d.sharing.loadChanged(worker.ID, tokens >= d.settings.UrgentTokens)
+	d.peers.loadChanged(worker.ID, tokens >= d.settings.UrgentNotifyTokens)
 	return &Assignment{
 		Worker: worker, Score: choice.Score, Candidates: choice.Candidates, dispatcher: d, load: load, deferred: deferred,
-		ahead: ahead.ReadingTokens, begun: d.now(), objective: objective,
+		queuedTokens: queued.ReadingTokens, startedAt: d.now(), objective: objective,
 	}
 }
 
@@ -203,37 +203,37 @@
 	Candidates int
 	dispatcher *Dispatcher
 	// load that the work is at the worker, and the tokens of others that it was to read before.
-	load  backend.Load
-	ahead int
+	load         backend.Load
+	queuedTokens int
 	// deferred work waits until the worker has nothing else to read.
 	deferred bool
 	// objective within which the answer is wanted; zero when there is none.
 	objective time.Duration
 	// apart is the key by which a suspect is spread; empty for other requests.
-	apart    string
-	begun    time.Time
-	finished bool
+	suspectKey string
+	startedAt  time.Time
+	finished   bool
 }
 
 // answered notes that the worker has read the prompt.
-func (a *Assignment) answered() {
+func (a *Assignment) prefilled() {
 	d := a.dispatcher
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	a.observeReading()
+	a.observePrefill()
 	d.balancer.Answered(a.Worker.ID, a.load)
-	d.sharing.loadChanged(a.Worker.ID, false)
+	d.peers.loadChanged(a.Worker.ID, false)
 	a.load = backend.Load{}
 }
 
 // observeReading tells the model how long the worker took to read the prompt. The mutex is held.
-func (a *Assignment) observeReading() {
+func (a *Assignment) observePrefill() {
 	if a.deferred {
 		return
 	}
 	now := a.dispatcher.now()
 	a.dispatcher.model.ObserveReading(now, enginemodel.ClassOf(a.Worker), a.Worker.ID, enginemodel.Reading{
-		Ahead: a.ahead, Tokens: a.load.ReadingTokens, Took: now.Sub(a.begun),
+		Ahead: a.queuedTokens, Tokens: a.load.ReadingTokens, Took: now.Sub(a.startedAt),
 	})
 }
 
@@ -259,7 +259,7 @@
 // mayBeBusy tells whether a silent worker need not have failed: the time of the request was over before the worker was late. Of
 // plain workers no queue is expected.
 func (a *Assignment) mayBeBusy(now time.Time) bool {
-	return a.Worker.Role != backend.RoleNone && (a.deferred || now.Sub(a.begun) < a.responseTimeout())
+	return a.Worker.Role != backend.RoleNone && (a.deferred || now.Sub(a.startedAt) < a.responseTimeout())
 }
 
 // finish notes the end of the work, once.
@@ -287,11 +287,11 @@
 		outcome = balance.OutcomeBroken
 	}
 	if outcome == balance.OutcomeGood {
-		d.model.ObserveRun(now, enginemodel.ClassOf(a.Worker), now.Sub(a.begun))
+		d.model.ObserveRun(now, enginemodel.ClassOf(a.Worker), now.Sub(a.startedAt))
 	}
 	d.balancer.Answered(a.Worker.ID, a.load)
 	if d.balancer.End(now, a.Worker.ID, outcome) {
-		a.dispatcher.sharing.setAside(a.Worker, outcome)
+		a.dispatcher.peers.workerEjected(a.Worker, outcome)
 	}
-	a.dispatcher.sharing.loadChanged(a.Worker.ID, false)
+	a.dispatcher.peers.loadChanged(a.Worker.ID, false)
 }
--- a/internal/forward/engines_test.go
+++ b/internal/forward/engines_test.go
@@ -68,8 +68,8 @@
 		if found && placement.Runner != nil {
 			at[placement.Runner.Worker.ID] = true
 		}
-		if found && placement.Reader != nil {
-			placement.Reader.finish(0)
+		if found && placement.Prefill != nil {
+			placement.Prefill.finish(0)
 		}
 	}
 	return at
@@ -124,12 +124,12 @@
 	two.gateways[0].SetChanging("prefill0", backend.RoleDecode)
 	two.tell()
 	for gateway := range two.gateways {
-		loss, lost := two.gateways[gateway].LossOf(two.group)
+		loss, lost := two.gateways[gateway].RoleLoss(two.group)
 		if back := loss.Back.Sub(two.now); !lost || loss.Lost != 3 || loss.Changing != 1 || loss.Readers != 2 || back != changeTime {
 			t.Fatalf("gateway %d: %+v, back in %s, lost: %v", gateway, loss, back, lost)
 		}
 	}
-	revived, _ := two.gateways[0].LossOf(two.group)
+	revived, _ := two.gateways[0].RoleLoss(two.group)
 	two.now = two.now.Add(changeTime)
 	questions := 0
 	for _, question := range two.gateways[1].Questions() {
@@ -143,7 +143,7 @@
 	two.gateways[1].EngineAnswers("prefill0", backend.RoleDecode, false)
 	two.tell()
 	select {
-	case <-revived.Revived:
+	case <-revived.Recovered:
 	default:
 		t.Error("those that wait for the role are not told")
 	}
@@ -171,7 +171,7 @@
 func TestWhenALostRoleIsExpectedBack(t *testing.T) {
 	two := newTwoGateways()
 	gateway := two.gateways[0]
-	if _, lost := gateway.LossOf(two.group); lost {
+	if _, lost := gateway.RoleLoss(two.group); lost {
 		t.Fatal("a role is lost that is there")
 	}
 	for i := range 3 {
@@ -182,8 +182,8 @@
 		at, back time.Duration
 		order    bool
 	}{
-		{at: 0, back: orderTime + changeTime},
-		{at: 100 * time.Millisecond, back: orderTime + changeTime, order: true},
+		{at: 0, back: roleOrderTime + changeTime},
+		{at: 100 * time.Millisecond, back: roleOrderTime + changeTime, order: true},
 		{at: 200 * time.Millisecond, back: 100*time.Millisecond + changeTime},
 		{at: 1200 * time.Millisecond, back: 1300 * time.Millisecond},
 		{at: 1400 * time.Millisecond, back: 1700 * time.Millisecond},
@@ -192,7 +192,7 @@
 		for i := range 3 {
 			gateway.EngineRefuses(fmt.Sprint("decode", i))
 		}
-		loss, _ := gateway.LossOf(two.group)
+		loss, _ := gateway.RoleLoss(two.group)
 		if back := loss.Back.Sub(time.Unix(1000, 0)); back != c.back {
 			t.Errorf("after %s, ordered: %v: back after %s, want %s", c.at, ordered, back, c.back)
 		}
@@ -209,11 +209,11 @@
 	for i := range 3 {
 		two.gateways[0].EngineRefuses(fmt.Sprint("decode", i))
 	}
-	two.now = two.now.Add(orderTime)
+	two.now = two.now.Add(roleOrderTime)
 	for i := range 3 {
 		two.gateways[0].EngineRefuses(fmt.Sprint("decode", i))
 	}
-	loss, _ := two.gateways[0].LossOf(two.group)
+	loss, _ := two.gateways[0].RoleLoss(two.group)
 	if back := loss.Back.Sub(time.Unix(1000, 0)); back != 3*time.Second {
 		t.Errorf("expected back after %s", back)
 	}
@@ -232,7 +232,7 @@
 	b := newBench(t, benchOptions{
 		rule: routing.Rule{Kind: routing.KindRepeatable, MaxAttempts: 2, Objective: objective}, engine: true, demand: shortPrompt, allowance: 10,
 	}, workers)
-	b.handler.dispatcher.engines["g"].RoleChange = changes
+	b.handler.dispatcher.engineGroups["g"].RoleChange = changes
 	return b, workers
 }
 
@@ -262,7 +262,7 @@
 			t.Errorf("it took %s", took)
 		}
 		after, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
-		if least := (900*time.Millisecond + orderTime - 100*time.Millisecond).Seconds(); err != nil || after < least || after > 2*least {
+		if least := (900*time.Millisecond + roleOrderTime - 100*time.Millisecond).Seconds(); err != nil || after < least || after > 2*least {
 			t.Errorf("the caller is to come back after %v s", response.Header.Get("Retry-After"))
 		}
 		if loss := b.observed.last.Loss; loss == nil || loss.Lost != 3 || loss.Readers != 3 {
@@ -303,8 +303,8 @@
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
-		clear(dispatcher.known.losses)
-		if loss, lost := dispatcher.LossOf(two.group); !lost || loss.Lost != 2600 {
+		clear(dispatcher.engineState.lossCache)
+		if loss, lost := dispatcher.RoleLoss(two.group); !lost || loss.Lost != 2600 {
 			b.Fatal(loss)
 		}
 	}
@@ -318,7 +318,7 @@
 	for i := range 5200 {
 		id := fmt.Sprint("w", i)
 		set[id] = &backend.Worker{ID: id, Group: "g", Address: id, Role: backend.RoleDecode, Slots: 32}
-		if i < maxUntoldParts {
+		if i < maxPendingNotices {
 			refused = append(refused, id)
 		}
 	}
--- a/internal/forward/exclusive.go
+++ b/internal/forward/exclusive.go
@@ -36,32 +36,32 @@
 }
 
 // hasTurn reports whether copies of a suspect request may start at this gateway. The time since the last crash determines the turn.
-func (s *exclusiveRuns) hasTurn(digest poison.Digest, sinceCrash time.Duration) bool {
-	if s.isElected == nil {
+func (r *exclusiveRuns) hasTurn(digest poison.Digest, sinceCrash time.Duration) bool {
+	if r.isElected == nil {
 		return true
 	}
-	return sinceCrash%exclusiveTurn < exclusiveTurn-exclusiveRunTime && s.isElected(fmt.Sprint(digest, "/", int(sinceCrash/exclusiveTurn)))
+	return sinceCrash%exclusiveTurn < exclusiveTurn-exclusiveRunTime && r.isElected(fmt.Sprint(digest, "/", int(sinceCrash/exclusiveTurn)))
 }
 
 // begin reports whether a copy may run now. If so, end must be called when it is done.
-func (s *exclusiveRuns) begin(digest poison.Digest) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if s.running[digest] {
+func (r *exclusiveRuns) begin(digest poison.Digest) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.running[digest] {
 		return false
 	}
-	if s.running == nil {
-		s.running = map[poison.Digest]bool{}
+	if r.running == nil {
+		r.running = map[poison.Digest]bool{}
 	}
-	s.running[digest] = true
+	r.running[digest] = true
 	return true
 }
 
 // end marks the copy of a request as done.
-func (s *exclusiveRuns) end(digest poison.Digest) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	delete(s.running, digest)
+func (r *exclusiveRuns) end(digest poison.Digest) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	delete(r.running, digest)
 }
 
 // mayRunExclusively reports whether the call may be placed now with regard to other copies of the same request.
--- a/internal/forward/fleet_load_test.go
+++ b/internal/forward/fleet_load_test.go
@@ -90,7 +90,7 @@
 		return
 	}
 	p.tell()
-	reads := placement.Reader
+	reads := placement.Prefill
 	if reads == nil {
 		reads = placement.Runner
 	}
@@ -118,12 +118,12 @@
 			p.kept[worker.ID] = map[string]bool{}
 		}
 		p.kept[worker.ID][id], p.known[id] = true, true
-		entry.HasRead(worker, request)
+		entry.RecordPrefilled(worker, request)
 		runner := placement.Runner
-		if placement.Reader != nil {
-			placement.Reader.answered()
-			placement.Reader.finish(balance.OutcomeGood)
-			runner, _ = entry.PlaceRunner(request, p.group, nil, placement.Reader)
+		if placement.Prefill != nil {
+			placement.Prefill.prefilled()
+			placement.Prefill.finish(balance.OutcomeGood)
+			runner, _ = entry.PlaceRunner(request, p.group, nil, placement.Prefill)
 		}
 		p.tell()
 		p.prompts++
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -186,11 +186,11 @@
 // earnAll lets a minute pass for the budgets of a gateway that is alone and registered.
 func earnAll(dispatcher *Dispatcher) {
 	begun, passed := boottime.Now(), time.Duration(0)
-	dispatcher.repeats.now = func() time.Time { return begun.Add(passed) }
+	dispatcher.retries.now = func() time.Time { return begun.Add(passed) }
 	for ; passed < time.Minute; passed += time.Second {
 		dispatcher.ConfirmShare(begun.Add(passed))
 	}
-	dispatcher.repeats.now = func() time.Time { return boottime.Now().Add(passed) }
+	dispatcher.retries.now = func() time.Time { return boottime.Now().Add(passed) }
 }
 
 // get asks once.
--- a/internal/forward/guarded.go
+++ b/internal/forward/guarded.go
@@ -32,59 +32,59 @@
 const peerNotifyDelay = 30 * time.Millisecond
 
 // requestDigest returns the digest of the request.
-func (i *guardedRequest) requestDigest() poison.Digest {
-	if !i.hasDigest {
-		i.digest, i.hasDigest = i.request.digest(), true
+func (g *guardedRequest) requestDigest() poison.Digest {
+	if !g.hasDigest {
+		g.digest, g.hasDigest = g.request.digest(), true
 	}
-	return i.digest
+	return g.digest
 }
 
 // status returns the guard's status of the request, and its bar if it is barred.
-func (i *guardedRequest) status() (poison.Standing, poison.Bar) {
-	if i.guard == nil || !i.guard.Watches() {
+func (g *guardedRequest) status() (poison.Standing, poison.Bar) {
+	if g.guard == nil || !g.guard.Watches() {
 		return poison.Clear, poison.Bar{}
 	}
-	return i.guard.Standing(i.requestDigest())
+	return g.guard.Standing(g.requestDigest())
 }
 
 // hasStatus reports whether the request has one of the statuses.
-func (i *guardedRequest) hasStatus(statuses ...poison.Standing) bool {
-	status, _ := i.status()
+func (g *guardedRequest) hasStatus(statuses ...poison.Standing) bool {
+	status, _ := g.status()
 	return slices.Contains(statuses, status)
 }
 
 // reportFailure tells the guard that a connection to a worker broke during the request, or that a silent worker was given up. An invalid
 // response is not reported, since its worker is up.
-func (i *guardedRequest) reportFailure(worker *backend.Worker, failed failure, err error) {
-	if i.guard == nil {
+func (g *guardedRequest) reportFailure(worker *backend.Worker, failed failure, err error) {
+	if g.guard == nil {
 		return
 	}
 	var transport *httpclient.Error
 	switch {
 	case failed == failureBroken && errors.As(err, &transport):
-		i.connectionBroke = true
-		i.probeDone = i.guard.Broke(worker, i.requestDigest(), i.rule, i.request.Tenant)
+		g.connectionBroke = true
+		g.probeDone = g.guard.Broke(worker, g.requestDigest(), g.rule, g.request.Tenant)
 	case failed == failureSilent:
-		i.guard.Left(worker, i.requestDigest(), i.rule, i.request.Tenant)
+		g.guard.Left(worker, g.requestDigest(), g.rule, g.request.Tenant)
 	}
 }
 
 // awaitProbe waits until the guard knows whether the last worker has crashed. The guard bounds the wait. Only then can the retry avoid
 // workers that must not be put at risk.
-func (i *guardedRequest) awaitProbe(ctx context.Context) {
-	if i.probeDone == nil {
+func (g *guardedRequest) awaitProbe(ctx context.Context) {
+	if g.probeDone == nil {
 		return
 	}
 	select {
-	case <-i.probeDone:
+	case <-g.probeDone:
 	case <-ctx.Done():
 	}
-	i.probeDone = nil
+	g.probeDone = nil
 }
 
 // awaitPeersNotified waits until other gateways have heard of a worker crash during the request, if there was one.
-func (i *guardedRequest) awaitPeersNotified(ctx context.Context) {
-	if !i.connectionBroke || i.hasStatus(poison.Clear, poison.Excused) {
+func (g *guardedRequest) awaitPeersNotified(ctx context.Context) {
+	if !g.connectionBroke || g.hasStatus(poison.Clear, poison.Excused) {
 		return
 	}
 	timer := time.NewTimer(peerNotifyDelay)
@@ -96,8 +96,8 @@
 }
 
 // reportSuccess tells the guard that the request completed.
-func (i *guardedRequest) reportSuccess() {
-	if !i.hasStatus(poison.Clear) {
-		i.guard.EndedWell(i.requestDigest())
+func (g *guardedRequest) reportSuccess() {
+	if !g.hasStatus(poison.Clear) {
+		g.guard.EndedWell(g.requestDigest())
 	}
 }
--- a/internal/forward/limits_bench_test.go
+++ b/internal/forward/limits_bench_test.go
@@ -29,7 +29,7 @@
 				names = append(names, fmt.Sprint("g", i))
 			}
 			d.SetHolders(names)
-			now := d.repeats.now()
+			now := d.retries.now()
 			d.ConfirmShare(now.Add(-8 * time.Second))
 			d.ConfirmShare(now)
 			for id := range set {
--- a/internal/forward/loans_test.go
+++ b/internal/forward/loans_test.go
@@ -20,12 +20,12 @@
 		d.Limit(id, 5, 0)
 	}
 	group := routing.Group{Name: "g"}
-	lent, asked := d.ask(&group)
+	lent, asked := d.requestLoans(&group)
 	asks, _ := d.DrainLoans()
 	if !asked || len(asks) != 1 || len(asks[0].Workers) == 0 {
 		t.Fatalf("asked %t: %+v", asked, asks)
 	}
-	if _, again := d.ask(&group); again {
+	if _, again := d.requestLoans(&group); again {
 		t.Error("it asked again at once")
 	}
 	return d, asks[0], lent
@@ -79,7 +79,7 @@
 		t.Errorf("one that holds nothing lends %+v", loans)
 	}
 	d.SetHolders([]string{"one"})
-	now := d.repeats.now()
+	now := d.retries.now()
 	d.ConfirmShare(now.Add(-8 * time.Second))
 	d.ConfirmShare(now.Add(-time.Second))
 	time.Sleep(250 * time.Millisecond)
--- a/internal/forward/sharing.go
+++ b/internal/forward/peers.go
@@ -9,60 +9,60 @@
 )
 
 // sharing gathers what other gateways are to be told, and holds what they told. It is guarded by the mutex of the dispatcher.
-type sharing struct {
+type peerExchange struct {
 	board *loadshare.Board
 	// changed are the workers whose load changed since it was told.
-	changed map[string]bool
-	kept    []loadshare.Kept
+	changedLoads   map[string]bool
+	cachedPrefixes []loadshare.Kept
 	// changing are the workers that this gateway has ordered to change.
-	changing map[string]roleChange
+	roleChanges map[string]roleChange
 	// failed are the workers that were set aside because they did not answer.
-	failed []string
+	ejected []string
 	// refused and answering are engines of which that is to be told, and taken those that have a new role.
 	refused, answering []string
-	taken              []loadshare.Changed
+	newRoles           []loadshare.Changed
 	// notify tells that there is something to tell. Nil tells nobody.
 	notify func(urgent bool)
 }
 
 // maxUntoldParts bounds what is gathered while nothing is told.
-const maxUntoldParts = 256
+const maxPendingNotices = 256
 
 // newSharing returns a sharing that tells nobody.
-func newSharing() *sharing {
-	return &sharing{board: loadshare.NewBoard(), changed: map[string]bool{}, changing: map[string]roleChange{}}
+func newPeerExchange() *peerExchange {
+	return &peerExchange{board: loadshare.NewBoard(), changedLoads: map[string]bool{}, roleChanges: map[string]roleChange{}}
 }
 
 // elsewhere is a balance.Elsewhere.
-func (s *sharing) elsewhere(worker string) backend.Load { return s.board.Load(worker) }
+func (s *peerExchange) peerLoad(worker string) backend.Load { return s.board.Load(worker) }
 
 // loadChanged notes that the own load of a worker has changed.
-func (s *sharing) loadChanged(worker string, urgent bool) {
+func (s *peerExchange) loadChanged(worker string, urgent bool) {
 	if s.notify == nil {
 		return
 	}
-	s.changed[worker] = true
+	s.changedLoads[worker] = true
 	s.notify(urgent)
 }
 
 // partKept notes that a worker keeps a part.
-func (s *sharing) partKept(kept loadshare.Kept) {
-	if s.notify == nil || len(s.kept) >= maxUntoldParts {
+func (s *peerExchange) prefixCached(kept loadshare.Kept) {
+	if s.notify == nil || len(s.cachedPrefixes) >= maxPendingNotices {
 		return
 	}
-	s.kept = append(s.kept, kept)
+	s.cachedPrefixes = append(s.cachedPrefixes, kept)
 	s.notify(true)
 }
 
 // setAside notes that a worker was set aside. Only what other gateways would see too is told: a worker that does not answer, and an
 // engine whose answers fail.
-func (s *sharing) setAside(worker *backend.Worker, outcome balance.Outcome) {
-	seen := outcome == balance.OutcomeUnreachable || outcome == balance.OutcomeSilent ||
+func (s *peerExchange) workerEjected(worker *backend.Worker, outcome balance.Outcome) {
+	visibleToPeers := outcome == balance.OutcomeUnreachable || outcome == balance.OutcomeSilent ||
 		(outcome == balance.OutcomeBroken && worker.Role != backend.RoleNone)
-	if s.notify == nil || !seen || len(s.failed) >= maxUntoldParts {
+	if s.notify == nil || !visibleToPeers || len(s.ejected) >= maxPendingNotices {
 		return
 	}
-	s.failed = append(s.failed, worker.ID)
+	s.ejected = append(s.ejected, worker.ID)
 	s.notify(true)
 }
 
@@ -70,7 +70,7 @@
 func (d *Dispatcher) ShareWith(notify func(urgent bool)) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.sharing.notify = notify
+	d.peers.notify = notify
 }
 
 // Drain returns what is to be told to other gateways: what has changed since the last call, or everything.
@@ -78,52 +78,52 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	message := loadshare.Message{
-		Kept: d.sharing.kept, Failed: d.sharing.failed, Changing: d.changing(), Changed: d.sharing.taken,
-		Refused: d.sharing.refused, Answering: d.sharing.answering,
+		Kept: d.peers.cachedPrefixes, Failed: d.peers.ejected, Changing: d.pendingRoleChanges(), Changed: d.peers.newRoles,
+		Refused: d.peers.refused, Answering: d.peers.answering,
 	}
-	for _, worker := range d.toTell(full) {
+	for _, worker := range d.loadsToSend(full) {
 		message.Loads = append(message.Loads, loadshare.LoadAt(worker, d.balancer.Load(worker)))
 	}
 	if full {
-		message.Offered = d.toTellOffered()
+		message.Offered = d.demandToSend()
 	}
-	d.sharing.kept, d.sharing.failed, d.sharing.taken, d.sharing.refused, d.sharing.answering = nil, nil, nil, nil, nil
-	clear(d.sharing.changed)
+	d.peers.cachedPrefixes, d.peers.ejected, d.peers.newRoles, d.peers.refused, d.peers.answering = nil, nil, nil, nil, nil
+	clear(d.peers.changedLoads)
 	return message
 }
 
 // changing returns the workers that this gateway has ordered to change, as long as they do.
-func (d *Dispatcher) changing() []loadshare.Changing {
-	var changing []loadshare.Changing
+func (d *Dispatcher) pendingRoleChanges() []loadshare.Changing {
+	var pending []loadshare.Changing
 	now := d.now()
-	for id, change := range d.sharing.changing {
+	for id, change := range d.peers.roleChanges {
 		worker, found := d.balancer.Worker(id)
-		if !found || worker.Role == change.role || !now.Before(change.until) {
-			delete(d.sharing.changing, id)
+		if !found || worker.Role == change.role || !now.Before(change.expiresAt) {
+			delete(d.peers.roleChanges, id)
 			continue
 		}
-		changing = append(changing, loadshare.Changing{
-			Worker: id, Role: string(change.role), ForMs: change.until.Sub(now).Milliseconds(),
-			ReadyMs: max(change.ready.Sub(now).Milliseconds(), 0),
+		pending = append(pending, loadshare.Changing{
+			Worker: id, Role: string(change.role), ForMs: change.expiresAt.Sub(now).Milliseconds(),
+			ReadyMs: max(change.readyAt.Sub(now).Milliseconds(), 0),
 		})
 	}
-	return changing
+	return pending
 }
 
 // PeersBusy returns what the other gateways use of their limits, by name.
 func (d *Dispatcher) PeersBusy() map[string]float64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.sharing.board.Busy(d.now())
+	return d.peers.board.Busy(d.now())
 }
 
 // toTell returns the workers whose load is to be told, in their order: those at which there is any, or those at which it has changed.
-func (d *Dispatcher) toTell(full bool) []string {
+func (d *Dispatcher) loadsToSend(full bool) []string {
 	if full {
 		return d.balancer.Loaded()
 	}
-	workers := make([]string, 0, len(d.sharing.changed))
-	for worker := range d.sharing.changed {
+	workers := make([]string, 0, len(d.peers.changedLoads))
+	for worker := range d.peers.changedLoads {
 		workers = append(workers, worker)
 	}
 	sort.Strings(workers)
@@ -134,15 +134,15 @@
 func (d *Dispatcher) Hear(message *loadshare.Message) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if !d.sharing.board.Apply(d.now(), message) {
+	if !d.peers.board.Apply(d.now(), message) {
 		return
 	}
 	for _, kept := range message.Kept {
 		if worker, found := d.balancer.Worker(kept.Worker); found {
-			d.noteKept(worker, kept)
+			d.addCached(worker, kept)
 		}
 	}
-	d.hearEngines(message)
+	d.applyPeerEngines(message)
 	for _, worker := range message.Failed {
 		d.balancer.Hearsay(d.now(), worker)
 	}
--- a/internal/forward/placement.go
+++ b/internal/forward/placement.go
@@ -14,7 +14,7 @@
 type Placement struct {
 	// Reader reads the prompt. The runner is picked by PlaceRunner once that is done, so that a worker which begins to leave
 	// meanwhile is not used.
-	Reader *Assignment
+	Prefill *Assignment
 	// FetchFrom keeps the shared part of the prompt, from where the one that reads it takes it; or nil.
 	FetchFrom *backend.Worker
 	Runner    *Assignment
@@ -27,9 +27,9 @@
 	// Excluded workers are passed over.
 	Excluded []string
 	// Direct has the runner read the prompt itself.
-	Direct bool
+	Colocated bool
 	// Apart is set for a request under which a worker has ended: such ones are spread over workers by this key.
-	Apart string
+	SuspectKey string
 	// Objective is the time within which the answer is to begin, and Left what is left of it, less than zero when the request is
 	// late. Requests without an objective have zero.
 	Objective, Left time.Duration
@@ -39,14 +39,14 @@
 func (d *Dispatcher) Place(request *Request, group *routing.Group, options PlaceOptions) (*Placement, bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	begun := time.Now()
+	start := time.Now()
 	place := d.placeOnEngines
 	if group.Engine == nil {
 		place = d.placePlain
 	}
 	placement, found := place(request, group, options)
-	if d.chosen != nil {
-		d.chosen(time.Since(begun), placement.candidates())
+	if d.onPlacement != nil {
+		d.onPlacement(time.Since(start), placement.candidates())
 	}
 	return placement, found
 }
@@ -56,15 +56,17 @@
 	switch {
 	case p == nil:
 		return 0
-	case p.Reader != nil:
-		return p.Reader.Candidates
+	case p.Prefill != nil:
+		return p.Prefill.Candidates
 	default:
 		return p.Runner.Candidates
 	}
 }
 
 // WatchChoices tells whom to tell how long each choice of workers took, and how many were looked at. It is called before the first request.
-func (d *Dispatcher) WatchChoices(chosen func(took time.Duration, candidates int)) { d.chosen = chosen }
+func (d *Dispatcher) WatchChoices(onPlacement func(took time.Duration, candidates int)) {
+	d.onPlacement = onPlacement
+}
 
 // hasOther tells whether another worker than some could run a request.
 func (d *Dispatcher) hasAlternative(request *Request, group *routing.Group, excluded []string) bool {
@@ -81,7 +83,7 @@
 func (d *Dispatcher) placePlain(request *Request, group *routing.Group, options PlaceOptions) (*Placement, bool) {
 	choice, found := d.balancer.Pick(d.now(), balance.Query{
 		Request: request.ID, Group: group.Name, Role: backend.RoleNone, Zone: d.settings.Zone, Excluded: options.Excluded,
-		Apart: options.Apart, Gather: true,
+		Apart: options.SuspectKey, Gather: true,
 	})
 	if !found {
 		return nil, false
@@ -92,24 +94,24 @@
 // plan is a way to serve a request on engines, before any work is assigned.
 type plan struct {
 	// reader is nil when the runner reads the prompt.
-	reader *balance.Choice
-	runner balance.Choice
+	prefill *balance.Choice
+	runner  balance.Choice
 	// seconds is the estimated cost of the plan, firstEvent the time until the answer begins, and wait the part of it in which
 	// others come first.
-	seconds, firstEvent, wait float64
+	seconds, timeToFirstEvent, queueWait float64
 }
 
 // crowdedOut tells whether the answer is expected too late, and would be in time if the request had come alone. One that is too
 // long for its objective gives way to nobody: that would not make it better, and it is the most valuable of its kind.
-func (p plan) crowdedOut(options PlaceOptions) bool {
-	alone := p.firstEvent - p.wait
-	return options.Objective > 0 && p.firstEvent > options.Left.Seconds() && alone <= options.Objective.Seconds()
+func (p plan) delayedByQueue(options PlaceOptions) bool {
+	unloaded := p.timeToFirstEvent - p.queueWait
+	return options.Objective > 0 && p.timeToFirstEvent > options.Left.Seconds() && unloaded <= options.Objective.Seconds()
 }
 
 // reads returns the engine that reads the prompt.
-func (p plan) reads() *backend.Worker {
-	if p.reader != nil {
-		return p.reader.Worker
+func (p plan) prefillEngine() *backend.Worker {
+	if p.prefill != nil {
+		return p.prefill.Worker
 	}
 	return p.runner.Worker
 }
@@ -117,158 +119,158 @@
 // placeOnEngines picks an engine to write the answer, and one to read the prompt before where that is expected to be cheaper. A
 // request whose answer is expected too late gives way to those that are in time.
 func (d *Dispatcher) placeOnEngines(request *Request, group *routing.Group, options PlaceOptions) (*Placement, bool) {
-	prompt := d.promptOf(request, group)
-	prompt.apart = options.Apart
+	prompt := d.newPromptContext(request, group)
+	prompt.suspectKey = options.SuspectKey
 	best, found := d.bestPlan(prompt, options)
-	if found && best.crowdedOut(options) {
+	if found && best.delayedByQueue(options) {
 		prompt.deferred = true
 		best, found = d.bestPlan(prompt, options)
 	}
 	if !found {
 		return nil, false
 	}
-	placement := d.carryOut(prompt, best, options.Objective)
+	placement := d.assignPlan(prompt, best, options.Objective)
 	if len(options.Excluded) == 0 {
-		d.countOffered(best.reads(), prompt.reading(best.reads()).Tokens)
+		d.countDemand(best.prefillEngine(), prompt.prefillCost(best.prefillEngine()).Tokens)
 	}
 	return placement, true
 }
 
 // bestPlan returns the cheapest plan, or false when there is none.
-func (d *Dispatcher) bestPlan(prompt *prompt, options PlaceOptions) (plan, bool) {
-	best, found := d.planDirect(prompt, options.Excluded)
-	if options.Direct {
+func (d *Dispatcher) bestPlan(prompt *promptContext, options PlaceOptions) (plan, bool) {
+	best, found := d.planColocated(prompt, options.Excluded)
+	if options.Colocated {
 		return best, found
 	}
-	apart, possible := d.planApart(prompt, options.Excluded)
+	disaggregated, possible := d.planDisaggregated(prompt, options.Excluded)
 	// Prompts that are late do not slow the answers that are being written.
-	if possible && (!found || prompt.deferred || apart.seconds < best.seconds) {
-		return apart, true
+	if possible && (!found || prompt.deferred || disaggregated.seconds < best.seconds) {
+		return disaggregated, true
 	}
 	return best, found
 }
 
 // carryOut assigns the work of a plan.
-func (d *Dispatcher) carryOut(prompt *prompt, chosen plan, objective time.Duration) *Placement {
+func (d *Dispatcher) assignPlan(prompt *promptContext, chosen plan, objective time.Duration) *Placement {
 	placement := &Placement{Deferred: prompt.deferred}
 	choice := chosen.runner
-	if chosen.reader != nil {
-		choice = *chosen.reader
+	if chosen.prefill != nil {
+		choice = *chosen.prefill
 	}
-	reading := choice.Worker
-	tokens := prompt.reading(reading).Tokens
-	placement.FetchFrom = prompt.source(reading)
-	if chosen.reader == nil {
+	engine := choice.Worker
+	tokens := prompt.prefillCost(engine).Tokens
+	placement.FetchFrom = prompt.fetchSource(engine)
+	if chosen.prefill == nil {
 		placement.Runner = d.assign(choice, tokens, prompt.deferred, objective)
 		return placement
 	}
-	placement.Reader = d.assign(choice, max(tokens, 1), prompt.deferred, objective)
-	placement.Reader.apart = prompt.apart
-	d.keep(reading, prompt.request.Demand, false)
+	placement.Prefill = d.assign(choice, max(tokens, 1), prompt.deferred, objective)
+	placement.Prefill.suspectKey = prompt.suspectKey
+	d.recordCached(engine, prompt.request.Demand, false)
 	return placement
 }
 
 // PlaceRunner picks the engine that goes on with a prompt which was read, or returns false when there is none.
-func (d *Dispatcher) PlaceRunner(request *Request, group *routing.Group, excluded []string, reader *Assignment) (*Assignment, bool) {
+func (d *Dispatcher) PlaceRunner(request *Request, group *routing.Group, excluded []string, prefill *Assignment) (*Assignment, bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	prompt := d.promptOf(request, group)
-	prompt.apart, prompt.begun = reader.apart, true
-	choice, found := d.pickRunner(prompt, excluded, reader.Worker)
+	prompt := d.newPromptContext(request, group)
+	prompt.suspectKey, prompt.prefilled = prefill.suspectKey, true
+	choice, found := d.pickRunner(prompt, excluded, prefill.Worker)
 	if !found {
 		return nil, false
 	}
-	return d.assign(choice, 0, reader.deferred, reader.objective), true
+	return d.assign(choice, 0, prefill.deferred, prefill.objective), true
 }
 
 // pickRunner picks the engine to which a prompt is moved from its reader.
-func (d *Dispatcher) pickRunner(prompt *prompt, excluded []string, reader *backend.Worker) (balance.Choice, bool) {
-	query := prompt.query(backend.RoleDecode, reader.Zone, excluded)
-	query.Reading = prompt.move
+func (d *Dispatcher) pickRunner(prompt *promptContext, excluded []string, source *backend.Worker) (balance.Choice, bool) {
+	query := prompt.query(backend.RoleDecode, source.Zone, excluded)
+	query.Reading = prompt.transferCost
 	return d.balancer.Pick(d.now(), query)
 }
 
 // planDirect has the engine that writes the answer read the prompt too.
-func (d *Dispatcher) planDirect(prompt *prompt, excluded []string) (plan, bool) {
+func (d *Dispatcher) planColocated(prompt *promptContext, excluded []string) (plan, bool) {
 	query := prompt.query(backend.RoleDecode, d.settings.Zone, excluded)
-	query.Reading = prompt.reading
+	query.Reading = prompt.prefillCost
 	choice, found := d.balancer.Pick(d.now(), query)
 	if !found {
 		return plan{}, false
 	}
 	seconds := choice.Score.Total()
-	if choice.Score.Reading > d.settings.LongReading.Seconds() {
-		seconds += d.settings.LongReadingSeconds
+	if choice.Score.Reading > d.settings.LongPrefill.Seconds() {
+		seconds += d.settings.LongPrefillSeconds
 	}
-	return plan{runner: choice, seconds: seconds, firstEvent: choice.Score.Answer, wait: choice.Score.Wait}, true
+	return plan{runner: choice, seconds: seconds, timeToFirstEvent: choice.Score.Answer, queueWait: choice.Score.Wait}, true
 }
 
 // planApart has one engine read the prompt and another one write the answer.
-func (d *Dispatcher) planApart(prompt *prompt, excluded []string) (plan, bool) {
+func (d *Dispatcher) planDisaggregated(prompt *promptContext, excluded []string) (plan, bool) {
 	query := prompt.query(backend.RolePrefill, d.settings.Zone, excluded)
-	query.Reading = prompt.reading
-	reader, found := d.balancer.Pick(d.now(), query)
+	query.Reading = prompt.prefillCost
+	prefill, found := d.balancer.Pick(d.now(), query)
 	if !found {
 		return plan{}, false
 	}
-	runner, found := d.pickRunner(prompt, excluded, reader.Worker)
+	runner, found := d.pickRunner(prompt, excluded, prefill.Worker)
 	if !found {
 		return plan{}, false
 	}
 	return plan{
-		reader: &reader, runner: runner,
-		seconds:    reader.Score.Total() + runner.Score.Total() + d.settings.ApartSeconds,
-		firstEvent: reader.Score.Answer + runner.Score.Answer,
-		wait:       reader.Score.Wait + runner.Score.Wait,
+		prefill: &prefill, runner: runner,
+		seconds:          prefill.Score.Total() + runner.Score.Total() + d.settings.DisaggregationSeconds,
+		timeToFirstEvent: prefill.Score.Answer + runner.Score.Answer,
+		queueWait:        prefill.Score.Wait + runner.Score.Wait,
 	}, true
 }
 
 // residencyShare is the part of the memory of an engine that is counted on for parts which nobody uses at the moment.
-const residencyShare = 0.95
+const cacheShare = 0.95
 
 // capacityOf returns the tokens of shared parts that an engine is thought to keep.
-func (d *Dispatcher) capacityOf(worker *backend.Worker) int {
-	engine, found := d.engines[worker.Group]
+func (d *Dispatcher) cacheCapacity(worker *backend.Worker) int {
+	engine, found := d.engineGroups[worker.Group]
 	if !found {
 		return 0
 	}
-	return int(residencyShare * float64(engine.MemoryTokens))
+	return int(cacheShare * float64(engine.MemoryTokens))
 }
 
 // keep notes that an engine keeps a prompt, or is about to, and tells the other gateways. The mutex is held.
-func (d *Dispatcher) keep(worker *backend.Worker, demand backend.Demand, ready bool) {
-	shared := sharedPrefixOf(demand, d.settings.LeastSharedTokens)
-	for i, link := range shared.links {
-		kept := loadshare.Kept{Worker: worker.ID, Key: link.key, Tokens: link.tokens, Ready: ready}
-		if ready && i == len(shared.links)-1 {
-			kept.Own = demand.PromptTokens - shared.tokens
+func (d *Dispatcher) recordCached(worker *backend.Worker, demand backend.Demand, ready bool) {
+	shared := sharedPrefixOf(demand, d.settings.MinSharedTokens)
+	for i, segment := range shared.segments {
+		cached := loadshare.Kept{Worker: worker.ID, Key: segment.key, Tokens: segment.tokens, Ready: ready}
+		if ready && i == len(shared.segments)-1 {
+			cached.Own = demand.PromptTokens - shared.tokens
 		}
-		d.noteKept(worker, kept)
-		d.sharing.partKept(kept)
+		d.addCached(worker, cached)
+		d.peers.prefixCached(cached)
 	}
 }
 
 // noteKept takes a kept part into the table.
-func (d *Dispatcher) noteKept(worker *backend.Worker, kept loadshare.Kept) {
-	d.residency.Keep(worker.ID, d.capacityOf(worker), kept.Key, kept.Tokens, kept.Ready)
-	d.residency.Fill(worker.ID, kept.Own)
+func (d *Dispatcher) addCached(worker *backend.Worker, cached loadshare.Kept) {
+	d.residency.Keep(worker.ID, d.cacheCapacity(worker), cached.Key, cached.Tokens, cached.Ready)
+	d.residency.Fill(worker.ID, cached.Own)
 }
 
 // HasRead notes that an engine has read the prompt of a request, and keeps it from now on.
-func (d *Dispatcher) HasRead(worker *backend.Worker, request *Request) {
+func (d *Dispatcher) RecordPrefilled(worker *backend.Worker, request *Request) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.keep(worker, request.Demand, true)
+	d.recordCached(worker, request.Demand, true)
 }
 
 // HasNotRead notes that an engine failed to read the prompt of a request.
-func (d *Dispatcher) HasNotRead(worker *backend.Worker, request *Request) {
+func (d *Dispatcher) RecordPrefillFailed(worker *backend.Worker, request *Request) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	for _, link := range sharedPrefixOf(request.Demand, d.settings.LeastSharedTokens).links {
-		for _, known := range d.residency.Holders(link.key) {
-			if known.Worker == worker.ID && !known.Ready {
-				d.residency.Forget(worker.ID, link.key)
+	for _, segment := range sharedPrefixOf(request.Demand, d.settings.MinSharedTokens).segments {
+		for _, holder := range d.residency.Holders(segment.key) {
+			if holder.Worker == worker.ID && !holder.Ready {
+				d.residency.Forget(worker.ID, segment.key)
 			}
 		}
 	}
--- a/internal/forward/placement_test.go
+++ b/internal/forward/placement_test.go
@@ -65,7 +65,7 @@
 			}
 			dispatcher.Hear(message)
 			placement, found := dispatcher.Place(&Request{ID: "r", Demand: c.demand}, engineGroup, PlaceOptions{})
-			if !found || (placement.Reader != nil) != c.wantApart {
+			if !found || (placement.Prefill != nil) != c.wantApart {
 				t.Fatalf("got %+v, want it apart: %v", placement, c.wantApart)
 			}
 		})
@@ -80,16 +80,16 @@
 	if first.FetchFrom != nil {
 		t.Fatal("a part that nobody keeps is fetched")
 	}
-	dispatcher.HasRead(first.Reader.Worker, request)
+	dispatcher.RecordPrefilled(first.Prefill.Worker, request)
 	again, _ := dispatcher.Place(&Request{ID: "s", Demand: demand}, engineGroup, PlaceOptions{})
-	if again.Reader.Worker != first.Reader.Worker || again.FetchFrom != nil {
+	if again.Prefill.Worker != first.Prefill.Worker || again.FetchFrom != nil {
 		t.Fatalf("the engine that keeps the part was not chosen: %+v", again)
 	}
 	busy := &loadshare.Message{Sender: "other", Epoch: 1, Sequence: 1}
-	busy.Loads = []loadshare.Load{{Worker: first.Reader.Worker.ID, ReadingTokens: 100_000}}
+	busy.Loads = []loadshare.Load{{Worker: first.Prefill.Worker.ID, ReadingTokens: 100_000}}
 	dispatcher.Hear(busy)
 	other, _ := dispatcher.Place(&Request{ID: "t", Demand: demand}, engineGroup, PlaceOptions{})
-	if other.Reader == nil || other.Reader.Worker == first.Reader.Worker || other.FetchFrom != first.Reader.Worker {
+	if other.Prefill == nil || other.Prefill.Worker == first.Prefill.Worker || other.FetchFrom != first.Prefill.Worker {
 		t.Fatalf("the part was not fetched from a busy engine: %+v", other)
 	}
 }
@@ -100,23 +100,23 @@
 	one.ShareWith(func(bool) { notified++ })
 	request := &Request{ID: "r", Demand: longPrompt}
 	placement, _ := one.Place(request, engineGroup, PlaceOptions{})
-	one.HasRead(placement.Reader.Worker, request)
+	one.RecordPrefilled(placement.Prefill.Worker, request)
 	message := one.Drain(false)
 	if notified == 0 || len(message.Loads) == 0 || len(message.Kept) == 0 {
 		t.Fatalf("told %+v after %d calls", message, notified)
 	}
 	message.Sender, message.Epoch, message.Sequence = "one", 1, 1
 	two.Hear(&message)
-	if load := two.sharing.board.Load(placement.Reader.Worker.ID); load.ReadingTokens == 0 {
+	if load := two.peers.board.Load(placement.Prefill.Worker.ID); load.ReadingTokens == 0 {
 		t.Error("the load was not heard")
 	}
-	if holders := two.usableHolders([]link{{key: "a", tokens: 8000}}); len(holders) != 1 || holders[placement.Reader.Worker.ID].ready != 8000 {
+	if holders := two.usableHolders([]prefixSegment{{key: "a", tokens: 8000}}); len(holders) != 1 || holders[placement.Prefill.Worker.ID].readyTokens != 8000 {
 		t.Errorf("the kept part was not heard: %v", holders)
 	}
 	if again := one.Drain(false); len(again.Loads)+len(again.Kept) != 0 {
 		t.Error("the same was told twice")
 	}
-	runner, _ := one.PlaceRunner(request, engineGroup, nil, placement.Reader)
+	runner, _ := one.PlaceRunner(request, engineGroup, nil, placement.Prefill)
 	one.SetChanging(runner.Worker.ID, backend.RolePrefill)
 	message = one.Drain(false)
 	message.Sender, message.Epoch, message.Sequence = "one", 1, 2
@@ -139,7 +139,7 @@
 	request := &Request{ID: "r", Demand: longPrompt}
 	before, _ := dispatcher.PlaceRunner(request, engineGroup, nil, &Assignment{Worker: &backend.Worker{}})
 	placement, _ := dispatcher.Place(request, engineGroup, PlaceOptions{})
-	if placement.Reader == nil || placement.Runner != nil {
+	if placement.Prefill == nil || placement.Runner != nil {
 		t.Fatalf("the runner was picked before the prompt was read: %+v", placement)
 	}
 	set := backend.Set{}
@@ -150,7 +150,7 @@
 		set[id] = &changed
 	}
 	dispatcher.SetWorkers(set)
-	after, found := dispatcher.PlaceRunner(request, engineGroup, nil, placement.Reader)
+	after, found := dispatcher.PlaceRunner(request, engineGroup, nil, placement.Prefill)
 	if !found || after.Worker.ID == before.Worker.ID {
 		t.Fatalf("picked %+v", after)
 	}
@@ -165,8 +165,8 @@
 		if !found {
 			t.Fatal("no engine")
 		}
-		if placement.Reader == nil {
-			placement.Reader = placement.Runner
+		if placement.Prefill == nil {
+			placement.Prefill = placement.Runner
 		}
 		urgency := placement.urgency()
 		if urgency <= previous || urgency >= urgencyDeferred {
@@ -210,7 +210,7 @@
 			if !found || placement.Deferred != c.want {
 				t.Fatalf("deferred: %v, want %v", placement.Deferred, c.want)
 			}
-			if placement.Deferred && placement.Reader == nil {
+			if placement.Deferred && placement.Prefill == nil {
 				t.Fatal("a late prompt is read by an engine that writes, and slows its answers")
 			}
 		})
@@ -250,8 +250,8 @@
 		worker, _ := dispatcher.balancer.Worker(id)
 		return worker
 	}
-	dispatcher.HasRead(known("prefill0"), &Request{ID: "a", Demand: chain("root", "leaf", "own-a")})
-	dispatcher.HasRead(known("prefill1"), &Request{ID: "b", Demand: chain("leaf-b", "own-b")})
+	dispatcher.RecordPrefilled(known("prefill0"), &Request{ID: "a", Demand: chain("root", "leaf", "own-a")})
+	dispatcher.RecordPrefilled(known("prefill1"), &Request{ID: "b", Demand: chain("leaf-b", "own-b")})
 	cases := []struct {
 		desc   string
 		worker string
@@ -268,12 +268,12 @@
 	}
 	for _, c := range cases {
 		t.Run(c.desc, func(t *testing.T) {
-			prompt := dispatcher.promptOf(&Request{ID: "r", Demand: c.demand}, engineGroup)
+			prompt := dispatcher.newPromptContext(&Request{ID: "r", Demand: c.demand}, engineGroup)
 			if got := prompt.holders[c.worker].tokens; got != c.kept {
 				t.Errorf("%d tokens are kept, want %d", got, c.kept)
 			}
 			got := ""
-			if source := prompt.source(known(c.worker)); source != nil {
+			if source := prompt.fetchSource(known(c.worker)); source != nil {
 				got = source.ID
 			}
 			if got != c.fetch {
@@ -296,7 +296,7 @@
 		if load.Running != 1 || load.Writing() != want {
 			t.Errorf("deferred %v: %+v counts as %d runs", deferred, load, load.Writing())
 		}
-		runner.answered()
+		runner.prefilled()
 		if load = dispatcher.balancer.TotalLoad(runner.Worker.ID); load.Writing() != 1 {
 			t.Errorf("deferred %v: a run that has begun counts as %d", deferred, load.Writing())
 		}
--- a/internal/forward/prefill.go
+++ b/internal/forward/prefill.go
@@ -9,7 +9,7 @@
 func (c *call) prefill(ctx context.Context, placement *Placement) (*Prompt, failure) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
-	engine := placement.Reader
+	engine := placement.Prefill
 	if !engine.deferred {
 		timer := time.AfterFunc(engine.responseTimeout(), func() { cancel(errSilent) })
 		defer timer.Stop()
@@ -22,15 +22,15 @@
 		c.prefills++
 	}
 	if failed == failureNone {
-		engine.answered()
-		c.handler.dispatcher.HasRead(engine.Worker, c.request)
+		engine.prefilled()
+		c.handler.dispatcher.RecordPrefilled(engine.Worker, c.request)
 	} else {
-		c.handler.dispatcher.HasNotRead(engine.Worker, c.request)
+		c.handler.dispatcher.RecordPrefillFailed(engine.Worker, c.request)
 		c.report.Err = err
 		c.prefillFailures++
 	}
 	c.guarded.reportFailure(engine.Worker, failed, err)
-	c.handler.dispatcher.noteRefused(engine.Worker, err)
+	c.handler.dispatcher.recordIfRefused(engine.Worker, err)
 	engine.finish(failed.outcome())
 	return prompt, failed
 }
@@ -53,7 +53,7 @@
 	if p.Deferred {
 		return urgencyDeferred
 	}
-	return urgencyOf(p.Reader.Score.Reading)
+	return urgencyOf(p.Prefill.Score.Reading)
 }
 
 // urgencyOf returns the urgency of a prompt by its expected prefill time.
--- a/internal/forward/kept.go
+++ b/internal/forward/prefixcache.go
@@ -28,19 +28,19 @@
 		return
 	}
 	for _, part := range parts {
-		if part.Tokens >= d.settings.LeastSharedTokens {
-			d.residency.Keep(id, d.capacityOf(worker), part.Key, part.Tokens, true)
+		if part.Tokens >= d.settings.MinSharedTokens {
+			d.residency.Keep(id, d.cacheCapacity(worker), part.Key, part.Tokens, true)
 		}
 	}
 }
 
 // Kept returns what this gateway knows that engines keep, so many parts at the most, of each engine those used last at the end.
-func (d *Dispatcher) Kept(most int) []loadshare.Kept {
+func (d *Dispatcher) Kept(limit int) []loadshare.Kept {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	var all []loadshare.Kept
 	for worker, part := range d.residency.All() {
-		if len(all) >= most {
+		if len(all) >= limit {
 			break
 		}
 		all = append(all, loadshare.Kept{Worker: worker, Key: part.Key, Tokens: part.Tokens, Ready: part.Ready})
@@ -52,14 +52,14 @@
 func (d *Dispatcher) LearnAll(parts []loadshare.Kept) int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	news := 0
+	added := 0
 	for _, part := range parts {
 		worker, found := d.balancer.Worker(part.Worker)
 		if !found || part.Tokens <= 0 || d.residency.Keeps(part.Worker, part.Key) {
 			continue
 		}
-		news++
-		d.noteKept(worker, part)
+		added++
+		d.addCached(worker, part)
 	}
-	return news
+	return added
 }
--- a/internal/forward/prompt.go
+++ b/internal/forward/prompt.go
@@ -13,7 +13,7 @@
 )
 
 // prompt is what placement knows of the prompt of a request.
-type prompt struct {
+type promptContext struct {
 	dispatcher *Dispatcher
 	request    *Request
 	group      *routing.Group
@@ -21,93 +21,93 @@
 	// deferred prompts are read after all others.
 	deferred bool
 	// apart spreads requests under which workers have ended; empty for others.
-	apart string
+	suspectKey string
 	// begun is set once the prompt was read.
-	begun bool
+	prefilled bool
 	// holders keep the beginning of the prompt, by their ids.
-	holders map[string]holder
+	holders map[string]cacheHolder
 	// near are the ids of these, some of them where they are many.
-	near []string
+	holderIDs []string
 	// longest is the most that a holder keeps, and longestReady the most that one can be asked for.
-	longest, longestReady int
+	longestCached, longestReady int
 }
 
 // promptOf gathers what is known of a prompt. The mutex is held.
-func (d *Dispatcher) promptOf(request *Request, group *routing.Group) *prompt {
-	one := &prompt{dispatcher: d, request: request, group: group, shared: sharedPrefixOf(request.Demand, d.settings.LeastSharedTokens)}
-	if len(one.shared.links) > 0 {
-		one.holders = d.usableHolders(one.shared.links)
-	} else if one.shared.tokens > 0 {
-		one.holders = d.homesOf(one)
+func (d *Dispatcher) newPromptContext(request *Request, group *routing.Group) *promptContext {
+	prompt := &promptContext{dispatcher: d, request: request, group: group, shared: sharedPrefixOf(request.Demand, d.settings.MinSharedTokens)}
+	if len(prompt.shared.segments) > 0 {
+		prompt.holders = d.usableHolders(prompt.shared.segments)
+	} else if prompt.shared.tokens > 0 {
+		prompt.holders = d.preferredHolders(prompt)
 	}
-	one.near = slices.Sorted(maps.Keys(one.holders))
-	for _, each := range one.holders {
-		one.longest = max(one.longest, each.tokens)
-		one.longestReady = max(one.longestReady, each.ready)
+	prompt.holderIDs = slices.Sorted(maps.Keys(prompt.holders))
+	for _, holder := range prompt.holders {
+		prompt.longestCached = max(prompt.longestCached, holder.tokens)
+		prompt.longestReady = max(prompt.longestReady, holder.readyTokens)
 	}
-	return one
+	return prompt
 }
 
 // homesOf returns the engines that are taken to keep a short shared part, which is not followed: the preferred ones.
-func (d *Dispatcher) homesOf(one *prompt) map[string]holder {
-	homes := map[string]holder{}
+func (d *Dispatcher) preferredHolders(prompt *promptContext) map[string]cacheHolder {
+	holders := map[string]cacheHolder{}
 	for _, role := range []backend.Role{backend.RolePrefill, backend.RoleDecode} {
-		if home := d.balancer.Home(d.now(), one.query(role, "", nil)); home != nil {
-			homes[home.ID] = holder{worker: home, tokens: one.shared.tokens}
+		if preferred := d.balancer.Home(d.now(), prompt.query(role, "", nil)); preferred != nil {
+			holders[preferred.ID] = cacheHolder{worker: preferred, tokens: prompt.shared.tokens}
 		}
 	}
-	return homes
+	return holders
 }
 
 // query asks for an engine of a role.
-func (p *prompt) query(role backend.Role, zone string, excluded []string) balance.Query {
+func (p *promptContext) query(role backend.Role, zone string, excluded []string) balance.Query {
 	return balance.Query{
 		Request: p.request.ID, Group: p.group.Name, Role: role, Key: p.shared.key, Zone: zone, Excluded: excluded,
-		Deferred: p.deferred, Apart: p.apart, Begun: p.begun, Near: p.near, Gather: len(p.shared.links) == 0,
+		Deferred: p.deferred, Apart: p.suspectKey, Begun: p.prefilled, Near: p.holderIDs, Gather: len(p.shared.segments) == 0,
 	}
 }
 
 // reading is what the prompt costs an engine that reads it.
-func (p *prompt) reading(worker *backend.Worker) balance.Reading {
+func (p *promptContext) prefillCost(worker *backend.Worker) balance.Reading {
 	total := p.request.Demand.PromptTokens
-	kept := p.holders[worker.ID].tokens
+	cached := p.holders[worker.ID].tokens
 	settings := &p.dispatcher.settings
-	if p.longestReady > kept && p.group.Engine.LinkMbps > 0 {
-		bits := float64(p.longestReady-kept) * float64(p.group.Engine.BytesPerToken) * 8
+	if p.longestReady > cached && p.group.Engine.LinkMbps > 0 {
+		bits := float64(p.longestReady-cached) * float64(p.group.Engine.BytesPerToken) * 8
 		seconds := settings.FetchWeight * bits / (p.group.Engine.LinkMbps * 1e6)
-		return balance.Reading{Tokens: p.work(p.longestReady), TransferSeconds: seconds}
+		return balance.Reading{Tokens: p.prefillWork(p.longestReady), TransferSeconds: seconds}
 	}
-	reading := balance.Reading{Tokens: p.work(kept)}
-	if p.longest > kept && total > 0 {
+	reading := balance.Reading{Tokens: p.prefillWork(cached)}
+	if p.longestCached > cached && total > 0 {
 		estimate := p.dispatcher.model.Estimate(p.dispatcher.now(), enginemodel.ClassOf(worker))
-		reading.TransferSeconds = settings.RereadWeight * float64(p.longest-kept) * estimate.SecondsPerToken
+		reading.TransferSeconds = settings.RecomputeWeight * float64(p.longestCached-cached) * estimate.SecondsPerToken
 	}
 	return reading
 }
 
 // work is that of reading what comes behind the tokens that are there already.
-func (p *prompt) work(kept int) int {
+func (p *promptContext) prefillWork(cached int) int {
 	total := p.request.Demand.PromptTokens
-	return readingWork(max(total-kept, 1), total)
+	return attentionAdjustedTokens(max(total-cached, 1), total)
 }
 
 // move is what the prompt costs an engine that gets it from a reader.
-func (p *prompt) move(worker *backend.Worker) balance.Reading {
-	seconds := p.dispatcher.settings.MoveSeconds
-	if kept := p.holders[worker.ID].tokens; kept > 0 {
-		seconds *= 1 - float64(kept)/float64(p.longest)
+func (p *promptContext) transferCost(worker *backend.Worker) balance.Reading {
+	seconds := p.dispatcher.settings.TransferSeconds
+	if cached := p.holders[worker.ID].tokens; cached > 0 {
+		seconds *= 1 - float64(cached)/float64(p.longestCached)
 	}
 	return balance.Reading{TransferSeconds: seconds}
 }
 
 // attentionPerToken is by how much each token of context slows the reading of one token, relative to the time of a token at
 // the beginning of a prompt: attention looks at all pairs of tokens.
-const attentionPerToken = 2e-5
+const attentionCostPerToken = 2e-5
 
 // readingWork returns the work of reading the last tokens of a prompt of a length, in tokens at the beginning of a prompt.
-func readingWork(tokens, total int) int {
+func attentionAdjustedTokens(tokens, total int) int {
 	context := float64(total) - float64(tokens)/2
-	return int(float64(tokens) * (1 + attentionPerToken*context))
+	return int(float64(tokens) * (1 + attentionCostPerToken*context))
 }
 
 // sharedPrefix is the beginning of a prompt that other prompts share, as a path in the tree of shared parts: a link is of use
@@ -117,24 +117,24 @@
 	key    string
 	tokens int
 	// links are the parts that are long enough to be followed over the engines.
-	links []link
+	segments []prefixSegment
 }
 
 // link is a part of a shared prefix, with the tokens of short parts before it.
-type link struct {
+type prefixSegment struct {
 	key    string
 	tokens int
 }
 
 // sharedPrefixOf returns the shared beginning of a prompt. Parts below the least tokens are not followed by themselves.
-func sharedPrefixOf(demand backend.Demand, least int) sharedPrefix {
+func sharedPrefixOf(demand backend.Demand, minTokens int) sharedPrefix {
 	shared := sharedPrefix{key: demand.AffinityKey()}
 	pending := 0
 	for _, part := range demand.SharedParts() {
 		shared.tokens += part.Tokens
 		pending += part.Tokens
-		if part.Tokens >= least {
-			shared.links = append(shared.links, link{key: part.ID, tokens: pending})
+		if part.Tokens >= minTokens {
+			shared.segments = append(shared.segments, prefixSegment{key: part.ID, tokens: pending})
 			pending = 0
 		}
 	}
@@ -142,49 +142,49 @@
 }
 
 // holder is an engine that keeps the beginning of a prompt.
-type holder struct {
+type cacheHolder struct {
 	worker *backend.Worker
 	// tokens that the engine keeps, or is about to, and ready ones that it can be asked for.
-	tokens, ready int
+	tokens, readyTokens int
 }
 
 // usableHolders returns the engines that keep the beginning of a prefix and take work. The mutex is held.
-func (d *Dispatcher) usableHolders(links []link) map[string]holder {
-	holders := map[string]holder{}
+func (d *Dispatcher) usableHolders(segments []prefixSegment) map[string]cacheHolder {
+	holders := map[string]cacheHolder{}
 	before := 0
-	for _, link := range links {
-		for _, known := range d.residency.Holders(link.key) {
-			one, found := holders[known.Worker]
+	for _, segment := range segments {
+		for _, cached := range d.residency.Holders(segment.key) {
+			holder, found := holders[cached.Worker]
 			if !found && before == 0 {
-				one.worker, found = d.balancer.Worker(known.Worker)
-				found = found && d.balancer.Usable(d.now(), known.Worker)
+				holder.worker, found = d.balancer.Worker(cached.Worker)
+				found = found && d.balancer.Usable(d.now(), cached.Worker)
 			}
-			if !found || one.tokens < before {
+			if !found || holder.tokens < before {
 				continue
 			}
-			if known.Ready && one.ready == before {
-				one.ready += link.tokens
+			if cached.Ready && holder.readyTokens == before {
+				holder.readyTokens += segment.tokens
 			}
-			one.tokens += link.tokens
-			holders[known.Worker] = one
+			holder.tokens += segment.tokens
+			holders[cached.Worker] = holder
 		}
-		before += link.tokens
+		before += segment.tokens
 	}
 	return holders
 }
 
 // source returns the engine from which a worker takes what it does not keep of the prompt, or nil: the one that keeps most, in its
 // own zone if there is one.
-func (p *prompt) source(worker *backend.Worker) *backend.Worker {
-	var source holder
-	for _, each := range p.holders {
-		closer := source.worker != nil && each.ready == source.ready &&
-			cmp.Or(compareZones(worker, each.worker, source.worker), strings.Compare(each.worker.ID, source.worker.ID)) < 0
-		if each.ready > source.ready || closer {
-			source = each
+func (p *promptContext) fetchSource(worker *backend.Worker) *backend.Worker {
+	var source cacheHolder
+	for _, holder := range p.holders {
+		closer := source.worker != nil && holder.readyTokens == source.readyTokens &&
+			cmp.Or(compareZones(worker, holder.worker, source.worker), strings.Compare(holder.worker.ID, source.worker.ID)) < 0
+		if holder.readyTokens > source.readyTokens || closer {
+			source = holder
 		}
 	}
-	if source.worker == nil || source.ready <= p.holders[worker.ID].tokens {
+	if source.worker == nil || source.readyTokens <= p.holders[worker.ID].tokens {
 		return nil
 	}
 	return source.worker
--- a/internal/forward/limits.go
+++ b/internal/forward/ratelimits.go
@@ -12,7 +12,7 @@
 
 // limitShare is what this gateway holds of what workers with limits take, and what others have lent it. It implements balance.Holdings, and is
 // guarded by the mutex of the dispatcher.
-type limitShare struct {
+type limitHoldings struct {
 	name string
 	// now goes on while the machine sleeps, as what others may do does.
 	now     func() time.Time
@@ -21,19 +21,19 @@
 	// loans are those of other gateways, by the ids of the workers.
 	loans map[string]*quota.Loans
 	// toAsk and toLend are to be told to the others.
-	toAsk  []loadshare.Ask
-	toLend []loadshare.Loan
+	outgoingAsks  []loadshare.Ask
+	outgoingLoans []loadshare.Loan
 	// lent is closed when a loan comes.
-	lent chan struct{}
+	loanArrived chan struct{}
 }
 
 // Part is part of balance.Holdings.
-func (s *limitShare) Part(worker string, perSecond float64) float64 {
+func (s *limitHoldings) Part(worker string, perSecond float64) float64 {
 	return s.holders.Part(s.now(), worker, perSecond)
 }
 
 // Lent is part of balance.Holdings.
-func (s *limitShare) Lent(worker string) int {
+func (s *limitHoldings) Lent(worker string) int {
 	if loans := s.loans[worker]; loans != nil {
 		return loans.Left(s.now())
 	}
@@ -41,7 +41,7 @@
 }
 
 // UseLent is part of balance.Holdings.
-func (s *limitShare) UseLent(worker string) bool {
+func (s *limitHoldings) UseLent(worker string) bool {
 	loans := s.loans[worker]
 	if loans == nil || !loans.Spend(s.now()) {
 		return false
@@ -55,10 +55,10 @@
 // ShareLimits has this gateway send to workers that name limits only what it holds of these, as one of the gateways that SetHolders names,
 // and what others lend it. Without it the whole is its own. It is called before the first request.
 func (d *Dispatcher) ShareLimits(name string) {
-	now := d.repeats.now
-	d.limits = &limitShare{
+	now := d.retries.now
+	d.limits = &limitHoldings{
 		name: name, now: now, holders: quota.NewHolders(name, retrybudget.ValidFor(d.settings.Budget.Window)), asks: quota.NewAsks(now()),
-		loans: map[string]*quota.Loans{}, lent: make(chan struct{}),
+		loans: map[string]*quota.Loans{}, loanArrived: make(chan struct{}),
 	}
 	d.balancer.ShareLimits(d.limits)
 }
@@ -67,11 +67,11 @@
 func (d *Dispatcher) SetHolders(names []string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.changeHolders(func(holders *quota.Holders) { holders.SetGateways(d.repeats.now(), names) })
+	d.updateHolders(func(holders *quota.Holders) { holders.SetGateways(d.retries.now(), names) })
 }
 
 // changeHolders changes who holds parts of limits. The mutex is held.
-func (d *Dispatcher) changeHolders(change func(holders *quota.Holders)) {
+func (d *Dispatcher) updateHolders(change func(holders *quota.Holders)) {
 	if d.limits == nil {
 		return
 	}
@@ -81,7 +81,7 @@
 }
 
 // sharers returns how many gateways share bounds. The mutex is held.
-func (d *Dispatcher) sharers() int {
+func (d *Dispatcher) gatewayCount() int {
 	if d.limits == nil {
 		return 1
 	}
@@ -89,7 +89,7 @@
 }
 
 // places returns how many of a bound of places belong to this gateway.
-func (d *Dispatcher) places(key string, bound int) int {
+func (d *Dispatcher) placesOf(key string, bound int) int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.limits == nil {
@@ -103,7 +103,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := d.now()
-	clear(d.full)
+	clear(d.saturation)
 	return d.balancer.Limit(now, worker, perSecond, now.Add(-ago))
 }
 
@@ -124,9 +124,9 @@
 // Bounds of a question for loans.
 const (
 	// mostAsked bounds the workers that one question names: a datagram of some 200 bytes.
-	mostAsked = 8
+	maxWorkersPerAsk = 8
 	// wantedOfEach is how many requests are wanted of each: what comes within the life of a loan through a gateway that is busy.
-	wantedOfEach = 16
+	requestsPerAsk = 16
 	// loanWait is how long the request that asks waits for an answer: the ways there and back between regions, and a turn of two processors.
 	loanWait = 50 * time.Millisecond
 )
@@ -134,14 +134,14 @@
 // borrow asks the other gateways for what they hold and do not need of the limits of a group's workers, unless it is too early for that, and
 // tells whether a loan came soon.
 func (d *Dispatcher) borrow(ctx context.Context, group *routing.Group) bool {
-	lent, asked := d.ask(group)
+	loanArrived, asked := d.requestLoans(group)
 	if !asked {
 		return false
 	}
 	timer := time.NewTimer(loanWait)
 	defer timer.Stop()
 	select {
-	case <-lent:
+	case <-loanArrived:
 		return true
 	case <-timer.C:
 	case <-ctx.Done():
@@ -150,20 +150,20 @@
 }
 
 // ask has a question for loans told to the others, and returns what is closed when a loan comes.
-func (d *Dispatcher) ask(group *routing.Group) (<-chan struct{}, bool) {
+func (d *Dispatcher) requestLoans(group *routing.Group) (<-chan struct{}, bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if d.limits == nil || d.sharing.notify == nil || d.sharers() == 1 {
+	if d.limits == nil || d.peers.notify == nil || d.gatewayCount() == 1 {
 		return nil, false
 	}
-	serial, may := d.limits.asks.Ask(d.limits.now(), d.sharers())
-	if !may {
+	serial, allowed := d.limits.asks.Ask(d.limits.now(), d.gatewayCount())
+	if !allowed {
 		return nil, false
 	}
-	workers := d.balancer.Lacking(d.now(), group.Name, writerRole(group), mostAsked)
-	d.limits.toAsk = append(d.limits.toAsk, loadshare.Ask{Asker: d.limits.name, Serial: serial, Workers: workers, Wanted: wantedOfEach})
-	d.sharing.notify(true)
-	return d.limits.lent, true
+	workers := d.balancer.Lacking(d.now(), group.Name, runnerRole(group), maxWorkersPerAsk)
+	d.limits.outgoingAsks = append(d.limits.outgoingAsks, loadshare.Ask{Asker: d.limits.name, Serial: serial, Workers: workers, Wanted: requestsPerAsk})
+	d.peers.notify(true)
+	return d.limits.loanArrived, true
 }
 
 // DrainLoans returns the questions for loans, and the loans, that are to be told to the other gateways.
@@ -173,8 +173,8 @@
 	if d.limits == nil {
 		return nil, nil
 	}
-	asks, loans := d.limits.toAsk, d.limits.toLend
-	d.limits.toAsk, d.limits.toLend = nil, nil
+	asks, loans := d.limits.outgoingAsks, d.limits.outgoingLoans
+	d.limits.outgoingAsks, d.limits.outgoingLoans = nil, nil
 	return asks, loans
 }
 
@@ -193,19 +193,19 @@
 	}
 	for _, loan := range loans {
 		if loan.Asker == d.limits.name {
-			d.take(loan)
+			d.acceptLoan(loan)
 		}
 	}
-	if len(d.limits.toLend) > 0 && d.sharing.notify != nil {
-		d.sharing.notify(true)
+	if len(d.limits.outgoingLoans) > 0 && d.peers.notify != nil {
+		d.peers.notify(true)
 	}
 }
 
 // lend gives an asker what is left here of what it asks for. The mutex is held.
 func (d *Dispatcher) lend(ask loadshare.Ask) {
-	for _, worker := range ask.Workers[:min(len(ask.Workers), mostAsked)] {
-		if count := d.balancer.Lend(d.now(), worker, min(ask.Wanted, wantedOfEach)); count > 0 {
-			d.limits.toLend = append(d.limits.toLend, loadshare.Loan{
+	for _, worker := range ask.Workers[:min(len(ask.Workers), maxWorkersPerAsk)] {
+		if count := d.balancer.Lend(d.now(), worker, min(ask.Wanted, requestsPerAsk)); count > 0 {
+			d.limits.outgoingLoans = append(d.limits.outgoingLoans, loadshare.Loan{
 				Asker: ask.Asker, Serial: ask.Serial, Lender: d.limits.name, Worker: worker, Count: count,
 			})
 		}
@@ -213,7 +213,7 @@
 }
 
 // take takes a loan if it answers the question that is open. The mutex is held.
-func (d *Dispatcher) take(loan loadshare.Loan) {
+func (d *Dispatcher) acceptLoan(loan loadshare.Loan) {
 	until, isAnswer := d.limits.asks.Answer(d.limits.now(), loan.Serial, loan.Lender, loan.Worker)
 	if !isAnswer {
 		return
@@ -222,7 +222,7 @@
 		d.limits.loans[loan.Worker] = &quota.Loans{}
 	}
 	d.limits.loans[loan.Worker].Add(loan.Count, until)
-	clear(d.full)
-	close(d.limits.lent)
-	d.limits.lent = make(chan struct{})
+	clear(d.saturation)
+	close(d.limits.loanArrived)
+	d.limits.loanArrived = make(chan struct{})
 }
--- a/internal/forward/repeats_fleet_test.go
+++ b/internal/forward/repeats_fleet_test.go
@@ -136,7 +136,7 @@
 			f.requests = append(f.requests, f.now)
 			slot.process.dispatcher.CountRequest(simGroup)
 			for range f.wished {
-				if slot.process.dispatcher.Repeats(simGroup).spend() {
+				if slot.process.dispatcher.RetryBudget(simGroup).spend() {
 					f.grants = append(f.grants, f.now)
 				}
 			}
--- a/internal/forward/repeats_test.go
+++ b/internal/forward/repeats_test.go
@@ -30,7 +30,7 @@
 
 // TestBudgetsGoByTheClockSinceBoot checks that a gateway's dispatcher is given the clock that the plays give theirs.
 func TestBudgetsGoByTheClockSinceBoot(t *testing.T) {
-	given := NewDispatcher(DefaultDispatchSettings(), time.Now).repeats.now
+	given := NewDispatcher(DefaultDispatchSettings(), time.Now).retries.now
 	if reflect.ValueOf(given).Pointer() != reflect.ValueOf(boottime.Now).Pointer() {
 		t.Error("budgets of repeats go by another clock than the one since boot")
 	}
--- a/internal/forward/repeats.go
+++ b/internal/forward/retrybudget.go
@@ -10,7 +10,7 @@
 )
 
 // repeats are the budgets of this gateway, one for each group. It is guarded by the mutex of the dispatcher.
-type repeats struct {
+type retryBudgets struct {
 	settings retrybudget.Settings
 	// now never jumps and goes on while the machine sleeps: a jump would empty the window, or hold it still, and the others go on
 	// spending. Its values are compared with each other only.
@@ -18,51 +18,51 @@
 	share   *retrybudget.Share
 	budgets map[string]*groupBudget
 	// first is the part of what may be kept with which budgets began at the first start of the whole system, else 0.
-	first float64
+	initialShare float64
 	// onUsedUp is told of a budget that is used up. Nil tells nobody.
-	onUsedUp func(group string, view retrybudget.View)
+	onExhausted func(group string, view retrybudget.View)
 }
 
 // groupBudget is the budget of one group, and when it was last told to be used up.
 type groupBudget struct {
 	*retrybudget.Budget
-	toldAt time.Time
+	exhaustionReportedAt time.Time
 }
 
 // newRepeats returns the budgets of a gateway that has not been asked for anything.
-func newRepeats(settings retrybudget.Settings, sinceBoot func() time.Time) *repeats {
-	return &repeats{
+func newRetryBudgets(settings retrybudget.Settings, sinceBoot func() time.Time) *retryBudgets {
+	return &retryBudgets{
 		settings: settings, now: sinceBoot, share: retrybudget.NewShare(settings.Window), budgets: map[string]*groupBudget{},
 	}
 }
 
 // of returns the budget of a group. One that is asked for first has earned since the share has been in force.
-func (r *repeats) of(group string) *groupBudget {
-	known, found := r.budgets[group]
+func (r *retryBudgets) forGroup(group string) *groupBudget {
+	budget, found := r.budgets[group]
 	if !found {
-		known = &groupBudget{Budget: retrybudget.New(r.settings)}
+		budget = &groupBudget{Budget: retrybudget.New(r.settings)}
 		now := r.now()
-		known.Earn(r.share.Since(now), r.share.At(now))
-		known.Begin(now, r.share.At(now), r.first)
-		r.budgets[group] = known
+		budget.Earn(r.share.Since(now), r.share.At(now))
+		budget.Begin(now, r.share.At(now), r.initialShare)
+		r.budgets[group] = budget
 	}
-	return known
+	return budget
 }
 
 // shareChanged has all budgets earn with the share of a moment.
-func (r *repeats) shareChanged(now time.Time) {
+func (r *retryBudgets) accrue(now time.Time) {
 	share := r.share.At(now)
-	for _, each := range r.budgets {
-		each.Earn(now, share)
+	for _, budget := range r.budgets {
+		budget.Earn(now, share)
 	}
 }
 
 // mayTell tells whether a budget that is used up is to be told: once within a window.
-func (r *repeats) mayTell(budget *groupBudget, now time.Time) bool {
-	if r.onUsedUp == nil || (!budget.toldAt.IsZero() && now.Sub(budget.toldAt) < r.settings.Window) {
+func (r *retryBudgets) shouldReportExhausted(budget *groupBudget, now time.Time) bool {
+	if r.onExhausted == nil || (!budget.exhaustionReportedAt.IsZero() && now.Sub(budget.exhaustionReportedAt) < r.settings.Window) {
 		return false
 	}
-	budget.toldAt = now
+	budget.exhaustionReportedAt = now
 	return true
 }
 
@@ -70,27 +70,27 @@
 func (d *Dispatcher) SetSharers(count int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	now := d.repeats.now()
-	d.repeats.shareChanged(now)
-	d.repeats.share.SetSharers(now, count)
-	d.repeats.shareChanged(now)
+	now := d.retries.now()
+	d.retries.accrue(now)
+	d.retries.share.SetSharers(now, count)
+	d.retries.accrue(now)
 }
 
 // BeginFirst is ConfirmShare where the whole system starts for the first time: the share begins at once.
 func (d *Dispatcher) BeginFirst(at time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	now := d.repeats.now()
-	d.repeats.shareChanged(now)
-	d.changeHolders(func(holders *quota.Holders) { holders.Confirm(at) })
-	first := d.repeats.share.BeginFirst(at)
-	d.repeats.shareChanged(now)
-	if first == 0 {
+	now := d.retries.now()
+	d.retries.accrue(now)
+	d.updateHolders(func(holders *quota.Holders) { holders.Confirm(at) })
+	initial := d.retries.share.BeginFirst(at)
+	d.retries.accrue(now)
+	if initial == 0 {
 		return
 	}
-	d.repeats.first = first
-	for _, each := range d.repeats.budgets {
-		each.Begin(now, d.repeats.share.At(now), first)
+	d.retries.initialShare = initial
+	for _, budget := range d.retries.budgets {
+		budget.Begin(now, d.retries.share.At(now), initial)
 	}
 }
 
@@ -99,34 +99,34 @@
 func (d *Dispatcher) ConfirmShare(at time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	now := d.repeats.now()
-	d.repeats.shareChanged(now)
-	d.repeats.share.Confirm(at)
-	d.repeats.shareChanged(now)
-	d.changeHolders(func(holders *quota.Holders) { holders.Confirm(at) })
+	now := d.retries.now()
+	d.retries.accrue(now)
+	d.retries.share.Confirm(at)
+	d.retries.accrue(now)
+	d.updateHolders(func(holders *quota.Holders) { holders.Confirm(at) })
 }
 
 // SetBudget replaces the bounds of repeats. What was earned and spent stays: settings are read anew whenever their file changes.
 func (d *Dispatcher) SetBudget(settings retrybudget.Settings) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	if settings == d.repeats.settings {
+	if settings == d.retries.settings {
 		return
 	}
-	d.repeats.settings = settings
-	d.repeats.share.SetWindow(settings.Window)
-	d.changeHolders(func(holders *quota.Holders) { holders.SetValid(retrybudget.ValidFor(settings.Window)) })
-	for _, each := range d.repeats.budgets {
-		each.SetSettings(d.repeats.now(), settings)
+	d.retries.settings = settings
+	d.retries.share.SetWindow(settings.Window)
+	d.updateHolders(func(holders *quota.Holders) { holders.SetValid(retrybudget.ValidFor(settings.Window)) })
+	for _, budget := range d.retries.budgets {
+		budget.SetSettings(d.retries.now(), settings)
 	}
 }
 
 // WatchBudgets makes the dispatcher tell when the budget of a group is used up, once within a window for each. The function is
 // called without a mutex, by the request that is denied.
-func (d *Dispatcher) WatchBudgets(usedUp func(group string, view retrybudget.View)) {
+func (d *Dispatcher) WatchBudgets(onExhausted func(group string, view retrybudget.View)) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.repeats.onUsedUp = usedUp
+	d.retries.onExhausted = onExhausted
 }
 
 // BudgetView is the budget of one group.
@@ -141,11 +141,11 @@
 func (d *Dispatcher) Budgets() []BudgetView {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	now := d.repeats.now()
-	share, sharers := d.repeats.share.At(now), d.repeats.share.Sharers(now)
+	now := d.retries.now()
+	share, sharers := d.retries.share.At(now), d.retries.share.Sharers(now)
 	var views []BudgetView
-	for _, group := range slices.Sorted(maps.Keys(d.repeats.budgets)) {
-		views = append(views, BudgetView{Group: group, View: d.repeats.budgets[group].View(now, share), Sharers: sharers})
+	for _, group := range slices.Sorted(maps.Keys(d.retries.budgets)) {
+		views = append(views, BudgetView{Group: group, View: d.retries.budgets[group].View(now, share), Sharers: sharers})
 	}
 	return views
 }
@@ -154,40 +154,42 @@
 func (d *Dispatcher) CountRequest(group string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	now := d.repeats.now()
-	d.repeats.of(group).CountRequest(now, d.repeats.share.At(now))
+	now := d.retries.now()
+	d.retries.forGroup(group).CountRequest(now, d.retries.share.At(now))
 }
 
 // Repeats returns the budget of a group.
-func (d *Dispatcher) Repeats(group string) Repeats { return Repeats{dispatcher: d, group: group} }
+func (d *Dispatcher) RetryBudget(group string) RetryBudget {
+	return RetryBudget{dispatcher: d, group: group}
+}
 
 // Repeats grants repeats of requests for one group.
-type Repeats struct {
+type RetryBudget struct {
 	dispatcher *Dispatcher
 	group      string
 }
 
 // spend is part of budget. It tells of a used up budget without the mutex: a log that can't be written must keep no request waiting.
-func (r Repeats) spend() bool {
-	granted, usedUp := r.take()
-	if usedUp != nil {
-		usedUp()
+func (r RetryBudget) spend() bool {
+	granted, report := r.takeRetry()
+	if report != nil {
+		report()
 	}
 	return granted
 }
 
 // take takes one repeat, and returns what is to be called if that has to be told, or nil.
-func (r Repeats) take() (granted bool, usedUp func()) {
+func (r RetryBudget) takeRetry() (granted bool, report func()) {
 	r.dispatcher.mutex.Lock()
 	defer r.dispatcher.mutex.Unlock()
-	known, now := r.dispatcher.repeats, r.dispatcher.repeats.now()
-	budget, share := known.of(r.group), known.share.At(now)
+	budgets, now := r.dispatcher.retries, r.dispatcher.retries.now()
+	budget, share := budgets.forGroup(r.group), budgets.share.At(now)
 	if budget.Spend(now, share) {
 		return true, nil
 	}
-	if !known.mayTell(budget, now) {
+	if !budgets.shouldReportExhausted(budget, now) {
 		return false, nil
 	}
-	tell, view := known.onUsedUp, budget.View(now, share)
-	return false, func() { tell(r.group, view) }
+	onExhausted, view := budgets.onExhausted, budget.View(now, share)
+	return false, func() { onExhausted(r.group, view) }
 }
--- a/internal/forward/rolechange.go
+++ b/internal/forward/rolechange.go
@@ -9,13 +9,13 @@
 )
 
 // longestChange is how long work is kept off an engine whose record does not tell that it has changed.
-const longestChange = 5 * time.Second
+const maxRoleChangeTime = 5 * time.Second
 
 // roleChange is a change of the role of an engine.
 type roleChange struct {
 	role backend.Role
 	// ready is when it is expected to be done, and until is for how long it counts.
-	ready, until time.Time
+	readyAt, expiresAt time.Time
 }
 
 // Groups is part of roles.Fleet.
@@ -24,7 +24,7 @@
 	defer d.mutex.Unlock()
 	now := d.now()
 	groups := map[string]*roles.Group{}
-	for service, engine := range d.engines {
+	for service, engine := range d.engineGroups {
 		for worker, standing := range d.balancer.Engines(now, service) {
 			if worker.Group != service {
 				continue
@@ -33,11 +33,11 @@
 			group, found := groups[name]
 			if !found {
 				group = &roles.Group{
-					Engines: make([]roles.Engine, 0, d.balancer.Count(service)), ReadingDemand: d.readingDemand(name, service), Wrote: d.known.wrote[name], RoleChange: engine.RoleChange,
+					Engines: make([]roles.Engine, 0, d.balancer.Count(service)), ReadingDemand: d.prefillDemand(name, service), Wrote: d.engineState.hadDecoders[name], RoleChange: engine.RoleChange,
 				}
 				groups[name] = group
 			}
-			group.Engines = append(group.Engines, d.engineOf(now, worker, standing))
+			group.Engines = append(group.Engines, d.engineSnapshot(now, worker, standing))
 		}
 	}
 	return groups
@@ -49,8 +49,8 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	busy := 0.0
-	if d.engines[group] != nil {
-		busy = d.readingDemand(group, group)
+	if d.engineGroups[group] != nil {
+		busy = d.prefillDemand(group, group)
 	}
 	for worker, standing := range d.balancer.Engines(d.now(), group) {
 		if worker.Group == group && worker.Slots > 0 {
@@ -61,13 +61,13 @@
 }
 
 // engineOf is what planners know of an engine. The mutex is held.
-func (d *Dispatcher) engineOf(now time.Time, worker *backend.Worker, standing balance.Standing) roles.Engine {
+func (d *Dispatcher) engineSnapshot(now time.Time, worker *backend.Worker, standing balance.Standing) roles.Engine {
 	engine := roles.Engine{Worker: worker, Load: standing.Load, Usable: standing.Usable}
-	if change, found := d.known.changes[worker.ID]; found && now.Before(change.until) {
+	if change, found := d.engineState.pendingRoles[worker.ID]; found && now.Before(change.expiresAt) {
 		engine.Becoming = change.role
 	}
-	_, engine.Gone = d.known.absent.Absent(now, worker.ID)
-	if at, learnt := d.known.absent.BackAt(worker.ID); learnt {
+	_, engine.Gone = d.engineState.absences.Absent(now, worker.ID)
+	if at, learnt := d.engineState.absences.BackAt(worker.ID); learnt {
 		engine.BackAt = at
 	}
 	return engine
@@ -83,20 +83,20 @@
 	}
 	until := d.now()
 	if worker.Role != role {
-		until = until.Add(longestChange)
-		change := roleChange{role: role, ready: d.now(), until: until}
-		if engine := d.engines[worker.Group]; engine != nil {
-			change.ready = change.ready.Add(engine.RoleChange)
+		until = until.Add(maxRoleChangeTime)
+		change := roleChange{role: role, readyAt: d.now(), expiresAt: until}
+		if engine := d.engineGroups[worker.Group]; engine != nil {
+			change.readyAt = change.readyAt.Add(engine.RoleChange)
 		}
-		if before, found := d.known.changes[id]; found && before.role == role {
-			change.ready = before.ready
+		if before, found := d.engineState.pendingRoles[id]; found && before.role == role {
+			change.readyAt = before.readyAt
 		}
-		d.sharing.changing[id], d.known.changes[id] = change, change
-		d.known.tellNews()
+		d.peers.roleChanges[id], d.engineState.pendingRoles[id] = change, change
+		d.engineState.notifyChange()
 	} else {
-		delete(d.sharing.changing, id)
-		delete(d.known.changes, id)
+		delete(d.peers.roleChanges, id)
+		delete(d.engineState.pendingRoles, id)
 	}
 	d.balancer.SetChanging(id, until)
-	d.sharing.loadChanged(id, true)
+	d.peers.loadChanged(id, true)
 }
--- a/internal/forward/full.go
+++ b/internal/forward/saturation.go
@@ -14,32 +14,32 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.balancer.BackOff(d.now(), worker, wanted)
-	clear(d.full)
+	clear(d.saturation)
 }
 
 // foundFull is that no worker of a group takes requests, as it was found at a moment; a zero time until when if some do.
-type foundFull struct {
+type cachedSaturation struct {
 	at time.Time
 	balance.Full
 }
 
 // fullUntil returns why and until when no worker of a group takes requests, or false unless all of them want none now. It is found anew once
 // in foundTime: callers are refused as often as they ask, and a group has thousands of workers.
-func (d *Dispatcher) fullUntil(group *routing.Group) (balance.Full, bool) {
+func (d *Dispatcher) saturatedUntil(group *routing.Group) (balance.Full, bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := d.now()
-	found, known := d.full[group.Name]
-	if !known || now.Sub(found.at) >= foundTime || !now.Before(found.Until) {
-		full, _ := d.balancer.FullUntil(now, group.Name, writerRole(group))
-		found = foundFull{at: now, Full: full}
-		d.full[group.Name] = found
+	cached, isCached := d.saturation[group.Name]
+	if !isCached || now.Sub(cached.at) >= availabilityCacheTime || !now.Before(cached.Until) {
+		full, _ := d.balancer.FullUntil(now, group.Name, runnerRole(group))
+		cached = cachedSaturation{at: now, Full: full}
+		d.saturation[group.Name] = cached
 	}
-	return found.Full, !found.Until.IsZero()
+	return cached.Full, !cached.Until.IsZero()
 }
 
 // writerRole returns the role of the workers of a group that write answers.
-func writerRole(group *routing.Group) backend.Role {
+func runnerRole(group *routing.Group) backend.Role {
 	if group.Engine == nil {
 		return backend.RoleNone
 	}
@@ -49,15 +49,15 @@
 // bookPlace returns when a place is expected for a caller of a group whose workers take only so many requests a second, after those that were
 // told before. One that can't wait so long does not hold a place up for the next. Each gateway tells its callers a part of the places: they
 // come back to any.
-func (d *Dispatcher) bookPlace(group string, full balance.Full, latest time.Time) time.Time {
+func (d *Dispatcher) reserveSlot(group string, full balance.Full, latest time.Time) time.Time {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	at := d.booked[group].Add(time.Duration(float64(d.sharers()) / full.PerSecond * float64(time.Second)))
+	at := d.reservedUntil[group].Add(time.Duration(float64(d.gatewayCount()) / full.PerSecond * float64(time.Second)))
 	if at.Before(full.Until) {
 		at = full.Until
 	}
 	if !at.After(latest) {
-		d.booked[group] = at
+		d.reservedUntil[group] = at
 	}
 	return at
 }
--- a/internal/forward/scale_test.go
+++ b/internal/forward/scale_test.go
@@ -68,10 +68,10 @@
 					b.Fatal("no engine")
 				}
 				runner := placement.Runner
-				if placement.Reader != nil {
-					dispatcher.HasRead(placement.Reader.Worker, request)
-					placement.Reader.finish(balance.OutcomeGood)
-					runner, _ = dispatcher.PlaceRunner(request, engineGroup, nil, placement.Reader)
+				if placement.Prefill != nil {
+					dispatcher.RecordPrefilled(placement.Prefill.Worker, request)
+					placement.Prefill.finish(balance.OutcomeGood)
+					runner, _ = dispatcher.PlaceRunner(request, engineGroup, nil, placement.Prefill)
 				}
 				if under = append(under, runner); len(under) > 100 {
 					under[0].finish(balance.OutcomeGood)
@@ -144,7 +144,7 @@
 	for i := range 60 {
 		request := fleetRequest(6 * i)
 		placement, _ := before.Place(request, engineGroup, PlaceOptions{})
-		before.HasRead(placement.Reader.Worker, request)
+		before.RecordPrefilled(placement.Prefill.Worker, request)
 	}
 	if news := after.LearnAll(before.Kept(1_000)); news != 60 {
 		t.Errorf("%d parts were news", news)
@@ -159,8 +159,8 @@
 		request := fleetRequest(6 * i)
 		placement, _ := after.Place(request, engineGroup, PlaceOptions{})
 		reader := placement.Runner
-		if placement.Reader != nil {
-			reader = placement.Reader
+		if placement.Prefill != nil {
+			reader = placement.Prefill
 		}
 		if placement.FetchFrom == nil && !before.residency.Keeps(reader.Worker.ID, request.Demand.Parts[0].ID) {
 			t.Errorf("document %d is read again at %s", i, reader.Worker.ID)
