--- a/internal/forward/demand.go
+++ b/internal/forward/demand.go
@@ -6,13 +6,13 @@
 	"github.com/granitebay/granitebay/internal/loadshare"
 )
 
-// offered counts the reading that callers have offered for the engines of one group through this gateway.
+// demandCounter counts the prefill work that callers request from the engines of one group through this gateway.
 type demandCounter struct {
 	tokens int64
 	rate   loadshare.Rate
 }
 
-// countOffered notes the work of reading one prompt, once for each request. The mutex is held.
+// countDemand adds the work of prefilling one prompt. It is called once per request, with the mutex held.
 func (d *Dispatcher) countDemand(worker *backend.Worker, tokens int) {
 	group := worker.RoleGroup()
 	counter, found := d.demand[group]
@@ -23,7 +23,7 @@
 	counter.tokens += int64(tokens)
 }
 
-// toTellOffered returns what was offered, for the other gateways. The mutex is held.
+// demandToSend returns the counters for the other gateways. The mutex is held.
 func (d *Dispatcher) demandToSend() []loadshare.Offered {
 	var demand []loadshare.Offered
 	for group, counter := range d.demand {
@@ -32,8 +32,8 @@
 	return demand
 }
 
-// readingDemand returns how many engines that only read would be busy with the prompts that callers offer for a group through all
-// gateways. The engines are of a service. The mutex is held.
+// prefillDemand returns how many prefill engines the prompts of a group, received by all gateways, would keep busy. The service determines
+// the class of the engines. The mutex is held.
 func (d *Dispatcher) prefillDemand(group, service string) float64 {
 	now := d.now()
 	perSecond := d.peers.board.Offered(now, group)
--- a/internal/forward/dispatcher.go
+++ b/internal/forward/dispatcher.go
@@ -13,30 +13,30 @@
 	"github.com/granitebay/granitebay/internal/routing"
 )
 
-// DispatchSettings say how requests are placed.
+// DispatchSettings configure the placement of requests.
 type DispatchSettings struct {
-	// Zone of this gateway; near workers are preferred.
+	// Zone is the zone of this gateway. Workers in the same zone are preferred.
 	Zone string
-	// ApartSeconds is the cost of having a prompt read by an engine of its own: one more call and the move.
+	// DisaggregationSeconds is the cost of prefilling a prompt on a separate engine: one more call and the transfer.
 	DisaggregationSeconds float64
-	// LongReading is the time from which reading makes pauses in other answers that are too long, at the cost of
-	// LongReadingSeconds.
+	// LongPrefill is the prefill time above which prefilling on a decode engine interrupts its other answers for too long. The interruption
+	// costs LongPrefillSeconds.
 	LongPrefill        time.Duration
 	LongPrefillSeconds float64
-	// UrgentTokens is the length from which other gateways are told of a reading at once.
+	// UrgentNotifyTokens is the prompt length from which other gateways are notified of a prefill immediately.
 	UrgentNotifyTokens int
-	// LeastSharedTokens is the length from which shared parts of prompts are followed over the engines.
+	// MinSharedTokens is the length from which shared prompt prefixes are tracked per engine.
 	MinSharedTokens int
-	// RereadWeight scales the time of reading a shared part that another engine keeps, and FetchWeight that of fetching it.
+	// RecomputeWeight scales the time to prefill a shared prefix that another engine has cached, and FetchWeight the time to fetch it.
 	RecomputeWeight float64
 	FetchWeight     float64
-	// MoveSeconds is the cost of moving a prompt to an engine that does not keep its shared part.
+	// TransferSeconds is the cost of transferring a prompt to an engine that has not cached its shared prefix.
 	TransferSeconds float64
 	Balance         balance.Settings
 	Budget          retrybudget.Settings
 }
 
-// DefaultDispatchSettings returns the settings in which only the zone and the budget are missing.
+// DefaultDispatchSettings returns the default settings, except for the zone and the budget.
 func DefaultDispatchSettings() DispatchSettings {
 	return DispatchSettings{
 		DisaggregationSeconds: 0.012,
@@ -51,7 +51,7 @@
 	}
 }
 
-// Dispatcher places requests on workers and keeps count of them. It is safe for concurrent use.
+// Dispatcher assigns requests to workers and tracks their load. It is safe for concurrent use.
 type Dispatcher struct {
 	settings DispatchSettings
 	now      func() time.Time
@@ -63,27 +63,27 @@
 	peers       *peerExchange
 	retries     *retryBudgets
 	engineState *engineState
-	// engines holds the engines of each group.
+	// engineGroups holds the engine settings of each group.
 	engineGroups map[string]*routing.Engine
 	demand       map[string]*demandCounter
-	// chosen is told of each choice; nil is nobody.
+	// onPlacement is called after each placement; may be nil.
 	onPlacement func(took time.Duration, candidates int)
-	// full is that workers of groups take no requests, as it was found last, by group, and booked when the last place is expected that
-	// callers of groups were told.
+	// saturation caches, by group, whether no worker accepts requests. reservedUntil is the time of the last slot that was announced to a
+	// caller of the group.
 	saturation    map[string]cachedSaturation
 	reservedUntil map[string]time.Time
-	// limits is what this gateway holds of what workers with limits take; nil where that is the whole.
+	// limits is this gateway's share of the workers' rate limits; nil if it has all of them.
 	limits *limitHoldings
-	// recorded are the workers as they were told, without what is known of them beyond that.
+	// records are the workers as recorded in the store, without the roles that engines reported themselves.
 	records backend.Set
 }
 
-// NewDispatcher returns a dispatcher that knows no workers yet. Its budgets of repeats go by boottime.
+// NewDispatcher returns a dispatcher without workers. Its retry budgets use the clock since boot.
 func NewDispatcher(settings DispatchSettings, now func() time.Time) *Dispatcher {
 	return newDispatcher(settings, now, boottime.Now)
 }
 
-// newDispatcher is NewDispatcher with both clocks: that of the work of this process, and that of what others may do without it.
+// newDispatcher is NewDispatcher with both clocks. The clock since boot is used for everything that depends on the time of other gateways.
 func newDispatcher(settings DispatchSettings, now, sinceBoot func() time.Time) *Dispatcher {
 	peers := newPeerExchange()
 	model := enginemodel.New()
@@ -123,7 +123,7 @@
 	d.changeWorkers(workers.Since(d.records))
 }
 
-// ChangeWorkers takes workers that are new, described anew or gone. Its work does not grow with the number of the others.
+// ChangeWorkers applies added, updated and removed workers. Its cost depends on the number of changes, not of workers.
 func (d *Dispatcher) ChangeWorkers(changes backend.Changes) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -150,7 +150,7 @@
 	}
 }
 
-// WorkerEnded notes that a worker ended under a request, so long ago.
+// WorkerEnded records that a worker crashed while running a request, and how long ago.
 func (d *Dispatcher) WorkerEnded(worker string, sinceEnd time.Duration) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -158,17 +158,17 @@
 	d.balancer.Ended(now, now.Add(-sinceEnd), worker)
 }
 
-// SuspectTurn is when a suspect may run.
+// SuspectTurn says when a suspect request may run.
 type SuspectTurn struct {
-	// In is after how long it is expected to.
+	// Wait is the expected time until then.
 	Wait time.Duration
-	// IsSoon is set when that is worth waiting for: its turn is to come. Otherwise a worker has to come back first.
+	// WorthWaiting is set if only other suspect requests come first. Otherwise a worker has to come back before.
 	WorthWaiting bool
-	// Tried is set when it was tried at all workers at which it may run.
+	// Exhausted is set if the request was tried at all workers at which it may run.
 	Exhausted bool
 }
 
-// TurnOf returns when a suspect may run that was tried at some workers.
+// SuspectTurnOf returns when a suspect request may run that was already tried at the excluded workers.
 func (d *Dispatcher) SuspectTurnOf(group *routing.Group, suspectKey string, excluded []string) SuspectTurn {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -181,7 +181,7 @@
 	return SuspectTurn{Wait: in, WorthWaiting: in <= d.settings.Balance.Risk.Round(), Exhausted: d.balancer.Tried(now, query)}
 }
 
-// assign counts work at a worker. The mutex is held.
+// assign adds the load of a request to a worker. The mutex is held.
 func (d *Dispatcher) assign(choice balance.Choice, tokens int, deferred bool, objective time.Duration) *Assignment {
 	worker := choice.Worker
 	queued := d.balancer.TotalLoad(worker.ID)
@@ -195,27 +195,27 @@
 	}
 }
 
-// Assignment is work that was given to a worker. It is used by one goroutine.
+// Assignment is a request's work at a worker. It is not safe for concurrent use.
 type Assignment struct {
 	Worker *backend.Worker
-	// Score is the expected cost for which the worker was picked among Candidates.
+	// Score is the cost for which the worker was picked among Candidates.
 	Score      balance.Score
 	Candidates int
 	dispatcher *Dispatcher
-	// load that the work is at the worker, and the tokens of others that it was to read before.
+	// load is the load of this request at the worker; queuedTokens were waiting to be prefilled there before it.
 	load         backend.Load
 	queuedTokens int
-	// deferred work waits until the worker has nothing else to read.
+	// deferred work waits until the worker has nothing else to prefill.
 	deferred bool
-	// objective within which the answer is wanted; zero when there is none.
+	// objective is the time within which the answer is wanted; zero if there is none.
 	objective time.Duration
-	// apart is the key by which a suspect is spread; empty for other requests.
+	// suspectKey spreads suspect requests over workers; empty for other requests.
 	suspectKey string
 	startedAt  time.Time
 	finished   bool
 }
 
-// answered notes that the worker has read the prompt.
+// prefilled records that the worker has prefilled the prompt.
 func (a *Assignment) prefilled() {
 	d := a.dispatcher
 	d.mutex.Lock()
@@ -226,7 +226,7 @@
 	a.load = backend.Load{}
 }
 
-// observeReading tells the model how long the worker took to read the prompt. The mutex is held.
+// observePrefill feeds the prefill time of the worker to the model. The mutex is held.
 func (a *Assignment) observePrefill() {
 	if a.deferred {
 		return
@@ -237,9 +237,8 @@
 	})
 }
 
-// Patience with an engine that gives no sign: a base, and so many times what its queue and the reading were expected to take. The base
-// is a part of the objective, so that another engine can still answer within it: on a quiet day 50 of 16,000 short prompts take longer
-// although their engine is well.
+// The response timeout of an engine is a base plus a multiple of the expected queueing and prefill time. The base is limited to a share of
+// the objective, so that another engine can still answer in time.
 const (
 	responseTimeoutBase           = 400 * time.Millisecond
 	responseTimeoutObjectiveShare = 0.4
@@ -247,7 +246,7 @@
 	nanosecondsPerSecond          = float64(time.Second)
 )
 
-// patience is how long the worker may give no sign before it is taken to have failed.
+// responseTimeout returns how long the worker may take to start responding before it is considered failed.
 func (a *Assignment) responseTimeout() time.Duration {
 	base := responseTimeoutBase
 	if a.objective > 0 {
@@ -256,13 +255,13 @@
 	return base + time.Duration(responseTimeoutCostFactor*a.Score.Answer*nanosecondsPerSecond)
 }
 
-// mayBeBusy tells whether a silent worker need not have failed: the time of the request was over before the worker was late. Of
-// plain workers no queue is expected.
+// mayBeBusy reports whether a silent worker may only be busy, because the request ended before its response timeout. No queueing time is
+// expected of plain workers, so they are never considered busy.
 func (a *Assignment) mayBeBusy(now time.Time) bool {
 	return a.Worker.Role != backend.RoleNone && (a.deferred || now.Sub(a.startedAt) < a.responseTimeout())
 }
 
-// finish notes the end of the work, once.
+// finish records the end of the work. Only the first call has an effect.
 func (a *Assignment) finish(outcome balance.Outcome) {
 	if a == nil {
 		return
@@ -283,7 +282,7 @@
 		outcome = balance.OutcomeNone
 	}
 	if outcome == balance.OutcomeError && a.Worker.Role != backend.RoleNone {
-		// An engine that answers an error has failed itself; with plain workers it is as often the fault of the request.
+		// An error response of an engine means that the engine failed. With plain workers, the request is as often at fault.
 		outcome = balance.OutcomeBroken
 	}
 	if outcome == balance.OutcomeGood {
--- a/internal/forward/enginestate.go
+++ b/internal/forward/enginestate.go
@@ -14,25 +14,26 @@
 	"github.com/granitebay/granitebay/internal/routing"
 )
 
-// engines is what this gateway knows of engines beyond their records: which have ended, and which change their roles or have. It is
-// guarded by the mutex of the dispatcher.
+// engineState is what this gateway knows of engines beyond their records in the store: which have ended, and which have changed their roles
+// or are about to. It is guarded by the mutex of the dispatcher.
 type engineState struct {
 	absences *absence.Table
-	// changes are under way, ordered by this gateway or another one, and taken the roles that engines have and their records do not tell yet.
+	// pendingRoles are role changes in progress, ordered by any gateway. reportedRoles are roles that engines reported but that their
+	// records do not show yet.
 	pendingRoles, reportedRoles map[string]roleChange
 	returns                     []absence.Return
-	// revived is closed, and replaced, when an engine takes requests again.
+	// recovered is closed and replaced when an engine accepts requests again.
 	recovered chan struct{}
-	// losses are the lost roles as they were found last, by group: requests ask for them, and a group has thousands of engines.
+	// lossCache caches the lost role of each group, because computing it iterates over all engines of the group.
 	lossCache map[string]cachedLoss
-	// wrote are the groups, and those within which roles are planned, in which an engine was recorded as a writer. Before, the records
-	// of writers may only be on their way.
+	// hadDecoders are the groups in which a decode engine has been seen. Before that, a role is not considered lost, since the records may
+	// not have arrived yet.
 	hadDecoders map[string]bool
-	// news tells that there is something to ask engines, or to decide. Nil tells nobody.
+	// onChange signals that engines should be queried or that the state has changed; nil if nobody is notified.
 	onChange func()
 }
 
-// newEngines knows nothing beyond the records.
+// newEngineState returns an empty state.
 func newEngineState() *engineState {
 	return &engineState{
 		absences: absence.New(absence.DefaultSettings()), pendingRoles: map[string]roleChange{}, reportedRoles: map[string]roleChange{},
@@ -40,20 +41,20 @@
 	}
 }
 
-// recordTime is after how long an engine is asked again that said it has a role which its record does not tell: records lag by some
-// heartbeats, and stand still while the store is away.
+// reportedRoleRecheck is how long after an engine reported its role it is queried again if its record does not show that role. Records lag
+// by some heartbeats, and are not updated while the store is unavailable.
 const reportedRoleRecheck = 10 * time.Second
 
-// foundLoss is a lost role as it was found at a moment.
+// cachedLoss is a lost role with the time at which it was computed.
 type cachedLoss struct {
 	at   time.Time
 	loss Loss
 }
 
-// foundTime is for how long it is taken to be as it was found that no worker takes requests, unless something was heard of workers.
+// availabilityCacheTime is how long losses and saturation are cached unless an update invalidates them.
 const availabilityCacheTime = 10 * time.Millisecond
 
-// noteWriters notes in which groups engines write.
+// recordDecoders marks the groups of decode engines.
 func (e *engineState) recordDecoders(workers []*backend.Worker) {
 	for _, worker := range workers {
 		if worker.Role == backend.RoleDecode {
@@ -64,7 +65,7 @@
 	}
 }
 
-// tellNews tells that there is something to do.
+// notifyChange signals a change.
 func (e *engineState) notifyChange() {
 	clear(e.lossCache)
 	if e.onChange != nil {
@@ -72,15 +73,15 @@
 	}
 }
 
-// revive lets requests that wait for an engine look again.
+// signalRecovered wakes requests that wait for an engine.
 func (e *engineState) signalRecovered() {
 	clear(e.lossCache)
 	close(e.recovered)
 	e.recovered = make(chan struct{})
 }
 
-// withTaken returns workers that were put with the roles that they have taken and their records do not tell yet, and drops what is known of
-// those that are gone.
+// applyReportedRoles returns the updated workers with the roles that they reported but that their records do not show yet. It also drops
+// the state of removed workers.
 func (e *engineState) applyReportedRoles(now time.Time, put []*backend.Worker, gone []string) []*backend.Worker {
 	for _, id := range gone {
 		delete(e.pendingRoles, id)
@@ -105,7 +106,7 @@
 	return updated
 }
 
-// expireChanges drops changes of roles that took too long.
+// expirePendingRoles drops role changes that took too long.
 func (e *engineState) expirePendingRoles(now time.Time, balancer *balance.Balancer) {
 	for id, change := range e.pendingRoles {
 		if _, found := balancer.Worker(id); !found || !now.Before(change.expiresAt) {
@@ -114,28 +115,30 @@
 	}
 }
 
-// withRole returns a worker with another role.
+// withRole returns a copy of a worker with another role.
 func withRole(worker *backend.Worker, role backend.Role) *backend.Worker {
 	changed := *worker
 	changed.Role = role
 	return &changed
 }
 
-// WatchEngines tells whom to tell that engines are to be asked, or that what is known of them has changed. It must not wait.
+// WatchEngines sets a callback that signals that engines should be queried or that their state has changed. It must not block.
 func (d *Dispatcher) WatchEngines(onChange func()) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.engineState.onChange = onChange
 }
 
-// Question is an engine of which more is to be known.
+// Question is an engine that should be queried.
 type Question struct {
 	Worker *backend.Worker
-	// Absent engines are taken to have ended, Confirmed if this gateway saw that itself. Others change their role.
+	// Absent is set if the engine is assumed to have ended, and Confirmed if this gateway observed that itself. Other engines are changing
+	// their role.
 	Absent, Confirmed bool
 }
 
-// Questions returns the engines to be asked: those that have ended, and those that should have changed their role by now.
+// Questions returns the engines to query: those that have ended, those that should have completed a role change, and those whose records do
+// not show their reported roles.
 func (d *Dispatcher) Questions() []Question {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -163,15 +166,15 @@
 	return questions
 }
 
-// EngineRefuses notes that the address of an engine refused a connection of this gateway: its process has ended.
+// EngineRefuses records that an engine's address refused a connection of this gateway, which means that its process has ended.
 func (d *Dispatcher) EngineRefuses(id string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.recordRefused(id, true)
 }
 
-// engineRefuses notes that the address of an engine refused a connection. What this gateway saw itself is told to the others. The mutex
-// is held.
+// recordRefused records that an engine's address refused a connection. Firsthand observations are sent to the other gateways. The mutex is
+// held.
 func (d *Dispatcher) recordRefused(id string, firsthand bool) {
 	worker, found := d.balancer.Worker(id)
 	if !found || worker.Role == backend.RoleNone {
@@ -189,7 +192,7 @@
 	}
 }
 
-// EngineAnswers notes what an engine said of itself: it lives, and has a role unless it is still changing it.
+// EngineAnswers records the response of an engine: it is up, and has the role unless it is still changing.
 func (d *Dispatcher) EngineAnswers(id string, role backend.Role, changing bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -212,7 +215,7 @@
 	}
 }
 
-// engineLives takes back that an engine has ended, and tells whether that was held. The mutex is held.
+// markAlive clears the assumption that an engine has ended, and reports whether there was one. The mutex is held.
 func (d *Dispatcher) markAlive(worker *backend.Worker) bool {
 	now := d.now()
 	if !d.engineState.absences.Answers(now, worker) {
@@ -224,7 +227,7 @@
 	return true
 }
 
-// takeRole takes the word of an engine that it has a role, ahead of its record. The mutex is held.
+// acceptReportedRole applies a role that an engine reported before its record shows it. The mutex is held.
 func (d *Dispatcher) acceptReportedRole(worker *backend.Worker, role backend.Role) {
 	delete(d.engineState.pendingRoles, worker.ID)
 	delete(d.peers.roleChanges, worker.ID)
@@ -240,7 +243,7 @@
 	d.engineState.notifyChange()
 }
 
-// hearEngines takes what another gateway tells of engines. The mutex is held.
+// applyPeerEngines applies the engine state that another gateway sent. The mutex is held.
 func (d *Dispatcher) applyPeerEngines(message *loadshare.Message) {
 	now := d.now()
 	for _, id := range message.Refused {
@@ -274,7 +277,7 @@
 	}
 }
 
-// maxTime returns the later of two moments.
+// laterOf returns the later of two times.
 func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
@@ -282,7 +285,7 @@
 	return b
 }
 
-// Returned returns the engines that recorded themselves again since the last call.
+// Returned returns the engines that registered again since the last call.
 func (d *Dispatcher) Returned() []absence.Return {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -291,7 +294,7 @@
 	return returned
 }
 
-// noteRefused notes that a worker has ended, if an error shows it.
+// recordIfRefused records that a worker has ended if the error is a refused connection.
 func (d *Dispatcher) recordIfRefused(worker *backend.Worker, err error) {
 	var transport *httpclient.Error
 	if worker.Role != backend.RoleNone && errors.As(err, &transport) && transport.Refused() {
@@ -299,30 +302,30 @@
 	}
 }
 
-// Loss is a group in which no engine can write answers, although there are engines.
+// Loss describes a group that has engines but none that can decode.
 type Loss struct {
-	// Lost writers have ended, Changing engines become writers, and Readers live.
+	// Lost decode engines have ended, Changing engines are becoming decode engines, and Readers are prefill engines that are up.
 	Lost, Changing, Readers int
-	// Since is when the last writer is known to have ended; zero if its record went.
+	// Since is when the last decode engine is known to have ended; zero if its record was removed.
 	Since time.Time
-	// Back is when an engine is expected to write again.
+	// Back is when an engine is expected to decode again.
 	Back time.Time
-	// Revived is closed once an engine takes requests again.
+	// Recovered is closed once an engine accepts requests again.
 	Recovered <-chan struct{}
 }
 
-// orderTime is how long the order that brings a lost role back is waited for: a word to the gateway that gives orders, its own look at
-// the engines that ended, and the step of its controller.
+// roleOrderTime is the expected time until a role change is ordered that restores a lost role: the ordering gateway is notified, queries
+// the engines itself and runs its controller.
 const roleOrderTime = 500 * time.Millisecond
 
-// LossOf tells whether no engine of a group can write answers, although engines were recorded.
+// RoleLoss reports whether a group has engines but none that can decode.
 func (d *Dispatcher) RoleLoss(group *routing.Group) (Loss, bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.roleLoss(group.Name, group.Engine)
 }
 
-// Losses returns the groups in which no engine can write answers.
+// Losses returns the groups that have no engine that can decode.
 func (d *Dispatcher) Losses() map[string]Loss {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -335,7 +338,7 @@
 	return losses
 }
 
-// lossOf is LossOf with the mutex held.
+// roleLoss is RoleLoss with the mutex held.
 func (d *Dispatcher) roleLoss(group string, engine *routing.Engine) (Loss, bool) {
 	if engine == nil || !d.engineState.hadDecoders[group] {
 		return Loss{}, false
@@ -374,8 +377,8 @@
 	return loss, true
 }
 
-// backAt returns when an engine is expected to write again: when a change that is under way is done, or else an order that is due, or else
-// when an engine that ended is back. What is late is taken to be late by as much again.
+// expectedRecovery returns when an engine is expected to decode again: when a pending or expected role change completes, or when an engine
+// that ended is back. If that time has passed, the delay is assumed to double.
 func (d *Dispatcher) expectedRecovery(now time.Time, loss *Loss, engine *routing.Engine, changeDone, returnsAt time.Time) time.Time {
 	changeOrdered := loss.Since.Add(roleOrderTime)
 	if changeDone.IsZero() && loss.Readers > 1 && !loss.Since.IsZero() && now.Before(changeOrdered) {
@@ -392,11 +395,11 @@
 	}
 }
 
-// AskEngineEvery is how often an engine is asked that should have changed its role or ended: the least time in which something can be
-// expected of one that is late.
+// AskEngineEvery is how often engines are queried that have ended or should have completed a role change. It is also the minimum remaining
+// time assumed for one that is late.
 const AskEngineEvery = 100 * time.Millisecond
 
-// earliest returns the earlier of two moments; a zero one does not count.
+// earliestSet returns the earlier of two times, ignoring zero times.
 func earliestSet(a, b time.Time) time.Time {
 	if a.IsZero() || (!b.IsZero() && b.Before(a)) {
 		return b
--- a/internal/forward/peers.go
+++ b/internal/forward/peers.go
@@ -8,35 +8,37 @@
 	"github.com/granitebay/granitebay/internal/loadshare"
 )
 
-// sharing gathers what other gateways are to be told, and holds what they told. It is guarded by the mutex of the dispatcher.
+// peerExchange collects updates for the other gateways and holds the state received from them. It is guarded by the mutex of the
+// dispatcher.
 type peerExchange struct {
 	board *loadshare.Board
-	// changed are the workers whose load changed since it was told.
+	// changedLoads are the workers whose load has changed since the last update.
 	changedLoads   map[string]bool
 	cachedPrefixes []loadshare.Kept
-	// changing are the workers that this gateway has ordered to change.
+	// roleChanges are the role changes that this gateway has ordered.
 	roleChanges map[string]roleChange
-	// failed are the workers that were set aside because they did not answer.
+	// ejected are the workers that were ejected because they did not respond.
 	ejected []string
-	// refused and answering are engines of which that is to be told, and taken those that have a new role.
+	// refused and answering are engines that refused a connection or responded again, and newRoles those that reported a new role. All are
+	// to be sent.
 	refused, answering []string
 	newRoles           []loadshare.Changed
-	// notify tells that there is something to tell. Nil tells nobody.
+	// notify signals that there is something to send; nil if nothing is sent.
 	notify func(urgent bool)
 }
 
-// maxUntoldParts bounds what is gathered while nothing is told.
+// maxPendingNotices bounds each list of pending updates.
 const maxPendingNotices = 256
 
-// newSharing returns a sharing that tells nobody.
+// newPeerExchange returns an exchange that sends nothing.
 func newPeerExchange() *peerExchange {
 	return &peerExchange{board: loadshare.NewBoard(), changedLoads: map[string]bool{}, roleChanges: map[string]roleChange{}}
 }
 
-// elsewhere is a balance.Elsewhere.
+// peerLoad implements balance.Elsewhere.
 func (s *peerExchange) peerLoad(worker string) backend.Load { return s.board.Load(worker) }
 
-// loadChanged notes that the own load of a worker has changed.
+// loadChanged records that this gateway's load at a worker has changed.
 func (s *peerExchange) loadChanged(worker string, urgent bool) {
 	if s.notify == nil {
 		return
@@ -45,7 +47,7 @@
 	s.notify(urgent)
 }
 
-// partKept notes that a worker keeps a part.
+// prefixCached records that a worker has cached a prefix.
 func (s *peerExchange) prefixCached(kept loadshare.Kept) {
 	if s.notify == nil || len(s.cachedPrefixes) >= maxPendingNotices {
 		return
@@ -54,8 +56,8 @@
 	s.notify(true)
 }
 
-// setAside notes that a worker was set aside. Only what other gateways would see too is told: a worker that does not answer, and an
-// engine whose answers fail.
+// workerEjected records that a worker was ejected. Only failures that other gateways would see too are sent: workers that do not respond
+// and engines whose responses fail.
 func (s *peerExchange) workerEjected(worker *backend.Worker, outcome balance.Outcome) {
 	visibleToPeers := outcome == balance.OutcomeUnreachable || outcome == balance.OutcomeSilent ||
 		(outcome == balance.OutcomeBroken && worker.Role != backend.RoleNone)
@@ -66,14 +68,14 @@
 	s.notify(true)
 }
 
-// ShareWith makes the dispatcher gather what is to be told to other gateways. Notify must not wait.
+// ShareWith makes the dispatcher collect updates for other gateways. The callback must not block.
 func (d *Dispatcher) ShareWith(notify func(urgent bool)) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.peers.notify = notify
 }
 
-// Drain returns what is to be told to other gateways: what has changed since the last call, or everything.
+// Drain returns the changes since the last call, or the complete state.
 func (d *Dispatcher) Drain(full bool) loadshare.Message {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -92,7 +94,7 @@
 	return message
 }
 
-// changing returns the workers that this gateway has ordered to change, as long as they do.
+// pendingRoleChanges returns the unfinished role changes that this gateway has ordered. The mutex is held.
 func (d *Dispatcher) pendingRoleChanges() []loadshare.Changing {
 	var pending []loadshare.Changing
 	now := d.now()
@@ -110,14 +112,14 @@
 	return pending
 }
 
-// PeersBusy returns what the other gateways use of their limits, by name.
+// PeersBusy returns the utilization of the other gateways by name.
 func (d *Dispatcher) PeersBusy() map[string]float64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.peers.board.Busy(d.now())
 }
 
-// toTell returns the workers whose load is to be told, in their order: those at which there is any, or those at which it has changed.
+// loadsToSend returns the workers whose load is to be sent, in order: all with load, or those whose load has changed. The mutex is held.
 func (d *Dispatcher) loadsToSend(full bool) []string {
 	if full {
 		return d.balancer.Loaded()
@@ -130,7 +132,7 @@
 	return workers
 }
 
-// Hear takes what another gateway told.
+// Hear applies an update of another gateway.
 func (d *Dispatcher) Hear(message *loadshare.Message) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/forward/placement.go
+++ b/internal/forward/placement.go
@@ -9,33 +9,33 @@
 	"github.com/granitebay/granitebay/internal/routing"
 )
 
-// Placement is what is to be done next with a request: it is read by Reader, or else run by Runner. Its parts are counted as
-// work of the workers until they are done.
+// Placement is the next step for a request: Prefill prefills the prompt, or Runner runs the request. Both count as load until they are
+// finished.
 type Placement struct {
-	// Reader reads the prompt. The runner is picked by PlaceRunner once that is done, so that a worker which begins to leave
-	// meanwhile is not used.
+	// Prefill prefills the prompt. The runner is picked by PlaceRunner afterwards, so that a worker which starts draining meanwhile is not
+	// used.
 	Prefill *Assignment
-	// FetchFrom keeps the shared part of the prompt, from where the one that reads it takes it; or nil.
+	// FetchFrom is the engine from whose cache the shared prefix is fetched, or nil.
 	FetchFrom *backend.Worker
 	Runner    *Assignment
-	// Deferred is set when the answer is expected too late for its objective: the prompt is read after those that are in time.
+	// Deferred is set if the answer is expected after its objective. The prompt is then prefilled after those that are on time.
 	Deferred bool
 }
 
-// PlaceOptions restrict where a request is placed.
+// PlaceOptions constrain the placement of a request.
 type PlaceOptions struct {
-	// Excluded workers are passed over.
+	// Excluded workers are not used.
 	Excluded []string
-	// Direct has the runner read the prompt itself.
+	// Colocated makes the runner prefill the prompt itself.
 	Colocated bool
-	// Apart is set for a request under which a worker has ended: such ones are spread over workers by this key.
+	// SuspectKey is set for suspect requests. They are spread over workers by this key.
 	SuspectKey string
-	// Objective is the time within which the answer is to begin, and Left what is left of it, less than zero when the request is
-	// late. Requests without an objective have zero.
+	// Objective is the time within which the answer should start, and Left what remains of it, negative if the request is late. Both are
+	// zero if there is no objective.
 	Objective, Left time.Duration
 }
 
-// Place picks the workers for a request, or returns false when there are none.
+// Place picks the workers for a request, or returns false if there are none.
 func (d *Dispatcher) Place(request *Request, group *routing.Group, options PlaceOptions) (*Placement, bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -51,7 +51,7 @@
 	return placement, found
 }
 
-// candidates returns how many workers were looked at for the first call of a placement; none without one.
+// candidates returns how many workers were considered for the first call of a placement; zero if p is nil.
 func (p *Placement) candidates() int {
 	switch {
 	case p == nil:
@@ -63,12 +63,13 @@
 	}
 }
 
-// WatchChoices tells whom to tell how long each choice of workers took, and how many were looked at. It is called before the first request.
+// WatchChoices sets a callback that gets the duration and the number of candidates of each placement. It must be called before the first
+// request.
 func (d *Dispatcher) WatchChoices(onPlacement func(took time.Duration, candidates int)) {
 	d.onPlacement = onPlacement
 }
 
-// hasOther tells whether another worker than some could run a request.
+// hasAlternative reports whether a worker other than the excluded ones could run a request.
 func (d *Dispatcher) hasAlternative(request *Request, group *routing.Group, excluded []string) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -91,24 +92,24 @@
 	return &Placement{Runner: d.assign(choice, 0, false, options.Objective)}, true
 }
 
-// plan is a way to serve a request on engines, before any work is assigned.
+// plan is a way to serve a request on engines. No work is assigned yet.
 type plan struct {
-	// reader is nil when the runner reads the prompt.
+	// prefill is nil if the runner prefills the prompt.
 	prefill *balance.Choice
 	runner  balance.Choice
-	// seconds is the estimated cost of the plan, firstEvent the time until the answer begins, and wait the part of it in which
-	// others come first.
+	// seconds is the estimated cost of the plan, timeToFirstEvent the time until the answer starts, and queueWait the part of it spent
+	// behind other requests.
 	seconds, timeToFirstEvent, queueWait float64
 }
 
-// crowdedOut tells whether the answer is expected too late, and would be in time if the request had come alone. One that is too
-// long for its objective gives way to nobody: that would not make it better, and it is the most valuable of its kind.
+// delayedByQueue reports whether the answer is expected too late only because of other requests. Prompts that are too long for their
+// objective are not deferred: that would not help them, and they are the most valuable.
 func (p plan) delayedByQueue(options PlaceOptions) bool {
 	unloaded := p.timeToFirstEvent - p.queueWait
 	return options.Objective > 0 && p.timeToFirstEvent > options.Left.Seconds() && unloaded <= options.Objective.Seconds()
 }
 
-// reads returns the engine that reads the prompt.
+// prefillEngine returns the engine that prefills the prompt.
 func (p plan) prefillEngine() *backend.Worker {
 	if p.prefill != nil {
 		return p.prefill.Worker
@@ -116,8 +117,8 @@
 	return p.runner.Worker
 }
 
-// placeOnEngines picks an engine to write the answer, and one to read the prompt before where that is expected to be cheaper. A
-// request whose answer is expected too late gives way to those that are in time.
+// placeOnEngines picks a decode engine, and a separate prefill engine if that is expected to be cheaper. A request whose answer is expected
+// too late yields to those that are on time.
 func (d *Dispatcher) placeOnEngines(request *Request, group *routing.Group, options PlaceOptions) (*Placement, bool) {
 	prompt := d.newPromptContext(request, group)
 	prompt.suspectKey = options.SuspectKey
@@ -136,21 +137,21 @@
 	return placement, true
 }
 
-// bestPlan returns the cheapest plan, or false when there is none.
+// bestPlan returns the cheapest plan, or false if there is none.
 func (d *Dispatcher) bestPlan(prompt *promptContext, options PlaceOptions) (plan, bool) {
 	best, found := d.planColocated(prompt, options.Excluded)
 	if options.Colocated {
 		return best, found
 	}
 	disaggregated, possible := d.planDisaggregated(prompt, options.Excluded)
-	// Prompts that are late do not slow the answers that are being written.
+	// Deferred prompts must not slow down the answers of decode engines.
 	if possible && (!found || prompt.deferred || disaggregated.seconds < best.seconds) {
 		return disaggregated, true
 	}
 	return best, found
 }
 
-// carryOut assigns the work of a plan.
+// assignPlan assigns the work of a plan.
 func (d *Dispatcher) assignPlan(prompt *promptContext, chosen plan, objective time.Duration) *Placement {
 	placement := &Placement{Deferred: prompt.deferred}
 	choice := chosen.runner
@@ -170,7 +171,7 @@
 	return placement
 }
 
-// PlaceRunner picks the engine that goes on with a prompt which was read, or returns false when there is none.
+// PlaceRunner picks the engine that decodes a prefilled prompt, or returns false if there is none.
 func (d *Dispatcher) PlaceRunner(request *Request, group *routing.Group, excluded []string, prefill *Assignment) (*Assignment, bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -183,14 +184,14 @@
 	return d.assign(choice, 0, prefill.deferred, prefill.objective), true
 }
 
-// pickRunner picks the engine to which a prompt is moved from its reader.
+// pickRunner picks the engine to which a prompt is transferred from its source.
 func (d *Dispatcher) pickRunner(prompt *promptContext, excluded []string, source *backend.Worker) (balance.Choice, bool) {
 	query := prompt.query(backend.RoleDecode, source.Zone, excluded)
 	query.Reading = prompt.transferCost
 	return d.balancer.Pick(d.now(), query)
 }
 
-// planDirect has the engine that writes the answer read the prompt too.
+// planColocated has the decode engine prefill the prompt.
 func (d *Dispatcher) planColocated(prompt *promptContext, excluded []string) (plan, bool) {
 	query := prompt.query(backend.RoleDecode, d.settings.Zone, excluded)
 	query.Reading = prompt.prefillCost
@@ -205,7 +206,7 @@
 	return plan{runner: choice, seconds: seconds, timeToFirstEvent: choice.Score.Answer, queueWait: choice.Score.Wait}, true
 }
 
-// planApart has one engine read the prompt and another one write the answer.
+// planDisaggregated has one engine prefill the prompt and another decode the answer.
 func (d *Dispatcher) planDisaggregated(prompt *promptContext, excluded []string) (plan, bool) {
 	query := prompt.query(backend.RolePrefill, d.settings.Zone, excluded)
 	query.Reading = prompt.prefillCost
@@ -225,10 +226,10 @@
 	}, true
 }
 
-// residencyShare is the part of the memory of an engine that is counted on for parts which nobody uses at the moment.
+// cacheShare is the fraction of an engine's memory that is assumed available for cached prefixes.
 const cacheShare = 0.95
 
-// capacityOf returns the tokens of shared parts that an engine is thought to keep.
+// cacheCapacity returns the number of tokens that an engine is assumed to cache.
 func (d *Dispatcher) cacheCapacity(worker *backend.Worker) int {
 	engine, found := d.engineGroups[worker.Group]
 	if !found {
@@ -237,7 +238,8 @@
 	return int(cacheShare * float64(engine.MemoryTokens))
 }
 
-// keep notes that an engine keeps a prompt, or is about to, and tells the other gateways. The mutex is held.
+// recordCached records that an engine has cached the shared prefix of a prompt, or is about to, and notifies the other gateways. The mutex
+// is held.
 func (d *Dispatcher) recordCached(worker *backend.Worker, demand backend.Demand, ready bool) {
 	shared := sharedPrefixOf(demand, d.settings.MinSharedTokens)
 	for i, segment := range shared.segments {
@@ -250,20 +252,20 @@
 	}
 }
 
-// noteKept takes a kept part into the table.
+// addCached adds a cached prefix to the table. The mutex is held.
 func (d *Dispatcher) addCached(worker *backend.Worker, cached loadshare.Kept) {
 	d.residency.Keep(worker.ID, d.cacheCapacity(worker), cached.Key, cached.Tokens, cached.Ready)
 	d.residency.Fill(worker.ID, cached.Own)
 }
 
-// HasRead notes that an engine has read the prompt of a request, and keeps it from now on.
+// RecordPrefilled records that an engine has prefilled the prompt of a request and has cached it.
 func (d *Dispatcher) RecordPrefilled(worker *backend.Worker, request *Request) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.recordCached(worker, request.Demand, true)
 }
 
-// HasNotRead notes that an engine failed to read the prompt of a request.
+// RecordPrefillFailed records that an engine failed to prefill the prompt of a request.
 func (d *Dispatcher) RecordPrefillFailed(worker *backend.Worker, request *Request) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/forward/prefixcache.go
+++ b/internal/forward/prefixcache.go
@@ -7,19 +7,19 @@
 	"github.com/granitebay/granitebay/internal/loadshare"
 )
 
-// KeptPart is a part of prompts that an engine keeps.
+// KeptPart is a prompt part that an engine has cached.
 type KeptPart struct {
 	Key    string
 	Tokens int
 }
 
-// KeptParts asks engines what they keep.
+// KeptParts queries the caches of engines.
 type KeptParts interface {
-	// Kept returns the parts of prompts that an engine keeps, those got last at the end. It may be late and miss some.
+	// Kept returns the prompt parts that an engine has cached, most recently added last. The result may be stale or incomplete.
 	Kept(ctx context.Context, worker *backend.Worker) ([]KeptPart, error)
 }
 
-// Learn notes what an engine has told that it keeps. Parts that are too short to be followed are left out.
+// Learn records the parts that an engine reported as cached. Parts that are too short to be tracked are ignored.
 func (d *Dispatcher) Learn(id string, parts []KeptPart) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -34,7 +34,7 @@
 	}
 }
 
-// Kept returns what this gateway knows that engines keep, so many parts at the most, of each engine those used last at the end.
+// Kept returns up to limit cached parts that this gateway knows of, for each engine the most recently used last.
 func (d *Dispatcher) Kept(limit int) []loadshare.Kept {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -48,7 +48,7 @@
 	return all
 }
 
-// LearnAll notes what another gateway knows that engines keep, and returns how many parts of it were news.
+// LearnAll records the cached parts that another gateway knows of, and returns how many were new.
 func (d *Dispatcher) LearnAll(parts []loadshare.Kept) int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/forward/prompt.go
+++ b/internal/forward/prompt.go
@@ -12,27 +12,27 @@
 	"github.com/granitebay/granitebay/internal/routing"
 )
 
-// prompt is what placement knows of the prompt of a request.
+// promptContext is the input of the placement of one prompt.
 type promptContext struct {
 	dispatcher *Dispatcher
 	request    *Request
 	group      *routing.Group
 	shared     sharedPrefix
-	// deferred prompts are read after all others.
+	// deferred prompts are prefilled after all others.
 	deferred bool
-	// apart spreads requests under which workers have ended; empty for others.
+	// suspectKey spreads suspect requests over workers; empty for other requests.
 	suspectKey string
-	// begun is set once the prompt was read.
+	// prefilled is set once the prompt has been prefilled.
 	prefilled bool
-	// holders keep the beginning of the prompt, by their ids.
+	// holders are the engines that have cached a prefix of the prompt, by id.
 	holders map[string]cacheHolder
-	// near are the ids of these, some of them where they are many.
+	// holderIDs are the sorted ids of the holders.
 	holderIDs []string
-	// longest is the most that a holder keeps, and longestReady the most that one can be asked for.
+	// longestCached is the longest cached prefix in tokens, and longestReady the longest that can be fetched.
 	longestCached, longestReady int
 }
 
-// promptOf gathers what is known of a prompt. The mutex is held.
+// newPromptContext collects the placement input of a prompt. The mutex is held.
 func (d *Dispatcher) newPromptContext(request *Request, group *routing.Group) *promptContext {
 	prompt := &promptContext{dispatcher: d, request: request, group: group, shared: sharedPrefixOf(request.Demand, d.settings.MinSharedTokens)}
 	if len(prompt.shared.segments) > 0 {
@@ -48,7 +48,7 @@
 	return prompt
 }
 
-// homesOf returns the engines that are taken to keep a short shared part, which is not followed: the preferred ones.
+// preferredHolders returns the preferred engines, which are assumed to cache shared prefixes that are too short to be tracked.
 func (d *Dispatcher) preferredHolders(prompt *promptContext) map[string]cacheHolder {
 	holders := map[string]cacheHolder{}
 	for _, role := range []backend.Role{backend.RolePrefill, backend.RoleDecode} {
@@ -59,7 +59,7 @@
 	return holders
 }
 
-// query asks for an engine of a role.
+// query returns a query for an engine of a role.
 func (p *promptContext) query(role backend.Role, zone string, excluded []string) balance.Query {
 	return balance.Query{
 		Request: p.request.ID, Group: p.group.Name, Role: role, Key: p.shared.key, Zone: zone, Excluded: excluded,
@@ -67,7 +67,7 @@
 	}
 }
 
-// reading is what the prompt costs an engine that reads it.
+// prefillCost returns the cost of prefilling the prompt at an engine.
 func (p *promptContext) prefillCost(worker *backend.Worker) balance.Reading {
 	total := p.request.Demand.PromptTokens
 	cached := p.holders[worker.ID].tokens
@@ -85,13 +85,13 @@
 	return reading
 }
 
-// work is that of reading what comes behind the tokens that are there already.
+// prefillWork returns the work of prefilling what follows the cached tokens.
 func (p *promptContext) prefillWork(cached int) int {
 	total := p.request.Demand.PromptTokens
 	return attentionAdjustedTokens(max(total-cached, 1), total)
 }
 
-// move is what the prompt costs an engine that gets it from a reader.
+// transferCost returns the cost of transferring the prefilled prompt to an engine.
 func (p *promptContext) transferCost(worker *backend.Worker) balance.Reading {
 	seconds := p.dispatcher.settings.TransferSeconds
 	if cached := p.holders[worker.ID].tokens; cached > 0 {
@@ -100,33 +100,33 @@
 	return balance.Reading{TransferSeconds: seconds}
 }
 
-// attentionPerToken is by how much each token of context slows the reading of one token, relative to the time of a token at
-// the beginning of a prompt: attention looks at all pairs of tokens.
+// attentionCostPerToken is the relative slowdown of prefilling one token for each token of context, because attention is quadratic in the
+// length.
 const attentionCostPerToken = 2e-5
 
-// readingWork returns the work of reading the last tokens of a prompt of a length, in tokens at the beginning of a prompt.
+// attentionAdjustedTokens returns the work of prefilling the last tokens of a prompt, in units of a token at the beginning of a prompt.
 func attentionAdjustedTokens(tokens, total int) int {
 	context := float64(total) - float64(tokens)/2
 	return int(float64(tokens) * (1 + attentionCostPerToken*context))
 }
 
-// sharedPrefix is the beginning of a prompt that other prompts share, as a path in the tree of shared parts: a link is of use
-// only behind those before it.
+// sharedPrefix is the prefix that a prompt shares with others, as a path in a prefix tree: a segment can be used only together with those
+// before it.
 type sharedPrefix struct {
-	// key names the prompts that are worth keeping together.
+	// key identifies prompts that should run at the same engines.
 	key    string
 	tokens int
-	// links are the parts that are long enough to be followed over the engines.
+	// segments are the parts that are long enough to be tracked per engine.
 	segments []prefixSegment
 }
 
-// link is a part of a shared prefix, with the tokens of short parts before it.
+// prefixSegment is a part of a shared prefix, including short parts before it.
 type prefixSegment struct {
 	key    string
 	tokens int
 }
 
-// sharedPrefixOf returns the shared beginning of a prompt. Parts below the least tokens are not followed by themselves.
+// sharedPrefixOf returns the shared prefix of a prompt. Parts with fewer than minTokens have no segment of their own.
 func sharedPrefixOf(demand backend.Demand, minTokens int) sharedPrefix {
 	shared := sharedPrefix{key: demand.AffinityKey()}
 	pending := 0
@@ -141,14 +141,14 @@
 	return shared
 }
 
-// holder is an engine that keeps the beginning of a prompt.
+// cacheHolder is an engine that has cached a prefix of a prompt.
 type cacheHolder struct {
 	worker *backend.Worker
-	// tokens that the engine keeps, or is about to, and ready ones that it can be asked for.
+	// tokens are cached or about to be; readyTokens can be fetched already.
 	tokens, readyTokens int
 }
 
-// usableHolders returns the engines that keep the beginning of a prefix and take work. The mutex is held.
+// usableHolders returns the engines that have cached the beginning of a prefix and accept work. The mutex is held.
 func (d *Dispatcher) usableHolders(segments []prefixSegment) map[string]cacheHolder {
 	holders := map[string]cacheHolder{}
 	before := 0
@@ -173,8 +173,8 @@
 	return holders
 }
 
-// source returns the engine from which a worker takes what it does not keep of the prompt, or nil: the one that keeps most, in its
-// own zone if there is one.
+// fetchSource returns the engine from which a worker fetches the part of the prompt that it has not cached, or nil. It is the engine with
+// the longest ready prefix; engines in the worker's zone are preferred.
 func (p *promptContext) fetchSource(worker *backend.Worker) *backend.Worker {
 	var source cacheHolder
 	for _, holder := range p.holders {
@@ -190,7 +190,7 @@
 	return source.worker
 }
 
-// compareZones is less than zero when only the first of two engines is in the zone of a worker.
+// compareZones returns a negative value if only the first of two engines is in the worker's zone, and a positive one if only the second is.
 func compareZones(worker, one, other *backend.Worker) int {
 	switch {
 	case one.Zone == other.Zone || (one.Zone != worker.Zone && other.Zone != worker.Zone):
--- a/internal/forward/ratelimits.go
+++ b/internal/forward/ratelimits.go
@@ -10,29 +10,29 @@
 	"github.com/granitebay/granitebay/internal/routing"
 )
 
-// limitShare is what this gateway holds of what workers with limits take, and what others have lent it. It implements balance.Holdings, and is
-// guarded by the mutex of the dispatcher.
+// limitHoldings is this gateway's share of the workers' rate limits, including loans from other gateways. It implements balance.Holdings
+// and is guarded by the mutex of the dispatcher.
 type limitHoldings struct {
 	name string
-	// now goes on while the machine sleeps, as what others may do does.
+	// now includes the time while the machine is suspended, because other gateways keep using their shares meanwhile.
 	now     func() time.Time
 	holders *quota.Holders
 	asks    *quota.Asks
-	// loans are those of other gateways, by the ids of the workers.
+	// loans from other gateways, by worker id.
 	loans map[string]*quota.Loans
-	// toAsk and toLend are to be told to the others.
+	// outgoingAsks and outgoingLoans are to be sent to the other gateways.
 	outgoingAsks  []loadshare.Ask
 	outgoingLoans []loadshare.Loan
-	// lent is closed when a loan comes.
+	// loanArrived is closed and replaced when a loan arrives.
 	loanArrived chan struct{}
 }
 
-// Part is part of balance.Holdings.
+// Part implements balance.Holdings.
 func (s *limitHoldings) Part(worker string, perSecond float64) float64 {
 	return s.holders.Part(s.now(), worker, perSecond)
 }
 
-// Lent is part of balance.Holdings.
+// Lent implements balance.Holdings.
 func (s *limitHoldings) Lent(worker string) int {
 	if loans := s.loans[worker]; loans != nil {
 		return loans.Left(s.now())
@@ -40,7 +40,7 @@
 	return 0
 }
 
-// UseLent is part of balance.Holdings.
+// UseLent implements balance.Holdings.
 func (s *limitHoldings) UseLent(worker string) bool {
 	loans := s.loans[worker]
 	if loans == nil || !loans.Spend(s.now()) {
@@ -52,8 +52,8 @@
 	return true
 }
 
-// ShareLimits has this gateway send to workers that name limits only what it holds of these, as one of the gateways that SetHolders names,
-// and what others lend it. Without it the whole is its own. It is called before the first request.
+// ShareLimits divides the workers' rate limits among the gateways that SetHolders names; this gateway has the given name. Without it, this
+// gateway uses the limits alone. It must be called before the first request.
 func (d *Dispatcher) ShareLimits(name string) {
 	now := d.retries.now
 	d.limits = &limitHoldings{
@@ -63,14 +63,14 @@
 	d.balancer.ShareLimits(d.limits)
 }
 
-// SetHolders tells which gateways hold parts of limits, by name.
+// SetHolders sets the names of the gateways that share rate limits.
 func (d *Dispatcher) SetHolders(names []string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.updateHolders(func(holders *quota.Holders) { holders.SetGateways(d.retries.now(), names) })
 }
 
-// changeHolders changes who holds parts of limits. The mutex is held.
+// updateHolders changes the gateways that share rate limits. The mutex is held.
 func (d *Dispatcher) updateHolders(change func(holders *quota.Holders)) {
 	if d.limits == nil {
 		return
@@ -80,7 +80,7 @@
 	d.balancer.EarnLimits(d.now())
 }
 
-// sharers returns how many gateways share bounds. The mutex is held.
+// gatewayCount returns how many gateways share limits. The mutex is held.
 func (d *Dispatcher) gatewayCount() int {
 	if d.limits == nil {
 		return 1
@@ -88,7 +88,7 @@
 	return max(d.limits.holders.Gateways(d.limits.now()), 1)
 }
 
-// places returns how many of a bound of places belong to this gateway.
+// placesOf returns this gateway's share of a concurrency limit.
 func (d *Dispatcher) placesOf(key string, bound int) int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -98,7 +98,8 @@
 	return d.limits.holders.Places(d.limits.now(), key, bound)
 }
 
-// Limit has a worker get only so many requests a second of all gateways together, as it said so long ago, and tells whether that is news.
+// Limit sets the rate limit of a worker, which applies to all gateways together. The worker named it the given time ago. It reports whether
+// the limit has changed.
 func (d *Dispatcher) Limit(worker string, perSecond float64, ago time.Duration) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -107,32 +108,34 @@
 	return d.balancer.Limit(now, worker, perSecond, now.Add(-ago))
 }
 
-// Unlimit ends the limit of a worker that named none in the answer to a request which was sent so long ago, and tells whether there was one.
+// Unlimit removes the rate limit of a worker whose response named none. The request was sent the given time ago; a limit named after that
+// stays. It reports whether a limit was removed.
 func (d *Dispatcher) Unlimit(worker string, ago time.Duration) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.balancer.Unlimit(worker, d.now().Add(-ago))
 }
 
-// MayAsk takes a question from what this gateway may send to a worker, if that names a limit, and tells whether there was one left.
+// MayAsk takes a health check from the quota of a rate-limited worker, and reports whether the quota allowed it.
 func (d *Dispatcher) MayAsk(worker string) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.balancer.Spend(d.now(), worker)
 }
 
-// Bounds of a question for loans.
+// Parameters of requests for loans.
 const (
-	// mostAsked bounds the workers that one question names: a datagram of some 200 bytes.
+	// maxWorkersPerAsk bounds the number of workers in one message, and so its size.
 	maxWorkersPerAsk = 8
-	// wantedOfEach is how many requests are wanted of each: what comes within the life of a loan through a gateway that is busy.
+	// requestsPerAsk is the number of requests asked for per worker: about as many as a busy gateway receives within the lifetime of a
+	// loan.
 	requestsPerAsk = 16
-	// loanWait is how long the request that asks waits for an answer: the ways there and back between regions, and a turn of two processors.
+	// loanWait is how long a request waits for a loan: a round trip between regions.
 	loanWait = 50 * time.Millisecond
 )
 
-// borrow asks the other gateways for what they hold and do not need of the limits of a group's workers, unless it is too early for that, and
-// tells whether a loan came soon.
+// borrow asks the other gateways for unused capacity of the rate-limited workers of a group, unless it asked recently. It reports whether a
+// loan arrived in time.
 func (d *Dispatcher) borrow(ctx context.Context, group *routing.Group) bool {
 	loanArrived, asked := d.requestLoans(group)
 	if !asked {
@@ -149,7 +152,7 @@
 	return false
 }
 
-// ask has a question for loans told to the others, and returns what is closed when a loan comes.
+// requestLoans queues a request for loans. It returns a channel that is closed when a loan arrives.
 func (d *Dispatcher) requestLoans(group *routing.Group) (<-chan struct{}, bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -166,7 +169,7 @@
 	return d.limits.loanArrived, true
 }
 
-// DrainLoans returns the questions for loans, and the loans, that are to be told to the other gateways.
+// DrainLoans returns the requests for loans, and the loans, that are to be sent to the other gateways.
 func (d *Dispatcher) DrainLoans() ([]loadshare.Ask, []loadshare.Loan) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -178,7 +181,7 @@
 	return asks, loans
 }
 
-// HearLoans takes the questions and loans of another gateway.
+// HearLoans handles requests for loans and loans from another gateway.
 func (d *Dispatcher) HearLoans(asks []loadshare.Ask, loans []loadshare.Loan) {
 	if len(asks) == 0 && len(loans) == 0 {
 		return
@@ -201,7 +204,7 @@
 	}
 }
 
-// lend gives an asker what is left here of what it asks for. The mutex is held.
+// lend lends unused capacity to the gateway that asked for it. The mutex is held.
 func (d *Dispatcher) lend(ask loadshare.Ask) {
 	for _, worker := range ask.Workers[:min(len(ask.Workers), maxWorkersPerAsk)] {
 		if count := d.balancer.Lend(d.now(), worker, min(ask.Wanted, requestsPerAsk)); count > 0 {
@@ -212,7 +215,7 @@
 	}
 }
 
-// take takes a loan if it answers the question that is open. The mutex is held.
+// acceptLoan adds a loan if it answers the outstanding request. The mutex is held.
 func (d *Dispatcher) acceptLoan(loan loadshare.Loan) {
 	until, isAnswer := d.limits.asks.Answer(d.limits.now(), loan.Serial, loan.Lender, loan.Worker)
 	if !isAnswer {
--- a/internal/forward/retrybudget.go
+++ b/internal/forward/retrybudget.go
@@ -9,34 +9,34 @@
 	"github.com/granitebay/granitebay/internal/retrybudget"
 )
 
-// repeats are the budgets of this gateway, one for each group. It is guarded by the mutex of the dispatcher.
+// retryBudgets holds one retry budget per group. It is guarded by the mutex of the dispatcher.
 type retryBudgets struct {
 	settings retrybudget.Settings
-	// now never jumps and goes on while the machine sleeps: a jump would empty the window, or hold it still, and the others go on
-	// spending. Its values are compared with each other only.
+	// now never jumps and includes the time while the machine is suspended. A jump would clear or extend the window while other gateways
+	// keep spending. Its values are compared only with each other.
 	now     func() time.Time
 	share   *retrybudget.Share
 	budgets map[string]*groupBudget
-	// first is the part of what may be kept with which budgets began at the first start of the whole system, else 0.
+	// initialShare is the fraction of the maximum balance with which budgets start at the first start of the whole system, otherwise 0.
 	initialShare float64
-	// onUsedUp is told of a budget that is used up. Nil tells nobody.
+	// onExhausted is called when a budget is exhausted; may be nil.
 	onExhausted func(group string, view retrybudget.View)
 }
 
-// groupBudget is the budget of one group, and when it was last told to be used up.
+// groupBudget is the budget of one group, with the time at which it was last reported as exhausted.
 type groupBudget struct {
 	*retrybudget.Budget
 	exhaustionReportedAt time.Time
 }
 
-// newRepeats returns the budgets of a gateway that has not been asked for anything.
+// newRetryBudgets returns empty budgets.
 func newRetryBudgets(settings retrybudget.Settings, sinceBoot func() time.Time) *retryBudgets {
 	return &retryBudgets{
 		settings: settings, now: sinceBoot, share: retrybudget.NewShare(settings.Window), budgets: map[string]*groupBudget{},
 	}
 }
 
-// of returns the budget of a group. One that is asked for first has earned since the share has been in force.
+// forGroup returns the budget of a group. A new budget has accrued since the share took effect.
 func (r *retryBudgets) forGroup(group string) *groupBudget {
 	budget, found := r.budgets[group]
 	if !found {
@@ -49,7 +49,7 @@
 	return budget
 }
 
-// shareChanged has all budgets earn with the share of a moment.
+// accrue updates all budgets with the current share.
 func (r *retryBudgets) accrue(now time.Time) {
 	share := r.share.At(now)
 	for _, budget := range r.budgets {
@@ -57,7 +57,7 @@
 	}
 }
 
-// mayTell tells whether a budget that is used up is to be told: once within a window.
+// shouldReportExhausted reports whether an exhausted budget should be reported, which happens at most once per window.
 func (r *retryBudgets) shouldReportExhausted(budget *groupBudget, now time.Time) bool {
 	if r.onExhausted == nil || (!budget.exhaustionReportedAt.IsZero() && now.Sub(budget.exhaustionReportedAt) < r.settings.Window) {
 		return false
@@ -66,7 +66,7 @@
 	return true
 }
 
-// SetSharers tells by how many the allowance of repeats is divided.
+// SetSharers sets the number of gateways among which the retry allowance is divided.
 func (d *Dispatcher) SetSharers(count int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -76,7 +76,7 @@
 	d.retries.accrue(now)
 }
 
-// BeginFirst is ConfirmShare where the whole system starts for the first time: the share begins at once.
+// BeginFirst is ConfirmShare for the first start of the whole system, in which the share takes effect immediately.
 func (d *Dispatcher) BeginFirst(at time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -94,8 +94,8 @@
 	}
 }
 
-// ConfirmShare tells that the store held the registration of this gateway at a moment of boottime, and that the sharers were told by all
-// changes up to then.
+// ConfirmShare records that at a time, on the clock since boot, the store held the registration of this gateway and SetSharers had been
+// called with all changes up to then.
 func (d *Dispatcher) ConfirmShare(at time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -106,7 +106,7 @@
 	d.updateHolders(func(holders *quota.Holders) { holders.Confirm(at) })
 }
 
-// SetBudget replaces the bounds of repeats. What was earned and spent stays: settings are read anew whenever their file changes.
+// SetBudget replaces the settings. Budgets keep their balance, since the settings are reloaded whenever their file changes.
 func (d *Dispatcher) SetBudget(settings retrybudget.Settings) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -121,23 +121,23 @@
 	}
 }
 
-// WatchBudgets makes the dispatcher tell when the budget of a group is used up, once within a window for each. The function is
-// called without a mutex, by the request that is denied.
+// WatchBudgets sets a callback for exhausted budgets, called at most once per window and group. It is called without the mutex, in the
+// goroutine of the request that was denied a retry.
 func (d *Dispatcher) WatchBudgets(onExhausted func(group string, view retrybudget.View)) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.retries.onExhausted = onExhausted
 }
 
-// BudgetView is the budget of one group.
+// BudgetView describes the budget of one group.
 type BudgetView struct {
 	Group string
 	retrybudget.View
-	// Sharers is by how many the allowance is divided.
+	// Sharers is the number of gateways among which the allowance is divided.
 	Sharers int
 }
 
-// Budgets returns the budgets of all groups that were asked for something, by name.
+// Budgets returns the budgets of all groups that received requests, ordered by name.
 func (d *Dispatcher) Budgets() []BudgetView {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -150,7 +150,7 @@
 	return views
 }
 
-// CountRequest notes a request of a caller for a group.
+// CountRequest counts a request for a group.
 func (d *Dispatcher) CountRequest(group string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -158,18 +158,19 @@
 	d.retries.forGroup(group).CountRequest(now, d.retries.share.At(now))
 }
 
-// Repeats returns the budget of a group.
+// RetryBudget returns the budget of a group.
 func (d *Dispatcher) RetryBudget(group string) RetryBudget {
 	return RetryBudget{dispatcher: d, group: group}
 }
 
-// Repeats grants repeats of requests for one group.
+// RetryBudget grants retries of requests for one group.
 type RetryBudget struct {
 	dispatcher *Dispatcher
 	group      string
 }
 
-// spend is part of budget. It tells of a used up budget without the mutex: a log that can't be written must keep no request waiting.
+// spend implements retrySource. It reports an exhausted budget without holding the mutex, so that a blocked log does not block other
+// requests.
 func (r RetryBudget) spend() bool {
 	granted, report := r.takeRetry()
 	if report != nil {
@@ -178,7 +179,7 @@
 	return granted
 }
 
-// take takes one repeat, and returns what is to be called if that has to be told, or nil.
+// takeRetry takes one retry. If the budget is exhausted and that should be reported, it returns the function to call.
 func (r RetryBudget) takeRetry() (granted bool, report func()) {
 	r.dispatcher.mutex.Lock()
 	defer r.dispatcher.mutex.Unlock()
--- a/internal/forward/rolechange.go
+++ b/internal/forward/rolechange.go
@@ -8,17 +8,17 @@
 	"github.com/granitebay/granitebay/internal/roles"
 )
 
-// longestChange is how long work is kept off an engine whose record does not tell that it has changed.
+// maxRoleChangeTime is how long work is kept off an engine whose record does not show its new role.
 const maxRoleChangeTime = 5 * time.Second
 
-// roleChange is a change of the role of an engine.
+// roleChange is a role change of an engine.
 type roleChange struct {
 	role backend.Role
-	// ready is when it is expected to be done, and until is for how long it counts.
+	// readyAt is when it is expected to be complete, and expiresAt when it is no longer considered pending.
 	readyAt, expiresAt time.Time
 }
 
-// Groups is part of roles.Fleet.
+// Groups implements roles.Fleet.
 func (d *Dispatcher) Groups() map[string]*roles.Group {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -43,8 +43,8 @@
 	return groups
 }
 
-// Busy returns how many workers of a group the work of the moment keeps busy: engines by the prompts that callers offer and the
-// places that runs take, plain workers by their runs.
+// Busy returns how many workers of a group the current load would keep busy: engines by requested prefill work and occupied slots, plain
+// workers by their runs.
 func (d *Dispatcher) Busy(group string) float64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -60,7 +60,7 @@
 	return busy
 }
 
-// engineOf is what planners know of an engine. The mutex is held.
+// engineSnapshot returns the planner's view of an engine. The mutex is held.
 func (d *Dispatcher) engineSnapshot(now time.Time, worker *backend.Worker, standing balance.Standing) roles.Engine {
 	engine := roles.Engine{Worker: worker, Load: standing.Load, Usable: standing.Usable}
 	if change, found := d.engineState.pendingRoles[worker.ID]; found && now.Before(change.expiresAt) {
@@ -73,7 +73,7 @@
 	return engine
 }
 
-// SetChanging is part of roles.Fleet.
+// SetChanging implements roles.Fleet.
 func (d *Dispatcher) SetChanging(id string, role backend.Role) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/forward/saturation.go
+++ b/internal/forward/saturation.go
@@ -8,8 +8,8 @@
 	"github.com/granitebay/granitebay/internal/routing"
 )
 
-// BackOff keeps requests off a worker for a time, as it asked this gateway. Others are not told: it did not ask them, and a role of which
-// each gateway knew all such times would be shut for everybody.
+// BackOff keeps requests off a worker for a time, as the worker asked this gateway. Other gateways are not told: each worker asks them
+// itself, and sharing all these times would shut the role for everyone.
 func (d *Dispatcher) BackOff(worker string, wanted time.Duration) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -17,14 +17,14 @@
 	clear(d.saturation)
 }
 
-// foundFull is that no worker of a group takes requests, as it was found at a moment; a zero time until when if some do.
+// cachedSaturation is the saturation of a group with the time at which it was computed. Until is zero if some workers accept requests.
 type cachedSaturation struct {
 	at time.Time
 	balance.Full
 }
 
-// fullUntil returns why and until when no worker of a group takes requests, or false unless all of them want none now. It is found anew once
-// in foundTime: callers are refused as often as they ask, and a group has thousands of workers.
+// saturatedUntil returns why and until when no worker of a group accepts requests, or false if that does not apply to all of them. The
+// result is cached, because computing it iterates over all workers of the group.
 func (d *Dispatcher) saturatedUntil(group *routing.Group) (balance.Full, bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -38,7 +38,7 @@
 	return cached.Full, !cached.Until.IsZero()
 }
 
-// writerRole returns the role of the workers of a group that write answers.
+// runnerRole returns the role of the workers of a group that generate answers.
 func runnerRole(group *routing.Group) backend.Role {
 	if group.Engine == nil {
 		return backend.RoleNone
@@ -46,9 +46,8 @@
 	return backend.RoleDecode
 }
 
-// bookPlace returns when a place is expected for a caller of a group whose workers take only so many requests a second, after those that were
-// told before. One that can't wait so long does not hold a place up for the next. Each gateway tells its callers a part of the places: they
-// come back to any.
+// reserveSlot returns when a rate-limited group is expected to have room for a caller, after the callers that were told before. A caller
+// that cannot wait so long reserves nothing. Each gateway announces its share of the slots, since callers may return to any gateway.
 func (d *Dispatcher) reserveSlot(group string, full balance.Full, latest time.Time) time.Time {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/forward/views.go
+++ b/internal/forward/views.go
@@ -9,21 +9,21 @@
 	"github.com/granitebay/granitebay/internal/balance"
 )
 
-// WorkerView is one worker as this gateway sees it.
+// WorkerView describes one worker as seen by this gateway.
 type WorkerView struct {
 	Worker *backend.Worker
-	// Load of all gateways.
+	// Load is the load of all gateways.
 	Load backend.Load
-	// SetAside workers failed lately; Changing ones change their role.
+	// SetAside is set while a worker is ejected, and Changing while it changes its role.
 	SetAside bool
 	Changing bool
-	// BacksOff is set for workers that want no requests of this gateway now.
+	// BacksOff is set while the worker has asked this gateway not to send requests.
 	BacksOff bool
-	// Quota is what this gateway may send to a worker that names a limit; nil if it names none.
+	// Quota is what this gateway may send to a rate-limited worker; nil without a limit.
 	Quota *balance.Quota
 }
 
-// Workers returns all workers by id.
+// Workers returns all workers ordered by id.
 func (d *Dispatcher) Workers() []WorkerView {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -44,17 +44,17 @@
 	return views
 }
 
-// maxRecentLabels bounds the label sets that are remembered.
+// maxRecentLabels bounds the number of remembered label sets.
 const maxRecentLabels = 64
 
-// recentLabels remembers the label sets of recent requests, each once. It is safe for concurrent use.
+// recentLabels remembers the distinct label sets of recent requests. It is safe for concurrent use.
 type recentLabels struct {
 	mu   sync.Mutex
 	keys []string
 	sets map[string]map[string]string
 }
 
-// note remembers a label set; the oldest one goes when there are too many.
+// note adds a label set and evicts the oldest if there are too many.
 func (r *recentLabels) note(labels map[string]string) {
 	var pairs []string
 	for name, value := range labels {
