--- a/internal/forward/dispatcher.go
+++ b/internal/forward/dispatcher.go
@@ -177,8 +177,8 @@
 		query.Role = backend.RoleNone
 	}
 	now := d.now()
-	in := d.balancer.RunsIn(now, query)
-	return SuspectTurn{Wait: in, WorthWaiting: in <= d.settings.Balance.Risk.Round(), Exhausted: d.balancer.Tried(now, query)}
+	wait := d.balancer.RunsIn(now, query)
+	return SuspectTurn{Wait: wait, WorthWaiting: wait <= d.settings.Balance.Risk.Round(), Exhausted: d.balancer.Tried(now, query)}
 }
 
 // assign adds the load of a request to a worker. The mutex is held.
--- a/internal/forward/prompt.go
+++ b/internal/forward/prompt.go
@@ -77,12 +77,12 @@
 		seconds := settings.FetchWeight * bits / (p.group.Engine.LinkMbps * 1e6)
 		return balance.Reading{Tokens: p.prefillWork(p.longestReady), TransferSeconds: seconds}
 	}
-	reading := balance.Reading{Tokens: p.prefillWork(cached)}
+	cost := balance.Reading{Tokens: p.prefillWork(cached)}
 	if p.longestCached > cached && total > 0 {
 		estimate := p.dispatcher.model.Estimate(p.dispatcher.now(), enginemodel.ClassOf(worker))
-		reading.TransferSeconds = settings.RecomputeWeight * float64(p.longestCached-cached) * estimate.SecondsPerToken
+		cost.TransferSeconds = settings.RecomputeWeight * float64(p.longestCached-cached) * estimate.SecondsPerToken
 	}
-	return reading
+	return cost
 }
 
 // prefillWork returns the work of prefilling what follows the cached tokens.
@@ -191,11 +191,11 @@
 }
 
 // compareZones returns a negative value if only the first of two engines is in the worker's zone, and a positive one if only the second is.
-func compareZones(worker, one, other *backend.Worker) int {
+func compareZones(worker, a, b *backend.Worker) int {
 	switch {
-	case one.Zone == other.Zone || (one.Zone != worker.Zone && other.Zone != worker.Zone):
+	case a.Zone == b.Zone || (a.Zone != worker.Zone && b.Zone != worker.Zone):
 		return 0
-	case one.Zone == worker.Zone:
+	case a.Zone == worker.Zone:
 		return -1
 	default:
 		return 1
--- a/internal/forward/ratelimits.go
+++ b/internal/forward/ratelimits.go
@@ -28,26 +28,26 @@
 }
 
 // Part implements balance.Holdings.
-func (s *limitHoldings) Part(worker string, perSecond float64) float64 {
-	return s.holders.Part(s.now(), worker, perSecond)
+func (h *limitHoldings) Part(worker string, perSecond float64) float64 {
+	return h.holders.Part(h.now(), worker, perSecond)
 }
 
 // Lent implements balance.Holdings.
-func (s *limitHoldings) Lent(worker string) int {
-	if loans := s.loans[worker]; loans != nil {
-		return loans.Left(s.now())
+func (h *limitHoldings) Lent(worker string) int {
+	if loans := h.loans[worker]; loans != nil {
+		return loans.Left(h.now())
 	}
 	return 0
 }
 
 // UseLent implements balance.Holdings.
-func (s *limitHoldings) UseLent(worker string) bool {
-	loans := s.loans[worker]
-	if loans == nil || !loans.Spend(s.now()) {
+func (h *limitHoldings) UseLent(worker string) bool {
+	loans := h.loans[worker]
+	if loans == nil || !loans.Spend(h.now()) {
 		return false
 	}
-	if loans.Left(s.now()) == 0 {
-		delete(s.loans, worker)
+	if loans.Left(h.now()) == 0 {
+		delete(h.loans, worker)
 	}
 	return true
 }
