--- a/internal/forward/attempts_test.go
+++ b/internal/forward/attempts_test.go
@@ -13,9 +13,9 @@
 )
 
 // countedBudget grants a number of repeats.
-type countedBudget struct{ left int }
+type fixedBudget struct{ left int }
 
-func (c *countedBudget) spend() bool {
+func (c *fixedBudget) spend() bool {
 	if c.left == 0 {
 		return false
 	}
@@ -24,7 +24,7 @@
 }
 
 // TestAttemptsKeepTheirInvariants plays random failures and checks what attempts promise.
-func TestAttemptsKeepTheirInvariants(t *testing.T) {
+func TestAttemptsInvariants(t *testing.T) {
 	failures := []failure{failureUnreachable, failureRefused, failureMoved, failureSilent, failureBroken, failureError, failureDeadline, failureCallerGone}
 	rapid.Check(t, func(t *rapid.T) {
 		rule := &routing.Rule{
@@ -33,7 +33,7 @@
 			MaxAttempts: rapid.IntRange(1, 3).Draw(t, "attempts"),
 		}
 		granted := rapid.IntRange(0, 5).Draw(t, "budget")
-		repeats := &countedBudget{left: granted}
+		repeats := &fixedBudget{left: granted}
 		state := attempts{rule: rule}
 		mayHaveRun, reached := 0, 0
 		for try := 0; ; try++ {
@@ -70,12 +70,12 @@
 
 // TestAPromiseOfAWorkerThatMayHaveRunIsNotPassedOn has a worker answer with a status that promises callers that nothing ran, without its word
 // that it did not.
-func TestAPromiseOfAWorkerThatMayHaveRunIsNotPassedOn(t *testing.T) {
+func TestNotRunStatusOfWorkerIsNotForwarded(t *testing.T) {
 	for _, status := range []int{http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout} {
 		workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Answer, error) {
-			return whole(status, "x"), nil
+			return wholeResponse(status, "x"), nil
 		}}
-		b := newBench(t, benchOptions{rule: routing.Rule{Kind: routing.KindRunOnce}}, workers)
+		b := newFixture(t, fixtureOptions{rule: routing.Rule{Kind: routing.KindRunOnce}}, workers)
 		response, _, err := b.get(t)
 		if err != nil || response.StatusCode != http.StatusBadGateway || len(workers.ranAt) != 1 {
 			t.Errorf("%d of a worker becomes %v, %v, after %d runs", status, response, err, len(workers.ranAt))
--- a/internal/forward/backoff_test.go
+++ b/internal/forward/backoff_test.go
@@ -12,27 +12,27 @@
 )
 
 // backingOff returns workers that refuse everything and ask for no requests for a time, until they take requests again.
-func backingOff(b **bench, wanted, lasting time.Duration) *fakeWorkers {
-	begun := time.Now()
+func backOffWorkers(b **fixture, backOff, duration time.Duration) *fakeWorkers {
+	start := time.Now()
 	return &fakeWorkers{run: func(_ context.Context, _ int, worker *backend.Worker, _ RunOptions) (*Answer, error) {
-		if time.Since(begun) < lasting {
-			(*b).handler.dispatcher.BackOff(worker.ID, wanted)
+		if time.Since(start) < duration {
+			(*b).handler.dispatcher.BackOff(worker.ID, backOff)
 			return nil, refusalError
 		}
-		return whole(http.StatusOK, "answer"), nil
+		return wholeResponse(http.StatusOK, "answer"), nil
 	}}
 }
 
 // TestARequestThatNoWorkerWantsIsRefusedAtOnce tells the caller to come back when the first worker takes requests again, and no sooner.
-func TestARequestThatNoWorkerWantsIsRefusedAtOnce(t *testing.T) {
+func TestRequestIsRefusedWhileAllWorkersBackOff(t *testing.T) {
 	for _, engine := range []bool{false, true} {
-		var b *bench
+		var b *fixture
 		rule := routing.Rule{Kind: routing.KindRepeatable, MaxAttempts: 2, Objective: 300 * time.Millisecond}
-		b = newBench(t, benchOptions{rule: rule, engine: engine, allowance: 10}, backingOff(&b, 2*time.Second, time.Minute))
-		begun := time.Now()
+		b = newFixture(t, fixtureOptions{rule: rule, engine: engine, allowance: 10}, backOffWorkers(&b, 2*time.Second, time.Minute))
+		start := time.Now()
 		response, body, err := b.get(t)
-		if err != nil || response.StatusCode != http.StatusServiceUnavailable || time.Since(begun) > time.Second {
-			t.Fatalf("%v, %v after %s: %s", response, err, time.Since(begun), body)
+		if err != nil || response.StatusCode != http.StatusServiceUnavailable || time.Since(start) > time.Second {
+			t.Fatalf("%v, %v after %s: %s", response, err, time.Since(start), body)
 		}
 		after, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
 		if err != nil || after < 1.5 || after > 2.5 {
@@ -46,20 +46,20 @@
 }
 
 // TestARequestWaitsForAWorkerThatSoonTakesIt is served within its objective where a worker takes it in time.
-func TestARequestWaitsForAWorkerThatSoonTakesIt(t *testing.T) {
-	var b *bench
+func TestRequestWaitsForShortBackOff(t *testing.T) {
+	var b *fixture
 	rule := routing.Rule{Kind: routing.KindRepeatable, MaxAttempts: 2, Objective: time.Second}
-	b = newBench(t, benchOptions{rule: rule, allowance: 10}, backingOff(&b, 200*time.Millisecond, 100*time.Millisecond))
-	begun := time.Now()
+	b = newFixture(t, fixtureOptions{rule: rule, allowance: 10}, backOffWorkers(&b, 200*time.Millisecond, 100*time.Millisecond))
+	start := time.Now()
 	response, _, err := b.get(t)
-	if took := time.Since(begun); err != nil || response.StatusCode != http.StatusOK || took < 150*time.Millisecond || took > rule.Objective {
+	if took := time.Since(start); err != nil || response.StatusCode != http.StatusOK || took < 150*time.Millisecond || took > rule.Objective {
 		t.Errorf("%v, %v after %s", response, err, took)
 	}
 }
 
 // TestOneWorkerThatBacksOffLeavesTheOthers serves a request at another worker at once, and keeps the next one from the first.
-func TestOneWorkerThatBacksOffLeavesTheOthers(t *testing.T) {
-	var b *bench
+func TestOtherWorkersServeDuringBackOff(t *testing.T) {
+	var b *fixture
 	first := ""
 	workers := &fakeWorkers{run: func(_ context.Context, _ int, worker *backend.Worker, _ RunOptions) (*Answer, error) {
 		if first == "" || first == worker.ID {
@@ -67,9 +67,9 @@
 			b.handler.dispatcher.BackOff(worker.ID, time.Minute)
 			return nil, refusalError
 		}
-		return whole(http.StatusOK, "answer"), nil
+		return wholeResponse(http.StatusOK, "answer"), nil
 	}}
-	b = newBench(t, benchOptions{rule: routing.Rule{Kind: routing.KindRepeatable, MaxAttempts: 2}, allowance: 10}, workers)
+	b = newFixture(t, fixtureOptions{rule: routing.Rule{Kind: routing.KindRepeatable, MaxAttempts: 2}, allowance: 10}, workers)
 	for range 20 {
 		if response, _, err := b.get(t); err != nil || response.StatusCode != http.StatusOK {
 			t.Fatalf("%v, %v", response, err)
--- a/internal/forward/engines_test.go
+++ b/internal/forward/enginestate_test.go
@@ -18,13 +18,13 @@
 )
 
 // changeTime is how long the engines of these tests take to change their role.
-const changeTime = time.Second
+const roleChangeTime = time.Second
 
 // twoGateways are two dispatchers with three engines of each role and one clock; what they tell is delivered by tell.
 type twoGateways struct {
 	now      time.Time
 	gateways [2]*Dispatcher
-	sent     uint64
+	sequence uint64
 	group    *routing.Group
 	records  backend.Set
 }
@@ -32,7 +32,7 @@
 // newTwoGateways returns two that know the same engines.
 func newTwoGateways() *twoGateways {
 	engine := *engineGroup.Engine
-	engine.RoleChange = changeTime
+	engine.RoleChange = roleChangeTime
 	two := &twoGateways{now: time.Unix(1000, 0), group: &routing.Group{Name: "g", Engine: &engine}, records: backend.Set{}}
 	for _, role := range []backend.Role{backend.RolePrefill, backend.RoleDecode} {
 		for i := range 3 {
@@ -50,39 +50,39 @@
 }
 
 // tell delivers what each has to tell to the other one.
-func (two *twoGateways) tell() {
-	two.sent++
+func (two *twoGateways) exchange() {
+	two.sequence++
 	for i, gateway := range two.gateways {
 		message := gateway.Drain(false)
-		message.Sender, message.Epoch, message.Sequence = fmt.Sprint(i), 1, two.sent
+		message.Sender, message.Epoch, message.Sequence = fmt.Sprint(i), 1, two.sequence
 		two.gateways[1-i].Hear(&message)
 	}
 }
 
 // writers returns where each of the gateways places short requests, without work that counts.
-func (two *twoGateways) writers(gateway int) map[string]bool {
-	at := map[string]bool{}
+func (two *twoGateways) runners(gateway int) map[string]bool {
+	runners := map[string]bool{}
 	for i := range 30 {
 		request := &Request{ID: fmt.Sprint("r", i), Demand: shortPrompt}
 		placement, found := two.gateways[gateway].Place(request, two.group, PlaceOptions{})
 		if found && placement.Runner != nil {
-			at[placement.Runner.Worker.ID] = true
+			runners[placement.Runner.Worker.ID] = true
 		}
 		if found && placement.Prefill != nil {
 			placement.Prefill.finish(0)
 		}
 	}
-	return at
+	return runners
 }
 
-func TestWhatOneGatewayFindsRefusedAllPassOver(t *testing.T) {
+func TestRefusedEngineIsAvoidedByAllGateways(t *testing.T) {
 	two := newTwoGateways()
 	two.gateways[0].EngineRefuses("decode0")
 	two.gateways[0].EngineRefuses("decode1")
-	two.tell()
+	two.exchange()
 	for gateway := range two.gateways {
-		if at := two.writers(gateway); len(at) != 1 || !at["decode2"] {
-			t.Errorf("gateway %d places at %v, want only the one that lives", gateway, at)
+		if runners := two.runners(gateway); len(runners) != 1 || !runners["decode2"] {
+			t.Errorf("gateway %d places at %v, want only the one that lives", gateway, runners)
 		}
 		for _, question := range two.gateways[gateway].Questions() {
 			if question.Confirmed != (gateway == 0) {
@@ -90,23 +90,23 @@
 			}
 		}
 	}
-	if groups := two.gateways[1].Groups(); gone(groups["g"].Engines) != 0 {
+	if groups := two.gateways[1].Groups(); countGone(groups["g"].Engines) != 0 {
 		t.Error("the word of one gateway has another one take engines for lost")
 	}
-	if groups := two.gateways[0].Groups(); gone(groups["g"].Engines) != 2 {
+	if groups := two.gateways[0].Groups(); countGone(groups["g"].Engines) != 2 {
 		t.Error("engines that a gateway found refused itself are not taken for lost")
 	}
 	two.gateways[1].EngineAnswers("decode0", backend.RoleDecode, false)
-	two.tell()
+	two.exchange()
 	for gateway := range two.gateways {
-		if at := two.writers(gateway); !at["decode0"] || at["decode1"] {
-			t.Errorf("gateway %d places at %v after one engine answered", gateway, at)
+		if runners := two.runners(gateway); !runners["decode0"] || runners["decode1"] {
+			t.Errorf("gateway %d places at %v after one engine answered", gateway, runners)
 		}
 	}
 }
 
 // gone counts the engines that are taken for lost.
-func gone(engines []roles.Engine) int {
+func countGone(engines []roles.Engine) int {
 	count := 0
 	for _, engine := range engines {
 		if engine.Gone {
@@ -116,21 +116,21 @@
 	return count
 }
 
-func TestAnEngineTakesItsRoleAheadOfItsRecord(t *testing.T) {
+func TestReportedRolePrecedesRecord(t *testing.T) {
 	two := newTwoGateways()
 	for i := range 3 {
 		two.gateways[0].EngineRefuses(fmt.Sprint("decode", i))
 	}
 	two.gateways[0].SetChanging("prefill0", backend.RoleDecode)
-	two.tell()
+	two.exchange()
 	for gateway := range two.gateways {
 		loss, lost := two.gateways[gateway].RoleLoss(two.group)
-		if back := loss.Back.Sub(two.now); !lost || loss.Lost != 3 || loss.Changing != 1 || loss.Readers != 2 || back != changeTime {
+		if back := loss.Back.Sub(two.now); !lost || loss.Lost != 3 || loss.Changing != 1 || loss.Readers != 2 || back != roleChangeTime {
 			t.Fatalf("gateway %d: %+v, back in %s, lost: %v", gateway, loss, back, lost)
 		}
 	}
-	revived, _ := two.gateways[0].RoleLoss(two.group)
-	two.now = two.now.Add(changeTime)
+	before, _ := two.gateways[0].RoleLoss(two.group)
+	two.now = two.now.Add(roleChangeTime)
 	questions := 0
 	for _, question := range two.gateways[1].Questions() {
 		if !question.Absent && question.Worker.ID == "prefill0" {
@@ -141,16 +141,16 @@
 		t.Error("an engine that should have changed is not asked")
 	}
 	two.gateways[1].EngineAnswers("prefill0", backend.RoleDecode, false)
-	two.tell()
+	two.exchange()
 	select {
-	case <-revived.Recovered:
+	case <-before.Recovered:
 	default:
 		t.Error("those that wait for the role are not told")
 	}
 	for range 2 {
 		for gateway := range two.gateways {
-			if at := two.writers(gateway); len(at) != 1 || !at["prefill0"] {
-				t.Errorf("gateway %d places at %v, want the engine that has changed", gateway, at)
+			if runners := two.runners(gateway); len(runners) != 1 || !runners["prefill0"] {
+				t.Errorf("gateway %d places at %v, want the engine that has changed", gateway, runners)
 			}
 			// Its record tells the old role for some time.
 			two.gateways[gateway].SetWorkers(two.records.Clone())
@@ -168,7 +168,7 @@
 }
 
 // TestWhenALostRoleIsExpectedBack asks as the time goes on: before an order, after it, and when it is late.
-func TestWhenALostRoleIsExpectedBack(t *testing.T) {
+func TestExpectedRecoveryOfLostRole(t *testing.T) {
 	two := newTwoGateways()
 	gateway := two.gateways[0]
 	if _, lost := gateway.RoleLoss(two.group); lost {
@@ -182,9 +182,9 @@
 		at, back time.Duration
 		order    bool
 	}{
-		{at: 0, back: roleOrderTime + changeTime},
-		{at: 100 * time.Millisecond, back: roleOrderTime + changeTime, order: true},
-		{at: 200 * time.Millisecond, back: 100*time.Millisecond + changeTime},
+		{at: 0, back: roleOrderTime + roleChangeTime},
+		{at: 100 * time.Millisecond, back: roleOrderTime + roleChangeTime, order: true},
+		{at: 200 * time.Millisecond, back: 100*time.Millisecond + roleChangeTime},
 		{at: 1200 * time.Millisecond, back: 1300 * time.Millisecond},
 		{at: 1400 * time.Millisecond, back: 1700 * time.Millisecond},
 	} {
@@ -204,7 +204,7 @@
 }
 
 // TestWithoutAnOrderTheReturnOfEnginesIsAwaited has no gateway give an order: what is expected is that engines start again.
-func TestWithoutAnOrderTheReturnOfEnginesIsAwaited(t *testing.T) {
+func TestRecoveryWithoutRoleOrder(t *testing.T) {
 	two := newTwoGateways()
 	for i := range 3 {
 		two.gateways[0].EngineRefuses(fmt.Sprint("decode", i))
@@ -220,24 +220,24 @@
 }
 
 // lostBench is a bench whose three writers refuse connections, and whose readers change to writers after a time.
-func lostBench(t *testing.T, objective, changes time.Duration) (*bench, *fakeWorkers) {
+func newLostRoleFixture(t *testing.T, objective, roleChange time.Duration) (*fixture, *fakeWorkers) {
 	t.Helper()
 	workers := &fakeWorkers{}
 	workers.run = func(_ context.Context, _ int, worker *backend.Worker, _ RunOptions) (*Answer, error) {
 		if strings.HasPrefix(worker.ID, "decode") {
 			return nil, &httpclient.Error{Step: httpclient.StepConnect, Peer: worker.ID, Cause: syscall.ECONNREFUSED}
 		}
-		return whole(200, "answer"), nil
+		return wholeResponse(200, "answer"), nil
 	}
-	b := newBench(t, benchOptions{
+	b := newFixture(t, fixtureOptions{
 		rule: routing.Rule{Kind: routing.KindRepeatable, MaxAttempts: 2, Objective: objective}, engine: true, demand: shortPrompt, allowance: 10,
 	}, workers)
-	b.handler.dispatcher.engineGroups["g"].RoleChange = changes
+	b.handler.dispatcher.engineGroups["g"].RoleChange = roleChange
 	return b, workers
 }
 
-func TestARequestWaitsForARoleThatIsExpectedSoon(t *testing.T) {
-	b, workers := lostBench(t, 4*time.Second, 50*time.Millisecond)
+func TestRequestWaitsForRoleExpectedSoon(t *testing.T) {
+	b, workers := newLostRoleFixture(t, 4*time.Second, 50*time.Millisecond)
 	dispatcher := b.handler.dispatcher
 	dispatcher.SetChanging("prefill0", backend.RoleDecode)
 	time.AfterFunc(100*time.Millisecond, func() { dispatcher.EngineAnswers("prefill0", backend.RoleDecode, false) })
@@ -250,22 +250,22 @@
 	}
 }
 
-func TestARequestIsRefusedAtOnceForARoleThatIsExpectedLate(t *testing.T) {
-	b, workers := lostBench(t, 200*time.Millisecond, 900*time.Millisecond)
+func TestRequestIsRefusedForRoleExpectedLate(t *testing.T) {
+	b, workers := newLostRoleFixture(t, 200*time.Millisecond, 900*time.Millisecond)
 	for first := true; ; first = false {
-		begun := time.Now()
+		start := time.Now()
 		response, body, err := b.get(t)
 		if err != nil || response.StatusCode != http.StatusServiceUnavailable || !strings.Contains(body, string(ReasonRoleLost)) {
 			t.Fatalf("got %v, %s, %v", response, body, err)
 		}
-		if took := time.Since(begun); took > 50*time.Millisecond {
+		if took := time.Since(start); took > 50*time.Millisecond {
 			t.Errorf("it took %s", took)
 		}
 		after, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
 		if least := (900*time.Millisecond + roleOrderTime - 100*time.Millisecond).Seconds(); err != nil || after < least || after > 2*least {
 			t.Errorf("the caller is to come back after %v s", response.Header.Get("Retry-After"))
 		}
-		if loss := b.observed.last.Loss; loss == nil || loss.Lost != 3 || loss.Readers != 3 {
+		if loss := b.reports.last.Loss; loss == nil || loss.Lost != 3 || loss.Readers != 3 {
 			t.Errorf("reported %+v", loss)
 		}
 		if !first {
@@ -282,7 +282,7 @@
 }
 
 // BenchmarkLossOf asks for a lost role of 5,200 engines, as a request does that finds no engine and is the first within lossTime.
-func BenchmarkLossOf(b *testing.B) {
+func BenchmarkRoleLoss(b *testing.B) {
 	two := newTwoGateways()
 	set := backend.Set{}
 	for i := range 5200 {
--- a/internal/forward/fleet_load_test.go
+++ b/internal/forward/fleet_load_test.go
@@ -18,92 +18,92 @@
 // mean, are those of some thousand documents, each asked for about as often as the others; their own parts are 3,700 tokens in the mean and
 // up to 53,000. Engines read 61 tokens in a millisecond.
 const (
-	longPrompts    = 140.0
-	documents      = 1060
-	sharedMean     = 13_300
-	ownMean        = 3_720
-	tokensPerMs    = 61.2
-	playedEntries  = 12
-	longObjective  = 600 * time.Millisecond
-	toldAfter      = 4 * time.Millisecond
-	quadraticPerMM = 0.324
+	longPromptsPerSecond       = 140.0
+	documentCount              = 1060
+	meanSharedTokens           = 13_300
+	meanOwnTokens              = 3_720
+	tokensPerMs                = 61.2
+	gatewayCount               = 12
+	longObjective              = 600 * time.Millisecond
+	peerDelay                  = 4 * time.Millisecond
+	attentionMsPerMillionPairs = 0.324
 )
 
 // happening is something that happens at a moment of a play.
-type happening struct {
-	at   time.Time
-	what func()
+type simEvent struct {
+	at  time.Time
+	run func()
 }
 
 // happenings are ordered by their moments.
-type happenings []happening
+type simEventQueue []simEvent
 
-func (h happenings) Len() int           { return len(h) }
-func (h happenings) Less(i, j int) bool { return h[i].at.Before(h[j].at) }
-func (h happenings) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *happenings) Push(each any)     { *h = append(*h, each.(happening)) }
-func (h *happenings) Pop() any {
+func (h simEventQueue) Len() int           { return len(h) }
+func (h simEventQueue) Less(i, j int) bool { return h[i].at.Before(h[j].at) }
+func (h simEventQueue) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
+func (h *simEventQueue) Push(event any)    { *h = append(*h, event.(simEvent)) }
+func (h *simEventQueue) Pop() any {
 	last := (*h)[len(*h)-1]
 	*h = (*h)[:len(*h)-1]
 	return last
 }
 
 // loadPlay plays the load on entries that tell each other what they do.
-type loadPlay struct {
-	now     time.Time
-	next    happenings
-	random  *rand.Rand
-	entries []*Dispatcher
-	group   *routing.Group
+type loadSimulation struct {
+	now      time.Time
+	events   simEventQueue
+	random   *rand.Rand
+	gateways []*Dispatcher
+	group    *routing.Group
 	// busyUntil is when an engine has read what it was given, and kept are the documents that it keeps.
 	busyUntil map[string]time.Time
-	kept      map[string]map[string]bool
+	cached    map[string]map[string]bool
 	// known are the documents that any engine keeps.
-	known map[string]bool
+	everCached map[string]bool
 
-	sequence               uint64
-	prompts, inTime, again int
+	sequence                    uint64
+	prompts, inTime, recomputed int
 }
 
 // after has something happen.
-func (p *loadPlay) after(pause time.Duration, what func()) {
-	heap.Push(&p.next, happening{p.now.Add(pause), what})
+func (p *loadSimulation) schedule(delay time.Duration, run func()) {
+	heap.Push(&p.events, simEvent{p.now.Add(delay), run})
 }
 
 // tokens draws a length.
-func (p *loadPlay) tokens(mean, spread, most float64) int {
-	return int(min(mean*math.Exp(spread*p.random.NormFloat64()-spread*spread/2), most))
+func (p *loadSimulation) drawTokens(mean, spread, limit float64) int {
+	return int(min(mean*math.Exp(spread*p.random.NormFloat64()-spread*spread/2), limit))
 }
 
 // arrive has a prompt come to one of the entries.
-func (p *loadPlay) arrive(number int, shared []int) {
-	document := p.random.IntN(documents)
-	own := p.tokens(ownMean, 1.1, 53_200)
+func (p *loadSimulation) arrive(number int, shared []int) {
+	document := p.random.IntN(documentCount)
+	own := p.drawTokens(meanOwnTokens, 1.1, 53_200)
 	id := fmt.Sprint("document-", document)
 	request := &Request{ID: fmt.Sprint("r", number), Demand: backend.Demand{
 		PromptTokens: shared[document] + own, Parts: []backend.Part{{ID: id, Tokens: shared[document]}, {ID: fmt.Sprint("own", number), Tokens: own}},
 	}}
-	entry := p.entries[p.random.IntN(len(p.entries))]
+	gateway := p.gateways[p.random.IntN(len(p.gateways))]
 	arrived := p.now
-	placement, found := entry.Place(request, p.group, PlaceOptions{Objective: longObjective, Left: longObjective})
+	placement, found := gateway.Place(request, p.group, PlaceOptions{Objective: longObjective, Left: longObjective})
 	if !found {
 		return
 	}
-	p.tell()
-	reads := placement.Prefill
-	if reads == nil {
-		reads = placement.Runner
+	p.exchange()
+	prefill := placement.Prefill
+	if prefill == nil {
+		prefill = placement.Runner
 	}
-	worker := reads.Worker
+	worker := prefill.Worker
 	length := float64(request.Demand.PromptTokens)
-	left := length
+	uncached := length
 	switch {
-	case p.kept[worker.ID][id] || placement.FetchFrom != nil:
-		left = float64(own)
-	case p.known[id]:
-		p.again++
+	case p.cached[worker.ID][id] || placement.FetchFrom != nil:
+		uncached = float64(own)
+	case p.everCached[id]:
+		p.recomputed++
 	}
-	took := left/tokensPerMs + quadraticPerMM*(length*length-(length-left)*(length-left))/2e6
+	took := uncached/tokensPerMs + attentionMsPerMillionPairs*(length*length-(length-uncached)*(length-uncached))/2e6
 	if worker.Role == backend.RoleDecode {
 		took *= 2
 	}
@@ -113,38 +113,38 @@
 	}
 	done = done.Add(time.Duration(took * float64(time.Millisecond)))
 	p.busyUntil[worker.ID] = done
-	p.after(done.Sub(p.now), func() {
-		if p.kept[worker.ID] == nil {
-			p.kept[worker.ID] = map[string]bool{}
+	p.schedule(done.Sub(p.now), func() {
+		if p.cached[worker.ID] == nil {
+			p.cached[worker.ID] = map[string]bool{}
 		}
-		p.kept[worker.ID][id], p.known[id] = true, true
-		entry.RecordPrefilled(worker, request)
+		p.cached[worker.ID][id], p.everCached[id] = true, true
+		gateway.RecordPrefilled(worker, request)
 		runner := placement.Runner
 		if placement.Prefill != nil {
 			placement.Prefill.prefilled()
 			placement.Prefill.finish(balance.OutcomeGood)
-			runner, _ = entry.PlaceRunner(request, p.group, nil, placement.Prefill)
+			runner, _ = gateway.PlaceRunner(request, p.group, nil, placement.Prefill)
 		}
-		p.tell()
+		p.exchange()
 		p.prompts++
 		if p.now.Sub(arrived)+30*time.Millisecond <= longObjective {
 			p.inTime++
 		}
-		p.after(30*time.Millisecond, func() { runner.finish(balance.OutcomeGood) })
+		p.schedule(30*time.Millisecond, func() { runner.finish(balance.OutcomeGood) })
 	})
 }
 
 // tell has all entries hear of what the others have done, a moment later.
-func (p *loadPlay) tell() {
-	for i, entry := range p.entries {
-		message := entry.Drain(false)
+func (p *loadSimulation) exchange() {
+	for i, gateway := range p.gateways {
+		message := gateway.Drain(false)
 		if len(message.Loads) == 0 && len(message.Kept) == 0 {
 			continue
 		}
 		p.sequence++
 		message.Sender, message.Epoch, message.Sequence = fmt.Sprint("entry-", i), 1, p.sequence
-		p.after(toldAfter, func() {
-			for j, other := range p.entries {
+		p.schedule(peerDelay, func() {
+			for j, other := range p.gateways {
 				if i != j {
 					other.Hear(&message)
 				}
@@ -155,40 +155,40 @@
 
 // TestLongPromptsOfTheWholeFleetFindWhatIsKept plays twelve seconds of the load at ten thousand engines. A document that an engine keeps is
 // hardly ever read anew, and what is late is what no idle engine could have read in time.
-func TestLongPromptsOfTheWholeFleetFindWhatIsKept(t *testing.T) {
+func TestLongPromptsReuseCachedDocuments(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 5))
-	p := &loadPlay{
-		now: time.Unix(1000, 0), random: random, busyUntil: map[string]time.Time{}, kept: map[string]map[string]bool{}, known: map[string]bool{},
+	p := &loadSimulation{
+		now: time.Unix(1000, 0), random: random, busyUntil: map[string]time.Time{}, cached: map[string]map[string]bool{}, everCached: map[string]bool{},
 		group: &routing.Group{Name: "g", Engine: &routing.Engine{MemoryTokens: 417_523, BytesPerToken: 163_840, LinkMbps: 1_500_000}},
 	}
 	set := fleetOf(10_000)
-	for zone := range playedEntries {
+	for zone := range gatewayCount {
 		settings := DefaultDispatchSettings()
 		settings.Zone = fmt.Sprint("zone-", zone%6)
-		entry := NewDispatcher(settings, func() time.Time { return p.now })
-		entry.SetGroups([]routing.Group{*p.group})
-		entry.SetWorkers(set)
-		entry.ShareWith(func(bool) {})
-		p.entries = append(p.entries, entry)
+		gateway := NewDispatcher(settings, func() time.Time { return p.now })
+		gateway.SetGroups([]routing.Group{*p.group})
+		gateway.SetWorkers(set)
+		gateway.ShareWith(func(bool) {})
+		p.gateways = append(p.gateways, gateway)
 	}
-	shared := make([]int, documents)
+	shared := make([]int, documentCount)
 	for i := range shared {
-		shared[i] = p.tokens(sharedMean, 0.7, 39_900)
+		shared[i] = p.drawTokens(meanSharedTokens, 0.7, 39_900)
 	}
 	end := p.now.Add(12 * time.Second)
-	var come func(number int)
-	come = func(number int) {
+	var arriveNext func(number int)
+	arriveNext = func(number int) {
 		p.arrive(number, shared)
-		p.after(time.Duration(random.ExpFloat64()/longPrompts*float64(time.Second)), func() { come(number + 1) })
+		p.schedule(time.Duration(random.ExpFloat64()/longPromptsPerSecond*float64(time.Second)), func() { arriveNext(number + 1) })
 	}
-	come(0)
+	arriveNext(0)
 	for p.now.Before(end) {
-		one := heap.Pop(&p.next).(happening)
-		p.now = one.at
-		one.what()
+		event := heap.Pop(&p.events).(simEvent)
+		p.now = event.at
+		event.run()
 	}
-	t.Logf("%d prompts, %d in time, %d documents read again", p.prompts, p.inTime, p.again)
-	if p.again > cmp.Or(p.prompts/50, 1) {
-		t.Errorf("of %d prompts %d had a document read again", p.prompts, p.again)
+	t.Logf("%d prompts, %d in time, %d documents read again", p.prompts, p.inTime, p.recomputed)
+	if p.recomputed > cmp.Or(p.prompts/50, 1) {
+		t.Errorf("of %d prompts %d had a document read again", p.prompts, p.recomputed)
 	}
 }
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -37,40 +37,40 @@
 
 // fakeWorkers answers by a function and keeps what it was asked.
 type fakeWorkers struct {
-	run  func(ctx context.Context, number int, worker *backend.Worker, options RunOptions) (*Answer, error)
-	read func(ctx context.Context, number int, worker *backend.Worker) (*Prompt, error)
+	run     func(ctx context.Context, number int, worker *backend.Worker, options RunOptions) (*Answer, error)
+	prefill func(ctx context.Context, number int, worker *backend.Worker) (*Prompt, error)
 
 	// asked is told of each request that is to run; nil is nobody.
-	asked func(request *Request)
+	onRun func(request *Request)
 
-	mutex    sync.Mutex
-	runs     []RunOptions
-	ranAt    []string
-	reads    []ReadOptions
-	readAt   []string
-	released []string
+	mutex          sync.Mutex
+	runOptions     []RunOptions
+	ranAt          []string
+	prefillOptions []ReadOptions
+	prefilledAt    []string
+	released       []string
 }
 
 func (f *fakeWorkers) Run(ctx context.Context, worker *backend.Worker, request *Request, options RunOptions) (*Answer, error) {
-	if f.asked != nil {
-		f.asked(request)
+	if f.onRun != nil {
+		f.onRun(request)
 	}
 	f.mutex.Lock()
-	f.runs = append(f.runs, options)
+	f.runOptions = append(f.runOptions, options)
 	f.ranAt = append(f.ranAt, worker.ID)
-	number := len(f.runs)
+	number := len(f.runOptions)
 	f.mutex.Unlock()
 	return f.run(ctx, number, worker, options)
 }
 
 func (f *fakeWorkers) ReadPrompt(ctx context.Context, worker *backend.Worker, _ *Request, options ReadOptions) (*Prompt, error) {
 	f.mutex.Lock()
-	f.readAt = append(f.readAt, worker.ID)
-	f.reads = append(f.reads, options)
-	number := len(f.readAt)
+	f.prefilledAt = append(f.prefilledAt, worker.ID)
+	f.prefillOptions = append(f.prefillOptions, options)
+	number := len(f.prefilledAt)
 	f.mutex.Unlock()
-	if f.read != nil {
-		return f.read(ctx, number, worker)
+	if f.prefill != nil {
+		return f.prefill(ctx, number, worker)
 	}
 	return &Prompt{Reader: worker, Handle: fmt.Sprint("h", number)}, nil
 }
@@ -82,12 +82,12 @@
 }
 
 // whole returns an answer with a body.
-func whole(status int, body string) *Answer {
+func wholeResponse(status int, body string) *Answer {
 	return &Answer{Status: status, Header: http.Header{}, ContentLength: int64(len(body)), Body: io.NopCloser(strings.NewReader(body))}
 }
 
 // broken returns an answer that breaks off after some bytes.
-func broken(body string) *Answer {
+func truncatedResponse(body string) *Answer {
 	reader := io.MultiReader(strings.NewReader(body), failingReader{})
 	return &Answer{Status: http.StatusOK, Header: http.Header{}, ContentLength: -1, Body: io.NopCloser(reader)}
 }
@@ -100,7 +100,7 @@
 }
 
 // silent waits for the end of the context.
-func silent(ctx context.Context) (*Answer, error) {
+func awaitCancel(ctx context.Context) (*Answer, error) {
 	<-ctx.Done()
 	return nil, &httpclient.Error{Step: httpclient.StepAwait, Peer: "w", Cause: context.Cause(ctx)}
 }
@@ -112,27 +112,27 @@
 )
 
 // observed keeps the last report.
-type observed struct {
+type reportRecorder struct {
 	mutex sync.Mutex
 	last  Report
 }
 
-func (o *observed) RequestEnded(report *Report) {
+func (o *reportRecorder) RequestEnded(report *Report) {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	o.last = *report
 }
 
 // bench is a handler with fake workers behind a real server.
-type bench struct {
-	workers  *fakeWorkers
-	handler  *Handler
-	server   *httptest.Server
-	observed *observed
+type fixture struct {
+	workers *fakeWorkers
+	handler *Handler
+	server  *httptest.Server
+	reports *reportRecorder
 }
 
 // benchOptions say what a bench is like.
-type benchOptions struct {
+type fixtureOptions struct {
 	rule      routing.Rule
 	engine    bool
 	demand    backend.Demand
@@ -140,7 +140,7 @@
 }
 
 // newBench returns a bench with three workers of each kind.
-func newBench(t *testing.T, options benchOptions, workers *fakeWorkers) *bench {
+func newFixture(t *testing.T, options fixtureOptions, workers *fakeWorkers) *fixture {
 	t.Helper()
 	rule := options.rule
 	rule.Match, rule.Shares = routing.PathMatch{Host: "127.0.0.1", PathPrefix: "/"}, []routing.Share{{Group: "g", Weight: 1}}
@@ -162,7 +162,7 @@
 	// Half of an allowance may be kept.
 	settings.Budget = retrybudget.Settings{Ratio: 0, Allowance: 2 * options.allowance, Window: 10 * time.Second, Safety: 1}
 	dispatcher := NewDispatcher(settings, time.Now)
-	earnAll(dispatcher)
+	accrueFully(dispatcher)
 	set := backend.Set{}
 	roles := []backend.Role{backend.RoleNone}
 	if options.engine {
@@ -175,8 +175,8 @@
 		}
 	}
 	dispatcher.SetWorkers(set)
-	b := &bench{workers: workers, observed: &observed{}}
-	b.handler = NewHandler(DefaultSettings(), plainProtocol{demand: options.demand}, workers, dispatcher, b.observed)
+	b := &fixture{workers: workers, reports: &reportRecorder{}}
+	b.handler = NewHandler(DefaultSettings(), plainProtocol{demand: options.demand}, workers, dispatcher, b.reports)
 	b.handler.SetTable(routing.NewTable(configuration, nil))
 	b.server = httptest.NewServer(b.handler)
 	t.Cleanup(b.server.Close)
@@ -184,17 +184,17 @@
 }
 
 // earnAll lets a minute pass for the budgets of a gateway that is alone and registered.
-func earnAll(dispatcher *Dispatcher) {
-	begun, passed := boottime.Now(), time.Duration(0)
-	dispatcher.retries.now = func() time.Time { return begun.Add(passed) }
-	for ; passed < time.Minute; passed += time.Second {
-		dispatcher.ConfirmShare(begun.Add(passed))
+func accrueFully(dispatcher *Dispatcher) {
+	start, elapsed := boottime.Now(), time.Duration(0)
+	dispatcher.retries.now = func() time.Time { return start.Add(elapsed) }
+	for ; elapsed < time.Minute; elapsed += time.Second {
+		dispatcher.ConfirmShare(start.Add(elapsed))
 	}
-	dispatcher.retries.now = func() time.Time { return boottime.Now().Add(passed) }
+	dispatcher.retries.now = func() time.Time { return boottime.Now().Add(elapsed) }
 }
 
 // get asks once.
-func (b *bench) get(t *testing.T) (*http.Response, string, error) {
+func (b *fixture) get(t *testing.T) (*http.Response, string, error) {
 	t.Helper()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true}}
 	response, err := client.Get(b.server.URL + "/x")
@@ -206,7 +206,7 @@
 	return response, string(body), err
 }
 
-func TestWhatFollowsAFailedTry(t *testing.T) {
+func TestRetryAfterFailedAttempt(t *testing.T) {
 	runOnce := routing.Rule{Kind: routing.KindRunOnce}
 	repeatable := routing.Rule{Kind: routing.KindRepeatable, MaxAttempts: 2}
 	cases := []struct {
@@ -230,11 +230,11 @@
 				if number == 1 {
 					return nil, c.first
 				}
-				return whole(200, "answer"), nil
+				return wholeResponse(200, "answer"), nil
 			}
-			response, _, err := newBench(t, benchOptions{rule: c.rule, allowance: 10}, workers).get(t)
-			if err != nil || response.StatusCode != c.wantStatus || len(workers.runs) != c.wantRuns {
-				t.Fatalf("got %v, %v after %d runs, want %d after %d", response, err, len(workers.runs), c.wantStatus, c.wantRuns)
+			response, _, err := newFixture(t, fixtureOptions{rule: c.rule, allowance: 10}, workers).get(t)
+			if err != nil || response.StatusCode != c.wantStatus || len(workers.runOptions) != c.wantRuns {
+				t.Fatalf("got %v, %v after %d runs, want %d after %d", response, err, len(workers.runOptions), c.wantStatus, c.wantRuns)
 			}
 			if len(workers.ranAt) == 2 && workers.ranAt[0] == workers.ranAt[1] {
 				t.Error("the same worker was tried again")
@@ -243,15 +243,15 @@
 	}
 }
 
-func TestRefusedByAllIsToldAsNotRun(t *testing.T) {
+func TestRefusalByAllWorkersIsReportedAsNotRun(t *testing.T) {
 	workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Answer, error) { return nil, refusalError }}
-	response, _, err := newBench(t, benchOptions{allowance: 10}, workers).get(t)
+	response, _, err := newFixture(t, fixtureOptions{allowance: 10}, workers).get(t)
 	if err != nil || response.StatusCode != http.StatusServiceUnavailable || response.Header.Get("Retry-After") == "" {
 		t.Fatalf("got %v, %v", response, err)
 	}
 }
 
-func TestARequestThatMayHaveRunIsNeverToldAsNotRun(t *testing.T) {
+func TestPossibleRunIsNotReportedAsNotRun(t *testing.T) {
 	workers := &fakeWorkers{run: func(_ context.Context, number int, _ *backend.Worker, _ RunOptions) (*Answer, error) {
 		if number == 1 {
 			return nil, resetError
@@ -259,52 +259,54 @@
 		return nil, refusalError
 	}}
 	rule := routing.Rule{Kind: routing.KindRepeatable, MaxAttempts: 2}
-	response, _, err := newBench(t, benchOptions{rule: rule, allowance: 10}, workers).get(t)
+	response, _, err := newFixture(t, fixtureOptions{rule: rule, allowance: 10}, workers).get(t)
 	if err != nil || response.StatusCode != http.StatusBadGateway {
 		t.Fatalf("got %v, %v", response, err)
 	}
 }
 
-func TestAnErrorOfAWorkerIsPassedOnWhenThereIsNothingBetter(t *testing.T) {
+func TestWorkerErrorIsForwardedWhenRetriesFail(t *testing.T) {
 	workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Answer, error) {
-		return whole(500, "sorry"), nil
+		return wholeResponse(500, "sorry"), nil
 	}}
 	rule := routing.Rule{Kind: routing.KindRepeatable, MaxAttempts: 2}
-	response, body, err := newBench(t, benchOptions{rule: rule, allowance: 10}, workers).get(t)
-	if err != nil || response.StatusCode != 500 || body != "sorry" || len(workers.runs) != 2 {
-		t.Fatalf("got %v, %q, %v after %d runs", response, body, err, len(workers.runs))
+	response, body, err := newFixture(t, fixtureOptions{rule: rule, allowance: 10}, workers).get(t)
+	if err != nil || response.StatusCode != 500 || body != "sorry" || len(workers.runOptions) != 2 {
+		t.Fatalf("got %v, %q, %v after %d runs", response, body, err, len(workers.runOptions))
 	}
 }
 
-func TestTheRouteTimeoutEndsARequest(t *testing.T) {
-	workers := &fakeWorkers{run: func(ctx context.Context, _ int, _ *backend.Worker, _ RunOptions) (*Answer, error) { return silent(ctx) }}
-	begun := time.Now()
-	response, _, err := newBench(t, benchOptions{rule: routing.Rule{Timeout: 200 * time.Millisecond}}, workers).get(t)
+func TestRuleTimeoutEndsRequest(t *testing.T) {
+	workers := &fakeWorkers{run: func(ctx context.Context, _ int, _ *backend.Worker, _ RunOptions) (*Answer, error) {
+		return awaitCancel(ctx)
+	}}
+	start := time.Now()
+	response, _, err := newFixture(t, fixtureOptions{rule: routing.Rule{Timeout: 200 * time.Millisecond}}, workers).get(t)
 	if err != nil || response.StatusCode != http.StatusGatewayTimeout {
 		t.Fatalf("got %v, %v", response, err)
 	}
-	if took := time.Since(begun); took > 600*time.Millisecond {
+	if took := time.Since(start); took > 600*time.Millisecond {
 		t.Errorf("it took %s", took)
 	}
 }
 
 // TestASilentWorkerIsLeftOnlyForAnother guards against answering 502 while a worker may still answer: without a repeat left,
 // a request that waits for a silent worker goes on waiting.
-func TestASilentWorkerIsLeftOnlyForAnother(t *testing.T) {
+func TestSilentWorkerIsAbandonedOnlyWithRetry(t *testing.T) {
 	rule := routing.Rule{Kind: routing.KindRepeatable, MaxAttempts: 2, Objective: 50 * time.Millisecond}
 	answerLate := func(ctx context.Context, number int, _ *backend.Worker, _ RunOptions) (*Answer, error) {
 		if number > 1 {
-			return whole(200, "second"), nil
+			return wholeResponse(200, "second"), nil
 		}
 		select {
 		case <-ctx.Done():
-			return silent(ctx)
+			return awaitCancel(ctx)
 		case <-time.After(300 * time.Millisecond):
-			return whole(200, "first"), nil
+			return wholeResponse(200, "first"), nil
 		}
 	}
 	for allowance, want := range map[float64]string{0: "first", 10: "second"} {
-		response, body, err := newBench(t, benchOptions{rule: rule, allowance: allowance}, &fakeWorkers{run: answerLate}).get(t)
+		response, body, err := newFixture(t, fixtureOptions{rule: rule, allowance: allowance}, &fakeWorkers{run: answerLate}).get(t)
 		if err != nil || response.StatusCode != 200 || body != want {
 			t.Errorf("with %v repeats: got %v, %q, %v, want %q", allowance, response, body, err, want)
 		}
@@ -313,14 +315,14 @@
 
 // TestTheOnlyWorkerIsNotLeft has the only worker of a group be silent for longer than others are waited for. Nobody else could answer, so
 // that it is waited for.
-func TestTheOnlyWorkerIsNotLeft(t *testing.T) {
+func TestOnlyWorkerIsNotAbandoned(t *testing.T) {
 	rule := routing.Rule{Kind: routing.KindRepeatable, MaxAttempts: 2, Objective: 50 * time.Millisecond}
-	b := newBench(t, benchOptions{rule: rule, allowance: 10}, &fakeWorkers{run: func(ctx context.Context, _ int, _ *backend.Worker, _ RunOptions) (*Answer, error) {
+	b := newFixture(t, fixtureOptions{rule: rule, allowance: 10}, &fakeWorkers{run: func(ctx context.Context, _ int, _ *backend.Worker, _ RunOptions) (*Answer, error) {
 		select {
 		case <-ctx.Done():
-			return silent(ctx)
+			return awaitCancel(ctx)
 		case <-time.After(300 * time.Millisecond):
-			return whole(200, "late"), nil
+			return wholeResponse(200, "late"), nil
 		}
 	}})
 	only := &backend.Worker{ID: "only", Group: "g", Address: "only", Slots: 4}
@@ -337,9 +339,9 @@
 	text io.Reader
 }
 
-func (l lateReader) Read(into []byte) (int, error) {
+func (l lateReader) Read(p []byte) (int, error) {
 	<-l.ctx.Done()
-	n, err := l.text.Read(into)
+	n, err := l.text.Read(p)
 	if err != nil {
 		return n, &httpclient.Error{Step: httpclient.StepReceive, Peer: "w", Cause: context.Cause(l.ctx)}
 	}
@@ -348,82 +350,82 @@
 
 // TestAWorkerIsLeftOrItsAnswerIsPassedOn has the first event of a worker read just as the worker is given up as silent: the caller may
 // not get the beginning of an answer whose rest was given up.
-func TestAWorkerIsLeftOrItsAnswerIsPassedOn(t *testing.T) {
+func TestAbandonedResponseIsNotForwarded(t *testing.T) {
 	workers := &fakeWorkers{run: func(ctx context.Context, number int, _ *backend.Worker, _ RunOptions) (*Answer, error) {
 		if number > 1 {
-			return whole(200, firstEvents+lastEvents), nil
+			return wholeResponse(200, firstEvents+lastEvents), nil
 		}
 		body := io.NopCloser(lateReader{ctx, strings.NewReader(firstEvents)})
 		return &Answer{Status: http.StatusOK, Header: http.Header{}, ContentLength: -1, Body: body}, nil
 	}}
 	rule := routing.Rule{Kind: routing.KindStream, Resumable: true, MaxAttempts: 2, Objective: 50 * time.Millisecond}
-	_, body, err := newBench(t, benchOptions{rule: rule, allowance: 10}, workers).get(t)
+	_, body, err := newFixture(t, fixtureOptions{rule: rule, allowance: 10}, workers).get(t)
 	if err != nil || body != firstEvents+lastEvents {
 		t.Fatalf("got %q, %v", body, err)
 	}
-	if after := workers.runs[1].ResumeAfter; after != "" {
+	if after := workers.runOptions[1].ResumeAfter; after != "" {
 		t.Errorf("a worker was given up as silent after its events up to %s were passed on", after)
 	}
 }
 
 // slowReader gives its parts one after the other, with a pause before each but the first, until a context has ended.
 type slowReader struct {
-	ctx   context.Context
-	parts []string
-	pause time.Duration
-	begun bool
+	ctx     context.Context
+	parts   []string
+	pause   time.Duration
+	started bool
 }
 
-func (s *slowReader) Read(into []byte) (int, error) {
+func (s *slowReader) Read(p []byte) (int, error) {
 	if len(s.parts) == 0 {
 		return 0, io.EOF
 	}
 	pause := time.Duration(0)
-	if s.begun {
+	if s.started {
 		pause = s.pause
 	}
-	s.begun = true
+	s.started = true
 	select {
 	case <-s.ctx.Done():
 		return 0, context.Cause(s.ctx)
 	case <-time.After(pause):
 	}
-	n := copy(into, s.parts[0])
+	n := copy(p, s.parts[0])
 	s.parts = s.parts[1:]
 	return n, nil
 }
 
 // TestAStreamThatHasBegunOutlastsThePatience guards against cutting a stream whose worker is not silent any more.
-func TestAStreamThatHasBegunOutlastsThePatience(t *testing.T) {
+func TestStartedStreamOutlastsResponseTimeout(t *testing.T) {
 	workers := &fakeWorkers{run: func(ctx context.Context, number int, _ *backend.Worker, _ RunOptions) (*Answer, error) {
 		if number > 1 {
-			return whole(200, lastEvents), nil
+			return wholeResponse(200, lastEvents), nil
 		}
 		body := io.NopCloser(&slowReader{ctx: ctx, parts: []string{firstEvents, lastEvents}, pause: 200 * time.Millisecond})
 		return &Answer{Status: http.StatusOK, Header: http.Header{}, ContentLength: -1, Body: body}, nil
 	}}
 	rule := routing.Rule{Kind: routing.KindStream, Resumable: true, MaxAttempts: 2, Objective: 50 * time.Millisecond}
-	_, body, err := newBench(t, benchOptions{rule: rule, allowance: 10}, workers).get(t)
-	if err != nil || body != firstEvents+lastEvents || len(workers.runs) != 1 {
-		t.Fatalf("got %q, %v after %d runs", body, err, len(workers.runs))
+	_, body, err := newFixture(t, fixtureOptions{rule: rule, allowance: 10}, workers).get(t)
+	if err != nil || body != firstEvents+lastEvents || len(workers.runOptions) != 1 {
+		t.Fatalf("got %q, %v after %d runs", body, err, len(workers.runOptions))
 	}
 }
 
 // TestNoRepeatIsSpentOnceAWholeAnswerIsThere holds a gateway that has read a whole answer until the patience has passed.
-func TestNoRepeatIsSpentOnceAWholeAnswerIsThere(t *testing.T) {
+func TestNoRetryAfterCompleteResponse(t *testing.T) {
 	workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Answer, error) {
-		return whole(200, "answer"), nil
+		return wholeResponse(200, "answer"), nil
 	}}
 	rule := routing.Rule{Kind: routing.KindRepeatable, MaxAttempts: 2, Objective: 50 * time.Millisecond}
-	b := newBench(t, benchOptions{rule: rule, allowance: 10}, workers)
+	b := newFixture(t, fixtureOptions{rule: rule, allowance: 10}, workers)
 	b.handler.ServeHTTP(slowWriter{httptest.NewRecorder()}, httptest.NewRequest(http.MethodGet, "http://127.0.0.1/x", nil))
 	for _, budget := range b.handler.dispatcher.Budgets() {
 		if budget.Granted > 0 {
 			t.Errorf("%d repeats were spent", budget.Granted)
 		}
 	}
-	if len(workers.runs) != 1 {
-		t.Errorf("it ran %d times", len(workers.runs))
+	if len(workers.runOptions) != 1 {
+		t.Errorf("it ran %d times", len(workers.runOptions))
 	}
 }
 
@@ -440,44 +442,44 @@
 	lastEvents  = "id: 3\ndata: c\n\n"
 )
 
-func TestAResumableStreamGoesOnAfterTheLastWholeEvent(t *testing.T) {
+func TestResumableStreamContinuesAfterLastEvent(t *testing.T) {
 	workers := &fakeWorkers{run: func(_ context.Context, number int, _ *backend.Worker, _ RunOptions) (*Answer, error) {
 		if number == 1 {
-			return broken(firstEvents + "id: 3\nda"), nil
+			return truncatedResponse(firstEvents + "id: 3\nda"), nil
 		}
-		return whole(200, "id: 2\ndata: b\n\n"+lastEvents), nil
+		return wholeResponse(200, "id: 2\ndata: b\n\n"+lastEvents), nil
 	}}
 	rule := routing.Rule{Kind: routing.KindStream, Resumable: true, MaxAttempts: 2}
-	_, body, err := newBench(t, benchOptions{rule: rule, allowance: 10}, workers).get(t)
+	_, body, err := newFixture(t, fixtureOptions{rule: rule, allowance: 10}, workers).get(t)
 	if err != nil || body != firstEvents+lastEvents {
 		t.Fatalf("got %q, %v", body, err)
 	}
-	if workers.runs[1].ResumeAfter != "2" {
-		t.Errorf("resumed after %q", workers.runs[1].ResumeAfter)
+	if workers.runOptions[1].ResumeAfter != "2" {
+		t.Errorf("resumed after %q", workers.runOptions[1].ResumeAfter)
 	}
 }
 
-func TestAStreamThatBreaksOffDoesNotLookWhole(t *testing.T) {
+func TestTruncatedStreamLooksTruncated(t *testing.T) {
 	workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Answer, error) {
-		return broken(firstEvents), nil
+		return truncatedResponse(firstEvents), nil
 	}}
-	_, body, err := newBench(t, benchOptions{rule: routing.Rule{Kind: routing.KindStream}, allowance: 10}, workers).get(t)
+	_, body, err := newFixture(t, fixtureOptions{rule: routing.Rule{Kind: routing.KindStream}, allowance: 10}, workers).get(t)
 	if err == nil {
 		t.Fatalf("the end looked whole after %q", body)
 	}
-	if len(workers.runs) != 1 {
-		t.Errorf("a stream that may run once ran %d times", len(workers.runs))
+	if len(workers.runOptions) != 1 {
+		t.Errorf("a stream that may run once ran %d times", len(workers.runOptions))
 	}
 }
 
-func TestTheCallersLeavingEndsTheRun(t *testing.T) {
+func TestCallerDisconnectCancelsRun(t *testing.T) {
 	ended := make(chan error, 1)
 	workers := &fakeWorkers{run: func(ctx context.Context, _ int, _ *backend.Worker, _ RunOptions) (*Answer, error) {
-		answer, err := silent(ctx)
+		answer, err := awaitCancel(ctx)
 		ended <- err
 		return answer, err
 	}}
-	b := newBench(t, benchOptions{}, workers)
+	b := newFixture(t, fixtureOptions{}, workers)
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
 	request, _ := http.NewRequestWithContext(ctx, http.MethodGet, b.server.URL+"/x", nil)
@@ -497,14 +499,14 @@
 // longPrompt is read apart.
 var longPrompt = backend.Demand{PromptTokens: 9000, Parts: []backend.Part{{ID: "a", Tokens: 8000}, {ID: "b", Tokens: 1000}}}
 
-func TestALongPromptIsReadApart(t *testing.T) {
+func TestLongPromptIsPrefilledSeparately(t *testing.T) {
 	workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Answer, error) {
-		return whole(200, lastEvents), nil
+		return wholeResponse(200, lastEvents), nil
 	}}
 	rule := routing.Rule{Kind: routing.KindStream}
-	_, _, err := newBench(t, benchOptions{rule: rule, engine: true, demand: longPrompt}, workers).get(t)
-	if err != nil || len(workers.readAt) != 1 || workers.runs[0].Prompt == nil || workers.runs[0].Prompt.Handle != "h1" {
-		t.Fatalf("read at %v, run with %+v, %v", workers.readAt, workers.runs, err)
+	_, _, err := newFixture(t, fixtureOptions{rule: rule, engine: true, demand: longPrompt}, workers).get(t)
+	if err != nil || len(workers.prefilledAt) != 1 || workers.runOptions[0].Prompt == nil || workers.runOptions[0].Prompt.Handle != "h1" {
+		t.Fatalf("read at %v, run with %+v, %v", workers.prefilledAt, workers.runOptions, err)
 	}
 	if len(workers.released) != 0 {
 		t.Error("a prompt that was used was released")
@@ -513,29 +515,29 @@
 
 // TestAPromptWhoseHandleIsGoneIsNotReadAgain guards against reading a long prompt twice: the parts that the first reading left
 // at its engine are fetched by the runner.
-func TestAPromptWhoseHandleIsGoneIsNotReadAgain(t *testing.T) {
+func TestPromptWithLostHandleIsNotPrefilledAgain(t *testing.T) {
 	workers := &fakeWorkers{run: func(_ context.Context, _ int, _ *backend.Worker, options RunOptions) (*Answer, error) {
 		if options.Prompt != nil {
 			return nil, refusalError
 		}
-		return whole(200, lastEvents), nil
+		return wholeResponse(200, lastEvents), nil
 	}}
 	rule := routing.Rule{Kind: routing.KindStream}
-	response, _, err := newBench(t, benchOptions{rule: rule, engine: true, demand: longPrompt, allowance: 10}, workers).get(t)
-	if err != nil || response.StatusCode != 200 || len(workers.readAt) != 1 {
-		t.Fatalf("got %v, %v, read at %v", response, err, workers.readAt)
+	response, _, err := newFixture(t, fixtureOptions{rule: rule, engine: true, demand: longPrompt, allowance: 10}, workers).get(t)
+	if err != nil || response.StatusCode != 200 || len(workers.prefilledAt) != 1 {
+		t.Fatalf("got %v, %v, read at %v", response, err, workers.prefilledAt)
 	}
-	if source := workers.runs[1].FetchFrom; source == nil || source.ID != workers.readAt[0] {
+	if source := workers.runOptions[1].FetchFrom; source == nil || source.ID != workers.prefilledAt[0] {
 		t.Errorf("fetched from %v", source)
 	}
 }
 
-func TestAFailedReadingLeavesNothingRun(t *testing.T) {
+func TestFailedPrefillCountsAsNotRun(t *testing.T) {
 	workers := &fakeWorkers{
 		run: func(context.Context, int, *backend.Worker, RunOptions) (*Answer, error) {
-			return whole(200, lastEvents), nil
+			return wholeResponse(200, lastEvents), nil
 		},
-		read: func(_ context.Context, number int, worker *backend.Worker) (*Prompt, error) {
+		prefill: func(_ context.Context, number int, worker *backend.Worker) (*Prompt, error) {
 			if number == 1 {
 				return nil, resetError
 			}
@@ -543,15 +545,17 @@
 		},
 	}
 	rule := routing.Rule{Kind: routing.KindStream}
-	response, _, err := newBench(t, benchOptions{rule: rule, engine: true, demand: longPrompt, allowance: 10}, workers).get(t)
-	if err != nil || response.StatusCode != 200 || len(workers.runs) != 1 {
-		t.Fatalf("got %v, %v after %d runs", response, err, len(workers.runs))
+	response, _, err := newFixture(t, fixtureOptions{rule: rule, engine: true, demand: longPrompt, allowance: 10}, workers).get(t)
+	if err != nil || response.StatusCode != 200 || len(workers.runOptions) != 1 {
+		t.Fatalf("got %v, %v after %d runs", response, err, len(workers.runOptions))
 	}
 }
 
-func TestOwnAnswers(t *testing.T) {
-	workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Answer, error) { return whole(200, "x"), nil }}
-	b := newBench(t, benchOptions{}, workers)
+func TestGatewayErrorResponses(t *testing.T) {
+	workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Answer, error) {
+		return wholeResponse(200, "x"), nil
+	}}
+	b := newFixture(t, fixtureOptions{}, workers)
 	post := func(body string) int {
 		response, err := http.Post(b.server.URL+"/x", "text/plain", strings.NewReader(body))
 		if err != nil {
@@ -572,7 +576,7 @@
 	if got := post("x"); got != http.StatusServiceUnavailable {
 		t.Errorf("while stopping: %d", got)
 	}
-	fresh := NewHandler(DefaultSettings(), plainProtocol{}, workers, b.handler.dispatcher, b.observed)
+	fresh := NewHandler(DefaultSettings(), plainProtocol{}, workers, b.handler.dispatcher, b.reports)
 	recorder := httptest.NewRecorder()
 	fresh.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/x", nil))
 	if recorder.Code != http.StatusServiceUnavailable || recorder.Header().Get("Retry-After") == "" {
@@ -590,61 +594,61 @@
 
 // TestAFurtherReadingIsARepeat guards against spending two repeats for one: a prompt that is read once more counts like a
 // request that is sent once more.
-func TestAFurtherReadingIsARepeat(t *testing.T) {
-	for allowance, wantReads := range map[float64]int{1: 1, 10: 2} {
+func TestSecondPrefillUsesRetry(t *testing.T) {
+	for allowance, wantPrefills := range map[float64]int{1: 1, 10: 2} {
 		workers := &fakeWorkers{run: func(_ context.Context, number int, _ *backend.Worker, _ RunOptions) (*Answer, error) {
 			if number == 1 {
 				return nil, connectError
 			}
-			return whole(200, lastEvents), nil
+			return wholeResponse(200, lastEvents), nil
 		}}
-		workers.read = func(_ context.Context, number int, worker *backend.Worker) (*Prompt, error) {
+		workers.prefill = func(_ context.Context, number int, worker *backend.Worker) (*Prompt, error) {
 			// Engines that read in no time would not be asked to read apart again: the pace is learnt.
 			time.Sleep(100 * time.Millisecond)
 			return &Prompt{Reader: worker, Handle: fmt.Sprint(number)}, nil
 		}
 		rule := routing.Rule{Kind: routing.KindStream}
-		b := newBench(t, benchOptions{rule: rule, engine: true, demand: longPrompt, allowance: allowance - 1}, workers)
-		if response, _, err := b.get(t); err != nil || response.StatusCode != 200 || len(workers.readAt) != wantReads {
-			t.Errorf("with %v repeats: got %v, %v, read at %v", allowance-1, response, err, workers.readAt)
+		b := newFixture(t, fixtureOptions{rule: rule, engine: true, demand: longPrompt, allowance: allowance - 1}, workers)
+		if response, _, err := b.get(t); err != nil || response.StatusCode != 200 || len(workers.prefilledAt) != wantPrefills {
+			t.Errorf("with %v repeats: got %v, %v, read at %v", allowance-1, response, err, workers.prefilledAt)
 		}
 	}
 }
 
 // TestAWorkerThatIsGoneIsLeftAtOnce guards against asking again and again at an address where another worker runs now.
-func TestAWorkerThatIsGoneIsLeftAtOnce(t *testing.T) {
+func TestMovedWorkerIsAvoided(t *testing.T) {
 	workers := &fakeWorkers{}
 	workers.run = func(_ context.Context, _ int, worker *backend.Worker, _ RunOptions) (*Answer, error) {
 		if worker.ID == "0" {
 			return nil, &Refusal{Peer: "w", Status: http.StatusMisdirectedRequest, Moved: true}
 		}
-		return whole(200, "answer"), nil
+		return wholeResponse(200, "answer"), nil
 	}
-	b := newBench(t, benchOptions{allowance: 100}, workers)
+	b := newFixture(t, fixtureOptions{allowance: 100}, workers)
 	for range 20 {
 		if response, _, err := b.get(t); err != nil || response.StatusCode != 200 {
 			t.Fatalf("got %v, %v", response, err)
 		}
 	}
-	asked := 0
+	attempts := 0
 	for _, id := range workers.ranAt {
 		if id == "0" {
-			asked++
+			attempts++
 		}
 	}
-	if asked > 1 {
-		t.Errorf("it was asked %d times", asked)
+	if attempts > 1 {
+		t.Errorf("it was asked %d times", attempts)
 	}
 }
 
 // TestASilentEngineLeavesTimeForAnother guards against waiting longer for a sign of an engine that is gone than the objective allows:
 // quick questions were answered by another one just after it.
-func TestASilentEngineLeavesTimeForAnother(t *testing.T) {
+func TestSilentEngineLeavesTimeForAnother(t *testing.T) {
 	workers := &fakeWorkers{
 		run: func(context.Context, int, *backend.Worker, RunOptions) (*Answer, error) {
-			return whole(200, "answer"), nil
+			return wholeResponse(200, "answer"), nil
 		},
-		read: func(ctx context.Context, number int, worker *backend.Worker) (*Prompt, error) {
+		prefill: func(ctx context.Context, number int, worker *backend.Worker) (*Prompt, error) {
 			if number == 1 {
 				<-ctx.Done()
 				return nil, &httpclient.Error{Step: httpclient.StepAwait, Peer: "w", Cause: context.Cause(ctx)}
@@ -654,16 +658,16 @@
 	}
 	objective := 250 * time.Millisecond
 	rule := routing.Rule{Kind: routing.KindRepeatable, MaxAttempts: 2, Objective: objective}
-	b := newBench(t, benchOptions{rule: rule, engine: true, allowance: 10, demand: backend.Demand{PromptTokens: 4_000}}, workers)
+	b := newFixture(t, fixtureOptions{rule: rule, engine: true, allowance: 10, demand: backend.Demand{PromptTokens: 4_000}}, workers)
 	response, _, err := b.get(t)
-	if err != nil || response.StatusCode != http.StatusOK || len(workers.readAt) < 2 {
-		t.Fatalf("got %v, %v after %d readings", response, err, len(workers.readAt))
-	}
-	b.observed.mutex.Lock()
-	defer b.observed.mutex.Unlock()
-	first := b.observed.last.Tries[0]
-	wanted := time.Duration(responseTimeoutObjectiveShare*float64(objective)) + time.Duration(responseTimeoutCostFactor*first.Score.Answer*nanosecondsPerSecond)
-	if waited := first.ReadIn; waited < wanted || waited > wanted+150*time.Millisecond {
-		t.Errorf("the silent engine was waited for %s, want %s", waited, wanted)
+	if err != nil || response.StatusCode != http.StatusOK || len(workers.prefilledAt) < 2 {
+		t.Fatalf("got %v, %v after %d readings", response, err, len(workers.prefilledAt))
+	}
+	b.reports.mutex.Lock()
+	defer b.reports.mutex.Unlock()
+	first := b.reports.last.Tries[0]
+	want := time.Duration(responseTimeoutObjectiveShare*float64(objective)) + time.Duration(responseTimeoutCostFactor*first.Score.Answer*nanosecondsPerSecond)
+	if waited := first.ReadIn; waited < want || waited > want+150*time.Millisecond {
+		t.Errorf("the silent engine was waited for %s, want %s", waited, want)
 	}
 }
--- a/internal/forward/keys_test.go
+++ b/internal/forward/keys_test.go
@@ -16,14 +16,14 @@
 )
 
 // keyBench is a handler whose tenants change.
-type keyBench struct {
-	*bench
-	stale  atomic.Bool
-	public bool
-	told   string
+type keyFixture struct {
+	*fixture
+	stale        atomic.Bool
+	public       bool
+	workerTenant string
 }
 
-func TestKeysOfCallers(t *testing.T) {
+func TestCallerKeys(t *testing.T) {
 	archive, err := txtar.ParseFile("testdata/keys.txtar")
 	if err != nil {
 		t.Fatal(err)
@@ -31,10 +31,10 @@
 	for _, file := range archive.Files {
 		t.Run(file.Name, func(t *testing.T) {
 			workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Answer, error) {
-				return whole(200, "answer"), nil
+				return wholeResponse(200, "answer"), nil
 			}}
-			k := &keyBench{bench: newBench(t, benchOptions{}, workers)}
-			workers.asked = func(request *Request) { k.told = request.Tenant }
+			k := &keyFixture{fixture: newFixture(t, fixtureOptions{}, workers)}
+			workers.onRun = func(request *Request) { k.workerTenant = request.Tenant }
 			k.handler.SetFreshness(func() bool { return !k.stale.Load() })
 			for line := range strings.Lines(string(file.Data)) {
 				k.step(t, strings.Fields(line))
@@ -44,7 +44,7 @@
 }
 
 // step carries out one line of a case.
-func (k *keyBench) step(t *testing.T, words []string) {
+func (k *keyFixture) step(t *testing.T, words []string) {
 	t.Helper()
 	switch words[0] {
 	case "public":
@@ -52,20 +52,20 @@
 	case "stale", "fresh":
 		k.stale.Store(words[0] == "stale")
 	case "tenants":
-		k.grant(t, words[1:])
+		k.setTenants(t, words[1:])
 	case "ask":
 		want, err := strconv.Atoi(words[2])
 		if err != nil {
 			t.Fatal(err)
 		}
-		k.ask(t, words[1], want, words[3:])
+		k.request(t, words[1], want, words[3:])
 	default:
 		t.Fatalf("%q is no step", words[0])
 	}
 }
 
 // grant puts a version with these tenants in force.
-func (k *keyBench) grant(t *testing.T, words []string) {
+func (k *keyFixture) setTenants(t *testing.T, words []string) {
 	t.Helper()
 	changed := *k.handler.Table().Configuration()
 	changed.Version++
@@ -88,10 +88,10 @@
 }
 
 // ask sends a request with a key, and wants a status and the tenant that the worker is told.
-func (k *keyBench) ask(t *testing.T, key string, status int, told []string) {
+func (k *keyFixture) request(t *testing.T, key string, status int, wantTenant []string) {
 	t.Helper()
-	before := len(k.workers.runs)
-	k.told = ""
+	before := len(k.workers.runOptions)
+	k.workerTenant = ""
 	request, err := http.NewRequest(http.MethodGet, k.server.URL+"/x", nil)
 	if err != nil {
 		t.Fatal(err)
@@ -104,13 +104,13 @@
 		t.Fatal(err)
 	}
 	_ = response.Body.Close()
-	if response.StatusCode != status || (len(k.workers.runs) > before) != (status == 200) {
-		t.Errorf("key %s: got %d after %d runs, want %d", key, response.StatusCode, len(k.workers.runs)-before, status)
+	if response.StatusCode != status || (len(k.workers.runOptions) > before) != (status == 200) {
+		t.Errorf("key %s: got %d after %d runs, want %d", key, response.StatusCode, len(k.workers.runOptions)-before, status)
 	}
 	if status == http.StatusServiceUnavailable && response.Header.Get("Retry-After") == "" {
 		t.Errorf("key %s: the caller is not told when to come back", key)
 	}
-	if len(told) > 0 && strings.TrimPrefix(told[0], "-") != k.told {
-		t.Errorf("key %s: the worker was told tenant %q, want %s", key, k.told, told[0])
+	if len(wantTenant) > 0 && strings.TrimPrefix(wantTenant[0], "-") != k.workerTenant {
+		t.Errorf("key %s: the worker was told tenant %q, want %s", key, k.workerTenant, wantTenant[0])
 	}
 }
--- a/internal/forward/loans_test.go
+++ b/internal/forward/loans_test.go
@@ -9,9 +9,9 @@
 )
 
 // lentTo returns a dispatcher that holds nothing of the limits of its three workers, and has asked for them.
-func lentTo(t *testing.T) (*Dispatcher, loadshare.Ask, <-chan struct{}) {
+func askForLoans(t *testing.T) (*Dispatcher, loadshare.Ask, <-chan struct{}) {
 	t.Helper()
-	b := newBench(t, benchOptions{rule: routing.Rule{Kind: routing.KindRepeatable}}, &fakeWorkers{})
+	b := newFixture(t, fixtureOptions{rule: routing.Rule{Kind: routing.KindRepeatable}}, &fakeWorkers{})
 	d := b.handler.dispatcher
 	d.ShareLimits("one")
 	d.ShareWith(func(bool) {})
@@ -32,7 +32,7 @@
 }
 
 // TestALoanIsUsedOnceByTheOneThatAsked tells a loan, twice, to one that asked, to another one, and too late.
-func TestALoanIsUsedOnceByTheOneThatAsked(t *testing.T) {
+func TestLoanIsUsedOnceByAsker(t *testing.T) {
 	for _, test := range []struct {
 		desc  string
 		alter func(loan *loadshare.Loan)
@@ -44,7 +44,7 @@
 		{desc: "the answer to a question of before", alter: func(l *loadshare.Loan) { l.Serial-- }},
 		{desc: "a late answer", alter: func(*loadshare.Loan) {}, wait: 600 * time.Millisecond},
 	} {
-		d, ask, lent := lentTo(t)
+		d, ask, lent := askForLoans(t)
 		worker := ask.Workers[0]
 		loan := loadshare.Loan{Asker: ask.Asker, Serial: ask.Serial, Lender: "other", Worker: worker, Count: 2}
 		test.alter(&loan)
@@ -68,8 +68,8 @@
 }
 
 // TestOnlyWhatIsHeldIsLent has one that holds nothing asked for a loan, and one that holds everything.
-func TestOnlyWhatIsHeldIsLent(t *testing.T) {
-	b := newBench(t, benchOptions{rule: routing.Rule{Kind: routing.KindRepeatable}}, &fakeWorkers{})
+func TestOnlyHeldCapacityIsLent(t *testing.T) {
+	b := newFixture(t, fixtureOptions{rule: routing.Rule{Kind: routing.KindRepeatable}}, &fakeWorkers{})
 	d := b.handler.dispatcher
 	d.ShareLimits("one")
 	id := d.balancer.IDs()[0]
--- a/internal/forward/placement_test.go
+++ b/internal/forward/placement_test.go
@@ -30,7 +30,7 @@
 }
 
 // hear tells a dispatcher of the load of another gateway.
-func hear(dispatcher *Dispatcher, role backend.Role, running, readingTokens int) {
+func hearLoad(dispatcher *Dispatcher, role backend.Role, running, readingTokens int) {
 	message := &loadshare.Message{Sender: "other", Epoch: int64(running*1000 + readingTokens), Sequence: 1, Full: true}
 	for i := range 3 {
 		message.Loads = append(message.Loads, loadshare.Load{Worker: fmt.Sprint(role, i), Running: running, ReadingTokens: readingTokens})
@@ -41,13 +41,13 @@
 // shortPrompt is read fast wherever it is read.
 var shortPrompt = backend.Demand{PromptTokens: 380, Parts: []backend.Part{{ID: "a", Tokens: 90}, {ID: "b", Tokens: 290}}}
 
-func TestReadersFollowTheMix(t *testing.T) {
+func TestPrefillPlacementFollowsLoad(t *testing.T) {
 	cases := []struct {
-		desc                  string
-		demand                backend.Demand
-		decoding, decodeReads int
-		prefillReads          int
-		wantApart             bool
+		desc                   string
+		demand                 backend.Demand
+		decoding, decodeTokens int
+		prefillTokens          int
+		wantDisaggregated      bool
 	}{
 		{"short prompts go straight to idle decode engines", shortPrompt, 0, 0, 0, false},
 		{"long prompts are read apart", longPrompt, 2, 0, 0, true},
@@ -58,21 +58,21 @@
 	for _, c := range cases {
 		t.Run(c.desc, func(t *testing.T) {
 			dispatcher := newEngineDispatcher()
-			hear(dispatcher, backend.RoleDecode, c.decoding, c.decodeReads)
+			hearLoad(dispatcher, backend.RoleDecode, c.decoding, c.decodeTokens)
 			message := &loadshare.Message{Sender: "third", Epoch: 1, Sequence: 1}
 			for i := range 3 {
-				message.Loads = append(message.Loads, loadshare.Load{Worker: fmt.Sprint(backend.RolePrefill, i), ReadingTokens: c.prefillReads})
+				message.Loads = append(message.Loads, loadshare.Load{Worker: fmt.Sprint(backend.RolePrefill, i), ReadingTokens: c.prefillTokens})
 			}
 			dispatcher.Hear(message)
 			placement, found := dispatcher.Place(&Request{ID: "r", Demand: c.demand}, engineGroup, PlaceOptions{})
-			if !found || (placement.Prefill != nil) != c.wantApart {
-				t.Fatalf("got %+v, want it apart: %v", placement, c.wantApart)
+			if !found || (placement.Prefill != nil) != c.wantDisaggregated {
+				t.Fatalf("got %+v, want it apart: %v", placement, c.wantDisaggregated)
 			}
 		})
 	}
 }
 
-func TestASharedPartIsReadOnceAndFetchedByOthers(t *testing.T) {
+func TestSharedPrefixIsPrefilledOnceAndFetched(t *testing.T) {
 	dispatcher := newEngineDispatcher()
 	demand := backend.Demand{PromptTokens: 12_000, Parts: []backend.Part{{ID: "a", Tokens: 8000}, {ID: "b", Tokens: 4000}}}
 	request := &Request{ID: "r", Demand: demand}
@@ -94,7 +94,7 @@
 	}
 }
 
-func TestWhatOneGatewayDoesTheOthersKnow(t *testing.T) {
+func TestGatewaysShareLoadAndCache(t *testing.T) {
 	one, two := newEngineDispatcher(), newEngineDispatcher()
 	notified := 0
 	one.ShareWith(func(bool) { notified++ })
@@ -134,7 +134,7 @@
 
 // TestAWorkerThatLeavesWhileAPromptIsReadGetsNoRequest guards against requests that reach a worker long after it said that it
 // leaves: the runner is picked only when the prompt was read.
-func TestAWorkerThatLeavesWhileAPromptIsReadGetsNoRequest(t *testing.T) {
+func TestWorkerDrainingDuringPrefillGetsNoRequest(t *testing.T) {
 	dispatcher := newEngineDispatcher()
 	request := &Request{ID: "r", Demand: longPrompt}
 	before, _ := dispatcher.PlaceRunner(request, engineGroup, nil, &Assignment{Worker: &backend.Worker{}})
@@ -156,7 +156,7 @@
 	}
 }
 
-func TestShortPromptsAreReadFirst(t *testing.T) {
+func TestShortPromptsArePrefilledFirst(t *testing.T) {
 	dispatcher := newEngineDispatcher()
 	previous := -1
 	for _, tokens := range []int{600, 3000, 8000, 50_000} {
@@ -181,7 +181,7 @@
 
 // TestPromptsThatOthersCrowdOutGiveWay guards against the collapse of goodput under overload, when every prompt is read in its turn
 // and all answers are late.
-func TestPromptsThatOthersCrowdOutGiveWay(t *testing.T) {
+func TestPromptsDelayedByQueueAreDeferred(t *testing.T) {
 	cases := []struct {
 		desc            string
 		tokens          int
@@ -199,7 +199,7 @@
 	for _, c := range cases {
 		t.Run(c.desc, func(t *testing.T) {
 			dispatcher := newEngineDispatcher()
-			hear(dispatcher, backend.RolePrefill, 0, c.waiting)
+			hearLoad(dispatcher, backend.RolePrefill, 0, c.waiting)
 			message := &loadshare.Message{Sender: "third", Epoch: 1, Sequence: 1}
 			for i := range 3 {
 				message.Loads = append(message.Loads, loadshare.Load{Worker: fmt.Sprint(backend.RoleDecode, i), Running: 20, ReadingTokens: c.waiting})
@@ -218,7 +218,7 @@
 }
 
 // TestDeferredPromptsDelayNoOthers shows that what waits behind all others does not count for those.
-func TestDeferredPromptsDelayNoOthers(t *testing.T) {
+func TestDeferredPromptsDoNotDelayOthers(t *testing.T) {
 	dispatcher := newEngineDispatcher()
 	message := &loadshare.Message{Sender: "other", Epoch: 1, Sequence: 1}
 	for _, role := range []backend.Role{backend.RolePrefill, backend.RoleDecode} {
@@ -236,7 +236,7 @@
 
 // TestANewPartUnderAKnownRootCostsOnlyThePart shows that shared parts form a tree: an engine that keeps the root of a prompt reads
 // what is behind it, and one that keeps a part without its root reads everything.
-func TestANewPartUnderAKnownRootCostsOnlyThePart(t *testing.T) {
+func TestPrefillReusesLongestCachedPrefix(t *testing.T) {
 	chain := func(ids ...string) backend.Demand {
 		demand := backend.Demand{}
 		for _, id := range ids {
@@ -246,12 +246,12 @@
 		return demand
 	}
 	dispatcher := newEngineDispatcher()
-	known := func(id string) *backend.Worker {
+	workerOf := func(id string) *backend.Worker {
 		worker, _ := dispatcher.balancer.Worker(id)
 		return worker
 	}
-	dispatcher.RecordPrefilled(known("prefill0"), &Request{ID: "a", Demand: chain("root", "leaf", "own-a")})
-	dispatcher.RecordPrefilled(known("prefill1"), &Request{ID: "b", Demand: chain("leaf-b", "own-b")})
+	dispatcher.RecordPrefilled(workerOf("prefill0"), &Request{ID: "a", Demand: chain("root", "leaf", "own-a")})
+	dispatcher.RecordPrefilled(workerOf("prefill1"), &Request{ID: "b", Demand: chain("leaf-b", "own-b")})
 	cases := []struct {
 		desc   string
 		worker string
@@ -273,7 +273,7 @@
 				t.Errorf("%d tokens are kept, want %d", got, c.kept)
 			}
 			got := ""
-			if source := prompt.fetchSource(known(c.worker)); source != nil {
+			if source := prompt.fetchSource(workerOf(c.worker)); source != nil {
 				got = source.ID
 			}
 			if got != c.fetch {
@@ -284,11 +284,11 @@
 }
 
 // TestLateRunsAreNotAheadOfOthers shows that a place for which only late requests wait is free for the others.
-func TestLateRunsAreNotAheadOfOthers(t *testing.T) {
+func TestDeferredRunsDoNotDelayOthers(t *testing.T) {
 	for deferred, want := range map[bool]int{false: 1, true: 0} {
 		dispatcher := newEngineDispatcher()
-		reader := &Assignment{Worker: &backend.Worker{}, deferred: deferred}
-		runner, found := dispatcher.PlaceRunner(&Request{ID: "r", Demand: longPrompt}, engineGroup, nil, reader)
+		prefill := &Assignment{Worker: &backend.Worker{}, deferred: deferred}
+		runner, found := dispatcher.PlaceRunner(&Request{ID: "r", Demand: longPrompt}, engineGroup, nil, prefill)
 		if !found {
 			t.Fatal("no runner")
 		}
@@ -309,7 +309,7 @@
 
 // TestASilentPlainWorkerIsSetAside guards against taking the silence of a plain worker for that of a busy engine: nothing is expected of
 // its queue, so that requests leave it after a part of their objective.
-func TestASilentPlainWorkerIsSetAside(t *testing.T) {
+func TestSilentPlainWorkerIsEjected(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, role := range []backend.Role{backend.RoleNone, backend.RoleDecode} {
 		dispatcher := NewDispatcher(DefaultDispatchSettings(), func() time.Time { return now })
@@ -328,7 +328,7 @@
 
 // TestAnEngineThatAnswersErrorsIsSetAside guards against engines that say they are well and fail all requests: four errors at each gateway
 // set one aside, and no gateway told another. An error of a plain worker is as often the fault of its request.
-func TestAnEngineThatAnswersErrorsIsSetAside(t *testing.T) {
+func TestEngineReturningErrorsIsEjected(t *testing.T) {
 	for _, role := range []backend.Role{backend.RoleNone, backend.RoleDecode} {
 		now := time.Unix(1000, 0)
 		dispatcher := NewDispatcher(DefaultDispatchSettings(), func() time.Time { return now })
--- a/internal/forward/limits_bench_test.go
+++ b/internal/forward/ratelimits_bench_test.go
@@ -11,7 +11,7 @@
 
 // BenchmarkAChoiceAmongWorkersWithLimits places requests on a fleet of which all workers name limits, before 60 gateways that share them: most
 // of what is looked at lacks room.
-func BenchmarkAChoiceAmongWorkersWithLimits(b *testing.B) {
+func BenchmarkPlaceWithRateLimits(b *testing.B) {
 	for _, size := range []int{1_000, 10_000, 20_000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			settings := DefaultDispatchSettings()
--- a/internal/forward/limits_test.go
+++ b/internal/forward/ratelimits_test.go
@@ -12,10 +12,10 @@
 
 // TestARequestBeyondAllLimitsIsRefusedAtOnce has all workers name limits: each gets what it takes and no more, and the others are told to come
 // back one after the other, when places are expected.
-func TestARequestBeyondAllLimitsIsRefusedAtOnce(t *testing.T) {
+func TestRequestBeyondRateLimitsIsRefused(t *testing.T) {
 	for _, engine := range []bool{false, true} {
 		rule := routing.Rule{Kind: routing.KindRepeatable, MaxAttempts: 2, Objective: 300 * time.Millisecond, Timeout: 10 * time.Second}
-		b := newBench(t, benchOptions{rule: rule, engine: engine, allowance: 10, demand: backend.Demand{OutputTokens: 1}}, &fakeWorkers{})
+		b := newFixture(t, fixtureOptions{rule: rule, engine: engine, allowance: 10, demand: backend.Demand{OutputTokens: 1}}, &fakeWorkers{})
 		d := b.handler.dispatcher
 		var limited int
 		for _, id := range d.balancer.IDs() {
@@ -24,10 +24,10 @@
 		}
 		last := 0.0
 		for number := range 4 {
-			begun := time.Now()
+			start := time.Now()
 			response, _, err := b.get(t)
-			if err != nil || response.StatusCode != http.StatusServiceUnavailable || time.Since(begun) > 200*time.Millisecond {
-				t.Fatalf("%v, %v after %s", response, err, time.Since(begun))
+			if err != nil || response.StatusCode != http.StatusServiceUnavailable || time.Since(start) > 200*time.Millisecond {
+				t.Fatalf("%v, %v after %s", response, err, time.Since(start))
 			}
 			after, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
 			if err != nil || after <= last-0.1 || (number == 0 && after < 1.8) {
@@ -45,8 +45,8 @@
 }
 
 // TestQuestionsCountForLimits has a question of health take a place of a worker with a limit, and be left if there is none.
-func TestQuestionsCountForLimits(t *testing.T) {
-	b := newBench(t, benchOptions{rule: routing.Rule{Kind: routing.KindRepeatable}}, &fakeWorkers{})
+func TestHealthChecksCountAgainstRateLimits(t *testing.T) {
+	b := newFixture(t, fixtureOptions{rule: routing.Rule{Kind: routing.KindRepeatable}}, &fakeWorkers{})
 	d := b.handler.dispatcher
 	id := d.balancer.IDs()[0]
 	if !d.MayAsk(id) {
--- a/internal/forward/budgets_test.go
+++ b/internal/forward/retrybudget_test.go
@@ -8,105 +8,105 @@
 )
 
 // budgetClock is the clock of a dispatcher whose budgets are tested.
-type budgetClock struct{ after time.Duration }
+type fakeClock struct{ elapsed time.Duration }
 
-func (c *budgetClock) now() time.Time { return simEpoch.Add(c.after) }
+func (c *fakeClock) now() time.Time { return simEpoch.Add(c.elapsed) }
 
 // newBudgetDispatcher returns a dispatcher that is one of four, and is confirmed each second until its share has been in force for 3 s. At an
 // allowance of 40 that earns 0.5 a second, and keeps 5.
-func newBudgetDispatcher() (*Dispatcher, *budgetClock) {
-	clock := &budgetClock{}
+func newBudgetDispatcher() (*Dispatcher, *fakeClock) {
+	clock := &fakeClock{}
 	settings := DefaultDispatchSettings()
 	settings.Budget = retrybudget.Settings{Allowance: 40, Window: 10 * time.Second, Safety: 1}
 	d := newDispatcher(settings, clock.now, clock.now)
 	d.SetSharers(4)
 	d.ConfirmShare(clock.now())
-	for clock.after < 10*time.Second {
-		clock.after += time.Second
+	for clock.elapsed < 10*time.Second {
+		clock.elapsed += time.Second
 		d.ConfirmShare(clock.now())
 	}
 	return d, clock
 }
 
 // expectLeft checks what is left in the budget of a group.
-func expectLeft(t *testing.T, d *Dispatcher, group string, want float64) {
+func checkBalance(t *testing.T, d *Dispatcher, group string, want float64) {
 	t.Helper()
-	for _, each := range d.Budgets() {
-		if each.Group == group && (each.Left < want-1e-6 || each.Left > want+1e-6) {
-			t.Errorf("%v repeats are left for %s, expected %v", each.Left, group, want)
+	for _, view := range d.Budgets() {
+		if view.Group == group && (view.Left < want-1e-6 || view.Left > want+1e-6) {
+			t.Errorf("%v repeats are left for %s, expected %v", view.Left, group, want)
 		}
 	}
 }
 
-func TestABudgetThatIsMadeLaterHasEarnedSinceTheShareIsInForce(t *testing.T) {
+func TestNewBudgetAccruesFromShareStart(t *testing.T) {
 	d, clock := newBudgetDispatcher()
 	d.CountRequest("early")
-	expectLeft(t, d, "early", 1.5)
+	checkBalance(t, d, "early", 1.5)
 	d.SetSharers(8)
-	clock.after += 2 * time.Second
+	clock.elapsed += 2 * time.Second
 	d.CountRequest("late")
-	expectLeft(t, d, "late", 0.5)
+	checkBalance(t, d, "late", 0.5)
 }
 
 // TestNothingIsEarnedWhileTheShareRests has a confirmation come late, for a moment at which the one before still counted. What was kept
 // goes with the share.
-func TestNothingIsEarnedWhileTheShareRests(t *testing.T) {
+func TestNoAccrualWhileShareIsSuspended(t *testing.T) {
 	d, clock := newBudgetDispatcher()
 	d.CountRequest("group")
-	expectLeft(t, d, "group", 1.5)
-	clock.after += 8 * time.Second
+	checkBalance(t, d, "group", 1.5)
+	clock.elapsed += 8 * time.Second
 	d.ConfirmShare(clock.now().Add(-1500 * time.Millisecond))
-	expectLeft(t, d, "group", 0)
-	clock.after += time.Second
-	expectLeft(t, d, "group", 0.5)
+	checkBalance(t, d, "group", 0)
+	clock.elapsed += time.Second
+	checkBalance(t, d, "group", 0.5)
 }
 
 // TestWhoIsToldOfAUsedUpBudgetHoldsNobodyUp has the one that is told ask for the budgets: a log that can't be written must not keep requests
 // from workers.
-func TestWhoIsToldOfAUsedUpBudgetHoldsNobodyUp(t *testing.T) {
+func TestExhaustedBudgetCallbackDoesNotHoldMutex(t *testing.T) {
 	d, _ := newBudgetDispatcher()
-	told := make(chan int, 1)
+	counts := make(chan int, 1)
 	d.WatchBudgets(func(string, retrybudget.View) {
 		read := make(chan int, 1)
 		go func() { read <- len(d.Budgets()) }()
 		select {
 		case count := <-read:
-			told <- count
+			counts <- count
 		case <-time.After(2 * time.Second):
-			told <- 0
+			counts <- 0
 		}
 	})
 	for d.RetryBudget("group").spend() {
 	}
-	if count := <-told; count != 1 {
+	if count := <-counts; count != 1 {
 		t.Errorf("the one that is told can't read the budgets: %d", count)
 	}
 }
 
 // TestSmallSharesLeaveRepeatsOnlyWithRequests states from how many requests a gateway has a whole repeat whose share of what may be kept is
 // less than one: a twelfth of the half of 20, with room 0.67.
-func TestSmallSharesLeaveRepeatsOnlyWithRequests(t *testing.T) {
+func TestSmallShareGrantsRetriesOnlyWithRequests(t *testing.T) {
 	for _, test := range []struct {
 		perSecond float64
-		repeats   int
+		retries   int
 	}{{0.5, 0}, {1, 0}, {2, 8}, {4, 15}} {
-		clock := &budgetClock{}
+		clock := &fakeClock{}
 		settings := DefaultDispatchSettings()
 		settings.Budget = retrybudget.Settings{Ratio: 0.2, Allowance: 20, Window: 10 * time.Second, Safety: retrybudget.DefaultSafety}
 		d := newDispatcher(settings, clock.now, clock.now)
 		d.SetSharers(12)
 		d.ConfirmShare(clock.now())
-		repeats := 0
-		for clock.after < 40*time.Second {
-			clock.after += time.Duration(float64(time.Second) / test.perSecond)
+		retries := 0
+		for clock.elapsed < 40*time.Second {
+			clock.elapsed += time.Duration(float64(time.Second) / test.perSecond)
 			d.ConfirmShare(clock.now())
 			d.CountRequest("group")
-			if clock.after > 20*time.Second && d.RetryBudget("group").spend() {
-				repeats++
+			if clock.elapsed > 20*time.Second && d.RetryBudget("group").spend() {
+				retries++
 			}
 		}
-		if repeats != test.repeats {
-			t.Errorf("%v requests a second: %d repeats in 20 s, expected %d", test.perSecond, repeats, test.repeats)
+		if retries != test.retries {
+			t.Errorf("%v requests a second: %d repeats in 20 s, expected %d", test.perSecond, retries, test.retries)
 		}
 	}
 }
--- a/internal/forward/scale_test.go
+++ b/internal/forward/scale_test.go
@@ -58,7 +58,7 @@
 	for _, size := range fleetSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			dispatcher := newFleetDispatcher(fleetOf(size))
-			var under []*Assignment
+			var running []*Assignment
 			b.ReportAllocs()
 			b.ResetTimer()
 			for i := range b.N {
@@ -73,9 +73,9 @@
 					placement.Prefill.finish(balance.OutcomeGood)
 					runner, _ = dispatcher.PlaceRunner(request, engineGroup, nil, placement.Prefill)
 				}
-				if under = append(under, runner); len(under) > 100 {
-					under[0].finish(balance.OutcomeGood)
-					under = under[1:]
+				if running = append(running, runner); len(running) > 100 {
+					running[0].finish(balance.OutcomeGood)
+					running = running[1:]
 				}
 			}
 		})
@@ -83,7 +83,7 @@
 }
 
 // BenchmarkTellAll gathers everything that other gateways are told once a second, with a hundred requests under way.
-func BenchmarkTellAll(b *testing.B) {
+func BenchmarkDrainAll(b *testing.B) {
 	for _, size := range fleetSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			dispatcher := newFleetDispatcher(fleetOf(size))
@@ -138,32 +138,32 @@
 
 // TestAGatewayLearnsWhatOthersKnowThatEnginesKeep has one that begins to take requests ask one that has placed prompts. It finds the engines
 // that keep their documents, as the other one does.
-func TestAGatewayLearnsWhatOthersKnowThatEnginesKeep(t *testing.T) {
+func TestGatewayLearnsCachedPrefixesFromPeer(t *testing.T) {
 	set := fleetOf(10_000)
-	before, after := newFleetDispatcher(set), newFleetDispatcher(set)
+	known, learner := newFleetDispatcher(set), newFleetDispatcher(set)
 	for i := range 60 {
 		request := fleetRequest(6 * i)
-		placement, _ := before.Place(request, engineGroup, PlaceOptions{})
-		before.RecordPrefilled(placement.Prefill.Worker, request)
+		placement, _ := known.Place(request, engineGroup, PlaceOptions{})
+		known.RecordPrefilled(placement.Prefill.Worker, request)
 	}
-	if news := after.LearnAll(before.Kept(1_000)); news != 60 {
+	if news := learner.LearnAll(known.Kept(1_000)); news != 60 {
 		t.Errorf("%d parts were news", news)
 	}
-	if news := after.LearnAll(before.Kept(1_000)); news != 0 {
+	if news := learner.LearnAll(known.Kept(1_000)); news != 0 {
 		t.Errorf("%d parts were news again", news)
 	}
-	if told := before.Kept(7); len(told) != 7 {
+	if told := known.Kept(7); len(told) != 7 {
 		t.Errorf("%d parts were told, 7 at the most were asked for", len(told))
 	}
 	for i := range 60 {
 		request := fleetRequest(6 * i)
-		placement, _ := after.Place(request, engineGroup, PlaceOptions{})
-		reader := placement.Runner
+		placement, _ := learner.Place(request, engineGroup, PlaceOptions{})
+		prefill := placement.Runner
 		if placement.Prefill != nil {
-			reader = placement.Prefill
+			prefill = placement.Prefill
 		}
-		if placement.FetchFrom == nil && !before.residency.Keeps(reader.Worker.ID, request.Demand.Parts[0].ID) {
-			t.Errorf("document %d is read again at %s", i, reader.Worker.ID)
+		if placement.FetchFrom == nil && !known.residency.Keeps(prefill.Worker.ID, request.Demand.Parts[0].ID) {
+			t.Errorf("document %d is read again at %s", i, prefill.Worker.ID)
 		}
 	}
 }
--- a/internal/forward/suspect_test.go
+++ b/internal/forward/suspect_test.go
@@ -16,39 +16,39 @@
 )
 
 // endings are workers that have ended, as a prober finds them.
-type endings struct {
-	mutex sync.Mutex
-	ended map[string]bool
-	takes time.Duration
+type crashProber struct {
+	mutex   sync.Mutex
+	crashed map[string]bool
+	delay   time.Duration
 }
 
 // Refuses is part of poison.Prober.
-func (e *endings) Refuses(_ context.Context, worker *backend.Worker) (bool, error) {
-	time.Sleep(e.takes)
+func (e *crashProber) Refuses(_ context.Context, worker *backend.Worker) (bool, error) {
+	time.Sleep(e.delay)
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return e.ended[worker.ID], nil
+	return e.crashed[worker.ID], nil
 }
 
 // end has a worker end.
-func (e *endings) end(worker string) {
+func (e *crashProber) crash(worker string) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.ended[worker] = true
+	e.crashed[worker] = true
 }
 
 // newSuspectBench returns a bench whose first worker ends under the request, and which a guard watches.
-func newSuspectBench(t *testing.T, rule routing.Rule, takes time.Duration) *bench {
-	workers, endings := &fakeWorkers{}, &endings{ended: map[string]bool{}, takes: takes}
+func newSuspectFixture(t *testing.T, rule routing.Rule, probeDelay time.Duration) *fixture {
+	workers, prober := &fakeWorkers{}, &crashProber{crashed: map[string]bool{}, delay: probeDelay}
 	workers.run = func(_ context.Context, number int, worker *backend.Worker, _ RunOptions) (*Answer, error) {
 		if number == 1 {
-			endings.end(worker.ID)
+			prober.crash(worker.ID)
 			return nil, resetError
 		}
-		return whole(200, "answer"), nil
+		return wholeResponse(200, "answer"), nil
 	}
-	b := newBench(t, benchOptions{rule: rule, allowance: 10}, workers)
-	b.handler.GuardWorkers(poison.NewGuard(poison.DefaultSettings(), endings, time.Now, func(event poison.Event) {
+	b := newFixture(t, fixtureOptions{rule: rule, allowance: 10}, workers)
+	b.handler.GuardWorkers(poison.NewGuard(poison.DefaultSettings(), prober, time.Now, func(event poison.Event) {
 		if ended, is := event.(poison.WorkerEnded); is {
 			b.handler.dispatcher.WorkerEnded(ended.Worker.ID, ended.Ago)
 		}
@@ -59,10 +59,10 @@
 // TestASuspectWaitsForItsRole has the first of three workers end under a request, which may put no other one at risk before that one is
 // back. Its repeat waits for that, though the end is not known at once, and is served then; others are refused, and told when to come
 // back.
-func TestASuspectWaitsForItsRole(t *testing.T) {
-	b := newSuspectBench(t, routing.Rule{Kind: routing.KindRepeatable, MaxAttempts: 2, Timeout: 5 * time.Second}, 50*time.Millisecond)
-	const away = 400 * time.Millisecond
-	time.AfterFunc(away, func() {
+func TestSuspectWaitsForReplacementWorker(t *testing.T) {
+	b := newSuspectFixture(t, routing.Rule{Kind: routing.KindRepeatable, MaxAttempts: 2, Timeout: 5 * time.Second}, 50*time.Millisecond)
+	const downtime = 400 * time.Millisecond
+	time.AfterFunc(downtime, func() {
 		set := backend.Set{"again": {ID: "again", Group: "g", Address: b.workers.ranAt[0], Slots: 4}}
 		for _, id := range []string{"0", "1", "2"} {
 			if id != b.workers.ranAt[0] {
@@ -71,22 +71,22 @@
 		}
 		b.handler.dispatcher.SetWorkers(set)
 	})
-	var copied *http.Response
-	var copying sync.WaitGroup
-	copying.Go(func() {
-		time.Sleep(away / 2)
-		copied, _, _ = b.get(t)
+	var duplicate *http.Response
+	var duplicateDone sync.WaitGroup
+	duplicateDone.Go(func() {
+		time.Sleep(downtime / 2)
+		duplicate, _, _ = b.get(t)
 	})
-	begun := time.Now()
+	start := time.Now()
 	response, body, err := b.get(t)
-	if err != nil || response.StatusCode != 200 || body != "answer" || time.Since(begun) < away {
-		t.Errorf("after %s the request got %v, %v", time.Since(begun), response, err)
+	if err != nil || response.StatusCode != 200 || body != "answer" || time.Since(start) < downtime {
+		t.Errorf("after %s the request got %v, %v", time.Since(start), response, err)
 	}
-	copying.Wait()
-	after, _ := strconv.ParseFloat(copied.Header.Get("Retry-After"), 64)
-	least := (balance.DefaultRiskSettings().Away - away).Seconds()
-	if copied.StatusCode != http.StatusServiceUnavailable || after < least {
-		t.Errorf("a copy got %d, to come back after %.1f s", copied.StatusCode, after)
+	duplicateDone.Wait()
+	after, _ := strconv.ParseFloat(duplicate.Header.Get("Retry-After"), 64)
+	least := (balance.DefaultRiskSettings().Away - downtime).Seconds()
+	if duplicate.StatusCode != http.StatusServiceUnavailable || after < least {
+		t.Errorf("a copy got %d, to come back after %.1f s", duplicate.StatusCode, after)
 	}
 	if len(b.workers.ranAt) != 2 || slices.Contains(b.workers.ranAt[1:], b.workers.ranAt[0]) {
 		t.Errorf("it ran at %v", b.workers.ranAt)
@@ -95,11 +95,11 @@
 
 // TestTheFailureOfASuspectIsHeldUntilOthersAreTold has a worker end under a request that may run once: its caller may send it to another
 // gateway at once.
-func TestTheFailureOfASuspectIsHeldUntilOthersAreTold(t *testing.T) {
-	b := newSuspectBench(t, routing.Rule{Kind: routing.KindRunOnce}, 0)
-	begun := time.Now()
+func TestSuspectFailureIsDelayedUntilPeersKnow(t *testing.T) {
+	b := newSuspectFixture(t, routing.Rule{Kind: routing.KindRunOnce}, 0)
+	start := time.Now()
 	response, _, err := b.get(t)
-	if err != nil || response.StatusCode != http.StatusBadGateway || time.Since(begun) < peerNotifyDelay {
-		t.Errorf("after %s the request got %v, %v", time.Since(begun), response, err)
+	if err != nil || response.StatusCode != http.StatusBadGateway || time.Since(start) < peerNotifyDelay {
+		t.Errorf("after %s the request got %v, %v", time.Since(start), response, err)
 	}
 }
--- a/internal/forward/brokenoff_test.go
+++ b/internal/forward/truncatedstream_test.go
@@ -14,23 +14,23 @@
 )
 
 // tellingProtocol has a word for streams that broke off.
-type tellingProtocol struct{ plainProtocol }
+type truncationEventProtocol struct{ plainProtocol }
 
-func (tellingProtocol) Labels(*http.Request, *tenant.Tenant) (map[string]string, bool) {
+func (truncationEventProtocol) Labels(*http.Request, *tenant.Tenant) (map[string]string, bool) {
 	return nil, false
 }
 
-func (tellingProtocol) BrokenOff(reason Reason) []byte {
+func (truncationEventProtocol) BrokenOff(reason Reason) []byte {
 	return []byte("event: error\ndata: " + string(reason) + "\n\n")
 }
 
 // stalling is an answer of one event that goes on until the request ends.
-type stalling struct {
+type stallingBody struct {
 	ctx  context.Context
 	sent bool
 }
 
-func (s *stalling) Read(into []byte) (int, error) {
+func (s *stallingBody) Read(into []byte) (int, error) {
 	if !s.sent {
 		s.sent = true
 		return copy(into, "id: 1\ndata: a\n\n"), nil
@@ -41,12 +41,12 @@
 
 // TestAStreamThatIsCutAtItsDeadlineSaysSo guards against what callers of a demo beside a full machine saw: streams that had begun ended at
 // their deadlines without a word, and what became of the requests was not told.
-func TestAStreamThatIsCutAtItsDeadlineSaysSo(t *testing.T) {
+func TestStreamCutAtDeadlineReportsReason(t *testing.T) {
 	workers := &fakeWorkers{run: func(ctx context.Context, _ int, _ *backend.Worker, _ RunOptions) (*Answer, error) {
-		return &Answer{Status: http.StatusOK, Header: http.Header{}, ContentLength: -1, Body: io.NopCloser(&stalling{ctx: ctx})}, nil
+		return &Answer{Status: http.StatusOK, Header: http.Header{}, ContentLength: -1, Body: io.NopCloser(&stallingBody{ctx: ctx})}, nil
 	}}
-	b := newBench(t, benchOptions{rule: routing.Rule{Kind: routing.KindStream, Timeout: 200 * time.Millisecond}, engine: true}, workers)
-	b.handler.protocol = tellingProtocol{plainProtocol{}}
+	b := newFixture(t, fixtureOptions{rule: routing.Rule{Kind: routing.KindStream, Timeout: 200 * time.Millisecond}, engine: true}, workers)
+	b.handler.protocol = truncationEventProtocol{plainProtocol{}}
 	response, body, err := b.get(t)
 	if err == nil || response.StatusCode != http.StatusOK {
 		t.Fatalf("the answer looks whole: %v, %v", response, err)
--- a/internal/forward/unanswered_test.go
+++ b/internal/forward/unanswered_test.go
@@ -11,15 +11,15 @@
 )
 
 // TestAnEndWithoutAnAnswerNamesWhoClosed ends the connections of callers in several ways and looks at what is reported.
-func TestAnEndWithoutAnAnswerNamesWhoClosed(t *testing.T) {
+func TestUnansweredRequestNamesCloser(t *testing.T) {
 	ends := map[string]struct {
-		run      func(ctx context.Context) (*Answer, error)
-		patience time.Duration
-		closer   Closer
-		reason   Reason
+		run           func(ctx context.Context) (*Answer, error)
+		clientTimeout time.Duration
+		closer        Closer
+		reason        Reason
 	}{
-		"the caller leaves": {run: silent, patience: 100 * time.Millisecond, closer: CloserCaller, reason: ReasonCallerGone},
-		"this side closes":  {run: silent, patience: 100 * time.Millisecond, closer: CloserRest, reason: ReasonCallerGone},
+		"the caller leaves": {run: awaitCancel, clientTimeout: 100 * time.Millisecond, closer: CloserCaller, reason: ReasonCallerGone},
+		"this side closes":  {run: awaitCancel, clientTimeout: 100 * time.Millisecond, closer: CloserRest, reason: ReasonCallerGone},
 		"a panic":           {run: func(context.Context) (*Answer, error) { panic("a fault") }, closer: CloserPanic, reason: ReasonPanic},
 	}
 	for name, end := range ends {
@@ -27,9 +27,9 @@
 			workers := &fakeWorkers{run: func(ctx context.Context, _ int, _ *backend.Worker, _ RunOptions) (*Answer, error) {
 				return end.run(ctx)
 			}}
-			b := newBench(t, benchOptions{}, workers)
+			b := newFixture(t, fixtureOptions{}, workers)
 			b.handler.NameClosers(func(context.Context) Closer { return end.closer })
-			client := &http.Client{Timeout: end.patience, Transport: &http.Transport{DisableKeepAlives: true}}
+			client := &http.Client{Timeout: end.clientTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 			if response, err := client.Get(b.server.URL + "/x"); err == nil {
 				_ = response.Body.Close()
 				t.Fatal("there was an answer")
@@ -49,11 +49,11 @@
 }
 
 // lastReport waits for the report of a request and returns it.
-func (b *bench) lastReport() Report {
+func (b *fixture) lastReport() Report {
 	for range 200 {
-		b.observed.mutex.Lock()
-		last := b.observed.last
-		b.observed.mutex.Unlock()
+		b.reports.mutex.Lock()
+		last := b.reports.last
+		b.reports.mutex.Unlock()
 		if !last.Ended.IsZero() {
 			return last
 		}
