--- a/internal/forward/attempts_test.go
+++ b/internal/forward/attempts_test.go
@@ -75,8 +75,8 @@
 		workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Answer, error) {
 			return wholeResponse(status, "x"), nil
 		}}
-		b := newFixture(t, fixtureOptions{rule: routing.Rule{Kind: routing.KindRunOnce}}, workers)
-		response, _, err := b.get(t)
+		f := newFixture(t, fixtureOptions{rule: routing.Rule{Kind: routing.KindRunOnce}}, workers)
+		response, _, err := f.get(t)
 		if err != nil || response.StatusCode != http.StatusBadGateway || len(workers.ranAt) != 1 {
 			t.Errorf("%d of a worker becomes %v, %v, after %d runs", status, response, err, len(workers.ranAt))
 		}
--- a/internal/forward/backoff_test.go
+++ b/internal/forward/backoff_test.go
@@ -12,11 +12,11 @@
 )
 
 // backingOff returns workers that refuse everything and ask for no requests for a time, until they take requests again.
-func backOffWorkers(b **fixture, backOff, duration time.Duration) *fakeWorkers {
+func backOffWorkers(f **fixture, backOff, duration time.Duration) *fakeWorkers {
 	start := time.Now()
 	return &fakeWorkers{run: func(_ context.Context, _ int, worker *backend.Worker, _ RunOptions) (*Answer, error) {
 		if time.Since(start) < duration {
-			(*b).handler.dispatcher.BackOff(worker.ID, backOff)
+			(*f).handler.dispatcher.BackOff(worker.ID, backOff)
 			return nil, refusalError
 		}
 		return wholeResponse(http.StatusOK, "answer"), nil
@@ -26,11 +26,11 @@
 // TestARequestThatNoWorkerWantsIsRefusedAtOnce tells the caller to come back when the first worker takes requests again, and no sooner.
 func TestRequestIsRefusedWhileAllWorkersBackOff(t *testing.T) {
 	for _, engine := range []bool{false, true} {
-		var b *fixture
+		var f *fixture
 		rule := routing.Rule{Kind: routing.KindRepeatable, MaxAttempts: 2, Objective: 300 * time.Millisecond}
-		b = newFixture(t, fixtureOptions{rule: rule, engine: engine, allowance: 10}, backOffWorkers(&b, 2*time.Second, time.Minute))
+		f = newFixture(t, fixtureOptions{rule: rule, engine: engine, allowance: 10}, backOffWorkers(&f, 2*time.Second, time.Minute))
 		start := time.Now()
-		response, body, err := b.get(t)
+		response, body, err := f.get(t)
 		if err != nil || response.StatusCode != http.StatusServiceUnavailable || time.Since(start) > time.Second {
 			t.Fatalf("%v, %v after %s: %s", response, err, time.Since(start), body)
 		}
@@ -38,20 +38,20 @@
 		if err != nil || after < 1.5 || after > 2.5 {
 			t.Errorf("to come back after %q s", response.Header.Get("Retry-After"))
 		}
-		before := len(b.workers.ranAt)
-		if _, _, err := b.get(t); err != nil || len(b.workers.ranAt) != before {
-			t.Errorf("%v; workers got %d requests that want none", err, len(b.workers.ranAt)-before)
+		before := len(f.workers.ranAt)
+		if _, _, err := f.get(t); err != nil || len(f.workers.ranAt) != before {
+			t.Errorf("%v; workers got %d requests that want none", err, len(f.workers.ranAt)-before)
 		}
 	}
 }
 
 // TestARequestWaitsForAWorkerThatSoonTakesIt is served within its objective where a worker takes it in time.
 func TestRequestWaitsForShortBackOff(t *testing.T) {
-	var b *fixture
+	var f *fixture
 	rule := routing.Rule{Kind: routing.KindRepeatable, MaxAttempts: 2, Objective: time.Second}
-	b = newFixture(t, fixtureOptions{rule: rule, allowance: 10}, backOffWorkers(&b, 200*time.Millisecond, 100*time.Millisecond))
+	f = newFixture(t, fixtureOptions{rule: rule, allowance: 10}, backOffWorkers(&f, 200*time.Millisecond, 100*time.Millisecond))
 	start := time.Now()
-	response, _, err := b.get(t)
+	response, _, err := f.get(t)
 	if took := time.Since(start); err != nil || response.StatusCode != http.StatusOK || took < 150*time.Millisecond || took > rule.Objective {
 		t.Errorf("%v, %v after %s", response, err, took)
 	}
@@ -59,19 +59,19 @@
 
 // TestOneWorkerThatBacksOffLeavesTheOthers serves a request at another worker at once, and keeps the next one from the first.
 func TestOtherWorkersServeDuringBackOff(t *testing.T) {
-	var b *fixture
+	var f *fixture
 	first := ""
 	workers := &fakeWorkers{run: func(_ context.Context, _ int, worker *backend.Worker, _ RunOptions) (*Answer, error) {
 		if first == "" || first == worker.ID {
 			first = worker.ID
-			b.handler.dispatcher.BackOff(worker.ID, time.Minute)
+			f.handler.dispatcher.BackOff(worker.ID, time.Minute)
 			return nil, refusalError
 		}
 		return wholeResponse(http.StatusOK, "answer"), nil
 	}}
-	b = newFixture(t, fixtureOptions{rule: routing.Rule{Kind: routing.KindRepeatable, MaxAttempts: 2}, allowance: 10}, workers)
+	f = newFixture(t, fixtureOptions{rule: routing.Rule{Kind: routing.KindRepeatable, MaxAttempts: 2}, allowance: 10}, workers)
 	for range 20 {
-		if response, _, err := b.get(t); err != nil || response.StatusCode != http.StatusOK {
+		if response, _, err := f.get(t); err != nil || response.StatusCode != http.StatusOK {
 			t.Fatalf("%v, %v", response, err)
 		}
 	}
--- a/internal/forward/enginestate_test.go
+++ b/internal/forward/enginestate_test.go
@@ -229,19 +229,19 @@
 		}
 		return wholeResponse(200, "answer"), nil
 	}
-	b := newFixture(t, fixtureOptions{
+	f := newFixture(t, fixtureOptions{
 		rule: routing.Rule{Kind: routing.KindRepeatable, MaxAttempts: 2, Objective: objective}, engine: true, demand: shortPrompt, allowance: 10,
 	}, workers)
-	b.handler.dispatcher.engineGroups["g"].RoleChange = roleChange
-	return b, workers
+	f.handler.dispatcher.engineGroups["g"].RoleChange = roleChange
+	return f, workers
 }
 
 func TestRequestWaitsForRoleExpectedSoon(t *testing.T) {
-	b, workers := newLostRoleFixture(t, 4*time.Second, 50*time.Millisecond)
-	dispatcher := b.handler.dispatcher
+	f, workers := newLostRoleFixture(t, 4*time.Second, 50*time.Millisecond)
+	dispatcher := f.handler.dispatcher
 	dispatcher.SetChanging("prefill0", backend.RoleDecode)
 	time.AfterFunc(100*time.Millisecond, func() { dispatcher.EngineAnswers("prefill0", backend.RoleDecode, false) })
-	response, body, err := b.get(t)
+	response, body, err := f.get(t)
 	if err != nil || response.StatusCode != http.StatusOK {
 		t.Fatalf("got %v, %s, %v", response, body, err)
 	}
@@ -251,10 +251,10 @@
 }
 
 func TestRequestIsRefusedForRoleExpectedLate(t *testing.T) {
-	b, workers := newLostRoleFixture(t, 200*time.Millisecond, 900*time.Millisecond)
+	f, workers := newLostRoleFixture(t, 200*time.Millisecond, 900*time.Millisecond)
 	for first := true; ; first = false {
 		start := time.Now()
-		response, body, err := b.get(t)
+		response, body, err := f.get(t)
 		if err != nil || response.StatusCode != http.StatusServiceUnavailable || !strings.Contains(body, string(ReasonRoleLost)) {
 			t.Fatalf("got %v, %s, %v", response, body, err)
 		}
@@ -265,7 +265,7 @@
 		if least := (900*time.Millisecond + roleOrderTime - 100*time.Millisecond).Seconds(); err != nil || after < least || after > 2*least {
 			t.Errorf("the caller is to come back after %v s", response.Header.Get("Retry-After"))
 		}
-		if loss := b.reports.last.Loss; loss == nil || loss.Lost != 3 || loss.Readers != 3 {
+		if loss := f.reports.last.Loss; loss == nil || loss.Lost != 3 || loss.Readers != 3 {
 			t.Errorf("reported %+v", loss)
 		}
 		if !first {
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -117,10 +117,10 @@
 	last  Report
 }
 
-func (o *reportRecorder) RequestEnded(report *Report) {
-	o.mutex.Lock()
-	defer o.mutex.Unlock()
-	o.last = *report
+func (r *reportRecorder) RequestEnded(report *Report) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	r.last = *report
 }
 
 // bench is a handler with fake workers behind a real server.
@@ -175,12 +175,12 @@
 		}
 	}
 	dispatcher.SetWorkers(set)
-	b := &fixture{workers: workers, reports: &reportRecorder{}}
-	b.handler = NewHandler(DefaultSettings(), plainProtocol{demand: options.demand}, workers, dispatcher, b.reports)
-	b.handler.SetTable(routing.NewTable(configuration, nil))
-	b.server = httptest.NewServer(b.handler)
-	t.Cleanup(b.server.Close)
-	return b
+	f := &fixture{workers: workers, reports: &reportRecorder{}}
+	f.handler = NewHandler(DefaultSettings(), plainProtocol{demand: options.demand}, workers, dispatcher, f.reports)
+	f.handler.SetTable(routing.NewTable(configuration, nil))
+	f.server = httptest.NewServer(f.handler)
+	t.Cleanup(f.server.Close)
+	return f
 }
 
 // earnAll lets a minute pass for the budgets of a gateway that is alone and registered.
@@ -194,10 +194,10 @@
 }
 
 // get asks once.
-func (b *fixture) get(t *testing.T) (*http.Response, string, error) {
+func (f *fixture) get(t *testing.T) (*http.Response, string, error) {
 	t.Helper()
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true}}
-	response, err := client.Get(b.server.URL + "/x")
+	response, err := client.Get(f.server.URL + "/x")
 	if err != nil {
 		return nil, "", err
 	}
@@ -317,7 +317,7 @@
 // that it is waited for.
 func TestOnlyWorkerIsNotAbandoned(t *testing.T) {
 	rule := routing.Rule{Kind: routing.KindRepeatable, MaxAttempts: 2, Objective: 50 * time.Millisecond}
-	b := newFixture(t, fixtureOptions{rule: rule, allowance: 10}, &fakeWorkers{run: func(ctx context.Context, _ int, _ *backend.Worker, _ RunOptions) (*Answer, error) {
+	f := newFixture(t, fixtureOptions{rule: rule, allowance: 10}, &fakeWorkers{run: func(ctx context.Context, _ int, _ *backend.Worker, _ RunOptions) (*Answer, error) {
 		select {
 		case <-ctx.Done():
 			return awaitCancel(ctx)
@@ -326,8 +326,8 @@
 		}
 	}})
 	only := &backend.Worker{ID: "only", Group: "g", Address: "only", Slots: 4}
-	b.handler.dispatcher.SetWorkers(backend.Set{only.ID: only})
-	response, body, err := b.get(t)
+	f.handler.dispatcher.SetWorkers(backend.Set{only.ID: only})
+	response, body, err := f.get(t)
 	if err != nil || response.StatusCode != 200 || body != "late" {
 		t.Errorf("got %v, %q, %v", response, body, err)
 	}
@@ -417,9 +417,9 @@
 		return wholeResponse(200, "answer"), nil
 	}}
 	rule := routing.Rule{Kind: routing.KindRepeatable, MaxAttempts: 2, Objective: 50 * time.Millisecond}
-	b := newFixture(t, fixtureOptions{rule: rule, allowance: 10}, workers)
-	b.handler.ServeHTTP(slowWriter{httptest.NewRecorder()}, httptest.NewRequest(http.MethodGet, "http://127.0.0.1/x", nil))
-	for _, budget := range b.handler.dispatcher.Budgets() {
+	f := newFixture(t, fixtureOptions{rule: rule, allowance: 10}, workers)
+	f.handler.ServeHTTP(slowWriter{httptest.NewRecorder()}, httptest.NewRequest(http.MethodGet, "http://127.0.0.1/x", nil))
+	for _, budget := range f.handler.dispatcher.Budgets() {
 		if budget.Granted > 0 {
 			t.Errorf("%d repeats were spent", budget.Granted)
 		}
@@ -479,10 +479,10 @@
 		ended <- err
 		return answer, err
 	}}
-	b := newFixture(t, fixtureOptions{}, workers)
+	f := newFixture(t, fixtureOptions{}, workers)
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 	defer cancel()
-	request, _ := http.NewRequestWithContext(ctx, http.MethodGet, b.server.URL+"/x", nil)
+	request, _ := http.NewRequestWithContext(ctx, http.MethodGet, f.server.URL+"/x", nil)
 	if _, err := http.DefaultClient.Do(request); err == nil {
 		t.Fatal("got an answer")
 	}
@@ -555,9 +555,9 @@
 	workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Answer, error) {
 		return wholeResponse(200, "x"), nil
 	}}
-	b := newFixture(t, fixtureOptions{}, workers)
+	f := newFixture(t, fixtureOptions{}, workers)
 	post := func(body string) int {
-		response, err := http.Post(b.server.URL+"/x", "text/plain", strings.NewReader(body))
+		response, err := http.Post(f.server.URL+"/x", "text/plain", strings.NewReader(body))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -567,26 +567,26 @@
 	if got := post(strings.Repeat("x", 1001)); got != http.StatusRequestEntityTooLarge {
 		t.Errorf("a long body: %d", got)
 	}
-	long, _ := http.NewRequest(http.MethodGet, b.server.URL+"/x", nil)
+	long, _ := http.NewRequest(http.MethodGet, f.server.URL+"/x", nil)
 	long.Header.Set("Long", strings.Repeat("x", 2000))
 	if response, err := http.DefaultClient.Do(long); err != nil || response.StatusCode != http.StatusRequestHeaderFieldsTooLarge {
 		t.Errorf("a long head: %v, %v", response, err)
 	}
-	b.handler.Stop()
+	f.handler.Stop()
 	if got := post("x"); got != http.StatusServiceUnavailable {
 		t.Errorf("while stopping: %d", got)
 	}
-	fresh := NewHandler(DefaultSettings(), plainProtocol{}, workers, b.handler.dispatcher, b.reports)
+	fresh := NewHandler(DefaultSettings(), plainProtocol{}, workers, f.handler.dispatcher, f.reports)
 	recorder := httptest.NewRecorder()
 	fresh.ServeHTTP(recorder, httptest.NewRequest(http.MethodGet, "/x", nil))
 	if recorder.Code != http.StatusServiceUnavailable || recorder.Header().Get("Retry-After") == "" {
 		t.Errorf("without a configuration: %d", recorder.Code)
 	}
-	b.handler.stopping.Store(false)
+	f.handler.stopping.Store(false)
 	request := httptest.NewRequest(http.MethodGet, "/x", nil)
 	request.Host = "other.example"
 	recorder = httptest.NewRecorder()
-	b.handler.ServeHTTP(recorder, request)
+	f.handler.ServeHTTP(recorder, request)
 	if recorder.Code != http.StatusNotFound {
 		t.Errorf("an unknown host: %d", recorder.Code)
 	}
@@ -608,8 +608,8 @@
 			return &Prompt{Reader: worker, Handle: fmt.Sprint(number)}, nil
 		}
 		rule := routing.Rule{Kind: routing.KindStream}
-		b := newFixture(t, fixtureOptions{rule: rule, engine: true, demand: longPrompt, allowance: allowance - 1}, workers)
-		if response, _, err := b.get(t); err != nil || response.StatusCode != 200 || len(workers.prefilledAt) != wantPrefills {
+		f := newFixture(t, fixtureOptions{rule: rule, engine: true, demand: longPrompt, allowance: allowance - 1}, workers)
+		if response, _, err := f.get(t); err != nil || response.StatusCode != 200 || len(workers.prefilledAt) != wantPrefills {
 			t.Errorf("with %v repeats: got %v, %v, read at %v", allowance-1, response, err, workers.prefilledAt)
 		}
 	}
@@ -624,9 +624,9 @@
 		}
 		return wholeResponse(200, "answer"), nil
 	}
-	b := newFixture(t, fixtureOptions{allowance: 100}, workers)
+	f := newFixture(t, fixtureOptions{allowance: 100}, workers)
 	for range 20 {
-		if response, _, err := b.get(t); err != nil || response.StatusCode != 200 {
+		if response, _, err := f.get(t); err != nil || response.StatusCode != 200 {
 			t.Fatalf("got %v, %v", response, err)
 		}
 	}
@@ -658,14 +658,14 @@
 	}
 	objective := 250 * time.Millisecond
 	rule := routing.Rule{Kind: routing.KindRepeatable, MaxAttempts: 2, Objective: objective}
-	b := newFixture(t, fixtureOptions{rule: rule, engine: true, allowance: 10, demand: backend.Demand{PromptTokens: 4_000}}, workers)
-	response, _, err := b.get(t)
+	f := newFixture(t, fixtureOptions{rule: rule, engine: true, allowance: 10, demand: backend.Demand{PromptTokens: 4_000}}, workers)
+	response, _, err := f.get(t)
 	if err != nil || response.StatusCode != http.StatusOK || len(workers.prefilledAt) < 2 {
 		t.Fatalf("got %v, %v after %d readings", response, err, len(workers.prefilledAt))
 	}
-	b.reports.mutex.Lock()
-	defer b.reports.mutex.Unlock()
-	first := b.reports.last.Tries[0]
+	f.reports.mutex.Lock()
+	defer f.reports.mutex.Unlock()
+	first := f.reports.last.Tries[0]
 	want := time.Duration(responseTimeoutObjectiveShare*float64(objective)) + time.Duration(responseTimeoutCostFactor*first.Score.Answer*nanosecondsPerSecond)
 	if waited := first.ReadIn; waited < want || waited > want+150*time.Millisecond {
 		t.Errorf("the silent engine was waited for %s, want %s", waited, want)
--- a/internal/forward/loans_test.go
+++ b/internal/forward/loans_test.go
@@ -11,8 +11,8 @@
 // lentTo returns a dispatcher that holds nothing of the limits of its three workers, and has asked for them.
 func askForLoans(t *testing.T) (*Dispatcher, loadshare.Ask, <-chan struct{}) {
 	t.Helper()
-	b := newFixture(t, fixtureOptions{rule: routing.Rule{Kind: routing.KindRepeatable}}, &fakeWorkers{})
-	d := b.handler.dispatcher
+	f := newFixture(t, fixtureOptions{rule: routing.Rule{Kind: routing.KindRepeatable}}, &fakeWorkers{})
+	d := f.handler.dispatcher
 	d.ShareLimits("one")
 	d.ShareWith(func(bool) {})
 	d.SetHolders([]string{"one", "other"})
@@ -69,8 +69,8 @@
 
 // TestOnlyWhatIsHeldIsLent has one that holds nothing asked for a loan, and one that holds everything.
 func TestOnlyHeldCapacityIsLent(t *testing.T) {
-	b := newFixture(t, fixtureOptions{rule: routing.Rule{Kind: routing.KindRepeatable}}, &fakeWorkers{})
-	d := b.handler.dispatcher
+	f := newFixture(t, fixtureOptions{rule: routing.Rule{Kind: routing.KindRepeatable}}, &fakeWorkers{})
+	d := f.handler.dispatcher
 	d.ShareLimits("one")
 	id := d.balancer.IDs()[0]
 	d.Limit(id, 5, 0)
--- a/internal/forward/ratelimits_test.go
+++ b/internal/forward/ratelimits_test.go
@@ -15,8 +15,8 @@
 func TestRequestBeyondRateLimitsIsRefused(t *testing.T) {
 	for _, engine := range []bool{false, true} {
 		rule := routing.Rule{Kind: routing.KindRepeatable, MaxAttempts: 2, Objective: 300 * time.Millisecond, Timeout: 10 * time.Second}
-		b := newFixture(t, fixtureOptions{rule: rule, engine: engine, allowance: 10, demand: backend.Demand{OutputTokens: 1}}, &fakeWorkers{})
-		d := b.handler.dispatcher
+		f := newFixture(t, fixtureOptions{rule: rule, engine: engine, allowance: 10, demand: backend.Demand{OutputTokens: 1}}, &fakeWorkers{})
+		d := f.handler.dispatcher
 		var limited int
 		for _, id := range d.balancer.IDs() {
 			d.Limit(id, 0.5, 0)
@@ -25,7 +25,7 @@
 		last := 0.0
 		for number := range 4 {
 			start := time.Now()
-			response, _, err := b.get(t)
+			response, _, err := f.get(t)
 			if err != nil || response.StatusCode != http.StatusServiceUnavailable || time.Since(start) > 200*time.Millisecond {
 				t.Fatalf("%v, %v after %s", response, err, time.Since(start))
 			}
@@ -38,7 +38,7 @@
 		if last < 2.5 {
 			t.Errorf("the last of four is to come back after %v s, of %d workers that take one in 2 s each", last, limited)
 		}
-		if got := len(b.workers.ranAt); got != 0 {
+		if got := len(f.workers.ranAt); got != 0 {
 			t.Errorf("workers got %d requests that they did not take", got)
 		}
 	}
@@ -46,8 +46,8 @@
 
 // TestQuestionsCountForLimits has a question of health take a place of a worker with a limit, and be left if there is none.
 func TestHealthChecksCountAgainstRateLimits(t *testing.T) {
-	b := newFixture(t, fixtureOptions{rule: routing.Rule{Kind: routing.KindRepeatable}}, &fakeWorkers{})
-	d := b.handler.dispatcher
+	f := newFixture(t, fixtureOptions{rule: routing.Rule{Kind: routing.KindRepeatable}}, &fakeWorkers{})
+	d := f.handler.dispatcher
 	id := d.balancer.IDs()[0]
 	if !d.MayAsk(id) {
 		t.Error("a worker without a limit may not be asked")
--- a/internal/forward/suspect_test.go
+++ b/internal/forward/suspect_test.go
@@ -47,38 +47,38 @@
 		}
 		return wholeResponse(200, "answer"), nil
 	}
-	b := newFixture(t, fixtureOptions{rule: rule, allowance: 10}, workers)
-	b.handler.GuardWorkers(poison.NewGuard(poison.DefaultSettings(), prober, time.Now, func(event poison.Event) {
+	f := newFixture(t, fixtureOptions{rule: rule, allowance: 10}, workers)
+	f.handler.GuardWorkers(poison.NewGuard(poison.DefaultSettings(), prober, time.Now, func(event poison.Event) {
 		if ended, is := event.(poison.WorkerEnded); is {
-			b.handler.dispatcher.WorkerEnded(ended.Worker.ID, ended.Ago)
+			f.handler.dispatcher.WorkerEnded(ended.Worker.ID, ended.Ago)
 		}
 	}))
-	return b
+	return f
 }
 
 // TestASuspectWaitsForItsRole has the first of three workers end under a request, which may put no other one at risk before that one is
 // back. Its repeat waits for that, though the end is not known at once, and is served then; others are refused, and told when to come
 // back.
 func TestSuspectWaitsForReplacementWorker(t *testing.T) {
-	b := newSuspectFixture(t, routing.Rule{Kind: routing.KindRepeatable, MaxAttempts: 2, Timeout: 5 * time.Second}, 50*time.Millisecond)
+	f := newSuspectFixture(t, routing.Rule{Kind: routing.KindRepeatable, MaxAttempts: 2, Timeout: 5 * time.Second}, 50*time.Millisecond)
 	const downtime = 400 * time.Millisecond
 	time.AfterFunc(downtime, func() {
-		set := backend.Set{"again": {ID: "again", Group: "g", Address: b.workers.ranAt[0], Slots: 4}}
+		set := backend.Set{"again": {ID: "again", Group: "g", Address: f.workers.ranAt[0], Slots: 4}}
 		for _, id := range []string{"0", "1", "2"} {
-			if id != b.workers.ranAt[0] {
+			if id != f.workers.ranAt[0] {
 				set[id] = &backend.Worker{ID: id, Group: "g", Address: id, Slots: 4}
 			}
 		}
-		b.handler.dispatcher.SetWorkers(set)
+		f.handler.dispatcher.SetWorkers(set)
 	})
 	var duplicate *http.Response
 	var duplicateDone sync.WaitGroup
 	duplicateDone.Go(func() {
 		time.Sleep(downtime / 2)
-		duplicate, _, _ = b.get(t)
+		duplicate, _, _ = f.get(t)
 	})
 	start := time.Now()
-	response, body, err := b.get(t)
+	response, body, err := f.get(t)
 	if err != nil || response.StatusCode != 200 || body != "answer" || time.Since(start) < downtime {
 		t.Errorf("after %s the request got %v, %v", time.Since(start), response, err)
 	}
@@ -88,17 +88,17 @@
 	if duplicate.StatusCode != http.StatusServiceUnavailable || after < least {
 		t.Errorf("a copy got %d, to come back after %.1f s", duplicate.StatusCode, after)
 	}
-	if len(b.workers.ranAt) != 2 || slices.Contains(b.workers.ranAt[1:], b.workers.ranAt[0]) {
-		t.Errorf("it ran at %v", b.workers.ranAt)
+	if len(f.workers.ranAt) != 2 || slices.Contains(f.workers.ranAt[1:], f.workers.ranAt[0]) {
+		t.Errorf("it ran at %v", f.workers.ranAt)
 	}
 }
 
 // TestTheFailureOfASuspectIsHeldUntilOthersAreTold has a worker end under a request that may run once: its caller may send it to another
 // gateway at once.
 func TestSuspectFailureIsDelayedUntilPeersKnow(t *testing.T) {
-	b := newSuspectFixture(t, routing.Rule{Kind: routing.KindRunOnce}, 0)
+	f := newSuspectFixture(t, routing.Rule{Kind: routing.KindRunOnce}, 0)
 	start := time.Now()
-	response, _, err := b.get(t)
+	response, _, err := f.get(t)
 	if err != nil || response.StatusCode != http.StatusBadGateway || time.Since(start) < peerNotifyDelay {
 		t.Errorf("after %s the request got %v, %v", time.Since(start), response, err)
 	}
--- a/internal/forward/truncatedstream_test.go
+++ b/internal/forward/truncatedstream_test.go
@@ -45,9 +45,9 @@
 	workers := &fakeWorkers{run: func(ctx context.Context, _ int, _ *backend.Worker, _ RunOptions) (*Answer, error) {
 		return &Answer{Status: http.StatusOK, Header: http.Header{}, ContentLength: -1, Body: io.NopCloser(&stallingBody{ctx: ctx})}, nil
 	}}
-	b := newFixture(t, fixtureOptions{rule: routing.Rule{Kind: routing.KindStream, Timeout: 200 * time.Millisecond}, engine: true}, workers)
-	b.handler.protocol = truncationEventProtocol{plainProtocol{}}
-	response, body, err := b.get(t)
+	f := newFixture(t, fixtureOptions{rule: routing.Rule{Kind: routing.KindStream, Timeout: 200 * time.Millisecond}, engine: true}, workers)
+	f.handler.protocol = truncationEventProtocol{plainProtocol{}}
+	response, body, err := f.get(t)
 	if err == nil || response.StatusCode != http.StatusOK {
 		t.Fatalf("the answer looks whole: %v, %v", response, err)
 	}
--- a/internal/forward/unanswered_test.go
+++ b/internal/forward/unanswered_test.go
@@ -27,14 +27,14 @@
 			workers := &fakeWorkers{run: func(ctx context.Context, _ int, _ *backend.Worker, _ RunOptions) (*Answer, error) {
 				return end.run(ctx)
 			}}
-			b := newFixture(t, fixtureOptions{}, workers)
-			b.handler.NameClosers(func(context.Context) Closer { return end.closer })
+			f := newFixture(t, fixtureOptions{}, workers)
+			f.handler.NameClosers(func(context.Context) Closer { return end.closer })
 			client := &http.Client{Timeout: end.clientTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
-			if response, err := client.Get(b.server.URL + "/x"); err == nil {
+			if response, err := client.Get(f.server.URL + "/x"); err == nil {
 				_ = response.Body.Close()
 				t.Fatal("there was an answer")
 			}
-			report := b.lastReport()
+			report := f.lastReport()
 			if !report.Unanswered || report.ClosedBy != end.closer || report.Reason != end.reason || report.Request.ID != "r1" || report.Caller == "" {
 				t.Errorf("reported: %+v", report)
 			}
@@ -49,11 +49,11 @@
 }
 
 // lastReport waits for the report of a request and returns it.
-func (b *fixture) lastReport() Report {
+func (f *fixture) lastReport() Report {
 	for range 200 {
-		b.reports.mutex.Lock()
-		last := b.reports.last
-		b.reports.mutex.Unlock()
+		f.reports.mutex.Lock()
+		last := f.reports.last
+		f.reports.mutex.Unlock()
 		if !last.Ended.IsZero() {
 			return last
 		}
