--- a/internal/forward/attempts.go
+++ b/internal/forward/attempts.go
@@ -24,7 +24,7 @@
 const (
 	// failureNone means success.
 	failureNone failure = iota
-	// failureUnreachable means that no connection was made, so nothing was sent.
+	// failureUnreachable means that nothing was sent to the worker.
 	failureUnreachable
 	// failureRefused means that the worker guaranteed not to have run the request.
 	failureRefused
--- a/internal/forward/attempts_test.go
+++ b/internal/forward/attempts_test.go
@@ -33,7 +33,7 @@
 			MaxAttempts: rapid.IntRange(1, 3).Draw(t, "attempts"),
 		}
 		granted := rapid.IntRange(0, 5).Draw(t, "budget")
-		repeats := &fixedBudget{left: granted}
+		retries := &fixedBudget{left: granted}
 		state := attempts{rule: rule}
 		mayHaveRun, reached := 0, 0
 		for try := 0; ; try++ {
@@ -45,7 +45,7 @@
 				reached++
 			}
 			state.record(fmt.Sprint(try), failed)
-			decided := state.decide(failed, repeats)
+			decided := state.decide(failed, retries)
 			if decided == decisionNotRun && mayHaveRun > 0 {
 				t.Fatal("a request that may have run was reported as not run")
 			}
@@ -58,7 +58,7 @@
 			if mayHaveRun >= rule.MaxAttempts {
 				t.Fatal("the request ran more often than its rule allows")
 			}
-			if used := granted - repeats.left; reached > 0 && used == 0 {
+			if used := granted - retries.left; reached > 0 && used == 0 {
 				t.Fatal("the retry was not taken from the budget")
 			}
 			if try >= maxReached+maxUnreachable {
--- a/internal/forward/enginestate.go
+++ b/internal/forward/enginestate.go
@@ -82,8 +82,8 @@
 
 // applyReportedRoles returns the updated workers with the roles that they reported but that their records do not show yet. It also drops
 // the state of removed workers.
-func (e *engineState) applyReportedRoles(now time.Time, put []*backend.Worker, gone []string) []*backend.Worker {
-	for _, id := range gone {
+func (e *engineState) applyReportedRoles(now time.Time, put []*backend.Worker, removed []string) []*backend.Worker {
+	for _, id := range removed {
 		delete(e.pendingRoles, id)
 		delete(e.reportedRoles, id)
 	}
--- a/internal/forward/fleet_load_test.go
+++ b/internal/forward/fleet_load_test.go
@@ -37,13 +37,13 @@
 // simEventQueue is a heap of events ordered by time.
 type simEventQueue []simEvent
 
-func (h simEventQueue) Len() int           { return len(h) }
-func (h simEventQueue) Less(i, j int) bool { return h[i].at.Before(h[j].at) }
-func (h simEventQueue) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *simEventQueue) Push(event any)    { *h = append(*h, event.(simEvent)) }
-func (h *simEventQueue) Pop() any {
-	last := (*h)[len(*h)-1]
-	*h = (*h)[:len(*h)-1]
+func (q simEventQueue) Len() int           { return len(q) }
+func (q simEventQueue) Less(i, j int) bool { return q[i].at.Before(q[j].at) }
+func (q simEventQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
+func (q *simEventQueue) Push(event any)    { *q = append(*q, event.(simEvent)) }
+func (q *simEventQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
 	return last
 }
 
@@ -65,30 +65,30 @@
 }
 
 // schedule adds an event.
-func (p *loadSimulation) schedule(delay time.Duration, run func()) {
-	heap.Push(&p.events, simEvent{p.now.Add(delay), run})
+func (s *loadSimulation) schedule(delay time.Duration, run func()) {
+	heap.Push(&s.events, simEvent{s.now.Add(delay), run})
 }
 
 // drawTokens draws a length.
-func (p *loadSimulation) drawTokens(mean, spread, limit float64) int {
-	return int(min(mean*math.Exp(spread*p.random.NormFloat64()-spread*spread/2), limit))
+func (s *loadSimulation) drawTokens(mean, spread, limit float64) int {
+	return int(min(mean*math.Exp(spread*s.random.NormFloat64()-spread*spread/2), limit))
 }
 
 // arrive simulates the arrival of a prompt at a random gateway.
-func (p *loadSimulation) arrive(number int, shared []int) {
-	document := p.random.IntN(documentCount)
-	own := p.drawTokens(meanOwnTokens, 1.1, 53_200)
+func (s *loadSimulation) arrive(number int, shared []int) {
+	document := s.random.IntN(documentCount)
+	own := s.drawTokens(meanOwnTokens, 1.1, 53_200)
 	id := fmt.Sprint("document-", document)
 	request := &Request{ID: fmt.Sprint("r", number), Demand: backend.Demand{
 		PromptTokens: shared[document] + own, Parts: []backend.Part{{ID: id, Tokens: shared[document]}, {ID: fmt.Sprint("own", number), Tokens: own}},
 	}}
-	gateway := p.gateways[p.random.IntN(len(p.gateways))]
-	arrived := p.now
-	placement, found := gateway.Place(request, p.group, PlaceOptions{Objective: longObjective, Left: longObjective})
+	gateway := s.gateways[s.random.IntN(len(s.gateways))]
+	arrived := s.now
+	placement, found := gateway.Place(request, s.group, PlaceOptions{Objective: longObjective, Left: longObjective})
 	if !found {
 		return
 	}
-	p.exchange()
+	s.exchange()
 	prefill := placement.Prefill
 	if prefill == nil {
 		prefill = placement.Runner
@@ -97,53 +97,53 @@
 	length := float64(request.Demand.PromptTokens)
 	uncached := length
 	switch {
-	case p.cached[worker.ID][id] || placement.FetchFrom != nil:
+	case s.cached[worker.ID][id] || placement.FetchFrom != nil:
 		uncached = float64(own)
-	case p.everCached[id]:
-		p.recomputed++
+	case s.everCached[id]:
+		s.recomputed++
 	}
 	took := uncached/tokensPerMs + attentionMsPerMillionPairs*(length*length-(length-uncached)*(length-uncached))/2e6
 	if worker.Role == backend.RoleDecode {
 		took *= 2
 	}
-	done := p.busyUntil[worker.ID]
-	if done.Before(p.now) {
-		done = p.now
+	done := s.busyUntil[worker.ID]
+	if done.Before(s.now) {
+		done = s.now
 	}
 	done = done.Add(time.Duration(took * float64(time.Millisecond)))
-	p.busyUntil[worker.ID] = done
-	p.schedule(done.Sub(p.now), func() {
-		if p.cached[worker.ID] == nil {
-			p.cached[worker.ID] = map[string]bool{}
+	s.busyUntil[worker.ID] = done
+	s.schedule(done.Sub(s.now), func() {
+		if s.cached[worker.ID] == nil {
+			s.cached[worker.ID] = map[string]bool{}
 		}
-		p.cached[worker.ID][id], p.everCached[id] = true, true
+		s.cached[worker.ID][id], s.everCached[id] = true, true
 		gateway.RecordPrefilled(worker, request)
 		runner := placement.Runner
 		if placement.Prefill != nil {
 			placement.Prefill.prefilled()
 			placement.Prefill.finish(balance.OutcomeGood)
-			runner, _ = gateway.PlaceRunner(request, p.group, nil, placement.Prefill)
+			runner, _ = gateway.PlaceRunner(request, s.group, nil, placement.Prefill)
 		}
-		p.exchange()
-		p.prompts++
-		if p.now.Sub(arrived)+30*time.Millisecond <= longObjective {
-			p.inTime++
+		s.exchange()
+		s.prompts++
+		if s.now.Sub(arrived)+30*time.Millisecond <= longObjective {
+			s.inTime++
 		}
-		p.schedule(30*time.Millisecond, func() { runner.finish(balance.OutcomeGood) })
+		s.schedule(30*time.Millisecond, func() { runner.finish(balance.OutcomeGood) })
 	})
 }
 
 // exchange delivers pending updates to the other gateways after a delay.
-func (p *loadSimulation) exchange() {
-	for i, gateway := range p.gateways {
+func (s *loadSimulation) exchange() {
+	for i, gateway := range s.gateways {
 		message := gateway.Drain(false)
 		if len(message.Loads) == 0 && len(message.Kept) == 0 {
 			continue
 		}
-		p.sequence++
-		message.Sender, message.Epoch, message.Sequence = fmt.Sprint("entry-", i), 1, p.sequence
-		p.schedule(peerDelay, func() {
-			for j, other := range p.gateways {
+		s.sequence++
+		message.Sender, message.Epoch, message.Sequence = fmt.Sprint("entry-", i), 1, s.sequence
+		s.schedule(peerDelay, func() {
+			for j, other := range s.gateways {
 				if i != j {
 					other.Hear(&message)
 				}
@@ -156,7 +156,7 @@
 // prefilled again.
 func TestLongPromptsReuseCachedDocuments(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 5))
-	p := &loadSimulation{
+	s := &loadSimulation{
 		now: time.Unix(1000, 0), random: random, busyUntil: map[string]time.Time{}, cached: map[string]map[string]bool{}, everCached: map[string]bool{},
 		group: &routing.Group{Name: "g", Engine: &routing.Engine{MemoryTokens: 417_523, BytesPerToken: 163_840, LinkMbps: 1_500_000}},
 	}
@@ -164,30 +164,30 @@
 	for zone := range gatewayCount {
 		settings := DefaultDispatchSettings()
 		settings.Zone = fmt.Sprint("zone-", zone%6)
-		gateway := NewDispatcher(settings, func() time.Time { return p.now })
-		gateway.SetGroups([]routing.Group{*p.group})
+		gateway := NewDispatcher(settings, func() time.Time { return s.now })
+		gateway.SetGroups([]routing.Group{*s.group})
 		gateway.SetWorkers(set)
 		gateway.ShareWith(func(bool) {})
-		p.gateways = append(p.gateways, gateway)
+		s.gateways = append(s.gateways, gateway)
 	}
 	shared := make([]int, documentCount)
 	for i := range shared {
-		shared[i] = p.drawTokens(meanSharedTokens, 0.7, 39_900)
+		shared[i] = s.drawTokens(meanSharedTokens, 0.7, 39_900)
 	}
-	end := p.now.Add(12 * time.Second)
+	end := s.now.Add(12 * time.Second)
 	var arriveNext func(number int)
 	arriveNext = func(number int) {
-		p.arrive(number, shared)
-		p.schedule(time.Duration(random.ExpFloat64()/longPromptsPerSecond*float64(time.Second)), func() { arriveNext(number + 1) })
+		s.arrive(number, shared)
+		s.schedule(time.Duration(random.ExpFloat64()/longPromptsPerSecond*float64(time.Second)), func() { arriveNext(number + 1) })
 	}
 	arriveNext(0)
-	for p.now.Before(end) {
-		event := heap.Pop(&p.events).(simEvent)
-		p.now = event.at
+	for s.now.Before(end) {
+		event := heap.Pop(&s.events).(simEvent)
+		s.now = event.at
 		event.run()
 	}
-	t.Logf("%d prompts, %d in time, %d documents prefilled again", p.prompts, p.inTime, p.recomputed)
-	if p.recomputed > cmp.Or(p.prompts/50, 1) {
-		t.Errorf("for %d prompts, %d documents were prefilled again", p.prompts, p.recomputed)
+	t.Logf("%d prompts, %d in time, %d documents prefilled again", s.prompts, s.inTime, s.recomputed)
+	if s.recomputed > cmp.Or(s.prompts/50, 1) {
+		t.Errorf("for %d prompts, %d documents were prefilled again", s.prompts, s.recomputed)
 	}
 }
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -29,8 +29,8 @@
 	// VerdictRetryAfter is the Retry-After time of a request that may have crashed workers while that is being determined. It is a little
 	// longer than the check takes.
 	VerdictRetryAfter time.Duration
-	// HoldFraction is the fraction of its objective for which a request waits for a role that is expected back within that time. Waiting
-	// saves the caller a retry, but the objective is missed if the wait fails.
+	// HoldFraction is the fraction of its objective for which a request may wait for a worker that is expected to accept it within that
+	// time. Holding spares the caller a retry, but a request that waits in vain misses its objective.
 	HoldFraction float64
 	// MinRemaining is the time before the deadline below which no attempt is started.
 	MinRemaining time.Duration
--- a/internal/forward/loans_test.go
+++ b/internal/forward/loans_test.go
@@ -20,7 +20,7 @@
 		d.Limit(id, 5, 0)
 	}
 	group := routing.Group{Name: "g"}
-	lent, asked := d.requestLoans(&group)
+	loanArrived, asked := d.requestLoans(&group)
 	asks, _ := d.DrainLoans()
 	if !asked || len(asks) != 1 || len(asks[0].Workers) == 0 {
 		t.Fatalf("asked: %t, got %+v", asked, asks)
@@ -28,7 +28,7 @@
 	if _, again := d.requestLoans(&group); again {
 		t.Error("the dispatcher asked again immediately")
 	}
-	return d, asks[0], lent
+	return d, asks[0], loanArrived
 }
 
 // TestLoanIsUsedOnceByAsker delivers each loan twice: to the asker, to another gateway, for an earlier request, and too late.
@@ -44,14 +44,14 @@
 		{desc: "for an earlier request", alter: func(l *loadshare.Loan) { l.Serial-- }},
 		{desc: "too late", alter: func(*loadshare.Loan) {}, wait: 600 * time.Millisecond},
 	} {
-		d, ask, lent := askForLoans(t)
+		d, ask, loanArrived := askForLoans(t)
 		worker := ask.Workers[0]
 		loan := loadshare.Loan{Asker: ask.Asker, Serial: ask.Serial, Lender: "other", Worker: worker, Count: 2}
 		test.alter(&loan)
 		time.Sleep(test.wait)
 		d.HearLoans(nil, []loadshare.Loan{loan, loan})
 		select {
-		case <-lent:
+		case <-loanArrived:
 		default:
 			if test.used > 0 {
 				t.Errorf("%s: the waiting request is not notified", test.desc)
--- a/internal/forward/peers.go
+++ b/internal/forward/peers.go
@@ -17,10 +17,9 @@
 	cachedPrefixes []loadshare.Kept
 	// roleChanges are the role changes that this gateway has ordered.
 	roleChanges map[string]roleChange
-	// ejected are the workers that were ejected because they did not respond.
+	// ejected are the workers whose ejection other gateways are told of.
 	ejected []string
-	// refused and answering are engines that refused a connection or responded again, and newRoles those that reported a new role. All are
-	// to be sent.
+	// refused are engines that refused a connection, answering those that respond again, and newRoles those that reported a new role.
 	refused, answering []string
 	newRoles           []loadshare.Changed
 	// notify signals that there is something to send; nil if nothing is sent.
@@ -36,36 +35,36 @@
 }
 
 // peerLoad implements balance.Elsewhere.
-func (s *peerExchange) peerLoad(worker string) backend.Load { return s.board.Load(worker) }
+func (p *peerExchange) peerLoad(worker string) backend.Load { return p.board.Load(worker) }
 
 // loadChanged records that this gateway's load at a worker has changed.
-func (s *peerExchange) loadChanged(worker string, urgent bool) {
-	if s.notify == nil {
+func (p *peerExchange) loadChanged(worker string, urgent bool) {
+	if p.notify == nil {
 		return
 	}
-	s.changedLoads[worker] = true
-	s.notify(urgent)
+	p.changedLoads[worker] = true
+	p.notify(urgent)
 }
 
 // prefixCached records that a worker has cached a prefix.
-func (s *peerExchange) prefixCached(kept loadshare.Kept) {
-	if s.notify == nil || len(s.cachedPrefixes) >= maxPendingNotices {
+func (p *peerExchange) prefixCached(cached loadshare.Kept) {
+	if p.notify == nil || len(p.cachedPrefixes) >= maxPendingNotices {
 		return
 	}
-	s.cachedPrefixes = append(s.cachedPrefixes, kept)
-	s.notify(true)
+	p.cachedPrefixes = append(p.cachedPrefixes, cached)
+	p.notify(true)
 }
 
 // workerEjected records that a worker was ejected. Only failures that other gateways would see too are sent: workers that do not respond
 // and engines whose responses fail.
-func (s *peerExchange) workerEjected(worker *backend.Worker, outcome balance.Outcome) {
+func (p *peerExchange) workerEjected(worker *backend.Worker, outcome balance.Outcome) {
 	visibleToPeers := outcome == balance.OutcomeUnreachable || outcome == balance.OutcomeSilent ||
 		(outcome == balance.OutcomeBroken && worker.Role != backend.RoleNone)
-	if s.notify == nil || !visibleToPeers || len(s.ejected) >= maxPendingNotices {
+	if p.notify == nil || !visibleToPeers || len(p.ejected) >= maxPendingNotices {
 		return
 	}
-	s.ejected = append(s.ejected, worker.ID)
-	s.notify(true)
+	p.ejected = append(p.ejected, worker.ID)
+	p.notify(true)
 }
 
 // ShareWith makes the dispatcher collect updates for other gateways. The callback must not block.
@@ -139,9 +138,9 @@
 	if !d.peers.board.Apply(d.now(), message) {
 		return
 	}
-	for _, kept := range message.Kept {
-		if worker, found := d.balancer.Worker(kept.Worker); found {
-			d.addCached(worker, kept)
+	for _, cached := range message.Kept {
+		if worker, found := d.balancer.Worker(cached.Worker); found {
+			d.addCached(worker, cached)
 		}
 	}
 	d.applyPeerEngines(message)
--- a/internal/forward/placement_test.go
+++ b/internal/forward/placement_test.go
@@ -88,46 +88,46 @@
 	busy := &loadshare.Message{Sender: "other", Epoch: 1, Sequence: 1}
 	busy.Loads = []loadshare.Load{{Worker: first.Prefill.Worker.ID, ReadingTokens: 100_000}}
 	dispatcher.Hear(busy)
-	other, _ := dispatcher.Place(&Request{ID: "t", Demand: demand}, engineGroup, PlaceOptions{})
-	if other.Prefill == nil || other.Prefill.Worker == first.Prefill.Worker || other.FetchFrom != first.Prefill.Worker {
-		t.Fatalf("the part is not fetched from the busy engine: %+v", other)
+	another, _ := dispatcher.Place(&Request{ID: "t", Demand: demand}, engineGroup, PlaceOptions{})
+	if another.Prefill == nil || another.Prefill.Worker == first.Prefill.Worker || another.FetchFrom != first.Prefill.Worker {
+		t.Fatalf("the part is not fetched from the busy engine: %+v", another)
 	}
 }
 
 func TestGatewaysShareLoadAndCache(t *testing.T) {
-	one, two := newEngineDispatcher(), newEngineDispatcher()
+	sender, receiver := newEngineDispatcher(), newEngineDispatcher()
 	notified := 0
-	one.ShareWith(func(bool) { notified++ })
+	sender.ShareWith(func(bool) { notified++ })
 	request := &Request{ID: "r", Demand: longPrompt}
-	placement, _ := one.Place(request, engineGroup, PlaceOptions{})
-	one.RecordPrefilled(placement.Prefill.Worker, request)
-	message := one.Drain(false)
+	placement, _ := sender.Place(request, engineGroup, PlaceOptions{})
+	sender.RecordPrefilled(placement.Prefill.Worker, request)
+	message := sender.Drain(false)
 	if notified == 0 || len(message.Loads) == 0 || len(message.Kept) == 0 {
 		t.Fatalf("got update %+v after %d notifications", message, notified)
 	}
 	message.Sender, message.Epoch, message.Sequence = "one", 1, 1
-	two.Hear(&message)
-	if load := two.peers.board.Load(placement.Prefill.Worker.ID); load.ReadingTokens == 0 {
+	receiver.Hear(&message)
+	if load := receiver.peers.board.Load(placement.Prefill.Worker.ID); load.ReadingTokens == 0 {
 		t.Error("the load was not applied")
 	}
-	if holders := two.usableHolders([]prefixSegment{{key: "a", tokens: 8000}}); len(holders) != 1 || holders[placement.Prefill.Worker.ID].readyTokens != 8000 {
+	if holders := receiver.usableHolders([]prefixSegment{{key: "a", tokens: 8000}}); len(holders) != 1 || holders[placement.Prefill.Worker.ID].readyTokens != 8000 {
 		t.Errorf("the cached part was not applied: %v", holders)
 	}
-	if again := one.Drain(false); len(again.Loads)+len(again.Kept) != 0 {
+	if again := sender.Drain(false); len(again.Loads)+len(again.Kept) != 0 {
 		t.Error("an update was sent twice")
 	}
-	runner, _ := one.PlaceRunner(request, engineGroup, nil, placement.Prefill)
-	one.SetChanging(runner.Worker.ID, backend.RolePrefill)
-	message = one.Drain(false)
+	runner, _ := sender.PlaceRunner(request, engineGroup, nil, placement.Prefill)
+	sender.SetChanging(runner.Worker.ID, backend.RolePrefill)
+	message = sender.Drain(false)
 	message.Sender, message.Epoch, message.Sequence = "one", 1, 2
-	two.Hear(&message)
-	if two.balancer.Usable(two.now(), runner.Worker.ID) {
+	receiver.Hear(&message)
+	if receiver.balancer.Usable(receiver.now(), runner.Worker.ID) {
 		t.Error("an engine is used although another gateway changes its role")
 	}
 	changed := *runner.Worker
 	changed.Role = backend.RolePrefill
-	two.SetWorkers(backend.Set{changed.ID: &changed})
-	if !two.balancer.Usable(two.now(), changed.ID) {
+	receiver.SetWorkers(backend.Set{changed.ID: &changed})
+	if !receiver.balancer.Usable(receiver.now(), changed.ID) {
 		t.Error("an engine is not used although its record shows its new role")
 	}
 }
@@ -256,9 +256,9 @@
 		desc   string
 		worker string
 		demand backend.Demand
-		// kept is the number of tokens cached at the worker, and fetch the engine from which the rest is fetched.
-		kept  int
-		fetch string
+		// cached is the number of tokens cached at the worker, and fetch the engine from which the rest is fetched.
+		cached int
+		fetch  string
 	}{
 		{"the whole path", "prefill0", chain("root", "leaf", "own"), 6000, ""},
 		{"a new leaf", "prefill0", chain("root", "other", "own"), 3000, ""},
@@ -269,8 +269,8 @@
 	for _, c := range cases {
 		t.Run(c.desc, func(t *testing.T) {
 			prompt := dispatcher.newPromptContext(&Request{ID: "r", Demand: c.demand}, engineGroup)
-			if got := prompt.holders[c.worker].tokens; got != c.kept {
-				t.Errorf("%d tokens are cached, want %d", got, c.kept)
+			if got := prompt.holders[c.worker].tokens; got != c.cached {
+				t.Errorf("%d tokens are cached, want %d", got, c.cached)
 			}
 			got := ""
 			if source := prompt.fetchSource(workerOf(c.worker)); source != nil {
@@ -343,8 +343,8 @@
 		if usable := dispatcher.balancer.Usable(now, "w"); usable == engine {
 			t.Errorf("role %q: usable %v after two errors", role, usable)
 		}
-		if told := dispatcher.Drain(false).Failed; (len(told) == 1) != engine {
-			t.Errorf("role %q: reported as failed: %v", role, told)
+		if failed := dispatcher.Drain(false).Failed; (len(failed) == 1) != engine {
+			t.Errorf("role %q: reported as failed: %v", role, failed)
 		}
 	}
 }
--- a/internal/forward/ratelimits.go
+++ b/internal/forward/ratelimits.go
@@ -100,20 +100,20 @@
 
 // Limit sets the rate limit of a worker, which applies to all gateways together. The worker named it the given time ago. It reports whether
 // the limit has changed.
-func (d *Dispatcher) Limit(worker string, perSecond float64, ago time.Duration) bool {
+func (d *Dispatcher) Limit(worker string, perSecond float64, age time.Duration) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := d.now()
 	clear(d.saturation)
-	return d.balancer.Limit(now, worker, perSecond, now.Add(-ago))
+	return d.balancer.Limit(now, worker, perSecond, now.Add(-age))
 }
 
 // Unlimit removes the rate limit of a worker whose response named none. The request was sent the given time ago; a limit named after that
 // stays. It reports whether a limit was removed.
-func (d *Dispatcher) Unlimit(worker string, ago time.Duration) bool {
+func (d *Dispatcher) Unlimit(worker string, age time.Duration) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.balancer.Unlimit(worker, d.now().Add(-ago))
+	return d.balancer.Unlimit(worker, d.now().Add(-age))
 }
 
 // MayAsk takes a health check from the quota of a rate-limited worker, and reports whether the quota allowed it.
--- a/internal/forward/report.go
+++ b/internal/forward/report.go
@@ -8,7 +8,7 @@
 	"github.com/granitebay/granitebay/internal/poison"
 )
 
-// Reason says why the gateway generated a response or a failure.
+// Reason says how a request ended. Error responses of the gateway contain it.
 type Reason string
 
 // The reasons.
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -1,5 +1,5 @@
-// Package forward proxies requests from callers to workers. Protocol and Workers are its ports: they define how callers and workers are
-// spoken to.
+// Package forward proxies requests from callers to workers and responses back. It depends on no wire format: Protocol parses the requests
+// of callers, and Workers sends them to workers.
 package forward
 
 import (
@@ -136,7 +136,7 @@
 
 // Error implements error.
 func (i *InvalidAnswer) Error() string {
-	return "step run, peer " + i.Peer + ": invalid answer: " + i.Reason
+	return "step run, peer " + i.Peer + ": invalid response: " + i.Reason
 }
 
 // WorkerError is an error response of a worker that has run a request.
@@ -144,7 +144,7 @@
 
 // Error implements error.
 func (w *WorkerError) Error() string {
-	return "step run: the worker answered " + http.StatusText(w.Status)
+	return "step run: the worker responded with " + http.StatusText(w.Status)
 }
 
 // CallerError is a failure to send a response to the caller.
--- a/internal/forward/retrybudget_sim_test.go
+++ b/internal/forward/retrybudget_sim_test.go
@@ -209,14 +209,14 @@
 	if f.entries > 0 {
 		entries = min(f.entries, serving)
 	}
-	standsBy := slices.Index(registered, i) >= entries
-	machine.process.dispatcher.SetSharers(retrybudget.Sharers(standsBy, entries, serving))
+	isStandby := slices.Index(registered, i) >= entries
+	machine.process.dispatcher.SetSharers(retrybudget.Sharers(isStandby, entries, serving))
 }
 
 // countWithin counts the times in [from, to).
-func countWithin(moments []time.Duration, from, to time.Duration) int {
-	return sort.Search(len(moments), func(i int) bool { return moments[i] >= to }) -
-		sort.Search(len(moments), func(i int) bool { return moments[i] >= from })
+func countWithin(times []time.Duration, from, to time.Duration) int {
+	return sort.Search(len(times), func(i int) bool { return times[i] >= to }) -
+		sort.Search(len(times), func(i int) bool { return times[i] >= from })
 }
 
 // check fails if all gateways together granted more retries in some window than the requests and the allowance permit. The requests are
@@ -245,8 +245,8 @@
 			continue
 		}
 		granted, requests := countWithin(f.grants, from, from+window), countWithin(f.requests, from-window*simCarryoverPercent/100, from+window)
-		if earned := simBudget.Safety * (simBudget.Ratio*float64(requests) + simBudget.Allowance); float64(granted) > earned+simRoundingError {
-			f.t.Fatalf("%d retries of all gateways in the window from %s, for %d requests; accrued %.1f", granted, from, requests, earned)
+		if accrued := simBudget.Safety * (simBudget.Ratio*float64(requests) + simBudget.Allowance); float64(granted) > accrued+simRoundingError {
+			f.t.Fatalf("%d retries of all gateways in the window from %s, for %d requests; accrued %.1f", granted, from, requests, accrued)
 		}
 	}
 }
@@ -259,12 +259,12 @@
 )
 
 // kill ends the process on a machine.
-func (s *simMachine) kill() { s.process, s.startsAt = nil, -1 }
+func (m *simMachine) kill() { m.process, m.startsAt = nil, -1 }
 
 // forEachMachine applies a function to machines.
-func forEachMachine(machines []*simMachine, do func(*simMachine)) {
+func forEachMachine(machines []*simMachine, apply func(*simMachine)) {
 	for _, machine := range machines {
-		do(machine)
+		apply(machine)
 	}
 }
 
@@ -282,4 +282,4 @@
 type recordingFailer struct{ failed bool }
 
 // Fatalf implements simFailer.
-func (s *recordingFailer) Fatalf(string, ...any) { s.failed = true }
+func (r *recordingFailer) Fatalf(string, ...any) { r.failed = true }
--- a/internal/forward/retrybudget_test.go
+++ b/internal/forward/retrybudget_test.go
@@ -65,10 +65,10 @@
 	d, _ := newBudgetDispatcher()
 	counts := make(chan int, 1)
 	d.WatchBudgets(func(string, retrybudget.View) {
-		read := make(chan int, 1)
-		go func() { read <- len(d.Budgets()) }()
+		budgets := make(chan int, 1)
+		go func() { budgets <- len(d.Budgets()) }()
 		select {
-		case count := <-read:
+		case count := <-budgets:
 			counts <- count
 		case <-time.After(2 * time.Second):
 			counts <- 0
--- a/internal/forward/rolechange.go
+++ b/internal/forward/rolechange.go
@@ -25,7 +25,7 @@
 	now := d.now()
 	groups := map[string]*roles.Group{}
 	for service, engine := range d.engineGroups {
-		for worker, standing := range d.balancer.Engines(now, service) {
+		for worker, status := range d.balancer.Engines(now, service) {
 			if worker.Group != service {
 				continue
 			}
@@ -37,7 +37,7 @@
 				}
 				groups[name] = group
 			}
-			group.Engines = append(group.Engines, d.engineSnapshot(now, worker, standing))
+			group.Engines = append(group.Engines, d.engineSnapshot(now, worker, status))
 		}
 	}
 	return groups
@@ -52,17 +52,17 @@
 	if d.engineGroups[group] != nil {
 		busy = d.prefillDemand(group, group)
 	}
-	for worker, standing := range d.balancer.Engines(d.now(), group) {
+	for worker, status := range d.balancer.Engines(d.now(), group) {
 		if worker.Group == group && worker.Slots > 0 {
-			busy += float64(standing.Load.Writing()) / float64(worker.Slots)
+			busy += float64(status.Load.Writing()) / float64(worker.Slots)
 		}
 	}
 	return busy
 }
 
 // engineSnapshot returns the planner's view of an engine. The mutex is held.
-func (d *Dispatcher) engineSnapshot(now time.Time, worker *backend.Worker, standing balance.Standing) roles.Engine {
-	engine := roles.Engine{Worker: worker, Load: standing.Load, Usable: standing.Usable}
+func (d *Dispatcher) engineSnapshot(now time.Time, worker *backend.Worker, status balance.Standing) roles.Engine {
+	engine := roles.Engine{Worker: worker, Load: status.Load, Usable: status.Usable}
 	if change, found := d.engineState.pendingRoles[worker.ID]; found && now.Before(change.expiresAt) {
 		engine.Becoming = change.role
 	}
--- a/internal/forward/scale_test.go
+++ b/internal/forward/scale_test.go
@@ -144,14 +144,14 @@
 		placement, _ := known.Place(request, engineGroup, PlaceOptions{})
 		known.RecordPrefilled(placement.Prefill.Worker, request)
 	}
-	if news := learner.LearnAll(known.Kept(1_000)); news != 60 {
-		t.Errorf("%d parts were new, want 60", news)
+	if added := learner.LearnAll(known.Kept(1_000)); added != 60 {
+		t.Errorf("%d parts were new, want 60", added)
 	}
-	if news := learner.LearnAll(known.Kept(1_000)); news != 0 {
-		t.Errorf("%d parts were new again", news)
+	if added := learner.LearnAll(known.Kept(1_000)); added != 0 {
+		t.Errorf("%d parts were new again", added)
 	}
-	if told := known.Kept(7); len(told) != 7 {
-		t.Errorf("got %d parts, want 7", len(told))
+	if parts := known.Kept(7); len(parts) != 7 {
+		t.Errorf("got %d parts, want 7", len(parts))
 	}
 	for i := range 60 {
 		request := fleetRequest(6 * i)
--- a/internal/forward/suspect_test.go
+++ b/internal/forward/suspect_test.go
@@ -23,18 +23,18 @@
 }
 
 // Refuses implements poison.Prober.
-func (e *crashProber) Refuses(_ context.Context, worker *backend.Worker) (bool, error) {
-	time.Sleep(e.delay)
-	e.mutex.Lock()
-	defer e.mutex.Unlock()
-	return e.crashed[worker.ID], nil
+func (p *crashProber) Refuses(_ context.Context, worker *backend.Worker) (bool, error) {
+	time.Sleep(p.delay)
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	return p.crashed[worker.ID], nil
 }
 
 // crash marks a worker as crashed.
-func (e *crashProber) crash(worker string) {
-	e.mutex.Lock()
-	defer e.mutex.Unlock()
-	e.crashed[worker] = true
+func (p *crashProber) crash(worker string) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.crashed[worker] = true
 }
 
 // newSuspectFixture returns a fixture with a guard. The worker that gets the first request crashes.
