--- a/internal/forward/loans_test.go
+++ b/internal/forward/loans_test.go
@@ -31,7 +31,7 @@
 	return d, asks[0], loanArrived
 }
 
-// TestLoanIsUsedOnceByAsker delivers each loan twice: to the asker, to another gateway, for an earlier request, and too late.
+// TestLoanIsUsedOnceByAsker delivers loans twice. Those for other gateways, for earlier requests and late ones must not be used.
 func TestLoanIsUsedOnceByAsker(t *testing.T) {
 	for _, test := range []struct {
 		desc  string
--- a/internal/forward/retrybudget_test.go
+++ b/internal/forward/retrybudget_test.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// TestSmallShareGrantsRetriesOnlyWithRequests checks how many retries a gateway grants whose share of the allowance alone, 0.67, is less
-// than one retry.
+// TestSmallShareGrantsRetriesOnlyWithRequests checks how many retries a gateway grants that can keep only 0.67 retries of its share of the
+// allowance.
 func TestSmallShareGrantsRetriesOnlyWithRequests(t *testing.T) {
 	for _, test := range []struct {
 		perSecond float64
--- a/internal/forward/scale_test.go
+++ b/internal/forward/scale_test.go
@@ -138,19 +138,19 @@
 // TestGatewayLearnsCachedPrefixesFromPeer checks that a gateway which learned from another finds the same cached documents.
 func TestGatewayLearnsCachedPrefixesFromPeer(t *testing.T) {
 	set := fleetOf(10_000)
-	known, learner := newFleetDispatcher(set), newFleetDispatcher(set)
+	source, learner := newFleetDispatcher(set), newFleetDispatcher(set)
 	for i := range 60 {
 		request := fleetRequest(6 * i)
-		placement, _ := known.Place(request, engineGroup, PlaceOptions{})
-		known.RecordPrefilled(placement.Prefill.Worker, request)
+		placement, _ := source.Place(request, engineGroup, PlaceOptions{})
+		source.RecordPrefilled(placement.Prefill.Worker, request)
 	}
-	if added := learner.LearnAll(known.Kept(1_000)); added != 60 {
+	if added := learner.LearnAll(source.Kept(1_000)); added != 60 {
 		t.Errorf("%d parts were new, want 60", added)
 	}
-	if added := learner.LearnAll(known.Kept(1_000)); added != 0 {
+	if added := learner.LearnAll(source.Kept(1_000)); added != 0 {
 		t.Errorf("%d parts were new again", added)
 	}
-	if parts := known.Kept(7); len(parts) != 7 {
+	if parts := source.Kept(7); len(parts) != 7 {
 		t.Errorf("got %d parts, want 7", len(parts))
 	}
 	for i := range 60 {
@@ -160,7 +160,7 @@
 		if placement.Prefill != nil {
 			prefill = placement.Prefill
 		}
-		if placement.FetchFrom == nil && !known.residency.Keeps(prefill.Worker.ID, request.Demand.Parts[0].ID) {
+		if placement.FetchFrom == nil && !source.residency.Keeps(prefill.Worker.ID, request.Demand.Parts[0].ID) {
 			t.Errorf("document %d is prefilled again at %s", i, prefill.Worker.ID)
 		}
 	}
