--- a/internal/poison/digest_test.go
+++ b/internal/poison/digest_test.go
@@ -7,8 +7,8 @@
 )
 
 // TestDigestsTellRequestsApart moves bytes between the fields of a request.
-func TestDigestsTellRequestsApart(t *testing.T) {
-	drawAsked := func(t *rapid.T) Asked {
+func TestDigestsDistinguishRequests(t *testing.T) {
+	drawRequest := func(t *rapid.T) Asked {
 		short := rapid.StringMatching(`[ab/]{0,3}`)
 		return Asked{
 			Tenant: short.Draw(t, "tenant"), Method: short.Draw(t, "method"), Host: short.Draw(t, "host"), Target: short.Draw(t, "target"),
@@ -16,18 +16,18 @@
 		}
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		one, other := drawAsked(t), drawAsked(t)
-		same := one.Tenant == other.Tenant && one.Method == other.Method && one.Host == other.Host && one.Target == other.Target &&
-			string(one.Body) == string(other.Body)
-		if (one.Digest() == other.Digest()) != same {
-			t.Fatalf("%+v and %+v", one, other)
+		first, second := drawRequest(t), drawRequest(t)
+		equal := first.Tenant == second.Tenant && first.Method == second.Method && first.Host == second.Host && first.Target == second.Target &&
+			string(first.Body) == string(second.Body)
+		if (first.Digest() == second.Digest()) != equal {
+			t.Fatalf("%+v and %+v", first, second)
 		}
-		read, err := ParseDigest(one.Digest().String())
-		if err != nil || read != one.Digest() {
+		read, err := ParseDigest(first.Digest().String())
+		if err != nil || read != first.Digest() {
 			t.Fatalf("read back as %v: %v", read, err)
 		}
 	})
-	for _, text := range []string{"", "zz", "00", one33} {
+	for _, text := range []string{"", "zz", "00", overlongDigest} {
 		if _, err := ParseDigest(text); err == nil {
 			t.Errorf("%q was taken", text)
 		}
@@ -35,4 +35,4 @@
 }
 
 // one33 is a digest with a digit too many.
-const one33 = "000000000000000000000000000000000"
+const overlongDigest = "000000000000000000000000000000000"
--- a/internal/poison/guard.go
+++ b/internal/poison/guard.go
@@ -61,15 +61,15 @@
 	probeTimeout = 400 * time.Millisecond
 	// recordTime is how long after an answer broke off the record of its worker may go, to count as its end: three heartbeats of the
 	// users' workers, 1.2 s each, and their way.
-	recordTime = 4500 * time.Millisecond
+	recordTimeout = 4500 * time.Millisecond
 	// endedTime is how long an end is remembered for answers that break off later than the first: the bounds of silence of a connection.
-	endedTime = 5 * time.Second
+	crashRetention = 5 * time.Second
 )
 
 // What shows the end of a worker.
 const (
-	byRefusal = "its address refuses connections"
-	byRecord  = "its record is gone, and it did not say that it leaves"
+	evidenceRefused  = "its address refuses connections"
+	evidenceNoRecord = "its record is gone, and it did not say that it leaves"
 )
 
 // Guard keeps requests that end workers from further workers. It is safe for concurrent use.
@@ -77,39 +77,39 @@
 	prober Prober
 	now    func() time.Time
 	// tell is told of each event; it must not wait, nor call the guard.
-	tell func(Event)
+	emit func(Event)
 	// watches is set while anything is held of any request.
-	watches atomic.Bool
+	hasSuspects atomic.Bool
 
 	mu    sync.Mutex
 	table *Table
 	// broken are the workers at which answers broke off, and recorded those whose records are there; nil before the first.
-	broken   map[string]*brokenWorker
-	recorded backend.Set
+	disconnected map[string]*disconnectedWorker
+	registered   backend.Set
 	// notify says that there is something to tell other gateways; nil tells nobody.
-	notify func(urgent bool)
-	tidied time.Time
+	notify    func(urgent bool)
+	expiredAt time.Time
 	// judging is set while a judgement is due.
-	judging bool
+	evaluationScheduled bool
 }
 
 // brokenWorker is a worker at which answers broke off, or that was given up for its silence.
-type brokenWorker struct {
+type disconnectedWorker struct {
 	worker *backend.Worker
 	// first is when the first connection broke, zero before, and since when a request was noted last.
-	first, since time.Time
+	brokenAt, lastRequest time.Time
 	// ended is set once the worker is known to have ended, and probed while that is asked; it is closed with the answer.
-	ended    bool
-	probed   chan struct{}
-	requests map[Digest]request
+	crashed   bool
+	probeDone chan struct{}
+	requests  map[Digest]requestInfo
 }
 
 // request is what is told of a request to operators.
-type request struct{ rule, tenant string }
+type requestInfo struct{ rule, tenant string }
 
 // NewGuard returns a guard that knows nothing. Tell is told of each event.
-func NewGuard(settings Settings, prober Prober, now func() time.Time, tell func(Event)) *Guard {
-	return &Guard{prober: prober, now: now, tell: tell, table: NewTable(settings), broken: map[string]*brokenWorker{}}
+func NewGuard(settings Settings, prober Prober, now func() time.Time, emit func(Event)) *Guard {
+	return &Guard{prober: prober, now: now, emit: emit, table: NewTable(settings), disconnected: map[string]*disconnectedWorker{}}
 }
 
 // ShareWith tells whom to notify that there is something to tell other gateways. Notify must not wait.
@@ -120,97 +120,97 @@
 }
 
 // Watches tells whether anything is held of any request. Otherwise no digest need be reckoned.
-func (g *Guard) Watches() bool { return g.watches.Load() }
+func (g *Guard) Watches() bool { return g.hasSuspects.Load() }
 
 // Standing returns what is held of a request, with its bar if it is barred.
-func (g *Guard) Standing(asked Digest) (Standing, Bar) {
+func (g *Guard) Standing(digest Digest) (Standing, Bar) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.table.Standing(g.now(), asked)
+	return g.table.Standing(g.now(), digest)
 }
 
 // HeardAgo returns how long ago an end under a request, or its bar, was heard of last.
-func (g *Guard) HeardAgo(bar Bar) time.Duration { return g.now().Sub(bar.Heard) }
+func (g *Guard) HeardAgo(bar Bar) time.Duration { return g.now().Sub(bar.LastReport) }
 
 // Broke notes that the connection to a worker broke under a request. It is found out beside whether the worker has ended: what is
 // returned is closed once that is known or can't be told, and nil when it is known already. The end of one that leaves was planned: it
 // said so, or took its record back and served on.
-func (g *Guard) Broke(worker *backend.Worker, asked Digest, rule, tenant string) <-chan struct{} {
+func (g *Guard) Broke(worker *backend.Worker, digest Digest, rule, tenant string) <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.leaves(worker) {
+	if g.isPlannedExit(worker) {
 		return nil
 	}
-	known := g.note(worker, asked, rule, tenant)
-	if known.first.IsZero() {
-		known.first = g.now()
+	entry := g.addRequest(worker, digest, rule, tenant)
+	if entry.brokenAt.IsZero() {
+		entry.brokenAt = g.now()
 	}
 	switch {
-	case known.ended:
-		g.endedLocked(known, byRefusal)
+	case entry.crashed:
+		g.recordCrash(entry, evidenceRefused)
 		return nil
-	case known.probed == nil:
-		known.probed = make(chan struct{})
-		go g.probe(known)
+	case entry.probeDone == nil:
+		entry.probeDone = make(chan struct{})
+		go g.probe(entry)
 	}
-	return known.probed
+	return entry.probeDone
 }
 
 // Left notes that a silent worker was given up under a request. Should the worker turn out to end, it may have ended it all the same.
-func (g *Guard) Left(worker *backend.Worker, asked Digest, rule, tenant string) {
+func (g *Guard) Left(worker *backend.Worker, digest Digest, rule, tenant string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.leaves(worker) {
+	if g.isPlannedExit(worker) {
 		return
 	}
-	if known := g.note(worker, asked, rule, tenant); known.ended {
-		g.endedLocked(known, byRefusal)
+	if entry := g.addRequest(worker, digest, rule, tenant); entry.crashed {
+		g.recordCrash(entry, evidenceRefused)
 	}
 }
 
 // leaves tells whether a worker leaves as planned: it said so, or took its record back and serves on. The mutex is held.
-func (g *Guard) leaves(worker *backend.Worker) bool {
-	recorded := g.recorded[worker.ID]
-	return g.recorded != nil && (recorded == nil || recorded.Draining) && g.broken[worker.ID] == nil
+func (g *Guard) isPlannedExit(worker *backend.Worker) bool {
+	record := g.registered[worker.ID]
+	return g.registered != nil && (record == nil || record.Draining) && g.disconnected[worker.ID] == nil
 }
 
 // mostNoted bounds the requests that are noted of one worker: more than run at one, with those that gave it up.
-const mostNoted = 512
+const maxRequestsPerWorker = 512
 
 // note notes a request at a worker that may have ended. The mutex is held.
-func (g *Guard) note(worker *backend.Worker, asked Digest, rule, tenant string) *brokenWorker {
-	known, found := g.broken[worker.ID]
+func (g *Guard) addRequest(worker *backend.Worker, digest Digest, rule, tenant string) *disconnectedWorker {
+	entry, found := g.disconnected[worker.ID]
 	if !found {
-		known = &brokenWorker{worker: worker, requests: map[Digest]request{}}
-		g.broken[worker.ID] = known
+		entry = &disconnectedWorker{worker: worker, requests: map[Digest]requestInfo{}}
+		g.disconnected[worker.ID] = entry
 	}
-	known.since = g.now()
-	if len(known.requests) < mostNoted {
-		known.requests[asked] = request{rule, tenant}
+	entry.lastRequest = g.now()
+	if len(entry.requests) < maxRequestsPerWorker {
+		entry.requests[digest] = requestInfo{rule, tenant}
 	}
-	return known
+	return entry
 }
 
 // probe finds out whether a worker has ended.
-func (g *Guard) probe(known *brokenWorker) {
+func (g *Guard) probe(entry *disconnectedWorker) {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
-	refuses, err := g.prober.Refuses(ctx, known.worker)
+	refuses, err := g.prober.Refuses(ctx, entry.worker)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	// Those that wait ask for their standing next: the end is noted before.
-	defer func(probed chan struct{}) {
-		known.probed = nil
-		close(probed)
-	}(known.probed)
+	defer func(done chan struct{}) {
+		entry.probeDone = nil
+		close(done)
+	}(entry.probeDone)
 	switch {
-	case known.ended || err != nil:
+	case entry.crashed || err != nil:
 		// Without an answer the record of the worker will tell.
 	case refuses:
-		g.endedLocked(known, byRefusal)
+		g.recordCrash(entry, evidenceRefused)
 	default:
 		// It lives: the connection alone broke.
-		delete(g.broken, known.worker.ID)
+		delete(g.disconnected, entry.worker.ID)
 	}
 }
 
@@ -219,105 +219,105 @@
 func (g *Guard) ChangeWorkers(changes backend.Changes) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.recorded == nil {
-		g.recorded = backend.Set{}
+	if g.registered == nil {
+		g.registered = backend.Set{}
 	}
-	changes.Apply(g.recorded)
+	changes.Apply(g.registered)
 	now := g.now()
-	for id, known := range g.broken {
-		recorded := g.recorded[id]
+	for id, entry := range g.disconnected {
+		record := g.registered[id]
 		switch {
-		case now.Sub(known.since) > recordTime, recorded != nil && recorded.Draining:
-			delete(g.broken, id)
-		case recorded == nil && !known.ended:
-			g.endedLocked(known, byRecord)
+		case now.Sub(entry.lastRequest) > recordTimeout, record != nil && record.Draining:
+			delete(g.disconnected, id)
+		case record == nil && !entry.crashed:
+			g.recordCrash(entry, evidenceNoRecord)
 		}
 	}
 }
 
 // endedLocked notes that a worker has ended under the requests that broke off there. The end itself is told once, with those that were
 // noted by then. The mutex is held.
-func (g *Guard) endedLocked(known *brokenWorker, by string) {
-	isNew := !known.ended
-	known.ended = true
-	if known.first.IsZero() {
-		known.first = g.now()
+func (g *Guard) recordCrash(entry *disconnectedWorker, evidence string) {
+	isNew := !entry.crashed
+	entry.crashed = true
+	if entry.brokenAt.IsZero() {
+		entry.brokenAt = g.now()
 	}
-	event := WorkerEnded{Worker: known.worker, By: by, Ago: g.now().Sub(known.first)}
-	for asked, what := range known.requests {
-		event.Asked = append(event.Asked, asked)
-		g.table.Ended(g.now(), known.first, End{Asked: asked, Worker: known.worker.ID}, what.rule, what.tenant)
+	event := WorkerEnded{Worker: entry.worker, By: evidence, Ago: g.now().Sub(entry.brokenAt)}
+	for digest, info := range entry.requests {
+		event.Asked = append(event.Asked, digest)
+		g.table.RecordCrash(g.now(), entry.brokenAt, Crash{Digest: digest, Worker: entry.worker.ID}, info.rule, info.tenant)
 	}
-	clear(known.requests)
+	clear(entry.requests)
 	if isNew {
-		g.tell(event)
+		g.emit(event)
 	}
-	g.changed()
+	g.notifyChange()
 }
 
 // changed has the other gateways told, and what is to be judged judged. The mutex is held.
-func (g *Guard) changed() {
+func (g *Guard) notifyChange() {
 	if g.notify != nil {
 		g.notify(true)
 	}
-	g.judgeLater()
+	g.scheduleEvaluation()
 }
 
 // judgeLater has judged what is to be judged, once it is due. The mutex is held.
-func (g *Guard) judgeLater() {
-	g.watches.Store(!g.table.Empty())
-	next := g.table.NextJudgement()
-	if g.judging || next.IsZero() {
+func (g *Guard) scheduleEvaluation() {
+	g.hasSuspects.Store(!g.table.Empty())
+	next := g.table.NextEvaluation()
+	if g.evaluationScheduled || next.IsZero() {
 		return
 	}
-	g.judging = true
-	time.AfterFunc(max(next.Sub(g.now()), 0)+time.Millisecond, g.judge)
+	g.evaluationScheduled = true
+	time.AfterFunc(max(next.Sub(g.now()), 0)+time.Millisecond, g.evaluate)
 }
 
 // judge bars those against which enough speaks.
-func (g *Guard) judge() {
+func (g *Guard) evaluate() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.judging = false
-	bars := g.table.Judge(g.now())
+	g.evaluationScheduled = false
+	bars := g.table.Evaluate(g.now())
 	for _, bar := range bars {
-		g.tell(Made{bar})
+		g.emit(Made{bar})
 	}
 	if len(bars) > 0 && g.notify != nil {
 		g.notify(true)
 	}
-	g.judgeLater()
+	g.scheduleEvaluation()
 }
 
 // EndedWell notes that a request ran to a good end.
-func (g *Guard) EndedWell(asked Digest) {
+func (g *Guard) EndedWell(digest Digest) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
-	before := g.table.EndedWell(now, now, asked)
+	before := g.table.RecordSuccess(now, now, digest)
 	if before == Clear {
 		return
 	}
-	g.tell(Cleared{Asked: asked, WasBarred: before == Barred})
-	g.changed()
+	g.emit(Cleared{Asked: digest, WasBarred: before == Barred})
+	g.notifyChange()
 }
 
 // Bar bars a request by the word of the store.
 func (g *Guard) Bar(bar Bar) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.now().Before(bar.Until) && g.table.Bar(g.now(), bar) {
-		g.tell(Heard{bar})
+	if g.now().Before(bar.Until) && g.table.ApplyBar(g.now(), bar) {
+		g.emit(Heard{bar})
 	}
-	g.watches.Store(!g.table.Empty())
+	g.hasSuspects.Store(!g.table.Empty())
 }
 
 // Release voids all that speaks against a request, and tells whether it was barred.
-func (g *Guard) Release(asked Digest) bool {
+func (g *Guard) Release(digest Digest) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	wasBarred := g.table.Release(g.now(), asked)
-	g.changed()
+	wasBarred := g.table.Release(g.now(), digest)
+	g.notifyChange()
 	return wasBarred
 }
 
@@ -329,43 +329,43 @@
 }
 
 // tidyInterval is how often what does not count any more is forgotten.
-const tidyInterval = 10 * time.Second
+const expiryInterval = 10 * time.Second
 
 // Tell returns what other gateways are to know: what is new, or everything.
 func (g *Guard) Tell(full bool) Told {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
-	if full && now.Sub(g.tidied) >= tidyInterval {
-		g.tidied = now
-		g.tidy(now)
+	if full && now.Sub(g.expiredAt) >= expiryInterval {
+		g.expiredAt = now
+		g.expire(now)
 	}
-	return g.table.Tell(now, full)
+	return g.table.TakeUpdate(now, full)
 }
 
 // tidy forgets what does not count any more. The mutex is held.
-func (g *Guard) tidy(now time.Time) {
-	g.table.Tidy(now)
-	for id, known := range g.broken {
-		if now.Sub(known.since) > max(endedTime, recordTime) && known.probed == nil {
-			delete(g.broken, id)
+func (g *Guard) expire(now time.Time) {
+	g.table.Expire(now)
+	for id, entry := range g.disconnected {
+		if now.Sub(entry.lastRequest) > max(crashRetention, recordTimeout) && entry.probeDone == nil {
+			delete(g.disconnected, id)
 		}
 	}
-	g.watches.Store(!g.table.Empty())
+	g.hasSuspects.Store(!g.table.Empty())
 }
 
 // Hear takes what another gateway told.
-func (g *Guard) Hear(told Told) {
-	if len(told.Ends)+len(told.EndedWell)+len(told.Bars) == 0 {
+func (g *Guard) Hear(update Told) {
+	if len(update.Crashes)+len(update.EndedWell)+len(update.Bars) == 0 {
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, bar := range g.table.Hear(g.now(), told) {
-		g.tell(Heard{bar})
+	for _, bar := range g.table.MergeUpdate(g.now(), update) {
+		g.emit(Heard{bar})
 	}
-	for _, end := range told.Ends {
-		g.tell(EndHeard{Worker: end.Worker, Ago: time.Duration(end.AgoMs) * time.Millisecond})
+	for _, crash := range update.Crashes {
+		g.emit(EndHeard{Worker: crash.Worker, Ago: time.Duration(crash.AgoMs) * time.Millisecond})
 	}
-	g.judgeLater()
+	g.scheduleEvaluation()
 }
--- a/internal/poison/record.go
+++ b/internal/poison/record.go
@@ -12,7 +12,7 @@
 const Prefix = "barred/"
 
 // KeyOf returns the key of the bar of a request.
-func KeyOf(asked Digest) string { return Prefix + asked.String() }
+func KeyOf(digest Digest) string { return Prefix + digest.String() }
 
 // record is a bar as it lies in the store. Its key names the request.
 type record struct {
@@ -34,13 +34,13 @@
 
 // AskedOf returns the request whose bar a key holds.
 func AskedOf(key string) (Digest, error) {
-	asked, err := ParseDigest(strings.TrimPrefix(key, Prefix))
-	return asked, errors.Wrapf(err, "step read a bar, key %s", key)
+	digest, err := ParseDigest(strings.TrimPrefix(key, Prefix))
+	return digest, errors.Wrapf(err, "step read a bar, key %s", key)
 }
 
 // DecodeBar reads a bar.
 func DecodeBar(key string, value []byte) (Bar, error) {
-	asked, err := AskedOf(key)
+	digest, err := AskedOf(key)
 	if err != nil {
 		return Bar{}, err
 	}
@@ -49,6 +49,6 @@
 		return Bar{}, errors.Wrapf(err, "step read a bar, key %s", key)
 	}
 	return Bar{
-		Asked: asked, Rule: read.Rule, Tenant: read.Tenant, Workers: read.Workers, Times: read.Times, Since: read.Since, Until: read.Until,
+		Asked: digest, Rule: read.Rule, Tenant: read.Tenant, Workers: read.Workers, Times: read.Times, Since: read.Since, Until: read.Until,
 	}, nil
 }
--- /dev/null
+++ b/internal/poison/simulation_test.go
@@ -0,0 +1,171 @@
+package poison
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"testing"
+	"time"
+)
+
+// crowd is a play of callers at workers, some of which a few requests end.
+type simulation struct {
+	random  *rand.Rand
+	now     time.Time
+	table   *Table
+	workers []simWorker
+	// ends counts the workers that ended under each request since it ended well, and under how many at most one that does no harm.
+	crashes           map[Digest]int
+	harmless          map[Digest]bool
+	suspectedHarmless int
+	barred            map[Digest]bool
+	killerCrashes     map[Digest]int
+}
+
+// crowdWorker is a worker that runs requests until it ends, and is away for a while then.
+type simWorker struct {
+	incarnation int
+	downSteps   int
+	running     []attempt
+}
+
+// crowdRun is a try of a request.
+type attempt struct {
+	digest Digest
+	// left are the steps until it ends well, or ends its worker.
+	stepsLeft int
+	// tries are those that are left to it.
+	triesLeft int
+}
+
+// Shape of a play: steps of 20 ms, runs of 15 steps, workers that are away for 120. Each request is tried four times: twice by a gateway,
+// and twice more for its caller's own retry.
+const (
+	stepTime     = 20 * time.Millisecond
+	runSteps     = 15
+	crashSteps   = 4
+	restartSteps = 120
+	maxTries     = 4
+	simSteps     = 600
+)
+
+// place gives a request to a worker at random, as suspects are.
+func (s *simulation) assign(run attempt) {
+	if standing, _ := s.table.Standing(s.now, run.digest); standing >= Judged || run.triesLeft == 0 {
+		return
+	}
+	run.triesLeft--
+	run.stepsLeft = runSteps
+	if !s.harmless[run.digest] {
+		run.stepsLeft = crashSteps
+	}
+	for range 20 {
+		if w := &s.workers[s.random.IntN(len(s.workers))]; w.downSteps == 0 {
+			w.running = append(w.running, run)
+			return
+		}
+	}
+}
+
+// step lets time pass at one worker.
+func (s *simulation) step(index int) {
+	w := &s.workers[index]
+	if w.downSteps > 0 {
+		w.downSteps--
+		return
+	}
+	var running, finished []attempt
+	crashed := false
+	for _, run := range w.running {
+		run.stepsLeft--
+		if run.stepsLeft > 0 {
+			running = append(running, run)
+			continue
+		}
+		finished = append(finished, run)
+		crashed = crashed || !s.harmless[run.digest]
+	}
+	w.running = running
+	if !crashed {
+		for _, run := range finished {
+			s.table.RecordSuccess(s.now, s.now, run.digest)
+			delete(s.crashes, run.digest)
+		}
+		return
+	}
+	s.crash(index, append(running, finished...))
+}
+
+// crash ends a worker under all that it runs.
+func (s *simulation) crash(index int, running []attempt) {
+	w := &s.workers[index]
+	id := fmt.Sprint(index, "/", w.incarnation)
+	w.incarnation++
+	w.downSteps, w.running = restartSteps, nil
+	for _, run := range running {
+		s.table.RecordCrash(s.now, s.now, Crash{Digest: run.digest, Worker: id}, "", "")
+		s.crashes[run.digest]++
+		if !s.harmless[run.digest] {
+			s.killerCrashes[run.digest]++
+		} else if s.crashes[run.digest] == DefaultSettings().CrashLimit {
+			s.suspectedHarmless++
+		}
+	}
+	for _, run := range running {
+		s.assign(run)
+	}
+}
+
+// play plays a time with three requests that end workers, which come every 0.4 s.
+func (s *simulation) run() {
+	var killers []Digest
+	for i := range 3 {
+		killers = append(killers, digestNamed(fmt.Sprint("killer", i)))
+	}
+	for step := range simSteps {
+		s.now = s.now.Add(stepTime)
+		for range 2 {
+			digest := digestNamed(fmt.Sprint("harmless", step, s.random.Uint64()))
+			s.harmless[digest] = true
+			s.assign(attempt{digest: digest, triesLeft: maxTries})
+		}
+		if step%20 == 0 {
+			s.assign(attempt{digest: killers[(step/200)%3], triesLeft: maxTries})
+		}
+		for index := range s.workers {
+			s.step(index)
+		}
+		for _, bar := range s.table.Evaluate(s.now) {
+			s.barred[bar.Asked] = true
+		}
+	}
+}
+
+// TestAmongACrowdTheRightOnesAreBarred plays three requests that end workers beside a crowd that does no harm, at ten workers.
+func TestOnlyKillersAreBarredAmongManyRequests(t *testing.T) {
+	const runs = 100
+	suspectedHarmless, barredHarmless, maxCrashes, crashes := 0, 0, 0, 0
+	for seed := range uint64(runs) {
+		s := &simulation{
+			random: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1_700_000_000, 0), table: NewTable(DefaultSettings()),
+			workers: make([]simWorker, 10), crashes: map[Digest]int{}, harmless: map[Digest]bool{}, barred: map[Digest]bool{}, killerCrashes: map[Digest]int{},
+		}
+		s.run()
+		suspectedHarmless += s.suspectedHarmless
+		for digest := range s.barred {
+			if s.harmless[digest] {
+				barredHarmless++
+			}
+		}
+		for digest, count := range s.killerCrashes {
+			maxCrashes, crashes = max(maxCrashes, count), crashes+count
+			if !s.barred[digest] {
+				t.Errorf("seed %d: one that ended %d workers is not barred", seed, count)
+			}
+		}
+	}
+	t.Logf("in %d plays %d workers ended under the three, %d at the most under one; of the harmless %d were under three ends, and %d are barred",
+		runs, crashes, maxCrashes, suspectedHarmless, barredHarmless)
+	if maxCrashes > 8 || barredHarmless > runs/50 {
+		t.Errorf("%d workers ended under one, and %d harmless requests are barred", maxCrashes, barredHarmless)
+	}
+}
--- a/internal/poison/table.go
+++ b/internal/poison/table.go
@@ -10,37 +10,37 @@
 // Settings of a table.
 type Settings struct {
 	// Ends is how many workers end under a request before it is barred. The users' rule counts from the third.
-	Ends int
+	CrashLimit int
 	// MostEnds is how many end before it is barred although others may have ended them: two more, which the three retries that the users'
 	// rule leaves allow. One that does no harm is tried four times at the most, by two gateways.
-	MostEnds int
+	AmbiguousCrashLimit int
 	// Moment is how far apart two ends are at the least to count as two: a kill of a zone or a rack ends many workers within some
 	// milliseconds, and a request that is asked often ran at several of them. One that ends workers itself takes longer from one try to
 	// the next.
-	Moment time.Duration
+	MinCrashInterval time.Duration
 	// Settle is how long after an end it is waited for what other gateways have to tell of it, before anything is barred for it: some
 	// times what a datagram takes between regions.
-	Settle time.Duration
+	SettleDelay time.Duration
 	// Bar is how long a request is barred for the first time; each further time it is barred twice as long, up to LongestBar. Each
 	// release may cost a worker.
-	Bar, LongestBar time.Duration
+	BarDuration, MaxBarDuration time.Duration
 	// Memory is how long an end counts against a request that does not come again: longer than a caller repeats by itself.
-	Memory time.Duration
+	CrashRetention time.Duration
 	// Trust is how long it is remembered that a request ended well, which voids what others still tell of before: many messages that tell
 	// everything. It is told for GoodTold.
-	Trust, GoodTold time.Duration
+	SuccessRetention, SuccessShareTime time.Duration
 	// MostSuspects and MostBarred bound what is kept; the oldest go first.
-	MostSuspects, MostBarred int
+	MaxSuspects, MaxBarred int
 	// MostTold bounds the ends, and the bars, in one message: 128 ends take some 4 KB of a datagram.
-	MostTold int
+	MaxPerUpdate int
 }
 
 // DefaultSettings suit the users' deployments.
 func DefaultSettings() Settings {
 	return Settings{
-		Ends: 3, MostEnds: 5, Moment: 30 * time.Millisecond, Settle: 200 * time.Millisecond, Bar: 10 * time.Minute,
-		LongestBar: 24 * time.Hour, Memory: 10 * time.Minute, Trust: 30 * time.Second, GoodTold: 3 * time.Second, MostSuspects: 4096, MostBarred: 1024,
-		MostTold: 128,
+		CrashLimit: 3, AmbiguousCrashLimit: 5, MinCrashInterval: 30 * time.Millisecond, SettleDelay: 200 * time.Millisecond, BarDuration: 10 * time.Minute,
+		MaxBarDuration: 24 * time.Hour, CrashRetention: 10 * time.Minute, SuccessRetention: 30 * time.Second, SuccessShareTime: 3 * time.Second, MaxSuspects: 4096, MaxBarred: 1024,
+		MaxPerUpdate: 128,
 	}
 }
 
@@ -65,23 +65,23 @@
 // suspect is what is known of one request.
 type suspect struct {
 	// ends are the workers that ended under it, with when their connections broke, or when that was heard.
-	ends map[string]time.Time
+	crashes map[string]time.Time
 	// last is when an end or a bar was heard of last.
-	last time.Time
+	lastReport time.Time
 	// times it was barred, since when and until when.
-	times        int
-	since, until time.Time
+	barCount                 int
+	barredSince, barredUntil time.Time
 	// goodAt is when it ended well last, or was released: ends and bars of before are void. Zero is never.
-	goodAt time.Time
+	succeededAt time.Time
 	// rule and tenant are empty until this gateway has seen the request itself, or heard of its bar.
 	rule, tenant string
 }
 
 // bar returns a suspect as a bar.
-func (s *suspect) bar(asked Digest) Bar {
+func (s *suspect) bar(digest Digest) Bar {
 	return Bar{
-		Asked: asked, Rule: s.rule, Tenant: s.tenant, Workers: slices.Sorted(maps.Keys(s.ends)), Times: s.times, Since: s.since, Until: s.until,
-		Heard: s.last,
+		Asked: digest, Rule: s.rule, Tenant: s.tenant, Workers: slices.Sorted(maps.Keys(s.crashes)), Times: s.barCount, Since: s.barredSince, Until: s.barredUntil,
+		LastReport: s.lastReport,
 	}
 }
 
@@ -97,19 +97,19 @@
 	settings Settings
 	suspects map[Digest]*suspect
 	// under are the suspects that ran at each worker that ended.
-	under map[string]map[Digest]bool
+	suspectsByWorker map[string]map[Digest]bool
 	// pending are the suspects that are to be judged once nothing more is heard of them for Settle.
 	pending map[Digest]bool
 	// untold are the ends that were not told yet, and news the requests whose bar or good end was not.
-	untold []End
-	news   map[Digest]bool
+	unsentCrashes []Crash
+	unsentChanges map[Digest]bool
 }
 
 // NewTable returns a table that knows nothing.
 func NewTable(settings Settings) *Table {
 	return &Table{
-		settings: settings, suspects: map[Digest]*suspect{}, under: map[string]map[Digest]bool{}, pending: map[Digest]bool{},
-		news: map[Digest]bool{},
+		settings: settings, suspects: map[Digest]*suspect{}, suspectsByWorker: map[string]map[Digest]bool{}, pending: map[Digest]bool{},
+		unsentChanges: map[Digest]bool{},
 	}
 }
 
@@ -117,23 +117,23 @@
 func (t *Table) Empty() bool { return len(t.suspects) == 0 }
 
 // Standing returns what is held of a request, with the workers that ended under it and, of one that is barred, until when.
-func (t *Table) Standing(now time.Time, asked Digest) (Standing, Bar) {
-	known, found := t.suspects[asked]
+func (t *Table) Standing(now time.Time, digest Digest) (Standing, Bar) {
+	entry, found := t.suspects[digest]
 	if !found {
 		return Clear, Bar{}
 	}
-	t.lapse(now, asked, known)
+	t.expireCrashes(now, digest, entry)
 	switch {
-	case now.Before(known.until):
-		return Barred, known.bar(asked)
-	case t.pending[asked] && t.enough(asked, known):
-		return Judged, known.bar(asked)
-	case known.times > 0 || len(t.unexplained(asked, known)) > 0:
-		if known.times == 0 && t.excused(known) {
-			return Excused, known.bar(asked)
+	case now.Before(entry.barredUntil):
+		return Barred, entry.bar(digest)
+	case t.pending[digest] && t.shouldBar(digest, entry):
+		return Judged, entry.bar(digest)
+	case entry.barCount > 0 || len(t.unattributed(digest, entry)) > 0:
+		if entry.barCount == 0 && t.allCrashesCorrelated(entry) {
+			return Excused, entry.bar(digest)
 		}
-		bar := known.bar(asked)
-		bar.Moments = t.moments(known, slices.Clone(bar.Workers))
+		bar := entry.bar(digest)
+		bar.Moments = t.distinctCrashes(entry, slices.Clone(bar.Workers))
 		return Suspected, bar
 	default:
 		return Clear, Bar{}
@@ -141,52 +141,52 @@
 }
 
 // Ended notes that a worker ended under a request of a rule and a tenant at this gateway, whose connection broke at a moment before.
-func (t *Table) Ended(now, broke time.Time, end End, rule, tenant string) {
-	t.note(now, broke, end)
-	if known, found := t.suspects[end.Asked]; found {
-		known.rule, known.tenant = rule, tenant
+func (t *Table) RecordCrash(now, brokenAt time.Time, crash Crash, rule, tenant string) {
+	t.mergeCrash(now, brokenAt, crash)
+	if entry, found := t.suspects[crash.Digest]; found {
+		entry.rule, entry.tenant = rule, tenant
 	}
 }
 
 // note takes one end of a moment.
-func (t *Table) note(now, at time.Time, end End) {
-	known, found := t.suspects[end.Asked]
-	if found && !at.After(known.goodAt) {
+func (t *Table) mergeCrash(now, at time.Time, crash Crash) {
+	entry, found := t.suspects[crash.Digest]
+	if found && !at.After(entry.succeededAt) {
 		return
 	}
 	if !found {
-		t.makeRoom(now)
-		known = &suspect{ends: map[string]time.Time{}}
-		t.suspects[end.Asked] = known
+		t.evict(now)
+		entry = &suspect{crashes: map[string]time.Time{}}
+		t.suspects[crash.Digest] = entry
 	}
-	t.lapse(now, end.Asked, known)
-	if _, again := known.ends[end.Worker]; again {
+	t.expireCrashes(now, crash.Digest, entry)
+	if _, known := entry.crashes[crash.Worker]; known {
 		return
 	}
-	t.addEnd(at, end.Asked, known, end.Worker)
-	known.last = now
-	if len(t.untold) < t.settings.MostSuspects {
-		t.untold = append(t.untold, end)
+	t.addCrash(at, crash.Digest, entry, crash.Worker)
+	entry.lastReport = now
+	if len(t.unsentCrashes) < t.settings.MaxSuspects {
+		t.unsentCrashes = append(t.unsentCrashes, crash)
 	}
-	if !now.Before(known.until) {
-		t.pending[end.Asked] = true
+	if !now.Before(entry.barredUntil) {
+		t.pending[crash.Digest] = true
 	}
 }
 
 // addEnd notes that a worker ended under a suspect at a moment.
-func (t *Table) addEnd(at time.Time, asked Digest, known *suspect, worker string) {
-	known.ends[worker] = at
-	if t.under[worker] == nil {
-		t.under[worker] = map[Digest]bool{}
+func (t *Table) addCrash(at time.Time, digest Digest, entry *suspect, worker string) {
+	entry.crashes[worker] = at
+	if t.suspectsByWorker[worker] == nil {
+		t.suspectsByWorker[worker] = map[Digest]bool{}
 	}
-	t.under[worker][asked] = true
+	t.suspectsByWorker[worker][digest] = true
 }
 
 // unexplained returns the workers whose ends under a suspect are not put down to another request.
-func (t *Table) unexplained(asked Digest, known *suspect) []string {
+func (t *Table) unattributed(digest Digest, entry *suspect) []string {
 	var workers []string
-	for worker := range known.ends {
-		if !t.explained(worker, asked) {
+	for worker := range entry.crashes {
+		if !t.attributed(worker, digest) {
 			workers = append(workers, worker)
 		}
 	}
@@ -194,9 +194,9 @@
 }
 
 // explained tells whether the end of a worker is put down to another request than a suspect.
-func (t *Table) explained(worker string, asked Digest) bool {
-	for other := range t.under[worker] {
-		if other != asked && t.suspects[other].times > 0 {
+func (t *Table) attributed(worker string, digest Digest) bool {
+	for other := range t.suspectsByWorker[worker] {
+		if other != digest && t.suspects[other].barCount > 0 {
 			return true
 		}
 	}
@@ -204,9 +204,9 @@
 }
 
 // excused tells whether each worker under a suspect ended together with others where it did not run.
-func (t *Table) excused(known *suspect) bool {
-	for _, at := range known.ends {
-		if !t.othersEnded(known, at) {
+func (t *Table) allCrashesCorrelated(entry *suspect) bool {
+	for _, at := range entry.crashes {
+		if !t.otherWorkerCrashed(entry, at) {
 			return false
 		}
 	}
@@ -214,13 +214,13 @@
 }
 
 // othersEnded tells whether a worker at which a suspect did not run ended within Moment of a time.
-func (t *Table) othersEnded(known *suspect, at time.Time) bool {
-	for worker, ran := range t.under {
-		if _, ranThere := known.ends[worker]; ranThere {
+func (t *Table) otherWorkerCrashed(entry *suspect, at time.Time) bool {
+	for worker, suspects := range t.suspectsByWorker {
+		if _, here := entry.crashes[worker]; here {
 			continue
 		}
-		for asked := range ran {
-			if t.suspects[asked].ends[worker].Sub(at).Abs() < t.settings.Moment {
+		for digest := range suspects {
+			if t.suspects[digest].crashes[worker].Sub(at).Abs() < t.settings.MinCrashInterval {
 				return true
 			}
 			break
@@ -231,90 +231,90 @@
 
 // EndedWell notes that a request ran to a good end at a moment: no worker ended because of it until then. It returns what was held of it
 // before, if that is void now.
-func (t *Table) EndedWell(now, at time.Time, asked Digest) Standing {
-	known, found := t.suspects[asked]
-	if !found || !at.After(known.goodAt) || (len(known.ends) == 0 && known.times == 0) {
+func (t *Table) RecordSuccess(now, at time.Time, digest Digest) Standing {
+	entry, found := t.suspects[digest]
+	if !found || !at.After(entry.succeededAt) || (len(entry.crashes) == 0 && entry.barCount == 0) {
 		return Clear
 	}
-	before, _ := t.Standing(now, asked)
-	for other := range t.pardon(at, asked, known) {
-		if rival := t.suspects[other]; rival.times == 0 {
+	before, _ := t.Standing(now, digest)
+	for other := range t.clearUntil(at, digest, entry) {
+		if otherEntry := t.suspects[other]; otherEntry.barCount == 0 {
 			// What could not be told apart before may be now.
 			t.pending[other] = true
 		}
 	}
-	if after, _ := t.Standing(now, asked); after != Clear {
+	if after, _ := t.Standing(now, digest); after != Clear {
 		return Clear
 	}
 	return before
 }
 
 // pardon voids all that speaks against a request up to a moment. It returns the other suspects that ran where workers ended under it.
-func (t *Table) pardon(at time.Time, asked Digest, known *suspect) map[Digest]bool {
+func (t *Table) clearUntil(at time.Time, digest Digest, entry *suspect) map[Digest]bool {
 	others := map[Digest]bool{}
-	for worker, ended := range known.ends {
-		if ended.After(at) {
+	for worker, crashedAt := range entry.crashes {
+		if crashedAt.After(at) {
 			continue
 		}
-		delete(known.ends, worker)
-		t.forgetEnd(asked, worker)
-		maps.Copy(others, t.under[worker])
+		delete(entry.crashes, worker)
+		t.unindexCrash(digest, worker)
+		maps.Copy(others, t.suspectsByWorker[worker])
 	}
-	if !known.since.After(at) {
-		known.times, known.since, known.until = 0, time.Time{}, time.Time{}
+	if !entry.barredSince.After(at) {
+		entry.barCount, entry.barredSince, entry.barredUntil = 0, time.Time{}, time.Time{}
 	}
-	if len(known.ends) == 0 {
-		delete(t.pending, asked)
+	if len(entry.crashes) == 0 {
+		delete(t.pending, digest)
 	}
-	known.goodAt = at
-	t.news[asked] = true
+	entry.succeededAt = at
+	t.unsentChanges[digest] = true
 	return others
 }
 
 // drop forgets a suspect.
-func (t *Table) drop(asked Digest) {
-	for worker := range t.suspects[asked].ends {
-		t.forgetEnd(asked, worker)
+func (t *Table) removeSuspect(digest Digest) {
+	for worker := range t.suspects[digest].crashes {
+		t.unindexCrash(digest, worker)
 	}
-	delete(t.suspects, asked)
-	delete(t.pending, asked)
-	delete(t.news, asked)
+	delete(t.suspects, digest)
+	delete(t.pending, digest)
+	delete(t.unsentChanges, digest)
 }
 
 // forgetEnd forgets that a worker ended under a suspect, as far as others are concerned.
-func (t *Table) forgetEnd(asked Digest, worker string) {
-	delete(t.under[worker], asked)
-	if len(t.under[worker]) == 0 {
-		delete(t.under, worker)
+func (t *Table) unindexCrash(digest Digest, worker string) {
+	delete(t.suspectsByWorker[worker], digest)
+	if len(t.suspectsByWorker[worker]) == 0 {
+		delete(t.suspectsByWorker, worker)
 	}
 }
 
 // Bar bars a request by the word of another gateway or of the store. It tells whether that is new.
-func (t *Table) Bar(now time.Time, bar Bar) bool {
-	known, found := t.suspects[bar.Asked]
-	if found && known.times > 0 && known.rule == "" {
+func (t *Table) ApplyBar(now time.Time, bar Bar) bool {
+	entry, found := t.suspects[bar.Asked]
+	if found && entry.barCount > 0 && entry.rule == "" {
 		// It was barred here by the word of others, who did not tell of its rule.
-		known.rule, known.tenant = bar.Rule, bar.Tenant
+		entry.rule, entry.tenant = bar.Rule, bar.Tenant
 	}
-	isKnown := found && now.Before(known.until) && bar.Times <= known.times
-	if isKnown || (found && (!bar.Since.After(known.goodAt) || !bar.Since.After(known.since.Add(sameBar)))) {
+	isKnown := found && now.Before(entry.barredUntil) && bar.Times <= entry.barCount
+	if isKnown || (found && (!bar.Since.After(entry.succeededAt) || !bar.Since.After(entry.barredSince.Add(barTimeTolerance)))) {
 		return false
 	}
 	if !found {
-		t.makeRoom(now)
-		known = &suspect{ends: map[string]time.Time{}}
-		t.suspects[bar.Asked] = known
+		t.evict(now)
+		entry = &suspect{crashes: map[string]time.Time{}}
+		t.suspects[bar.Asked] = entry
 	}
-	isNew := !now.Before(known.until)
-	known.times, known.since, known.until = max(bar.Times, 1), minTime(bar.Since, now), bar.Until
-	known.last = now
+	isNew := !now.Before(entry.barredUntil)
+	entry.barCount, entry.barredSince, entry.barredUntil = max(bar.Times, 1), earlier(bar.Since, now), bar.Until
+	entry.lastReport = now
 	if bar.Rule != "" {
 		// A gateway that was only told of the ends bars without knowing the rule; one that saw the request keeps it, and tells it on.
-		known.rule, known.tenant = bar.Rule, bar.Tenant
+		entry.rule, entry.tenant = bar.Rule, bar.Tenant
 	}
 	for _, worker := range bar.Workers {
-		if _, heard := known.ends[worker]; !heard {
-			t.addEnd(bar.Since, bar.Asked, known, worker)
+		if _, known := entry.crashes[worker]; !known {
+			t.addCrash(bar.Since, bar.Asked, entry, worker)
 		}
 	}
 	delete(t.pending, bar.Asked)
@@ -322,55 +322,55 @@
 }
 
 // lapse forgets the ends that are too long ago. Those of a request that was barred count as long as it is kept.
-func (t *Table) lapse(now time.Time, asked Digest, known *suspect) {
-	if known.times > 0 {
+func (t *Table) expireCrashes(now time.Time, digest Digest, entry *suspect) {
+	if entry.barCount > 0 {
 		return
 	}
-	for worker, heard := range known.ends {
-		if now.Sub(heard) > t.settings.Memory {
-			delete(known.ends, worker)
-			t.forgetEnd(asked, worker)
+	for worker, at := range entry.crashes {
+		if now.Sub(at) > t.settings.CrashRetention {
+			delete(entry.crashes, worker)
+			t.unindexCrash(digest, worker)
 		}
 	}
 }
 
 // Tidy forgets what does not count any more. It is called once in a while.
-func (t *Table) Tidy(now time.Time) {
-	for asked, known := range t.suspects {
-		t.lapse(now, asked, known)
-		idle := known.times == 0 && len(known.ends) == 0 && now.Sub(known.goodAt) >= t.settings.Trust
-		over := known.times > 0 && now.Sub(known.until) > t.settings.LongestBar
-		if idle || over {
-			t.drop(asked)
+func (t *Table) Expire(now time.Time) {
+	for digest, entry := range t.suspects {
+		t.expireCrashes(now, digest, entry)
+		idle := entry.barCount == 0 && len(entry.crashes) == 0 && now.Sub(entry.succeededAt) >= t.settings.SuccessRetention
+		barExpired := entry.barCount > 0 && now.Sub(entry.barredUntil) > t.settings.MaxBarDuration
+		if idle || barExpired {
+			t.removeSuspect(digest)
 		}
 	}
 }
 
 // makeRoom drops the oldest eighth when there are too many: suspects, and those that are or were barred, each by themselves.
-func (t *Table) makeRoom(now time.Time) {
-	if len(t.suspects) < min(t.settings.MostSuspects, t.settings.MostBarred) {
+func (t *Table) evict(now time.Time) {
+	if len(t.suspects) < min(t.settings.MaxSuspects, t.settings.MaxBarred) {
 		return
 	}
-	t.Tidy(now)
+	t.Expire(now)
 	for _, kind := range []struct {
-		most   int
+		limit  int
 		barred bool
-	}{{t.settings.MostSuspects, false}, {t.settings.MostBarred, true}} {
-		var kept []Digest
-		for asked, known := range t.suspects {
-			if (known.times > 0) == kind.barred {
-				kept = append(kept, asked)
+	}{{t.settings.MaxSuspects, false}, {t.settings.MaxBarred, true}} {
+		var candidates []Digest
+		for digest, entry := range t.suspects {
+			if (entry.barCount > 0) == kind.barred {
+				candidates = append(candidates, digest)
 			}
 		}
-		if len(kept) < kind.most {
+		if len(candidates) < kind.limit {
 			continue
 		}
-		slices.SortFunc(kept, func(a, b Digest) int {
-			return cmp.Or(t.suspects[a].last.Compare(t.suspects[b].last), slices.Compare(a[:], b[:]))
+		slices.SortFunc(candidates, func(a, b Digest) int {
+			return cmp.Or(t.suspects[a].lastReport.Compare(t.suspects[b].lastReport), slices.Compare(a[:], b[:]))
 		})
-		const roomPart = 8
-		for _, asked := range kept[:len(kept)/roomPart+1] {
-			t.drop(asked)
+		const evictFraction = 8
+		for _, digest := range candidates[:len(candidates)/evictFraction+1] {
+			t.removeSuspect(digest)
 		}
 	}
 }
--- a/internal/poison/table_test.go
+++ b/internal/poison/table_test.go
@@ -12,7 +12,7 @@
 )
 
 // tableRun plays one script.
-type tableRun struct {
+type scriptRunner struct {
 	now   time.Time
 	table *Table
 }
@@ -21,48 +21,48 @@
 func digestNamed(name string) Digest { return Asked{Target: name}.Digest() }
 
 // settle lets time pass until everything is judged.
-func (r *tableRun) settle() {
-	r.now = r.now.Add(r.table.settings.Settle)
-	r.table.Judge(r.now)
+func (r *scriptRunner) evaluate() {
+	r.now = r.now.Add(r.table.settings.SettleDelay)
+	r.table.Evaluate(r.now)
 }
 
 // step plays one line, and returns what is wrong.
-func (r *tableRun) step(words []string) string {
+func (r *scriptRunner) step(words []string) string {
 	verb, names := words[0], words[1:]
 	switch verb {
 	case "ended", "together":
 		for _, name := range names[1:] {
-			r.table.Ended(r.now, r.now, End{Asked: digestNamed(name), Worker: names[0]}, "rule", "")
+			r.table.RecordCrash(r.now, r.now, Crash{Digest: digestNamed(name), Worker: names[0]}, "rule", "")
 		}
 		if verb == "ended" {
-			r.settle()
+			r.evaluate()
 		}
 	case "well":
-		r.table.EndedWell(r.now, r.now, digestNamed(names[0]))
-		r.settle()
+		r.table.RecordSuccess(r.now, r.now, digestNamed(names[0]))
+		r.evaluate()
 	case "wait":
-		passed, err := time.ParseDuration(names[0])
+		elapsed, err := time.ParseDuration(names[0])
 		if err != nil {
 			return err.Error()
 		}
-		r.now = r.now.Add(passed)
-		r.table.Tidy(r.now)
+		r.now = r.now.Add(elapsed)
+		r.table.Expire(r.now)
 	case "release":
 		r.table.Release(r.now, digestNamed(names[0]))
 	case "told":
 		since, sinceErr := time.ParseDuration(names[1])
-		left, leftErr := time.ParseDuration(names[2])
-		if err := errors.Join(sinceErr, leftErr); err != nil {
+		remaining, remainingErr := time.ParseDuration(names[2])
+		if err := errors.Join(sinceErr, remainingErr); err != nil {
 			return err.Error()
 		}
-		r.table.Hear(r.now, Told{Bars: []ToldBar{{
-			Asked: digestNamed(names[0]), Workers: []string{"far"}, Times: 1, AgoMs: since.Milliseconds(), LeftMs: left.Milliseconds(),
+		r.table.MergeUpdate(r.now, Told{Bars: []ToldBar{{
+			Asked: digestNamed(names[0]), Workers: []string{"far"}, Times: 1, AgoMs: since.Milliseconds(), LeftMs: remaining.Milliseconds(),
 		}}})
 	case "tell":
-		told := r.table.Tell(r.now, len(names) > 0)
+		update := r.table.TakeUpdate(r.now, len(names) > 0)
 		r.table = NewTable(DefaultSettings())
-		r.table.Hear(r.now, told)
-		r.settle()
+		r.table.MergeUpdate(r.now, update)
+		r.evaluate()
 	case "clear", "excused", "suspected", "barred":
 		want := map[string]Standing{"clear": Clear, "excused": Excused, "suspected": Suspected, "barred": Barred}[verb]
 		for _, name := range names {
@@ -83,14 +83,14 @@
 	}
 	for _, script := range archive.Files {
 		t.Run(script.Name, func(t *testing.T) {
-			run := &tableRun{now: time.Unix(1_700_000_000, 0), table: NewTable(DefaultSettings())}
+			runner := &scriptRunner{now: time.Unix(1_700_000_000, 0), table: NewTable(DefaultSettings())}
 			for number, line := range strings.Split(string(script.Data), "\n") {
 				words := strings.Fields(line)
 				if len(words) == 0 {
 					continue
 				}
-				if wrong := run.step(words); wrong != "" {
-					t.Fatalf("line %d, %s: %s", number+1, line, wrong)
+				if failure := runner.step(words); failure != "" {
+					t.Fatalf("line %d, %s: %s", number+1, line, failure)
 				}
 			}
 		})
@@ -98,39 +98,39 @@
 }
 
 // TestWhoWasNotThreeTimesThereIsNotBarred plays ends, good ends and messages between three tables, some of them lost or doubled.
-func TestWhoWasNotThreeTimesThereIsNotBarred(t *testing.T) {
+func TestBarRequiresCrashLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1_700_000_000, 0)
 		settings := DefaultSettings()
 		tables := []*Table{NewTable(settings), NewTable(settings), NewTable(settings)}
 		// since are the workers that ended under each request since it ended well anywhere.
-		since := map[Digest]map[string]bool{}
+		crashedWorkers := map[Digest]map[string]bool{}
 		steps := rapid.IntRange(1, 60).Draw(t, "steps")
 		for range steps {
 			now = now.Add(time.Duration(rapid.IntRange(0, 4000).Draw(t, "ms")) * time.Millisecond)
 			table := tables[rapid.IntRange(0, 2).Draw(t, "table")]
-			asked := digestNamed(rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "request"))
+			digest := digestNamed(rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "request"))
 			switch rapid.IntRange(0, 5).Draw(t, "kind") {
 			case 0, 1, 2:
 				worker := fmt.Sprint("w", rapid.IntRange(0, 7).Draw(t, "worker"))
-				table.Ended(now, now, End{Asked: asked, Worker: worker}, "", "")
-				if since[asked] == nil {
-					since[asked] = map[string]bool{}
+				table.RecordCrash(now, now, Crash{Digest: digest, Worker: worker}, "", "")
+				if crashedWorkers[digest] == nil {
+					crashedWorkers[digest] = map[string]bool{}
 				}
-				since[asked][worker] = true
+				crashedWorkers[digest][worker] = true
 			case 3:
-				table.EndedWell(now, now, asked)
+				table.RecordSuccess(now, now, digest)
 			default:
-				told := table.Tell(now, rapid.Bool().Draw(t, "full"))
+				update := table.TakeUpdate(now, rapid.Bool().Draw(t, "full"))
 				for range rapid.IntRange(0, 2).Draw(t, "copies") {
-					tables[rapid.IntRange(0, 2).Draw(t, "hearer")].Hear(now, told)
+					tables[rapid.IntRange(0, 2).Draw(t, "hearer")].MergeUpdate(now, update)
 				}
 			}
-			table.Judge(now)
+			table.Evaluate(now)
 			for i, each := range tables {
 				for _, bar := range each.Bars(now) {
-					if len(since[bar.Asked]) < settings.Ends {
-						t.Fatalf("table %d bars %v after the ends of %v", i, bar, since[bar.Asked])
+					if len(crashedWorkers[bar.Asked]) < settings.CrashLimit {
+						t.Fatalf("table %d bars %v after the ends of %v", i, bar, crashedWorkers[bar.Asked])
 					}
 				}
 			}
@@ -141,22 +141,22 @@
 // TestTablesStayBounded has very many requests suspected and barred.
 // TestABarTellsTheRuleOfItsRequest has one gateway see the ends under a request, and another one that was only told of them bar it first, as
 // it does when it judges a millisecond sooner. Operators list the bar at either, and need to know of which rule it is.
-func TestABarTellsTheRuleOfItsRequest(t *testing.T) {
+func TestReceivedBarLearnsRule(t *testing.T) {
 	now, settings := time.Unix(1000, 0), DefaultSettings()
-	saw, told := NewTable(settings), NewTable(settings)
-	asked := digestNamed("a")
-	for i := range settings.Ends {
-		now = now.Add(settings.Moment)
-		saw.Ended(now, now, End{Asked: asked, Worker: fmt.Sprint(i)}, "rule", "tenant")
-		told.Hear(now, saw.Tell(now, false))
+	witness, informed := NewTable(settings), NewTable(settings)
+	digest := digestNamed("a")
+	for i := range settings.CrashLimit {
+		now = now.Add(settings.MinCrashInterval)
+		witness.RecordCrash(now, now, Crash{Digest: digest, Worker: fmt.Sprint(i)}, "rule", "tenant")
+		informed.MergeUpdate(now, witness.TakeUpdate(now, false))
 	}
-	now = now.Add(settings.Settle)
-	if bars := told.Judge(now); len(bars) != 1 {
+	now = now.Add(settings.SettleDelay)
+	if bars := informed.Evaluate(now); len(bars) != 1 {
 		t.Fatalf("the one that was told made %d bars", len(bars))
 	}
-	saw.Hear(now, told.Tell(now, false))
-	told.Hear(now, saw.Tell(now, true))
-	for name, table := range map[string]*Table{"saw the ends": saw, "was told of them": told} {
+	witness.MergeUpdate(now, informed.TakeUpdate(now, false))
+	informed.MergeUpdate(now, witness.TakeUpdate(now, true))
+	for name, table := range map[string]*Table{"saw the ends": witness, "was told of them": informed} {
 		bars := table.Bars(now)
 		if len(bars) != 1 || bars[0].Rule != "rule" || bars[0].Tenant != "tenant" {
 			t.Errorf("the one that %s lists %+v", name, bars)
@@ -164,35 +164,35 @@
 	}
 }
 
-func TestTablesStayBounded(t *testing.T) {
+func TestTableSizeIsBounded(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	settings := DefaultSettings()
-	settings.MostSuspects, settings.MostBarred = 64, 32
+	settings.MaxSuspects, settings.MaxBarred = 64, 32
 	table := NewTable(settings)
 	for i := range 2000 {
 		now = now.Add(time.Millisecond)
-		asked := digestNamed(fmt.Sprint(i))
+		digest := digestNamed(fmt.Sprint(i))
 		for worker := range 1 + i%3 {
-			now = now.Add(settings.Moment)
-			table.Ended(now, now, End{Asked: asked, Worker: fmt.Sprint(i, "-", worker)}, "", "")
+			now = now.Add(settings.MinCrashInterval)
+			table.RecordCrash(now, now, Crash{Digest: digest, Worker: fmt.Sprint(i, "-", worker)}, "", "")
 		}
-		now = now.Add(settings.Settle)
-		table.Judge(now)
+		now = now.Add(settings.SettleDelay)
+		table.Evaluate(now)
 	}
-	if suspects, bars := len(table.suspects), len(table.Bars(now)); suspects > 96 || bars > 32 || len(table.under) > 3*96 {
-		t.Errorf("%d are kept, %d of them barred, with %d workers", suspects, bars, len(table.under))
+	if suspects, bars := len(table.suspects), len(table.Bars(now)); suspects > 96 || bars > 32 || len(table.suspectsByWorker) > 3*96 {
+		t.Errorf("%d are kept, %d of them barred, with %d workers", suspects, bars, len(table.suspectsByWorker))
 	}
 	last, _ := table.Standing(now, digestNamed("1997"))
 	if last != Barred {
 		t.Error("one that was barred last is forgotten")
 	}
-	if told := table.Tell(now, true); len(told.Ends) > settings.MostTold || len(told.Bars) > settings.MostTold {
-		t.Errorf("%d ends and %d bars are told at once", len(told.Ends), len(told.Bars))
+	if update := table.TakeUpdate(now, true); len(update.Crashes) > settings.MaxPerUpdate || len(update.Bars) > settings.MaxPerUpdate {
+		t.Errorf("%d ends and %d bars are told at once", len(update.Crashes), len(update.Bars))
 	}
 }
 
 // TestBarsAreReadAsTheyWereWritten writes a bar as the store holds it.
-func TestBarsAreReadAsTheyWereWritten(t *testing.T) {
+func TestBarRoundTrip(t *testing.T) {
 	bar := Bar{Asked: digestNamed("a"), Rule: "quick", Tenant: "cafes", Workers: []string{"w1", "w2"}, Times: 2,
 		Since: time.Unix(1_699_999_400, 0).UTC(), Until: time.Unix(1_700_000_000, 0).UTC()}
 	value, err := bar.Encode()
--- /dev/null
+++ b/internal/poison/update_test.go
@@ -0,0 +1,53 @@
+package poison
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/fxamacker/cbor/v2"
+)
+
+// mostBytes bounds what one message tells of requests: it goes with the other parts of a datagram of 64 KB.
+const maxUpdateBytes = 24 << 10
+
+// TestAMessageStaysSmall tells as many ends, good ends and bars as ever, each with long names.
+func TestUpdateSizeIsBounded(t *testing.T) {
+	now := time.Unix(1_700_000_000, 0)
+	settings := DefaultSettings()
+	table := NewTable(settings)
+	for i := range 3 * settings.MaxPerUpdate {
+		digest := digestNamed(fmt.Sprint(i))
+		for worker := range 3 {
+			table.RecordCrash(now, now.Add(time.Duration(worker)*settings.MinCrashInterval), Crash{Digest: digest, Worker: fmt.Sprintf("i-%010d-%d", i, worker)}, "r-a-long-name", "tenant-1234")
+			if i >= 2*settings.MaxPerUpdate {
+				break
+			}
+		}
+		if i < settings.MaxPerUpdate {
+			table.RecordSuccess(now, now.Add(time.Second), digest)
+		}
+	}
+	now = now.Add(time.Second)
+	table.Evaluate(now)
+	update := table.TakeUpdate(now, true)
+	encoded, err := cbor.Marshal(update)
+	if err != nil || len(encoded) > maxUpdateBytes {
+		t.Errorf("%d bytes tell %d ends, %d good ends and %d bars: %v", len(encoded), len(update.Crashes), len(update.EndedWell), len(update.Bars), err)
+	}
+	if unsent := table.TakeUpdate(now, false); len(unsent.Crashes)+len(unsent.EndedWell)+len(unsent.Bars) > 0 {
+		t.Errorf("what is not new is told again before its time: %+v", unsent)
+	}
+	t.Logf("%d bytes tell %d ends, %d good ends and %d bars", len(encoded), len(update.Crashes), len(update.EndedWell), len(update.Bars))
+}
+
+func BenchmarkDigest(b *testing.B) {
+	for _, size := range []int{400, 15000} {
+		b.Run(fmt.Sprint(size), func(b *testing.B) {
+			digest := Asked{Method: "POST", Host: "shop.example", Target: "/stream/x", Body: make([]byte, size)}
+			for b.Loop() {
+				digest.Digest()
+			}
+		})
+	}
+}
