--- a/internal/poison/barring.go
+++ b/internal/poison/barring.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// enough tells whether enough speaks against a suspect to bar it.
+// shouldBar reports whether a suspect reached a crash limit.
 func (t *Table) shouldBar(digest Digest, entry *suspect) bool {
 	if entry.barCount > 0 || t.distinctCrashes(entry, slices.Collect(maps.Keys(entry.crashes))) >= t.settings.AmbiguousCrashLimit {
-		// Of one that was barred before, one end more is enough.
+		// After a first bar, a single crash is enough.
 		return true
 	}
 	unattributed := t.unattributed(digest, entry)
 	return t.distinctCrashes(entry, unattributed) >= t.settings.CrashLimit && !t.ambiguous(digest, unattributed)
 }
 
-// moments returns how many of the ends of workers under a suspect are Moment or more after the one before that counts.
+// distinctCrashes counts the crashes that are at least MinCrashInterval after the previous counted one.
 func (t *Table) distinctCrashes(entry *suspect, workers []string) int {
 	slices.SortFunc(workers, func(a, b string) int { return entry.crashes[a].Compare(entry.crashes[b]) })
 	count := 0
@@ -31,7 +31,7 @@
 	return count
 }
 
-// rivalled tells whether another suspect ran at each of the workers, so that either may have ended them.
+// ambiguous reports whether another suspect ran at each of the workers and may have crashed them as well.
 func (t *Table) ambiguous(digest Digest, workers []string) bool {
 	others := maps.Clone(t.suspectsByWorker[workers[0]])
 	delete(others, digest)
@@ -41,8 +41,8 @@
 	return len(others) > 0
 }
 
-// Judge bars those against which enough speaks and of which nothing more was heard for Settle, and returns their bars. Those under which
-// most workers ended come first: their bars explain the ends under the others.
+// Evaluate bars the pending suspects that reached a crash limit and had no report for SettleDelay, and returns their bars. Suspects with the
+// most crashes come first, because their bars explain the crashes under the others.
 func (t *Table) Evaluate(now time.Time) []Bar {
 	var due []Digest
 	for digest := range t.pending {
@@ -69,7 +69,7 @@
 	return bars
 }
 
-// NextJudgement returns when something is to be judged next, or the zero time.
+// NextEvaluation returns the time of the next pending evaluation, or the zero time.
 func (t *Table) NextEvaluation() time.Time {
 	var next time.Time
 	for digest := range t.pending {
@@ -81,27 +81,27 @@
 	return next
 }
 
-// sameBar is by how much the beginning of one bar differs as gateways tell it: their clocks, and the time that messages take.
+// barTimeTolerance is how far the start of the same bar may differ between gateways, through clock skew and message delay.
 const barTimeTolerance = 2 * time.Second
 
-// Bar is a request that goes to no worker for a time.
+// Bar describes a request that is not sent to workers for a time.
 type Bar struct {
 	Asked Digest
-	// Rule that it matches, and Tenant of its caller, for operators.
+	// Rule is the routing rule that the request matches, and Tenant its caller, for operators.
 	Rule, Tenant string
-	// Workers that ended under it, by the ids of their incarnations.
+	// Workers are the ids of the worker incarnations that crashed under the request.
 	Workers []string
-	// Times it was barred, this one included.
+	// Times is the number of bars of the request, including this one.
 	Times int
-	// Since when it is barred, and Until when.
+	// Since is when the bar began, and Until when it expires.
 	Since, Until time.Time
-	// Heard is when an end or a bar was heard of last; zero of bars that others tell.
+	// LastReport is when a crash or a bar was reported last; zero in bars received from other gateways.
 	LastReport time.Time
-	// Moments is at how many different moments workers ended under it; known of suspects alone.
+	// Moments is the number of distinct crashes, set for suspected requests only.
 	Moments int
 }
 
-// minTime returns the earlier of two moments.
+// earlier returns the earlier of two times.
 func earlier(a, b time.Time) time.Time {
 	if a.Before(b) {
 		return a
@@ -109,20 +109,20 @@
 	return b
 }
 
-// Release voids all that speaks against a request. It tells whether it was barred.
+// Release clears all evidence against a request, and reports whether it was barred.
 func (t *Table) Release(now time.Time, digest Digest) bool {
 	entry, found := t.suspects[digest]
 	if !found {
 		return false
 	}
 	wasBarred := now.Before(entry.barredUntil)
-	// The clock of the one that made the bar may be ahead.
+	// The clock of the gateway that created the bar may be ahead.
 	entry.barredSince = time.Time{}
 	t.clearUntil(now, digest, entry)
 	return wasBarred
 }
 
-// Bars returns the requests that are barred, those that were barred last at the end.
+// Bars returns the active bars, those that expire last at the end.
 func (t *Table) Bars(now time.Time) []Bar {
 	var bars []Bar
 	for digest, entry := range t.suspects {
--- a/internal/poison/digest.go
+++ b/internal/poison/digest.go
@@ -1,6 +1,6 @@
-// Package poison finds requests that end the workers that run them, and keeps them from further workers. In the field such a request
-// is known as a query of death or a poison message: its caller sends it again, each time as a new request, and each time another
-// worker is lost with all that it was running.
+// Package poison detects requests that crash the workers that run them, and stops routing them to further workers. Such a request is
+// known as a query of death or a poison message: its caller retries it, each time as a new request, and each retry costs another
+// worker together with everything that it was running.
 package poison
 
 import (
@@ -11,29 +11,29 @@
 	"github.com/cockroachdb/errors"
 )
 
-// digestBytes is the size of a digest: half of a SHA-256. Nobody can find another request with the digest of a given one, so nobody
-// can have the request of somebody else barred.
+// digestBytes is the size of a digest: half of a SHA-256. Second preimages are infeasible, so nobody can craft a request that gets
+// somebody else's request barred.
 const digestBytes = 16
 
-// Digest names what a request asks for. Two requests with one digest are the same to a worker, whatever their ids.
+// Digest identifies the content of a request. Requests with the same digest are the same to a worker, whatever their ids.
 type Digest [digestBytes]byte
 
-// Asked is what makes two requests the same.
+// Asked is the content of a request that its digest covers.
 type Asked struct {
-	// Tenant of the caller, as workers are told it; empty where the configuration has none.
+	// Tenant of the caller, as workers receive it; empty if the configuration defines none.
 	Tenant string
 	Method string
 	Host   string
-	// Target is the path with the query, byte for byte as the caller wrote it.
+	// Target is the path with the query, byte for byte as the caller sent it.
 	Target string
 	Body   []byte
 }
 
-// Digest returns the digest of a request.
+// Digest returns the digest of the request.
 func (a Asked) Digest() Digest {
 	sum := sha256.New()
 	for _, field := range [][]byte{[]byte(a.Tenant), []byte(a.Method), []byte(a.Host), []byte(a.Target), a.Body} {
-		// Lengths keep the fields apart.
+		// Length prefixes keep the field boundaries unambiguous.
 		var size [8]byte
 		binary.BigEndian.PutUint64(size[:], uint64(len(field)))
 		sum.Write(size[:])
@@ -42,10 +42,10 @@
 	return Digest(sum.Sum(nil)[:digestBytes])
 }
 
-// String returns the digest as hexadecimal digits.
+// String returns the digest in hexadecimal.
 func (d Digest) String() string { return hex.EncodeToString(d[:]) }
 
-// ParseDigest reads a digest as String writes it.
+// ParseDigest parses the format of Digest.String.
 func ParseDigest(text string) (Digest, error) {
 	decoded, err := hex.DecodeString(text)
 	if err != nil || len(decoded) != digestBytes {
--- a/internal/poison/digest_test.go
+++ b/internal/poison/digest_test.go
@@ -6,7 +6,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestDigestsTellRequestsApart moves bytes between the fields of a request.
+// TestDigestsDistinguishRequests guards against equal digests of requests whose bytes are split differently between the fields.
 func TestDigestsDistinguishRequests(t *testing.T) {
 	drawRequest := func(t *rapid.T) Asked {
 		short := rapid.StringMatching(`[ab/]{0,3}`)
@@ -20,19 +20,19 @@
 		equal := first.Tenant == second.Tenant && first.Method == second.Method && first.Host == second.Host && first.Target == second.Target &&
 			string(first.Body) == string(second.Body)
 		if (first.Digest() == second.Digest()) != equal {
-			t.Fatalf("%+v and %+v", first, second)
+			t.Fatalf("equal digests are %t for %+v and %+v", !equal, first, second)
 		}
 		read, err := ParseDigest(first.Digest().String())
 		if err != nil || read != first.Digest() {
-			t.Fatalf("read back as %v: %v", read, err)
+			t.Fatalf("ParseDigest returned %v, %v; want %v", read, err, first.Digest())
 		}
 	})
 	for _, text := range []string{"", "zz", "00", overlongDigest} {
 		if _, err := ParseDigest(text); err == nil {
-			t.Errorf("%q was taken", text)
+			t.Errorf("ParseDigest accepted %q", text)
 		}
 	}
 }
 
-// one33 is a digest with a digit too many.
+// overlongDigest has one digit too many.
 const overlongDigest = "000000000000000000000000000000000"
--- a/internal/poison/guard.go
+++ b/internal/poison/guard.go
@@ -9,43 +9,43 @@
 	"github.com/granitebay/granitebay/internal/backend"
 )
 
-// Prober asks whether a worker has ended.
+// Prober checks whether the process of a worker still runs.
 type Prober interface {
-	// Refuses tells whether nothing listens at the address of a worker any more. An error says that it could not be told.
+	// Refuses reports whether nothing listens at the worker's address any more. It returns an error if that cannot be determined.
 	Refuses(ctx context.Context, worker *backend.Worker) (bool, error)
 }
 
-// Event is one step of what is held of a request. It is one of the types below.
+// Event is a change that a guard reports: WorkerEnded, EndHeard, Made, Heard or Cleared.
 type Event interface{ isEvent() }
 
-// WorkerEnded is the end of a worker under some requests of this gateway.
+// WorkerEnded reports that a worker crashed while running requests of this gateway.
 type WorkerEnded struct {
 	Worker *backend.Worker
-	// Asked are the requests of this gateway that it was running.
+	// Asked are the requests of this gateway that the worker was running.
 	Asked []Digest
-	// By says what showed it, and Ago is how long ago its connections broke.
+	// By is the evidence for the crash, and Ago how long ago the first connection broke.
 	By  string
 	Ago time.Duration
 }
 
-// EndHeard is the end of a worker that another gateway told. It may be told more than once.
+// EndHeard reports a crash that another gateway shared. The same crash may be reported several times.
 type EndHeard struct {
-	// Worker is the id of its incarnation.
+	// Worker is the id of the worker's incarnation.
 	Worker string
-	// Ago is how long ago its connections broke.
+	// Ago is how long ago the worker's connections broke.
 	Ago time.Duration
 }
 
-// Made is a bar that this gateway has made, and Heard one that another gateway told.
+// Made reports a bar that this gateway created, and Heard a bar received from the store or another gateway.
 type (
 	Made  struct{ Bar Bar }
 	Heard struct{ Bar Bar }
 )
 
-// Cleared is a request that ran to a good end after workers had ended under it.
+// Cleared reports that a suspected or barred request succeeded.
 type Cleared struct {
 	Asked Digest
-	// WasBarred is set when it was barred, and is not any more.
+	// WasBarred is set if the success lifted a bar.
 	WasBarred bool
 }
 
@@ -55,86 +55,86 @@
 func (Heard) isEvent()       {}
 func (Cleared) isEvent()     {}
 
-// Times of a guard.
+// Timeouts of a guard.
 const (
-	// probeTimeout bounds the question whether a worker has ended: a connection within a region, some times over.
+	// probeTimeout bounds the probe of a worker: several connection attempts within a region.
 	probeTimeout = 400 * time.Millisecond
-	// recordTime is how long after an answer broke off the record of its worker may go, to count as its end: three heartbeats of the
-	// users' workers, 1.2 s each, and their way.
+	// recordTimeout is how long after a connection broke the removal of the worker's record still counts as a crash: three heartbeats
+	// of 1.2 s and their propagation.
 	recordTimeout = 4500 * time.Millisecond
-	// endedTime is how long an end is remembered for answers that break off later than the first: the bounds of silence of a connection.
+	// crashRetention is how long a crash is remembered for connections that break later than the first: the idle timeout of a connection.
 	crashRetention = 5 * time.Second
 )
 
-// What shows the end of a worker.
+// Evidence for the crash of a worker.
 const (
 	evidenceRefused  = "its address refuses connections"
-	evidenceNoRecord = "its record is gone, and it did not say that it leaves"
+	evidenceNoRecord = "its record is gone and it did not announce that it leaves"
 )
 
-// Guard keeps requests that end workers from further workers. It is safe for concurrent use.
+// Guard keeps requests that crash workers away from further workers. It is safe for concurrent use.
 type Guard struct {
 	prober Prober
 	now    func() time.Time
-	// tell is told of each event; it must not wait, nor call the guard.
+	// emit receives each event. It must not block or call the guard.
 	emit func(Event)
-	// watches is set while anything is held of any request.
+	// hasSuspects is set while the table has any entry.
 	hasSuspects atomic.Bool
 
 	mu    sync.Mutex
 	table *Table
-	// broken are the workers at which answers broke off, and recorded those whose records are there; nil before the first.
+	// disconnected are the workers with broken connections, and registered those with a record; registered is nil before the first update.
 	disconnected map[string]*disconnectedWorker
 	registered   backend.Set
-	// notify says that there is something to tell other gateways; nil tells nobody.
+	// notify is called when there is news for the other gateways; nil if updates are not shared.
 	notify    func(urgent bool)
 	expiredAt time.Time
-	// judging is set while a judgement is due.
+	// evaluationScheduled is set while a timer for the next evaluation runs.
 	evaluationScheduled bool
 }
 
-// brokenWorker is a worker at which answers broke off, or that was given up for its silence.
+// disconnectedWorker is a worker whose connections broke, or that was abandoned because it was silent.
 type disconnectedWorker struct {
 	worker *backend.Worker
-	// first is when the first connection broke, zero before, and since when a request was noted last.
+	// brokenAt is when the first connection broke, zero if none has. lastRequest is when a request was added last.
 	brokenAt, lastRequest time.Time
-	// ended is set once the worker is known to have ended, and probed while that is asked; it is closed with the answer.
+	// crashed is set once the crash is confirmed. probeDone is non-nil while a probe runs, and closed when it completes.
 	crashed   bool
 	probeDone chan struct{}
 	requests  map[Digest]requestInfo
 }
 
-// request is what is told of a request to operators.
+// requestInfo describes a request to operators.
 type requestInfo struct{ rule, tenant string }
 
-// NewGuard returns a guard that knows nothing. Tell is told of each event.
+// NewGuard returns an empty guard that reports its events to emit.
 func NewGuard(settings Settings, prober Prober, now func() time.Time, emit func(Event)) *Guard {
 	return &Guard{prober: prober, now: now, emit: emit, table: NewTable(settings), disconnected: map[string]*disconnectedWorker{}}
 }
 
-// ShareWith tells whom to notify that there is something to tell other gateways. Notify must not wait.
+// ShareWith sets the function that is called when there is news for the other gateways. It must not block.
 func (g *Guard) ShareWith(notify func(urgent bool)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.notify = notify
 }
 
-// Watches tells whether anything is held of any request. Otherwise no digest need be reckoned.
+// Watches reports whether any request is suspected or barred. If not, callers need not compute digests.
 func (g *Guard) Watches() bool { return g.hasSuspects.Load() }
 
-// Standing returns what is held of a request, with its bar if it is barred.
+// Standing returns the standing of a request, and its bar or the evidence against it.
 func (g *Guard) Standing(digest Digest) (Standing, Bar) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.table.Standing(g.now(), digest)
 }
 
-// HeardAgo returns how long ago an end under a request, or its bar, was heard of last.
+// HeardAgo returns how long ago the last crash or bar of the request was reported.
 func (g *Guard) HeardAgo(bar Bar) time.Duration { return g.now().Sub(bar.LastReport) }
 
-// Broke notes that the connection to a worker broke under a request. It is found out beside whether the worker has ended: what is
-// returned is closed once that is known or can't be told, and nil when it is known already. The end of one that leaves was planned: it
-// said so, or took its record back and served on.
+// Broke records that the connection to a worker broke while it ran the request, and probes in the background whether the worker crashed.
+// The returned channel is closed when the probe completes; it is nil if the outcome is known already. The exit of a worker that
+// drains, or that removed its record, is planned and not counted.
 func (g *Guard) Broke(worker *backend.Worker, digest Digest, rule, tenant string) <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -156,7 +156,7 @@
 	return entry.probeDone
 }
 
-// Left notes that a silent worker was given up under a request. Should the worker turn out to end, it may have ended it all the same.
+// Left records that a request abandoned a silent worker. If the worker turns out to have crashed, the crash counts against the request.
 func (g *Guard) Left(worker *backend.Worker, digest Digest, rule, tenant string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -168,16 +168,16 @@
 	}
 }
 
-// leaves tells whether a worker leaves as planned: it said so, or took its record back and serves on. The mutex is held.
+// isPlannedExit reports whether a worker drains, or removed its record before a connection to it broke. The caller holds the mutex.
 func (g *Guard) isPlannedExit(worker *backend.Worker) bool {
 	record := g.registered[worker.ID]
 	return g.registered != nil && (record == nil || record.Draining) && g.disconnected[worker.ID] == nil
 }
 
-// mostNoted bounds the requests that are noted of one worker: more than run at one, with those that gave it up.
+// maxRequestsPerWorker bounds the requests kept per worker. It exceeds the number that runs at one, including those that abandoned it.
 const maxRequestsPerWorker = 512
 
-// note notes a request at a worker that may have ended. The mutex is held.
+// addRequest adds a request to a worker that may have crashed. The caller holds the mutex.
 func (g *Guard) addRequest(worker *backend.Worker, digest Digest, rule, tenant string) *disconnectedWorker {
 	entry, found := g.disconnected[worker.ID]
 	if !found {
@@ -191,31 +191,30 @@
 	return entry
 }
 
-// probe finds out whether a worker has ended.
+// probe determines whether a worker has crashed.
 func (g *Guard) probe(entry *disconnectedWorker) {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	refuses, err := g.prober.Refuses(ctx, entry.worker)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	// Those that wait ask for their standing next: the end is noted before.
+	// Waiting callers read the standing next, so the crash is recorded before the channel is closed.
 	defer func(done chan struct{}) {
 		entry.probeDone = nil
 		close(done)
 	}(entry.probeDone)
 	switch {
 	case entry.crashed || err != nil:
-		// Without an answer the record of the worker will tell.
+		// Without an answer, the removal of the worker's record decides.
 	case refuses:
 		g.recordCrash(entry, evidenceRefused)
 	default:
-		// It lives: the connection alone broke.
+		// The worker runs: only the connection broke.
 		delete(g.disconnected, entry.worker.ID)
 	}
 }
 
-// ChangeWorkers takes what has changed of the workers that are recorded. The end of one at which answers broke off is shown by its record,
-// too.
+// ChangeWorkers applies changes of the registered workers. The removal of the record of a disconnected worker counts as a crash.
 func (g *Guard) ChangeWorkers(changes backend.Changes) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -235,8 +234,8 @@
 	}
 }
 
-// endedLocked notes that a worker has ended under the requests that broke off there. The end itself is told once, with those that were
-// noted by then. The mutex is held.
+// recordCrash counts a crash of the worker against the requests that it ran. The event is emitted once per crash, with the requests
+// known by then. The caller holds the mutex.
 func (g *Guard) recordCrash(entry *disconnectedWorker, evidence string) {
 	isNew := !entry.crashed
 	entry.crashed = true
@@ -255,7 +254,7 @@
 	g.notifyChange()
 }
 
-// changed has the other gateways told, and what is to be judged judged. The mutex is held.
+// notifyChange notifies the other gateways and schedules the next evaluation. The caller holds the mutex.
 func (g *Guard) notifyChange() {
 	if g.notify != nil {
 		g.notify(true)
@@ -263,7 +262,7 @@
 	g.scheduleEvaluation()
 }
 
-// judgeLater has judged what is to be judged, once it is due. The mutex is held.
+// scheduleEvaluation starts a timer for the next pending evaluation. The caller holds the mutex.
 func (g *Guard) scheduleEvaluation() {
 	g.hasSuspects.Store(!g.table.Empty())
 	next := g.table.NextEvaluation()
@@ -274,7 +273,7 @@
 	time.AfterFunc(max(next.Sub(g.now()), 0)+time.Millisecond, g.evaluate)
 }
 
-// judge bars those against which enough speaks.
+// evaluate bars the pending suspects that reached a crash limit.
 func (g *Guard) evaluate() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -289,7 +288,7 @@
 	g.scheduleEvaluation()
 }
 
-// EndedWell notes that a request ran to a good end.
+// EndedWell records that a request succeeded.
 func (g *Guard) EndedWell(digest Digest) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -302,7 +301,7 @@
 	g.notifyChange()
 }
 
-// Bar bars a request by the word of the store.
+// Bar applies a bar read from the store.
 func (g *Guard) Bar(bar Bar) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -312,7 +311,7 @@
 	g.hasSuspects.Store(!g.table.Empty())
 }
 
-// Release voids all that speaks against a request, and tells whether it was barred.
+// Release clears all evidence against a request, and reports whether it was barred.
 func (g *Guard) Release(digest Digest) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -321,17 +320,17 @@
 	return wasBarred
 }
 
-// Bars returns the requests that are barred.
+// Bars returns the active bars.
 func (g *Guard) Bars() []Bar {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.table.Bars(g.now())
 }
 
-// tidyInterval is how often what does not count any more is forgotten.
+// expiryInterval is the interval at which expired entries are removed.
 const expiryInterval = 10 * time.Second
 
-// Tell returns what other gateways are to know: what is new, or everything.
+// Tell returns the update for the other gateways: the changes since the last one, or the full state.
 func (g *Guard) Tell(full bool) Told {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -343,7 +342,7 @@
 	return g.table.TakeUpdate(now, full)
 }
 
-// tidy forgets what does not count any more. The mutex is held.
+// expire removes entries that no longer count. The caller holds the mutex.
 func (g *Guard) expire(now time.Time) {
 	g.table.Expire(now)
 	for id, entry := range g.disconnected {
@@ -354,7 +353,7 @@
 	g.hasSuspects.Store(!g.table.Empty())
 }
 
-// Hear takes what another gateway told.
+// Hear merges an update of another gateway.
 func (g *Guard) Hear(update Told) {
 	if len(update.Crashes)+len(update.EndedWell)+len(update.Bars) == 0 {
 		return
--- a/internal/poison/guard_test.go
+++ b/internal/poison/guard_test.go
@@ -13,7 +13,7 @@
 	"github.com/granitebay/granitebay/internal/backend"
 )
 
-// fakeProber answers for each worker what became of it.
+// fakeProber answers probes from the configured state of the workers.
 type fakeProber struct {
 	mu      sync.Mutex
 	crashed map[string]bool
@@ -21,10 +21,10 @@
 	probes  int
 }
 
-// errNoAnswer is that of a worker that neither opens nor refuses.
+// errNoAnswer is the result for a silent worker, which neither accepts nor refuses connections.
 var errNoAnswer = errors.New("no answer")
 
-// Refuses is part of Prober.
+// Refuses implements Prober.
 func (p *fakeProber) Refuses(_ context.Context, worker *backend.Worker) (bool, error) {
 	time.Sleep(time.Millisecond)
 	p.mu.Lock()
@@ -36,14 +36,14 @@
 	return p.crashed[worker.ID], nil
 }
 
-// end has a worker end.
+// crash makes probes of a worker report a crash.
 func (p *fakeProber) crash(worker string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.crashed[worker] = true
 }
 
-// guarded is a guard with what it told.
+// testGuard is a guard that records the types of its events.
 type testGuard struct {
 	*Guard
 	prober *fakeProber
@@ -51,7 +51,7 @@
 	events []string
 }
 
-// newGuarded returns a guard of some workers that are recorded.
+// newTestGuard returns a guard with some registered workers.
 func newTestGuard(workers backend.Set) *testGuard {
 	g := &testGuard{prober: &fakeProber{crashed: map[string]bool{}, silent: map[string]bool{}}}
 	g.Guard = NewGuard(DefaultSettings(), g.prober, time.Now, func(event Event) {
@@ -63,16 +63,16 @@
 	return g
 }
 
-// settle lets everything be asked and judged.
+// waitForEvaluation waits until all probes and evaluations are done.
 func waitForEvaluation() {
 	time.Sleep(2 * DefaultSettings().SettleDelay)
 	synctest.Wait()
 }
 
-// setRecorded has a guard know these workers in place of those before.
+// setWorkers replaces the registered workers.
 func setWorkers(g *testGuard, workers backend.Set) { g.ChangeWorkers(workers.Since(g.registered)) }
 
-// recorded are some workers.
+// workerSet returns workers with the given ids.
 func workerSet(ids ...string) backend.Set {
 	set := backend.Set{}
 	for _, id := range ids {
@@ -96,22 +96,22 @@
 		}
 		waitForEvaluation()
 		if got, _ := g.Standing(killer); got != Barred {
-			t.Errorf("after three ends the standing is %d", got)
+			t.Errorf("after three crashes: standing %d, want Barred", got)
 		}
 		if got, _ := g.Standing(harmless); got != Clear {
-			t.Errorf("the standing of one that ran beside it is %d", got)
+			t.Errorf("harmless request: standing %d, want Clear", got)
 		}
 		if g.prober.probes != 3 {
-			t.Errorf("%d workers were asked", g.prober.probes)
+			t.Errorf("%d probes, want 3", g.prober.probes)
 		}
 		if got := fmt.Sprint(g.events); got != "[poison.WorkerEnded poison.WorkerEnded poison.WorkerEnded poison.Made]" {
-			t.Errorf("told %s", got)
+			t.Errorf("events: %s", got)
 		}
 	})
 }
 
-// TestWhatIsNoEndCountsForNothing breaks connections to workers that live, that leave as they said or without a word, and that fall
-// silent while their records stay.
+// TestBrokenConnectionWithoutCrashIsIgnored guards against counting broken connections to workers that run, that drain or removed their
+// record, and that are silent but still have a record.
 func TestBrokenConnectionWithoutCrashIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		workers := workerSet("lives", "silent", "leaves", "says-so")
@@ -131,12 +131,12 @@
 		setWorkers(g, backend.Set{"lives": workers["lives"]})
 		waitForEvaluation()
 		if got, bar := g.Standing(digest); got != Clear || g.Watches() {
-			t.Errorf("the standing is %d: %+v", got, bar)
+			t.Errorf("standing %d, bar %+v", got, bar)
 		}
 	})
 }
 
-// TestARecordThatGoesShowsAnEnd has a worker that gives no answer lose its record.
+// TestRemovedRecordCountsAsCrash checks that a worker which does not answer probes counts as crashed once its record is removed.
 func TestRemovedRecordCountsAsCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		workers := workerSet("w1")
@@ -146,20 +146,20 @@
 		g.Broke(workers["w1"], digest, "rule", "")
 		waitForEvaluation()
 		if got, _ := g.Standing(digest); got != Clear {
-			t.Errorf("before the record went the standing is %d", got)
+			t.Errorf("before the record was removed: standing %d, want Clear", got)
 		}
 		setWorkers(g, backend.Set{})
 		if got, _ := g.Standing(digest); got != Suspected {
-			t.Errorf("then it is %d", got)
+			t.Errorf("after the record was removed: standing %d, want Suspected", got)
 		}
 		g.EndedWell(digest)
 		if got, _ := g.Standing(digest); got != Clear {
-			t.Errorf("after a good end it is %d", got)
+			t.Errorf("after a success: standing %d, want Clear", got)
 		}
 	})
 }
 
-// TestGuardsAgree has three gateways see one end each, with others beside it, and tell each other.
+// TestGuardsConverge checks that three gateways that see one crash each bar the killer, and clear a request that ran beside it.
 func TestGuardsConverge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		workers := workerSet("w1", "w2", "w3")
@@ -185,7 +185,7 @@
 		for i, g := range guards {
 			worker := workers[fmt.Sprint("w", i+1)]
 			g.Broke(worker, killer, "rule", "")
-			// The unlucky one was sent through another gateway each time, and ran beside it twice.
+			// The bystander runs beside the killer twice, each time through another gateway.
 			if i < 2 {
 				other := guards[(i+1)%3]
 				other.prober.crash(worker.ID)
@@ -196,16 +196,16 @@
 		waitForEvaluation()
 		for i, g := range guards {
 			if got, _ := g.Standing(killer); got != Barred {
-				t.Errorf("at gateway %d the standing is %d", i, got)
+				t.Errorf("gateway %d: killer has standing %d, want Barred", i, got)
 			}
 			if got, _ := g.Standing(bystander); got != Clear {
-				t.Errorf("at gateway %d the standing of the unlucky one is %d", i, got)
+				t.Errorf("gateway %d: bystander has standing %d, want Clear", i, got)
 			}
 		}
 	})
 }
 
-// TestOneThatGaveASilentWorkerUpIsSuspectedOfItsEnd has a request be given up by workers that end a moment later, as others show.
+// TestCrashOfAbandonedWorkerIsCounted checks that a crash counts against a request that abandoned the worker shortly before.
 func TestCrashOfAbandonedWorkerIsCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		workers := workerSet("w1", "w2", "lives")
@@ -220,17 +220,17 @@
 		waitForEvaluation()
 		setWorkers(g, backend.Set{"w1": workers["w1"], "lives": workers["lives"]})
 		if got, bar := g.Standing(abandoned); got != Suspected || fmt.Sprint(bar.Workers) != "[w1 w2]" {
-			t.Errorf("the standing is %d: %+v", got, bar)
+			t.Errorf("standing %d, bar %+v", got, bar)
 		}
 		time.Sleep(2 * recordTimeout)
 		setWorkers(g, backend.Set{"w1": workers["w1"]})
 		if _, bar := g.Standing(abandoned); len(bar.Workers) != 2 {
-			t.Errorf("a worker that went long after counts: %+v", bar)
+			t.Errorf("a record removed long after the request counts as a crash: %+v", bar)
 		}
 	})
 }
 
-// TestAnEndIsToldOnce has more connections break once a worker is known to have ended, as those of all its requests do.
+// TestCrashIsReportedOnce guards against repeated events when the connections of several requests break in a row.
 func TestCrashIsReportedOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		workers := workerSet("w1")
@@ -242,11 +242,11 @@
 			time.Sleep(3 * time.Millisecond)
 			synctest.Wait()
 			if got, _ := g.Standing(digest); got != Suspected {
-				t.Errorf("the standing of request %d is %d", i, got)
+				t.Errorf("request %d: standing %d, want Suspected", i, got)
 			}
 		}
 		if got := fmt.Sprint(g.events); got != "[poison.WorkerEnded]" {
-			t.Errorf("told %s", got)
+			t.Errorf("events: %s", got)
 		}
 	})
 }
--- a/internal/poison/record.go
+++ b/internal/poison/record.go
@@ -8,13 +8,13 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Prefix of the keys of bars in the store. They go with no lease: a bar outlives all gateways.
+// Prefix of the store keys of bars. The keys have no lease, because a bar must survive a restart of all gateways.
 const Prefix = "barred/"
 
-// KeyOf returns the key of the bar of a request.
+// KeyOf returns the store key of the bar of a request.
 func KeyOf(digest Digest) string { return Prefix + digest.String() }
 
-// record is a bar as it lies in the store. Its key names the request.
+// record is the stored form of a bar. Its key contains the digest.
 type record struct {
 	Rule    string    `json:"rule,omitempty"`
 	Tenant  string    `json:"tenant,omitempty"`
@@ -24,7 +24,7 @@
 	Until   time.Time `json:"until"`
 }
 
-// Encode returns a bar as it lies in the store.
+// Encode returns the stored form of a bar.
 func (b Bar) Encode() ([]byte, error) {
 	value, err := json.Marshal(record{
 		Rule: b.Rule, Tenant: b.Tenant, Workers: b.Workers, Times: b.Times, Since: b.Since.UTC(), Until: b.Until.UTC(),
@@ -32,13 +32,13 @@
 	return value, errors.Wrap(err, "step encode a bar")
 }
 
-// AskedOf returns the request whose bar a key holds.
+// AskedOf returns the digest in the key of a bar.
 func AskedOf(key string) (Digest, error) {
 	digest, err := ParseDigest(strings.TrimPrefix(key, Prefix))
 	return digest, errors.Wrapf(err, "step read a bar, key %s", key)
 }
 
-// DecodeBar reads a bar.
+// DecodeBar decodes a stored bar.
 func DecodeBar(key string, value []byte) (Bar, error) {
 	digest, err := AskedOf(key)
 	if err != nil {
--- a/internal/poison/simulation_test.go
+++ b/internal/poison/simulation_test.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// crowd is a play of callers at workers, some of which a few requests end.
+// simulation runs requests at a few workers. Killer requests crash the worker that runs them.
 type simulation struct {
 	random  *rand.Rand
 	now     time.Time
 	table   *Table
 	workers []simWorker
-	// ends counts the workers that ended under each request since it ended well, and under how many at most one that does no harm.
+	// crashes counts the crashes under each request since its last success, and suspectedHarmless the harmless requests at the limit.
 	crashes           map[Digest]int
 	harmless          map[Digest]bool
 	suspectedHarmless int
@@ -21,24 +21,22 @@
 	killerCrashes     map[Digest]int
 }
 
-// crowdWorker is a worker that runs requests until it ends, and is away for a while then.
+// simWorker is a worker that is down for a while after each crash.
 type simWorker struct {
 	incarnation int
 	downSteps   int
 	running     []attempt
 }
 
-// crowdRun is a try of a request.
+// attempt is one try of a request.
 type attempt struct {
 	digest Digest
-	// left are the steps until it ends well, or ends its worker.
+	// stepsLeft until the request succeeds, or crashes its worker.
 	stepsLeft int
-	// tries are those that are left to it.
 	triesLeft int
 }
 
-// Shape of a play: steps of 20 ms, runs of 15 steps, workers that are away for 120. Each request is tried four times: twice by a gateway,
-// and twice more for its caller's own retry.
+// Parameters of a simulation, in steps of stepTime. Each request is tried four times: twice by a gateway, and twice on the caller's retry.
 const (
 	stepTime     = 20 * time.Millisecond
 	runSteps     = 15
@@ -48,7 +46,7 @@
 	simSteps     = 600
 )
 
-// place gives a request to a worker at random, as suspects are.
+// assign sends a request to a random worker.
 func (s *simulation) assign(run attempt) {
 	if standing, _ := s.table.Standing(s.now, run.digest); standing >= Judged || run.triesLeft == 0 {
 		return
@@ -66,7 +64,7 @@
 	}
 }
 
-// step lets time pass at one worker.
+// step advances one worker.
 func (s *simulation) step(index int) {
 	w := &s.workers[index]
 	if w.downSteps > 0 {
@@ -95,7 +93,7 @@
 	s.crash(index, append(running, finished...))
 }
 
-// crash ends a worker under all that it runs.
+// crash crashes a worker under all requests that it runs, which are retried.
 func (s *simulation) crash(index int, running []attempt) {
 	w := &s.workers[index]
 	id := fmt.Sprint(index, "/", w.incarnation)
@@ -115,7 +113,7 @@
 	}
 }
 
-// play plays a time with three requests that end workers, which come every 0.4 s.
+// run simulates three killer requests, one at a time, among harmless ones.
 func (s *simulation) run() {
 	var killers []Digest
 	for i := range 3 {
@@ -140,7 +138,8 @@
 	}
 }
 
-// TestAmongACrowdTheRightOnesAreBarred plays three requests that end workers beside a crowd that does no harm, at ten workers.
+// TestOnlyKillersAreBarredAmongManyRequests guards against bars of harmless requests that ran beside three killer requests, and against
+// killers that crash many workers before they are barred.
 func TestOnlyKillersAreBarredAmongManyRequests(t *testing.T) {
 	const runs = 100
 	suspectedHarmless, barredHarmless, maxCrashes, crashes := 0, 0, 0, 0
@@ -159,13 +158,13 @@
 		for digest, count := range s.killerCrashes {
 			maxCrashes, crashes = max(maxCrashes, count), crashes+count
 			if !s.barred[digest] {
-				t.Errorf("seed %d: one that ended %d workers is not barred", seed, count)
+				t.Errorf("seed %d: a killer request that crashed %d workers is not barred", seed, count)
 			}
 		}
 	}
-	t.Logf("in %d plays %d workers ended under the three, %d at the most under one; of the harmless %d were under three ends, and %d are barred",
+	t.Logf("%d runs: %d crashes under killer requests, at most %d under one; %d harmless requests reached the limit, %d were barred",
 		runs, crashes, maxCrashes, suspectedHarmless, barredHarmless)
 	if maxCrashes > 8 || barredHarmless > runs/50 {
-		t.Errorf("%d workers ended under one, and %d harmless requests are barred", maxCrashes, barredHarmless)
+		t.Errorf("%d crashes under one killer request, %d harmless requests barred", maxCrashes, barredHarmless)
 	}
 }
--- a/internal/poison/strategies_test.go
+++ b/internal/poison/strategies_test.go
@@ -14,30 +14,30 @@
 	"github.com/granitebay/granitebay/internal/poison"
 )
 
-// way is how a fleet treats suspects. The zero value is that of plain spreading: a repeat goes out at once, before it is known whether
-// the worker has ended.
+// strategy is how a fleet routes suspects. The zero value bounds nothing: a request is retried at once, before it is known whether its
+// worker crashed.
 type strategy struct {
 	name string
-	// share of a role that suspects put at risk; 1 is everything, and 0 one worker.
+	// riskShare is the share of the workers that suspects may put at risk; 1 is all workers, and 0 a single one.
 	riskShare float64
-	// knows has a repeat wait until it is known whether its worker has ended.
+	// awaitsProbe delays a retry until it is known whether the worker crashed.
 	awaitsProbe bool
-	// pause is how long suspects are kept from workers after an end was heard of: repeats wait, and others are refused.
+	// suspectPause is how long suspects are not routed after a crash report: retries wait, and other requests are refused.
 	suspectPause time.Duration
-	// fresh has only those wait out the pause that have not run in this attempt: they are refused.
+	// pausesNewOnly applies the pause only to requests that have not run yet in this attempt.
 	pausesNewOnly bool
-	// holds is how long the failure of a suspect is kept from its caller, so that the next copy finds the other gateways told.
+	// failureDelay delays the failure of a suspect, so that the caller's retry finds the other gateways informed.
 	failureDelay time.Duration
-	// alone has one suspect run at a time in the whole fleet, as if all gateways knew of each other at once.
+	// oneAtATime runs one suspect at a time in the whole fleet, as if the gateways shared their state instantly.
 	oneAtATime bool
-	// tries of a gateway; zero is playTries.
+	// tries is the number of tries per gateway; zero means gatewayTries.
 	tries int
-	// sets and turn keep suspects apart in time; zero does not.
+	// sets and turn configure the turns that separate suspects in time; zero disables them.
 	sets int
 	turn time.Duration
 }
 
-// ways are weighed side by side.
+// strategies are the alternatives that BenchmarkStrategies compares.
 var strategies = []strategy{
 	{name: "a: spread", riskShare: 1},
 	{name: "b: one worker", riskShare: 0, awaitsProbe: true},
@@ -56,43 +56,44 @@
 	{name: "one try: built", riskShare: implemented.riskShare, awaitsProbe: true, tries: 1, sets: implemented.sets, turn: implemented.turn, failureDelay: implemented.failureDelay},
 }
 
-// built is the way of the gateways: a quarter of the role, repeats that wait until the end is known, sets that take turns, and failures
-// that are kept from callers until the others are told.
+// implemented is the strategy of the gateways: a quarter of the role at risk, retries that await the probe, sets that take turns, and
+// failures that are delayed until the other gateways are informed.
 var implemented = strategy{
 	name: "built", riskShare: balance.DefaultRiskSettings().Share, awaitsProbe: true, failureDelay: 30 * time.Millisecond,
 	sets: balance.DefaultRiskSettings().Sets, turn: balance.DefaultRiskSettings().Turn,
 }
 
-// Shape of a play.
+// Parameters of a simulation.
 const (
 	gatewayCount = 5
-	// playLength is how long requests come.
+	// simDuration is how long requests arrive.
 	simDuration = 16 * time.Second
-	// Each worker runs some six requests at a time. One that ends its worker takes playCrash from when it begins.
+	// serviceTime is the duration of a harmless request, and crashDelay how long a killer request runs before its worker crashes.
 	serviceTime, crashDelay = 150 * time.Millisecond, 60 * time.Millisecond
-	requestsPerWorker       = 6
-	// playAway is how long a worker is away, and playRecord how long after an end the gateways see what the records tell.
+	// requestsPerWorker is the mean number of requests that a worker runs at a time.
+	requestsPerWorker = 6
+	// restartTime is the downtime of a crashed worker, and recordDelay how much later the gateways see its new record.
 	restartTime, recordDelay = 3 * time.Second, 50 * time.Millisecond
-	// playProbe is how long it takes to find out that a worker has ended, and between playTold and playSlow until others are told.
+	// probeDelay is the duration of a probe. Updates reach other gateways after minShareDelay to maxShareDelay.
 	probeDelay, minShareDelay, maxShareDelay = time.Millisecond, 3 * time.Millisecond, 22 * time.Millisecond
-	// playTime is what a request has, playTries how often a gateway tries it, and playAgain after how long its caller sends it again.
+	// requestTimeout bounds a request with its retries. A caller retries callerRetryDelay after a failure.
 	requestTimeout, gatewayTries, callerRetryDelay = 3 * time.Second, 2, 10 * time.Millisecond
-	// playPoll is how often a repeat that waits looks whether it may run.
+	// pollInterval is the interval at which a waiting retry checks whether it may run.
 	pollInterval = 20 * time.Millisecond
-	// playLeastAfter is the shortest time after which a refused one comes back.
+	// minRetryAfter is the minimum delay before a refused request is sent again.
 	minRetryAfter = 20 * time.Millisecond
-	// killerEvery is how often a request comes that ends workers, on the mean. Each third time three copies come at one moment.
+	// killerInterval is the mean interval between killer requests. Every third time three copies arrive at once.
 	killerInterval = 800 * time.Millisecond
 )
 
-// event is something that happens at a moment.
+// event is a scheduled function.
 type event struct {
 	at       time.Time
 	sequence int
 	run      func()
 }
 
-// events are a heap in the order of time.
+// eventQueue is a heap of events, ordered by time and then by sequence.
 type eventQueue []event
 
 func (e eventQueue) Len() int { return len(e) }
@@ -107,7 +108,7 @@
 	return last
 }
 
-// playWorker is a worker of the role.
+// simWorker is a worker of the role.
 type simWorker struct {
 	number, incarnation int
 	down                bool
@@ -116,29 +117,29 @@
 
 func (w *simWorker) id() string { return fmt.Sprint("w", w.number, "/", w.incarnation) }
 
-// playGateway is a gateway with what it holds.
+// simGateway is a gateway with its table and balancer.
 type simGateway struct {
 	table    *poison.Table
 	balancer *balance.Balancer
-	// heardAt is when it heard of an end last, and judging when the next judgement is due.
+	// lastCrashReport is when the gateway last learned of a crash.
 	lastCrashReport time.Time
 }
 
-// playRequest is one request of a caller, with all its tries.
+// simRequest is a request of a caller, with all its tries.
 type simRequest struct {
 	digest  poison.Digest
 	killer  bool
 	arrived time.Time
 	gateway *simGateway
 	tries   int
-	// runs of this attempt, and whether its caller has sent it again.
+	// excluded are the workers that this attempt has tried. resent is set once the caller has retried.
 	excluded []string
 	resent   bool
-	// touched is set once a worker has ended under it, or it was refused as a suspect.
+	// affected is set once a worker crashed under the request, or it was refused or delayed as a suspect.
 	affected bool
 }
 
-// outcome counts what became of the requests of plays.
+// outcome sums up the results of several simulations.
 type outcome struct {
 	runs, crashes, maxCrashes, barred int
 	timeToBar, maxTimeToBar           time.Duration
@@ -148,7 +149,7 @@
 	falseBars                         int
 }
 
-// play is one fleet with one role.
+// simulation simulates a fleet with one role.
 type simulation struct {
 	strategy     strategy
 	now          time.Time
@@ -158,7 +159,7 @@
 	nextSequence int
 	workers      []*simWorker
 	gateways     []*simGateway
-	// suspectsRunning are those that run, where one is to run at a time.
+	// suspectsRunning is the number of suspects that run now.
 	suspectsRunning int
 	crashes         int
 	firstCrash      time.Time
@@ -168,7 +169,7 @@
 	falseBars       map[poison.Digest]bool
 }
 
-// newPlay returns a fleet at rest.
+// newSimulation returns an idle fleet.
 func newSimulation(strategy strategy, size int, seed uint64, outcome *outcome) *simulation {
 	s := &simulation{
 		strategy: strategy, now: time.Unix(1_700_000_000, 0), random: rand.New(rand.NewPCG(seed, uint64(size))), outcome: outcome,
@@ -188,7 +189,7 @@
 	return s
 }
 
-// records are those of the workers.
+// workerRecords returns the records of all workers.
 func (s *simulation) workerRecords() backend.Set {
 	set := backend.Set{}
 	for _, w := range s.workers {
@@ -197,13 +198,13 @@
 	return set
 }
 
-// after has something happen.
+// schedule runs a function after a delay.
 func (s *simulation) schedule(delay time.Duration, run func()) {
 	s.nextSequence++
 	heap.Push(&s.queue, event{at: s.now.Add(delay), sequence: s.nextSequence, run: run})
 }
 
-// run lets everything happen until a while after the last request came.
+// run processes events until some time after the last request arrived.
 func (s *simulation) run() {
 	for len(s.queue) > 0 && s.queue[0].at.Sub(s.startedAt) < simDuration+2*requestTimeout {
 		next := heap.Pop(&s.queue).(event)
@@ -222,16 +223,16 @@
 	}
 }
 
-// anyGateway returns a gateway by chance.
+// randomGateway returns a random gateway.
 func (s *simulation) randomGateway() *simGateway { return s.gateways[s.random.IntN(len(s.gateways))] }
 
-// arrive has a request come to a gateway.
+// arrive starts an attempt of a request at a gateway.
 func (s *simulation) arrive(request *simRequest, gateway *simGateway) {
 	request.gateway, request.tries, request.excluded = gateway, 0, nil
 	s.try(request)
 }
 
-// try goes on with a request at its gateway.
+// try routes a request at its gateway.
 func (s *simulation) try(request *simRequest) {
 	standing, _ := request.gateway.table.Standing(s.now, request.digest)
 	switch {
@@ -250,7 +251,7 @@
 	}
 }
 
-// anyWorker returns a worker that is up, by chance, or nil.
+// randomWorker returns a random worker that is up, or nil.
 func (s *simulation) randomWorker() *simWorker {
 	for range 20 * len(s.workers) {
 		if w := s.workers[s.random.IntN(len(s.workers))]; !w.down {
@@ -260,7 +261,7 @@
 	return nil
 }
 
-// trySuspect has a suspect run if that is allowed now.
+// trySuspect routes a suspect if the strategy allows it now.
 func (s *simulation) trySuspect(request *simRequest) {
 	gateway := request.gateway
 	paused := s.now.Sub(gateway.lastCrashReport) < s.strategy.suspectPause && (request.tries == 0 || !s.strategy.pausesNewOnly)
@@ -281,12 +282,12 @@
 			return
 		}
 	}
-	// Nothing listens there any more.
+	// The worker is down: try another one.
 	request.excluded = append(request.excluded, choice.Worker.ID)
 	s.schedule(probeDelay, func() { s.try(request) })
 }
 
-// waitOrRefuse has a request wait that has run, or whose turn is to come, and another one come back.
+// waitOrRefuse delays a request that has run before or whose turn is near, and refuses others, whose callers retry once.
 func (s *simulation) waitOrRefuse(request *simRequest) {
 	request.affected = true
 	turnsIn := request.gateway.balancer.RunsIn(s.now, balance.Query{Group: "g", Role: backend.RoleDecode, Apart: request.digest.String()})
@@ -302,7 +303,7 @@
 	s.schedule(max(turnsIn+time.Millisecond, s.strategy.suspectPause, minRetryAfter), func() { s.arrive(request, s.randomGateway()) })
 }
 
-// begin has a worker run a request.
+// startRun runs a request at a worker.
 func (s *simulation) startRun(request *simRequest, w *simWorker, suspect bool) {
 	request.tries++
 	w.running[request] = true
@@ -329,7 +330,7 @@
 	})
 }
 
-// served notes a good end.
+// succeed records the success of a request.
 func (s *simulation) succeed(request *simRequest) {
 	gateway := request.gateway
 	if standing, _ := gateway.table.Standing(s.now, request.digest); standing != poison.Clear {
@@ -343,7 +344,7 @@
 	}
 }
 
-// fail notes a request that is not served, or has its caller send it again.
+// fail records a failed try at a gateway. The caller retries once unless the request is barred.
 func (s *simulation) fail(request *simRequest) {
 	if standing, _ := request.gateway.table.Standing(s.now, request.digest); !request.resent && standing != poison.Barred {
 		request.resent = true
@@ -357,12 +358,11 @@
 	}
 }
 
-// end ends a worker under all that it runs. It is back after a while.
+// crash takes a worker down with everything that it runs, and restarts it later.
 func (s *simulation) crash(w *simWorker) {
 	crashed, id := w, w.id()
 	disconnected := w.running
 	w.running, w.down = map[*simRequest]bool{}, true
-	// What is due of this life is void.
 	s.crashes++
 	if s.firstCrash.IsZero() {
 		s.firstCrash = s.now
@@ -399,7 +399,7 @@
 	})
 }
 
-// ordered returns requests in an order that does not depend on that of a map.
+// sorted returns the requests in an order that does not depend on map iteration.
 func (s *simulation) sorted(requests map[*simRequest]bool) []*simRequest {
 	var all []*simRequest
 	for request := range requests {
@@ -415,7 +415,7 @@
 	return all
 }
 
-// repeat goes on with a request under which a worker has ended.
+// retry tries a request again whose worker crashed, or fails it after the last try.
 func (s *simulation) retry(request *simRequest) {
 	delay := time.Duration(0)
 	if s.strategy.awaitsProbe {
@@ -428,7 +428,7 @@
 	s.schedule(delay+s.strategy.failureDelay, func() { s.fail(request) })
 }
 
-// changed has the other gateways told, and judges what is due.
+// shareUpdate sends an update to the other gateways and schedules evaluations.
 func (s *simulation) shareUpdate(gateway *simGateway) {
 	update := gateway.table.TakeUpdate(s.now, false)
 	sent := s.now
@@ -449,7 +449,7 @@
 	s.scheduleEvaluation(gateway)
 }
 
-// judgeLater judges when something is due.
+// scheduleEvaluation evaluates the table of a gateway when its next evaluation is due.
 func (s *simulation) scheduleEvaluation(gateway *simGateway) {
 	next := gateway.table.NextEvaluation()
 	if next.IsZero() {
@@ -471,7 +471,7 @@
 	})
 }
 
-// crowdOf has requests come that do no harm, each of its own content but for those of a popular one.
+// scheduleHarmless lets harmless requests arrive, a share of them with the same content and the others with distinct contents.
 func (s *simulation) scheduleHarmless(popularShare float64) {
 	interval := serviceTime / time.Duration(requestsPerWorker*len(s.workers))
 	number := 0
@@ -492,7 +492,7 @@
 	s.schedule(0, next)
 }
 
-// killers have the request come that ends workers.
+// scheduleKillers lets a killer request arrive repeatedly.
 func (s *simulation) scheduleKillers() {
 	digest := poison.Asked{Target: "killer"}.Digest()
 	at := time.Second
@@ -510,7 +510,7 @@
 	}
 }
 
-// String shows an outcome as a line of a table.
+// String formats an outcome as a table row.
 func (o *outcome) String() string {
 	meanWait := time.Duration(0)
 	if served := o.affected - o.lost; served > 0 {
@@ -521,12 +521,12 @@
 		meanTimeToBar = o.timeToBar / time.Duration(o.barred)
 	}
 	runs := float64(o.runs)
-	return fmt.Sprintf("ends %.1f, most %d | barred in %.2f s, most %.2f s, %d of %d | away %.0f%% | touched %.0f, lost %.1f, wait %.2f s | false bars %d",
+	return fmt.Sprintf("crashes %.1f, max %d | barred in %.2f s, max %.2f s, %d of %d | down %.0f%% | affected %.0f, lost %.1f, wait %.2f s | false bars %d",
 		float64(o.crashes)/runs, o.maxCrashes, meanTimeToBar.Seconds(), o.maxTimeToBar.Seconds(), o.barred, o.runs, 100*o.maxShareDown,
 		float64(o.affected)/runs, float64(o.lost)/runs, meanWait.Seconds(), o.falseBars)
 }
 
-// BenchmarkWays plays all ways at roles of several sizes and shows what they cost. It is the source of the table in the design.
+// BenchmarkStrategies compares the strategies at several sizes of the role. The design document shows its results.
 func BenchmarkStrategies(b *testing.B) {
 	for _, size := range []int{4, 12, 20, 300} {
 		runs := uint64(50)
@@ -545,7 +545,7 @@
 	}
 }
 
-// playsOf plays a request that ends workers beside a crowd.
+// simulate runs simulations of killer requests among harmless ones.
 func simulate(strategy strategy, size int, runs uint64) outcome {
 	var got outcome
 	for seed := range runs {
@@ -557,9 +557,8 @@
 	return got
 }
 
-// TestOneRequestLeavesARoleMostOfItsWorkers plays a request that ends workers, and copies of it that come to three gateways at one moment.
-// From the first end on it never has more than a quarter of the role away, at any size, also where a gateway may try it only once; it
-// is barred, nobody else is, and of those that ran beside it few come to harm.
+// TestKillerRequestLeavesMostWorkersUp guards against a killer request that takes down more than a quarter of a role, also when it arrives
+// at three gateways at once and gateways do not retry. The killer must be barred, harmless requests must not, and few may be affected.
 func TestKillerRequestLeavesMostWorkersUp(t *testing.T) {
 	const runs, maxCrashes = 20, 5
 	for _, size := range []int{1, 2, 4, 12, 20, 60} {
@@ -569,27 +568,27 @@
 			got := simulate(strategy, size, runs)
 			maxDown := max(size/4, 1)
 			if got.maxShareDown > float64(maxDown)/float64(size) || got.maxCrashes > maxCrashes || got.barred < got.runs || got.falseBars > 0 {
-				t.Errorf("a role of %d, tried %d times: %v", size, tries, &got)
+				t.Errorf("%d workers, %d tries: %v", size, tries, &got)
 			}
-			// A worker runs some six requests, and at the most five of them end.
+			// Each crash affects the requests that the worker ran.
 			if affected := float64(got.affected) / runs; size > 1 && affected > 2*maxCrashes*requestsPerWorker {
-				t.Errorf("a role of %d, tried %d times: %.0f requests beside it waited or were lost", size, tries, affected)
+				t.Errorf("%d workers, %d tries: %.0f harmless requests per run waited or were lost", size, tries, affected)
 			}
-			t.Logf("a role of %d, tried %d times: %v", size, tries, &got)
+			t.Logf("%d workers, %d tries: %v", size, tries, &got)
 		}
 	}
 }
 
-// TestWorkersThatEndByThemselvesBarNobody ends workers that nobody has ended, while one request of five is always the same: one alone, a
-// rack, a zone and all at one moment, and all in a row.
+// TestUnrelatedCrashesBarNoRequest guards against bars after crashes that no request caused, while one content makes up a fifth of the
+// requests: single workers, a rack, a zone, all workers at once, and a rolling release.
 func TestUnrelatedCrashesBarNoRequest(t *testing.T) {
 	const runs = 3
 	patterns := []struct {
 		name string
-		// share of the workers that end together, every so often.
+		// share of the workers that crash together at each interval.
 		share float64
 		every time.Duration
-	}{{"one alone", 0, 4 * time.Second}, {"rack", 0.2, 4 * time.Second}, {"zone", 0.34, 5 * time.Second}, {"all", 1, 5 * time.Second}, {"release", 0, 300 * time.Millisecond}}
+	}{{"single worker", 0, 4 * time.Second}, {"rack", 0.2, 4 * time.Second}, {"zone", 0.34, 5 * time.Second}, {"all workers", 1, 5 * time.Second}, {"rolling release", 0, 300 * time.Millisecond}}
 	for _, size := range []int{4, 12} {
 		for _, pattern := range patterns {
 			var got outcome
@@ -600,14 +599,14 @@
 				s.run()
 			}
 			if got.falseBars > 0 {
-				t.Errorf("a role of %d, %s: %v", size, pattern.name, &got)
+				t.Errorf("%d workers, %s: %v", size, pattern.name, &got)
 			}
-			t.Logf("a role of %d, %s: %v", size, pattern.name, &got)
+			t.Logf("%d workers, %s: %v", size, pattern.name, &got)
 		}
 	}
 }
 
-// endSome ends workers in their order, a share of them within some milliseconds, every so often.
+// scheduleCrashes crashes a share of the workers within 10 ms at each interval, in turn.
 func (s *simulation) scheduleCrashes(share float64, every time.Duration) {
 	next := 0
 	for at := time.Second; at < simDuration-time.Second; at += every {
--- a/internal/poison/table.go
+++ b/internal/poison/table.go
@@ -9,33 +9,32 @@
 
 // Settings of a table.
 type Settings struct {
-	// Ends is how many workers end under a request before it is barred. The users' rule counts from the third.
+	// CrashLimit is the number of worker crashes that bars a request when no other suspect can explain them.
 	CrashLimit int
-	// MostEnds is how many end before it is barred although others may have ended them: two more, which the three retries that the users'
-	// rule leaves allow. One that does no harm is tried four times at the most, by two gateways.
+	// AmbiguousCrashLimit is the number of crashes that bars a request even if other suspects ran at the same workers. It exceeds the
+	// four attempts that a harmless request gets at most: two each at two gateways.
 	AmbiguousCrashLimit int
-	// Moment is how far apart two ends are at the least to count as two: a kill of a zone or a rack ends many workers within some
-	// milliseconds, and a request that is asked often ran at several of them. One that ends workers itself takes longer from one try to
-	// the next.
+	// MinCrashInterval is the minimum interval between two crashes that count separately. A power loss of a rack or zone ends many workers
+	// within milliseconds, and a frequent request ran at several of them; a request that crashes workers takes longer between attempts.
 	MinCrashInterval time.Duration
-	// Settle is how long after an end it is waited for what other gateways have to tell of it, before anything is barred for it: some
-	// times what a datagram takes between regions.
+	// SettleDelay is how long to wait for reports of other gateways after a crash before barring a request. It exceeds several times the
+	// transit time of a datagram between regions.
 	SettleDelay time.Duration
-	// Bar is how long a request is barred for the first time; each further time it is barred twice as long, up to LongestBar. Each
-	// release may cost a worker.
+	// BarDuration is the duration of the first bar of a request. It doubles with each further bar, up to MaxBarDuration, because each
+	// expiry may cost a worker.
 	BarDuration, MaxBarDuration time.Duration
-	// Memory is how long an end counts against a request that does not come again: longer than a caller repeats by itself.
+	// CrashRetention is how long a crash counts against a request that is not retried: longer than callers retry automatically.
 	CrashRetention time.Duration
-	// Trust is how long it is remembered that a request ended well, which voids what others still tell of before: many messages that tell
-	// everything. It is told for GoodTold.
+	// SuccessRetention is how long a success is remembered, so that older crash reports are ignored: longer than several full updates.
+	// SuccessShareTime is how long it is included in updates.
 	SuccessRetention, SuccessShareTime time.Duration
-	// MostSuspects and MostBarred bound what is kept; the oldest go first.
+	// MaxSuspects and MaxBarred bound the size of the table; the oldest entries are evicted first.
 	MaxSuspects, MaxBarred int
-	// MostTold bounds the ends, and the bars, in one message: 128 ends take some 4 KB of a datagram.
+	// MaxPerUpdate bounds the crashes, and the bars, in one update: 128 crashes take about 4 KB of a datagram.
 	MaxPerUpdate int
 }
 
-// DefaultSettings suit the users' deployments.
+// DefaultSettings returns the settings of a gateway.
 func DefaultSettings() Settings {
 	return Settings{
 		CrashLimit: 3, AmbiguousCrashLimit: 5, MinCrashInterval: 30 * time.Millisecond, SettleDelay: 200 * time.Millisecond, BarDuration: 10 * time.Minute,
@@ -44,40 +43,41 @@
 	}
 }
 
-// Standing is what is held of a request.
+// Standing classifies a request by the evidence against it.
 type Standing int
 
-// The standings.
+// Standings in ascending order of evidence.
 const (
-	// Clear is a request against which nothing speaks.
+	// Clear means that there is no evidence against the request.
 	Clear Standing = iota
-	// Excused is one under which workers ended each time at the moment at which others ended where it did not run: a rack or a zone went.
-	// Its ends count, and it need not be kept from workers before there are enough.
+	// Excused means that each crash coincided with that of a worker where the request did not run, as when a rack or zone fails. The crashes
+	// count, but the request is routed normally until it reaches a limit.
 	Excused
-	// Suspected is one under which a worker has ended.
+	// Suspected means that a worker crashed while running the request.
 	Suspected
-	// Judged is one under which so many ended that it may be barred once all have told what they saw: within Settle.
+	// Judged means that the request reached a crash limit and is barred after SettleDelay unless reports of other gateways clear it.
 	Judged
-	// Barred is one that goes to no worker.
+	// Barred means that the request is sent to no worker.
 	Barred
 )
 
-// suspect is what is known of one request.
+// suspect is the state of one request.
 type suspect struct {
-	// ends are the workers that ended under it, with when their connections broke, or when that was heard.
+	// crashes maps the workers that crashed under the request to the time when their connections broke, or when the bar began that
+	// named them.
 	crashes map[string]time.Time
-	// last is when an end or a bar was heard of last.
+	// lastReport is when a crash or a bar was reported last.
 	lastReport time.Time
-	// times it was barred, since when and until when.
+	// barCount counts the bars of the request; the last one lasts from barredSince to barredUntil.
 	barCount                 int
 	barredSince, barredUntil time.Time
-	// goodAt is when it ended well last, or was released: ends and bars of before are void. Zero is never.
+	// succeededAt is when the request last succeeded or was released; earlier crashes and bars are void. It is zero if it never did.
 	succeededAt time.Time
-	// rule and tenant are empty until this gateway has seen the request itself, or heard of its bar.
+	// rule and tenant are empty until this gateway has seen the request itself or received its bar.
 	rule, tenant string
 }
 
-// bar returns a suspect as a bar.
+// bar returns the state of the suspect as a Bar.
 func (s *suspect) bar(digest Digest) Bar {
 	return Bar{
 		Asked: digest, Rule: s.rule, Tenant: s.tenant, Workers: slices.Sorted(maps.Keys(s.crashes)), Times: s.barCount, Since: s.barredSince, Until: s.barredUntil,
@@ -85,27 +85,28 @@
 	}
 }
 
-// Table holds which requests workers ended under. It is a pure state machine: it has no clock, and it is not safe for concurrent use.
+// Table tracks which requests were running when workers crashed. It is a pure state machine: it reads no clock, and it is not safe for
+// concurrent use.
 //
-// An end is one incarnation of a worker; hearing of it again changes nothing, so that tables which have heard the same hold the same,
-// in whatever order they heard it. An end under a request that is or was barred is put down to that one: it is explained, and does not
-// count against others that ran there.
+// A crash is identified by the incarnation of the worker, and repeated reports have no effect. So tables converge if they receive the same
+// reports, in any order. Crashes under a request that is or was barred are attributed to it and do not count against other requests that
+// ran at the same worker.
 //
-// Invariant: a request is barred only after Ends different workers ended under it, each Moment or more after the one before, since it last
-// ended well.
+// Invariant: a request is barred only after at least CrashLimit workers crashed under it since its last success, each at least
+// MinCrashInterval after the previous one.
 type Table struct {
 	settings Settings
 	suspects map[Digest]*suspect
-	// under are the suspects that ran at each worker that ended.
+	// suspectsByWorker indexes the suspects by the crashed workers where they ran.
 	suspectsByWorker map[string]map[Digest]bool
-	// pending are the suspects that are to be judged once nothing more is heard of them for Settle.
+	// pending are the suspects to evaluate once no report about them has arrived for SettleDelay.
 	pending map[Digest]bool
-	// untold are the ends that were not told yet, and news the requests whose bar or good end was not.
+	// unsentCrashes are not shared yet, and unsentChanges are the requests with a bar or success that is not shared yet.
 	unsentCrashes []Crash
 	unsentChanges map[Digest]bool
 }
 
-// NewTable returns a table that knows nothing.
+// NewTable returns an empty table.
 func NewTable(settings Settings) *Table {
 	return &Table{
 		settings: settings, suspects: map[Digest]*suspect{}, suspectsByWorker: map[string]map[Digest]bool{}, pending: map[Digest]bool{},
@@ -113,10 +114,10 @@
 	}
 }
 
-// Empty tells whether nothing is held of any request.
+// Empty reports whether the table has no entries.
 func (t *Table) Empty() bool { return len(t.suspects) == 0 }
 
-// Standing returns what is held of a request, with the workers that ended under it and, of one that is barred, until when.
+// Standing returns the standing of a request, and its bar or the evidence against it.
 func (t *Table) Standing(now time.Time, digest Digest) (Standing, Bar) {
 	entry, found := t.suspects[digest]
 	if !found {
@@ -140,7 +141,7 @@
 	}
 }
 
-// Ended notes that a worker ended under a request of a rule and a tenant at this gateway, whose connection broke at a moment before.
+// RecordCrash records that a worker crashed while running a request of this gateway, at the time when the connection broke.
 func (t *Table) RecordCrash(now, brokenAt time.Time, crash Crash, rule, tenant string) {
 	t.mergeCrash(now, brokenAt, crash)
 	if entry, found := t.suspects[crash.Digest]; found {
@@ -148,7 +149,7 @@
 	}
 }
 
-// note takes one end of a moment.
+// mergeCrash adds a crash, unless it is known or the request succeeded since.
 func (t *Table) mergeCrash(now, at time.Time, crash Crash) {
 	entry, found := t.suspects[crash.Digest]
 	if found && !at.After(entry.succeededAt) {
@@ -173,7 +174,7 @@
 	}
 }
 
-// addEnd notes that a worker ended under a suspect at a moment.
+// addCrash adds a crash to a suspect and to the index.
 func (t *Table) addCrash(at time.Time, digest Digest, entry *suspect, worker string) {
 	entry.crashes[worker] = at
 	if t.suspectsByWorker[worker] == nil {
@@ -182,7 +183,7 @@
 	t.suspectsByWorker[worker][digest] = true
 }
 
-// unexplained returns the workers whose ends under a suspect are not put down to another request.
+// unattributed returns the workers whose crashes are not attributed to a request other than the given one.
 func (t *Table) unattributed(digest Digest, entry *suspect) []string {
 	var workers []string
 	for worker := range entry.crashes {
@@ -193,7 +194,7 @@
 	return workers
 }
 
-// explained tells whether the end of a worker is put down to another request than a suspect.
+// attributed reports whether the crash of a worker is attributed to a request other than the given one.
 func (t *Table) attributed(worker string, digest Digest) bool {
 	for other := range t.suspectsByWorker[worker] {
 		if other != digest && t.suspects[other].barCount > 0 {
@@ -203,7 +204,7 @@
 	return false
 }
 
-// excused tells whether each worker under a suspect ended together with others where it did not run.
+// allCrashesCorrelated reports whether each crash under a suspect coincided with that of a worker where it did not run.
 func (t *Table) allCrashesCorrelated(entry *suspect) bool {
 	for _, at := range entry.crashes {
 		if !t.otherWorkerCrashed(entry, at) {
@@ -213,7 +214,7 @@
 	return true
 }
 
-// othersEnded tells whether a worker at which a suspect did not run ended within Moment of a time.
+// otherWorkerCrashed reports whether a worker where the suspect did not run crashed within MinCrashInterval of the given time.
 func (t *Table) otherWorkerCrashed(entry *suspect, at time.Time) bool {
 	for worker, suspects := range t.suspectsByWorker {
 		if _, here := entry.crashes[worker]; here {
@@ -229,8 +230,8 @@
 	return false
 }
 
-// EndedWell notes that a request ran to a good end at a moment: no worker ended because of it until then. It returns what was held of it
-// before, if that is void now.
+// RecordSuccess records that a request succeeded at the given time, which voids earlier evidence against it. It returns the standing that
+// was cleared, or Clear if the standing was not affected.
 func (t *Table) RecordSuccess(now, at time.Time, digest Digest) Standing {
 	entry, found := t.suspects[digest]
 	if !found || !at.After(entry.succeededAt) || (len(entry.crashes) == 0 && entry.barCount == 0) {
@@ -239,7 +240,7 @@
 	before, _ := t.Standing(now, digest)
 	for other := range t.clearUntil(at, digest, entry) {
 		if otherEntry := t.suspects[other]; otherEntry.barCount == 0 {
-			// What could not be told apart before may be now.
+			// With this suspect cleared, the crashes may be attributable to the other one.
 			t.pending[other] = true
 		}
 	}
@@ -249,7 +250,7 @@
 	return before
 }
 
-// pardon voids all that speaks against a request up to a moment. It returns the other suspects that ran where workers ended under it.
+// clearUntil voids the evidence against a request up to the given time. It returns the other suspects of the voided crashes.
 func (t *Table) clearUntil(at time.Time, digest Digest, entry *suspect) map[Digest]bool {
 	others := map[Digest]bool{}
 	for worker, crashedAt := range entry.crashes {
@@ -271,7 +272,7 @@
 	return others
 }
 
-// drop forgets a suspect.
+// removeSuspect deletes an entry.
 func (t *Table) removeSuspect(digest Digest) {
 	for worker := range t.suspects[digest].crashes {
 		t.unindexCrash(digest, worker)
@@ -281,7 +282,7 @@
 	delete(t.unsentChanges, digest)
 }
 
-// forgetEnd forgets that a worker ended under a suspect, as far as others are concerned.
+// unindexCrash removes a crash of a suspect from the index.
 func (t *Table) unindexCrash(digest Digest, worker string) {
 	delete(t.suspectsByWorker[worker], digest)
 	if len(t.suspectsByWorker[worker]) == 0 {
@@ -289,11 +290,11 @@
 	}
 }
 
-// Bar bars a request by the word of another gateway or of the store. It tells whether that is new.
+// ApplyBar applies a bar received from another gateway or the store. It reports whether it newly bars the request.
 func (t *Table) ApplyBar(now time.Time, bar Bar) bool {
 	entry, found := t.suspects[bar.Asked]
 	if found && entry.barCount > 0 && entry.rule == "" {
-		// It was barred here by the word of others, who did not tell of its rule.
+		// This gateway was not told the rule when it barred the request.
 		entry.rule, entry.tenant = bar.Rule, bar.Tenant
 	}
 	isKnown := found && now.Before(entry.barredUntil) && bar.Times <= entry.barCount
@@ -309,7 +310,7 @@
 	entry.barCount, entry.barredSince, entry.barredUntil = max(bar.Times, 1), earlier(bar.Since, now), bar.Until
 	entry.lastReport = now
 	if bar.Rule != "" {
-		// A gateway that was only told of the ends bars without knowing the rule; one that saw the request keeps it, and tells it on.
+		// A gateway that knows the crashes only from updates bars without the rule; one that saw the request keeps and shares it.
 		entry.rule, entry.tenant = bar.Rule, bar.Tenant
 	}
 	for _, worker := range bar.Workers {
@@ -321,7 +322,7 @@
 	return isNew
 }
 
-// lapse forgets the ends that are too long ago. Those of a request that was barred count as long as it is kept.
+// expireCrashes removes the crashes older than CrashRetention. Those of requests that were barred are kept.
 func (t *Table) expireCrashes(now time.Time, digest Digest, entry *suspect) {
 	if entry.barCount > 0 {
 		return
@@ -334,7 +335,7 @@
 	}
 }
 
-// Tidy forgets what does not count any more. It is called once in a while.
+// Expire removes entries that no longer count. It is called periodically.
 func (t *Table) Expire(now time.Time) {
 	for digest, entry := range t.suspects {
 		t.expireCrashes(now, digest, entry)
@@ -346,7 +347,7 @@
 	}
 }
 
-// makeRoom drops the oldest eighth when there are too many: suspects, and those that are or were barred, each by themselves.
+// evict removes the oldest eighth of the suspects, or of those that are or were barred, if there are too many.
 func (t *Table) evict(now time.Time) {
 	if len(t.suspects) < min(t.settings.MaxSuspects, t.settings.MaxBarred) {
 		return
--- a/internal/poison/table_test.go
+++ b/internal/poison/table_test.go
@@ -11,33 +11,33 @@
 	"pgregory.net/rapid"
 )
 
-// tableRun plays one script.
+// scriptRunner runs one script.
 type scriptRunner struct {
 	now   time.Time
 	table *Table
 }
 
-// digestNamed returns the digest of a request of a name.
+// digestNamed returns the digest of a request with the given name.
 func digestNamed(name string) Digest { return Asked{Target: name}.Digest() }
 
-// settle lets time pass until everything is judged.
+// evaluate advances the time by SettleDelay and evaluates the table.
 func (r *scriptRunner) evaluate() {
 	r.now = r.now.Add(r.table.settings.SettleDelay)
 	r.table.Evaluate(r.now)
 }
 
-// step plays one line, and returns what is wrong.
+// step runs one line, and describes a failed check.
 func (r *scriptRunner) step(words []string) string {
-	verb, names := words[0], words[1:]
-	switch verb {
-	case "ended", "together":
+	command, names := words[0], words[1:]
+	switch command {
+	case "crash", "crash-together":
 		for _, name := range names[1:] {
 			r.table.RecordCrash(r.now, r.now, Crash{Digest: digestNamed(name), Worker: names[0]}, "rule", "")
 		}
-		if verb == "ended" {
+		if command == "crash" {
 			r.evaluate()
 		}
-	case "well":
+	case "succeed":
 		r.table.RecordSuccess(r.now, r.now, digestNamed(names[0]))
 		r.evaluate()
 	case "wait":
@@ -49,29 +49,29 @@
 		r.table.Expire(r.now)
 	case "release":
 		r.table.Release(r.now, digestNamed(names[0]))
-	case "told":
-		since, sinceErr := time.ParseDuration(names[1])
+	case "receive-bar":
+		age, ageErr := time.ParseDuration(names[1])
 		remaining, remainingErr := time.ParseDuration(names[2])
-		if err := errors.Join(sinceErr, remainingErr); err != nil {
+		if err := errors.Join(ageErr, remainingErr); err != nil {
 			return err.Error()
 		}
 		r.table.MergeUpdate(r.now, Told{Bars: []ToldBar{{
-			Asked: digestNamed(names[0]), Workers: []string{"far"}, Times: 1, AgoMs: since.Milliseconds(), LeftMs: remaining.Milliseconds(),
+			Asked: digestNamed(names[0]), Workers: []string{"far"}, Times: 1, AgoMs: age.Milliseconds(), LeftMs: remaining.Milliseconds(),
 		}}})
-	case "tell":
+	case "share":
 		update := r.table.TakeUpdate(r.now, len(names) > 0)
 		r.table = NewTable(DefaultSettings())
 		r.table.MergeUpdate(r.now, update)
 		r.evaluate()
 	case "clear", "excused", "suspected", "barred":
-		want := map[string]Standing{"clear": Clear, "excused": Excused, "suspected": Suspected, "barred": Barred}[verb]
+		want := map[string]Standing{"clear": Clear, "excused": Excused, "suspected": Suspected, "barred": Barred}[command]
 		for _, name := range names {
 			if got, bar := r.table.Standing(r.now, digestNamed(name)); got != want {
 				return fmt.Sprintf("%s has standing %d: %+v", name, got, bar)
 			}
 		}
 	default:
-		return "unknown verb " + verb
+		return "unknown command " + command
 	}
 	return ""
 }
@@ -97,13 +97,13 @@
 	}
 }
 
-// TestWhoWasNotThreeTimesThereIsNotBarred plays ends, good ends and messages between three tables, some of them lost or doubled.
+// TestBarRequiresCrashLimit guards against bars below the limit when crashes, successes and lost or repeated updates occur in any order.
 func TestBarRequiresCrashLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1_700_000_000, 0)
 		settings := DefaultSettings()
 		tables := []*Table{NewTable(settings), NewTable(settings), NewTable(settings)}
-		// since are the workers that ended under each request since it ended well anywhere.
+		// crashedWorkers are all workers that crashed under each request, at any table.
 		crashedWorkers := map[Digest]map[string]bool{}
 		steps := rapid.IntRange(1, 60).Draw(t, "steps")
 		for range steps {
@@ -130,7 +130,7 @@
 			for i, each := range tables {
 				for _, bar := range each.Bars(now) {
 					if len(crashedWorkers[bar.Asked]) < settings.CrashLimit {
-						t.Fatalf("table %d bars %v after the ends of %v", i, bar, crashedWorkers[bar.Asked])
+						t.Fatalf("table %d bars %v after crashes of only %v", i, bar, crashedWorkers[bar.Asked])
 					}
 				}
 			}
@@ -138,9 +138,8 @@
 	})
 }
 
-// TestTablesStayBounded has very many requests suspected and barred.
-// TestABarTellsTheRuleOfItsRequest has one gateway see the ends under a request, and another one that was only told of them bar it first, as
-// it does when it judges a millisecond sooner. Operators list the bar at either, and need to know of which rule it is.
+// TestReceivedBarLearnsRule guards against bars that are listed without rule and tenant when the gateway that created them knows the crashes
+// only from updates.
 func TestReceivedBarLearnsRule(t *testing.T) {
 	now, settings := time.Unix(1000, 0), DefaultSettings()
 	witness, informed := NewTable(settings), NewTable(settings)
@@ -152,18 +151,19 @@
 	}
 	now = now.Add(settings.SettleDelay)
 	if bars := informed.Evaluate(now); len(bars) != 1 {
-		t.Fatalf("the one that was told made %d bars", len(bars))
+		t.Fatalf("the gateway that was informed created %d bars, want 1", len(bars))
 	}
 	witness.MergeUpdate(now, informed.TakeUpdate(now, false))
 	informed.MergeUpdate(now, witness.TakeUpdate(now, true))
-	for name, table := range map[string]*Table{"saw the ends": witness, "was told of them": informed} {
+	for name, table := range map[string]*Table{"saw the crashes": witness, "was informed": informed} {
 		bars := table.Bars(now)
 		if len(bars) != 1 || bars[0].Rule != "rule" || bars[0].Tenant != "tenant" {
-			t.Errorf("the one that %s lists %+v", name, bars)
+			t.Errorf("the gateway that %s lists %+v", name, bars)
 		}
 	}
 }
 
+// TestTableSizeIsBounded guards against unbounded growth when very many requests are suspected and barred.
 func TestTableSizeIsBounded(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	settings := DefaultSettings()
@@ -180,18 +180,18 @@
 		table.Evaluate(now)
 	}
 	if suspects, bars := len(table.suspects), len(table.Bars(now)); suspects > 96 || bars > 32 || len(table.suspectsByWorker) > 3*96 {
-		t.Errorf("%d are kept, %d of them barred, with %d workers", suspects, bars, len(table.suspectsByWorker))
+		t.Errorf("%d suspects, %d bars and %d workers are kept", suspects, bars, len(table.suspectsByWorker))
 	}
 	last, _ := table.Standing(now, digestNamed("1997"))
 	if last != Barred {
-		t.Error("one that was barred last is forgotten")
+		t.Error("the latest bar was evicted")
 	}
 	if update := table.TakeUpdate(now, true); len(update.Crashes) > settings.MaxPerUpdate || len(update.Bars) > settings.MaxPerUpdate {
-		t.Errorf("%d ends and %d bars are told at once", len(update.Crashes), len(update.Bars))
+		t.Errorf("an update holds %d crashes and %d bars", len(update.Crashes), len(update.Bars))
 	}
 }
 
-// TestBarsAreReadAsTheyWereWritten writes a bar as the store holds it.
+// TestBarRoundTrip encodes and decodes a bar, and rejects malformed ones.
 func TestBarRoundTrip(t *testing.T) {
 	bar := Bar{Asked: digestNamed("a"), Rule: "quick", Tenant: "cafes", Workers: []string{"w1", "w2"}, Times: 2,
 		Since: time.Unix(1_699_999_400, 0).UTC(), Until: time.Unix(1_700_000_000, 0).UTC()}
@@ -201,11 +201,11 @@
 	}
 	read, err := DecodeBar(KeyOf(bar.Asked), value)
 	if err != nil || fmt.Sprint(read) != fmt.Sprint(bar) {
-		t.Errorf("%+v was read as %+v: %v", bar, read, err)
+		t.Errorf("%+v was decoded as %+v: %v", bar, read, err)
 	}
 	for key, value := range map[string]string{KeyOf(bar.Asked): "{", Prefix + "xyz": "{}"} {
 		if _, err := DecodeBar(key, []byte(value)); err == nil {
-			t.Errorf("%s with %q was read", key, value)
+			t.Errorf("DecodeBar accepted key %s with value %q", key, value)
 		}
 	}
 }
--- a/internal/poison/update.go
+++ b/internal/poison/update.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// End is the end of a worker under a request. More than one request may have run there.
+// Crash is the crash of a worker while it ran a request. A worker that ran several requests has one Crash for each.
 type Crash struct {
 	_      struct{} `cbor:",toarray"`
 	Digest Digest
-	// Worker is the id of its incarnation.
+	// Worker is the id of the worker's incarnation.
 	Worker string
-	// AgoMs is how long before it is told the worker ended, in milliseconds: clocks differ.
+	// AgoMs is the age of the crash when it is sent, in milliseconds; gateway clocks may differ.
 	AgoMs int64
 }
 
-// ToldBar is a bar as gateways tell each other, whose clocks differ.
+// ToldBar is a bar as it is sent between gateways, with relative times because their clocks may differ.
 type ToldBar struct {
 	_       struct{} `cbor:",toarray"`
 	Asked   Digest
@@ -24,30 +24,29 @@
 	Tenant  string
 	Workers []string
 	Times   int
-	// AgoMs is for how long the request is barred, and LeftMs for how much longer, in milliseconds.
+	// AgoMs is the age of the bar when it is sent, and LeftMs the time until it expires, in milliseconds.
 	AgoMs, LeftMs int64
 }
 
-// ToldGood is a good end of a request after workers had ended under it, or its release.
+// ToldGood is the success of a suspected request, or its release.
 type ToldGood struct {
 	_     struct{} `cbor:",toarray"`
 	Asked Digest
-	// AgoMs is how long before it is told that was, in milliseconds.
+	// AgoMs is the age of the success when it is sent, in milliseconds.
 	AgoMs int64
 }
 
-// Told is what one gateway tells the others of requests that may end workers. A lost message is made good by the next one that tells
-// everything.
+// Told is an update about suspected requests that a gateway sends to the others. Full updates make up for lost messages.
 type Told struct {
 	_       struct{} `cbor:",toarray"`
 	Crashes []Crash
-	// EndedWell are requests that ran to a good end.
+	// EndedWell are requests that succeeded or were released.
 	EndedWell []ToldGood
 	Bars      []ToldBar
 }
 
-// Tell returns what the others are to know: what is new, or everything of late. What is new is told of the ends that others told, too:
-// the one that told them may be gone.
+// TakeUpdate returns the changes since the last call, or all recent state if full is set. The changes include crashes received from other
+// gateways, which may be gone by now.
 func (t *Table) TakeUpdate(now time.Time, full bool) Told {
 	var update Told
 	if t.Empty() || (!full && len(t.unsentCrashes)+len(t.unsentChanges) == 0) {
@@ -83,7 +82,7 @@
 	return update
 }
 
-// toldBar returns a bar as it is told.
+// barUpdate returns a bar in the form that is sent.
 func barUpdate(now time.Time, bar Bar) ToldBar {
 	return ToldBar{
 		Asked: bar.Asked, Rule: bar.Rule, Tenant: bar.Tenant, Workers: bar.Workers, Times: bar.Times,
@@ -91,7 +90,7 @@
 	}
 }
 
-// latestEnds returns the ends that count, those heard last first. Those under barred requests are told with the bars.
+// recentCrashes returns the crashes that count, latest first. Those of barred requests are sent with their bars.
 func (t *Table) recentCrashes() []Crash {
 	type timedCrash struct {
 		Crash
@@ -116,7 +115,7 @@
 	return crashes
 }
 
-// Hear takes what another gateway told, and returns the bars that are new to this one.
+// MergeUpdate merges an update of another gateway, and returns the bars that are new.
 func (t *Table) MergeUpdate(now time.Time, update Told) []Bar {
 	ago := func(ms int64) time.Time { return now.Add(-time.Duration(ms) * time.Millisecond) }
 	var newBars []Bar
--- a/internal/poison/update_test.go
+++ b/internal/poison/update_test.go
@@ -8,10 +8,10 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// mostBytes bounds what one message tells of requests: it goes with the other parts of a datagram of 64 KB.
+// maxUpdateBytes bounds an update, which shares a datagram of 64 KB with other data.
 const maxUpdateBytes = 24 << 10
 
-// TestAMessageStaysSmall tells as many ends, good ends and bars as ever, each with long names.
+// TestUpdateSizeIsBounded guards against updates that exceed the datagram when a table holds more crashes, successes and bars than fit.
 func TestUpdateSizeIsBounded(t *testing.T) {
 	now := time.Unix(1_700_000_000, 0)
 	settings := DefaultSettings()
@@ -33,12 +33,12 @@
 	update := table.TakeUpdate(now, true)
 	encoded, err := cbor.Marshal(update)
 	if err != nil || len(encoded) > maxUpdateBytes {
-		t.Errorf("%d bytes tell %d ends, %d good ends and %d bars: %v", len(encoded), len(update.Crashes), len(update.EndedWell), len(update.Bars), err)
+		t.Errorf("%d bytes encode %d crashes, %d successes and %d bars: %v", len(encoded), len(update.Crashes), len(update.EndedWell), len(update.Bars), err)
 	}
 	if unsent := table.TakeUpdate(now, false); len(unsent.Crashes)+len(unsent.EndedWell)+len(unsent.Bars) > 0 {
-		t.Errorf("what is not new is told again before its time: %+v", unsent)
+		t.Errorf("an incremental update repeats known state: %+v", unsent)
 	}
-	t.Logf("%d bytes tell %d ends, %d good ends and %d bars", len(encoded), len(update.Crashes), len(update.EndedWell), len(update.Bars))
+	t.Logf("%d bytes encode %d crashes, %d successes and %d bars", len(encoded), len(update.Crashes), len(update.EndedWell), len(update.Bars))
 }
 
 func BenchmarkDigest(b *testing.B) {
