--- a/internal/roles/controller.go
+++ b/internal/roles/controller.go
@@ -68,7 +68,7 @@
 	// Holder is the name of the process, unique in the fleet.
 	Holder string
 	// Clearing is how long work is kept off an engine before its order.
-	Clearing time.Duration
+	DrainDelay time.Duration
 	// OrderTimeout bounds one order.
 	OrderTimeout time.Duration
 	Planner      Settings
@@ -80,7 +80,7 @@
 // DefaultControllerSettings return settings without a holder.
 func DefaultControllerSettings() ControllerSettings {
 	return ControllerSettings{
-		Clearing:     150 * time.Millisecond,
+		DrainDelay:   150 * time.Millisecond,
 		OrderTimeout: 1500 * time.Millisecond,
 		Planner:      DefaultSettings(),
 		Authority:    authority.DefaultSettings(),
@@ -90,14 +90,14 @@
 
 // Controller gives orders while it has the authority. One process of the fleet has it at a time.
 type Controller struct {
-	settings ControllerSettings
-	store    store.Store
-	orderer  Orderer
-	fleet    Fleet
-	logger   logrus.FieldLogger
-	planners map[string]*Planner
-	underway underway
-	decide   func(decision.Record)
+	settings       ControllerSettings
+	store          store.Store
+	orderer        Orderer
+	fleet          Fleet
+	logger         logrus.FieldLogger
+	planners       map[string]*Planner
+	pendingChanges pendingChanges
+	recordDecision func(decision.Record)
 	// wake has the next step made at once.
 	wake chan struct{}
 	// resigned is set once the process leaves: it gives the key up and asks for it no more.
@@ -106,36 +106,36 @@
 	mutex     sync.Mutex
 	authority *authority.Authority
 	// held is the revision of the key that this process holds, and era that of the store as far as is known.
-	held  store.Revision
-	era   int64
-	lease int64
+	keyRevision store.Revision
+	era         int64
+	lease       int64
 	// floors are the least numbers of engines of each role, by group.
-	floors map[string]map[backend.Role]int
+	minEngines map[string]map[backend.Role]int
 	// vacant is set when nobody holds the key, and askAfter when this process may ask for it.
-	vacant   bool
-	askAfter time.Time
+	keyFree      bool
+	acquireAfter time.Time
 }
 
 // NewController returns a controller that does nothing before Run.
 func NewController(
-	settings ControllerSettings, store store.Store, orderer Orderer, fleet Fleet, logger logrus.FieldLogger, decide func(decision.Record),
+	settings ControllerSettings, store store.Store, orderer Orderer, fleet Fleet, logger logrus.FieldLogger, recordDecision func(decision.Record),
 ) *Controller {
 	return &Controller{
-		settings: settings, store: store, orderer: orderer, fleet: fleet, logger: logger, decide: decide,
-		planners: map[string]*Planner{}, underway: underway{changes: map[string]*takenChange{}},
+		settings: settings, store: store, orderer: orderer, fleet: fleet, logger: logger, recordDecision: recordDecision,
+		planners: map[string]*Planner{}, pendingChanges: pendingChanges{changes: map[string]*pendingChange{}},
 		wake: make(chan struct{}, 1), authority: authority.New(settings.Authority),
 	}
 }
 
 // SetGroups tells the least numbers of engines that each role keeps within each group.
 func (c *Controller) SetGroups(groups []routing.Group) {
-	floors := map[string]map[backend.Role]int{}
+	minEngines := map[string]map[backend.Role]int{}
 	for _, group := range groups {
-		floors[group.Name] = group.LeastOfRole
+		minEngines[group.Name] = group.LeastOfRole
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.floors = floors
+	c.minEngines = minEngines
 }
 
 // GivesOrders tells whether this process has the authority.
@@ -146,43 +146,43 @@
 }
 
 // Authority tells whether this process may call in the name of the fleet at this moment, and its fence.
-func (c *Controller) Authority() (fence int64, may bool) {
+func (c *Controller) Authority() (fence int64, mayCall bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.authority.MayCall(c.settings.Now())
 }
 
 // Leased tells that the lease of the process was granted or renewed by a call that began at a moment.
-func (c *Controller) Leased(begun time.Time, lease int64, ttl time.Duration) {
+func (c *Controller) Leased(startedAt time.Time, lease int64, ttl time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.lease == 0 && lease != 0 {
 		c.Wake()
 	}
 	c.lease = lease
-	c.authority.Leased(begun, lease, ttl)
+	c.authority.Leased(startedAt, lease, ttl)
 }
 
 // KeyChanged tells who holds the key; a value of nil is nobody. Rank orders the processes that may ask for it when it is free.
 func (c *Controller) KeyChanged(now time.Time, value []byte, revision store.Revision, rank int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.vacant = value == nil
-	c.askAfter = now.Add(time.Duration(rank) * rankDelay)
-	var held holding
-	if value == nil || json.Unmarshal(value, &held) != nil || held.Holder != c.settings.Holder {
+	c.keyFree = value == nil
+	c.acquireAfter = now.Add(time.Duration(rank) * rankDelay)
+	var holder keyHolder
+	if value == nil || json.Unmarshal(value, &holder) != nil || holder.Holder != c.settings.Holder {
 		c.authority.Lost()
 		return
 	}
 	switch {
-	case held.Lease != c.lease:
+	case holder.Lease != c.lease:
 	case !c.authority.Holds():
 		// Also settles a call whose answer was lost.
-		c.authority.Acquired(now, held.Lease, revision.Fence(), authority.Returning)
-		c.held = revision
+		c.authority.Acquired(now, holder.Lease, revision.Fence(), authority.Returning)
+		c.keyRevision = revision
 	case revision.Era() >= c.era:
 		c.authority.Confirmed(revision.Fence())
-		c.held = revision
+		c.keyRevision = revision
 	}
 }
 
@@ -201,18 +201,18 @@
 const rankDelay = 700 * time.Millisecond
 
 // holding is the value of the key.
-type holding struct {
+type keyHolder struct {
 	Holder string `json:"holder"`
 	Lease  int64  `json:"lease"`
 }
 
 // idleTicks is by how many times more rarely a process looks that neither holds the key nor may ask for it. Hundreds of a large fleet stand
 // by, and each wake-up of theirs costs as much as one of the holder.
-const idleTicks = 8
+const idleTickFactor = 8
 
 // Run gives orders until the context ends.
 func (c *Controller) Run(ctx context.Context) {
-	timer := time.NewTimer(c.pause())
+	timer := time.NewTimer(c.stepDelay())
 	defer timer.Stop()
 	for {
 		select {
@@ -222,16 +222,16 @@
 		case <-c.wake:
 		}
 		c.step(ctx)
-		timer.Reset(c.pause())
+		timer.Reset(c.stepDelay())
 	}
 }
 
 // pause returns the time until the next step.
-func (c *Controller) pause() time.Duration {
+func (c *Controller) stepDelay() time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.lease == 0 && !c.authority.Holds() && !c.resigned.Load() {
-		return idleTicks * c.settings.Authority.TickInterval
+		return idleTickFactor * c.settings.Authority.TickInterval
 	}
 	return c.settings.Authority.TickInterval
 }
@@ -253,35 +253,35 @@
 	now := c.settings.Now()
 	c.mutex.Lock()
 	c.authority.Tick(now)
-	ask := c.vacant && c.lease != 0 && !now.Before(c.askAfter)
-	if ask {
-		c.askAfter = now.Add(time.Second)
+	acquire := c.keyFree && c.lease != 0 && !now.Before(c.acquireAfter)
+	if acquire {
+		c.acquireAfter = now.Add(time.Second)
 	}
 	lease := c.lease
-	_, may := c.authority.MayOrder(now)
+	_, mayOrder := c.authority.MayOrder(now)
 	c.mutex.Unlock()
-	if ask {
+	if acquire {
 		c.acquire(ctx, lease)
 		return
 	}
-	if !may {
+	if !mayOrder {
 		return
 	}
 	groups := c.fleet.Groups()
-	c.underway.settle(groups)
-	if rescues := c.rescue(now, groups); len(rescues) > 0 {
-		c.carryOut(ctx, rescues)
+	c.pendingChanges.removeFinished(groups)
+	if changes := c.recoverRoles(now, groups); len(changes) > 0 {
+		c.execute(ctx, changes)
 		return
 	}
 	c.confirm(ctx, now)
-	c.carryOut(ctx, c.plan(now, groups))
+	c.execute(ctx, c.plan(now, groups))
 }
 
 // rescue returns the changes that bring back a role that is gone, and keeps work off their engines.
-func (c *Controller) rescue(now time.Time, groups map[string]*Group) []Change {
+func (c *Controller) recoverRoles(now time.Time, groups map[string]*Group) []Change {
 	var changes []Change
 	for name, group := range groups {
-		for _, change := range c.planner(name).Rescue(now, group) {
+		for _, change := range c.planner(name).Recover(now, group) {
 			c.fleet.SetChanging(change.Worker.ID, change.Role)
 			changes = append(changes, change)
 		}
@@ -290,18 +290,18 @@
 }
 
 // mostAtOnce bounds the changes of one step: the engines of a group of a thousand that fall due within a tick.
-const mostAtOnce = 16
+const maxChangesPerStep = 16
 
 // plan returns the changes that are due, and keeps work off their engines. The fleet is looked at once: a change that is planned is noted
 // in the groups themselves, since to gather them is what takes long in a fleet of thousands.
 func (c *Controller) plan(now time.Time, groups map[string]*Group) []Change {
 	var changes []Change
-	for len(changes) < mostAtOnce {
+	for len(changes) < maxChangesPerStep {
 		planned := len(changes)
 		for name, group := range groups {
 			if change := c.planner(name).Next(now, group); change != nil {
 				c.fleet.SetChanging(change.Worker.ID, change.Role)
-				group.note(change)
+				group.applyChange(change)
 				changes = append(changes, *change)
 			}
 		}
@@ -314,14 +314,14 @@
 
 // planner returns the planner of a group with the floors of the moment.
 func (c *Controller) planner(group string) *Planner {
-	planner, known := c.planners[group]
-	if !known {
+	planner, found := c.planners[group]
+	if !found {
 		planner = NewPlanner(c.settings.Planner)
 		c.planners[group] = planner
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	planner.settings.LeastOfRole = c.floors[group]
+	planner.settings.MinEngines = c.minEngines[group]
 	return planner
 }
 
--- a/internal/roles/controller_test.go
+++ b/internal/roles/controller_test.go
@@ -18,17 +18,17 @@
 )
 
 // keyStore is a store with one key.
-type keyStore struct {
+type fakeStore struct {
 	store.Store
 	mutex    sync.Mutex
 	revision store.Revision
 	value    []byte
 	history  []byte
 	// loseAnswer carries the next commit out without an answer.
-	loseAnswer bool
+	loseResponse bool
 }
 
-func (k *keyStore) List(context.Context, string) ([]store.Item, store.Revision, error) {
+func (k *fakeStore) List(context.Context, string) ([]store.Item, store.Revision, error) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	if k.history == nil {
@@ -37,7 +37,7 @@
 	return []store.Item{{Key: HistoryKey, Value: k.history, Revision: k.revision}}, k.revision, nil
 }
 
-func (k *keyStore) Commit(_ context.Context, transaction store.Transaction) (store.Revision, error) {
+func (k *fakeStore) Commit(_ context.Context, transaction store.Transaction) (store.Revision, error) {
 	k.mutex.Lock()
 	defer k.mutex.Unlock()
 	if len(transaction.Deletes) > 0 && transaction.Conditions[0].Revision == k.revision {
@@ -49,7 +49,7 @@
 	}
 	k.revision++
 	k.value, k.history = transaction.Puts[0].Value, transaction.Puts[1].Value
-	if k.loseAnswer {
+	if k.loseResponse {
 		return 0, errors.New("no answer")
 	}
 	return k.revision, nil
@@ -75,51 +75,51 @@
 }
 
 // shortOfReaders is a fleet in which prompts wait.
-type shortOfReaders struct {
+type busyPrefillFleet struct {
 	mutex    sync.Mutex
 	changing []backend.Role
 }
 
-func (s *shortOfReaders) Groups() map[string]*Group {
-	return map[string]*Group{"g": {Engines: fleetOf(5, 7, 1), ReadingDemand: 5}}
+func (s *busyPrefillFleet) Groups() map[string]*Group {
+	return map[string]*Group{"g": {Engines: newEngines(5, 7, 1), ReadingDemand: 5}}
 }
 
-func (s *shortOfReaders) SetChanging(_ string, role backend.Role) {
+func (s *busyPrefillFleet) SetChanging(_ string, role backend.Role) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.changing = append(s.changing, role)
 }
 
 // newTestController returns a controller that takes orders fast.
-func newTestController(keys *keyStore, orderer Orderer, fleet Fleet) *Controller {
+func newTestController(keys *fakeStore, orderer Orderer, fleet Fleet) *Controller {
 	settings := DefaultControllerSettings()
 	settings.Holder = "a"
-	settings.Clearing = time.Millisecond
+	settings.DrainDelay = time.Millisecond
 	settings.Authority.Handover = time.Millisecond
-	settings.Planner.Pause, settings.Planner.Tick = time.Nanosecond, 0
+	settings.Planner.ChangeInterval, settings.Planner.TickInterval = time.Nanosecond, 0
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	return NewController(settings, keys, orderer, fleet, logger, func(decision.Record) {})
 }
 
 // step lets a controller do its next things.
-func step(controller *Controller, times int) {
+func runSteps(controller *Controller, times int) {
 	for range times {
 		controller.step(context.Background())
 		time.Sleep(2 * time.Millisecond)
 	}
 }
 
-func TestOrdersCarryTheAuthorityAndTheCountOfTheEngine(t *testing.T) {
-	keys, orderer, fleet := &keyStore{revision: 41}, &recordingOrderer{state: EngineState{Role: backend.RoleDecode, Orders: 7}}, &shortOfReaders{}
+func TestOrdersCarryFenceAndOrderCount(t *testing.T) {
+	keys, orderer, fleet := &fakeStore{revision: 41}, &recordingOrderer{state: EngineState{Role: backend.RoleDecode, Orders: 7}}, &busyPrefillFleet{}
 	controller := newTestController(keys, orderer, fleet)
 	controller.KeyChanged(boottime.Now(), nil, 0, 0)
-	step(controller, 3)
+	runSteps(controller, 3)
 	if len(orderer.orders) != 0 {
 		t.Fatal("an order without a lease")
 	}
 	controller.Leased(boottime.Now(), 5, time.Minute)
-	step(controller, 4)
+	runSteps(controller, 4)
 	if len(orderer.orders) == 0 {
 		t.Fatal("no order although prompts wait")
 	}
@@ -127,52 +127,52 @@
 	if first.Holder != "a" || first.Fence != 42 || first.Expected != 7 || first.Role != backend.RolePrefill {
 		t.Errorf("got %+v", first)
 	}
-	given := len(orderer.orders)
+	before := len(orderer.orders)
 	controller.KeyChanged(boottime.Now(), []byte(`{"holder":"b","lease":9}`), 50, 0)
-	step(controller, 3)
-	if len(orderer.orders) != given {
+	runSteps(controller, 3)
+	if len(orderer.orders) != before {
 		t.Error("an order after another process got the key")
 	}
 }
 
-func TestALostAnswerIsSettledByTheWatch(t *testing.T) {
-	keys, orderer := &keyStore{revision: 9, loseAnswer: true}, &recordingOrderer{state: EngineState{Role: backend.RoleDecode}}
-	controller := newTestController(keys, orderer, &shortOfReaders{})
+func TestLostCommitResponseIsResolvedByWatch(t *testing.T) {
+	keys, orderer := &fakeStore{revision: 9, loseResponse: true}, &recordingOrderer{state: EngineState{Role: backend.RoleDecode}}
+	controller := newTestController(keys, orderer, &busyPrefillFleet{})
 	controller.Leased(boottime.Now(), 5, time.Minute)
 	controller.KeyChanged(boottime.Now(), nil, 0, 0)
-	step(controller, 3)
+	runSteps(controller, 3)
 	if len(orderer.orders) != 0 {
 		t.Fatal("an order although it is not known who holds the key")
 	}
-	var held holding
+	var held keyHolder
 	if err := json.Unmarshal(keys.value, &held); err != nil || held.Lease != 5 {
 		t.Fatalf("the key holds %s", keys.value)
 	}
 	controller.KeyChanged(boottime.Now(), keys.value, keys.revision, 0)
-	step(controller, 3)
+	runSteps(controller, 3)
 	if len(orderer.orders) == 0 || orderer.orders[0].Fence != 10 {
 		t.Errorf("got %+v", orderer.orders)
 	}
 }
 
-func TestAnEngineThatRefusesItsOrderGetsWorkAgain(t *testing.T) {
+func TestRefusedOrderRestoresRouting(t *testing.T) {
 	orderer := &recordingOrderer{state: EngineState{Role: backend.RoleDecode}, err: errors.New("refused")}
-	fleet := &shortOfReaders{}
-	controller := newTestController(&keyStore{}, orderer, fleet)
+	fleet := &busyPrefillFleet{}
+	controller := newTestController(&fakeStore{}, orderer, fleet)
 	controller.Leased(boottime.Now(), 5, time.Minute)
 	controller.KeyChanged(boottime.Now(), nil, 0, 0)
-	step(controller, 4)
+	runSteps(controller, 4)
 	if len(fleet.changing) < 2 || fleet.changing[0] != backend.RolePrefill || fleet.changing[1] != backend.RoleDecode {
 		t.Errorf("work was kept off and given again as %v", fleet.changing)
 	}
 }
 
-func TestABusyEngineGetsNoOrder(t *testing.T) {
+func TestBusyEngineGetsNoOrder(t *testing.T) {
 	orderer := &recordingOrderer{state: EngineState{Role: backend.RoleDecode, Busy: true}}
-	controller := newTestController(&keyStore{}, orderer, &shortOfReaders{})
+	controller := newTestController(&fakeStore{}, orderer, &busyPrefillFleet{})
 	controller.Leased(boottime.Now(), 5, time.Minute)
 	controller.KeyChanged(boottime.Now(), nil, 0, 0)
-	step(controller, 4)
+	runSteps(controller, 4)
 	if len(orderer.orders) != 0 {
 		t.Errorf("got %+v", orderer.orders)
 	}
@@ -180,7 +180,7 @@
 
 // TestWorkIsKeptOffAnEngineForAsLongAsItChanges guards against work for an engine that finishes its long runs before it changes:
 // it refuses everything, and it was counted with its old role again.
-func TestWorkIsKeptOffAnEngineForAsLongAsItChanges(t *testing.T) {
+func TestChangingEngineGetsNoWork(t *testing.T) {
 	cases := []struct {
 		desc  string
 		state EngineState
@@ -192,15 +192,15 @@
 	}
 	for _, c := range cases {
 		t.Run(c.desc, func(t *testing.T) {
-			orderer, fleet := &recordingOrderer{state: c.state}, &shortOfReaders{}
-			controller := newTestController(&keyStore{}, orderer, fleet)
+			orderer, fleet := &recordingOrderer{state: c.state}, &busyPrefillFleet{}
+			controller := newTestController(&fakeStore{}, orderer, fleet)
 			change := Change{Worker: &backend.Worker{ID: "w0", Role: backend.RoleDecode}, Role: backend.RolePrefill}
-			controller.underway.add(epoch, change)
-			controller.confirm(context.Background(), epoch.Add(confirmEvery/2))
+			controller.pendingChanges.add(epoch, change)
+			controller.confirm(context.Background(), epoch.Add(confirmInterval/2))
 			if len(fleet.changing) != 0 {
 				t.Fatalf("asked too early: %v", fleet.changing)
 			}
-			controller.confirm(context.Background(), epoch.Add(confirmEvery))
+			controller.confirm(context.Background(), epoch.Add(confirmInterval))
 			if len(fleet.changing) != 1 || fleet.changing[0] != c.want {
 				t.Errorf("the role to be is %v, want %s", fleet.changing, c.want)
 			}
@@ -211,31 +211,31 @@
 // TestHowLongAHolderWaits plays holders one after another: the first ever waits for nobody, one that follows itself or is new waits
 // shortly before it calls the platform, and one that may take turns waits as long as it does with orders. So does one that finds no history of
 // the era of the store.
-func TestHowLongAHolderWaits(t *testing.T) {
-	keys := &keyStore{}
-	wait := func(name string) string {
+func TestHandoverDelayOfNewHolder(t *testing.T) {
+	keys := &fakeStore{}
+	takeOver := func(name string) string {
 		t.Helper()
 		settings := DefaultControllerSettings()
 		settings.Holder = name
 		settings.Authority.Handover, settings.Authority.CallHandover = time.Minute, 20*time.Millisecond
 		logger := logrus.New()
 		logger.SetOutput(io.Discard)
-		c := NewController(settings, keys, &recordingOrderer{}, &shortOfReaders{}, logger, func(decision.Record) {})
+		c := NewController(settings, keys, &recordingOrderer{}, &busyPrefillFleet{}, logger, func(decision.Record) {})
 		c.Leased(boottime.Now(), 5, time.Hour)
 		c.KeyChanged(boottime.Now(), nil, 0, 0)
 		c.step(context.Background())
-		_, atOnce := c.Authority()
+		_, immediate := c.Authority()
 		time.Sleep(30 * time.Millisecond)
-		_, soon := c.Authority()
+		_, shortly := c.Authority()
 		c.Resign()
 		c.step(context.Background())
 		if _, may := c.Authority(); may || keys.value != nil {
 			t.Errorf("%s resigned and holds the key still", name)
 		}
 		switch {
-		case atOnce:
+		case immediate:
 			return "at once"
-		case soon:
+		case shortly:
 			return "soon"
 		default:
 			return "late"
@@ -250,7 +250,7 @@
 		{"f", "late", 2}, {"f", "soon", 2}, {"g", "soon", 2}, {"f", "late", 2}, {"h", "late", 3}, {"i", "soon", 3},
 	} {
 		keys.revision = store.NewRevision(c.era, keys.revision.Number())
-		if got := wait(c.name); got != c.want {
+		if got := takeOver(c.name); got != c.want {
 			t.Errorf("%s calls %s, want %s", c.name, got, c.want)
 		}
 	}
--- a/internal/roles/holder.go
+++ b/internal/roles/holder.go
@@ -16,15 +16,15 @@
 const HistoryKey = "controllers"
 
 // keptHolders is how many holders the history names: more than can take turns within a lease.
-const keptHolders = 4
+const maxHistory = 4
 
 // HolderOf returns the name of the process that holds the key, from its value; empty when nobody does.
 func HolderOf(value []byte) string {
-	var held holding
-	if value == nil || json.Unmarshal(value, &held) != nil {
+	var holder keyHolder
+	if value == nil || json.Unmarshal(value, &holder) != nil {
 		return ""
 	}
-	return held.Holder
+	return holder.Holder
 }
 
 // history names the last holders of the key, the newest first.
@@ -35,12 +35,12 @@
 }
 
 // firstEra is the last era that may be that of a store which never came back from a copy: eras are counted from zero or one.
-const firstEra = 1
+const maxInitialEra = 1
 
 // succession says what a process is to those before it, in an era of the store. One that follows itself takes no turn.
 func (h history) succession(name string, era int64) authority.Succession {
 	switch {
-	case era > firstEra && h.Era != era:
+	case era > maxInitialEra && h.Era != era:
 		return authority.Returning
 	case len(h.Holders) == 0:
 		return authority.First
@@ -53,16 +53,16 @@
 
 // with returns the history with one more holder, as it is written in an era.
 func (h history) with(name string, era int64) history {
-	holders := slices.DeleteFunc(slices.Clone(h.Holders), func(each string) bool { return each == name })
+	holders := slices.DeleteFunc(slices.Clone(h.Holders), func(holder string) bool { return holder == name })
 	holders = slices.Insert(holders, 0, name)
-	return history{Holders: holders[:min(len(holders), keptHolders)], Era: era}
+	return history{Holders: holders[:min(len(holders), maxHistory)], Era: era}
 }
 
 // acquire asks for the key.
 func (c *Controller) acquire(ctx context.Context, lease int64) {
 	ctx, cancel := context.WithTimeout(ctx, c.settings.OrderTimeout)
 	defer cancel()
-	before, transaction, err := c.claim(ctx, lease)
+	previous, transaction, err := c.claim(ctx, lease)
 	if err != nil {
 		c.logger.WithError(err).Warn("The key of the controller can't be asked for.")
 		return
@@ -75,12 +75,12 @@
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.vacant = false
+	c.keyFree = false
 	fence := revision.Fence()
-	c.authority.Acquired(c.settings.Now(), lease, fence, before.succession(c.settings.Holder, revision.Era()))
-	c.held = revision
+	c.authority.Acquired(c.settings.Now(), lease, fence, previous.succession(c.settings.Holder, revision.Era()))
+	c.keyRevision = revision
 	c.logger.WithField("fence", fence).Info("This gateway gives the orders.")
-	c.decide(decision.Record{
+	c.recordDecision(decision.Record{
 		Kind: decision.KindAuthority, Subject: Key, Outcome: c.settings.Holder, Fence: fence,
 		Reason: "Nobody held the key of the controller, and this gateway wrote it.",
 	})
@@ -88,10 +88,10 @@
 
 // claim returns who held the key of late, and the transaction that takes it.
 func (c *Controller) claim(ctx context.Context, lease int64) (history, store.Transaction, error) {
-	var before history
-	items, at, err := c.store.List(ctx, HistoryKey)
+	var previous history
+	items, listed, err := c.store.List(ctx, HistoryKey)
 	if err != nil {
-		return before, store.Transaction{}, errors.Wrap(err, "step read the history of holders")
+		return previous, store.Transaction{}, errors.Wrap(err, "step read the history of holders")
 	}
 	revision := store.Revision(0)
 	for _, item := range items {
@@ -99,16 +99,16 @@
 			continue
 		}
 		revision = item.Revision
-		if err := json.Unmarshal(item.Value, &before); err != nil {
-			return before, store.Transaction{}, errors.Wrap(err, "step decode the history of holders")
+		if err := json.Unmarshal(item.Value, &previous); err != nil {
+			return previous, store.Transaction{}, errors.Wrap(err, "step decode the history of holders")
 		}
 	}
-	held, heldErr := json.Marshal(holding{Holder: c.settings.Holder, Lease: lease})
-	after, afterErr := json.Marshal(before.with(c.settings.Holder, at.Era()))
-	return before, store.Transaction{
+	holder, holderErr := json.Marshal(keyHolder{Holder: c.settings.Holder, Lease: lease})
+	current, currentErr := json.Marshal(previous.with(c.settings.Holder, listed.Era()))
+	return previous, store.Transaction{
 		Conditions: []store.Condition{{Key: Key}, {Key: HistoryKey, Revision: revision}},
-		Puts:       []store.Put{{Key: Key, Value: held, Lease: lease}, {Key: HistoryKey, Value: after}},
-	}, errors.Join(heldErr, afterErr)
+		Puts:       []store.Put{{Key: Key, Value: holder, Lease: lease}, {Key: HistoryKey, Value: current}},
+	}, errors.Join(holderErr, currentErr)
 }
 
 // Resign has the key given up before the process leaves, after the order that is under way, so that the next holder need not wait for
@@ -121,10 +121,10 @@
 // release gives the key up. Without an answer it goes with its lease.
 func (c *Controller) release(ctx context.Context) {
 	c.mutex.Lock()
-	revision, held := c.held, c.authority.Holds()
+	revision, isHolder := c.keyRevision, c.authority.Holds()
 	c.authority.Lost()
 	c.mutex.Unlock()
-	if !held {
+	if !isHolder {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.settings.OrderTimeout)
--- a/internal/roles/planner.go
+++ b/internal/roles/planner.go
@@ -28,7 +28,7 @@
 }
 
 // role is the one that the engine has, or will have soon.
-func (e Engine) role() backend.Role {
+func (e Engine) targetRole() backend.Role {
 	if e.Becoming != backend.RoleNone {
 		return e.Becoming
 	}
@@ -47,7 +47,7 @@
 }
 
 // note takes a change that is planned: its engine gets no work from now on.
-func (g *Group) note(change *Change) {
+func (g *Group) applyChange(change *Change) {
 	for i := range g.Engines {
 		if engine := &g.Engines[i]; engine.Worker.ID == change.Worker.ID {
 			engine.Becoming, engine.Usable = change.Role, false
@@ -68,46 +68,46 @@
 // Settings of a planner.
 type Settings struct {
 	// Smoothing is the time over which the demand for writers is averaged.
-	Smoothing time.Duration
+	SmoothingTime time.Duration
 	// Memory is the time after which a peak of the demand counts 1/e.
-	Memory time.Duration
+	PeakDecay time.Duration
 	// Room is by how much the capacity of a role is to exceed the peak of its demand.
-	Room float64
+	Headroom float64
 	// LeastUse is the part of the readers that must have been busy for more of them to be made, and FullUse the part of the
 	// places of writers.
-	LeastUse float64
-	FullUse  float64
+	MinPrefillUse float64
+	MaxDecodeUse  float64
 	// LeastShare is the part of the engines that each role keeps, whatever the mix of the moment. LeastOfRole takes its place
 	// where operators give numbers.
-	LeastShare  float64
-	LeastOfRole map[backend.Role]int
+	MinShare   float64
+	MinEngines map[backend.Role]int
 	// Pause between two changes among PauseEngines engines or fewer; among more it is shorter in proportion, so that a fleet of any
 	// size follows its mix in the same time.
-	Pause        time.Duration
-	PauseEngines int
+	ChangeInterval        time.Duration
+	ChangeIntervalEngines int
 	// Tick is how often changes are asked for. Those that fall due in between are made together.
-	Tick time.Duration
+	TickInterval time.Duration
 	// Calm is for how long after writers were made for lost ones no writer is made a reader again, but for a first one; it doubles
 	// with each further loss up to LongestCalm, and falls back once there was none for twice as long. Writers that end again and
 	// again else take as many orders each time as the first, and as many back. Writers read prompts themselves meanwhile.
-	Calm, LongestCalm time.Duration
+	RecoveryHold, MaxRecoveryHold time.Duration
 }
 
 // DefaultSettings of a planner.
 func DefaultSettings() Settings {
 	return Settings{
-		Smoothing:  time.Second,
-		Memory:     20 * time.Second,
-		Room:       1.4,
-		LeastUse:   0.4,
-		FullUse:    0.9,
-		LeastShare: 1.0 / 3,
-		Pause:      700 * time.Millisecond,
+		SmoothingTime:  time.Second,
+		PeakDecay:      20 * time.Second,
+		Headroom:       1.4,
+		MinPrefillUse:  0.4,
+		MaxDecodeUse:   0.9,
+		MinShare:       1.0 / 3,
+		ChangeInterval: 700 * time.Millisecond,
 		// The largest group for which the pause was measured.
-		PauseEngines: 18,
-		Tick:         250 * time.Millisecond,
-		Calm:         5 * time.Second,
-		LongestCalm:  time.Minute,
+		ChangeIntervalEngines: 18,
+		TickInterval:          250 * time.Millisecond,
+		RecoveryHold:          5 * time.Second,
+		MaxRecoveryHold:       time.Minute,
 	}
 }
 
@@ -119,22 +119,22 @@
 type Planner struct {
 	settings Settings
 	// reading and writing are the peaks of the demand, in engines.
-	reading, writing peak
+	prefillPeak, decodePeak decayingPeak
 	// runs are the runs of the moment, averaged.
-	runs      average
-	notBefore time.Time
+	decodeLoad movingAverage
+	nextChange time.Time
 	// engines is the size of the group.
-	engines int
-	rescues rescues
+	groupSize int
+	recovery  recoveryState
 	// precautions counts the changes that were made before any demand was known.
-	precautions int
+	earlyChanges int
 }
 
 // NewPlanner returns a planner that has seen nothing.
 func NewPlanner(settings Settings) *Planner { return &Planner{settings: settings} }
 
 // side sums up the engines that have a role or will have it soon.
-type side struct {
+type roleSummary struct {
 	role  backend.Role
 	count int
 	// live engines are those whose processes run, or are expected back before another engine could have changed its role.
@@ -150,59 +150,59 @@
 }
 
 // of returns the engines of a group that have a role at a moment.
-func of(now time.Time, group *Group, role backend.Role) side {
-	s := side{role: role}
+func summarize(now time.Time, group *Group, role backend.Role) roleSummary {
+	summary := roleSummary{role: role}
 	for _, engine := range group.Engines {
 		if engine.Worker.Role == role {
 			// Engines that are about to change finish what they run.
-			s.runs += engine.Load.Writing()
+			summary.runs += engine.Load.Writing()
 		}
-		if engine.role() != role || engine.Worker.Draining {
+		if engine.targetRole() != role || engine.Worker.Draining {
 			continue
 		}
-		s.count++
-		s.slots += engine.Worker.Slots
+		summary.count++
+		summary.slots += engine.Worker.Slots
 		if !engine.Gone || (now.Before(engine.BackAt) && engine.BackAt.Before(now.Add(group.RoleChange))) {
-			s.live++
+			summary.live++
 		} else {
-			s.gone++
+			summary.gone++
 		}
 		if engine.Usable {
-			s.ready = append(s.ready, engine)
+			summary.ready = append(summary.ready, engine)
 		}
 	}
-	return s
+	return summary
 }
 
 // Next returns the next change, or nil. It is asked again after a change, with the group as it is then.
 func (p *Planner) Next(now time.Time, group *Group) *Change {
-	readers, writers := of(now, group, backend.RolePrefill), of(now, group, backend.RoleDecode)
-	p.engines = readers.count + writers.count
-	if writers.slots == 0 {
+	prefill, decode := summarize(now, group, backend.RolePrefill), summarize(now, group, backend.RoleDecode)
+	p.groupSize = prefill.count + decode.count
+	if decode.slots == 0 {
 		return nil
 	}
-	slots := float64(writers.slots) / float64(writers.count)
-	running := p.runs.update(now, float64(writers.runs)/slots, p.settings.Smoothing)
-	writing := p.writing.update(now, running, p.settings.Memory)
-	reading := p.reading.update(now, group.ReadingDemand, p.settings.Memory)
-	if now.Before(p.notBefore) {
+	slots := float64(decode.slots) / float64(decode.count)
+	decodeLoad := p.decodeLoad.update(now, float64(decode.runs)/slots, p.settings.SmoothingTime)
+	decodePeak := p.decodePeak.update(now, decodeLoad, p.settings.PeakDecay)
+	prefillPeak := p.prefillPeak.update(now, group.ReadingDemand, p.settings.PeakDecay)
+	if now.Before(p.nextChange) {
 		return nil
 	}
-	unknown := reading == 0 && writing == 0
-	busyReaders := reading > p.settings.LeastUse*float64(readers.count)
-	room := float64(writers.live-1) >= p.settings.Room*writing && !p.rescues.calm(now)
-	fullWriters := running > p.settings.FullUse*float64(writers.count)
+	noDemand := prefillPeak == 0 && decodePeak == 0
+	prefillBusy := prefillPeak > p.settings.MinPrefillUse*float64(prefill.count)
+	decodeHasHeadroom := float64(decode.live-1) >= p.settings.Headroom*decodePeak && !p.recovery.holds(now)
+	decodeFull := decodeLoad > p.settings.MaxDecodeUse*float64(decode.count)
 	switch {
-	case unknown && writers.count-readers.count >= 2 && p.canGive(writers, readers) && p.takesPrecaution((writers.count-readers.count)/2):
-		return p.change(now, writers, backend.RolePrefill, "Nothing is known of the mix yet, so each role gets half.")
-	case p.fewer(readers, writers) && p.canGive(writers, readers) && (readers.count == 0 || !p.rescues.calm(now)):
-		return p.change(now, writers, backend.RolePrefill, "There are fewer readers than the least share.")
-	case p.fewer(writers, readers) && p.canGive(readers, writers):
-		return p.change(now, readers, backend.RoleDecode, "There are fewer writers than the least share.")
-	case busyReaders && room && p.canGive(writers, readers):
-		return p.change(now, writers, backend.RolePrefill, "The prompts that come keep readers busy while writers have room.")
-	case fullWriters && p.canGive(readers, writers):
-		return p.change(now, readers, backend.RoleDecode, "Runs fill the writers.")
+	case noDemand && decode.count-prefill.count >= 2 && p.canSpare(decode, prefill) && p.allowEarlyChange((decode.count-prefill.count)/2):
+		return p.change(now, decode, backend.RolePrefill, "Nothing is known of the mix yet, so each role gets half.")
+	case p.belowMin(prefill, decode) && p.canSpare(decode, prefill) && (prefill.count == 0 || !p.recovery.holds(now)):
+		return p.change(now, decode, backend.RolePrefill, "There are fewer readers than the least share.")
+	case p.belowMin(decode, prefill) && p.canSpare(prefill, decode):
+		return p.change(now, prefill, backend.RoleDecode, "There are fewer writers than the least share.")
+	case prefillBusy && decodeHasHeadroom && p.canSpare(decode, prefill):
+		return p.change(now, decode, backend.RolePrefill, "The prompts that come keep readers busy while writers have room.")
+	case decodeFull && p.canSpare(prefill, decode):
+		return p.change(now, prefill, backend.RoleDecode, "Runs fill the writers.")
 	default:
 		return nil
 	}
@@ -210,61 +210,61 @@
 
 // precautionFactor times the square root of the number of engines is the most that are moved for a demand that is not known yet: the spread
 // of a demand grows with the square root of its size, as in staffing by the square root.
-const precautionFactor = 1.5
+const earlyChangeFactor = 1.5
 
 // takesPrecaution counts a change for a demand that is not known yet, and tells whether it may be made: so many more are missing until both
 // roles have half. Where that takes more than the bound, a part of it would make no difference, and a fleet of ten thousand engines would
 // be ordered about by the hundreds for nothing.
-func (p *Planner) takesPrecaution(missing int) bool {
-	if float64(p.precautions+missing) > precautionFactor*math.Sqrt(float64(p.engines)) {
+func (p *Planner) allowEarlyChange(remaining int) bool {
+	if float64(p.earlyChanges+remaining) > earlyChangeFactor*math.Sqrt(float64(p.groupSize)) {
 		return false
 	}
-	p.precautions++
+	p.earlyChanges++
 	return true
 }
 
 // fewer tells whether a side has fewer engines than its least share, because some were lost.
-func (p *Planner) fewer(few, many side) bool {
-	return few.count < p.least(few.role, few.count+many.count)
+func (p *Planner) belowMin(summary, other roleSummary) bool {
+	return summary.count < p.minEngines(summary.role, summary.count+other.count)
 }
 
 // least is how many of the engines keep a role.
-func (p *Planner) least(role backend.Role, engines int) int {
-	if len(p.settings.LeastOfRole) > 0 {
-		return max(p.settings.LeastOfRole[role], 1)
+func (p *Planner) minEngines(role backend.Role, engines int) int {
+	if len(p.settings.MinEngines) > 0 {
+		return max(p.settings.MinEngines[role], 1)
 	}
-	return max(int(math.Ceil(p.settings.LeastShare*float64(engines))), 1)
+	return max(int(math.Ceil(p.settings.MinShare*float64(engines))), 1)
 }
 
 // canGive tells whether a side can do with one engine less.
-func (p *Planner) canGive(from, to side) bool {
-	return len(from.ready) > 0 && from.live-1 >= p.least(from.role, from.count+to.count)
+func (p *Planner) canSpare(from, to roleSummary) bool {
+	return len(from.ready) > 0 && from.live-1 >= p.minEngines(from.role, from.count+to.count)
 }
 
 // change picks the engine with the least to do.
-func (p *Planner) change(now time.Time, from side, role backend.Role, reason string) *Change {
-	least := slices.MinFunc(from.ready, func(a, b Engine) int {
-		return cmp.Or(cmp.Compare(a.work(), b.work()), strings.Compare(a.Worker.ID, b.Worker.ID))
+func (p *Planner) change(now time.Time, from roleSummary, role backend.Role, reason string) *Change {
+	idlest := slices.MinFunc(from.ready, func(a, b Engine) int {
+		return cmp.Or(cmp.Compare(a.workload(), b.workload()), strings.Compare(a.Worker.ID, b.Worker.ID))
 	})
-	p.postpone(now)
-	return &Change{Worker: least.Worker, Role: role, Reason: reason}
+	p.delayNextChange(now)
+	return &Change{Worker: idlest.Worker, Role: role, Reason: reason}
 }
 
 // postpone puts off the next change by the pause of a group of this size.
-func (p *Planner) postpone(now time.Time) {
-	pause := p.settings.Pause
-	if p.engines > p.settings.PauseEngines {
-		pause = pause * time.Duration(p.settings.PauseEngines) / time.Duration(p.engines)
+func (p *Planner) delayNextChange(now time.Time) {
+	pause := p.settings.ChangeInterval
+	if p.groupSize > p.settings.ChangeIntervalEngines {
+		pause = pause * time.Duration(p.settings.ChangeIntervalEngines) / time.Duration(p.groupSize)
 	}
 	from := now
-	if due := now.Add(-p.settings.Tick); pause < p.settings.Tick {
+	if due := now.Add(-p.settings.TickInterval); pause < p.settings.TickInterval {
 		from = due
-		if p.notBefore.After(due) {
-			from = p.notBefore
+		if p.nextChange.After(due) {
+			from = p.nextChange
 		}
 	}
-	p.notBefore = from.Add(pause)
+	p.nextChange = from.Add(pause)
 }
 
 // work is how much an engine has to do, in requests; a request is taken to read a thousand tokens.
-func (e Engine) work() int { return e.Load.Running + e.Load.ReadingTokens/1000 }
+func (e Engine) workload() int { return e.Load.Running + e.Load.ReadingTokens/1000 }
