--- a/internal/roles/average.go
+++ b/internal/roles/average.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// part returns which part of what was known at a moment still counts at a later one.
+// decay returns the remaining weight at time to of a value known at time from, for exponential decay; 0 if from is zero.
 func decay(from, to time.Time, timeConstant time.Duration) float64 {
 	if from.IsZero() {
 		return 0
@@ -13,26 +13,26 @@
 	return math.Exp(-to.Sub(from).Seconds() / timeConstant.Seconds())
 }
 
-// average is a mean of the values of late.
+// movingAverage is an exponentially weighted moving average.
 type movingAverage struct {
 	value float64
 	at    time.Time
 }
 
-// update takes a value and returns the average.
+// update adds a value and returns the average.
 func (a *movingAverage) update(now time.Time, value float64, timeConstant time.Duration) float64 {
 	weight := decay(a.at, now, timeConstant)
 	a.value, a.at = weight*a.value+(1-weight)*value, now
 	return a.value
 }
 
-// peak is a maximum that fades.
+// decayingPeak is a maximum that decays exponentially.
 type decayingPeak struct {
 	value float64
 	at    time.Time
 }
 
-// update takes a value and returns the peak.
+// update adds a value and returns the peak.
 func (p *decayingPeak) update(now time.Time, value float64, timeConstant time.Duration) float64 {
 	p.value, p.at = max(decay(p.at, now, timeConstant)*p.value, value), now
 	return p.value
--- a/internal/roles/controller.go
+++ b/internal/roles/controller.go
@@ -18,66 +18,66 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// Key is held by the process that may give orders.
+// Key is the store key whose holder may give orders.
 const Key = "controller"
 
-// Order asks an engine to take a role.
+// Order tells an engine to take a role.
 type Order struct {
 	Worker *backend.Worker
 	Role   backend.Role
-	// Holder gives the order, and Fence tells its authority from older ones.
+	// Holder is the process that gives the order, and Fence the fencing token of its authority.
 	Holder string
 	Fence  int64
-	// Expected is the number of orders that the engine has taken so far; otherwise it refuses. So an order that is carried out
-	// late has no effect.
+	// Expected is the number of orders that the engine has accepted so far. The engine refuses the order if the numbers differ, so a
+	// delayed order has no effect.
 	Expected int64
 }
 
-// EngineState is what an engine tells of itself.
+// EngineState is the state that an engine reports.
 type EngineState struct {
 	Role backend.Role
-	// Orders is the number of orders that the engine has taken since it started.
+	// Orders is the number of orders that the engine has accepted since it started.
 	Orders int64
-	// Busy engines are carrying one out.
+	// Busy is set while the engine carries out an order.
 	Busy bool
 }
 
-// ErrOtherWorker is returned when another worker answers at the address of an engine, which so has ended.
+// ErrOtherWorker is returned if another worker answers at the address of an engine, which means that the engine has ended.
 var ErrOtherWorker = errors.New("another worker answers at the address")
 
-// Orderer carries orders to engines.
+// Orderer sends orders to engines.
 type Orderer interface {
-	// Inspect asks an engine for its state.
+	// Inspect requests the state of an engine.
 	Inspect(ctx context.Context, worker *backend.Worker) (EngineState, error)
-	// Order returns nil when the engine takes the role or has it already. After other errors than a refusal it may have taken
-	// the order, also later.
+	// Order returns nil if the engine accepts the order or already has the role. After any error other than a refusal, the engine may
+	// still accept the order, even later.
 	Order(ctx context.Context, order Order) error
 }
 
-// Fleet is what the controller sees of the engines.
+// Fleet is the controller's view of the engines.
 type Fleet interface {
-	// Groups returns the groups of engines.
+	// Groups returns the groups of engines by name.
 	Groups() map[string]*Group
-	// SetChanging keeps work off an engine at all gateways until its record tells the role; with the role that it has, the
-	// change is given up.
+	// SetChanging stops routing to an engine at all gateways until its record has the given role. Passing its present role cancels the
+	// change.
 	SetChanging(worker string, role backend.Role)
 }
 
-// ControllerSettings of a controller.
+// ControllerSettings configures a controller.
 type ControllerSettings struct {
 	// Holder is the name of the process, unique in the fleet.
 	Holder string
-	// Clearing is how long work is kept off an engine before its order.
+	// DrainDelay is how long routing to an engine is stopped before it gets its order.
 	DrainDelay time.Duration
-	// OrderTimeout bounds one order.
+	// OrderTimeout bounds one order or one store call.
 	OrderTimeout time.Duration
 	Planner      Settings
 	Authority    authority.Settings
-	// Now is the clock of the lease and of the orders. It has to count the time in which the machine is suspended.
+	// Now is the clock for the lease and the orders. It must include the time in which the machine is suspended.
 	Now func() time.Time
 }
 
-// DefaultControllerSettings return settings without a holder.
+// DefaultControllerSettings returns settings without a holder.
 func DefaultControllerSettings() ControllerSettings {
 	return ControllerSettings{
 		DrainDelay:   150 * time.Millisecond,
@@ -88,7 +88,7 @@
 	}
 }
 
-// Controller gives orders while it has the authority. One process of the fleet has it at a time.
+// Controller gives orders while it has the authority. At most one process of the fleet has it.
 type Controller struct {
 	settings       ControllerSettings
 	store          store.Store
@@ -98,25 +98,25 @@
 	planners       map[string]*Planner
 	pendingChanges pendingChanges
 	recordDecision func(decision.Record)
-	// wake has the next step made at once.
+	// wake triggers the next step immediately.
 	wake chan struct{}
-	// resigned is set once the process leaves: it gives the key up and asks for it no more.
+	// resigned is set when the process shuts down: it releases the key and does not acquire it again.
 	resigned atomic.Bool
 
 	mutex     sync.Mutex
 	authority *authority.Authority
-	// held is the revision of the key that this process holds, and era that of the store as far as is known.
+	// keyRevision is the revision of the key that this process holds, and era the latest known era of the store.
 	keyRevision store.Revision
 	era         int64
 	lease       int64
-	// floors are the least numbers of engines of each role, by group.
+	// minEngines are the configured minimums of engines per role, by group.
 	minEngines map[string]map[backend.Role]int
-	// vacant is set when nobody holds the key, and askAfter when this process may ask for it.
+	// keyFree is set while nobody holds the key. This process may acquire it from acquireAfter on.
 	keyFree      bool
 	acquireAfter time.Time
 }
 
-// NewController returns a controller that does nothing before Run.
+// NewController returns a controller that is inactive until Run.
 func NewController(
 	settings ControllerSettings, store store.Store, orderer Orderer, fleet Fleet, logger logrus.FieldLogger, recordDecision func(decision.Record),
 ) *Controller {
@@ -127,7 +127,7 @@
 	}
 }
 
-// SetGroups tells the least numbers of engines that each role keeps within each group.
+// SetGroups sets the minimum numbers of engines per role from the configuration of the groups.
 func (c *Controller) SetGroups(groups []routing.Group) {
 	minEngines := map[string]map[backend.Role]int{}
 	for _, group := range groups {
@@ -138,21 +138,21 @@
 	c.minEngines = minEngines
 }
 
-// GivesOrders tells whether this process has the authority.
+// GivesOrders reports whether this process has the authority.
 func (c *Controller) GivesOrders() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.authority.Holds()
 }
 
-// Authority tells whether this process may call in the name of the fleet at this moment, and its fence.
+// Authority reports whether this process may make calls on behalf of the fleet now, and returns its fencing token.
 func (c *Controller) Authority() (fence int64, mayCall bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.authority.MayCall(c.settings.Now())
 }
 
-// Leased tells that the lease of the process was granted or renewed by a call that began at a moment.
+// Leased records that a call that began at startedAt granted or renewed the lease of the process.
 func (c *Controller) Leased(startedAt time.Time, lease int64, ttl time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -163,7 +163,7 @@
 	c.authority.Leased(startedAt, lease, ttl)
 }
 
-// KeyChanged tells who holds the key; a value of nil is nobody. Rank orders the processes that may ask for it when it is free.
+// KeyChanged records a new value of the key; nil means that it is free. Rank staggers the processes that try to acquire a free key.
 func (c *Controller) KeyChanged(now time.Time, value []byte, revision store.Revision, rank int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -177,7 +177,7 @@
 	switch {
 	case holder.Lease != c.lease:
 	case !c.authority.Holds():
-		// Also settles a call whose answer was lost.
+		// This also covers an acquisition whose response was lost.
 		c.authority.Acquired(now, holder.Lease, revision.Fence(), authority.Returning)
 		c.keyRevision = revision
 	case revision.Era() >= c.era:
@@ -186,7 +186,7 @@
 	}
 }
 
-// Restored tells that the store has come back from an older copy, in an era. Who holds the key is told next.
+// Restored records that the store was restored from an older copy, which began a new era. A call of KeyChanged follows.
 func (c *Controller) Restored(now time.Time, era int64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -197,17 +197,17 @@
 	c.authority.Restored(now)
 }
 
-// rankDelay is by how much later the next process asks for a free key.
+// rankDelay separates the attempts of processes with consecutive ranks to acquire a free key.
 const rankDelay = 700 * time.Millisecond
 
-// holding is the value of the key.
+// keyHolder is the value of the key.
 type keyHolder struct {
 	Holder string `json:"holder"`
 	Lease  int64  `json:"lease"`
 }
 
-// idleTicks is by how many times more rarely a process looks that neither holds the key nor may ask for it. Hundreds of a large fleet stand
-// by, and each wake-up of theirs costs as much as one of the holder.
+// idleTickFactor lengthens the tick of processes that neither hold the key nor may acquire it: a large fleet has hundreds of them, and
+// each wake-up costs as much as one of the holder.
 const idleTickFactor = 8
 
 // Run gives orders until the context ends.
@@ -226,7 +226,7 @@
 	}
 }
 
-// pause returns the time until the next step.
+// stepDelay returns the time until the next step.
 func (c *Controller) stepDelay() time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -236,7 +236,7 @@
 	return c.settings.Authority.TickInterval
 }
 
-// Wake has what changed in the fleet looked at now, and not only with the next tick. It does not wait.
+// Wake triggers a step without waiting for the next tick. It does not block.
 func (c *Controller) Wake() {
 	select {
 	case c.wake <- struct{}{}:
@@ -244,7 +244,7 @@
 	}
 }
 
-// step asks for the key when it is free, or gives the next order.
+// step acquires a free key, or plans and sends the next orders.
 func (c *Controller) step(ctx context.Context) {
 	if c.resigned.Load() {
 		c.release(ctx)
@@ -277,7 +277,7 @@
 	c.execute(ctx, c.plan(now, groups))
 }
 
-// rescue returns the changes that bring back a role that is gone, and keeps work off their engines.
+// recoverRoles returns the changes that restore a lost role, and stops routing to the engines.
 func (c *Controller) recoverRoles(now time.Time, groups map[string]*Group) []Change {
 	var changes []Change
 	for name, group := range groups {
@@ -289,11 +289,11 @@
 	return changes
 }
 
-// mostAtOnce bounds the changes of one step: the engines of a group of a thousand that fall due within a tick.
+// maxChangesPerStep bounds the changes of one step. In a group of a thousand engines, this many are due within a tick.
 const maxChangesPerStep = 16
 
-// plan returns the changes that are due, and keeps work off their engines. The fleet is looked at once: a change that is planned is noted
-// in the groups themselves, since to gather them is what takes long in a fleet of thousands.
+// plan returns the changes that are due, and stops routing to the engines. Planned changes are applied to the given groups, because
+// gathering the groups again is slow in a fleet of thousands.
 func (c *Controller) plan(now time.Time, groups map[string]*Group) []Change {
 	var changes []Change
 	for len(changes) < maxChangesPerStep {
@@ -312,7 +312,7 @@
 	return changes
 }
 
-// planner returns the planner of a group with the floors of the moment.
+// planner returns the planner of a group with the current configuration.
 func (c *Controller) planner(group string) *Planner {
 	planner, found := c.planners[group]
 	if !found {
@@ -325,8 +325,8 @@
 	return planner
 }
 
-// errNoAuthority is returned when the authority ended before the order was given.
-var errNoAuthority = errors.New("the authority ended before the order")
+// errNoAuthority is returned if the authority ended before the order was sent.
+var errNoAuthority = errors.New("the authority ended before the order was sent")
 
-// errChanging is returned when the engine is about to change already.
-var errChanging = errors.New("the engine is changing its role or has")
+// errChanging is returned if the engine already has or is taking the role.
+var errChanging = errors.New("the engine already has or is taking the role")
--- a/internal/roles/controller_test.go
+++ b/internal/roles/controller_test.go
@@ -17,14 +17,14 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// keyStore is a store with one key.
+// fakeStore stores only the key and its history.
 type fakeStore struct {
 	store.Store
 	mutex    sync.Mutex
 	revision store.Revision
 	value    []byte
 	history  []byte
-	// loseAnswer carries the next commit out without an answer.
+	// loseResponse makes commits succeed but return an error.
 	loseResponse bool
 }
 
@@ -55,7 +55,7 @@
 	return k.revision, nil
 }
 
-// recordingOrderer keeps orders.
+// recordingOrderer records orders.
 type recordingOrderer struct {
 	mutex  sync.Mutex
 	state  EngineState
@@ -74,7 +74,7 @@
 	return r.err
 }
 
-// shortOfReaders is a fleet in which prompts wait.
+// busyPrefillFleet is a fleet whose prefill engines are busy.
 type busyPrefillFleet struct {
 	mutex    sync.Mutex
 	changing []backend.Role
@@ -90,7 +90,7 @@
 	s.changing = append(s.changing, role)
 }
 
-// newTestController returns a controller that takes orders fast.
+// newTestController returns a controller without delays.
 func newTestController(keys *fakeStore, orderer Orderer, fleet Fleet) *Controller {
 	settings := DefaultControllerSettings()
 	settings.Holder = "a"
@@ -102,7 +102,7 @@
 	return NewController(settings, keys, orderer, fleet, logger, func(decision.Record) {})
 }
 
-// step lets a controller do its next things.
+// runSteps runs steps of a controller.
 func runSteps(controller *Controller, times int) {
 	for range times {
 		controller.step(context.Background())
@@ -116,22 +116,22 @@
 	controller.KeyChanged(boottime.Now(), nil, 0, 0)
 	runSteps(controller, 3)
 	if len(orderer.orders) != 0 {
-		t.Fatal("an order without a lease")
+		t.Fatal("an order was sent without a lease")
 	}
 	controller.Leased(boottime.Now(), 5, time.Minute)
 	runSteps(controller, 4)
 	if len(orderer.orders) == 0 {
-		t.Fatal("no order although prompts wait")
+		t.Fatal("no order was sent although prefill engines are busy")
 	}
 	first := orderer.orders[0]
 	if first.Holder != "a" || first.Fence != 42 || first.Expected != 7 || first.Role != backend.RolePrefill {
-		t.Errorf("got %+v", first)
+		t.Errorf("first order: %+v", first)
 	}
 	before := len(orderer.orders)
 	controller.KeyChanged(boottime.Now(), []byte(`{"holder":"b","lease":9}`), 50, 0)
 	runSteps(controller, 3)
 	if len(orderer.orders) != before {
-		t.Error("an order after another process got the key")
+		t.Error("an order was sent after another process acquired the key")
 	}
 }
 
@@ -142,16 +142,16 @@
 	controller.KeyChanged(boottime.Now(), nil, 0, 0)
 	runSteps(controller, 3)
 	if len(orderer.orders) != 0 {
-		t.Fatal("an order although it is not known who holds the key")
+		t.Fatal("an order was sent although the holder of the key is unknown")
 	}
 	var held keyHolder
 	if err := json.Unmarshal(keys.value, &held); err != nil || held.Lease != 5 {
-		t.Fatalf("the key holds %s", keys.value)
+		t.Fatalf("the value of the key is %s", keys.value)
 	}
 	controller.KeyChanged(boottime.Now(), keys.value, keys.revision, 0)
 	runSteps(controller, 3)
 	if len(orderer.orders) == 0 || orderer.orders[0].Fence != 10 {
-		t.Errorf("got %+v", orderer.orders)
+		t.Errorf("orders: %+v", orderer.orders)
 	}
 }
 
@@ -163,7 +163,7 @@
 	controller.KeyChanged(boottime.Now(), nil, 0, 0)
 	runSteps(controller, 4)
 	if len(fleet.changing) < 2 || fleet.changing[0] != backend.RolePrefill || fleet.changing[1] != backend.RoleDecode {
-		t.Errorf("work was kept off and given again as %v", fleet.changing)
+		t.Errorf("SetChanging was called with %v, want prefill and then decode", fleet.changing)
 	}
 }
 
@@ -174,21 +174,21 @@
 	controller.KeyChanged(boottime.Now(), nil, 0, 0)
 	runSteps(controller, 4)
 	if len(orderer.orders) != 0 {
-		t.Errorf("got %+v", orderer.orders)
+		t.Errorf("orders: %+v", orderer.orders)
 	}
 }
 
-// TestWorkIsKeptOffAnEngineForAsLongAsItChanges guards against work for an engine that finishes its long runs before it changes:
-// it refuses everything, and it was counted with its old role again.
+// TestChangingEngineGetsNoWork guards against routing to an engine that accepted an order but first finishes its long requests: it refuses
+// new work meanwhile.
 func TestChangingEngineGetsNoWork(t *testing.T) {
 	cases := []struct {
 		desc  string
 		state EngineState
 		want  backend.Role
 	}{
-		{"it is still busy", EngineState{Role: backend.RoleDecode, Busy: true}, backend.RolePrefill},
-		{"its record lags", EngineState{Role: backend.RolePrefill}, backend.RolePrefill},
-		{"it does nothing", EngineState{Role: backend.RoleDecode}, backend.RoleDecode},
+		{"busy", EngineState{Role: backend.RoleDecode, Busy: true}, backend.RolePrefill},
+		{"changed, but the record is outdated", EngineState{Role: backend.RolePrefill}, backend.RolePrefill},
+		{"idle in its old role", EngineState{Role: backend.RoleDecode}, backend.RoleDecode},
 	}
 	for _, c := range cases {
 		t.Run(c.desc, func(t *testing.T) {
@@ -198,19 +198,19 @@
 			controller.pendingChanges.add(epoch, change)
 			controller.confirm(context.Background(), epoch.Add(confirmInterval/2))
 			if len(fleet.changing) != 0 {
-				t.Fatalf("asked too early: %v", fleet.changing)
+				t.Fatalf("inspected before confirmInterval: %v", fleet.changing)
 			}
 			controller.confirm(context.Background(), epoch.Add(confirmInterval))
 			if len(fleet.changing) != 1 || fleet.changing[0] != c.want {
-				t.Errorf("the role to be is %v, want %s", fleet.changing, c.want)
+				t.Errorf("SetChanging was called with %v, want %s", fleet.changing, c.want)
 			}
 		})
 	}
 }
 
-// TestHowLongAHolderWaits plays holders one after another: the first ever waits for nobody, one that follows itself or is new waits
-// shortly before it calls the platform, and one that may take turns waits as long as it does with orders. So does one that finds no history of
-// the era of the store.
+// TestHandoverDelayOfNewHolder guards against calls on behalf of the fleet while the previous holder may still call. The first holder need
+// not wait, one that succeeds itself or is new waits shortly, and a returning one waits for the full handover. So does a holder that finds
+// no history of the era of the store.
 func TestHandoverDelayOfNewHolder(t *testing.T) {
 	keys := &fakeStore{}
 	takeOver := func(name string) string {
@@ -230,7 +230,7 @@
 		c.Resign()
 		c.step(context.Background())
 		if _, may := c.Authority(); may || keys.value != nil {
-			t.Errorf("%s resigned and holds the key still", name)
+			t.Errorf("%s resigned but still holds the key", name)
 		}
 		switch {
 		case immediate:
@@ -243,7 +243,7 @@
 	}
 	for _, c := range []struct {
 		name, want string
-		// era of the store, which comes back with the history that it has.
+		// era of the store. A new era means that the store was restored with its present history.
 		era int64
 	}{
 		{"a", "at once", 1}, {"a", "soon", 1}, {"b", "soon", 1}, {"a", "late", 1}, {"c", "soon", 1}, {"d", "soon", 1}, {"e", "soon", 1}, {"b", "soon", 1}, {"d", "late", 1},
@@ -251,7 +251,7 @@
 	} {
 		keys.revision = store.NewRevision(c.era, keys.revision.Number())
 		if got := takeOver(c.name); got != c.want {
-			t.Errorf("%s calls %s, want %s", c.name, got, c.want)
+			t.Errorf("%s may call %s, want %s", c.name, got, c.want)
 		}
 	}
 }
--- a/internal/roles/holder.go
+++ b/internal/roles/holder.go
@@ -12,13 +12,13 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// HistoryKey holds who held the key of late. It goes with no lease.
+// HistoryKey is the store key of the recent holders of Key. It has no lease.
 const HistoryKey = "controllers"
 
-// keptHolders is how many holders the history names: more than can take turns within a lease.
+// maxHistory is the number of holders kept, which exceeds the number that can alternate within a lease.
 const maxHistory = 4
 
-// HolderOf returns the name of the process that holds the key, from its value; empty when nobody does.
+// HolderOf returns the name of the holder from the value of the key, or an empty string if the key is free.
 func HolderOf(value []byte) string {
 	var holder keyHolder
 	if value == nil || json.Unmarshal(value, &holder) != nil {
@@ -27,17 +27,17 @@
 	return holder.Holder
 }
 
-// history names the last holders of the key, the newest first.
+// history lists the recent holders of the key, latest first.
 type history struct {
 	Holders []string `json:"holders"`
-	// Era of the store in which it was written. One of an earlier era may lack the last holders: the store has come back from an older copy.
+	// Era of the store in which the entry was written. An entry of an earlier era may lack the last holders, because the store was restored.
 	Era int64 `json:"era,omitempty"`
 }
 
-// firstEra is the last era that may be that of a store which never came back from a copy: eras are counted from zero or one.
+// maxInitialEra is the highest era of a store that was never restored: eras are counted from zero or one.
 const maxInitialEra = 1
 
-// succession says what a process is to those before it, in an era of the store. One that follows itself takes no turn.
+// succession classifies a process relative to the previous holders. A process that succeeds itself is not a returning holder.
 func (h history) succession(name string, era int64) authority.Succession {
 	switch {
 	case era > maxInitialEra && h.Era != era:
@@ -51,26 +51,26 @@
 	}
 }
 
-// with returns the history with one more holder, as it is written in an era.
+// with returns the history with a new holder in front.
 func (h history) with(name string, era int64) history {
 	holders := slices.DeleteFunc(slices.Clone(h.Holders), func(holder string) bool { return holder == name })
 	holders = slices.Insert(holders, 0, name)
 	return history{Holders: holders[:min(len(holders), maxHistory)], Era: era}
 }
 
-// acquire asks for the key.
+// acquire tries to acquire the key.
 func (c *Controller) acquire(ctx context.Context, lease int64) {
 	ctx, cancel := context.WithTimeout(ctx, c.settings.OrderTimeout)
 	defer cancel()
 	previous, transaction, err := c.claim(ctx, lease)
 	if err != nil {
-		c.logger.WithError(err).Warn("The key of the controller can't be asked for.")
+		c.logger.WithError(err).Warn("The history of controller key holders could not be read.")
 		return
 	}
 	revision, err := c.store.Commit(ctx, transaction)
 	if err != nil {
-		// A lost answer is settled by the watch, which tells who holds the key.
-		c.logger.WithError(err).Debug("The key of the controller was not got.")
+		// If only the response was lost, the watch on the key reports the holder.
+		c.logger.WithError(err).Debug("The controller key was not acquired.")
 		return
 	}
 	c.mutex.Lock()
@@ -82,11 +82,11 @@
 	c.logger.WithField("fence", fence).Info("This gateway gives the orders.")
 	c.recordDecision(decision.Record{
 		Kind: decision.KindAuthority, Subject: Key, Outcome: c.settings.Holder, Fence: fence,
-		Reason: "Nobody held the key of the controller, and this gateway wrote it.",
+		Reason: "The controller key was free, and this gateway acquired it.",
 	})
 }
 
-// claim returns who held the key of late, and the transaction that takes it.
+// claim returns the previous holders, and the transaction that acquires the key.
 func (c *Controller) claim(ctx context.Context, lease int64) (history, store.Transaction, error) {
 	var previous history
 	items, listed, err := c.store.List(ctx, HistoryKey)
@@ -111,14 +111,13 @@
 	}, errors.Join(holderErr, currentErr)
 }
 
-// Resign has the key given up before the process leaves, after the order that is under way, so that the next holder need not wait for
-// the end of a lease.
+// Resign makes the controller release the key after its current step, so that the next holder need not wait for the lease to expire.
 func (c *Controller) Resign() {
 	c.resigned.Store(true)
 	c.Wake()
 }
 
-// release gives the key up. Without an answer it goes with its lease.
+// release deletes the key. If that fails, the key expires with its lease.
 func (c *Controller) release(ctx context.Context) {
 	c.mutex.Lock()
 	revision, isHolder := c.keyRevision, c.authority.Holds()
@@ -131,8 +130,8 @@
 	defer cancel()
 	_, err := c.store.Commit(ctx, store.Transaction{Conditions: []store.Condition{{Key: Key, Revision: revision}}, Deletes: []string{Key}})
 	if err != nil {
-		c.logger.WithError(err).Warn("The key of the controller was not given up; it goes with its lease.")
+		c.logger.WithError(err).Warn("The controller key was not released; it expires with its lease.")
 		return
 	}
-	c.logger.Info("The key of the controller was given up.")
+	c.logger.Info("The controller key was released.")
 }
--- a/internal/roles/orders.go
+++ b/internal/roles/orders.go
@@ -11,11 +11,10 @@
 	"github.com/granitebay/granitebay/internal/decision"
 )
 
-// ordersAtOnce bounds the orders under way: those for a lost role of a fleet of thousands are hundreds.
+// maxConcurrentOrders bounds the concurrent orders. Recovering a role in a fleet of thousands takes hundreds.
 const maxConcurrentOrders = 64
 
-// carryOut gives engines their orders, once work has been kept off them for a while. Orders for a role that is gone are given at once:
-// without it the work of the engines leads to no answers.
+// execute sends orders after DrainDelay. Urgent orders are sent at once, because without the lost role no request completes.
 func (c *Controller) execute(ctx context.Context, changes []Change) {
 	if len(changes) == 0 {
 		return
@@ -48,7 +47,7 @@
 	}
 }
 
-// tellPlanners tells the planners which engines took no order for a lost role, and whether any did.
+// reportRecovery tells the planners which engines failed their recovery orders, and which groups accepted none.
 func (c *Controller) reportRecovery(changes []Change, errs []error) {
 	now := c.settings.Now()
 	recovered := map[string]bool{}
@@ -67,18 +66,18 @@
 	}
 }
 
-// settle takes the answer to an order.
+// finishOrder handles the result of an order.
 func (c *Controller) finishOrder(change Change, err error) {
 	log := c.logger.WithFields(logrus.Fields{"engine": change.Worker.ID, "peer": change.Worker.Address, "role": change.Role})
 	if errors.Is(err, errChanging) {
 		c.pendingChanges.add(c.settings.Now(), change)
-		log.Info("An engine is changing its role already.")
+		log.Info("An engine already has or is taking its role.")
 		return
 	}
 	if err != nil {
 		c.fleet.SetChanging(change.Worker.ID, change.Worker.Role)
-		log.WithError(err).Warn("An order was not taken.")
-		c.recordChange(change, "not taken", "An order was not taken: "+err.Error()+".")
+		log.WithError(err).Warn("An engine did not accept an order.")
+		c.recordChange(change, "not taken", "The engine did not accept the order: "+err.Error()+".")
 		return
 	}
 	c.pendingChanges.add(c.settings.Now(), change)
@@ -86,7 +85,7 @@
 	c.recordChange(change, string(change.Role), change.Reason)
 }
 
-// note records a change of role as a decision.
+// recordChange records a role change as a decision.
 func (c *Controller) recordChange(change Change, outcome, reason string) {
 	c.recordDecision(decision.Record{
 		Kind: decision.KindRole, Subject: change.Worker.Address, Outcome: outcome, Reason: reason,
@@ -94,7 +93,7 @@
 	})
 }
 
-// order gives one order. The authority is asked last thing before.
+// sendOrder sends one order. It checks the authority immediately before.
 func (c *Controller) sendOrder(ctx context.Context, change Change) error {
 	ctx, cancel := context.WithTimeout(ctx, c.settings.OrderTimeout)
 	defer cancel()
--- a/internal/roles/planner.go
+++ b/internal/roles/planner.go
@@ -1,5 +1,5 @@
-// Package roles decides which engine changes its role, so that the engines that read prompts and those that write answers follow
-// the mix of requests.
+// Package roles assigns the prefill and decode roles to engines, so that the roles match the mix of requests. Planner decides on the
+// changes, and Controller sends the orders from the one process that holds the authority.
 package roles
 
 import (
@@ -12,22 +12,21 @@
 	"github.com/granitebay/granitebay/internal/backend"
 )
 
-// Engine is what the planner knows of one engine.
+// Engine is the state of an engine as the planner sees it.
 type Engine struct {
 	Worker *backend.Worker
-	// Load of all gateways.
+	// Load is the combined load from all gateways.
 	Load backend.Load
-	// Usable engines take work now.
+	// Usable is set if the engine accepts work now.
 	Usable bool
 	// Becoming is the role that the engine was ordered to take, or empty.
 	Becoming backend.Role
-	// Gone is set when the process of the engine has ended, as this gateway saw itself, and BackAt when one like it is expected in
-	// its place; zero when that is not known.
+	// Gone is set if this gateway saw that the engine's process has ended. BackAt is when a replacement is expected, zero if unknown.
 	Gone   bool
 	BackAt time.Time
 }
 
-// role is the one that the engine has, or will have soon.
+// targetRole returns the role that the engine has or was ordered to take.
 func (e Engine) targetRole() backend.Role {
 	if e.Becoming != backend.RoleNone {
 		return e.Becoming
@@ -35,18 +34,18 @@
 	return e.Worker.Role
 }
 
-// Group is what the planner knows of the engines whose roles are planned together.
+// Group is the state of the engines whose roles are planned together.
 type Group struct {
 	Engines []Engine
-	// ReadingDemand is how many engines that only read would be busy with the prompts that callers offer.
+	// ReadingDemand is the number of prefill engines that the offered prompts would keep busy.
 	ReadingDemand float64
-	// Wrote is set once engines of the group were recorded as writers. Before, their records may only be on their way.
+	// Wrote is set once the group had decode engines. Before that, their records may not have arrived yet.
 	Wrote bool
 	// RoleChange is how long an engine takes to change its role.
 	RoleChange time.Duration
 }
 
-// note takes a change that is planned: its engine gets no work from now on.
+// applyChange marks the engine of a planned change as changing.
 func (g *Group) applyChange(change *Change) {
 	for i := range g.Engines {
 		if engine := &g.Engines[i]; engine.Worker.ID == change.Worker.ID {
@@ -56,54 +55,52 @@
 	}
 }
 
-// Change is a role that an engine is to take.
+// Change is a role that an engine should take.
 type Change struct {
 	Worker *backend.Worker
 	Role   backend.Role
 	Reason string
-	// Urgent changes bring back a role that is gone: nothing is served until they are done.
+	// Urgent is set for changes that restore a lost role, without which no request completes.
 	Urgent bool
 }
 
-// Settings of a planner.
+// Settings configures a planner.
 type Settings struct {
-	// Smoothing is the time over which the demand for writers is averaged.
+	// SmoothingTime is the time constant of the averaged decode load.
 	SmoothingTime time.Duration
-	// Memory is the time after which a peak of the demand counts 1/e.
+	// PeakDecay is the time after which a peak of the demand has decayed to 1/e.
 	PeakDecay time.Duration
-	// Room is by how much the capacity of a role is to exceed the peak of its demand.
+	// Headroom is the required ratio of the decode capacity to its peak demand.
 	Headroom float64
-	// LeastUse is the part of the readers that must have been busy for more of them to be made, and FullUse the part of the
-	// places of writers.
+	// MinPrefillUse is the utilization of prefill engines above which more are added, and MaxDecodeUse the slot utilization of decode
+	// engines above which more are added.
 	MinPrefillUse float64
 	MaxDecodeUse  float64
-	// LeastShare is the part of the engines that each role keeps, whatever the mix of the moment. LeastOfRole takes its place
-	// where operators give numbers.
+	// MinShare is the minimum share of the engines per role. MinEngines replaces it if configured.
 	MinShare   float64
 	MinEngines map[backend.Role]int
-	// Pause between two changes among PauseEngines engines or fewer; among more it is shorter in proportion, so that a fleet of any
-	// size follows its mix in the same time.
+	// ChangeInterval is the minimum interval between changes in groups of up to ChangeIntervalEngines engines. In larger groups it shrinks
+	// in proportion, so that groups of any size adapt in the same time.
 	ChangeInterval        time.Duration
 	ChangeIntervalEngines int
-	// Tick is how often changes are asked for. Those that fall due in between are made together.
+	// TickInterval is how often the planner runs. Changes that become due in between are made together.
 	TickInterval time.Duration
-	// Calm is for how long after writers were made for lost ones no writer is made a reader again, but for a first one; it doubles
-	// with each further loss up to LongestCalm, and falls back once there was none for twice as long. Writers that end again and
-	// again else take as many orders each time as the first, and as many back. Writers read prompts themselves meanwhile.
+	// RecoveryHold is how long decode engines keep their role after a recovery, unless no prefill engine is left. It doubles with each further
+	// loss up to MaxRecoveryHold, and is reset after a period of twice its length without one. It bounds the orders when decode engines crash
+	// repeatedly. Decode engines can process prompts meanwhile.
 	RecoveryHold, MaxRecoveryHold time.Duration
 }
 
-// DefaultSettings of a planner.
+// DefaultSettings returns the default settings of a planner.
 func DefaultSettings() Settings {
 	return Settings{
-		SmoothingTime:  time.Second,
-		PeakDecay:      20 * time.Second,
-		Headroom:       1.4,
-		MinPrefillUse:  0.4,
-		MaxDecodeUse:   0.9,
-		MinShare:       1.0 / 3,
-		ChangeInterval: 700 * time.Millisecond,
-		// The largest group for which the pause was measured.
+		SmoothingTime:         time.Second,
+		PeakDecay:             20 * time.Second,
+		Headroom:              1.4,
+		MinPrefillUse:         0.4,
+		MaxDecodeUse:          0.9,
+		MinShare:              1.0 / 3,
+		ChangeInterval:        700 * time.Millisecond,
 		ChangeIntervalEngines: 18,
 		TickInterval:          250 * time.Millisecond,
 		RecoveryHold:          5 * time.Second,
@@ -111,50 +108,51 @@
 	}
 }
 
-// Planner plans the roles of the engines of one group. Writers get the engines that the peak of the runs needs, with room for
-// growth; all others read where prompts keep the readers busy, because an engine that reads serves all prompts while a writer
-// without runs serves nobody. Before any demand is known, there are at least as many readers as writers. It is a pure state machine and not safe for concurrent use.
+// Planner plans the roles of the engines of one group. The decode role gets enough engines for its peak load plus headroom. Other engines
+// become prefill engines if prompts keep those busy, because prefill engines serve all prompts whereas an idle decode engine serves none.
+// Until any demand is seen, there are at least as many prefill as decode engines. It is a pure state machine and not safe for concurrent
+// use.
 //
-// Invariant: a change leaves each role its least share of the usable engines, and at least one.
+// Invariant: a change leaves each role its minimum number of usable engines, and at least one.
 type Planner struct {
 	settings Settings
-	// reading and writing are the peaks of the demand, in engines.
+	// prefillPeak and decodePeak are the peak demands, in engines.
 	prefillPeak, decodePeak decayingPeak
-	// runs are the runs of the moment, averaged.
+	// decodeLoad is the averaged number of busy decode engines.
 	decodeLoad movingAverage
 	nextChange time.Time
-	// engines is the size of the group.
+	// groupSize is the number of engines in the group.
 	groupSize int
 	recovery  recoveryState
-	// precautions counts the changes that were made before any demand was known.
+	// earlyChanges counts the changes made before any demand was seen.
 	earlyChanges int
 }
 
-// NewPlanner returns a planner that has seen nothing.
+// NewPlanner returns a planner without any history.
 func NewPlanner(settings Settings) *Planner { return &Planner{settings: settings} }
 
-// side sums up the engines that have a role or will have it soon.
+// roleSummary sums up the engines that have a role or were ordered to take it.
 type roleSummary struct {
 	role  backend.Role
 	count int
-	// live engines are those whose processes run, or are expected back before another engine could have changed its role.
+	// live engines are running, or expected back before another engine could change its role.
 	live int
 	// gone engines have ended and are not expected back that soon.
 	gone  int
 	slots int
-	// runs that the engines are writing, or that wait there for a place.
+	// runs are the requests that the engines decode, or that wait there for a slot.
 	runs int
-	// ready engines have the role and take work; one of them may be given away. Engines that are set aside for their failures
-	// are not ready, and count all the same: they come back.
+	// ready engines have the role and accept work, so one of them can change. Engines that are ejected for failures are not ready, but
+	// are counted, because they come back.
 	ready []Engine
 }
 
-// of returns the engines of a group that have a role at a moment.
+// summarize returns the summary of a role.
 func summarize(now time.Time, group *Group, role backend.Role) roleSummary {
 	summary := roleSummary{role: role}
 	for _, engine := range group.Engines {
 		if engine.Worker.Role == role {
-			// Engines that are about to change finish what they run.
+			// Engines that are about to change finish their requests.
 			summary.runs += engine.Load.Writing()
 		}
 		if engine.targetRole() != role || engine.Worker.Draining {
@@ -174,7 +172,7 @@
 	return summary
 }
 
-// Next returns the next change, or nil. It is asked again after a change, with the group as it is then.
+// Next returns the next change, or nil. The caller applies a change to the group before it calls Next again.
 func (p *Planner) Next(now time.Time, group *Group) *Change {
 	prefill, decode := summarize(now, group, backend.RolePrefill), summarize(now, group, backend.RoleDecode)
 	p.groupSize = prefill.count + decode.count
@@ -194,27 +192,26 @@
 	decodeFull := decodeLoad > p.settings.MaxDecodeUse*float64(decode.count)
 	switch {
 	case noDemand && decode.count-prefill.count >= 2 && p.canSpare(decode, prefill) && p.allowEarlyChange((decode.count-prefill.count)/2):
-		return p.change(now, decode, backend.RolePrefill, "Nothing is known of the mix yet, so each role gets half.")
+		return p.change(now, decode, backend.RolePrefill, "No demand is known yet, so each role gets half of the engines.")
 	case p.belowMin(prefill, decode) && p.canSpare(decode, prefill) && (prefill.count == 0 || !p.recovery.holds(now)):
-		return p.change(now, decode, backend.RolePrefill, "There are fewer readers than the least share.")
+		return p.change(now, decode, backend.RolePrefill, "There are fewer prefill engines than the minimum.")
 	case p.belowMin(decode, prefill) && p.canSpare(prefill, decode):
-		return p.change(now, prefill, backend.RoleDecode, "There are fewer writers than the least share.")
+		return p.change(now, prefill, backend.RoleDecode, "There are fewer decode engines than the minimum.")
 	case prefillBusy && decodeHasHeadroom && p.canSpare(decode, prefill):
-		return p.change(now, decode, backend.RolePrefill, "The prompts that come keep readers busy while writers have room.")
+		return p.change(now, decode, backend.RolePrefill, "Prompts keep the prefill engines busy, and the decode engines have headroom.")
 	case decodeFull && p.canSpare(prefill, decode):
-		return p.change(now, prefill, backend.RoleDecode, "Runs fill the writers.")
+		return p.change(now, prefill, backend.RoleDecode, "The decode engines are full.")
 	default:
 		return nil
 	}
 }
 
-// precautionFactor times the square root of the number of engines is the most that are moved for a demand that is not known yet: the spread
-// of a demand grows with the square root of its size, as in staffing by the square root.
+// earlyChangeFactor times the square root of the group size bounds the changes made before any demand is seen. Random demand varies with
+// the square root of its mean, as in square-root staffing.
 const earlyChangeFactor = 1.5
 
-// takesPrecaution counts a change for a demand that is not known yet, and tells whether it may be made: so many more are missing until both
-// roles have half. Where that takes more than the bound, a part of it would make no difference, and a fleet of ten thousand engines would
-// be ordered about by the hundreds for nothing.
+// allowEarlyChange reports whether a change may be made before any demand is seen, and counts it. The changes remaining until both roles
+// have half of the engines must stay within the bound: in a large group a part of them would make little difference.
 func (p *Planner) allowEarlyChange(remaining int) bool {
 	if float64(p.earlyChanges+remaining) > earlyChangeFactor*math.Sqrt(float64(p.groupSize)) {
 		return false
@@ -223,12 +220,12 @@
 	return true
 }
 
-// fewer tells whether a side has fewer engines than its least share, because some were lost.
+// belowMin reports whether a role has fewer engines than its minimum.
 func (p *Planner) belowMin(summary, other roleSummary) bool {
 	return summary.count < p.minEngines(summary.role, summary.count+other.count)
 }
 
-// least is how many of the engines keep a role.
+// minEngines returns the minimum number of engines of a role.
 func (p *Planner) minEngines(role backend.Role, engines int) int {
 	if len(p.settings.MinEngines) > 0 {
 		return max(p.settings.MinEngines[role], 1)
@@ -236,12 +233,12 @@
 	return max(int(math.Ceil(p.settings.MinShare*float64(engines))), 1)
 }
 
-// canGive tells whether a side can do with one engine less.
+// canSpare reports whether a role can give up one engine.
 func (p *Planner) canSpare(from, to roleSummary) bool {
 	return len(from.ready) > 0 && from.live-1 >= p.minEngines(from.role, from.count+to.count)
 }
 
-// change picks the engine with the least to do.
+// change moves the engine with the least work to another role.
 func (p *Planner) change(now time.Time, from roleSummary, role backend.Role, reason string) *Change {
 	idlest := slices.MinFunc(from.ready, func(a, b Engine) int {
 		return cmp.Or(cmp.Compare(a.workload(), b.workload()), strings.Compare(a.Worker.ID, b.Worker.ID))
@@ -250,7 +247,7 @@
 	return &Change{Worker: idlest.Worker, Role: role, Reason: reason}
 }
 
-// postpone puts off the next change by the pause of a group of this size.
+// delayNextChange applies the change interval for the size of the group.
 func (p *Planner) delayNextChange(now time.Time) {
 	pause := p.settings.ChangeInterval
 	if p.groupSize > p.settings.ChangeIntervalEngines {
@@ -266,5 +263,5 @@
 	p.nextChange = from.Add(pause)
 }
 
-// work is how much an engine has to do, in requests; a request is taken to read a thousand tokens.
+// workload returns the work of an engine in requests, counting 1000 prompt tokens as one request.
 func (e Engine) workload() int { return e.Load.Running + e.Load.ReadingTokens/1000 }
--- a/internal/roles/planner_test.go
+++ b/internal/roles/planner_test.go
@@ -13,10 +13,10 @@
 	"github.com/granitebay/granitebay/internal/backend"
 )
 
-// epoch is where the tests begin.
+// epoch is the start time of the tests.
 var epoch = time.Unix(1000, 0)
 
-// fleetOf returns engines with 32 places; those that write have so many runs each.
+// newEngines returns engines with 32 slots each. Decode engines run the given number of requests each.
 func newEngines(prefill, decode, running int) []Engine {
 	var engines []Engine
 	for i := range prefill {
@@ -30,23 +30,23 @@
 	return engines
 }
 
-// day plays a scripted day of one group and returns its changes, as moment and role.
+// scenario runs a script for one group and collects the roles of its changes.
 type scenario struct {
 	t       *testing.T
 	planner *Planner
 	now     time.Time
 	group   *Group
-	// until holds when the engines that change have their new role.
+	// changingUntil is when changing engines get their new role.
 	changingUntil map[string]time.Time
 	changes       []string
 }
 
-// play plays a line: for how long which reading demand, in engines, and how many runs there are.
+// run runs a line: a period with a prefill demand, in engines, and a number of running requests.
 func (s *scenario) run(line string) {
 	var seconds int
 	var prefillDemand float64
 	var runs int
-	if _, err := fmt.Sscanf(line, "for %ds reading %g runs %d", &seconds, &prefillDemand, &runs); err != nil {
+	if _, err := fmt.Sscanf(line, "for %ds prefill-demand %g runs %d", &seconds, &prefillDemand, &runs); err != nil {
 		s.t.Fatalf("%q: %v", line, err)
 	}
 	for range seconds * 4 {
@@ -61,7 +61,7 @@
 	}
 }
 
-// spread gives the engines that write their part of the runs, and carries changes out.
+// applyLoad distributes the requests over the decode engines, and completes changes.
 func (s *scenario) applyLoad(runs int) {
 	var decode []int
 	for i := range s.group.Engines {
@@ -88,7 +88,7 @@
 	}
 }
 
-// TestDays plays the days of testdata/scenarios.txtar.
+// TestPlannerScenarios runs the scripts in testdata/scenarios.txtar.
 func TestPlannerScenarios(t *testing.T) {
 	archive, err := txtar.ParseFile("testdata/scenarios.txtar")
 	if err != nil {
@@ -103,7 +103,7 @@
 				if want, found := strings.CutPrefix(line, "changes "); found {
 					want = expandCounts(want)
 					if got := strings.Join(append(s.changes, "."), " "); got != want {
-						t.Errorf("changes to %s, want %s", got, want)
+						t.Errorf("changes: %s, want %s", got, want)
 					}
 					s.changes = nil
 				} else if _, err := fmt.Sscanf(line, "engines prefill %d decode %d", &prefill, &decode); err == nil {
@@ -116,7 +116,7 @@
 	}
 }
 
-// repeated writes out roles that have a number before them.
+// expandCounts repeats each role that has a number before it.
 func expandCounts(changes string) string {
 	var all []string
 	count := 1
@@ -133,7 +133,7 @@
 	return strings.Join(all, " ")
 }
 
-// TestEachRoleKeepsItsShare plays random loads and carries every change out.
+// TestChangesKeepMinShare guards against changes that leave a role less than its minimum share under random load.
 func TestChangesKeepMinShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := DefaultSettings()
@@ -158,7 +158,7 @@
 				}
 			}
 			if remaining < 1 || float64(remaining) < settings.MinShare*float64(len(engines)) {
-				t.Fatalf("%d of %d engines are left with the role %s", remaining, len(engines), from)
+				t.Fatalf("only %d of %d engines keep the role %s", remaining, len(engines), from)
 			}
 		}
 	})
@@ -171,7 +171,7 @@
 		planner := NewPlanner(settings)
 		group := &Group{Engines: newEngines(20, decode, 0), ReadingDemand: 15}
 		if change := planner.Next(epoch.Add(time.Second), group); (change != nil) != want {
-			t.Errorf("%d writers with a floor of 4: change %+v", decode, change)
+			t.Errorf("%d decode engines with a minimum of 4: change %+v", decode, change)
 		}
 	}
 }
--- a/internal/roles/recovery.go
+++ b/internal/roles/recovery.go
@@ -10,22 +10,21 @@
 	"github.com/granitebay/granitebay/internal/backend"
 )
 
-// rescues remember when writers were made for lost ones.
+// recoveryState tracks the recoveries of lost decode engines.
 type recoveryState struct {
 	lastAt time.Time
-	// hold is for how long after the last one no writer is made a reader again.
+	// hold is how long decode engines keep their role after lastAt.
 	hold time.Duration
-	// failed holds until when engines that took no order come after the others, by their ids.
+	// failedUntil ranks engines that failed an order after the others until the given time, by id.
 	failedUntil map[string]time.Time
-	// before is what was known before the changes that were asked for last.
+	// previous is the state before the latest recovery.
 	previous *recoveryState
 }
 
-// failedFor is for how long an engine that took no order is passed over for others: as long as two orders that get no answer.
+// orderFailureTimeout is how long an engine that failed an order is ranked last: as long as two orders that time out.
 const orderFailureTimeout = 3 * time.Second
 
-// Failed notes that an engine took no order for a lost role. Without it the same idle engines would be asked each time, and the others
-// never.
+// OrderFailed records that an engine failed a recovery order, so that other engines are tried next.
 func (p *Planner) OrderFailed(now time.Time, worker string) {
 	if p.recovery.failedUntil == nil {
 		p.recovery.failedUntil = map[string]time.Time{}
@@ -38,14 +37,14 @@
 	p.recovery.failedUntil[worker] = now.Add(orderFailureTimeout)
 }
 
-// Unrescued tells that none of the changes that Rescue returned last was taken: they are no loss that was mended.
+// RecoveryFailed reverts the latest recovery, because no engine accepted its order.
 func (p *Planner) RecoveryFailed() {
 	if p.recovery.previous != nil {
 		p.recovery.lastAt, p.recovery.hold, p.recovery.previous = p.recovery.previous.lastAt, p.recovery.previous.hold, nil
 	}
 }
 
-// passedOver tells whether an engine took no order a moment ago.
+// failureRank returns 1 if the engine failed an order recently, otherwise 0.
 func (s *recoveryState) failureRank(now time.Time, worker string) int {
 	if now.Before(s.failedUntil[worker]) {
 		return 1
@@ -53,12 +52,12 @@
 	return 0
 }
 
-// calm tells whether writers are kept although readers may be busy.
+// holds reports whether decode engines must keep their role.
 func (s *recoveryState) holds(now time.Time) bool {
 	return !s.lastAt.IsZero() && now.Before(s.lastAt.Add(s.hold))
 }
 
-// note takes changes for lost writers. Those within a pause belong to one loss.
+// record records a recovery. Recoveries within ChangeInterval belong to the same loss.
 func (s *recoveryState) record(now time.Time, settings *Settings) {
 	s.previous = &recoveryState{lastAt: s.lastAt, hold: s.hold}
 	switch {
@@ -70,13 +69,12 @@
 	s.lastAt = now
 }
 
-// Rescue returns the changes that bring writers back when all or all but a few of them have ended. They wait for no pause: readers
-// answer nobody by themselves. When readers are gone nothing of the like is needed, since writers read prompts too; and a few lost
-// writers of many are left to their return and to the plan of the mix. Readers keep their least share, but for one case: while no writer
-// lives at all they read for nobody, and all but one may be asked.
+// Recover returns the changes that restore the decode role when at most half of its minimum is live, regardless of ChangeInterval. Lost
+// prefill engines need no recovery, because decode engines can process prompts, and few lost decode engines are left to Next. The prefill
+// role keeps its minimum unless no decode engine is live: then all but one prefill engine may change.
 //
-// Engines that are expected back before another one could have changed its role count as if they lived, and those that are changing
-// already as what they will be, so that the same loss is never mended twice.
+// Engines that are expected back before another one could change its role count as live, and engines that are changing count with their
+// new role, so that a loss is not recovered twice.
 func (p *Planner) Recover(now time.Time, group *Group) []Change {
 	prefill, decode := summarize(now, group, backend.RolePrefill), summarize(now, group, backend.RoleDecode)
 	live := prefill.live + decode.live
@@ -102,7 +100,7 @@
 	p.recovery.record(now, &p.settings)
 	p.groupSize = prefill.count + decode.count
 	p.delayNextChange(now)
-	reason := fmt.Sprintf("Of the writers %d live, fewer than half of their least share, %d: the processes of %d have ended.",
+	reason := fmt.Sprintf("Only %d decode engines are live, at most half of the minimum of %d: the processes of %d have ended.",
 		decode.live, minDecode, decode.gone)
 	var changes []Change
 	for _, engine := range candidates[:count] {
--- a/internal/roles/recovery_test.go
+++ b/internal/roles/recovery_test.go
@@ -8,7 +8,7 @@
 	"github.com/granitebay/granitebay/internal/backend"
 )
 
-// TestWhenWritersAreBroughtBack ends writers of a group at one moment, and counts the readers that are ordered at that moment.
+// TestRecoverLostDecodeEngines checks how many prefill engines get orders when decode engines are lost.
 func TestRecoverLostDecodeEngines(t *testing.T) {
 	for _, c := range []struct {
 		desc                  string
@@ -18,21 +18,21 @@
 		minEngines            map[backend.Role]int
 		want                  int
 	}{
-		{desc: "all live", prefill: 8, decode: 4, want: 0},
-		{desc: "one of four", prefill: 8, decode: 4, gone: 1, want: 0},
-		{desc: "two of four: a third of the ten that live write", prefill: 8, decode: 4, gone: 2, want: 2},
-		{desc: "all", prefill: 8, decode: 4, gone: 4, want: 3},
-		{desc: "all, and two are changing already", prefill: 8, decode: 4, gone: 4, changing: 2, want: 0},
-		{desc: "all, back sooner than a change takes", prefill: 8, decode: 4, gone: 4, backIn: 500 * time.Millisecond, want: 0},
-		{desc: "all, back later than a change takes", prefill: 8, decode: 4, gone: 4, backIn: 2 * time.Second, want: 3},
-		{desc: "all, and should be back already", prefill: 8, decode: 4, gone: 4, backIn: -time.Second, want: 3},
-		{desc: "all, of two engines that read one writes", prefill: 2, decode: 4, gone: 4, want: 1},
-		{desc: "one reader is left, which reads for whoever comes back", prefill: 1, decode: 4, gone: 4, want: 0},
-		{desc: "without any writer the floor of readers gives way", prefill: 8, decode: 4, gone: 4,
+		{desc: "none lost", prefill: 8, decode: 4, want: 0},
+		{desc: "one of four lost", prefill: 8, decode: 4, gone: 1, want: 0},
+		{desc: "two of four lost: the minimum is a third of the ten live engines", prefill: 8, decode: 4, gone: 2, want: 2},
+		{desc: "all lost", prefill: 8, decode: 4, gone: 4, want: 3},
+		{desc: "all lost, two engines are changing already", prefill: 8, decode: 4, gone: 4, changing: 2, want: 0},
+		{desc: "all lost, back sooner than a change takes", prefill: 8, decode: 4, gone: 4, backIn: 500 * time.Millisecond, want: 0},
+		{desc: "all lost, back later than a change takes", prefill: 8, decode: 4, gone: 4, backIn: 2 * time.Second, want: 3},
+		{desc: "all lost, overdue to be back", prefill: 8, decode: 4, gone: 4, backIn: -time.Second, want: 3},
+		{desc: "all lost, one of two prefill engines changes", prefill: 2, decode: 4, gone: 4, want: 1},
+		{desc: "all lost, the only prefill engine stays", prefill: 1, decode: 4, gone: 4, want: 0},
+		{desc: "all lost, the prefill minimum is ignored", prefill: 8, decode: 4, gone: 4,
 			minEngines: map[backend.Role]int{backend.RolePrefill: 8, backend.RoleDecode: 3}, want: 3},
-		{desc: "with one writer the floor of readers holds", prefill: 8, decode: 4, gone: 3,
+		{desc: "one decode engine live, the prefill minimum holds", prefill: 8, decode: 4, gone: 3,
 			minEngines: map[backend.Role]int{backend.RolePrefill: 8, backend.RoleDecode: 3}, want: 0},
-		{desc: "all records are gone too", prefill: 8, decode: 0, want: 3},
+		{desc: "all lost with their records", prefill: 8, decode: 0, want: 3},
 	} {
 		t.Run(c.desc, func(t *testing.T) {
 			settings := DefaultSettings()
@@ -59,7 +59,7 @@
 			seen := map[string]bool{}
 			for _, change := range got {
 				if !change.Urgent || change.Role != backend.RoleDecode || change.Worker.Role != backend.RolePrefill || seen[change.Worker.ID] {
-					t.Errorf("got %+v", change)
+					t.Errorf("change: %+v", change)
 				}
 				seen[change.Worker.ID] = true
 			}
@@ -69,12 +69,12 @@
 
 func TestNoRecoveryBeforeFirstDecodeRecord(t *testing.T) {
 	if got := NewPlanner(DefaultSettings()).Recover(epoch, &Group{Engines: newEngines(8, 0, 0)}); len(got) > 0 {
-		t.Errorf("%d orders before any writer was recorded", len(got))
+		t.Errorf("%d orders before any decode engine had a record", len(got))
 	}
 }
 
-// TestAFlappingRoleTakesFewOrders ends all writers that there are every four seconds for five minutes; each is back two seconds later, as
-// a writer. Callers keep readers busy all the while, so that the plan of the mix wants the readers back each time.
+// TestFlappingRoleCausesFewOrders guards against engines that change back and forth when the decode engines crash every four seconds, while
+// prompts keep the prefill engines busy.
 func TestFlappingRoleCausesFewOrders(t *testing.T) {
 	const tick, period, downtime, duration = 250 * time.Millisecond, 4 * time.Second, 2 * time.Second, 5 * time.Minute
 	engines := newEngines(8, 4, 5)
@@ -118,16 +118,16 @@
 			}
 		}
 	}
-	// 75 losses. Each of them may take as many orders as the first, and as many back, without the calm: 450.
+	// There are 75 losses. Without RecoveryHold, each could cause three orders and three back.
 	if orders > 60 {
 		t.Errorf("%d orders in %s", orders, duration)
 	}
 	if share := float64(available) / float64(ticks); share < 0.5 {
-		t.Errorf("there were writers for %.2f of the time", share)
+		t.Errorf("decode engines were available for %.2f of the time", share)
 	}
 }
 
-// BenchmarkRescue decides what brings 2,600 lost writers of 5,200 engines back.
+// BenchmarkRecover recovers from the loss of all decode engines among 5,200 engines.
 func BenchmarkRecover(b *testing.B) {
 	engines := newEngines(2600, 2600, 5)
 	for i := range engines {
@@ -144,8 +144,8 @@
 	}
 }
 
-// TestEnginesThatTakeNoOrderAreNotAskedAgainAtOnce has the idlest readers fail their orders while all writers are gone. The next ones are
-// ordered, and orders that nobody took are no loss that has the writers kept for longer.
+// TestFailedEnginesAreTriedLast guards against repeated orders to the same engines that fail them. A failed recovery must not hold decode
+// engines in their role.
 func TestFailedEnginesAreTriedLast(t *testing.T) {
 	engines := newEngines(8, 4, 0)
 	for i := range engines {
@@ -162,7 +162,7 @@
 		}
 		for _, change := range changes {
 			if ordered[change.Worker.ID] {
-				t.Errorf("%s was asked again", change.Worker.ID)
+				t.Errorf("%s was ordered again", change.Worker.ID)
 			}
 			ordered[change.Worker.ID] = true
 			planner.OrderFailed(now, change.Worker.ID)
@@ -171,6 +171,6 @@
 		now = now.Add(2 * time.Second)
 	}
 	if planner.recovery.holds(now) {
-		t.Error("writers are kept after orders that nobody took")
+		t.Error("decode engines are held after a recovery that no engine accepted")
 	}
 }
--- a/internal/roles/suspended_test.go
+++ b/internal/roles/suspended_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestAHolderThatSleptGivesNoOrder suspends the machine of a holder for longer than its lease. The steady clock of the process does not
-// count that time, and no key of the store has been heard to change.
+// TestSuspendedHolderGivesNoOrders guards against orders after the machine was suspended for longer than the lease: the monotonic clock of
+// the process does not include the suspension, and no change of the key has arrived.
 func TestSuspendedHolderGivesNoOrders(t *testing.T) {
 	orderer := &recordingOrderer{state: EngineState{Role: "decode"}}
 	suspended := time.Duration(0)
@@ -15,7 +15,7 @@
 	clock := settings.Now
 	now := func() time.Time { return clock().Add(suspended) }
 	c := newTestController(&fakeStore{}, orderer, &busyPrefillFleet{})
-	// The clock that counts sleep is the one of the default settings, which a test can't suspend: it is set ahead in its place.
+	// A test cannot suspend the machine, so it sets the clock forward.
 	c.settings.Now = now
 	c.Leased(now(), 5, 3*time.Second)
 	c.KeyChanged(now(), nil, 0, 0)
@@ -25,13 +25,13 @@
 	}
 	suspended = 4 * time.Second
 	if fence, may := c.Authority(); may {
-		t.Errorf("after 4 s asleep it may call with fence %d, with a lease of 3 s", fence)
+		t.Errorf("it may call with fence %d after a suspension of 4 s with a lease of 3 s", fence)
 	}
 	before := len(orderer.orders)
 	for range 5 {
 		c.step(context.Background())
 	}
 	if len(orderer.orders) > before {
-		t.Error("it gave an order")
+		t.Error("it sent an order after the suspension")
 	}
 }
--- a/internal/roles/pending.go
+++ b/internal/roles/transitions.go
@@ -8,26 +8,25 @@
 	"github.com/granitebay/granitebay/internal/backend"
 )
 
-// confirmEvery is how often an engine is asked whether it is still changing. Work is kept off it for longer than that after each
-// word.
+// confirmInterval is how often a changing engine is inspected. Routing to it stays off for longer than that after each confirmation.
 const confirmInterval = 3 * time.Second
 
-// underway holds the changes that engines have taken and that their records do not tell yet. An engine first finishes what it
-// runs, which can take as long as its longest run. It belongs to the loop of a controller.
+// pendingChanges holds the accepted changes that are not yet visible in the records of the engines. An engine first finishes its running
+// requests. It is used by the control loop only.
 type pendingChanges struct{ changes map[string]*pendingChange }
 
-// takenChange is a change that an engine has taken.
+// pendingChange is a change that an engine has accepted.
 type pendingChange struct {
 	change      Change
 	confirmedAt time.Time
 }
 
-// add notes a change that was taken.
+// add adds an accepted change.
 func (p *pendingChanges) add(now time.Time, change Change) {
 	p.changes[change.Worker.ID] = &pendingChange{change: change, confirmedAt: now}
 }
 
-// settle drops the changes that are over: the record of the engine tells the role, or the engine is gone.
+// removeFinished removes the changes whose engine has its new role, or is gone.
 func (p *pendingChanges) removeFinished(groups map[string]*Group) {
 	currentRoles := map[string]backend.Role{}
 	for _, group := range groups {
@@ -42,7 +41,7 @@
 	}
 }
 
-// due returns the changes that are to be confirmed.
+// due returns the changes to confirm.
 func (p *pendingChanges) due(now time.Time) []*pendingChange {
 	var due []*pendingChange
 	for _, pending := range p.changes {
@@ -53,7 +52,7 @@
 	return due
 }
 
-// confirm asks engines that have been changing for a while, and keeps work off them as long as they say so.
+// confirm inspects engines with pending changes, and keeps routing to them stopped while the change continues.
 func (c *Controller) confirm(ctx context.Context, now time.Time) {
 	ctx, cancel := context.WithTimeout(ctx, c.settings.OrderTimeout)
 	defer cancel()
@@ -70,17 +69,17 @@
 	}
 }
 
-// confirmed takes what an engine that changes its role says of itself.
+// handleState handles the state of an engine with a pending change.
 func (c *Controller) handleState(pending *pendingChange, state EngineState, err error) {
 	worker, role := pending.change.Worker, pending.change.Role
 	switch {
 	case err != nil:
-		c.logger.WithError(err).WithField("engine", worker.ID).Debug("An engine that changes its role did not tell its state.")
+		c.logger.WithError(err).WithField("engine", worker.ID).Debug("The state of an engine that changes its role could not be read.")
 	case state.Busy || state.Role == role:
 		c.fleet.SetChanging(worker.ID, role)
 	default:
 		delete(c.pendingChanges.changes, worker.ID)
 		c.fleet.SetChanging(worker.ID, worker.Role)
-		c.logger.WithField("engine", worker.ID).Warn("An engine does not change its role although it took the order.")
+		c.logger.WithField("engine", worker.ID).Warn("An engine accepted an order but does not change its role.")
 	}
 }
