--- a/internal/capacity/executor.go
+++ b/internal/capacity/executor.go
@@ -56,40 +56,40 @@
 // Settings of an executor.
 type Settings struct {
 	// Holder is the name of the process, unique in the fleet.
-	Holder string
-	Need   NeedSettings
+	Holder    string
+	Estimator EstimatorSettings
 	// Tick is how often the workers are looked at.
-	Tick time.Duration
+	TickInterval time.Duration
 	// CallTimeout bounds one call.
 	CallTimeout time.Duration
 	// Again is how long after an order, beyond the boot, it is given again when the workers are not there; RefusedPause how long
 	// after it was refused; and ChangePause how long after an order one for another number is given.
-	Again, RefusedPause, ChangePause time.Duration
+	RetryDelay, RefusedRetryDelay, ChangeInterval time.Duration
 	// DryAfter is how long spot workers of a zone are missing before others are ordered in their place, if those that are there are
 	// too few.
-	DryAfter time.Duration
+	SpotTimeout time.Duration
 	// Pace is how many workers of all groups are ordered or given back in a second: the records of those that come and go are told to
 	// every gateway, over the smallest links of the fleet.
-	Pace float64
+	MaxChangeRate float64
 	// Reserve is the part of the need for which spot workers are ordered besides, where they cost nothing; the dearer they are, the
 	// fewer. They bear what the loss of one zone does not cover: crashes, workers that leave, bursts until others have booted.
-	Reserve float64
+	ReserveShare float64
 }
 
 // DefaultSettings returns settings without a holder.
 func DefaultSettings() Settings {
 	return Settings{
-		Need:         DefaultNeedSettings(),
-		Tick:         250 * time.Millisecond,
-		CallTimeout:  1500 * time.Millisecond,
-		Again:        3 * time.Second,
-		RefusedPause: time.Second,
-		ChangePause:  500 * time.Millisecond,
-		DryAfter:     5 * time.Second,
-		Reserve:      0.4,
+		Estimator:         DefaultEstimatorSettings(),
+		TickInterval:      250 * time.Millisecond,
+		CallTimeout:       1500 * time.Millisecond,
+		RetryDelay:        3 * time.Second,
+		RefusedRetryDelay: time.Second,
+		ChangeInterval:    500 * time.Millisecond,
+		SpotTimeout:       5 * time.Second,
+		ReserveShare:      0.4,
 		// Two records of some 600 bytes for each are a twentieth of a link of 10 Mbit/s; 3,000 workers that were replaced within seconds
 		// kept configurations from gateways for eight (sweep, journal e6ec2684).
-		Pace: 60,
+		MaxChangeRate: 60,
 	}
 }
 
@@ -99,48 +99,48 @@
 	fleet    Fleet
 	orderer  Orderer
 	// authority tells whether this process may call, and its fence.
-	authority func() (int64, bool)
-	logger    logrus.FieldLogger
-	decide    func(decision.Record)
+	authority      func() (int64, bool)
+	logger         logrus.FieldLogger
+	recordDecision func(decision.Record)
 
 	// needs and lines belong to the loop.
-	needs map[string]*Need
-	plans map[string]planned
-	lines map[line]*lineState
-	fence int64
+	estimators map[string]*Estimator
+	plans      map[string]cachedPlan
+	pools      map[poolKey]*poolState
+	fence      int64
 	// left is how many workers may be ordered or given back at pacedAt.
-	left    float64
-	pacedAt time.Time
+	budget          float64
+	budgetUpdatedAt time.Time
 
 	mu     sync.Mutex
 	status []Status
 }
 
 // line is one number that can be ordered.
-type line struct {
+type poolKey struct {
 	group, zone string
 	spot        bool
 }
 
 // lineState is what was ordered there.
-type lineState struct {
+type poolState struct {
 	// ordered is the number of the last order that was taken under the present fence; negative when there was none.
-	ordered int
+	lastOrdered int
 	// changeFrom is when the next order may be given, and notBefore when one for the same number may.
-	changeFrom, notBefore time.Time
+	nextChange, nextRetry time.Time
 	// refused is set when the last order was.
 	refused bool
 	// shortSince is since when fewer workers are there than were wanted; zero when all are.
-	shortSince time.Time
+	missingSince time.Time
 }
 
 // isDry tells whether workers have been missing for a while, and the last order had its time or was refused.
-func (l *lineState) isDry(now time.Time, after time.Duration) bool {
-	return !l.shortSince.IsZero() && now.Sub(l.shortSince) > after && (l.refused || now.Sub(l.notBefore) > after)
+func (s *poolState) isUnavailable(now time.Time, after time.Duration) bool {
+	return !s.missingSince.IsZero() && now.Sub(s.missingSince) > after && (s.refused || now.Sub(s.nextRetry) > after)
 }
 
 // planned is the last plan of a group, and what it was made of.
-type planned struct {
+type cachedPlan struct {
 	offer Offer
 	need  int
 	plan  Plan
@@ -157,11 +157,11 @@
 
 // NewExecutor returns an executor that does nothing before Run.
 func NewExecutor(
-	settings Settings, fleet Fleet, orderer Orderer, authority func() (int64, bool), logger logrus.FieldLogger, decide func(decision.Record),
+	settings Settings, fleet Fleet, orderer Orderer, authority func() (int64, bool), logger logrus.FieldLogger, recordDecision func(decision.Record),
 ) *Executor {
 	return &Executor{
-		settings: settings, fleet: fleet, orderer: orderer, authority: authority, logger: logger, decide: decide,
-		left: settings.Pace, needs: map[string]*Need{}, plans: map[string]planned{}, lines: map[line]*lineState{},
+		settings: settings, fleet: fleet, orderer: orderer, authority: authority, logger: logger, recordDecision: recordDecision,
+		budget: settings.MaxChangeRate, estimators: map[string]*Estimator{}, plans: map[string]cachedPlan{}, pools: map[poolKey]*poolState{},
 	}
 }
 
@@ -173,11 +173,11 @@
 }
 
 // calmTicks is by how much rarer a process looks at the workers that may not order any.
-const calmTicks = 4
+const idleTickFactor = 4
 
 // Run orders workers until the context ends.
 func (e *Executor) Run(ctx context.Context) {
-	ticker := time.NewTicker(e.settings.Tick)
+	ticker := time.NewTicker(e.settings.TickInterval)
 	defer ticker.Stop()
 	for tick := 0; ; tick++ {
 		select {
@@ -186,7 +186,7 @@
 		case <-ticker.C:
 		}
 		// Those that give no orders only follow what is needed, to go on from there.
-		if _, may := e.authority(); may || tick%calmTicks == 0 {
+		if _, mayOrder := e.authority(); mayOrder || tick%idleTickFactor == 0 {
 			e.Step(ctx, time.Now())
 		}
 	}
@@ -194,25 +194,25 @@
 
 // Step follows the demand, and gives the orders that are due while this process may.
 func (e *Executor) Step(ctx context.Context, now time.Time) {
-	fence, may := e.authority()
-	if may && fence != e.fence {
+	fence, mayOrder := e.authority()
+	if mayOrder && fence != e.fence {
 		e.fence = fence
-		clear(e.lines)
+		clear(e.pools)
 	}
 	var status []Status
 	groups := e.fleet.CapacityGroups()
 	if len(groups) == 0 {
 		// One that begins to hear of all watches anew: what is there is enough until it has.
-		clear(e.needs)
+		clear(e.estimators)
 	}
 	for _, group := range groups {
-		need, known := e.need(now, group)
-		plan := e.plan(group.Name, e.available(now, group, need), need)
+		need, known := e.estimate(now, group)
+		plan := e.plan(group.Name, e.availableOffer(now, group, need), need)
 		status = append(status, Status{
 			Group: group.Name, Busy: group.Busy, Need: need, Present: group.Present, Plan: plan, Offer: group.Offer,
 		})
-		if may {
-			e.follow(ctx, now, group, plan, need, known && group.Certain)
+		if mayOrder {
+			e.reconcile(ctx, now, group, plan, need, known && group.Certain)
 		}
 	}
 	e.mu.Lock()
@@ -221,37 +221,37 @@
 }
 
 // need returns how many workers of a group are needed, and whether that is known.
-func (e *Executor) need(now time.Time, group Group) (int, bool) {
-	need, found := e.needs[group.Name]
+func (e *Executor) estimate(now time.Time, group Group) (int, bool) {
+	estimator, found := e.estimators[group.Name]
 	if !found {
-		need = NewNeed(e.settings.Need)
-		e.needs[group.Name] = need
+		estimator = NewEstimator(e.settings.Estimator)
+		e.estimators[group.Name] = estimator
 	}
-	return need.Update(now, group)
+	return estimator.Update(now, group)
 }
 
 // plan returns the plan of a group, which is made anew only when something has changed.
 func (e *Executor) plan(group string, offer Offer, need int) Plan {
-	last, found := e.plans[group]
-	if !found || last.need != need || !last.offer.same(offer) {
-		plan := NewPlan(offer, need).WithReserve(offer, int(e.settings.Reserve*(1-offer.SpotPrice)*float64(need)))
-		last = planned{offer: offer, need: need, plan: plan}
-		e.plans[group] = last
+	cached, found := e.plans[group]
+	if !found || cached.need != need || !cached.offer.equal(offer) {
+		plan := NewPlan(offer, need).WithReserve(offer, int(e.settings.ReserveShare*(1-offer.SpotPrice)*float64(need)))
+		cached = cachedPlan{offer: offer, need: need, plan: plan}
+		e.plans[group] = cached
 	}
-	return last.plan
+	return cached.plan
 }
 
 // available returns the offer without the spot workers that have not come for long. While those that are there are enough, the plan
 // stays: a zone that has lost its own gets them back.
-func (e *Executor) available(now time.Time, group Group, need int) Offer {
+func (e *Executor) availableOffer(now time.Time, group Group, need int) Offer {
 	offer := group.Offer
 	if group.Present.Total() >= need {
 		return offer
 	}
 	offer.Zones = lo.Map(offer.Zones, func(zone Zone, _ int) Zone {
-		state, found := e.lines[line{group.Name, zone.Name, true}]
-		if found && state.isDry(now, e.settings.DryAfter) {
-			zone.NoSpot, offer.OneLost = true, true
+		state, found := e.pools[poolKey{group.Name, zone.Name, true}]
+		if found && state.isUnavailable(now, e.settings.SpotTimeout) {
+			zone.NoSpot, offer.SpotLost = true, true
 		}
 		return zone
 	})
--- a/internal/capacity/executor_test.go
+++ b/internal/capacity/executor_test.go
@@ -21,31 +21,31 @@
 
 const tick = 250 * time.Millisecond
 
-func TestNeed(t *testing.T) {
-	archive, err := txtar.ParseFile("testdata/need.txtar")
+func TestEstimator(t *testing.T) {
+	archive, err := txtar.ParseFile("testdata/estimator.txtar")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, file := range archive.Files {
 		t.Run(file.Name, func(t *testing.T) {
-			need := NewNeed(DefaultNeedSettings())
+			estimator := NewEstimator(DefaultEstimatorSettings())
 			now, busy, present, got, known := epoch, 0.0, 0, 0, false
 			for line := range strings.Lines(string(file.Data)) {
 				words := strings.Fields(line)
 				switch words[0] {
 				case "at":
-					until := epoch.Add(time.Duration(number(t, words[1]) * float64(time.Second)))
-					for ; now.Before(until); now = now.Add(tick) {
-						got, known = need.Update(now, Group{Busy: busy, Present: Plan{"z": {Kept: present}}, Certain: true, New: true})
+					end := epoch.Add(time.Duration(parseNumber(t, words[1]) * float64(time.Second)))
+					for ; now.Before(end); now = now.Add(tick) {
+						got, known = estimator.Update(now, Group{Busy: busy, Present: Plan{"z": {Kept: present}}, Certain: true, New: true})
 					}
-					busy, present = number(t, words[3]), int(number(t, words[5]))
-					got, known = need.Update(now, Group{Busy: busy, Present: Plan{"z": {Kept: present}}, Certain: true, New: true})
+					busy, present = parseNumber(t, words[3]), int(parseNumber(t, words[5]))
+					got, known = estimator.Update(now, Group{Busy: busy, Present: Plan{"z": {Kept: present}}, Certain: true, New: true})
 				case "unknown":
 					if known {
 						t.Errorf("%d are needed, want unknown", got)
 					}
 				case "need":
-					if want := int(number(t, words[1])); got != want || !known {
+					if want := int(parseNumber(t, words[1])); got != want || !known {
 						t.Errorf("%d are needed, known %v, want %d at %s", got, known, want, now.Sub(epoch))
 					}
 				default:
@@ -56,7 +56,7 @@
 	}
 }
 
-func number(t *testing.T, text string) float64 {
+func parseNumber(t *testing.T, text string) float64 {
 	t.Helper()
 	value, err := strconv.ParseFloat(text, 64)
 	if err != nil {
@@ -66,29 +66,29 @@
 }
 
 // platform is what orders workers, with workers that boot and leave. Calls may be lost, or carried out late.
-type platform struct {
+type fakePlatform struct {
 	t     *rapid.T
 	now   time.Time
 	offer Offer
 	// ordered holds the numbers in force, and present the workers that are there.
 	ordered, present Plan
 	// boots are workers that are on their way.
-	boots []boot
-	late  []Order
-	dry   map[string]time.Time
-	busy  float64
-	calls int
+	booting          []bootingWorker
+	delayed          []Order
+	unavailableUntil map[string]time.Time
+	busy             float64
+	calls            int
 	// standsBy is set while the executors hear of a part of the demand only.
-	standsBy bool
+	standby bool
 	// isNew is set in the first moments of the fleet.
-	isNew bool
+	newFleet bool
 	// unsure is set while records may be missing.
-	unsure bool
+	recordsIncomplete bool
 	// healthy is set once calls are carried out at once.
-	healthy bool
+	reliable bool
 }
 
-type boot struct {
+type bootingWorker struct {
 	zone string
 	spot bool
 	at   time.Time
@@ -96,38 +96,38 @@
 
 const bootTime = 4 * time.Second
 
-func (p *platform) CapacityGroups() []Group {
-	if p.standsBy {
+func (p *fakePlatform) CapacityGroups() []Group {
+	if p.standby {
 		return nil
 	}
 	present := Plan{}
 	for zone, count := range p.present {
 		present[zone] = count
 	}
-	return []Group{{Name: "g", Offer: p.offer, Boot: bootTime, Present: present, Busy: p.busy, Shown: true, Certain: !p.unsure, New: p.isNew && p.now.Sub(epoch) < 5*time.Second}}
+	return []Group{{Name: "g", Offer: p.offer, Boot: bootTime, Present: present, Busy: p.busy, Shown: true, Certain: !p.recordsIncomplete, New: p.newFleet && p.now.Sub(epoch) < 5*time.Second}}
 }
 
-func (p *platform) OrderWorkers(_ context.Context, order Order) error {
+func (p *fakePlatform) OrderWorkers(_ context.Context, order Order) error {
 	p.calls++
-	if p.healthy {
-		return p.take(order)
+	if p.reliable {
+		return p.apply(order)
 	}
 	switch rapid.SampledFrom([]string{"done", "done", "done", "lost", "late", "unanswered"}).Draw(p.t, "call") {
 	case "done":
-		return p.take(order)
+		return p.apply(order)
 	case "late":
-		p.late = append(p.late, order)
+		p.delayed = append(p.delayed, order)
 	case "unanswered":
-		_ = p.take(order)
+		_ = p.apply(order)
 	}
 	return errors.New("no answer")
 }
 
 // take carries out an order.
-func (p *platform) take(order Order) error {
+func (p *fakePlatform) apply(order Order) error {
 	count := p.ordered[order.Zone]
 	if order.Spot {
-		if p.now.Before(p.dry[order.Zone]) && order.Workers > count.Spot {
+		if p.now.Before(p.unavailableUntil[order.Zone]) && order.Workers > count.Spot {
 			return ErrRefused
 		}
 		count.Spot = order.Workers
@@ -139,25 +139,25 @@
 }
 
 // advance has workers boot and leave.
-func (p *platform) advance() {
+func (p *fakePlatform) advance() {
 	p.now = p.now.Add(tick)
 	for _, zone := range p.offer.Zones {
-		p.advanceKind(zone.Name, false)
-		p.advanceKind(zone.Name, true)
+		p.advancePool(zone.Name, false)
+		p.advancePool(zone.Name, true)
 	}
-	var waiting []boot
-	for _, each := range p.boots {
-		if each.at.After(p.now) {
-			waiting = append(waiting, each)
+	var booting []bootingWorker
+	for _, worker := range p.booting {
+		if worker.at.After(p.now) {
+			booting = append(booting, worker)
 			continue
 		}
-		p.add(each.zone, each.spot, 1)
+		p.addPresent(worker.zone, worker.spot, 1)
 	}
-	p.boots = waiting
+	p.booting = booting
 }
 
 // add changes how many workers are present.
-func (p *platform) add(zone string, spot bool, n int) {
+func (p *fakePlatform) addPresent(zone string, spot bool, n int) {
 	count := p.present[zone]
 	if spot {
 		count.Spot += n
@@ -168,31 +168,31 @@
 }
 
 // advanceKind starts or ends workers of one kind.
-func (p *platform) advanceKind(zone string, spot bool) {
+func (p *fakePlatform) advancePool(zone string, spot bool) {
 	have, want := p.present[zone].Kept, p.ordered[zone].Kept
 	if spot {
 		have, want = p.present[zone].Spot, p.ordered[zone].Spot
 	}
-	for _, each := range p.boots {
-		if each.zone == zone && each.spot == spot {
+	for _, worker := range p.booting {
+		if worker.zone == zone && worker.spot == spot {
 			have++
 		}
 	}
 	if want < have {
-		p.add(zone, spot, max(want-have, -p.kindPresent(zone, spot)))
+		p.addPresent(zone, spot, max(want-have, -p.presentCount(zone, spot)))
 	}
 	total := p.present[zone].Total()
-	for _, each := range p.boots {
-		if each.zone == zone {
+	for _, worker := range p.booting {
+		if worker.zone == zone {
 			total++
 		}
 	}
 	for range min(want-have, p.offer.Most-total) {
-		p.boots = append(p.boots, boot{zone, spot, p.now.Add(bootTime)})
+		p.booting = append(p.booting, bootingWorker{zone, spot, p.now.Add(bootTime)})
 	}
 }
 
-func (p *platform) kindPresent(zone string, spot bool) int {
+func (p *fakePlatform) presentCount(zone string, spot bool) int {
 	if spot {
 		return p.present[zone].Spot
 	}
@@ -200,17 +200,17 @@
 }
 
 // reclaim takes the spot workers of a zone away, for a while.
-func (p *platform) reclaim(zone string, forTime time.Duration) {
+func (p *fakePlatform) reclaim(zone string, duration time.Duration) {
 	count := p.ordered[zone]
 	count.Spot = 0
 	p.ordered[zone] = count
 	p.present[zone] = Count{Kept: p.present[zone].Kept}
-	p.dry[zone] = p.now.Add(forTime)
+	p.unavailableUntil[zone] = p.now.Add(duration)
 }
 
-func newPlatform(t *rapid.T) *platform {
-	p := &platform{
-		t: t, now: epoch, ordered: Plan{}, present: Plan{}, dry: map[string]time.Time{}, isNew: true,
+func newFakePlatform(t *rapid.T) *fakePlatform {
+	p := &fakePlatform{
+		t: t, now: epoch, ordered: Plan{}, present: Plan{}, unavailableUntil: map[string]time.Time{}, newFleet: true,
 		offer: Offer{Least: 1, Most: 36, SpotPrice: 0.22},
 	}
 	for i, price := range []float64{1, 0.8, 1.25, 0.9} {
@@ -221,7 +221,7 @@
 	return p
 }
 
-func newTestExecutor(p *platform, authority func() (int64, bool)) *Executor {
+func newTestExecutor(p *fakePlatform, authority func() (int64, bool)) *Executor {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	return NewExecutor(DefaultSettings(), p, p, authority, logger, func(decision.Record) {})
@@ -229,9 +229,9 @@
 
 // Whatever becomes of calls, whoever holds the authority and whatever is taken away: the workers that are there are never given back
 // below the need, and once all is well they are those of the plan, without further calls.
-func TestOrdersHeal(t *testing.T) {
+func TestOrdersConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := newPlatform(t)
+		p := newFakePlatform(t)
 		holder, fence := 0, int64(1)
 		var executors []*Executor
 		for i := range 2 {
@@ -253,14 +253,14 @@
 			case 2:
 				p.busy = rapid.Float64Range(0, 45).Draw(t, "busy")
 			case 3:
-				for _, order := range p.late {
-					_ = p.take(order)
+				for _, order := range p.delayed {
+					_ = p.apply(order)
 				}
-				p.late = nil
+				p.delayed = nil
 			}
 			step()
 		}
-		p.healthy = true
+		p.reliable = true
 		for range int(2 * time.Minute / tick) {
 			step()
 		}
@@ -278,10 +278,10 @@
 	})
 }
 
-func TestWorkersAreGivenBackOnlyOnceOthersAreThere(t *testing.T) {
+func TestWorkersAreRemovedOnlyAfterReplacement(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := newPlatform(t)
-		p.healthy = true
+		p := newFakePlatform(t)
+		p.reliable = true
 		e := newTestExecutor(p, func() (int64, bool) { return 1, true })
 		for range int(20 * time.Second / tick) {
 			p.advance()
@@ -290,18 +290,18 @@
 				t.Fatalf("%d of 72 workers are left after %s", total, p.now.Sub(epoch))
 			}
 		}
-		if spots := p.present["z0"].Spot; spots == 0 || p.present["z0"].Kept != 1 {
+		if spot := p.present["z0"].Spot; spot == 0 || p.present["z0"].Kept != 1 {
 			t.Fatalf("there are %v", p.present)
 		}
 	})
 }
 
-func TestZonesWithoutSpotWorkersAreServedByOthers(t *testing.T) {
+func TestUnavailableSpotWorkersAreReplaced(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := newPlatform(t)
-		p.healthy = true
+		p := newFakePlatform(t)
+		p.reliable = true
 		for _, zone := range p.offer.Zones {
-			p.dry[zone.Name] = epoch.Add(time.Hour)
+			p.unavailableUntil[zone.Name] = epoch.Add(time.Hour)
 		}
 		e := newTestExecutor(p, func() (int64, bool) { return 1, true })
 		for range int(time.Minute / tick) {
@@ -316,28 +316,28 @@
 }
 
 // TestWorkersThatHaveNotRegisteredYetAreNotTakenAway starts a fleet whose workers show one after another.
-func TestWorkersThatHaveNotRegisteredYetAreNotTakenAway(t *testing.T) {
+func TestUnregisteredWorkersAreNotRemoved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := newPlatform(t)
-		p.healthy = true
-		all := p.present
+		p := newFakePlatform(t)
+		p.reliable = true
+		started := p.present
 		p.present = Plan{}
 		e := newTestExecutor(p, func() (int64, bool) { return 1, true })
 		for i := range 16 {
-			p.unsure = i < 14
-			for zone, count := range all {
-				shown := count.Kept
-				if p.unsure {
-					shown = rapid.IntRange(0, count.Kept).Draw(t, "shown")
+			p.recordsIncomplete = i < 14
+			for zone, count := range started {
+				registered := count.Kept
+				if p.recordsIncomplete {
+					registered = rapid.IntRange(0, count.Kept).Draw(t, "shown")
 				}
-				if shown > p.present[zone].Kept {
-					p.present[zone] = Count{Kept: shown, Spot: p.present[zone].Spot}
+				if registered > p.present[zone].Kept {
+					p.present[zone] = Count{Kept: registered, Spot: p.present[zone].Spot}
 				}
 			}
 			p.now = p.now.Add(tick)
 			e.Step(context.Background(), p.now)
 			for zone, count := range p.ordered {
-				if count.Kept < all[zone].Kept {
+				if count.Kept < started[zone].Kept {
 					t.Fatalf("%d kept workers of zone %s were ordered before all had shown", count.Kept, zone)
 				}
 			}
@@ -347,25 +347,25 @@
 
 // TestOneThatStoodByGivesNothingBack guards against a new holder that has seen the demand of its own callers alone: it gave 66 of 118
 // workers back, and the rest collapsed.
-func TestOneThatStoodByGivesNothingBack(t *testing.T) {
+func TestNewHolderRemovesNoWorkers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := newPlatform(t)
-		p.healthy = true
+		p := newFakePlatform(t)
+		p.reliable = true
 		holder := 0
 		first := newTestExecutor(p, func() (int64, bool) { return 1, holder == 0 })
-		next := newTestExecutor(p, func() (int64, bool) { return 2, holder == 1 })
+		second := newTestExecutor(p, func() (int64, bool) { return 2, holder == 1 })
 		for range int(40 * time.Second / tick) {
 			p.advance()
-			p.busy, p.standsBy = 43, false
+			p.busy, p.standby = 43, false
 			first.Step(context.Background(), p.now)
-			p.busy, p.standsBy = 0.1, true
-			next.Step(context.Background(), p.now)
+			p.busy, p.standby = 0.1, true
+			second.Step(context.Background(), p.now)
 		}
 		before := p.present.Total()
-		holder, p.busy, p.standsBy = 1, 30, false
+		holder, p.busy, p.standby = 1, 30, false
 		for range int(10 * time.Second / tick) {
 			p.advance()
-			next.Step(context.Background(), p.now)
+			second.Step(context.Background(), p.now)
 			if p.present.Total() < before {
 				t.Fatalf("%d workers of %d are left", p.present.Total(), before)
 			}
@@ -375,19 +375,19 @@
 
 // TestWorkersWhoseRecordsHaveLapsedAreNotTakenAway has a process that knows nothing get the authority while the records of most workers are
 // gone with an outage of the store.
-func TestWorkersWhoseRecordsHaveLapsedAreNotTakenAway(t *testing.T) {
+func TestWorkersWithLapsedRecordsAreNotRemoved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := newPlatform(t)
-		p.healthy = true
-		p.isNew = false
+		p := newFakePlatform(t)
+		p.reliable = true
+		p.newFleet = false
 		for _, zone := range p.offer.Zones {
 			p.ordered[zone.Name] = Count{Kept: 1, Spot: 25}
 			p.present[zone.Name] = Count{Kept: rapid.IntRange(0, 1).Draw(t, "kept"), Spot: rapid.IntRange(0, 25).Draw(t, "spot")}
 		}
 		e := newTestExecutor(p, func() (int64, bool) { return 2, true })
 		for i := range 20 {
-			p.unsure = i < 14
-			if !p.unsure {
+			p.recordsIncomplete = i < 14
+			if !p.recordsIncomplete {
 				for _, zone := range p.offer.Zones {
 					p.present[zone.Name] = Count{Kept: 1, Spot: 25}
 				}
@@ -404,10 +404,10 @@
 }
 
 // TestAllThatArePlannedAreThereSoon starts a fleet whose zones are half full of kept workers: spot workers come in their places.
-func TestAllThatArePlannedAreThereSoon(t *testing.T) {
+func TestPlanIsReachedSoon(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := newPlatform(t)
-		p.healthy = true
+		p := newFakePlatform(t)
+		p.reliable = true
 		e := newTestExecutor(p, func() (int64, bool) { return 1, true })
 		for range int(11500 * time.Millisecond / tick) {
 			p.advance()
@@ -421,38 +421,38 @@
 
 // TestSpotWorkersThatHaveJustComeStay starts a fleet with more kept workers than a zone may have, which show one after another: spot workers
 // that were ordered meanwhile stay until the demand was watched.
-func TestSpotWorkersThatHaveJustComeStay(t *testing.T) {
+func TestNewSpotWorkersAreNotRemoved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := newPlatform(t)
-		p.healthy = true
+		p := newFakePlatform(t)
+		p.reliable = true
 		p.offer.Most = 30
-		shown := 0
+		registered := 0
 		e := newTestExecutor(p, func() (int64, bool) { return 1, true })
-		most := map[string]int{}
+		maxima := map[string]int{}
 		for i := range int(18 * time.Second / tick) {
-			p.unsure = i < 14
-			shown = min(shown+rapid.IntRange(1, 9).Draw(t, "shown"), 50)
+			p.recordsIncomplete = i < 14
+			registered = min(registered+rapid.IntRange(1, 9).Draw(t, "shown"), 50)
 			for _, zone := range p.offer.Zones {
 				p.ordered[zone.Name] = Count{Kept: 50, Spot: p.ordered[zone.Name].Spot}
-				p.present[zone.Name] = Count{Kept: shown, Spot: p.ordered[zone.Name].Spot}
+				p.present[zone.Name] = Count{Kept: registered, Spot: p.ordered[zone.Name].Spot}
 			}
 			p.now = p.now.Add(tick)
 			e.Step(context.Background(), p.now)
 			for zone, count := range p.ordered {
-				if count.Spot < most[zone] {
-					t.Fatalf("zone %s has %d of %d spot workers left", zone, count.Spot, most[zone])
+				if count.Spot < maxima[zone] {
+					t.Fatalf("zone %s has %d of %d spot workers left", zone, count.Spot, maxima[zone])
 				}
-				most[zone] = count.Spot
+				maxima[zone] = count.Spot
 			}
 		}
 	})
 }
 
 // TestALargeFleetIsChangedAtThePaceOfItsLinks replaces the workers of zones of 800.
-func TestALargeFleetIsChangedAtThePaceOfItsLinks(t *testing.T) {
+func TestChangeRateIsLimited(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		p := newPlatform(t)
-		p.healthy = true
+		p := newFakePlatform(t)
+		p.reliable = true
 		p.offer.Most = 1600
 		for _, zone := range p.offer.Zones {
 			p.ordered[zone.Name], p.present[zone.Name] = Count{Kept: 800}, Count{Kept: 800}
@@ -462,7 +462,7 @@
 		for zone, count := range p.ordered {
 			before[zone] = count
 		}
-		pace := DefaultSettings().Pace
+		pace := DefaultSettings().MaxChangeRate
 		for i := range int(20 * time.Second / tick) {
 			p.advance()
 			e.Step(context.Background(), p.now)
@@ -470,7 +470,7 @@
 			for zone, count := range p.ordered {
 				changed += distance(count.Kept, before[zone].Kept) + distance(count.Spot, before[zone].Spot)
 			}
-			if most := pace * (1 + tick.Seconds()*float64(i+1)); float64(changed) > most {
+			if limit := pace * (1 + tick.Seconds()*float64(i+1)); float64(changed) > limit {
 				t.Fatalf("%d workers changed in %s", changed, time.Duration(i+1)*tick)
 			}
 		}
--- a/internal/capacity/plan.go
+++ b/internal/capacity/plan.go
@@ -29,22 +29,22 @@
 	// SpotPrice is the price of a spot worker as a part of that of a kept one.
 	SpotPrice float64
 	// OneLost is set while a zone has lost its spot workers: the loss of another one at the same time is not planned for.
-	OneLost bool
+	SpotLost bool
 }
 
 // left returns how many workers of a plan are left after the loss that is planned for.
-func (o Offer) left(plan Plan) int {
-	if o.OneLost {
+func (o Offer) remaining(plan Plan) int {
+	if o.SpotLost {
 		return plan.Total()
 	}
-	return plan.WithoutDearestZone()
+	return plan.WithoutLargestSpotZone()
 }
 
 // WithReserve returns the plan with so many more spot workers, as evenly as the zones allow.
 func (p Plan) WithReserve(offer Offer, reserve int) Plan {
 	plan := maps.Clone(p)
 	for reserve > 0 {
-		zone, found := emptiest(plan, offer)
+		zone, found := fewestSpot(plan, offer)
 		if !found {
 			break
 		}
@@ -57,7 +57,7 @@
 }
 
 // emptiest returns the zone with the fewest spot workers among those that may have more.
-func emptiest(plan Plan, offer Offer) (string, bool) {
+func fewestSpot(plan Plan, offer Offer) (string, bool) {
 	zones := lo.Filter(offer.Zones, func(zone Zone, _ int) bool { return !zone.NoSpot && plan[zone.Name].Total() < offer.Most })
 	if len(zones) == 0 {
 		return "", false
@@ -68,8 +68,8 @@
 }
 
 // same tells whether two offers are the same.
-func (o Offer) same(other Offer) bool {
-	return o.OneLost == other.OneLost && o.Least == other.Least && o.Most == other.Most && o.SpotPrice == other.SpotPrice && slices.Equal(o.Zones, other.Zones)
+func (o Offer) equal(other Offer) bool {
+	return o.SpotLost == other.SpotLost && o.Least == other.Least && o.Most == other.Most && o.SpotPrice == other.SpotPrice && slices.Equal(o.Zones, other.Zones)
 }
 
 // Count is a number of workers of each kind.
@@ -88,9 +88,9 @@
 func (p Plan) Kept() int { return lo.SumBy(lo.Values(p), func(c Count) int { return c.Kept }) }
 
 // WithoutDearestZone is the number of workers that are left when the zone with most spot workers loses them.
-func (p Plan) WithoutDearestZone() int {
-	most := lo.Max(lo.Map(lo.Values(p), func(c Count, _ int) int { return c.Spot }))
-	return p.Total() - most
+func (p Plan) WithoutLargestSpotZone() int {
+	maxSpot := lo.Max(lo.Map(lo.Values(p), func(c Count, _ int) int { return c.Spot }))
+	return p.Total() - maxSpot
 }
 
 // Cost of a plan for a second.
@@ -108,8 +108,8 @@
 // Invariants: each zone has Least workers at the least and Most at the most; with more need there are no fewer workers.
 func NewPlan(offer Offer, need int) Plan {
 	var best Plan
-	for limit := range offer.Most + 1 {
-		plan := planWith(offer, need, limit)
+	for spotLimit := range offer.Most + 1 {
+		plan := planWithLimit(offer, need, spotLimit)
 		if best == nil || better(plan, best, offer, need) {
 			best = plan
 		}
@@ -119,12 +119,12 @@
 
 // better tells whether a plan meets the need more fully than another one, or as fully at less cost.
 func better(plan, other Plan, offer Offer, need int) bool {
-	met, otherMet := min(offer.left(plan), need), min(offer.left(other), need)
-	return cmp.Or(cmp.Compare(otherMet, met), cmp.Compare(plan.Cost(offer), other.Cost(offer))) < 0
+	covered, otherCovered := min(offer.remaining(plan), need), min(offer.remaining(other), need)
+	return cmp.Or(cmp.Compare(otherCovered, covered), cmp.Compare(plan.Cost(offer), other.Cost(offer))) < 0
 }
 
 // planWith returns the cheapest plan with so many spot workers in a zone at the most.
-func planWith(offer Offer, need, limit int) Plan {
+func planWithLimit(offer Offer, need, spotLimit int) Plan {
 	plan := Plan{}
 	for _, zone := range offer.Zones {
 		plan[zone.Name] = Count{Kept: offer.Least}
@@ -135,18 +135,18 @@
 		if zone.NoSpot {
 			continue
 		}
-		room := min(limit, offer.Most-offer.Least, need+limit-plan.Total())
-		if offer.OneLost {
-			room = min(room, need-plan.Total())
+		spot := min(spotLimit, offer.Most-offer.Least, need+spotLimit-plan.Total())
+		if offer.SpotLost {
+			spot = min(spot, need-plan.Total())
 		}
-		if room > 0 {
-			plan[zone.Name] = Count{Kept: offer.Least, Spot: room}
+		if spot > 0 {
+			plan[zone.Name] = Count{Kept: offer.Least, Spot: spot}
 		}
 	}
 	for _, zone := range byPrice {
 		count := plan[zone.Name]
-		if short := need - offer.left(plan); short > 0 {
-			count.Kept += min(short, offer.Most-count.Total())
+		if missing := need - offer.remaining(plan); missing > 0 {
+			count.Kept += min(missing, offer.Most-count.Total())
 			plan[zone.Name] = count
 		}
 	}
--- a/internal/capacity/plan_test.go
+++ b/internal/capacity/plan_test.go
@@ -8,7 +8,7 @@
 )
 
 // offers draws what may be ordered.
-func offers(t *rapid.T) Offer {
+func drawOffer(t *rapid.T) Offer {
 	offer := Offer{SpotPrice: rapid.Float64Range(0.05, 1.2).Draw(t, "spot price")}
 	offer.Least = rapid.IntRange(0, 4).Draw(t, "least")
 	offer.Most = offer.Least + rapid.IntRange(0, 30).Draw(t, "room")
@@ -20,9 +20,9 @@
 	return offer
 }
 
-func TestAPlanKeepsToTheOfferAndBearsTheLossOfAZone(t *testing.T) {
+func TestPlanRespectsOfferAndZoneLoss(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		offer := offers(t)
+		offer := drawOffer(t)
 		need := rapid.IntRange(0, 150).Draw(t, "need")
 		plan := NewPlan(offer, need)
 		possible := offer.Most * len(offer.Zones)
@@ -33,11 +33,11 @@
 			}
 		}
 		// Kept workers alone would do where there are enough.
-		if left := plan.WithoutDearestZone(); left < min(need, possible) {
-			t.Fatalf("%d workers are left of %d needed and %d possible: %v", left, need, possible, plan)
+		if remaining := plan.WithoutLargestSpotZone(); remaining < min(need, possible) {
+			t.Fatalf("%d workers are left of %d needed and %d possible: %v", remaining, need, possible, plan)
 		}
 		more := NewPlan(offer, need+rapid.IntRange(1, 20).Draw(t, "more"))
-		if more.WithoutDearestZone() < min(plan.WithoutDearestZone(), need) {
+		if more.WithoutLargestSpotZone() < min(plan.WithoutLargestSpotZone(), need) {
 			t.Fatalf("with more need there are fewer workers: %v, %v", plan, more)
 		}
 		kept := Plan{}
@@ -50,16 +50,16 @@
 	})
 }
 
-func TestSpotWorkersAreUsedWhereTheyPay(t *testing.T) {
+func TestSpotWorkersAreUsedWhereCheaper(t *testing.T) {
 	offer := Offer{
 		Zones: []Zone{{Name: "a", Price: 1}, {Name: "b", Price: 0.8}, {Name: "c", Price: 1.25}, {Name: "d", Price: 0.9}},
 		Least: 1, Most: 36, SpotPrice: 0.22,
 	}
 	for _, c := range []struct {
-		desc        string
-		change      func(*Offer)
-		need        int
-		kept, spots int
+		desc       string
+		change     func(*Offer)
+		need       int
+		kept, spot int
 	}{
 		{"a zone's may go", func(*Offer) {}, 71, 4, 90},
 		{"dear spot workers", func(o *Offer) { o.SpotPrice = 0.9 }, 71, 71, 0},
@@ -75,12 +75,12 @@
 			changed.Zones = append([]Zone{}, offer.Zones...)
 			c.change(&changed)
 			plan := NewPlan(changed, c.need)
-			kept, spots := 0, 0
+			kept, spot := 0, 0
 			for _, count := range plan {
-				kept, spots = kept+count.Kept, spots+count.Spot
+				kept, spot = kept+count.Kept, spot+count.Spot
 			}
-			if kept != c.kept || spots != c.spots {
-				t.Errorf("got %d kept and %d spot workers, want %d and %d: %v", kept, spots, c.kept, c.spots, plan)
+			if kept != c.kept || spot != c.spot {
+				t.Errorf("got %d kept and %d spot workers, want %d and %d: %v", kept, spot, c.kept, c.spot, plan)
 			}
 		})
 	}
--- /dev/null
+++ b/internal/capacity/reconcile.go
@@ -0,0 +1,132 @@
+package capacity
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"github.com/cockroachdb/errors"
+	"github.com/sirupsen/logrus"
+
+	"github.com/granitebay/granitebay/internal/decision"
+)
+
+// follow gives the orders that bring the workers of a group nearer to the plan. Workers are given back only as far as those that
+// are there are enough without them, and only while it is certain how many are there: an order names a number, and one for the few that
+// are seen would take the others away. Before that, a fleet that is new has spot workers ordered as more of the kept ones show.
+func (e *Executor) reconcile(ctx context.Context, now time.Time, group Group, plan Plan, need int, certain bool) {
+	surplus := max(group.Present.Total()-need, 0)
+	for _, zone := range group.Offer.Zones {
+		current, target := group.Present[zone.Name], plan[zone.Name]
+		// Workers that are to go take the places of those that are to come.
+		target.Spot = min(target.Spot, max(group.Offer.Most-current.Kept, 0))
+		if !e.estimators[group.Name].mayRemoveSurplus(now) {
+			// Those that have just booted are not given back before it is known what they are worth.
+			target.Spot = max(target.Spot, current.Spot)
+		}
+		if certain || (group.Shown && e.estimators[group.Name].newFleet && target.Spot > current.Spot) {
+			e.adjustPool(ctx, now, group, poolKey{group.Name, zone.Name, true}, current.Spot, target.Spot, &surplus)
+		}
+		if certain {
+			e.adjustPool(ctx, now, group, poolKey{group.Name, zone.Name, false}, current.Kept, target.Kept, &surplus)
+		}
+	}
+}
+
+// adjust orders one number if that is due.
+func (e *Executor) adjustPool(ctx context.Context, now time.Time, group Group, key poolKey, current, target int, surplus *int) {
+	state, found := e.pools[key]
+	if !found {
+		state = &poolState{lastOrdered: -1}
+		e.pools[key] = state
+	}
+	e.trackMissing(now, state, current, target)
+	if target < current {
+		removed := min(current-target, *surplus)
+		*surplus -= removed
+		target = current - removed
+	}
+	upToDate := current == target && (state.lastOrdered < 0 || state.lastOrdered == target)
+	if upToDate || now.Before(state.nextChange) || (target == state.lastOrdered && now.Before(state.nextRetry)) {
+		return
+	}
+	base := state.numberInForce(current)
+	wantedTarget := target
+	if target = e.limitChange(now, base, wantedTarget); target == base && wantedTarget != base {
+		return
+	}
+	fence, mayOrder := e.authority()
+	if !mayOrder || fence != e.fence {
+		return
+	}
+	e.budget -= float64(distance(base, target))
+	order := Order{Group: key.group, Zone: key.zone, Spot: key.spot, Workers: target, Holder: e.settings.Holder, Fence: fence}
+	callCtx, cancel := context.WithTimeout(ctx, e.settings.CallTimeout)
+	defer cancel()
+	err := e.orderer.OrderWorkers(callCtx, order)
+	state.nextRetry = now.Add(group.Boot + e.settings.RetryDelay)
+	state.nextChange = now.Add(e.settings.ChangeInterval)
+	state.refused = errors.Is(err, ErrRefused)
+	if err != nil {
+		state.nextRetry = now.Add(e.settings.RefusedRetryDelay)
+		state.nextChange = state.nextRetry
+	} else {
+		state.lastOrdered = target
+	}
+	e.recordOrder(group, order, current, err)
+}
+
+// paced returns the number that is as near to the wanted one as the pace allows, from the one that is in force.
+func (e *Executor) limitChange(now time.Time, base, target int) int {
+	if !e.budgetUpdatedAt.IsZero() {
+		e.budget += e.settings.MaxChangeRate * now.Sub(e.budgetUpdatedAt).Seconds()
+	}
+	e.budget, e.budgetUpdatedAt = min(max(e.budget, 0), e.settings.MaxChangeRate), now
+	step := int(e.budget)
+	return min(max(target, base-step), base+step)
+}
+
+// reference returns the number in force: that of the last order, or of the workers that are there.
+func (s *poolState) numberInForce(current int) int {
+	if s.lastOrdered >= 0 {
+		return s.lastOrdered
+	}
+	return current
+}
+
+// distance is by how much two numbers differ.
+func distance(a, b int) int { return max(a-b, b-a) }
+
+// noteShort notes since when workers are missing.
+func (e *Executor) trackMissing(now time.Time, state *poolState, current, target int) {
+	switch {
+	case current >= target:
+		state.missingSince = time.Time{}
+	case state.missingSince.IsZero():
+		state.missingSince = now
+	}
+}
+
+// note records an order as a decision.
+func (e *Executor) recordOrder(group Group, order Order, current int, err error) {
+	kind := "kept"
+	if order.Spot {
+		kind = "spot"
+	}
+	log := e.logger.WithFields(logrus.Fields{
+		"group": order.Group, "zone": order.Zone, "kind": kind, "workers": order.Workers, "have": current,
+		"busy": fmt.Sprintf("%.1f", group.Busy), "need": e.estimators[group.Name].current,
+	})
+	record := decision.Record{
+		Kind: decision.KindCapacity, Subject: order.Group + " in " + order.Zone, Outcome: fmt.Sprintf("%d %s workers", order.Workers, kind),
+		Reason: "The demand needs another number of workers than there are.", Fence: order.Fence,
+		Inputs: map[string]string{"have": fmt.Sprint(current), "kind": kind},
+	}
+	if err != nil {
+		log.WithError(err).Warn("Workers were not ordered.")
+		record.Reason = "Workers were not ordered: " + err.Error() + "."
+	} else {
+		log.Info("Workers were ordered.")
+	}
+	e.recordDecision(record)
+}
