--- a/internal/capacity/estimator.go
+++ b/internal/capacity/estimator.go
@@ -5,51 +5,51 @@
 	"time"
 )
 
-// NeedSettings say how many workers a demand needs.
+// EstimatorSettings configures an estimator.
 type EstimatorSettings struct {
-	// Use is the part of its time for which a worker is to be busy at the peak of the demand: queues grow beyond it.
+	// TargetUtilization is the utilization of the workers at the peak of the demand. Above it, queues grow.
 	TargetUtilization float64
-	// Settle is how long the number of workers has to stay as it is at a start before it is taken to be what was provided.
+	// StableTime is how long the number of workers must be stable after a start to count as the provided number.
 	StableTime time.Duration
-	// Learn is how long the demand is watched before fewer workers than were provided are taken to be enough.
+	// ObservationTime is how long demand must be observed before the need may fall below the provided number.
 	ObservationTime time.Duration
-	// Memory is for how long a peak of the demand counts.
+	// PeakRetention is how long a peak of the demand counts.
 	PeakRetention time.Duration
-	// Step is the part of the need by which it has to fall for workers to be given back: each change has what leaving ones keep
-	// read again.
+	// MinDecrease is the minimum relative decrease of the need before workers are removed, because the remaining workers have to compute the
+	// cached prefixes of removed ones again.
 	MinDecrease float64
 }
 
-// DefaultNeedSettings returns the settings that measured best.
+// DefaultEstimatorSettings returns the default settings.
 func DefaultEstimatorSettings() EstimatorSettings {
 	return EstimatorSettings{TargetUtilization: 0.6, StableTime: 1500 * time.Millisecond, ObservationTime: 20 * time.Second, PeakRetention: 40 * time.Second, MinDecrease: 0.15}
 }
 
-// Need follows how many workers of a group are needed. Until the demand is known, as many as were provided are. It is a pure state
-// machine and not safe for concurrent use.
+// Estimator estimates how many workers a group needs. Until the demand is known, that is the number provided at the start. It is a pure
+// state machine and not safe for concurrent use.
 type Estimator struct {
 	settings EstimatorSettings
-	// steadySince is since when the number of workers at first has not grown, and demandSince since when there is a demand.
+	// stableSince is since when the initial number of workers has not grown, and demandSince since when there is demand.
 	stableSince, demandSince time.Time
 	peaks                    []peakBucket
 	current                  int
-	// isNew is set when the fleet was new at first.
+	// newFleet is set if the fleet was new at the first update.
 	newFleet bool
 }
 
-// peak is the highest demand of a span of time.
+// peakBucket holds the peak demand of an interval.
 type peakBucket struct {
 	start time.Time
 	value float64
 }
 
-// spans is in how many spans the memory is divided.
+// peakBuckets is the number of intervals in PeakRetention.
 const peakBuckets = 8
 
-// NewNeed returns the need of a group of which nothing was seen.
+// NewEstimator returns an estimator without observations.
 func NewEstimator(settings EstimatorSettings) *Estimator { return &Estimator{settings: settings} }
 
-// Update takes what is seen of the group. It returns how many workers are needed, and false while not even that is known.
+// Update adds an observation of the group. It returns the number of workers needed, and whether it is known yet.
 func (e *Estimator) Update(now time.Time, group Group) (int, bool) {
 	required := int(math.Ceil(e.peakDemand(now, group.Busy) / e.settings.TargetUtilization))
 	if !e.stable(now) {
@@ -69,13 +69,13 @@
 	return e.current, e.stable(now)
 }
 
-// settled tells whether it is known what was provided.
+// stable reports whether the provided number of workers is known.
 func (e *Estimator) stable(now time.Time) bool {
 	return !e.stableSince.IsZero() && now.Sub(e.stableSince) >= e.settings.StableTime
 }
 
-// provided notes the workers that are there at first: somebody has taken them to be enough. In a fleet that is new the
-// spot workers that come were ordered meanwhile, and do not count.
+// trackInitial tracks the number of workers provided at the start. In a new fleet spot workers do not count, because they may have been
+// ordered since.
 func (e *Estimator) trackInitial(now time.Time, group Group) {
 	if e.current == 0 && e.stableSince.IsZero() {
 		e.newFleet, e.stableSince = group.New, now
@@ -89,13 +89,13 @@
 	}
 }
 
-// watched tells whether the demand was watched for long enough.
+// observed reports whether demand was observed for long enough.
 func (e *Estimator) observed(now time.Time) bool {
 	return !e.demandSince.IsZero() && now.Sub(e.demandSince) >= e.settings.ObservationTime
 }
 
-// surplusKnown tells whether workers beyond the plan may be given back: the demand was watched for long enough, or none came for as long.
-// Without the second, a group that nobody asks would keep for good what was ordered while another zone had lost its own.
+// mayRemoveSurplus reports whether workers beyond the plan may be removed: after demand was observed for long enough, or was absent for as
+// long. Otherwise a group without demand would keep the replacements of lost spot workers forever.
 func (e *Estimator) mayRemoveSurplus(now time.Time) bool {
 	if e.demandSince.IsZero() {
 		return !e.stableSince.IsZero() && now.Sub(e.stableSince) >= e.settings.ObservationTime
@@ -103,7 +103,7 @@
 	return e.observed(now)
 }
 
-// highest returns the highest demand within the memory.
+// peakDemand adds a demand and returns the peak within PeakRetention.
 func (e *Estimator) peakDemand(now time.Time, busy float64) float64 {
 	bucketTime := e.settings.PeakRetention / peakBuckets
 	if len(e.peaks) == 0 || now.Sub(e.peaks[len(e.peaks)-1].start) >= bucketTime {
--- a/internal/capacity/executor.go
+++ b/internal/capacity/executor.go
@@ -12,103 +12,103 @@
 	"github.com/granitebay/granitebay/internal/decision"
 )
 
-// ErrRefused is returned by an Orderer when no such workers are to be had now.
-var ErrRefused = errors.New("no such workers are to be had now")
+// ErrRefused is returned by an Orderer if no workers of this kind are available in the zone now.
+var ErrRefused = errors.New("no workers of this kind are available now")
 
-// Order asks for a number of workers of one kind in a zone.
+// Order sets the number of workers of one kind in a zone.
 type Order struct {
 	Group, Zone string
 	Spot        bool
 	Workers     int
-	// Holder gives the order, and Fence tells its authority from older ones.
+	// Holder is the process that gives the order, and Fence the fencing token of its authority.
 	Holder string
 	Fence  int64
 }
 
-// Orderer carries orders to the platform.
+// Orderer sends orders to the platform.
 type Orderer interface {
-	// OrderWorkers returns nil once the order was taken. After other errors than ErrRefused it may be carried out later.
+	// OrderWorkers returns nil if the order was accepted. After an error other than ErrRefused, the order may still be carried out later.
 	OrderWorkers(ctx context.Context, order Order) error
 }
 
-// Group is what is seen of the workers of a group.
+// Group is the observed state of the workers of a group.
 type Group struct {
 	Name  string
 	Offer Offer
-	// Boot is how long an ordered worker takes until it serves.
+	// Boot is the time from an order until the worker serves requests.
 	Boot time.Duration
-	// Present workers by zone, without those that leave.
+	// Present workers by zone, without those that are draining.
 	Present Plan
 	// Certain is set while the records of the workers are known to be complete.
 	Certain bool
-	// New is set in the first moments of the whole fleet: no spot workers are there that do not show yet.
+	// New is set while the whole fleet is starting, so that there are no spot workers without a record yet.
 	New bool
-	// Shown is set once the records of most workers have had the time to show.
+	// Shown is set once most workers have had the time to register.
 	Shown bool
-	// Busy is how many workers the demand of the moment keeps busy.
+	// Busy is the number of workers that the current demand keeps busy.
 	Busy float64
 }
 
-// Fleet shows the groups whose workers may be ordered. It shows none to a process that does not hear of the work of all gateways: one that
-// stands by sees only a part of the demand.
+// Fleet provides the groups whose workers may be ordered. It provides none in a process that does not receive the load of all gateways,
+// because a standby process sees only a part of the demand.
 type Fleet interface{ CapacityGroups() []Group }
 
-// Settings of an executor.
+// Settings configures an executor.
 type Settings struct {
 	// Holder is the name of the process, unique in the fleet.
 	Holder    string
 	Estimator EstimatorSettings
-	// Tick is how often the workers are looked at.
+	// TickInterval is how often the executor runs.
 	TickInterval time.Duration
 	// CallTimeout bounds one call.
 	CallTimeout time.Duration
-	// Again is how long after an order, beyond the boot, it is given again when the workers are not there; RefusedPause how long
-	// after it was refused; and ChangePause how long after an order one for another number is given.
-	RetryDelay, RefusedRetryDelay, ChangeInterval time.Duration
-	// DryAfter is how long spot workers of a zone are missing before others are ordered in their place, if those that are there are
+	// RetryDelay is how long after the boot time an order is repeated if its workers are missing, FailedRetryDelay how long after a failed
+	// order the next one is sent, and ChangeInterval the minimum interval between orders for different numbers.
+	RetryDelay, FailedRetryDelay, ChangeInterval time.Duration
+	// SpotTimeout is how long the spot workers of a zone may be missing before others are ordered as a replacement, if the present ones are
 	// too few.
 	SpotTimeout time.Duration
-	// Pace is how many workers of all groups are ordered or given back in a second: the records of those that come and go are told to
-	// every gateway, over the smallest links of the fleet.
+	// MaxChangeRate bounds the workers ordered or removed per second in all groups, because the record of each is sent to every gateway,
+	// also over the slowest links.
 	MaxChangeRate float64
-	// Reserve is the part of the need for which spot workers are ordered besides, where they cost nothing; the dearer they are, the
-	// fewer. They bear what the loss of one zone does not cover: crashes, workers that leave, bursts until others have booted.
+	// ReserveShare is the share of the need that is ordered as additional spot workers if they were free; it shrinks as their price rises.
+	// The reserve covers what the loss of a zone does not: crashes, drains, and bursts until new workers have booted.
 	ReserveShare float64
 }
 
-// DefaultSettings returns settings without a holder.
+// DefaultSettings returns the default settings, without a holder.
 func DefaultSettings() Settings {
 	return Settings{
-		Estimator:         DefaultEstimatorSettings(),
-		TickInterval:      250 * time.Millisecond,
-		CallTimeout:       1500 * time.Millisecond,
-		RetryDelay:        3 * time.Second,
-		RefusedRetryDelay: time.Second,
-		ChangeInterval:    500 * time.Millisecond,
-		SpotTimeout:       5 * time.Second,
-		ReserveShare:      0.4,
-		// Two records of some 600 bytes for each are a twentieth of a link of 10 Mbit/s; 3,000 workers that were replaced within seconds
-		// kept configurations from gateways for eight (sweep, journal e6ec2684).
+		Estimator:        DefaultEstimatorSettings(),
+		TickInterval:     250 * time.Millisecond,
+		CallTimeout:      1500 * time.Millisecond,
+		RetryDelay:       3 * time.Second,
+		FailedRetryDelay: time.Second,
+		ChangeInterval:   500 * time.Millisecond,
+		SpotTimeout:      5 * time.Second,
+		ReserveShare:     0.4,
+		// The two records per worker, about 600 bytes each, take a twentieth of a link of 10 Mbit/s. Faster changes
+		// would delay configuration updates.
 		MaxChangeRate: 60,
 	}
 }
 
-// Executor has the workers ordered that are needed, while this process has the authority.
+// Executor orders the workers that each group needs, while this process has the authority.
 type Executor struct {
 	settings Settings
 	fleet    Fleet
 	orderer  Orderer
-	// authority tells whether this process may call, and its fence.
+	// authority returns the fencing token, and whether this process may make calls.
 	authority      func() (int64, bool)
 	logger         logrus.FieldLogger
 	recordDecision func(decision.Record)
 
-	// needs and lines belong to the loop.
+	// The estimators, plans and pools are used by the control loop only.
 	estimators map[string]*Estimator
 	plans      map[string]cachedPlan
 	pools      map[poolKey]*poolState
 	fence      int64
-	// left is how many workers may be ordered or given back at pacedAt.
+	// budget is the number of workers that could be ordered or removed at budgetUpdatedAt.
 	budget          float64
 	budgetUpdatedAt time.Time
 
@@ -116,37 +116,37 @@
 	status []Status
 }
 
-// line is one number that can be ordered.
+// poolKey identifies the workers of one kind in a zone of a group.
 type poolKey struct {
 	group, zone string
 	spot        bool
 }
 
-// lineState is what was ordered there.
+// poolState is the state of the orders for a pool.
 type poolState struct {
-	// ordered is the number of the last order that was taken under the present fence; negative when there was none.
+	// lastOrdered is the last accepted number under the current fence, or negative if there was none.
 	lastOrdered int
-	// changeFrom is when the next order may be given, and notBefore when one for the same number may.
+	// nextChange is when the next order may be sent, and nextRetry when one for the same number may.
 	nextChange, nextRetry time.Time
-	// refused is set when the last order was.
+	// refused is set if the last order was refused.
 	refused bool
-	// shortSince is since when fewer workers are there than were wanted; zero when all are.
+	// missingSince is since when fewer workers are present than wanted; zero if none are missing.
 	missingSince time.Time
 }
 
-// isDry tells whether workers have been missing for a while, and the last order had its time or was refused.
+// isUnavailable reports whether workers are missing for longer than the given time, although the last order was refused or is overdue.
 func (s *poolState) isUnavailable(now time.Time, after time.Duration) bool {
 	return !s.missingSince.IsZero() && now.Sub(s.missingSince) > after && (s.refused || now.Sub(s.nextRetry) > after)
 }
 
-// planned is the last plan of a group, and what it was made of.
+// cachedPlan is the last plan of a group with its inputs.
 type cachedPlan struct {
 	offer Offer
 	need  int
 	plan  Plan
 }
 
-// Status is what an executor knows of a group.
+// Status is the state of a group for operators.
 type Status struct {
 	Group         string
 	Busy          float64
@@ -155,7 +155,7 @@
 	Offer         Offer
 }
 
-// NewExecutor returns an executor that does nothing before Run.
+// NewExecutor returns an executor that is inactive until Run.
 func NewExecutor(
 	settings Settings, fleet Fleet, orderer Orderer, authority func() (int64, bool), logger logrus.FieldLogger, recordDecision func(decision.Record),
 ) *Executor {
@@ -165,14 +165,14 @@
 	}
 }
 
-// Status returns what is known of each group.
+// Status returns the state of each group.
 func (e *Executor) Status() []Status {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.status
 }
 
-// calmTicks is by how much rarer a process looks at the workers that may not order any.
+// idleTickFactor lengthens the tick of processes that may not order workers.
 const idleTickFactor = 4
 
 // Run orders workers until the context ends.
@@ -185,14 +185,14 @@
 			return
 		case <-ticker.C:
 		}
-		// Those that give no orders only follow what is needed, to go on from there.
+		// Processes without the authority only track the need, so that they can take over.
 		if _, mayOrder := e.authority(); mayOrder || tick%idleTickFactor == 0 {
 			e.Step(ctx, time.Now())
 		}
 	}
 }
 
-// Step follows the demand, and gives the orders that are due while this process may.
+// Step updates the estimates and plans, and sends the orders that are due if this process may.
 func (e *Executor) Step(ctx context.Context, now time.Time) {
 	fence, mayOrder := e.authority()
 	if mayOrder && fence != e.fence {
@@ -202,7 +202,7 @@
 	var status []Status
 	groups := e.fleet.CapacityGroups()
 	if len(groups) == 0 {
-		// One that begins to hear of all watches anew: what is there is enough until it has.
+		// This process does not receive the load of all gateways. Its estimates start again when it does.
 		clear(e.estimators)
 	}
 	for _, group := range groups {
@@ -220,7 +220,7 @@
 	e.status = status
 }
 
-// need returns how many workers of a group are needed, and whether that is known.
+// estimate returns the number of workers that a group needs, and whether it is known.
 func (e *Executor) estimate(now time.Time, group Group) (int, bool) {
 	estimator, found := e.estimators[group.Name]
 	if !found {
@@ -230,7 +230,7 @@
 	return estimator.Update(now, group)
 }
 
-// plan returns the plan of a group, which is made anew only when something has changed.
+// plan returns the plan of a group, which is computed again only if its inputs changed.
 func (e *Executor) plan(group string, offer Offer, need int) Plan {
 	cached, found := e.plans[group]
 	if !found || cached.need != need || !cached.offer.equal(offer) {
@@ -241,8 +241,8 @@
 	return cached.plan
 }
 
-// available returns the offer without the spot workers that have not come for long. While those that are there are enough, the plan
-// stays: a zone that has lost its own gets them back.
+// availableOffer returns the offer without the zones whose spot workers are unavailable. If enough workers are present, the offer is
+// unchanged, so that such a zone gets its spot workers back.
 func (e *Executor) availableOffer(now time.Time, group Group, need int) Offer {
 	offer := group.Offer
 	if group.Present.Total() >= need {
--- a/internal/capacity/executor_test.go
+++ b/internal/capacity/executor_test.go
@@ -42,14 +42,14 @@
 					got, known = estimator.Update(now, Group{Busy: busy, Present: Plan{"z": {Kept: present}}, Certain: true, New: true})
 				case "unknown":
 					if known {
-						t.Errorf("%d are needed, want unknown", got)
+						t.Errorf("need %d is known, want unknown", got)
 					}
 				case "need":
 					if want := int(parseNumber(t, words[1])); got != want || !known {
-						t.Errorf("%d are needed, known %v, want %d at %s", got, known, want, now.Sub(epoch))
+						t.Errorf("need %d, known %v, want %d at %s", got, known, want, now.Sub(epoch))
 					}
 				default:
-					t.Fatalf("%q is no step", line)
+					t.Fatalf("unknown command %q", line)
 				}
 			}
 		})
@@ -65,26 +65,25 @@
 	return value
 }
 
-// platform is what orders workers, with workers that boot and leave. Calls may be lost, or carried out late.
+// fakePlatform accepts orders and simulates the workers. Calls may be lost or delayed.
 type fakePlatform struct {
 	t     *rapid.T
 	now   time.Time
 	offer Offer
-	// ordered holds the numbers in force, and present the workers that are there.
+	// ordered holds the numbers in force, and present the running workers.
 	ordered, present Plan
-	// boots are workers that are on their way.
 	booting          []bootingWorker
 	delayed          []Order
 	unavailableUntil map[string]time.Time
 	busy             float64
 	calls            int
-	// standsBy is set while the executors hear of a part of the demand only.
+	// standby is set while the executors do not receive the whole demand.
 	standby bool
-	// isNew is set in the first moments of the fleet.
+	// newFleet is set if the fleet starts with the simulation.
 	newFleet bool
-	// unsure is set while records may be missing.
+	// recordsIncomplete is set while records of workers may be missing.
 	recordsIncomplete bool
-	// healthy is set once calls are carried out at once.
+	// reliable is set once all calls succeed immediately.
 	reliable bool
 }
 
@@ -123,7 +122,7 @@
 	return errors.New("no answer")
 }
 
-// take carries out an order.
+// apply carries out an order.
 func (p *fakePlatform) apply(order Order) error {
 	count := p.ordered[order.Zone]
 	if order.Spot {
@@ -138,7 +137,7 @@
 	return nil
 }
 
-// advance has workers boot and leave.
+// advance advances the time by a tick, and boots and removes workers.
 func (p *fakePlatform) advance() {
 	p.now = p.now.Add(tick)
 	for _, zone := range p.offer.Zones {
@@ -156,7 +155,7 @@
 	p.booting = booting
 }
 
-// add changes how many workers are present.
+// addPresent changes the number of present workers.
 func (p *fakePlatform) addPresent(zone string, spot bool, n int) {
 	count := p.present[zone]
 	if spot {
@@ -167,7 +166,7 @@
 	p.present[zone] = count
 }
 
-// advanceKind starts or ends workers of one kind.
+// advancePool boots or removes workers of one kind in a zone.
 func (p *fakePlatform) advancePool(zone string, spot bool) {
 	have, want := p.present[zone].Kept, p.ordered[zone].Kept
 	if spot {
@@ -199,7 +198,7 @@
 	return p.present[zone].Kept
 }
 
-// reclaim takes the spot workers of a zone away, for a while.
+// reclaim removes the spot workers of a zone and makes them unavailable for a while.
 func (p *fakePlatform) reclaim(zone string, duration time.Duration) {
 	count := p.ordered[zone]
 	count.Spot = 0
@@ -227,8 +226,8 @@
 	return NewExecutor(DefaultSettings(), p, p, authority, logger, func(decision.Record) {})
 }
 
-// Whatever becomes of calls, whoever holds the authority and whatever is taken away: the workers that are there are never given back
-// below the need, and once all is well they are those of the plan, without further calls.
+// TestOrdersConverge guards against orders that never reach the plan, or that continue afterwards, when calls were lost or delayed, the
+// authority moved, and spot workers were reclaimed.
 func TestOrdersConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newFakePlatform(t)
@@ -270,14 +269,15 @@
 		}
 		status := executors[holder].Status()[0]
 		if fmt.Sprint(p.present) != fmt.Sprint(status.Plan) {
-			t.Fatalf("there are %v, planned %v for %d", p.present, status.Plan, status.Need)
+			t.Fatalf("present %v, planned %v for a need of %d", p.present, status.Plan, status.Need)
 		}
 		if p.calls != calls {
-			t.Fatalf("%d calls although all is as planned", p.calls-calls)
+			t.Fatalf("%d calls after the plan was reached", p.calls-calls)
 		}
 	})
 }
 
+// TestWorkersAreRemovedOnlyAfterReplacement guards against a loss of capacity while kept workers are replaced by spot workers.
 func TestWorkersAreRemovedOnlyAfterReplacement(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newFakePlatform(t)
@@ -287,15 +287,16 @@
 			p.advance()
 			e.Step(context.Background(), p.now)
 			if total := p.present.Total(); total < 72 {
-				t.Fatalf("%d of 72 workers are left after %s", total, p.now.Sub(epoch))
+				t.Fatalf("only %d of 72 workers are present after %s", total, p.now.Sub(epoch))
 			}
 		}
 		if spot := p.present["z0"].Spot; spot == 0 || p.present["z0"].Kept != 1 {
-			t.Fatalf("there are %v", p.present)
+			t.Fatalf("present: %v", p.present)
 		}
 	})
 }
 
+// TestUnavailableSpotWorkersAreReplaced guards against waiting for spot workers that are unavailable in all zones.
 func TestUnavailableSpotWorkersAreReplaced(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newFakePlatform(t)
@@ -310,12 +311,12 @@
 			e.Step(context.Background(), p.now)
 		}
 		if total := p.present.Total(); total < 50 || p.present["z0"].Spot != 0 {
-			t.Fatalf("there are %v", p.present)
+			t.Fatalf("present: %v", p.present)
 		}
 	})
 }
 
-// TestWorkersThatHaveNotRegisteredYetAreNotTakenAway starts a fleet whose workers show one after another.
+// TestUnregisteredWorkersAreNotRemoved guards against orders based on incomplete records while the workers of a new fleet register.
 func TestUnregisteredWorkersAreNotRemoved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newFakePlatform(t)
@@ -338,15 +339,14 @@
 			e.Step(context.Background(), p.now)
 			for zone, count := range p.ordered {
 				if count.Kept < started[zone].Kept {
-					t.Fatalf("%d kept workers of zone %s were ordered before all had shown", count.Kept, zone)
+					t.Fatalf("%d kept workers of zone %s were ordered before all were registered", count.Kept, zone)
 				}
 			}
 		}
 	})
 }
 
-// TestOneThatStoodByGivesNothingBack guards against a new holder that has seen the demand of its own callers alone: it gave 66 of 118
-// workers back, and the rest collapsed.
+// TestNewHolderRemovesNoWorkers guards against a new holder that removes workers because it has seen only the demand of its own callers.
 func TestNewHolderRemovesNoWorkers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newFakePlatform(t)
@@ -367,14 +367,14 @@
 			p.advance()
 			second.Step(context.Background(), p.now)
 			if p.present.Total() < before {
-				t.Fatalf("%d workers of %d are left", p.present.Total(), before)
+				t.Fatalf("only %d workers of %d are present", p.present.Total(), before)
 			}
 		}
 	})
 }
 
-// TestWorkersWhoseRecordsHaveLapsedAreNotTakenAway has a process that knows nothing get the authority while the records of most workers are
-// gone with an outage of the store.
+// TestWorkersWithLapsedRecordsAreNotRemoved guards against a new holder that removes workers whose records were lost in an outage of the
+// store.
 func TestWorkersWithLapsedRecordsAreNotRemoved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newFakePlatform(t)
@@ -396,14 +396,14 @@
 			e.Step(context.Background(), p.now)
 			for zone, count := range p.ordered {
 				if count.Total() < 25 {
-					t.Fatalf("%+v were ordered in zone %s", count, zone)
+					t.Fatalf("workers were removed: %+v ordered in zone %s", count, zone)
 				}
 			}
 		}
 	})
 }
 
-// TestAllThatArePlannedAreThereSoon starts a fleet whose zones are half full of kept workers: spot workers come in their places.
+// TestPlanIsReachedSoon checks how fast a fleet of kept workers gets the spot workers of the plan.
 func TestPlanIsReachedSoon(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newFakePlatform(t)
@@ -414,13 +414,13 @@
 			e.Step(context.Background(), p.now)
 		}
 		if status := e.Status()[0]; p.present.Total() < status.Plan.Total() {
-			t.Fatalf("%d workers of %d are there: %v", p.present.Total(), status.Plan.Total(), p.present)
+			t.Fatalf("%d of %d planned workers are present: %v", p.present.Total(), status.Plan.Total(), p.present)
 		}
 	})
 }
 
-// TestSpotWorkersThatHaveJustComeStay starts a fleet with more kept workers than a zone may have, which show one after another: spot workers
-// that were ordered meanwhile stay until the demand was watched.
+// TestNewSpotWorkersAreNotRemoved guards against the removal of spot workers, ordered while more kept workers register than a zone may have,
+// before the demand is known.
 func TestNewSpotWorkersAreNotRemoved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newFakePlatform(t)
@@ -440,7 +440,7 @@
 			e.Step(context.Background(), p.now)
 			for zone, count := range p.ordered {
 				if count.Spot < maxima[zone] {
-					t.Fatalf("zone %s has %d of %d spot workers left", zone, count.Spot, maxima[zone])
+					t.Fatalf("zone %s keeps only %d of %d spot workers", zone, count.Spot, maxima[zone])
 				}
 				maxima[zone] = count.Spot
 			}
@@ -448,7 +448,7 @@
 	})
 }
 
-// TestALargeFleetIsChangedAtThePaceOfItsLinks replaces the workers of zones of 800.
+// TestChangeRateIsLimited guards against orders that exceed MaxChangeRate when all workers of a large fleet are replaced.
 func TestChangeRateIsLimited(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newFakePlatform(t)
@@ -475,7 +475,7 @@
 			}
 		}
 		if p.ordered["z1"].Spot == 0 {
-			t.Fatal("nothing was ordered")
+			t.Fatal("no spot workers were ordered")
 		}
 	})
 }
--- a/internal/capacity/plan.go
+++ b/internal/capacity/plan.go
@@ -1,7 +1,7 @@
-// Package capacity decides how many workers each zone is to have, and of which kind: kept ones, and spot ones, which cost less and
-// may be taken away, all of a zone at once.
+// Package capacity decides how many workers each zone should have, and orders them. There are two kinds: kept workers, which run until they
+// are removed, and spot workers, which cost less but may be reclaimed, all of a zone at once.
 //
-// Plan is pure. A Planner says what is needed, from what callers offer; an Executor has it ordered, one difference at a time.
+// Estimator determines the number of workers needed from the demand, Plan distributes them over the zones, and Executor orders them.
 package capacity
 
 import (
@@ -12,27 +12,27 @@
 	"github.com/samber/lo"
 )
 
-// Zone is where workers of a group may run.
+// Zone is a location where workers of a group may run.
 type Zone struct {
 	Name string
-	// Price of a kept worker, for a second.
+	// Price of a kept worker per second.
 	Price float64
-	// NoSpot is set where no spot workers are to be had for long.
+	// NoSpot is set if spot workers are unavailable in the zone.
 	NoSpot bool
 }
 
-// Offer says what workers of a group may be ordered.
+// Offer describes the workers that may be ordered for a group.
 type Offer struct {
 	Zones []Zone
-	// Least and Most workers of a zone, of both kinds together.
+	// Least and Most bound the workers of a zone, both kinds together.
 	Least, Most int
-	// SpotPrice is the price of a spot worker as a part of that of a kept one.
+	// SpotPrice is the price of a spot worker relative to a kept one.
 	SpotPrice float64
-	// OneLost is set while a zone has lost its spot workers: the loss of another one at the same time is not planned for.
+	// SpotLost is set while a zone has lost its spot workers. The loss of a second zone at the same time is not planned for.
 	SpotLost bool
 }
 
-// left returns how many workers of a plan are left after the loss that is planned for.
+// remaining returns the number of workers of a plan that remain after the planned-for loss of a zone.
 func (o Offer) remaining(plan Plan) int {
 	if o.SpotLost {
 		return plan.Total()
@@ -40,7 +40,7 @@
 	return plan.WithoutLargestSpotZone()
 }
 
-// WithReserve returns the plan with so many more spot workers, as evenly as the zones allow.
+// WithReserve returns the plan with additional spot workers, distributed evenly within the limits of the zones.
 func (p Plan) WithReserve(offer Offer, reserve int) Plan {
 	plan := maps.Clone(p)
 	for reserve > 0 {
@@ -56,7 +56,7 @@
 	return plan
 }
 
-// emptiest returns the zone with the fewest spot workers among those that may have more.
+// fewestSpot returns the zone with the fewest spot workers among those that may have more.
 func fewestSpot(plan Plan, offer Offer) (string, bool) {
 	zones := lo.Filter(offer.Zones, func(zone Zone, _ int) bool { return !zone.NoSpot && plan[zone.Name].Total() < offer.Most })
 	if len(zones) == 0 {
@@ -67,33 +67,33 @@
 	}).Name, true
 }
 
-// same tells whether two offers are the same.
+// equal reports whether two offers are equal.
 func (o Offer) equal(other Offer) bool {
 	return o.SpotLost == other.SpotLost && o.Least == other.Least && o.Most == other.Most && o.SpotPrice == other.SpotPrice && slices.Equal(o.Zones, other.Zones)
 }
 
-// Count is a number of workers of each kind.
+// Count is the number of workers of each kind.
 type Count struct{ Kept, Spot int }
 
-// Total is the number of both kinds.
+// Total returns the number of workers of both kinds.
 func (c Count) Total() int { return c.Kept + c.Spot }
 
-// Plan is how many workers each zone is to have.
+// Plan maps each zone to its number of workers.
 type Plan map[string]Count
 
-// Total is the number of workers of all zones.
+// Total returns the number of workers in all zones.
 func (p Plan) Total() int { return lo.SumBy(lo.Values(p), Count.Total) }
 
-// Kept is the number of workers of all zones that stay.
+// Kept returns the number of kept workers in all zones.
 func (p Plan) Kept() int { return lo.SumBy(lo.Values(p), func(c Count) int { return c.Kept }) }
 
-// WithoutDearestZone is the number of workers that are left when the zone with most spot workers loses them.
+// WithoutLargestSpotZone returns the number of workers that remain if the zone with the most spot workers loses them.
 func (p Plan) WithoutLargestSpotZone() int {
 	maxSpot := lo.Max(lo.Map(lo.Values(p), func(c Count, _ int) int { return c.Spot }))
 	return p.Total() - maxSpot
 }
 
-// Cost of a plan for a second.
+// Cost returns the cost of the plan per second.
 func (p Plan) Cost(offer Offer) float64 {
 	cost := 0.0
 	for _, zone := range offer.Zones {
@@ -102,10 +102,10 @@
 	return cost
 }
 
-// NewPlan returns the cheapest plan that has so many workers although the spot workers of any one zone are taken away. Where the
-// offer does not go that far, it has as many as there may be.
+// NewPlan returns the cheapest plan that provides the needed workers even if one zone loses its spot workers. If the offer is too small, it
+// provides as many as possible.
 //
-// Invariants: each zone has Least workers at the least and Most at the most; with more need there are no fewer workers.
+// Invariants: each zone has between Least and Most workers, and a larger need never results in fewer workers.
 func NewPlan(offer Offer, need int) Plan {
 	var best Plan
 	for spotLimit := range offer.Most + 1 {
@@ -117,20 +117,20 @@
 	return best
 }
 
-// better tells whether a plan meets the need more fully than another one, or as fully at less cost.
+// better reports whether a plan covers more of the need than another one, or the same at a lower cost.
 func better(plan, other Plan, offer Offer, need int) bool {
 	covered, otherCovered := min(offer.remaining(plan), need), min(offer.remaining(other), need)
 	return cmp.Or(cmp.Compare(otherCovered, covered), cmp.Compare(plan.Cost(offer), other.Cost(offer))) < 0
 }
 
-// planWith returns the cheapest plan with so many spot workers in a zone at the most.
+// planWithLimit returns the cheapest plan with at most spotLimit spot workers per zone.
 func planWithLimit(offer Offer, need, spotLimit int) Plan {
 	plan := Plan{}
 	for _, zone := range offer.Zones {
 		plan[zone.Name] = Count{Kept: offer.Least}
 	}
 	byPrice := slices.SortedStableFunc(slices.Values(offer.Zones), func(a, b Zone) int { return cmp.Compare(a.Price, b.Price) })
-	// Spot workers up to the limit, where one more is not just the one that may be lost.
+	// Add spot workers up to the limit, as long as they add to the workers that remain after a loss.
 	for _, zone := range byPrice {
 		if zone.NoSpot {
 			continue
--- a/internal/capacity/plan_test.go
+++ b/internal/capacity/plan_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-// offers draws what may be ordered.
+// drawOffer draws an offer.
 func drawOffer(t *rapid.T) Offer {
 	offer := Offer{SpotPrice: rapid.Float64Range(0.05, 1.2).Draw(t, "spot price")}
 	offer.Least = rapid.IntRange(0, 4).Draw(t, "least")
@@ -29,23 +29,23 @@
 		for _, zone := range offer.Zones {
 			count := plan[zone.Name]
 			if count.Total() < offer.Least || count.Total() > offer.Most || (zone.NoSpot && count.Spot > 0) {
-				t.Fatalf("zone %s has %+v", zone.Name, count)
+				t.Fatalf("zone %s violates the offer: %+v", zone.Name, count)
 			}
 		}
-		// Kept workers alone would do where there are enough.
+		// Kept workers alone can cover the need.
 		if remaining := plan.WithoutLargestSpotZone(); remaining < min(need, possible) {
-			t.Fatalf("%d workers are left of %d needed and %d possible: %v", remaining, need, possible, plan)
+			t.Fatalf("%d workers remain after a loss, of %d needed and %d possible: %v", remaining, need, possible, plan)
 		}
 		more := NewPlan(offer, need+rapid.IntRange(1, 20).Draw(t, "more"))
 		if more.WithoutLargestSpotZone() < min(plan.WithoutLargestSpotZone(), need) {
-			t.Fatalf("with more need there are fewer workers: %v, %v", plan, more)
+			t.Fatalf("a larger need results in fewer workers: %v, %v", plan, more)
 		}
 		kept := Plan{}
 		for _, zone := range offer.Zones {
 			kept[zone.Name] = Count{Kept: offer.Least}
 		}
 		if need <= offer.Least*len(offer.Zones) && plan.Cost(offer) > kept.Cost(offer)+1e-9 {
-			t.Fatalf("the least that there may be is enough, and %v costs more", plan)
+			t.Fatalf("%v costs more than the minimum, which covers the need", plan)
 		}
 	})
 }
@@ -61,14 +61,14 @@
 		need       int
 		kept, spot int
 	}{
-		{"a zone's may go", func(*Offer) {}, 71, 4, 90},
-		{"dear spot workers", func(o *Offer) { o.SpotPrice = 0.9 }, 71, 71, 0},
-		{"nowhere to be had", func(o *Offer) {
+		{"one zone may be lost", func(*Offer) {}, 71, 4, 90},
+		{"expensive spot workers", func(o *Offer) { o.SpotPrice = 0.9 }, 71, 71, 0},
+		{"no spot workers available", func(o *Offer) {
 			for i := range o.Zones {
 				o.Zones[i].NoSpot = true
 			}
 		}, 71, 71, 0},
-		{"in two zones only", func(o *Offer) { o.Zones[0].NoSpot, o.Zones[1].NoSpot = true, true }, 40, 5, 70},
+		{"spot workers in two zones only", func(o *Offer) { o.Zones[0].NoSpot, o.Zones[1].NoSpot = true, true }, 40, 5, 70},
 	} {
 		t.Run(c.desc, func(t *testing.T) {
 			changed := offer
--- a/internal/capacity/reconcile.go
+++ b/internal/capacity/reconcile.go
@@ -11,17 +11,17 @@
 	"github.com/granitebay/granitebay/internal/decision"
 )
 
-// follow gives the orders that bring the workers of a group nearer to the plan. Workers are given back only as far as those that
-// are there are enough without them, and only while it is certain how many are there: an order names a number, and one for the few that
-// are seen would take the others away. Before that, a fleet that is new has spot workers ordered as more of the kept ones show.
+// reconcile sends the orders that bring the workers of a group closer to the plan. Workers are removed only if enough others are present,
+// and only while the records are certain: an order sets a total number, so one based on incomplete records would remove workers. A new
+// fleet may order spot workers earlier, while its kept workers register.
 func (e *Executor) reconcile(ctx context.Context, now time.Time, group Group, plan Plan, need int, certain bool) {
 	surplus := max(group.Present.Total()-need, 0)
 	for _, zone := range group.Offer.Zones {
 		current, target := group.Present[zone.Name], plan[zone.Name]
-		// Workers that are to go take the places of those that are to come.
+		// Workers that are still to be removed occupy places of new ones.
 		target.Spot = min(target.Spot, max(group.Offer.Most-current.Kept, 0))
 		if !e.estimators[group.Name].mayRemoveSurplus(now) {
-			// Those that have just booted are not given back before it is known what they are worth.
+			// New spot workers stay until the demand is known.
 			target.Spot = max(target.Spot, current.Spot)
 		}
 		if certain || (group.Shown && e.estimators[group.Name].newFleet && target.Spot > current.Spot) {
@@ -33,7 +33,7 @@
 	}
 }
 
-// adjust orders one number if that is due.
+// adjustPool sends an order for a pool if one is due, and deducts removed workers from the surplus.
 func (e *Executor) adjustPool(ctx context.Context, now time.Time, group Group, key poolKey, current, target int, surplus *int) {
 	state, found := e.pools[key]
 	if !found {
@@ -68,7 +68,7 @@
 	state.nextChange = now.Add(e.settings.ChangeInterval)
 	state.refused = errors.Is(err, ErrRefused)
 	if err != nil {
-		state.nextRetry = now.Add(e.settings.RefusedRetryDelay)
+		state.nextRetry = now.Add(e.settings.FailedRetryDelay)
 		state.nextChange = state.nextRetry
 	} else {
 		state.lastOrdered = target
@@ -76,7 +76,7 @@
 	e.recordOrder(group, order, current, err)
 }
 
-// paced returns the number that is as near to the wanted one as the pace allows, from the one that is in force.
+// limitChange returns the number closest to the target that the change budget allows, starting from the number in force.
 func (e *Executor) limitChange(now time.Time, base, target int) int {
 	if !e.budgetUpdatedAt.IsZero() {
 		e.budget += e.settings.MaxChangeRate * now.Sub(e.budgetUpdatedAt).Seconds()
@@ -86,7 +86,7 @@
 	return min(max(target, base-step), base+step)
 }
 
-// reference returns the number in force: that of the last order, or of the workers that are there.
+// numberInForce returns the last accepted number, or else the number of present workers.
 func (s *poolState) numberInForce(current int) int {
 	if s.lastOrdered >= 0 {
 		return s.lastOrdered
@@ -94,10 +94,10 @@
 	return current
 }
 
-// distance is by how much two numbers differ.
+// distance returns the absolute difference.
 func distance(a, b int) int { return max(a-b, b-a) }
 
-// noteShort notes since when workers are missing.
+// trackMissing updates since when workers are missing.
 func (e *Executor) trackMissing(now time.Time, state *poolState, current, target int) {
 	switch {
 	case current >= target:
@@ -107,7 +107,7 @@
 	}
 }
 
-// note records an order as a decision.
+// recordOrder logs an order and records it as a decision.
 func (e *Executor) recordOrder(group Group, order Order, current int, err error) {
 	kind := "kept"
 	if order.Spot {
@@ -119,7 +119,7 @@
 	})
 	record := decision.Record{
 		Kind: decision.KindCapacity, Subject: order.Group + " in " + order.Zone, Outcome: fmt.Sprintf("%d %s workers", order.Workers, kind),
-		Reason: "The demand needs another number of workers than there are.", Fence: order.Fence,
+		Reason: "The demand requires a different number of workers.", Fence: order.Fence,
 		Inputs: map[string]string{"have": fmt.Sprint(current), "kind": kind},
 	}
 	if err != nil {
