--- a/internal/capacity/plan.go
+++ b/internal/capacity/plan.go
@@ -44,7 +44,7 @@
 func (p Plan) WithReserve(offer Offer, reserve int) Plan {
 	plan := maps.Clone(p)
 	for reserve > 0 {
-		zone, found := fewestSpot(plan, offer)
+		zone, found := zoneWithFewestSpot(plan, offer)
 		if !found {
 			break
 		}
@@ -56,8 +56,8 @@
 	return plan
 }
 
-// fewestSpot returns the zone with the fewest spot workers among those that may have more.
-func fewestSpot(plan Plan, offer Offer) (string, bool) {
+// zoneWithFewestSpot returns the zone with the fewest spot workers among those that may have more.
+func zoneWithFewestSpot(plan Plan, offer Offer) (string, bool) {
 	zones := lo.Filter(offer.Zones, func(zone Zone, _ int) bool { return !zone.NoSpot && plan[zone.Name].Total() < offer.Most })
 	if len(zones) == 0 {
 		return "", false
--- a/internal/poison/digest.go
+++ b/internal/poison/digest.go
@@ -1,6 +1,6 @@
 // Package poison detects requests that crash the workers that run them, and stops routing them to further workers. Such a request is
 // known as a query of death or a poison message: its caller retries it, each time as a new request, and each retry costs another
-// worker together with everything that it was running.
+// worker together with everything that it was running. A crash is any unplanned end of a worker's process, because its cause is unknown.
 package poison
 
 import (
--- a/internal/poison/strategies_test.go
+++ b/internal/poison/strategies_test.go
@@ -14,8 +14,7 @@
 	"github.com/granitebay/granitebay/internal/poison"
 )
 
-// strategy is how a fleet routes suspects. The zero value bounds nothing: a request is retried at once, before it is known whether its
-// worker crashed.
+// strategy is how a fleet routes suspects. By default a request is retried at once, before it is known whether its worker crashed.
 type strategy struct {
 	name string
 	// riskShare is the share of the workers that suspects may put at risk; 1 is all workers, and 0 a single one.
--- a/internal/poison/table_test.go
+++ b/internal/poison/table_test.go
@@ -127,8 +127,8 @@
 				}
 			}
 			table.Evaluate(now)
-			for i, each := range tables {
-				for _, bar := range each.Bars(now) {
+			for i, other := range tables {
+				for _, bar := range other.Bars(now) {
 					if len(crashedWorkers[bar.Asked]) < settings.CrashLimit {
 						t.Fatalf("table %d bars %v after crashes of only %v", i, bar, crashedWorkers[bar.Asked])
 					}
--- a/internal/roles/controller_test.go
+++ b/internal/roles/controller_test.go
@@ -28,31 +28,31 @@
 	loseResponse bool
 }
 
-func (k *fakeStore) List(context.Context, string) ([]store.Item, store.Revision, error) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	if k.history == nil {
-		return nil, k.revision, nil
+func (s *fakeStore) List(context.Context, string) ([]store.Item, store.Revision, error) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if s.history == nil {
+		return nil, s.revision, nil
 	}
-	return []store.Item{{Key: HistoryKey, Value: k.history, Revision: k.revision}}, k.revision, nil
+	return []store.Item{{Key: HistoryKey, Value: s.history, Revision: s.revision}}, s.revision, nil
 }
 
-func (k *fakeStore) Commit(_ context.Context, transaction store.Transaction) (store.Revision, error) {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	if len(transaction.Deletes) > 0 && transaction.Conditions[0].Revision == k.revision {
-		k.value = nil
-		return k.revision, nil
+func (s *fakeStore) Commit(_ context.Context, transaction store.Transaction) (store.Revision, error) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	if len(transaction.Deletes) > 0 && transaction.Conditions[0].Revision == s.revision {
+		s.value = nil
+		return s.revision, nil
 	}
-	if k.value != nil || (k.history != nil && transaction.Conditions[1].Revision != k.revision) {
+	if s.value != nil || (s.history != nil && transaction.Conditions[1].Revision != s.revision) {
 		return 0, store.ErrConflict
 	}
-	k.revision++
-	k.value, k.history = transaction.Puts[0].Value, transaction.Puts[1].Value
-	if k.loseResponse {
+	s.revision++
+	s.value, s.history = transaction.Puts[0].Value, transaction.Puts[1].Value
+	if s.loseResponse {
 		return 0, errors.New("no answer")
 	}
-	return k.revision, nil
+	return s.revision, nil
 }
 
 // recordingOrderer records orders.
@@ -80,14 +80,14 @@
 	changing []backend.Role
 }
 
-func (s *busyPrefillFleet) Groups() map[string]*Group {
+func (f *busyPrefillFleet) Groups() map[string]*Group {
 	return map[string]*Group{"g": {Engines: newEngines(5, 7, 1), ReadingDemand: 5}}
 }
 
-func (s *busyPrefillFleet) SetChanging(_ string, role backend.Role) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.changing = append(s.changing, role)
+func (f *busyPrefillFleet) SetChanging(_ string, role backend.Role) {
+	f.mutex.Lock()
+	defer f.mutex.Unlock()
+	f.changing = append(f.changing, role)
 }
 
 // newTestController returns a controller without delays.
--- a/internal/roles/transitions.go
+++ b/internal/roles/transitions.go
@@ -64,8 +64,8 @@
 		inspections.Go(func() { states[i], errs[i] = c.orderer.Inspect(ctx, pending.change.Worker) })
 	}
 	inspections.Wait()
-	for i, change := range due {
-		c.handleState(change, states[i], errs[i])
+	for i, pending := range due {
+		c.handleState(pending, states[i], errs[i])
 	}
 }
 
