--- /dev/null
+++ b/internal/capacity/estimator.go
@@ -0,0 +1,122 @@
+package capacity
+
+import (
+	"math"
+	"time"
+)
+
+// EstimatorSettings configures an estimator.
+type EstimatorSettings struct {
+	// TargetUtilization is the utilization of the workers at the peak of the demand. Above it, queues grow.
+	TargetUtilization float64
+	// StableTime is how long the number of workers must be stable after a start to count as the provided number.
+	StableTime time.Duration
+	// ObservationTime is how long demand must be observed before the need may fall below the provided number.
+	ObservationTime time.Duration
+	// PeakRetention is how long a peak of the demand counts.
+	PeakRetention time.Duration
+	// MinDecrease is the minimum relative decrease of the need before workers are removed, because the remaining workers have to compute the
+	// cached prefixes of removed ones again.
+	MinDecrease float64
+}
+
+// DefaultEstimatorSettings returns the default settings.
+func DefaultEstimatorSettings() EstimatorSettings {
+	return EstimatorSettings{TargetUtilization: 0.6, StableTime: 1500 * time.Millisecond, ObservationTime: 20 * time.Second, PeakRetention: 40 * time.Second, MinDecrease: 0.15}
+}
+
+// Estimator estimates how many workers a group needs. Until the demand is known, that is the number provided at the start. It is a pure
+// state machine and not safe for concurrent use.
+type Estimator struct {
+	settings EstimatorSettings
+	// stableSince is since when the initial number of workers has not grown, and demandSince since when there is demand.
+	stableSince, demandSince time.Time
+	peaks                    []peakBucket
+	current                  int
+	// newFleet is set if the fleet was new at the first update.
+	newFleet bool
+}
+
+// peakBucket holds the peak demand of an interval.
+type peakBucket struct {
+	start time.Time
+	value float64
+}
+
+// peakBuckets is the number of intervals in PeakRetention.
+const peakBuckets = 8
+
+// NewEstimator returns an estimator without observations.
+func NewEstimator(settings EstimatorSettings) *Estimator { return &Estimator{settings: settings} }
+
+// Update adds an observation of the group. It returns the number of workers needed, and whether it is known yet.
+func (e *Estimator) Update(now time.Time, group Group) (int, bool) {
+	required := int(math.Ceil(e.peakDemand(now, group.Busy) / e.settings.TargetUtilization))
+	if !e.stable(now) {
+		e.trackInitial(now, group)
+	}
+	if e.demandSince.IsZero() && group.Busy > 0 {
+		e.demandSince = now
+	}
+	switch {
+	case !e.observed(now):
+		e.current = max(e.current, required)
+	case required > e.current:
+		e.current = required
+	case float64(required) < (1-e.settings.MinDecrease)*float64(e.current):
+		e.current = required
+	}
+	return e.current, e.stable(now)
+}
+
+// stable reports whether the provided number of workers is known.
+func (e *Estimator) stable(now time.Time) bool {
+	return !e.stableSince.IsZero() && now.Sub(e.stableSince) >= e.settings.StableTime
+}
+
+// trackInitial tracks the number of workers provided at the start. In a new fleet spot workers do not count, because they may have been
+// ordered since.
+func (e *Estimator) trackInitial(now time.Time, group Group) {
+	if e.current == 0 && e.stableSince.IsZero() {
+		e.newFleet, e.stableSince = group.New, now
+	}
+	baseline := group.Present.WithoutLargestSpotZone()
+	if e.newFleet {
+		baseline = group.Present.Kept()
+	}
+	if baseline > e.current || baseline == 0 || !group.Certain {
+		e.current, e.stableSince = max(baseline, e.current), now
+	}
+}
+
+// observed reports whether demand was observed for long enough.
+func (e *Estimator) observed(now time.Time) bool {
+	return !e.demandSince.IsZero() && now.Sub(e.demandSince) >= e.settings.ObservationTime
+}
+
+// mayRemoveSurplus reports whether workers beyond the plan may be removed: after demand was observed for long enough, or was absent for as
+// long. Otherwise a group without demand would keep the replacements of lost spot workers forever.
+func (e *Estimator) mayRemoveSurplus(now time.Time) bool {
+	if e.demandSince.IsZero() {
+		return !e.stableSince.IsZero() && now.Sub(e.stableSince) >= e.settings.ObservationTime
+	}
+	return e.observed(now)
+}
+
+// peakDemand adds a demand and returns the peak within PeakRetention.
+func (e *Estimator) peakDemand(now time.Time, busy float64) float64 {
+	bucketTime := e.settings.PeakRetention / peakBuckets
+	if len(e.peaks) == 0 || now.Sub(e.peaks[len(e.peaks)-1].start) >= bucketTime {
+		e.peaks = append(e.peaks, peakBucket{start: now})
+	}
+	last := &e.peaks[len(e.peaks)-1]
+	last.value = max(last.value, busy)
+	for len(e.peaks) > 1 && now.Sub(e.peaks[0].start) > e.settings.PeakRetention {
+		e.peaks = e.peaks[1:]
+	}
+	highest := 0.0
+	for _, bucket := range e.peaks {
+		highest = max(highest, bucket.value)
+	}
+	return highest
+}
--- a/internal/capacity/executor.go
+++ b/internal/capacity/executor.go
@@ -12,141 +12,141 @@
 	"github.com/granitebay/granitebay/internal/decision"
 )
 
-// ErrRefused is returned by an Orderer when no such workers are to be had now.
-var ErrRefused = errors.New("no such workers are to be had now")
+// ErrRefused is returned by an Orderer if no workers of this kind are available in the zone now.
+var ErrRefused = errors.New("no workers of this kind are available now")
 
-// Order asks for a number of workers of one kind in a zone.
+// Order sets the number of workers of one kind in a zone.
 type Order struct {
 	Group, Zone string
 	Spot        bool
 	Workers     int
-	// Holder gives the order, and Fence tells its authority from older ones.
+	// Holder is the process that gives the order, and Fence the fencing token of its authority.
 	Holder string
 	Fence  int64
 }
 
-// Orderer carries orders to the platform.
+// Orderer sends orders to the platform.
 type Orderer interface {
-	// OrderWorkers returns nil once the order was taken. After other errors than ErrRefused it may be carried out later.
+	// OrderWorkers returns nil if the order was accepted. After an error other than ErrRefused, the order may still be carried out later.
 	OrderWorkers(ctx context.Context, order Order) error
 }
 
-// Group is what is seen of the workers of a group.
+// Group is the observed state of the workers of a group.
 type Group struct {
 	Name  string
 	Offer Offer
-	// Boot is how long an ordered worker takes until it serves.
+	// Boot is the time from an order until the worker serves requests.
 	Boot time.Duration
-	// Present workers by zone, without those that leave.
+	// Present workers by zone, without those that are draining.
 	Present Plan
 	// Certain is set while the records of the workers are known to be complete.
 	Certain bool
-	// New is set in the first moments of the whole fleet: no spot workers are there that do not show yet.
+	// New is set while the whole fleet is starting, so that there are no spot workers without a record yet.
 	New bool
-	// Shown is set once the records of most workers have had the time to show.
+	// Shown is set once most workers have had the time to register.
 	Shown bool
-	// Busy is how many workers the demand of the moment keeps busy.
+	// Busy is the number of workers that the current demand keeps busy.
 	Busy float64
 }
 
-// Fleet shows the groups whose workers may be ordered. It shows none to a process that does not hear of the work of all gateways: one that
-// stands by sees only a part of the demand.
+// Fleet provides the groups whose workers may be ordered. It provides none in a process that does not receive the load of all gateways,
+// because a standby process sees only a part of the demand.
 type Fleet interface{ CapacityGroups() []Group }
 
-// Settings of an executor.
+// Settings configures an executor.
 type Settings struct {
 	// Holder is the name of the process, unique in the fleet.
-	Holder string
-	Need   NeedSettings
-	// Tick is how often the workers are looked at.
-	Tick time.Duration
+	Holder    string
+	Estimator EstimatorSettings
+	// TickInterval is how often the executor runs.
+	TickInterval time.Duration
 	// CallTimeout bounds one call.
 	CallTimeout time.Duration
-	// Again is how long after an order, beyond the boot, it is given again when the workers are not there; RefusedPause how long
-	// after it was refused; and ChangePause how long after an order one for another number is given.
-	Again, RefusedPause, ChangePause time.Duration
-	// DryAfter is how long spot workers of a zone are missing before others are ordered in their place, if those that are there are
+	// RetryDelay is how long after the boot time an order is repeated if its workers are missing, FailedRetryDelay how long after a failed
+	// order the next one is sent, and ChangeInterval the minimum interval between orders for different numbers.
+	RetryDelay, FailedRetryDelay, ChangeInterval time.Duration
+	// SpotTimeout is how long the spot workers of a zone may be missing before others are ordered as a replacement, if the present ones are
 	// too few.
-	DryAfter time.Duration
-	// Pace is how many workers of all groups are ordered or given back in a second: the records of those that come and go are told to
-	// every gateway, over the smallest links of the fleet.
-	Pace float64
-	// Reserve is the part of the need for which spot workers are ordered besides, where they cost nothing; the dearer they are, the
-	// fewer. They bear what the loss of one zone does not cover: crashes, workers that leave, bursts until others have booted.
-	Reserve float64
+	SpotTimeout time.Duration
+	// MaxChangeRate bounds the workers ordered or removed per second in all groups, because the record of each is sent to every gateway,
+	// also over the slowest links.
+	MaxChangeRate float64
+	// ReserveShare is the share of the need that is ordered as additional spot workers if they were free; it shrinks as their price rises.
+	// The reserve covers what the loss of a zone does not: crashes, drains, and bursts until new workers have booted.
+	ReserveShare float64
 }
 
-// DefaultSettings returns settings without a holder.
+// DefaultSettings returns the default settings, without a holder.
 func DefaultSettings() Settings {
 	return Settings{
-		Need:         DefaultNeedSettings(),
-		Tick:         250 * time.Millisecond,
-		CallTimeout:  1500 * time.Millisecond,
-		Again:        3 * time.Second,
-		RefusedPause: time.Second,
-		ChangePause:  500 * time.Millisecond,
-		DryAfter:     5 * time.Second,
-		Reserve:      0.4,
-		// Two records of some 600 bytes for each are a twentieth of a link of 10 Mbit/s; 3,000 workers that were replaced within seconds
-		// kept configurations from gateways for eight (sweep, journal e6ec2684).
-		Pace: 60,
+		Estimator:        DefaultEstimatorSettings(),
+		TickInterval:     250 * time.Millisecond,
+		CallTimeout:      1500 * time.Millisecond,
+		RetryDelay:       3 * time.Second,
+		FailedRetryDelay: time.Second,
+		ChangeInterval:   500 * time.Millisecond,
+		SpotTimeout:      5 * time.Second,
+		ReserveShare:     0.4,
+		// The two records per worker, about 600 bytes each, take a twentieth of a link of 10 Mbit/s. Faster changes
+		// would delay configuration updates.
+		MaxChangeRate: 60,
 	}
 }
 
-// Executor has the workers ordered that are needed, while this process has the authority.
+// Executor orders the workers that each group needs, while this process has the authority.
 type Executor struct {
 	settings Settings
 	fleet    Fleet
 	orderer  Orderer
-	// authority tells whether this process may call, and its fence.
-	authority func() (int64, bool)
-	logger    logrus.FieldLogger
-	decide    func(decision.Record)
+	// authority returns the fencing token, and whether this process may make calls.
+	authority      func() (int64, bool)
+	logger         logrus.FieldLogger
+	recordDecision func(decision.Record)
 
-	// needs and lines belong to the loop.
-	needs map[string]*Need
-	plans map[string]planned
-	lines map[line]*lineState
-	fence int64
-	// left is how many workers may be ordered or given back at pacedAt.
-	left    float64
-	pacedAt time.Time
+	// The estimators, plans and pools are used by the control loop only.
+	estimators map[string]*Estimator
+	plans      map[string]cachedPlan
+	pools      map[poolKey]*poolState
+	fence      int64
+	// budget is the number of workers that could be ordered or removed at budgetUpdatedAt.
+	budget          float64
+	budgetUpdatedAt time.Time
 
 	mu     sync.Mutex
 	status []Status
 }
 
-// line is one number that can be ordered.
-type line struct {
+// poolKey identifies the workers of one kind in a zone of a group.
+type poolKey struct {
 	group, zone string
 	spot        bool
 }
 
-// lineState is what was ordered there.
-type lineState struct {
-	// ordered is the number of the last order that was taken under the present fence; negative when there was none.
-	ordered int
-	// changeFrom is when the next order may be given, and notBefore when one for the same number may.
-	changeFrom, notBefore time.Time
-	// refused is set when the last order was.
+// poolState is the state of the orders for a pool.
+type poolState struct {
+	// lastOrdered is the last accepted number under the current fence, or negative if there was none.
+	lastOrdered int
+	// nextChange is when the next order may be sent, and nextRetry when one for the same number may.
+	nextChange, nextRetry time.Time
+	// refused is set if the last order was refused.
 	refused bool
-	// shortSince is since when fewer workers are there than were wanted; zero when all are.
-	shortSince time.Time
+	// missingSince is since when fewer workers are present than wanted; zero if none are missing.
+	missingSince time.Time
 }
 
-// isDry tells whether workers have been missing for a while, and the last order had its time or was refused.
-func (l *lineState) isDry(now time.Time, after time.Duration) bool {
-	return !l.shortSince.IsZero() && now.Sub(l.shortSince) > after && (l.refused || now.Sub(l.notBefore) > after)
+// isUnavailable reports whether workers are missing for longer than the given time, although the last order was refused or is overdue.
+func (s *poolState) isUnavailable(now time.Time, after time.Duration) bool {
+	return !s.missingSince.IsZero() && now.Sub(s.missingSince) > after && (s.refused || now.Sub(s.nextRetry) > after)
 }
 
-// planned is the last plan of a group, and what it was made of.
-type planned struct {
+// cachedPlan is the last plan of a group with its inputs.
+type cachedPlan struct {
 	offer Offer
 	need  int
 	plan  Plan
 }
 
-// Status is what an executor knows of a group.
+// Status is the state of a group for operators.
 type Status struct {
 	Group         string
 	Busy          float64
@@ -155,29 +155,29 @@
 	Offer         Offer
 }
 
-// NewExecutor returns an executor that does nothing before Run.
+// NewExecutor returns an executor that is inactive until Run.
 func NewExecutor(
-	settings Settings, fleet Fleet, orderer Orderer, authority func() (int64, bool), logger logrus.FieldLogger, decide func(decision.Record),
+	settings Settings, fleet Fleet, orderer Orderer, authority func() (int64, bool), logger logrus.FieldLogger, recordDecision func(decision.Record),
 ) *Executor {
 	return &Executor{
-		settings: settings, fleet: fleet, orderer: orderer, authority: authority, logger: logger, decide: decide,
-		left: settings.Pace, needs: map[string]*Need{}, plans: map[string]planned{}, lines: map[line]*lineState{},
+		settings: settings, fleet: fleet, orderer: orderer, authority: authority, logger: logger, recordDecision: recordDecision,
+		budget: settings.MaxChangeRate, estimators: map[string]*Estimator{}, plans: map[string]cachedPlan{}, pools: map[poolKey]*poolState{},
 	}
 }
 
-// Status returns what is known of each group.
+// Status returns the state of each group.
 func (e *Executor) Status() []Status {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.status
 }
 
-// calmTicks is by how much rarer a process looks at the workers that may not order any.
-const calmTicks = 4
+// idleTickFactor lengthens the tick of processes that may not order workers.
+const idleTickFactor = 4
 
 // Run orders workers until the context ends.
 func (e *Executor) Run(ctx context.Context) {
-	ticker := time.NewTicker(e.settings.Tick)
+	ticker := time.NewTicker(e.settings.TickInterval)
 	defer ticker.Stop()
 	for tick := 0; ; tick++ {
 		select {
@@ -185,34 +185,34 @@
 			return
 		case <-ticker.C:
 		}
-		// Those that give no orders only follow what is needed, to go on from there.
-		if _, may := e.authority(); may || tick%calmTicks == 0 {
+		// Processes without the authority only track the need, so that they can take over.
+		if _, mayOrder := e.authority(); mayOrder || tick%idleTickFactor == 0 {
 			e.Step(ctx, time.Now())
 		}
 	}
 }
 
-// Step follows the demand, and gives the orders that are due while this process may.
+// Step updates the estimates and plans, and sends the orders that are due if this process may.
 func (e *Executor) Step(ctx context.Context, now time.Time) {
-	fence, may := e.authority()
-	if may && fence != e.fence {
+	fence, mayOrder := e.authority()
+	if mayOrder && fence != e.fence {
 		e.fence = fence
-		clear(e.lines)
+		clear(e.pools)
 	}
 	var status []Status
 	groups := e.fleet.CapacityGroups()
 	if len(groups) == 0 {
-		// One that begins to hear of all watches anew: what is there is enough until it has.
-		clear(e.needs)
+		// This process does not receive the load of all gateways. Its estimates start again when it does.
+		clear(e.estimators)
 	}
 	for _, group := range groups {
-		need, known := e.need(now, group)
-		plan := e.plan(group.Name, e.available(now, group, need), need)
+		need, known := e.estimate(now, group)
+		plan := e.plan(group.Name, e.availableOffer(now, group, need), need)
 		status = append(status, Status{
 			Group: group.Name, Busy: group.Busy, Need: need, Present: group.Present, Plan: plan, Offer: group.Offer,
 		})
-		if may {
-			e.follow(ctx, now, group, plan, need, known && group.Certain)
+		if mayOrder {
+			e.reconcile(ctx, now, group, plan, need, known && group.Certain)
 		}
 	}
 	e.mu.Lock()
@@ -220,38 +220,38 @@
 	e.status = status
 }
 
-// need returns how many workers of a group are needed, and whether that is known.
-func (e *Executor) need(now time.Time, group Group) (int, bool) {
-	need, found := e.needs[group.Name]
+// estimate returns the number of workers that a group needs, and whether it is known.
+func (e *Executor) estimate(now time.Time, group Group) (int, bool) {
+	estimator, found := e.estimators[group.Name]
 	if !found {
-		need = NewNeed(e.settings.Need)
-		e.needs[group.Name] = need
+		estimator = NewEstimator(e.settings.Estimator)
+		e.estimators[group.Name] = estimator
 	}
-	return need.Update(now, group)
+	return estimator.Update(now, group)
 }
 
-// plan returns the plan of a group, which is made anew only when something has changed.
+// plan returns the plan of a group, which is computed again only if its inputs changed.
 func (e *Executor) plan(group string, offer Offer, need int) Plan {
-	last, found := e.plans[group]
-	if !found || last.need != need || !last.offer.same(offer) {
-		plan := NewPlan(offer, need).WithReserve(offer, int(e.settings.Reserve*(1-offer.SpotPrice)*float64(need)))
-		last = planned{offer: offer, need: need, plan: plan}
-		e.plans[group] = last
+	cached, found := e.plans[group]
+	if !found || cached.need != need || !cached.offer.equal(offer) {
+		plan := NewPlan(offer, need).WithReserve(offer, int(e.settings.ReserveShare*(1-offer.SpotPrice)*float64(need)))
+		cached = cachedPlan{offer: offer, need: need, plan: plan}
+		e.plans[group] = cached
 	}
-	return last.plan
+	return cached.plan
 }
 
-// available returns the offer without the spot workers that have not come for long. While those that are there are enough, the plan
-// stays: a zone that has lost its own gets them back.
-func (e *Executor) available(now time.Time, group Group, need int) Offer {
+// availableOffer returns the offer without the zones whose spot workers are unavailable. If enough workers are present, the offer is
+// unchanged, so that such a zone gets its spot workers back.
+func (e *Executor) availableOffer(now time.Time, group Group, need int) Offer {
 	offer := group.Offer
 	if group.Present.Total() >= need {
 		return offer
 	}
 	offer.Zones = lo.Map(offer.Zones, func(zone Zone, _ int) Zone {
-		state, found := e.lines[line{group.Name, zone.Name, true}]
-		if found && state.isDry(now, e.settings.DryAfter) {
-			zone.NoSpot, offer.OneLost = true, true
+		state, found := e.pools[poolKey{group.Name, zone.Name, true}]
+		if found && state.isUnavailable(now, e.settings.SpotTimeout) {
+			zone.NoSpot, offer.SpotLost = true, true
 		}
 		return zone
 	})
--- /dev/null
+++ b/internal/poison/update.go
@@ -0,0 +1,138 @@
+package poison
+
+import (
+	"cmp"
+	"slices"
+	"time"
+)
+
+// Crash is the crash of a worker while it ran a request. A worker that ran several requests has one Crash for each.
+type Crash struct {
+	_      struct{} `cbor:",toarray"`
+	Digest Digest
+	// Worker is the id of the worker's incarnation.
+	Worker string
+	// AgoMs is the age of the crash when it is sent, in milliseconds; gateway clocks may differ.
+	AgoMs int64
+}
+
+// ToldBar is a bar as it is sent between gateways, with relative times because their clocks may differ.
+type ToldBar struct {
+	_       struct{} `cbor:",toarray"`
+	Asked   Digest
+	Rule    string
+	Tenant  string
+	Workers []string
+	Times   int
+	// AgoMs is the age of the bar when it is sent, and LeftMs the time until it expires, in milliseconds.
+	AgoMs, LeftMs int64
+}
+
+// ToldGood is the success of a suspected request, or its release.
+type ToldGood struct {
+	_     struct{} `cbor:",toarray"`
+	Asked Digest
+	// AgoMs is the age of the success when it is sent, in milliseconds.
+	AgoMs int64
+}
+
+// Told is an update about suspected requests that a gateway sends to the others. Full updates make up for lost messages.
+type Told struct {
+	_       struct{} `cbor:",toarray"`
+	Crashes []Crash
+	// EndedWell are requests that succeeded or were released.
+	EndedWell []ToldGood
+	Bars      []ToldBar
+}
+
+// TakeUpdate returns the changes since the last call, or all recent state if full is set. The changes include crashes received from other
+// gateways, which may be gone by now.
+func (t *Table) TakeUpdate(now time.Time, full bool) Told {
+	var update Told
+	if t.Empty() || (!full && len(t.unsentCrashes)+len(t.unsentChanges) == 0) {
+		return update
+	}
+	crashes := t.unsentCrashes
+	if full {
+		crashes = t.recentCrashes()
+	}
+	for _, crash := range crashes[:min(len(crashes), t.settings.MaxPerUpdate)] {
+		entry := t.suspects[crash.Digest]
+		if entry == nil {
+			continue
+		}
+		if at, found := entry.crashes[crash.Worker]; found {
+			crash.AgoMs = now.Sub(at).Milliseconds()
+			update.Crashes = append(update.Crashes, crash)
+		}
+	}
+	for digest, entry := range t.suspects {
+		if ago := now.Sub(entry.succeededAt); ago < t.settings.SuccessShareTime && (full || t.unsentChanges[digest]) && len(update.EndedWell) < t.settings.MaxPerUpdate {
+			update.EndedWell = append(update.EndedWell, ToldGood{Asked: digest, AgoMs: ago.Milliseconds()})
+		}
+	}
+	bars := t.Bars(now)
+	for _, bar := range bars[max(len(bars)-t.settings.MaxPerUpdate, 0):] {
+		if full || t.unsentChanges[bar.Asked] {
+			update.Bars = append(update.Bars, barUpdate(now, bar))
+		}
+	}
+	t.unsentCrashes = nil
+	clear(t.unsentChanges)
+	return update
+}
+
+// barUpdate returns a bar in the form that is sent.
+func barUpdate(now time.Time, bar Bar) ToldBar {
+	return ToldBar{
+		Asked: bar.Asked, Rule: bar.Rule, Tenant: bar.Tenant, Workers: bar.Workers, Times: bar.Times,
+		AgoMs: now.Sub(bar.Since).Milliseconds(), LeftMs: bar.Until.Sub(now).Milliseconds(),
+	}
+}
+
+// recentCrashes returns the crashes that count, latest first. Those of barred requests are sent with their bars.
+func (t *Table) recentCrashes() []Crash {
+	type timedCrash struct {
+		Crash
+		at time.Time
+	}
+	var timed []timedCrash
+	for digest, entry := range t.suspects {
+		if entry.barCount > 0 {
+			continue
+		}
+		for worker, at := range entry.crashes {
+			timed = append(timed, timedCrash{Crash{Digest: digest, Worker: worker}, at})
+		}
+	}
+	slices.SortFunc(timed, func(a, b timedCrash) int {
+		return cmp.Or(b.at.Compare(a.at), slices.Compare(a.Digest[:], b.Digest[:]), cmp.Compare(a.Worker, b.Worker))
+	})
+	crashes := make([]Crash, 0, len(timed))
+	for _, item := range timed {
+		crashes = append(crashes, item.Crash)
+	}
+	return crashes
+}
+
+// MergeUpdate merges an update of another gateway, and returns the bars that are new.
+func (t *Table) MergeUpdate(now time.Time, update Told) []Bar {
+	ago := func(ms int64) time.Time { return now.Add(-time.Duration(ms) * time.Millisecond) }
+	var newBars []Bar
+	for _, success := range update.EndedWell {
+		t.RecordSuccess(now, ago(success.AgoMs), success.Asked)
+	}
+	for _, received := range update.Bars {
+		bar := Bar{
+			Asked: received.Asked, Rule: received.Rule, Tenant: received.Tenant, Workers: received.Workers, Times: received.Times,
+			Since: ago(received.AgoMs), Until: ago(-received.LeftMs),
+		}
+		if t.ApplyBar(now, bar) {
+			newBars = append(newBars, bar)
+		}
+	}
+	for _, crash := range update.Crashes {
+		t.mergeCrash(now, ago(crash.AgoMs), crash)
+	}
+	return newBars
+}
--- a/internal/roles/controller.go
+++ b/internal/roles/controller.go
@@ -18,69 +18,69 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// Key is held by the process that may give orders.
+// Key is the store key whose holder may give orders.
 const Key = "controller"
 
-// Order asks an engine to take a role.
+// Order tells an engine to take a role.
 type Order struct {
 	Worker *backend.Worker
 	Role   backend.Role
-	// Holder gives the order, and Fence tells its authority from older ones.
+	// Holder is the process that gives the order, and Fence the fencing token of its authority.
 	Holder string
 	Fence  int64
-	// Expected is the number of orders that the engine has taken so far; otherwise it refuses. So an order that is carried out
-	// late has no effect.
+	// Expected is the number of orders that the engine has accepted so far. The engine refuses the order if the numbers differ, so a
+	// delayed order has no effect.
 	Expected int64
 }
 
-// EngineState is what an engine tells of itself.
+// EngineState is the state that an engine reports.
 type EngineState struct {
 	Role backend.Role
-	// Orders is the number of orders that the engine has taken since it started.
+	// Orders is the number of orders that the engine has accepted since it started.
 	Orders int64
-	// Busy engines are carrying one out.
+	// Busy is set while the engine carries out an order.
 	Busy bool
 }
 
-// ErrOtherWorker is returned when another worker answers at the address of an engine, which so has ended.
+// ErrOtherWorker is returned if another worker answers at the address of an engine, which means that the engine has ended.
 var ErrOtherWorker = errors.New("another worker answers at the address")
 
-// Orderer carries orders to engines.
+// Orderer sends orders to engines.
 type Orderer interface {
-	// Inspect asks an engine for its state.
+	// Inspect requests the state of an engine.
 	Inspect(ctx context.Context, worker *backend.Worker) (EngineState, error)
-	// Order returns nil when the engine takes the role or has it already. After other errors than a refusal it may have taken
-	// the order, also later.
+	// Order returns nil if the engine accepts the order or already has the role. After any error other than a refusal, the engine may
+	// still accept the order, even later.
 	Order(ctx context.Context, order Order) error
 }
 
-// Fleet is what the controller sees of the engines.
+// Fleet is the controller's view of the engines.
 type Fleet interface {
-	// Groups returns the groups of engines.
+	// Groups returns the groups of engines by name.
 	Groups() map[string]*Group
-	// SetChanging keeps work off an engine at all gateways until its record tells the role; with the role that it has, the
-	// change is given up.
+	// SetChanging stops routing to an engine at all gateways until its record has the given role. Passing its present role cancels the
+	// change.
 	SetChanging(worker string, role backend.Role)
 }
 
-// ControllerSettings of a controller.
+// ControllerSettings configures a controller.
 type ControllerSettings struct {
 	// Holder is the name of the process, unique in the fleet.
 	Holder string
-	// Clearing is how long work is kept off an engine before its order.
-	Clearing time.Duration
-	// OrderTimeout bounds one order.
+	// DrainDelay is how long routing to an engine is stopped before it gets its order.
+	DrainDelay time.Duration
+	// OrderTimeout bounds one order or one store call.
 	OrderTimeout time.Duration
 	Planner      Settings
 	Authority    authority.Settings
-	// Now is the clock of the lease and of the orders. It has to count the time in which the machine is suspended.
+	// Now is the clock for the lease and the orders. It must include the time in which the machine is suspended.
 	Now func() time.Time
 }
 
-// DefaultControllerSettings return settings without a holder.
+// DefaultControllerSettings returns settings without a holder.
 func DefaultControllerSettings() ControllerSettings {
 	return ControllerSettings{
-		Clearing:     150 * time.Millisecond,
+		DrainDelay:   150 * time.Millisecond,
 		OrderTimeout: 1500 * time.Millisecond,
 		Planner:      DefaultSettings(),
 		Authority:    authority.DefaultSettings(),
@@ -88,105 +88,105 @@
 	}
 }
 
-// Controller gives orders while it has the authority. One process of the fleet has it at a time.
+// Controller gives orders while it has the authority. At most one process of the fleet has it.
 type Controller struct {
-	settings ControllerSettings
-	store    store.Store
-	orderer  Orderer
-	fleet    Fleet
-	logger   logrus.FieldLogger
-	planners map[string]*Planner
-	underway underway
-	decide   func(decision.Record)
-	// wake has the next step made at once.
+	settings       ControllerSettings
+	store          store.Store
+	orderer        Orderer
+	fleet          Fleet
+	logger         logrus.FieldLogger
+	planners       map[string]*Planner
+	pendingChanges pendingChanges
+	recordDecision func(decision.Record)
+	// wake triggers the next step immediately.
 	wake chan struct{}
-	// resigned is set once the process leaves: it gives the key up and asks for it no more.
+	// resigned is set when the process shuts down: it releases the key and does not acquire it again.
 	resigned atomic.Bool
 
 	mutex     sync.Mutex
 	authority *authority.Authority
-	// held is the revision of the key that this process holds, and era that of the store as far as is known.
-	held  store.Revision
-	era   int64
-	lease int64
-	// floors are the least numbers of engines of each role, by group.
-	floors map[string]map[backend.Role]int
-	// vacant is set when nobody holds the key, and askAfter when this process may ask for it.
-	vacant   bool
-	askAfter time.Time
+	// keyRevision is the revision of the key that this process holds, and era the latest known era of the store.
+	keyRevision store.Revision
+	era         int64
+	lease       int64
+	// minEngines are the configured minimums of engines per role, by group.
+	minEngines map[string]map[backend.Role]int
+	// keyFree is set while nobody holds the key. This process may acquire it from acquireAfter on.
+	keyFree      bool
+	acquireAfter time.Time
 }
 
-// NewController returns a controller that does nothing before Run.
+// NewController returns a controller that is inactive until Run.
 func NewController(
-	settings ControllerSettings, store store.Store, orderer Orderer, fleet Fleet, logger logrus.FieldLogger, decide func(decision.Record),
+	settings ControllerSettings, store store.Store, orderer Orderer, fleet Fleet, logger logrus.FieldLogger, recordDecision func(decision.Record),
 ) *Controller {
 	return &Controller{
-		settings: settings, store: store, orderer: orderer, fleet: fleet, logger: logger, decide: decide,
-		planners: map[string]*Planner{}, underway: underway{changes: map[string]*takenChange{}},
+		settings: settings, store: store, orderer: orderer, fleet: fleet, logger: logger, recordDecision: recordDecision,
+		planners: map[string]*Planner{}, pendingChanges: pendingChanges{changes: map[string]*pendingChange{}},
 		wake: make(chan struct{}, 1), authority: authority.New(settings.Authority),
 	}
 }
 
-// SetGroups tells the least numbers of engines that each role keeps within each group.
+// SetGroups sets the minimum numbers of engines per role from the configuration of the groups.
 func (c *Controller) SetGroups(groups []routing.Group) {
-	floors := map[string]map[backend.Role]int{}
+	minEngines := map[string]map[backend.Role]int{}
 	for _, group := range groups {
-		floors[group.Name] = group.LeastOfRole
+		minEngines[group.Name] = group.LeastOfRole
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.floors = floors
+	c.minEngines = minEngines
 }
 
-// GivesOrders tells whether this process has the authority.
+// GivesOrders reports whether this process has the authority.
 func (c *Controller) GivesOrders() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.authority.Holds()
 }
 
-// Authority tells whether this process may call in the name of the fleet at this moment, and its fence.
-func (c *Controller) Authority() (fence int64, may bool) {
+// Authority reports whether this process may make calls on behalf of the fleet now, and returns its fencing token.
+func (c *Controller) Authority() (fence int64, mayCall bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.authority.MayCall(c.settings.Now())
 }
 
-// Leased tells that the lease of the process was granted or renewed by a call that began at a moment.
-func (c *Controller) Leased(begun time.Time, lease int64, ttl time.Duration) {
+// Leased records that a call that began at startedAt granted or renewed the lease of the process.
+func (c *Controller) Leased(startedAt time.Time, lease int64, ttl time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.lease == 0 && lease != 0 {
 		c.Wake()
 	}
 	c.lease = lease
-	c.authority.Leased(begun, lease, ttl)
+	c.authority.Leased(startedAt, lease, ttl)
 }
 
-// KeyChanged tells who holds the key; a value of nil is nobody. Rank orders the processes that may ask for it when it is free.
+// KeyChanged records a new value of the key; nil means that it is free. Rank staggers the processes that try to acquire a free key.
 func (c *Controller) KeyChanged(now time.Time, value []byte, revision store.Revision, rank int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.vacant = value == nil
-	c.askAfter = now.Add(time.Duration(rank) * rankDelay)
-	var held holding
-	if value == nil || json.Unmarshal(value, &held) != nil || held.Holder != c.settings.Holder {
+	c.keyFree = value == nil
+	c.acquireAfter = now.Add(time.Duration(rank) * rankDelay)
+	var holder keyHolder
+	if value == nil || json.Unmarshal(value, &holder) != nil || holder.Holder != c.settings.Holder {
 		c.authority.Lost()
 		return
 	}
 	switch {
-	case held.Lease != c.lease:
+	case holder.Lease != c.lease:
 	case !c.authority.Holds():
-		// Also settles a call whose answer was lost.
-		c.authority.Acquired(now, held.Lease, revision.Fence(), authority.Returning)
-		c.held = revision
+		// This also covers an acquisition whose response was lost.
+		c.authority.Acquired(now, holder.Lease, revision.Fence(), authority.Returning)
+		c.keyRevision = revision
 	case revision.Era() >= c.era:
 		c.authority.Confirmed(revision.Fence())
-		c.held = revision
+		c.keyRevision = revision
 	}
 }
 
-// Restored tells that the store has come back from an older copy, in an era. Who holds the key is told next.
+// Restored records that the store was restored from an older copy, which began a new era. A call of KeyChanged follows.
 func (c *Controller) Restored(now time.Time, era int64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -197,22 +197,22 @@
 	c.authority.Restored(now)
 }
 
-// rankDelay is by how much later the next process asks for a free key.
+// rankDelay separates the attempts of processes with consecutive ranks to acquire a free key.
 const rankDelay = 700 * time.Millisecond
 
-// holding is the value of the key.
-type holding struct {
+// keyHolder is the value of the key.
+type keyHolder struct {
 	Holder string `json:"holder"`
 	Lease  int64  `json:"lease"`
 }
 
-// idleTicks is by how many times more rarely a process looks that neither holds the key nor may ask for it. Hundreds of a large fleet stand
-// by, and each wake-up of theirs costs as much as one of the holder.
-const idleTicks = 8
+// idleTickFactor lengthens the tick of processes that neither hold the key nor may acquire it: a large fleet has hundreds of them, and
+// each wake-up costs as much as one of the holder.
+const idleTickFactor = 8
 
 // Run gives orders until the context ends.
 func (c *Controller) Run(ctx context.Context) {
-	timer := time.NewTimer(c.pause())
+	timer := time.NewTimer(c.stepDelay())
 	defer timer.Stop()
 	for {
 		select {
@@ -222,21 +222,21 @@
 		case <-c.wake:
 		}
 		c.step(ctx)
-		timer.Reset(c.pause())
+		timer.Reset(c.stepDelay())
 	}
 }
 
-// pause returns the time until the next step.
-func (c *Controller) pause() time.Duration {
+// stepDelay returns the time until the next step.
+func (c *Controller) stepDelay() time.Duration {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.lease == 0 && !c.authority.Holds() && !c.resigned.Load() {
-		return idleTicks * c.settings.Authority.TickInterval
+		return idleTickFactor * c.settings.Authority.TickInterval
 	}
 	return c.settings.Authority.TickInterval
 }
 
-// Wake has what changed in the fleet looked at now, and not only with the next tick. It does not wait.
+// Wake triggers a step without waiting for the next tick. It does not block.
 func (c *Controller) Wake() {
 	select {
 	case c.wake <- struct{}{}:
@@ -244,7 +244,7 @@
 	}
 }
 
-// step asks for the key when it is free, or gives the next order.
+// step acquires a free key, or plans and sends the next orders.
 func (c *Controller) step(ctx context.Context) {
 	if c.resigned.Load() {
 		c.release(ctx)
@@ -253,35 +253,35 @@
 	now := c.settings.Now()
 	c.mutex.Lock()
 	c.authority.Tick(now)
-	ask := c.vacant && c.lease != 0 && !now.Before(c.askAfter)
-	if ask {
-		c.askAfter = now.Add(time.Second)
+	acquire := c.keyFree && c.lease != 0 && !now.Before(c.acquireAfter)
+	if acquire {
+		c.acquireAfter = now.Add(time.Second)
 	}
 	lease := c.lease
-	_, may := c.authority.MayOrder(now)
+	_, mayOrder := c.authority.MayOrder(now)
 	c.mutex.Unlock()
-	if ask {
+	if acquire {
 		c.acquire(ctx, lease)
 		return
 	}
-	if !may {
+	if !mayOrder {
 		return
 	}
 	groups := c.fleet.Groups()
-	c.underway.settle(groups)
-	if rescues := c.rescue(now, groups); len(rescues) > 0 {
-		c.carryOut(ctx, rescues)
+	c.pendingChanges.removeFinished(groups)
+	if changes := c.recoverRoles(now, groups); len(changes) > 0 {
+		c.execute(ctx, changes)
 		return
 	}
 	c.confirm(ctx, now)
-	c.carryOut(ctx, c.plan(now, groups))
+	c.execute(ctx, c.plan(now, groups))
 }
 
-// rescue returns the changes that bring back a role that is gone, and keeps work off their engines.
-func (c *Controller) rescue(now time.Time, groups map[string]*Group) []Change {
+// recoverRoles returns the changes that restore a lost role, and stops routing to the engines.
+func (c *Controller) recoverRoles(now time.Time, groups map[string]*Group) []Change {
 	var changes []Change
 	for name, group := range groups {
-		for _, change := range c.planner(name).Rescue(now, group) {
+		for _, change := range c.planner(name).Recover(now, group) {
 			c.fleet.SetChanging(change.Worker.ID, change.Role)
 			changes = append(changes, change)
 		}
@@ -289,19 +289,19 @@
 	return changes
 }
 
-// mostAtOnce bounds the changes of one step: the engines of a group of a thousand that fall due within a tick.
-const mostAtOnce = 16
+// maxChangesPerStep bounds the changes of one step. In a group of a thousand engines, this many are due within a tick.
+const maxChangesPerStep = 16
 
-// plan returns the changes that are due, and keeps work off their engines. The fleet is looked at once: a change that is planned is noted
-// in the groups themselves, since to gather them is what takes long in a fleet of thousands.
+// plan returns the changes that are due, and stops routing to the engines. Planned changes are applied to the given groups, because
+// gathering the groups again is slow in a fleet of thousands.
 func (c *Controller) plan(now time.Time, groups map[string]*Group) []Change {
 	var changes []Change
-	for len(changes) < mostAtOnce {
+	for len(changes) < maxChangesPerStep {
 		planned := len(changes)
 		for name, group := range groups {
 			if change := c.planner(name).Next(now, group); change != nil {
 				c.fleet.SetChanging(change.Worker.ID, change.Role)
-				group.note(change)
+				group.applyChange(change)
 				changes = append(changes, *change)
 			}
 		}
@@ -312,21 +312,21 @@
 	return changes
 }
 
-// planner returns the planner of a group with the floors of the moment.
+// planner returns the planner of a group with the current configuration.
 func (c *Controller) planner(group string) *Planner {
-	planner, known := c.planners[group]
-	if !known {
+	planner, found := c.planners[group]
+	if !found {
 		planner = NewPlanner(c.settings.Planner)
 		c.planners[group] = planner
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	planner.settings.LeastOfRole = c.floors[group]
+	planner.settings.MinEngines = c.minEngines[group]
 	return planner
 }
 
-// errNoAuthority is returned when the authority ended before the order was given.
-var errNoAuthority = errors.New("the authority ended before the order")
+// errNoAuthority is returned if the authority ended before the order was sent.
+var errNoAuthority = errors.New("the authority ended before the order was sent")
 
-// errChanging is returned when the engine is about to change already.
-var errChanging = errors.New("the engine is changing its role or has")
+// errChanging is returned if the engine already has or is taking the role.
+var errChanging = errors.New("the engine already has or is taking the role")
--- a/internal/roles/holder.go
+++ b/internal/roles/holder.go
@@ -12,35 +12,35 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// HistoryKey holds who held the key of late. It goes with no lease.
+// HistoryKey is the store key of the recent holders of Key. It has no lease.
 const HistoryKey = "controllers"
 
-// keptHolders is how many holders the history names: more than can take turns within a lease.
-const keptHolders = 4
+// maxHistory is the number of holders kept, which exceeds the number that can alternate within a lease.
+const maxHistory = 4
 
-// HolderOf returns the name of the process that holds the key, from its value; empty when nobody does.
+// HolderOf returns the name of the holder from the value of the key, or an empty string if the key is free.
 func HolderOf(value []byte) string {
-	var held holding
-	if value == nil || json.Unmarshal(value, &held) != nil {
+	var holder keyHolder
+	if value == nil || json.Unmarshal(value, &holder) != nil {
 		return ""
 	}
-	return held.Holder
+	return holder.Holder
 }
 
-// history names the last holders of the key, the newest first.
+// history lists the recent holders of the key, latest first.
 type history struct {
 	Holders []string `json:"holders"`
-	// Era of the store in which it was written. One of an earlier era may lack the last holders: the store has come back from an older copy.
+	// Era of the store in which the entry was written. An entry of an earlier era may lack the last holders, because the store was restored.
 	Era int64 `json:"era,omitempty"`
 }
 
-// firstEra is the last era that may be that of a store which never came back from a copy: eras are counted from zero or one.
-const firstEra = 1
+// maxInitialEra is the highest era of a store that was never restored: eras are counted from zero or one.
+const maxInitialEra = 1
 
-// succession says what a process is to those before it, in an era of the store. One that follows itself takes no turn.
+// succession classifies a process relative to the previous holders. A process that succeeds itself is not a returning holder.
 func (h history) succession(name string, era int64) authority.Succession {
 	switch {
-	case era > firstEra && h.Era != era:
+	case era > maxInitialEra && h.Era != era:
 		return authority.Returning
 	case len(h.Holders) == 0:
 		return authority.First
@@ -51,47 +51,47 @@
 	}
 }
 
-// with returns the history with one more holder, as it is written in an era.
+// with returns the history with a new holder in front.
 func (h history) with(name string, era int64) history {
-	holders := slices.DeleteFunc(slices.Clone(h.Holders), func(each string) bool { return each == name })
+	holders := slices.DeleteFunc(slices.Clone(h.Holders), func(holder string) bool { return holder == name })
 	holders = slices.Insert(holders, 0, name)
-	return history{Holders: holders[:min(len(holders), keptHolders)], Era: era}
+	return history{Holders: holders[:min(len(holders), maxHistory)], Era: era}
 }
 
-// acquire asks for the key.
+// acquire tries to acquire the key.
 func (c *Controller) acquire(ctx context.Context, lease int64) {
 	ctx, cancel := context.WithTimeout(ctx, c.settings.OrderTimeout)
 	defer cancel()
-	before, transaction, err := c.claim(ctx, lease)
+	previous, transaction, err := c.claim(ctx, lease)
 	if err != nil {
-		c.logger.WithError(err).Warn("The key of the controller can't be asked for.")
+		c.logger.WithError(err).Warn("The history of controller key holders could not be read.")
 		return
 	}
 	revision, err := c.store.Commit(ctx, transaction)
 	if err != nil {
-		// A lost answer is settled by the watch, which tells who holds the key.
-		c.logger.WithError(err).Debug("The key of the controller was not got.")
+		// If only the response was lost, the watch on the key reports the holder.
+		c.logger.WithError(err).Debug("The controller key was not acquired.")
 		return
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.vacant = false
+	c.keyFree = false
 	fence := revision.Fence()
-	c.authority.Acquired(c.settings.Now(), lease, fence, before.succession(c.settings.Holder, revision.Era()))
-	c.held = revision
+	c.authority.Acquired(c.settings.Now(), lease, fence, previous.succession(c.settings.Holder, revision.Era()))
+	c.keyRevision = revision
 	c.logger.WithField("fence", fence).Info("This gateway gives the orders.")
-	c.decide(decision.Record{
+	c.recordDecision(decision.Record{
 		Kind: decision.KindAuthority, Subject: Key, Outcome: c.settings.Holder, Fence: fence,
-		Reason: "Nobody held the key of the controller, and this gateway wrote it.",
+		Reason: "The controller key was free, and this gateway acquired it.",
 	})
 }
 
-// claim returns who held the key of late, and the transaction that takes it.
+// claim returns the previous holders, and the transaction that acquires the key.
 func (c *Controller) claim(ctx context.Context, lease int64) (history, store.Transaction, error) {
-	var before history
-	items, at, err := c.store.List(ctx, HistoryKey)
+	var previous history
+	items, listed, err := c.store.List(ctx, HistoryKey)
 	if err != nil {
-		return before, store.Transaction{}, errors.Wrap(err, "step read the history of holders")
+		return previous, store.Transaction{}, errors.Wrap(err, "step read the history of holders")
 	}
 	revision := store.Revision(0)
 	for _, item := range items {
@@ -99,40 +99,39 @@
 			continue
 		}
 		revision = item.Revision
-		if err := json.Unmarshal(item.Value, &before); err != nil {
-			return before, store.Transaction{}, errors.Wrap(err, "step decode the history of holders")
+		if err := json.Unmarshal(item.Value, &previous); err != nil {
+			return previous, store.Transaction{}, errors.Wrap(err, "step decode the history of holders")
 		}
 	}
-	held, heldErr := json.Marshal(holding{Holder: c.settings.Holder, Lease: lease})
-	after, afterErr := json.Marshal(before.with(c.settings.Holder, at.Era()))
-	return before, store.Transaction{
+	holder, holderErr := json.Marshal(keyHolder{Holder: c.settings.Holder, Lease: lease})
+	current, currentErr := json.Marshal(previous.with(c.settings.Holder, listed.Era()))
+	return previous, store.Transaction{
 		Conditions: []store.Condition{{Key: Key}, {Key: HistoryKey, Revision: revision}},
-		Puts:       []store.Put{{Key: Key, Value: held, Lease: lease}, {Key: HistoryKey, Value: after}},
-	}, errors.Join(heldErr, afterErr)
+		Puts:       []store.Put{{Key: Key, Value: holder, Lease: lease}, {Key: HistoryKey, Value: current}},
+	}, errors.Join(holderErr, currentErr)
 }
 
-// Resign has the key given up before the process leaves, after the order that is under way, so that the next holder need not wait for
-// the end of a lease.
+// Resign makes the controller release the key after its current step, so that the next holder need not wait for the lease to expire.
 func (c *Controller) Resign() {
 	c.resigned.Store(true)
 	c.Wake()
 }
 
-// release gives the key up. Without an answer it goes with its lease.
+// release deletes the key. If that fails, the key expires with its lease.
 func (c *Controller) release(ctx context.Context) {
 	c.mutex.Lock()
-	revision, held := c.held, c.authority.Holds()
+	revision, isHolder := c.keyRevision, c.authority.Holds()
 	c.authority.Lost()
 	c.mutex.Unlock()
-	if !held {
+	if !isHolder {
 		return
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.settings.OrderTimeout)
 	defer cancel()
 	_, err := c.store.Commit(ctx, store.Transaction{Conditions: []store.Condition{{Key: Key, Revision: revision}}, Deletes: []string{Key}})
 	if err != nil {
-		c.logger.WithError(err).Warn("The key of the controller was not given up; it goes with its lease.")
+		c.logger.WithError(err).Warn("The controller key was not released; it expires with its lease.")
 		return
 	}
-	c.logger.Info("The key of the controller was given up.")
+	c.logger.Info("The controller key was released.")
 }
--- a/internal/roles/suspended_test.go
+++ b/internal/roles/suspended_test.go
@@ -6,16 +6,16 @@
 	"time"
 )
 
-// TestAHolderThatSleptGivesNoOrder suspends the machine of a holder for longer than its lease. The steady clock of the process does not
-// count that time, and no key of the store has been heard to change.
-func TestAHolderThatSleptGivesNoOrder(t *testing.T) {
+// TestSuspendedHolderGivesNoOrders guards against orders after the machine was suspended for longer than the lease: the monotonic clock of
+// the process does not include the suspension, and no change of the key has arrived.
+func TestSuspendedHolderGivesNoOrders(t *testing.T) {
 	orderer := &recordingOrderer{state: EngineState{Role: "decode"}}
-	slept := time.Duration(0)
+	suspended := time.Duration(0)
 	settings := DefaultControllerSettings()
 	clock := settings.Now
-	now := func() time.Time { return clock().Add(slept) }
-	c := newTestController(&keyStore{}, orderer, &shortOfReaders{})
-	// The clock that counts sleep is the one of the default settings, which a test can't suspend: it is set ahead in its place.
+	now := func() time.Time { return clock().Add(suspended) }
+	c := newTestController(&fakeStore{}, orderer, &busyPrefillFleet{})
+	// A test cannot suspend the machine, so it sets the clock forward.
 	c.settings.Now = now
 	c.Leased(now(), 5, 3*time.Second)
 	c.KeyChanged(now(), nil, 0, 0)
@@ -23,15 +23,15 @@
 	if _, may := c.Authority(); !may {
 		t.Fatal("a holder with a lease may not call")
 	}
-	slept = 4 * time.Second
+	suspended = 4 * time.Second
 	if fence, may := c.Authority(); may {
-		t.Errorf("after 4 s asleep it may call with fence %d, with a lease of 3 s", fence)
+		t.Errorf("it may call with fence %d after a suspension of 4 s with a lease of 3 s", fence)
 	}
 	before := len(orderer.orders)
 	for range 5 {
 		c.step(context.Background())
 	}
 	if len(orderer.orders) > before {
-		t.Error("it gave an order")
+		t.Error("it sent an order after the suspension")
 	}
 }
--- /dev/null
+++ b/internal/roles/transitions.go
@@ -0,0 +1,85 @@
+package roles
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"github.com/granitebay/granitebay/internal/backend"
+)
+
+// confirmInterval is how often a changing engine is inspected. Routing to it stays off for longer than that after each confirmation.
+const confirmInterval = 3 * time.Second
+
+// pendingChanges holds the accepted changes that are not yet visible in the records of the engines. An engine first finishes its running
+// requests. It is used by the control loop only.
+type pendingChanges struct{ changes map[string]*pendingChange }
+
+// pendingChange is a change that an engine has accepted.
+type pendingChange struct {
+	change      Change
+	confirmedAt time.Time
+}
+
+// add adds an accepted change.
+func (p *pendingChanges) add(now time.Time, change Change) {
+	p.changes[change.Worker.ID] = &pendingChange{change: change, confirmedAt: now}
+}
+
+// removeFinished removes the changes whose engine has its new role, or is gone.
+func (p *pendingChanges) removeFinished(groups map[string]*Group) {
+	currentRoles := map[string]backend.Role{}
+	for _, group := range groups {
+		for _, engine := range group.Engines {
+			currentRoles[engine.Worker.ID] = engine.Worker.Role
+		}
+	}
+	for id, pending := range p.changes {
+		if role, present := currentRoles[id]; !present || role == pending.change.Role {
+			delete(p.changes, id)
+		}
+	}
+}
+
+// due returns the changes to confirm.
+func (p *pendingChanges) due(now time.Time) []*pendingChange {
+	var due []*pendingChange
+	for _, pending := range p.changes {
+		if now.Sub(pending.confirmedAt) >= confirmInterval && len(due) < maxChangesPerStep {
+			due = append(due, pending)
+		}
+	}
+	return due
+}
+
+// confirm inspects engines with pending changes, and keeps routing to them stopped while the change continues.
+func (c *Controller) confirm(ctx context.Context, now time.Time) {
+	ctx, cancel := context.WithTimeout(ctx, c.settings.OrderTimeout)
+	defer cancel()
+	due := c.pendingChanges.due(now)
+	states, errs := make([]EngineState, len(due)), make([]error, len(due))
+	var inspections sync.WaitGroup
+	for i, pending := range due {
+		pending.confirmedAt = now
+		inspections.Go(func() { states[i], errs[i] = c.orderer.Inspect(ctx, pending.change.Worker) })
+	}
+	inspections.Wait()
+	for i, pending := range due {
+		c.handleState(pending, states[i], errs[i])
+	}
+}
+
+// handleState handles the state of an engine with a pending change.
+func (c *Controller) handleState(pending *pendingChange, state EngineState, err error) {
+	worker, role := pending.change.Worker, pending.change.Role
+	switch {
+	case err != nil:
+		c.logger.WithError(err).WithField("engine", worker.ID).Debug("The state of an engine that changes its role could not be read.")
+	case state.Busy || state.Role == role:
+		c.fleet.SetChanging(worker.ID, role)
+	default:
+		delete(c.pendingChanges.changes, worker.ID)
+		c.fleet.SetChanging(worker.ID, worker.Role)
+		c.logger.WithField("engine", worker.ID).Warn("An engine accepted an order but does not change its role.")
+	}
+}
