--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -74,15 +74,15 @@
 
 // Workers is part of adminapi.Backend.
 func (a admin) Workers() []adminapi.WorkerStatus {
-	statuses := lo.Map(a.dispatcher.Workers(), func(seen forward.WorkerView, _ int) adminapi.WorkerStatus {
-		w := seen.Worker
+	statuses := lo.Map(a.dispatcher.Workers(), func(view forward.WorkerView, _ int) adminapi.WorkerStatus {
+		w := view.Worker
 		var limit *adminapi.LimitStatus
-		if q := seen.Quota; q != nil {
-			limit = &adminapi.LimitStatus{PerSecond: q.PerSecond, Part: q.Part, HeardAgoMs: time.Since(q.Heard).Milliseconds()}
+		if quota := view.Quota; quota != nil {
+			limit = &adminapi.LimitStatus{PerSecond: quota.PerSecond, Part: quota.Part, HeardAgoMs: time.Since(quota.Heard).Milliseconds()}
 		}
 		return adminapi.WorkerStatus{
 			Address: w.Address, ID: w.ID, Service: w.Group, Groups: w.Selected, Zone: w.Zone, Labels: w.Labels, Role: string(w.Role),
-			State: stateOf(seen), Running: seen.Load.Running, ReadingTokens: seen.Load.ReadingTokens, Slots: w.Slots, Limit: limit,
+			State: stateOf(view), Running: view.Load.Running, ReadingTokens: view.Load.ReadingTokens, Slots: w.Slots, Limit: limit,
 		}
 	})
 	slices.SortFunc(statuses, func(x, y adminapi.WorkerStatus) int {
@@ -92,15 +92,15 @@
 }
 
 // stateOf names the state of a worker.
-func stateOf(seen forward.WorkerView) string {
+func stateOf(view forward.WorkerView) string {
 	switch {
-	case seen.Worker.Draining:
+	case view.Worker.Draining:
 		return adminapi.StateDraining
-	case seen.Changing:
+	case view.Changing:
 		return adminapi.StateChanging
-	case seen.BacksOff:
+	case view.BacksOff:
 		return adminapi.StateBackOff
-	case seen.SetAside:
+	case view.SetAside:
 		return adminapi.StateSetAside
 	default:
 		return adminapi.StateReady
@@ -116,15 +116,15 @@
 	workers := a.dispatcher.Workers()
 	return lo.Map(table.Configuration().Groups, func(group routing.Group, _ int) adminapi.GroupStatus {
 		status := adminapi.GroupStatus{Name: group.Name, Of: group.Of, Roles: map[string]int{}}
-		for _, seen := range workers {
-			if !slices.Contains(seen.Worker.Groups(), group.Name) {
+		for _, view := range workers {
+			if !slices.Contains(view.Worker.Groups(), group.Name) {
 				continue
 			}
 			status.Workers++
-			status.Running += seen.Load.Running
-			status.ReadingTokens += seen.Load.ReadingTokens
-			if seen.Worker.Role != backend.RoleNone {
-				status.Roles[string(seen.Worker.Role)]++
+			status.Running += view.Load.Running
+			status.ReadingTokens += view.Load.ReadingTokens
+			if view.Worker.Role != backend.RoleNone {
+				status.Roles[string(view.Worker.Role)]++
 			}
 		}
 		return status
--- a/internal/gateway/admin_duties.go
+++ b/internal/gateway/admin_tenants.go
@@ -43,13 +43,13 @@
 // Usage is part of adminapi.Backend.
 func (a admin) Usage() adminapi.UsageStatus {
 	status := adminapi.UsageStatus{Gateway: a.settings.Name, Open: []adminapi.OpenWindow{}}
-	if a.used.reporter != nil {
-		done := a.used.reporter.Figures()
-		status.Agreed, status.Sent, status.Late, status.Failed, status.Superseded = done.Agreed, done.Sent, done.Late, done.Failed, done.Refused
+	if a.tenantUsage.reporter != nil {
+		counts := a.tenantUsage.reporter.Figures()
+		status.Agreed, status.Sent, status.Late, status.Failed, status.Superseded = counts.Agreed, counts.Sent, counts.Late, counts.Failed, counts.Refused
 	}
-	if a.used.tally != nil {
-		for _, window := range a.used.tally.Open() {
-			requests := a.used.tally.Sum(window)
+	if a.tenantUsage.tally != nil {
+		for _, window := range a.tenantUsage.tally.Open() {
+			requests := a.tenantUsage.tally.Sum(window)
 			status.Open = append(status.Open, adminapi.OpenWindow{
 				Window: window, Requests: lo.Sum(lo.Values(requests)), Tenants: len(requests),
 			})
--- a/internal/gateway/agreement_test.go
+++ b/internal/gateway/agreement_test.go
@@ -13,32 +13,32 @@
 )
 
 // fleetPlay plays the entries of a fleet on fake time: lists of gateways, what they tell each other, and what those that stand by ask.
-type fleetPlay struct {
-	random *rand.Rand
-	now    time.Time
-	nodes  []*playedNode
+type fleetSimulation struct {
+	random   *rand.Rand
+	now      time.Time
+	gateways []*simulatedGateway
 }
 
 // playedNode is one gateway.
-type playedNode struct {
+type simulatedGateway struct {
 	name string
 	list *member.List
 	// stalledUntil is until when it does nothing, ranSince when it did something last, and asks when it asks an entry next.
-	stalledUntil, ran, asks time.Time
-	entries                 []member.Gateway
-	audience                []string
-	takesRequests           bool
+	stalledUntil, lastRan, nextQuery time.Time
+	entries                          []member.Gateway
+	audience                         []string
+	isEntry                          bool
 }
 
 // Times of a play: steps as short as a heartbeat's quarter, and the question of one that stands by.
 const (
-	playStep = 50 * time.Millisecond
-	askEvery = 700 * time.Millisecond
+	simulationStep = 50 * time.Millisecond
+	queryInterval  = 700 * time.Millisecond
 )
 
 // newFleetPlay returns a fleet of gateways in one zone that know each other.
-func newFleetPlay(seed uint64, size int) *fleetPlay {
-	p := &fleetPlay{random: rand.New(rand.NewPCG(seed, 7)), now: time.Unix(1_700_000_000, 0)}
+func newFleetSimulation(seed uint64, size int) *fleetSimulation {
+	s := &fleetSimulation{random: rand.New(rand.NewPCG(seed, 7)), now: time.Unix(1_700_000_000, 0)}
 	var items []store.Item
 	var all []member.Gateway
 	for i := range size {
@@ -49,87 +49,87 @@
 		all = append(all, gateway)
 	}
 	for _, gateway := range all {
-		node := &playedNode{name: gateway.Name, list: member.NewList(gateway), ran: p.now}
-		if err := node.list.Reset(p.now, items); err != nil {
+		simulated := &simulatedGateway{name: gateway.Name, list: member.NewList(gateway), lastRan: s.now}
+		if err := simulated.list.Reset(s.now, items); err != nil {
 			panic(err)
 		}
-		p.nodes = append(p.nodes, node)
+		s.gateways = append(s.gateways, simulated)
 	}
-	return p
+	return s
 }
 
 // node returns the gateway of a name.
-func (p *fleetPlay) node(name string) *playedNode {
-	return p.nodes[slices.IndexFunc(p.nodes, func(n *playedNode) bool { return n.name == name })]
+func (p *fleetSimulation) gateway(name string) *simulatedGateway {
+	return p.gateways[slices.IndexFunc(p.gateways, func(g *simulatedGateway) bool { return g.name == name })]
 }
 
 // runs tells whether a gateway does something now.
-func (p *fleetPlay) runs(n *playedNode) bool { return !p.now.Before(n.stalledUntil) }
+func (p *fleetSimulation) isRunning(g *simulatedGateway) bool { return !p.now.Before(g.stalledUntil) }
 
 // play lets time pass.
-func (p *fleetPlay) play(length time.Duration) {
+func (p *fleetSimulation) run(length time.Duration) {
 	for end := p.now.Add(length); p.now.Before(end); {
-		p.now = p.now.Add(playStep)
-		for _, n := range p.nodes {
-			if p.runs(n) {
-				p.look(n)
+		p.now = p.now.Add(simulationStep)
+		for _, g := range p.gateways {
+			if p.isRunning(g) {
+				p.check(g)
 			}
 		}
-		for _, n := range p.nodes {
-			if p.runs(n) {
-				p.tell(n)
+		for _, g := range p.gateways {
+			if p.isRunning(g) {
+				p.announce(g)
 			}
 		}
 	}
 }
 
 // look has a gateway see who takes requests, as watchEntries does.
-func (p *fleetPlay) look(n *playedNode) {
-	if p.now.Sub(n.ran) > entryTick+standstill {
-		n.list.Resumed(p.now)
+func (p *fleetSimulation) check(g *simulatedGateway) {
+	if p.now.Sub(g.lastRan) > entryCheckInterval+stallThreshold {
+		g.list.Resumed(p.now)
 	}
-	n.ran = p.now
+	g.lastRan = p.now
 	// The store answers, and those that stand by hear of it from an entry.
-	if n.takesRequests {
-		n.list.Connected(p.now)
-	} else if !p.now.Before(n.asks) {
-		n.asks = p.now.Add(askEvery)
-		p.ask(n)
+	if g.isEntry {
+		g.list.Connected(p.now)
+	} else if !p.now.Before(g.nextQuery) {
+		g.nextQuery = p.now.Add(queryInterval)
+		p.query(g)
 	}
-	entries, suspects := n.list.Entries(p.now)
-	audience := audienceOf(n.name, entries, slices.Concat(suspects, n.list.Claimants(p.now)), nil)
-	n.entries, n.audience, n.takesRequests = entries, audience.Peers, !audience.StandsBy
+	entries, suspects := g.list.Entries(p.now)
+	audience := audienceOf(g.name, entries, slices.Concat(suspects, g.list.Claimants(p.now)), nil)
+	g.entries, g.audience, g.isEntry = entries, audience.Peers, !audience.StandsBy
 }
 
 // ask has one that stands by ask one of the entries that it knows.
-func (p *fleetPlay) ask(n *playedNode) {
-	if len(n.entries) == 0 {
+func (p *fleetSimulation) query(g *simulatedGateway) {
+	if len(g.entries) == 0 {
 		return
 	}
-	teller := p.node(n.entries[p.random.IntN(len(n.entries))].Name)
-	if teller == n || !p.runs(teller) || !teller.takesRequests {
+	teller := p.gateway(g.entries[p.random.IntN(len(g.entries))].Name)
+	if teller == g || !p.isRunning(teller) || !teller.isEntry {
 		return
 	}
-	n.list.Told(p.now, namesOf(teller.entries), namesOf(teller.list.Named(p.now)))
+	g.list.Told(p.now, gatewayNames(teller.entries), gatewayNames(teller.list.Named(p.now)))
 }
 
 // tell has a gateway tell the others that it takes requests, or once that it does not any more.
-func (p *fleetPlay) tell(n *playedNode) {
-	for _, name := range n.audience {
-		if other := p.node(name); p.runs(other) {
-			if n.takesRequests {
-				other.list.Heard(p.now, n.name)
+func (p *fleetSimulation) announce(g *simulatedGateway) {
+	for _, name := range g.audience {
+		if other := p.gateway(name); p.isRunning(other) {
+			if g.isEntry {
+				other.list.Heard(p.now, g.name)
 			} else {
-				other.list.Unheard(n.name)
+				other.list.Unheard(g.name)
 			}
 		}
 	}
 }
 
 // agreed tells whether all gateways have the same entries.
-func (p *fleetPlay) agreed() bool {
-	for _, n := range p.nodes {
-		if !slices.Equal(namesOf(n.entries), namesOf(p.nodes[0].entries)) {
+func (p *fleetSimulation) agreed() bool {
+	for _, g := range p.gateways {
+		if !slices.Equal(gatewayNames(g.entries), gatewayNames(p.gateways[0].entries)) {
 			return false
 		}
 	}
@@ -139,38 +139,38 @@
 // TestGatewaysAgreeSoonWhoTakesRequests freezes an entry while all machines are busy, so that who takes its place is heard late by some,
 // and wakes it. A few seconds after the machines have time again all have the same entries.
 func TestGatewaysAgreeSoonWhoTakesRequests(t *testing.T) {
-	const plays, busy, settled = 60, 4 * time.Second, 5 * time.Second
-	differ := 0
-	for seed := range uint64(plays) {
-		p := newFleetPlay(seed, 14)
-		p.play(5 * time.Second)
-		if !p.agreed() {
+	const simulations, busy, settled = 60, 4 * time.Second, 5 * time.Second
+	disagreements := 0
+	for seed := range uint64(simulations) {
+		s := newFleetSimulation(seed, 14)
+		s.run(5 * time.Second)
+		if !s.agreed() {
 			t.Fatalf("seed %d: they differ from the start", seed)
 		}
-		frozen := p.node(p.nodes[0].entries[0].Name)
-		for begun := p.now; p.now.Before(begun.Add(busy)); {
-			for _, n := range p.nodes {
-				if p.runs(n) && p.random.IntN(8) == 0 {
-					n.stalledUntil = p.now.Add(time.Duration(p.random.IntN(2000)) * time.Millisecond)
+		frozen := s.gateway(s.gateways[0].entries[0].Name)
+		for start := s.now; s.now.Before(start.Add(busy)); {
+			for _, g := range s.gateways {
+				if s.isRunning(g) && s.random.IntN(8) == 0 {
+					g.stalledUntil = s.now.Add(time.Duration(s.random.IntN(2000)) * time.Millisecond)
 				}
 			}
-			frozen.stalledUntil = p.now.Add(time.Hour)
-			p.play(4 * playStep)
+			frozen.stalledUntil = s.now.Add(time.Hour)
+			s.run(4 * simulationStep)
 		}
-		for _, n := range p.nodes {
-			n.stalledUntil = p.now
+		for _, g := range s.gateways {
+			g.stalledUntil = s.now
 		}
-		p.play(settled)
-		if !p.agreed() {
-			differ++
-			if differ == 1 {
-				for _, n := range p.nodes {
-					t.Logf("seed %d: %s takes requests %t, with %v", seed, n.name, n.takesRequests, namesOf(n.entries))
+		s.run(settled)
+		if !s.agreed() {
+			disagreements++
+			if disagreements == 1 {
+				for _, g := range s.gateways {
+					t.Logf("seed %d: %s takes requests %t, with %v", seed, g.name, g.isEntry, gatewayNames(g.entries))
 				}
 			}
 		}
 	}
-	if differ > 0 {
-		t.Errorf("in %d of %d plays gateways differ %s after all have time again", differ, plays, settled)
+	if disagreements > 0 {
+		t.Errorf("in %d of %d plays gateways differ %s after all have time again", disagreements, simulations, settled)
 	}
 }
--- a/internal/gateway/bars.go
+++ b/internal/gateway/barsyncer.go
@@ -21,16 +21,16 @@
 
 // bars keeps the bars of requests that end workers in the store, so that they outlast all gateways and reach those that stand by, are
 // cut off from the others, or start later.
-type bars struct {
+type barSyncer struct {
 	gateway *Gateway
 	guard   *poison.Guard
 	logger  logrus.FieldLogger
 
 	mu sync.Mutex
 	// stored are the bars that the store holds, and wanted what it is to hold or not.
-	stored map[poison.Digest]storedBar
-	wanted map[poison.Digest]wantedBar
-	wake   chan struct{}
+	stored  map[poison.Digest]storedBar
+	pending map[poison.Digest]pendingBar
+	wake    chan struct{}
 }
 
 // storedBar is a bar that the store holds.
@@ -40,7 +40,7 @@
 }
 
 // wantedBar is a change of the store that is due.
-type wantedBar struct {
+type pendingBar struct {
 	bar poison.Bar
 	// remove is set when the bar is to go.
 	remove bool
@@ -50,68 +50,68 @@
 // Times of the changes of bars in the store.
 const (
 	// barRetry is the pause after a change that failed.
-	barRetry = 500 * time.Millisecond
+	barRetryDelay = 500 * time.Millisecond
 	// barHearsay is after how long a gateway writes a bar that another one has told: that one may be gone, or cut off from the store.
-	barHearsay = 1500 * time.Millisecond
+	remoteBarDelay = 1500 * time.Millisecond
 	// barTimeout bounds one change.
-	barTimeout = time.Second
+	barCommitTimeout = time.Second
 	// barTidy is how often bars that have been over for long are removed, by the gateway that gives orders, and barKept for how long they
 	// are kept: a request that comes again within it is barred at the next end of a worker.
-	barTidy = time.Minute
-	barKept = 24 * time.Hour
+	barCleanupInterval = time.Minute
+	barRetention       = 24 * time.Hour
 )
 
 // newBars returns the bars of a gateway with their guard.
-func newBars(g *Gateway, prober poison.Prober) *bars {
-	b := &bars{
-		gateway: g, logger: logging.Part(g.logger, "poison"), stored: map[poison.Digest]storedBar{}, wanted: map[poison.Digest]wantedBar{},
+func newBarSyncer(g *Gateway, prober poison.Prober) *barSyncer {
+	b := &barSyncer{
+		gateway: g, logger: logging.Part(g.logger, "poison"), stored: map[poison.Digest]storedBar{}, pending: map[poison.Digest]pendingBar{},
 		wake: make(chan struct{}, 1),
 	}
-	b.guard = poison.NewGuard(poison.DefaultSettings(), prober, boottime.Now, b.note)
+	b.guard = poison.NewGuard(poison.DefaultSettings(), prober, boottime.Now, b.handleEvent)
 	return b
 }
 
 // note logs and records an event of the guard, and has the store follow it.
-func (b *bars) note(event poison.Event) {
+func (b *barSyncer) handleEvent(event poison.Event) {
 	switch e := event.(type) {
 	case poison.WorkerEnded:
 		b.gateway.dispatcher.WorkerEnded(e.Worker.ID, e.Ago)
-		asked := strings.Join(lo.Map(e.Asked, func(d poison.Digest, _ int) string { return d.String() }), ",")
+		digests := strings.Join(lo.Map(e.Asked, func(d poison.Digest, _ int) string { return d.String() }), ",")
 		b.logger.WithFields(logrus.Fields{"worker": e.Worker.ID, "peer": e.Worker.Address, "by": e.By, "requests": len(e.Asked)}).
 			Warn("A worker ended under requests.")
-		b.gateway.metrics.workerEnded(e.Worker.Group)
+		b.gateway.metrics.countWorkerEnd(e.Worker.Group)
 		b.gateway.dispatcher.EngineRefuses(e.Worker.ID)
-		b.gateway.decide(decision.Record{
+		b.gateway.recordDecision(decision.Record{
 			Kind: decision.KindBar, Subject: e.Worker.ID, Outcome: "suspected",
 			Reason: fmt.Sprintf("The worker ended, because %s. Any of the requests that it ran may have ended it.", e.By),
-			Inputs: map[string]string{"asked": asked},
+			Inputs: map[string]string{"asked": digests},
 		})
 	case poison.EndHeard:
 		b.gateway.dispatcher.WorkerEnded(e.Worker, e.Ago)
 	case poison.Made:
-		b.logger.WithFields(fieldsOf(e.Bar)).Warn("A request is barred: workers ended under it.")
-		b.decide(e.Bar, "barred", "Workers ended under the request, one after the other, and it never ended well.")
+		b.logger.WithFields(barFields(e.Bar)).Warn("A request is barred: workers ended under it.")
+		b.recordDecision(e.Bar, "barred", "Workers ended under the request, one after the other, and it never ended well.")
 		due := time.Now()
 		if e.Bar.Rule == "" {
 			// One that has seen the request itself knows more of it, and writes first.
-			due = due.Add(barHearsay)
+			due = due.Add(remoteBarDelay)
 		}
-		b.want(wantedBar{bar: e.Bar, due: due})
+		b.schedule(pendingBar{bar: e.Bar, due: due})
 	case poison.Heard:
-		b.logger.WithFields(fieldsOf(e.Bar)).Info("A request is barred, as the store or another gateway tells.")
-		b.decide(e.Bar, "told", "The store or another gateway tells that the request is barred.")
-		b.want(wantedBar{bar: e.Bar, due: time.Now().Add(barHearsay)})
+		b.logger.WithFields(barFields(e.Bar)).Info("A request is barred, as the store or another gateway tells.")
+		b.recordDecision(e.Bar, "told", "The store or another gateway tells that the request is barred.")
+		b.schedule(pendingBar{bar: e.Bar, due: time.Now().Add(remoteBarDelay)})
 	case poison.Cleared:
 		bar := poison.Bar{Asked: e.Asked}
-		b.decide(bar, "cleared", "The request ran to a good end: it ends no workers.")
+		b.recordDecision(bar, "cleared", "The request ran to a good end: it ends no workers.")
 		if e.WasBarred {
-			b.want(wantedBar{bar: bar, remove: true, due: time.Now()})
+			b.schedule(pendingBar{bar: bar, remove: true, due: time.Now()})
 		}
 	}
 }
 
 // fieldsOf returns a bar as fields of a log line.
-func fieldsOf(bar poison.Bar) logrus.Fields {
+func barFields(bar poison.Bar) logrus.Fields {
 	return logrus.Fields{
 		"asked": bar.Asked, "rule": bar.Rule, "tenant": bar.Tenant, "workers": strings.Join(bar.Workers, ","), "times": bar.Times,
 		"until": bar.Until.UTC().Format(time.RFC3339),
@@ -119,7 +119,7 @@
 }
 
 // decide records one step of what is held of a request.
-func (b *bars) decide(bar poison.Bar, outcome, reason string) {
+func (b *barSyncer) recordDecision(bar poison.Bar, outcome, reason string) {
 	record := decision.Record{Kind: decision.KindBar, Subject: bar.Asked.String(), Outcome: outcome, Reason: reason}
 	if len(bar.Workers) > 0 {
 		record.Inputs = map[string]string{
@@ -127,13 +127,13 @@
 			"rule": bar.Rule, "tenant": bar.Tenant,
 		}
 	}
-	b.gateway.decide(record)
+	b.gateway.recordDecision(record)
 }
 
 // want has the store follow soon.
-func (b *bars) want(change wantedBar) {
+func (b *barSyncer) schedule(change pendingBar) {
 	b.mu.Lock()
-	b.wanted[change.bar.Asked] = change
+	b.pending[change.bar.Asked] = change
 	b.mu.Unlock()
 	select {
 	case b.wake <- struct{}{}:
@@ -142,49 +142,49 @@
 }
 
 // run has the store follow until the context ends.
-func (b *bars) run(ctx context.Context) {
-	tidy := time.NewTicker(barTidy)
-	defer tidy.Stop()
+func (b *barSyncer) run(ctx context.Context) {
+	cleanup := time.NewTicker(barCleanupInterval)
+	defer cleanup.Stop()
 	for {
-		timer := time.NewTimer(b.nextDue())
+		timer := time.NewTimer(b.nextDelay())
 		select {
 		case <-ctx.Done():
 			timer.Stop()
 			return
-		case <-tidy.C:
-			b.removeOld()
+		case <-cleanup.C:
+			b.removeExpired()
 		case <-b.wake:
 		case <-timer.C:
 		}
 		timer.Stop()
 		for _, change := range b.takeDue(time.Now()) {
-			b.change(ctx, change)
+			b.apply(ctx, change)
 		}
 	}
 }
 
 // nextDue returns how long to wait for the next change.
-func (b *bars) nextDue() time.Duration {
+func (b *barSyncer) nextDelay() time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	wait := barTidy
-	for _, change := range b.wanted {
-		wait = min(wait, max(time.Until(change.due), 0))
+	delay := barCleanupInterval
+	for _, change := range b.pending {
+		delay = min(delay, max(time.Until(change.due), 0))
 	}
-	return wait
+	return delay
 }
 
 // takeDue takes the changes that are due and not done yet.
-func (b *bars) takeDue(now time.Time) []wantedBar {
+func (b *barSyncer) takeDue(now time.Time) []pendingBar {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	var due []wantedBar
-	for asked, change := range b.wanted {
+	var due []pendingBar
+	for digest, change := range b.pending {
 		if now.Before(change.due) {
 			continue
 		}
-		delete(b.wanted, asked)
-		stored, found := b.stored[asked]
+		delete(b.pending, digest)
+		stored, found := b.stored[digest]
 		isDone := found && !stored.until.Add(time.Second).Before(change.bar.Until)
 		if change.remove {
 			isDone = !found
@@ -198,8 +198,8 @@
 
 // change carries out one change. A conflict is the change of another gateway, which the store will tell; after other failures the change
 // is tried again. A bar that does not hold any more, because the request ended well or was released, is not written.
-func (b *bars) change(ctx context.Context, change wantedBar) {
-	if standing, _ := b.guard.Standing(change.bar.Asked); !change.remove && standing != poison.Barred {
+func (b *barSyncer) apply(ctx context.Context, change pendingBar) {
+	if state, _ := b.guard.Standing(change.bar.Asked); !change.remove && state != poison.Barred {
 		return
 	}
 	err := b.commit(ctx, change)
@@ -207,13 +207,13 @@
 		return
 	}
 	b.logger.WithError(err).WithField("asked", change.bar.Asked).Warn("The store does not hold the bar of a request yet. It is tried again.")
-	change.due = time.Now().Add(barRetry)
-	b.want(change)
+	change.due = time.Now().Add(barRetryDelay)
+	b.schedule(change)
 }
 
 // commit writes or removes one bar.
-func (b *bars) commit(ctx context.Context, change wantedBar) error {
-	ctx, cancel := context.WithTimeout(ctx, barTimeout)
+func (b *barSyncer) commit(ctx context.Context, change pendingBar) error {
+	ctx, cancel := context.WithTimeout(ctx, barCommitTimeout)
 	defer cancel()
 	key := poison.KeyOf(change.bar.Asked)
 	b.mu.Lock()
@@ -233,51 +233,51 @@
 }
 
 // removeOld has bars that have been over for long removed, if this gateway gives orders.
-func (b *bars) removeOld() {
+func (b *barSyncer) removeExpired() {
 	if !b.gateway.controller.GivesOrders() {
 		return
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	for asked, stored := range b.stored {
-		if time.Since(stored.until) > barKept {
-			b.wanted[asked] = wantedBar{bar: poison.Bar{Asked: asked}, remove: true}
+	for digest, stored := range b.stored {
+		if time.Since(stored.until) > barRetention {
+			b.pending[digest] = pendingBar{bar: poison.Bar{Asked: digest}, remove: true}
 		}
 	}
 }
 
 // release removes the bar of a request by the word of an operator. It fails when the store does not take it.
-func (b *bars) release(ctx context.Context, asked poison.Digest) (bool, error) {
+func (b *barSyncer) release(ctx context.Context, digest poison.Digest) (bool, error) {
 	b.mu.Lock()
-	_, found := b.stored[asked]
+	_, found := b.stored[digest]
 	b.mu.Unlock()
 	if !found {
 		// It may be on its way to the store: the other entries hear of the release as of a good end.
-		return b.released(asked), nil
+		return b.handleRemoved(digest), nil
 	}
-	if err := b.commit(ctx, wantedBar{bar: poison.Bar{Asked: asked}, remove: true}); err != nil {
+	if err := b.commit(ctx, pendingBar{bar: poison.Bar{Asked: digest}, remove: true}); err != nil {
 		return false, err
 	}
-	b.released(asked)
+	b.handleRemoved(digest)
 	return true, nil
 }
 
 // released takes note that the store does not hold a bar any more, and tells whether it was in force here.
-func (b *bars) released(asked poison.Digest) bool {
+func (b *barSyncer) handleRemoved(digest poison.Digest) bool {
 	b.mu.Lock()
-	delete(b.stored, asked)
+	delete(b.stored, digest)
 	b.mu.Unlock()
-	wasBarred := b.guard.Release(asked)
+	wasBarred := b.guard.Release(digest)
 	if wasBarred {
-		b.logger.WithField("asked", asked).Info("A request is released.")
-		b.decide(poison.Bar{Asked: asked}, "released", "The store holds no bar of the request any more.")
+		b.logger.WithField("asked", digest).Info("A request is released.")
+		b.recordDecision(poison.Bar{Asked: digest}, "released", "The store holds no bar of the request any more.")
 	}
 	return wasBarred
 }
 
 // Barred is part of adminapi.Backend.
 func (a admin) Barred() []adminapi.BarredStatus {
-	return lo.Map(a.bars.guard.Bars(), func(bar poison.Bar, _ int) adminapi.BarredStatus {
+	return lo.Map(a.barSyncer.guard.Bars(), func(bar poison.Bar, _ int) adminapi.BarredStatus {
 		return adminapi.BarredStatus{
 			Asked: bar.Asked.String(), Rule: bar.Rule, Tenant: bar.Tenant, Workers: bar.Workers, Times: bar.Times, Until: bar.Until,
 		}
@@ -286,54 +286,54 @@
 
 // Release is part of adminapi.Backend.
 func (a admin) Release(ctx context.Context, asked poison.Digest) (bool, error) {
-	return a.bars.release(ctx, asked)
+	return a.barSyncer.release(ctx, asked)
 }
 
 // BarsListed is part of cluster.Listener.
 func (g *Gateway) BarsListed(items []store.Item) {
-	b := g.bars
+	b := g.barSyncer
 	listed := map[poison.Digest]bool{}
 	for _, item := range items {
-		if asked, held := b.hold(item); held {
-			listed[asked] = true
+		if digest, valid := b.handleStored(item); valid {
+			listed[digest] = true
 		}
 	}
 	b.mu.Lock()
-	gone := lo.Filter(lo.Keys(b.stored), func(asked poison.Digest, _ int) bool { return !listed[asked] })
+	removed := lo.Filter(lo.Keys(b.stored), func(digest poison.Digest, _ int) bool { return !listed[digest] })
 	b.mu.Unlock()
-	for _, asked := range gone {
-		b.released(asked)
+	for _, digest := range removed {
+		b.handleRemoved(digest)
 	}
 }
 
 // BarChanged is part of cluster.Listener.
 func (g *Gateway) BarChanged(event store.Event) {
 	if !event.Deleted {
-		g.bars.hold(event.Item)
+		g.barSyncer.handleStored(event.Item)
 		return
 	}
-	asked, err := poison.AskedOf(event.Key)
+	digest, err := poison.AskedOf(event.Key)
 	if err != nil {
-		g.bars.logger.WithError(err).Error("A bar that is gone can't be read.")
+		g.barSyncer.logger.WithError(err).Error("A bar that is gone can't be read.")
 		return
 	}
-	g.bars.released(asked)
+	g.barSyncer.handleRemoved(digest)
 }
 
 // restored has all bars that the store held written again unless it still holds them: it came back from an older copy. None of them is
 // released for that.
-func (b *bars) restored() {
-	due := time.Now().Add(barHearsay)
+func (b *barSyncer) rewriteAll() {
+	due := time.Now().Add(remoteBarDelay)
 	b.mu.Lock()
 	clear(b.stored)
 	b.mu.Unlock()
 	for _, bar := range b.guard.Bars() {
-		b.want(wantedBar{bar: bar, due: due})
+		b.schedule(pendingBar{bar: bar, due: due})
 	}
 }
 
 // hold takes a bar that the store holds.
-func (b *bars) hold(item store.Item) (poison.Digest, bool) {
+func (b *barSyncer) handleStored(item store.Item) (poison.Digest, bool) {
 	bar, err := poison.DecodeBar(item.Key, item.Value)
 	if err != nil {
 		b.logger.WithError(err).Error("A bar of the store can't be read.")
--- /dev/null
+++ b/internal/gateway/barsyncer_test.go
@@ -0,0 +1,83 @@
+package gateway
+
+import (
+	"context"
+	"io"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/sirupsen/logrus"
+
+	"github.com/granitebay/granitebay/internal/decisionlog"
+	"github.com/granitebay/granitebay/internal/poison"
+	"github.com/granitebay/granitebay/internal/store"
+)
+
+// barStore is a store that keeps what is committed.
+type recordingStore struct {
+	store.Store
+	mu      sync.Mutex
+	commits []store.Transaction
+}
+
+// Commit is part of store.Store.
+func (s *recordingStore) Commit(_ context.Context, transaction store.Transaction) (store.Revision, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.commits = append(s.commits, transaction)
+	return store.Revision(len(s.commits)), nil
+}
+
+// newTestBars returns the bars of a gateway that does nothing else.
+func newTestBarSyncer() (*barSyncer, *recordingStore) {
+	recording := &recordingStore{}
+	logger := logrus.New()
+	logger.SetOutput(io.Discard)
+	g := &Gateway{ports: Ports{Store: recording}, logger: logger, decisions: decisionlog.New("a", 16)}
+	g.metrics = newGatewayMetrics(g.decisions, logger)
+	g.barSyncer = newBarSyncer(g, nil)
+	return g.barSyncer, recording
+}
+
+// toldBar is a bar as another gateway tells it.
+func remoteBar(digest poison.Digest) poison.Told {
+	return poison.Told{Bars: []poison.ToldBar{{
+		Asked: digest, Rule: "quick", Workers: []string{"w1", "w2", "w3"}, Times: 1, AgoMs: 100, LeftMs: time.Hour.Milliseconds(),
+	}}}
+}
+
+// TestABarIsWrittenOnlyWhileItHolds hears of two bars, one of which is void before this gateway writes it in place of the one that made it.
+func TestBarWrittenOnlyWhileInForce(t *testing.T) {
+	b, recording := newTestBarSyncer()
+	barred, cleared := poison.Asked{Target: "/holds"}.Digest(), poison.Asked{Target: "/void"}.Digest()
+	b.guard.Hear(remoteBar(barred))
+	b.guard.Hear(remoteBar(cleared))
+	b.guard.Hear(poison.Told{EndedWell: []poison.ToldGood{{Asked: cleared}}})
+	for _, change := range b.takeDue(time.Now().Add(remoteBarDelay)) {
+		b.apply(t.Context(), change)
+	}
+	if len(recording.commits) != 1 || !strings.HasSuffix(recording.commits[0].Puts[0].Key, barred.String()) {
+		t.Errorf("written: %+v", recording.commits)
+	}
+}
+
+// TestABarThatTheStoreDoesNotHoldYetIsReleased releases a bar before it is written.
+func TestReleaseOfBarNotYetStored(t *testing.T) {
+	b, recording := newTestBarSyncer()
+	digest := poison.Asked{Target: "/x"}.Digest()
+	b.guard.Hear(remoteBar(digest))
+	if wasBarred, err := b.release(t.Context(), digest); !wasBarred || err != nil {
+		t.Errorf("released: %t, %v", wasBarred, err)
+	}
+	if state, _ := b.guard.Standing(digest); state != poison.Clear {
+		t.Errorf("the standing is %d", state)
+	}
+	for _, change := range b.takeDue(time.Now().Add(remoteBarDelay)) {
+		b.apply(t.Context(), change)
+	}
+	if len(recording.commits) > 0 {
+		t.Errorf("written: %+v", recording.commits)
+	}
+}
--- a/internal/gateway/capacity.go
+++ b/internal/gateway/capacity.go
@@ -11,54 +11,54 @@
 
 // recordsBack is how long after an outage of the store, or the start, the records of workers may be missing that live: the pages say
 // two seconds, and a heartbeat besides.
-const recordsBack = 3500 * time.Millisecond
+const recordRecoveryTime = 3500 * time.Millisecond
 
 // recordsShow is how long after the start most workers have recorded themselves: two heartbeats. Before that a zone that is full looks
 // empty.
-const recordsShow = 2500 * time.Millisecond
+const initialRecordTime = 2500 * time.Millisecond
 
 // startTime is how long a fleet is new: until its first workers have recorded themselves, and before spot workers that it orders have
 // booted.
-const startTime = 5 * time.Second
+const newFleetPeriod = 5 * time.Second
 
 // CapacityGroups is part of capacity.Fleet.
 func (g *Gateway) CapacityGroups() []capacity.Group {
 	table := g.handler.Table()
-	if table == nil || !(g.takesRequests() || g.controller.GivesOrders()) {
+	if table == nil || !(g.isEntry() || g.controller.GivesOrders()) {
 		return nil
 	}
 	var groups []capacity.Group
 	for _, group := range table.Configuration().Groups {
 		if group.Scaling != nil {
-			groups = append(groups, g.capacityOf(group))
+			groups = append(groups, g.capacityGroup(group))
 		}
 	}
 	return groups
 }
 
 // capacityOf returns what is seen of the workers of a group.
-func (g *Gateway) capacityOf(group routing.Group) capacity.Group {
-	seen := capacity.Group{
+func (g *Gateway) capacityGroup(group routing.Group) capacity.Group {
+	observed := capacity.Group{
 		Name: group.Name, Boot: group.Scaling.Boot, Present: capacity.Plan{}, Busy: g.dispatcher.Busy(group.Name),
-		Shown: g.view.Steady() > recordsShow, Certain: g.view.Steady() > recordsBack, New: g.view.IsNew(startTime),
+		Shown: g.view.Steady() > initialRecordTime, Certain: g.view.Steady() > recordRecoveryTime, New: g.view.IsNew(newFleetPeriod),
 		Offer: capacity.Offer{Least: group.Scaling.Least, Most: group.Scaling.Most, SpotPrice: group.Scaling.SpotPrice},
 	}
 	for zone, price := range group.Scaling.ZonePrices {
-		seen.Offer.Zones = append(seen.Offer.Zones, capacity.Zone{Name: zone, Price: price, NoSpot: group.Scaling.SpotPrice <= 0})
+		observed.Offer.Zones = append(observed.Offer.Zones, capacity.Zone{Name: zone, Price: price, NoSpot: group.Scaling.SpotPrice <= 0})
 	}
-	slices.SortFunc(seen.Offer.Zones, func(a, b capacity.Zone) int { return strings.Compare(a.Name, b.Name) })
+	slices.SortFunc(observed.Offer.Zones, func(a, b capacity.Zone) int { return strings.Compare(a.Name, b.Name) })
 	for _, view := range g.dispatcher.Workers() {
-		w := view.Worker
-		if w.Group != group.Name || w.Draining {
+		worker := view.Worker
+		if worker.Group != group.Name || worker.Draining {
 			continue
 		}
-		count := seen.Present[w.Zone]
-		if w.Spot {
+		count := observed.Present[worker.Zone]
+		if worker.Spot {
 			count.Spot++
 		} else {
 			count.Kept++
 		}
-		seen.Present[w.Zone] = count
+		observed.Present[worker.Zone] = count
 	}
-	return seen
+	return observed
 }
--- a/internal/gateway/decisions.go
+++ b/internal/gateway/decisions.go
@@ -14,93 +14,95 @@
 )
 
 // keptDecisions is how many decisions a gateway keeps.
-const keptDecisions = 2048
+const maxDecisions = 2048
 
 // decide notes a decision.
-func (g *Gateway) decide(record decision.Record) { g.decisions.Append(time.Now(), record) }
+func (g *Gateway) recordDecision(record decision.Record) { g.decisions.Append(time.Now(), record) }
 
 // requestEntry is what is kept of a request that has ended. It holds no body.
-type requestEntry struct {
-	id      string
-	target  string
-	rule    string
-	group   string
-	version int64
-	status  int
-	reason  forward.Reason
-	took    time.Duration
-	first   time.Duration
-	tries   []forward.Try
-	err     error
-	asked   *poison.Digest
+type requestDecision struct {
+	id              string
+	target          string
+	rule            string
+	group           string
+	version         int64
+	status          int
+	reason          forward.Reason
+	duration        time.Duration
+	timeToFirstByte time.Duration
+	tries           []forward.Try
+	err             error
+	digest          *poison.Digest
 	// unanswered holds who closed the connection of a caller that got no whole answer, and how far its request was; nil for others.
 	unanswered map[string]string
-	loss       *forward.Loss
+	roleLoss   *forward.Loss
 	ended      time.Time
 }
 
 // entryOf takes what is kept out of a report.
-func entryOf(report *forward.Report) requestEntry {
-	entry := requestEntry{
+func newRequestDecision(report *forward.Report) requestDecision {
+	d := requestDecision{
 		rule: report.Rule, group: report.Group, version: report.Version, status: report.Status, reason: report.Reason,
-		took: report.Ended.Sub(report.Arrived), tries: report.Tries, err: report.Err, target: report.Target, asked: report.Asked,
-		loss: report.Loss, ended: report.Ended,
+		duration: report.Ended.Sub(report.Arrived), tries: report.Tries, err: report.Err, target: report.Target, digest: report.Asked,
+		roleLoss: report.Loss, ended: report.Ended,
 	}
 	if report.Request != nil {
-		entry.id = report.Request.ID
+		d.id = report.Request.ID
 	}
 	if report.Unanswered {
-		entry.unanswered = map[string]string{
+		d.unanswered = map[string]string{
 			"closed_by": report.ClosedBy.String(), "step": report.Step(), "peer": report.Caller, "passed_on_to": report.PassedOn(),
 		}
 	}
 	if !report.FirstByte.IsZero() {
-		entry.first = report.FirstByte.Sub(report.Arrived)
+		d.timeToFirstByte = report.FirstByte.Sub(report.Arrived)
 	}
-	return entry
+	return d
 }
 
 // smooth tells whether the request was served at once.
-func (e requestEntry) smooth() bool { return e.reason == forward.ReasonServed && len(e.tries) == 1 }
+func (d requestDecision) servedFirstTry() bool {
+	return d.reason == forward.ReasonServed && len(d.tries) == 1
+}
 
 // Record is part of decisionlog.Entry.
-func (e requestEntry) Record() decision.Record {
+func (d requestDecision) Record() decision.Record {
 	record := decision.Record{
-		Kind: decision.KindRequest, Subject: e.id, Version: e.version, Outcome: strconv.Itoa(e.status),
-		Reason: fmt.Sprintf("Request of rule %s for group %s: %s.", e.rule, e.group, e.reason),
-		Inputs: e.inputs(),
+		Kind: decision.KindRequest, Subject: d.id, Version: d.version, Outcome: strconv.Itoa(d.status),
+		Reason: fmt.Sprintf("Request of rule %s for group %s: %s.", d.rule, d.group, d.reason),
+		Inputs: d.inputs(),
 	}
-	if e.reason != forward.ReasonServed && len(e.tries) == 0 {
+	if d.reason != forward.ReasonServed && len(d.tries) == 0 {
 		record.Kind = decision.KindRefusal
 	}
 	return record
 }
 
 // inputs are the facts about the request, times in milliseconds.
-func (e requestEntry) inputs() map[string]string {
+func (d requestDecision) inputs() map[string]string {
 	inputs := map[string]string{
-		"rule": e.rule, adminapi.InputGroup: e.group, "took_ms": strconv.FormatInt(e.took.Milliseconds(), 10),
+		"rule": d.rule, adminapi.InputGroup: d.group, "took_ms": strconv.FormatInt(d.duration.Milliseconds(), 10),
 	}
-	if e.rule == "" || e.asked != nil {
-		inputs["target"] = e.target
+	if d.rule == "" || d.digest != nil {
+		inputs["target"] = d.target
 	}
-	if e.asked != nil {
-		inputs["asked"] = e.asked.String()
+	if d.digest != nil {
+		inputs["asked"] = d.digest.String()
 	}
-	if e.first > 0 {
-		inputs["first_byte_ms"] = strconv.FormatInt(e.first.Milliseconds(), 10)
+	if d.timeToFirstByte > 0 {
+		inputs["first_byte_ms"] = strconv.FormatInt(d.timeToFirstByte.Milliseconds(), 10)
 	}
-	maps.Copy(inputs, e.unanswered)
-	for i, try := range e.tries {
+	maps.Copy(inputs, d.unanswered)
+	for i, try := range d.tries {
 		inputs["try"+strconv.Itoa(i+1)] = describeTry(try)
 		inputs[adminapi.InputWorker] = try.Worker
 	}
-	if e.loss != nil {
+	if d.roleLoss != nil {
 		inputs["role_gone"] = fmt.Sprintf("%d writers ended, %d engines are becoming writers, %d read; expected back in %d ms",
-			e.loss.Lost, e.loss.Changing, e.loss.Readers, e.loss.Back.Sub(e.ended).Milliseconds())
+			d.roleLoss.Lost, d.roleLoss.Changing, d.roleLoss.Readers, d.roleLoss.Back.Sub(d.ended).Milliseconds())
 	}
-	if e.err != nil {
-		inputs["error"] = e.err.Error()
+	if d.err != nil {
+		inputs["error"] = d.err.Error()
 	}
 	return inputs
 }
--- a/internal/gateway/decisions_test.go
+++ b/internal/gateway/decisions_test.go
@@ -9,12 +9,12 @@
 )
 
 // TestATryTellsWhyItGaveWay shows that a request which was read after all others can be told from the logs, with the numbers.
-func TestATryTellsWhyItGaveWay(t *testing.T) {
+func TestDescribeTryOfDeferredRequest(t *testing.T) {
 	try := forward.Try{Worker: "w", Candidates: 3, Score: balance.Score{Queue: 0.2, Answer: 0.45}, Deferred: true}
 	text := describeTry(try)
-	for _, want := range []string{"answer expected after 450 ms", "too late for its objective"} {
-		if !strings.Contains(text, want) {
-			t.Errorf("%q does not say %q", text, want)
+	for _, fragment := range []string{"answer expected after 450 ms", "too late for its objective"} {
+		if !strings.Contains(text, fragment) {
+			t.Errorf("%q does not say %q", text, fragment)
 		}
 	}
 	try.Deferred = false
--- a/internal/gateway/sizing.go
+++ b/internal/gateway/entrysizing.go
@@ -16,16 +16,16 @@
 )
 
 // sizeInterval is how often the need for entries is looked at: as often as gateways tell all that they do.
-const sizeInterval = time.Second
+const sizingInterval = time.Second
 
 // idleSizeInterval is how often a gateway that gives no orders looks whether it does by now.
-const idleSizeInterval = 5 * time.Second
+const idleSizingInterval = 5 * time.Second
 
 // sizeEntries says how many cores the entries are to have together, while this gateway gives orders, until the context ends. The need
 // lies in the store, so that all gateways pick the same entries.
 func (g *Gateway) sizeEntries(ctx context.Context) {
 	sizer := member.NewSizer(member.DefaultSizerSettings())
-	timer := time.NewTimer(idleSizeInterval)
+	timer := time.NewTimer(idleSizingInterval)
 	defer timer.Stop()
 	for {
 		select {
@@ -34,12 +34,12 @@
 		case <-timer.C:
 		}
 		if !g.controller.GivesOrders() {
-			timer.Reset(idleSizeInterval)
+			timer.Reset(idleSizingInterval)
 			continue
 		}
-		timer.Reset(sizeInterval)
+		timer.Reset(sizingInterval)
 		need, revision := g.view.EntryNeed()
-		if cores, changed := sizer.Next(time.Now(), g.entriesBusy(), need); changed {
+		if cores, changed := sizer.Next(time.Now(), g.entryUtilization(), need); changed {
 			g.writeNeed(ctx, cores, revision)
 		} else if need > 0 && revision == 0 {
 			// The store has lost it.
@@ -49,19 +49,19 @@
 }
 
 // entriesBusy returns what the entries use of their limits.
-func (g *Gateway) entriesBusy() []member.Busy {
-	told := g.dispatcher.PeersBusy()
-	told[g.settings.Name] = g.limitUse.busy()
+func (g *Gateway) entryUtilization() []member.Busy {
+	utilization := g.dispatcher.PeersBusy()
+	utilization[g.settings.Name] = g.utilization.peak()
 	var busy []member.Busy
 	for _, entry := range g.Entries() {
-		busy = append(busy, member.Busy{Cores: entry.Cores, Share: told[entry.Name]})
+		busy = append(busy, member.Busy{Cores: entry.Cores, Share: utilization[entry.Name]})
 	}
 	return busy
 }
 
 // writeNeed writes the need, unless somebody else has written one meanwhile.
 func (g *Gateway) writeNeed(ctx context.Context, cores float64, revision store.Revision) {
-	ctx, cancel := context.WithTimeout(ctx, sizeInterval)
+	ctx, cancel := context.WithTimeout(ctx, sizingInterval)
 	defer cancel()
 	log := logging.Part(g.logger, "member").WithFields(logrus.Fields{"cores": fmt.Sprintf("%.1f", cores)})
 	value, err := json.Marshal(member.Need{Cores: cores})
@@ -76,7 +76,7 @@
 		return
 	}
 	log.Info("The entries are to have other cores together.")
-	g.decide(decision.Record{
+	g.recordDecision(decision.Record{
 		Kind: decision.KindEntry, Subject: member.NeedKey, Outcome: fmt.Sprintf("%.1f cores", cores),
 		Reason: "What the entries use of their processors, links and descriptors asks for that many cores.",
 	})
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -70,29 +70,29 @@
 	ports    Ports
 	logger   *logrus.Logger
 
-	handler      *forward.Handler
-	dispatcher   *forward.Dispatcher
-	view         *cluster.View
-	replica      *store.Replica
-	registration *member.Registration
-	controller   *roles.Controller
-	callers      *callers.Server
-	accepting    *accepting.Loop
-	metrics      *figures
-	sharing      *loadshare.Exchange
-	follower     *changefeed.Follower
-	entries      entrySet
-	limitUse     *limitUse
-	used         *usedCounts
-	bars         *bars
-	engines      *engineWatch
-	notices      *notices
-	workerLimits *workerLimits
-	capacity     *capacity.Executor
+	handler       *forward.Handler
+	dispatcher    *forward.Dispatcher
+	view          *cluster.View
+	replica       *store.Replica
+	registration  *member.Registration
+	controller    *roles.Controller
+	callers       *callers.Server
+	accepting     *accepting.Loop
+	metrics       *gatewayMetrics
+	loadExchange  *loadshare.Exchange
+	feedFollower  *changefeed.Follower
+	entries       entryState
+	utilization   *utilization
+	tenantUsage   *tenantUsage
+	barSyncer     *barSyncer
+	engineMonitor *engineMonitor
+	notices       *noticeTracker
+	workerLimits  *limitTracker
+	capacity      *capacity.Executor
 
 	// grace and addressTTL are durations that Reload may change.
-	grace      atomic.Int64
-	addressTTL atomic.Int64
+	gracePeriod atomic.Int64
+	addressTTL  atomic.Int64
 
 	decisions *decisionlog.Log
 	startedAt time.Time
@@ -101,23 +101,23 @@
 	workersMu sync.Mutex
 	workers   backend.Set
 	// addresses counts the workers at each address.
-	addresses     map[string]int
-	configuration *routing.Configuration
+	workersAtAddress map[string]int
+	configuration    *routing.Configuration
 	// workersKnown is closed once there are workers in groups.
-	workersKnown chan struct{}
-	knowWorkers  sync.Once
+	workersKnown     chan struct{}
+	workersKnownOnce sync.Once
 	// learn asks for what engines keep to be learnt, and keptAsker asks other gateways for it.
-	learn chan struct{}
+	learnTrigger chan struct{}
 	// restoring asks for what the store has lost to be written again.
-	restoring chan struct{}
+	restoreTrigger chan struct{}
 	// lacksEdits is set while the store may have lost edits of operators that are in force here.
-	lacksEdits atomic.Bool
-	keptAsker  *keptshare.Asker
+	editsMayBeLost atomic.Bool
+	cacheAsker     *keptshare.Asker
 
-	leaving atomic.Bool
-	servers []*callers.Server
-	cancel  context.CancelFunc
-	tasks   sync.WaitGroup
+	leaving     atomic.Bool
+	sideServers []*callers.Server
+	cancel      context.CancelFunc
+	tasks       sync.WaitGroup
 }
 
 // New puts a gateway together.
@@ -125,55 +125,55 @@
 	g := &Gateway{settings: settings, ports: ports, logger: logger}
 	g.startedAt = time.Now()
 	g.accepting = accepting.New(logging.Part(logger, "gateway"))
-	g.limitUse = newLimitUse(settings)
+	g.utilization = newUtilization(settings)
 	g.workersKnown = make(chan struct{})
-	g.workers, g.addresses = backend.Set{}, map[string]int{}
-	g.learn = make(chan struct{}, 1)
-	g.restoring = make(chan struct{}, 1)
-	g.keptAsker = keptshare.New()
-	g.decisions = decisionlog.New(settings.Name, keptDecisions)
-	g.metrics = newFigures(g.decisions, logger)
-	g.ports.Store = store.Counted(ports.Store, g.metrics.storeCalled)
+	g.workers, g.workersAtAddress = backend.Set{}, map[string]int{}
+	g.learnTrigger = make(chan struct{}, 1)
+	g.restoreTrigger = make(chan struct{}, 1)
+	g.cacheAsker = keptshare.New()
+	g.decisions = decisionlog.New(settings.Name, maxDecisions)
+	g.metrics = newGatewayMetrics(g.decisions, logger)
+	g.ports.Store = store.Counted(ports.Store, g.metrics.countStoreCall)
 	ports.Store = g.ports.Store
-	g.grace.Store(int64(settings.Grace))
+	g.gracePeriod.Store(int64(settings.Grace))
 	g.addressTTL.Store(int64(min(settings.AddressTTL, settings.MaxAddressTTL)))
 	dispatch := forward.DefaultDispatchSettings()
 	dispatch.Zone = settings.Zone
-	dispatch.Budget = budgetOf(settings)
+	dispatch.Budget = budgetSettings(settings)
 	g.dispatcher = forward.NewDispatcher(dispatch, time.Now)
 	g.dispatcher.ShareLimits(settings.Name)
-	g.dispatcher.WatchBudgets(g.budgetUsedUp)
-	g.dispatcher.WatchChoices(g.metrics.chosen)
+	g.dispatcher.WatchBudgets(g.logBudgetExhausted)
+	g.dispatcher.WatchChoices(g.metrics.observeChoice)
 	g.handler = forward.NewHandler(forward.DefaultSettings(), ports.Protocol, ports.Workers, g.dispatcher, g.metrics)
 	g.handler.SetFreshness(func() bool { return g.view.IsFresh(settings.ConfigurationAge) })
 	g.handler.NameClosers(callers.CloserOf)
-	g.callers = callers.NewServer(callers.UntilCallerLeaves(g.handler), &g.limitUse.traffic, g.metrics, logging.Part(logger, "gateway"))
-	g.bars = newBars(g, ports.Prober)
-	g.handler.GuardWorkers(g.bars.guard)
-	g.handler.ChooseForSuspects(g.isChosen)
+	g.callers = callers.NewServer(callers.UntilCallerLeaves(g.handler), &g.utilization.traffic, g.metrics, logging.Part(logger, "gateway"))
+	g.barSyncer = newBarSyncer(g, ports.Prober)
+	g.handler.GuardWorkers(g.barSyncer.guard)
+	g.handler.ChooseForSuspects(g.ownsKey)
 	if ports.Labelled != nil {
 		g.handler.ServeLabelled(ports.Labelled)
 	}
-	own := member.Gateway{
+	self := member.Gateway{
 		Name: settings.Name, Address: settings.ListenCallers, PeerAddress: settings.ListenPeers, Zone: settings.Zone,
 		ControlAddress: settings.ListenControl, Cores: settings.Cores, AdminAddress: settings.ListenAdmin,
 	}
 	control := roles.DefaultControllerSettings()
 	control.Holder = settings.Name
 	control.Authority.ThawPause = settings.ThawPause
-	g.controller = roles.NewController(control, ports.Store, ports.Orderer, g.dispatcher, logging.Part(logger, "roles"), g.decide)
-	g.engines = newEngineWatch(g)
-	g.notices = newNotices(g)
-	g.workerLimits = newWorkerLimits(g)
+	g.controller = roles.NewController(control, ports.Store, ports.Orderer, g.dispatcher, logging.Part(logger, "roles"), g.recordDecision)
+	g.engineMonitor = newEngineMonitor(g)
+	g.notices = newNoticeTracker(g)
+	g.workerLimits = newLimitTracker(g)
 	g.metrics.notices, g.metrics.workerLimits = g.notices, g.workerLimits
 	if ports.WatchNotices != nil {
-		ports.WatchNotices(g.notices.hear)
+		ports.WatchNotices(g.notices.handle)
 	}
 	registrationSettings := member.DefaultRegistrationSettings()
 	registrationSettings.TTL = settings.LeaseTTL
-	g.registration = member.NewRegistration(registrationSettings, ports.Store, own,
-		logging.Part(logger, "member"), func() { g.replica.Renew() }, g.leased)
-	g.view = cluster.NewView(ports.Decoder, g, member.NewList(own), backend.NewRoster(rosterOf(settings)), g.registration.Key(), logging.Part(logger, "cluster"))
+	g.registration = member.NewRegistration(registrationSettings, ports.Store, self,
+		logging.Part(logger, "member"), func() { g.replica.Renew() }, g.handleLease)
+	g.view = cluster.NewView(ports.Decoder, g, member.NewList(self), backend.NewRoster(rosterSettings(settings)), g.registration.Key(), logging.Part(logger, "cluster"))
 	replication := store.DefaultReplicaSettings()
 	replication.Unhurried = member.IsRegistration
 	replication.Sharded = func(key string) bool {
@@ -181,30 +181,30 @@
 		return isWorker
 	}
 	replication.Seat = rendezvous.Hash(settings.Name)
-	g.replica = store.NewReplica(ports.Store, everything, replication, g.view,
+	g.replica = store.NewReplica(ports.Store, allKeys, replication, g.view,
 		changefeed.NewSeeds(settings.Seeds).Fetch)
-	g.follower = changefeed.NewFollower(settings.Name, settings.Zone, g.entriesTold)
-	g.follower.SetBound(settings.ConfigurationAge)
-	g.replica.SetFeed(g.follower)
+	g.feedFollower = changefeed.NewFollower(settings.Name, settings.Zone, g.receiveFeedEntries)
+	g.feedFollower.SetBound(settings.ConfigurationAge)
+	g.replica.SetFeed(g.feedFollower)
 	g.replica.SetLister(g.lister)
 	g.replica.SetKnownWithin(settings.ConfigurationAge)
 	g.replica.SetFreshFor(retrybudget.FreshFor(settings.RetryWindow))
-	g.used = newUsedCounts(g)
+	g.tenantUsage = newTenantUsage(g)
 	if ports.Capacity != nil {
 		settings := capacity.DefaultSettings()
 		settings.Holder = g.settings.Name
-		g.capacity = capacity.NewExecutor(settings, g, ports.Capacity, g.controller.Authority, logging.Part(logger, "capacity"), g.decide)
+		g.capacity = capacity.NewExecutor(settings, g, ports.Capacity, g.controller.Authority, logging.Part(logger, "capacity"), g.recordDecision)
 	}
 	if ports.WatchEra != nil {
-		ports.WatchEra(g.eraHeard)
+		ports.WatchEra(g.handleEra)
 	}
-	g.metrics.watch(g)
-	g.metrics.watchDuties(g.used.reporter, g.capacity)
+	g.metrics.registerGauges(g)
+	g.metrics.registerFleetTasks(g.tenantUsage.reporter, g.capacity)
 	return g
 }
 
 // everything is the prefix of all keys: one watch serves configuration, workers and gateways.
-const everything = ""
+const allKeys = ""
 
 // Start listens and begins to serve.
 func (g *Gateway) Start() error {
@@ -232,9 +232,9 @@
 			g.close()
 			return err
 		}
-		g.servers = append(g.servers, server)
+		g.sideServers = append(g.sideServers, server)
 	}
-	if err := g.share(ctx); err != nil {
+	if err := g.startLoadExchange(ctx); err != nil {
 		g.close()
 		return err
 	}
@@ -243,15 +243,15 @@
 	g.tasks.Go(func() { g.controller.Run(ctx) })
 	g.tasks.Go(func() { g.watchEntries(ctx) })
 	g.tasks.Go(func() { g.sizeEntries(ctx) })
-	g.tasks.Go(func() { g.learnKept(ctx) })
-	g.tasks.Go(func() { g.bars.run(ctx) })
-	g.tasks.Go(func() { g.engines.run(ctx) })
-	g.tasks.Go(func() { g.restoreDocuments(ctx) })
+	g.tasks.Go(func() { g.learnCachedParts(ctx) })
+	g.tasks.Go(func() { g.barSyncer.run(ctx) })
+	g.tasks.Go(func() { g.engineMonitor.run(ctx) })
+	g.tasks.Go(func() { g.runDocumentRestore(ctx) })
 	if g.capacity != nil {
 		g.tasks.Go(func() { g.capacity.Run(ctx) })
 	}
-	if g.used.reporter != nil {
-		g.tasks.Go(func() { g.used.reporter.Run(ctx) })
+	if g.tenantUsage.reporter != nil {
+		g.tasks.Go(func() { g.tenantUsage.reporter.Run(ctx) })
 	}
 	logging.Part(g.logger, "gateway").WithField("name", g.settings.Name).Info("Started.")
 	return nil
@@ -260,24 +260,24 @@
 // controlHandler answers other gateways: what the store holds, and what engines keep.
 func (g *Gateway) controlHandler() http.Handler {
 	mux := http.NewServeMux()
-	mux.Handle("/", changefeed.Handler(g.replica, g.entriesToTell))
+	mux.Handle("/", changefeed.Handler(g.replica, g.feedEntries))
 	mux.Handle("GET "+keptshare.Path, keptshare.Handler(g.dispatcher.Kept))
 	return mux
 }
 
 // share begins to tell the other gateways what this one does, and to hear them.
-func (g *Gateway) share(ctx context.Context) error {
+func (g *Gateway) startLoadExchange(ctx context.Context) error {
 	settings := loadshare.DefaultSettings()
 	settings.Name, settings.Listen = g.settings.Name, g.settings.ListenPeers
 	exchange, err := loadshare.NewExchange(settings, g, logging.Part(g.logger, "loadshare"))
 	if err != nil {
 		return err
 	}
-	g.sharing = exchange
+	g.loadExchange = exchange
 	g.dispatcher.ShareWith(exchange.Changed)
-	g.bars.guard.ShareWith(exchange.Changed)
-	g.notices.shareWith(exchange.Changed)
-	g.workerLimits.shareWith(exchange.Changed)
+	g.barSyncer.guard.ShareWith(exchange.Changed)
+	g.notices.setNotify(exchange.Changed)
+	g.workerLimits.setNotify(exchange.Changed)
 	g.tasks.Go(func() { exchange.Send(ctx) })
 	g.tasks.Go(exchange.Receive)
 	return nil
@@ -287,10 +287,10 @@
 func (g *Gateway) Drain(full bool) loadshare.Message {
 	message := g.dispatcher.Drain(full)
 	if full {
-		message.Busy = g.limitUse.busy()
+		message.Busy = g.utilization.peak()
 	}
-	message.Poison = g.bars.guard.Tell(full)
-	g.used.tell(&message, full, !g.takesRequests())
+	message.Poison = g.barSyncer.guard.Tell(full)
+	g.tenantUsage.addTo(&message, full, !g.isEntry())
 	return message
 }
 
@@ -301,8 +301,8 @@
 	} else {
 		g.view.Heard(message.Sender)
 	}
-	g.used.hear(message)
-	g.bars.guard.Hear(message.Poison)
+	g.tenantUsage.merge(message)
+	g.barSyncer.guard.Hear(message.Poison)
 	g.dispatcher.Hear(message)
 }
 
@@ -329,7 +329,7 @@
 // resolve returns the addresses to which callers of a zone connect.
 func (g *Gateway) resolve(string) ([]string, time.Duration) {
 	var addresses []string
-	for _, gateway := range g.named() {
+	for _, gateway := range g.advertised() {
 		addresses = append(addresses, gateway.Address)
 	}
 	return addresses, time.Duration(g.addressTTL.Load())
@@ -338,43 +338,43 @@
 // Stop steps of a planned stop.
 const (
 	// serveWhileLeaving is how long a leaving gateway still serves callers that kept its address.
-	serveWhileLeaving = 3 * time.Second
+	drainPeriod = 3 * time.Second
 	// stopMargin is left of the grace when everything is given up.
 	stopMargin = 500 * time.Millisecond
 	// stopPoll is how often the end of the requests in hand is looked for.
-	stopPoll = 50 * time.Millisecond
+	stopPollInterval = 50 * time.Millisecond
 )
 
 // Stop ends the gateway as planned: the others and the callers are told first, what is in hand is finished, and new requests
 // are refused as not run once callers had the time to go elsewhere.
 func (g *Gateway) Stop() {
-	begun := time.Now()
-	lines := logging.Part(g.logger, "gateway")
-	lines.Info("Stopping.")
+	start := time.Now()
+	log := logging.Part(g.logger, "gateway")
+	log.Info("Stopping.")
 	g.leaving.Store(true)
 	g.handler.Leave()
 	g.view.Leave()
 	g.registration.Leave()
 	g.controller.Resign()
-	time.Sleep(serveWhileLeaving)
+	time.Sleep(drainPeriod)
 	g.handler.Stop()
-	end := begun.Add(time.Duration(g.grace.Load()) - stopMargin)
-	for g.handler.Active() > 0 && time.Now().Before(end) {
-		time.Sleep(stopPoll)
+	deadline := start.Add(time.Duration(g.gracePeriod.Load()) - stopMargin)
+	for g.handler.Active() > 0 && time.Now().Before(deadline) {
+		time.Sleep(stopPollInterval)
 	}
-	callers.ShutDown(end, append(g.servers, g.callers)...)
-	lines.WithField("unfinished", g.handler.Active()).Info("Stopped.")
+	callers.ShutDown(deadline, append(g.sideServers, g.callers)...)
+	log.WithField("unfinished", g.handler.Active()).Info("Stopped.")
 	g.close()
 }
 
 // close ends everything at once.
 func (g *Gateway) close() {
 	g.cancel()
-	if g.sharing != nil {
-		g.sharing.Close()
+	if g.loadExchange != nil {
+		g.loadExchange.Close()
 	}
 	g.callers.Close()
-	for _, server := range g.servers {
+	for _, server := range g.sideServers {
 		server.Close()
 	}
 	g.tasks.Wait()
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -8,7 +8,7 @@
 )
 
 // TestEveryEntryTellsEveryOther guards against entries of a large fleet that know only a part of the work of the others.
-func TestEveryEntryTellsEveryOther(t *testing.T) {
+func TestEveryGatewaySendsToAllEntries(t *testing.T) {
 	var serving, entries []member.Gateway
 	for i := range 100 {
 		name := fmt.Sprintf("g%02d", i)
@@ -17,29 +17,29 @@
 			entries = append(entries, serving[i])
 		}
 	}
-	told := map[string]int{}
+	senders := map[string]int{}
 	for _, gateway := range serving {
 		audience := audienceOf(gateway.Name, entries, nil, nil)
 		for _, peer := range audience.Peers {
-			told[peer]++
+			senders[peer]++
 		}
 	}
 	for _, entry := range entries {
-		if told[entry.Name] != len(serving)-1 {
-			t.Errorf("%s is told by %d", entry.Name, told[entry.Name])
+		if senders[entry.Name] != len(serving)-1 {
+			t.Errorf("%s is told by %d", entry.Name, senders[entry.Name])
 		}
 	}
-	if len(told) != len(entries) {
-		t.Errorf("%d are told of %d entries", len(told), len(entries))
+	if len(senders) != len(entries) {
+		t.Errorf("%d are told of %d entries", len(senders), len(entries))
 	}
 }
 
-func TestTheOneThatGivesOrdersIsToldWhatAllDo(t *testing.T) {
+func TestAudienceIncludesLeader(t *testing.T) {
 	entries := []member.Gateway{{Name: "a", PeerAddress: "1"}, {Name: "b", PeerAddress: "2"}}
-	holder := member.Gateway{Name: "c", PeerAddress: "3"}
-	for own, want := range map[string]string{"a": "[2 3]", "b": "[1 3]", "c": "[1 2]", "d": "[1 2 3]"} {
-		if told := audienceOf(own, entries, entries[:1], []member.Gateway{holder}); fmt.Sprint(told.Peers) != want {
-			t.Errorf("%s tells %v, want %s", own, told.Peers, want)
+	leader := member.Gateway{Name: "c", PeerAddress: "3"}
+	for name, want := range map[string]string{"a": "[2 3]", "b": "[1 3]", "c": "[1 2]", "d": "[1 2 3]"} {
+		if audience := audienceOf(name, entries, entries[:1], []member.Gateway{leader}); fmt.Sprint(audience.Peers) != want {
+			t.Errorf("%s tells %v, want %s", name, audience.Peers, want)
 		}
 	}
 }
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -25,10 +25,10 @@
 		"version": changed.Version, "revision": changed.Revision,
 		"idle_ms": changed.Limits.IdleTimeout.Milliseconds(), "header_ms": changed.Limits.HeaderTimeout.Milliseconds(),
 	}).Info("Configuration in force.")
-	if doubled := changed.Tenants.Doubled(); doubled > 0 {
-		logging.Part(g.logger, "gateway").WithField("keys", doubled).Warn("Keys are given to two tenants. They belong to the first.")
+	if duplicates := changed.Tenants.Doubled(); duplicates > 0 {
+		logging.Part(g.logger, "gateway").WithField("keys", duplicates).Warn("Keys are given to two tenants. They belong to the first.")
 	}
-	g.decide(decision.Record{
+	g.recordDecision(decision.Record{
 		Kind: decision.KindConfiguration, Subject: "configuration", Outcome: fmt.Sprintf("version %d", changed.Version),
 		Reason: fmt.Sprintf("The store holds version %d of the routes and revision %d of the rules by labels.", changed.Version, changed.Revision),
 	})
@@ -42,34 +42,34 @@
 func (g *Gateway) WorkersChanged(changes backend.Changes) {
 	g.workersMu.Lock()
 	defer g.workersMu.Unlock()
-	g.countAddresses(changes)
+	g.updateAddresses(changes)
 	changes.Apply(g.workers)
 	g.dispatcher.ChangeWorkers(g.configuration.SelectChanges(changes))
-	g.noteWorkersKnown()
-	g.bars.guard.ChangeWorkers(changes)
+	g.markWorkersKnown()
+	g.barSyncer.guard.ChangeWorkers(changes)
 	logging.Part(g.logger, "gateway").WithField("workers", len(g.workers)).Debug("Workers changed.")
 }
 
 // countAddresses takes workers that are to be changed, and closes the connections to addresses at which none is left. The mutex of the
 // workers is held.
-func (g *Gateway) countAddresses(changes backend.Changes) {
-	left := func(id string) {
-		before := g.workers[id]
-		if before == nil {
+func (g *Gateway) updateAddresses(changes backend.Changes) {
+	release := func(id string) {
+		previous := g.workers[id]
+		if previous == nil {
 			return
 		}
-		if g.addresses[before.Address]--; g.addresses[before.Address] == 0 {
-			delete(g.addresses, before.Address)
+		if g.workersAtAddress[previous.Address]--; g.workersAtAddress[previous.Address] == 0 {
+			delete(g.workersAtAddress, previous.Address)
 		}
 	}
 	for _, worker := range changes.Put {
-		left(worker.ID)
-		g.addresses[worker.Address]++
+		release(worker.ID)
+		g.workersAtAddress[worker.Address]++
 	}
 	for _, id := range changes.Gone {
-		left(id)
-		if before := g.workers[id]; before != nil && g.addresses[before.Address] == 0 {
-			g.ports.ForgetAddress(before.Address)
+		release(id)
+		if previous := g.workers[id]; previous != nil && g.workersAtAddress[previous.Address] == 0 {
+			g.ports.ForgetAddress(previous.Address)
 		}
 	}
 }
@@ -77,21 +77,21 @@
 // selectWorkers puts all workers into their groups. The mutex of the workers is held.
 func (g *Gateway) selectWorkers() {
 	g.dispatcher.SetWorkers(g.configuration.Select(g.workers))
-	g.noteWorkersKnown()
+	g.markWorkersKnown()
 }
 
 // noteWorkersKnown notes that there are workers in groups. The mutex of the workers is held.
-func (g *Gateway) noteWorkersKnown() {
+func (g *Gateway) markWorkersKnown() {
 	if g.configuration != nil && len(g.workers) > 0 {
-		g.knowWorkers.Do(func() { close(g.workersKnown) })
+		g.workersKnownOnce.Do(func() { close(g.workersKnown) })
 	}
 }
 
 // Reload takes settings that were read anew. Addresses and names stay as they were at the start.
 func (g *Gateway) Reload(settings Settings) {
-	g.grace.Store(int64(settings.Grace))
+	g.gracePeriod.Store(int64(settings.Grace))
 	g.addressTTL.Store(int64(min(settings.AddressTTL, settings.MaxAddressTTL)))
-	g.dispatcher.SetBudget(budgetOf(settings))
+	g.dispatcher.SetBudget(budgetSettings(settings))
 	g.replica.SetFreshFor(retrybudget.FreshFor(settings.RetryWindow))
 	logging.Part(g.logger, "gateway").Info("Settings in force.")
 }
@@ -101,22 +101,22 @@
 
 // lostTime is how long a worker is used whose record the store has lost with an older copy. It writes its record again with one of its next
 // heartbeats, some of which may be lost; one that has ended meanwhile is found by its connections.
-const lostTime = 5 * time.Second
+const lostRecordTimeout = 5 * time.Second
 
 // fadeShare is the part of the time to drain for which a worker without a record stays in use after an outage.
-const fadeShare = 0.6
+const fadeRatio = 0.6
 
 // rosterOf returns the settings of the list of workers.
-func rosterOf(settings Settings) backend.RosterSettings {
+func rosterSettings(settings Settings) backend.RosterSettings {
 	return backend.RosterSettings{
-		FadeTime:     time.Duration(fadeShare * float64(settings.DrainTime)),
+		FadeTime:     time.Duration(fadeRatio * float64(settings.DrainTime)),
 		OutageMemory: outageMemory,
-		LostTime:     lostTime,
+		LostTime:     lostRecordTimeout,
 	}
 }
 
 // budgetOf returns the share of the repeats that a gateway spends.
-func budgetOf(settings Settings) retrybudget.Settings {
+func budgetSettings(settings Settings) retrybudget.Settings {
 	return retrybudget.Settings{
 		Ratio: settings.RetryRatio, Allowance: settings.RetryAllowance, Window: settings.RetryWindow, Safety: retrybudget.DefaultSafety,
 	}
@@ -131,7 +131,7 @@
 		}
 	}
 	g.controller.KeyChanged(boottime.Now(), value, revision, rank)
-	if g.setHolder(roles.HolderOf(value)) {
+	if g.setLeader(roles.HolderOf(value)) {
 		g.GatewaysChanged()
 	}
 }
--- a/internal/gateway/figures.go
+++ b/internal/gateway/metrics.go
@@ -39,7 +39,7 @@
 )
 
 // figures counts what becomes of requests and serves the counts as text. It implements forward.Observer.
-type figures struct {
+type gatewayMetrics struct {
 	set       *metrics.Set
 	decisions *decisionlog.Log
 	logger    *logrus.Entry
@@ -48,36 +48,36 @@
 	// budgets returns the budgets of repeats; nil returns none.
 	budgets func() []forward.BudgetView
 	// notices tells which tries went to workers against what these had said; nil tells none.
-	notices *notices
+	notices *noticeTracker
 	// workerLimits counts the tries that went to workers with limits; nil counts none.
-	workerLimits *workerLimits
+	workerLimits *limitTracker
 	// duties writes the figures of what this gateway does for all; nil writes none.
-	duties func(w io.Writer)
+	writeFleetTasks func(w io.Writer)
 
 	// mu guards the bounds of log lines.
-	mu     sync.Mutex
-	bounds map[forward.Reason]*rate.Limiter
+	mu          sync.Mutex
+	logLimiters map[forward.Reason]*rate.Limiter
 }
 
 // newFigures returns figures that are all zero.
-func newFigures(decisions *decisionlog.Log, logger *logrus.Logger) *figures {
+func newGatewayMetrics(decisions *decisionlog.Log, logger *logrus.Logger) *gatewayMetrics {
 	set := metrics.NewSet()
-	return &figures{
-		set: set, decisions: decisions, logger: logging.Part(logger, "request"), bounds: map[forward.Reason]*rate.Limiter{},
+	return &gatewayMetrics{
+		set: set, decisions: decisions, logger: logging.Part(logger, "request"), logLimiters: map[forward.Reason]*rate.Limiter{},
 		choice: set.NewHistogram(metricChoice), candidates: set.NewHistogram(metricCandidates),
 	}
 }
 
 // watch adds figures that are read when they are asked for.
-func (f *figures) watch(g *Gateway) {
-	f.set.NewGauge("granitebay_store_age_seconds", func() float64 { return g.view.Staleness().Seconds() })
-	f.set.NewGauge("granitebay_gateways", func() float64 { return float64(len(g.view.Serving())) })
-	f.set.NewGauge("granitebay_gateways_reachable", func() float64 { return float64(len(g.view.Reachable())) })
-	f.set.NewGauge("granitebay_workers_known", func() float64 { return float64(g.knownWorkers()) })
-	f.set.NewGauge("granitebay_unreadable_items_total", func() float64 { return float64(g.view.Unreadable()) })
-	f.set.NewGauge(metricBarred, func() float64 { return float64(len(g.bars.guard.Bars())) })
-	f.set.NewGauge("granitebay_requests_in_hand", func() float64 { return float64(g.handler.Active()) })
-	f.budgets = g.dispatcher.Budgets
+func (m *gatewayMetrics) registerGauges(g *Gateway) {
+	m.set.NewGauge("granitebay_store_age_seconds", func() float64 { return g.view.Staleness().Seconds() })
+	m.set.NewGauge("granitebay_gateways", func() float64 { return float64(len(g.view.Serving())) })
+	m.set.NewGauge("granitebay_gateways_reachable", func() float64 { return float64(len(g.view.Reachable())) })
+	m.set.NewGauge("granitebay_workers_known", func() float64 { return float64(g.knownWorkers()) })
+	m.set.NewGauge("granitebay_unreadable_items_total", func() float64 { return float64(g.view.Unreadable()) })
+	m.set.NewGauge(metricBarred, func() float64 { return float64(len(g.barSyncer.guard.Bars())) })
+	m.set.NewGauge("granitebay_requests_in_hand", func() float64 { return float64(g.handler.Active()) })
+	m.budgets = g.dispatcher.Budgets
 }
 
 // Names of the figures of what grows with the fleet.
@@ -86,37 +86,37 @@
 	metricChoice     = "granitebay_choice_seconds"
 	metricCandidates = "granitebay_choice_candidates"
 	// metricRestored counts returns of the store from an older copy, and metricOutdated answers of before that came after one.
-	metricRestored = "granitebay_store_restored_total"
-	metricOutdated = "granitebay_store_answers_outdated_total"
+	metricStoreRestores   = "granitebay_store_restored_total"
+	metricOutdatedAnswers = "granitebay_store_answers_outdated_total"
 )
 
 // storeRestored counts a return of the store.
-func (f *figures) storeRestored() { f.set.GetOrCreateCounter(metricRestored).Inc() }
+func (m *gatewayMetrics) countStoreRestore() { m.set.GetOrCreateCounter(metricStoreRestores).Inc() }
 
 // storeCalled counts a call to the store.
-func (f *figures) storeCalled(call store.Call, _ time.Duration, err error) {
-	f.set.GetOrCreateCounter(fmt.Sprintf(`%s{call=%q,failed="%t"}`, metricStoreCalls, call, err != nil)).Inc()
+func (m *gatewayMetrics) countStoreCall(call store.Call, _ time.Duration, err error) {
+	m.set.GetOrCreateCounter(fmt.Sprintf(`%s{call=%q,failed="%t"}`, metricStoreCalls, call, err != nil)).Inc()
 	if !errors.Is(err, store.ErrRestored) {
 		return
 	}
-	f.set.GetOrCreateCounter(metricOutdated).Inc()
-	if f.mayLog(outdatedReason) {
-		f.logger.WithError(err).WithField("call", call).Warn("An answer of the store is of before it came back from an older copy, and is not taken.")
+	m.set.GetOrCreateCounter(metricOutdatedAnswers).Inc()
+	if m.allowLog(outdatedResponseReason) {
+		m.logger.WithError(err).WithField("call", call).Warn("An answer of the store is of before it came back from an older copy, and is not taken.")
 	}
 }
 
 // outdatedReason is the reason under which the lines about such answers are bounded.
-const outdatedReason forward.Reason = "outdated answer of the store"
+const outdatedResponseReason forward.Reason = "outdated answer of the store"
 
 // chosen notes how long the choice of workers for a request took, and how many were looked at last.
-func (f *figures) chosen(took time.Duration, candidates int) {
-	f.choice.Update(took.Seconds())
-	f.candidates.Update(float64(candidates))
+func (m *gatewayMetrics) observeChoice(elapsed time.Duration, candidates int) {
+	m.choice.Update(elapsed.Seconds())
+	m.candidates.Update(float64(candidates))
 }
 
 // workerEnded counts a worker of a group that ended under requests.
-func (f *figures) workerEnded(group string) {
-	f.set.GetOrCreateCounter(fmt.Sprintf(`%s{group=%q}`, metricWorkerEnds, group)).Inc()
+func (m *gatewayMetrics) countWorkerEnd(group string) {
+	m.set.GetOrCreateCounter(fmt.Sprintf(`%s{group=%q}`, metricWorkerEnds, group)).Inc()
 }
 
 // Names of the figures of what workers say of themselves in their answers.
@@ -124,34 +124,36 @@
 	metricNotices           = "granitebay_worker_notices_total"
 	metricNoticesUnreadable = "granitebay_worker_notices_unreadable_total"
 	// metricAgainstNotice counts tries that were sent to workers which had said that they want none.
-	metricAgainstNotice = "granitebay_tries_against_notice_total"
+	metricTriesAgainstNotice = "granitebay_tries_against_notice_total"
 	// metricUnderLimit counts tries that were sent to workers while these named limits.
-	metricUnderLimit = "granitebay_tries_under_limit_total"
+	metricTriesUnderLimit = "granitebay_tries_under_limit_total"
 )
 
 // noticeHeard counts what a worker of a group said of itself.
-func (f *figures) noticeHeard(group, what string) {
-	f.set.GetOrCreateCounter(fmt.Sprintf(`%s{group=%q,notice=%q}`, metricNotices, group, what)).Inc()
+func (m *gatewayMetrics) countNotice(group, kind string) {
+	m.set.GetOrCreateCounter(fmt.Sprintf(`%s{group=%q,notice=%q}`, metricNotices, group, kind)).Inc()
 }
 
 // noticeUnreadable counts an answer in which a worker said of itself what can't be read.
-func (f *figures) noticeUnreadable() { f.set.GetOrCreateCounter(metricNoticesUnreadable).Inc() }
+func (m *gatewayMetrics) countUnreadableNotice() {
+	m.set.GetOrCreateCounter(metricNoticesUnreadable).Inc()
+}
 
 // countAgainstNotices counts the tries of a request that went to workers which had said that they want none.
-func (f *figures) countAgainstNotices(report *forward.Report) {
-	if f.notices == nil {
+func (m *gatewayMetrics) countNoticeViolations(report *forward.Report) {
+	if m.notices == nil {
 		return
 	}
 	for _, try := range report.Tries {
-		for _, sent := range []struct {
+		for _, send := range []struct {
 			worker string
 			at     time.Time
 		}{{try.Reader, try.Begun}, {try.Worker, try.Begun.Add(try.ReadIn)}} {
-			if f.workerLimits.count(sent.worker, sent.at) {
-				f.set.GetOrCreateCounter(fmt.Sprintf(`%s{group=%q}`, metricUnderLimit, report.Group)).Inc()
+			if m.workerLimits.countAttempt(send.worker, send.at) {
+				m.set.GetOrCreateCounter(fmt.Sprintf(`%s{group=%q}`, metricTriesUnderLimit, report.Group)).Inc()
 			}
-			if what := f.notices.against(sent.worker, sent.at); what != "" {
-				f.set.GetOrCreateCounter(fmt.Sprintf(`%s{group=%q,notice=%q}`, metricAgainstNotice, report.Group, what)).Inc()
+			if kind := m.notices.violatedNotice(send.worker, send.at); kind != "" {
+				m.set.GetOrCreateCounter(fmt.Sprintf(`%s{group=%q,notice=%q}`, metricTriesAgainstNotice, report.Group, kind)).Inc()
 			}
 		}
 	}
@@ -166,11 +168,11 @@
 
 // writeBudgets writes what was granted and denied of the budgets of repeats, and what is left.
 func writeBudgets(w io.Writer, budgets []forward.BudgetView) {
-	for _, each := range budgets {
-		metrics.WriteCounterUint64(w, fmt.Sprintf(`%s{group=%q,outcome="granted"}`, metricRepeats, each.Group), uint64(each.Granted))
-		metrics.WriteCounterUint64(w, fmt.Sprintf(`%s{group=%q,outcome="denied"}`, metricRepeats, each.Group), uint64(each.Denied))
-		metrics.WriteGaugeFloat64(w, fmt.Sprintf(`%s{group=%q}`, metricRepeatsLeft, each.Group), each.Left)
-		metrics.WriteGaugeUint64(w, fmt.Sprintf(`%s{group=%q}`, metricRepeatsSharers, each.Group), uint64(each.Sharers))
+	for _, budget := range budgets {
+		metrics.WriteCounterUint64(w, fmt.Sprintf(`%s{group=%q,outcome="granted"}`, metricRepeats, budget.Group), uint64(budget.Granted))
+		metrics.WriteCounterUint64(w, fmt.Sprintf(`%s{group=%q,outcome="denied"}`, metricRepeats, budget.Group), uint64(budget.Denied))
+		metrics.WriteGaugeFloat64(w, fmt.Sprintf(`%s{group=%q}`, metricRepeatsLeft, budget.Group), budget.Left)
+		metrics.WriteGaugeUint64(w, fmt.Sprintf(`%s{group=%q}`, metricRepeatsSharers, budget.Group), uint64(budget.Sharers))
 	}
 }
 
@@ -182,32 +184,32 @@
 )
 
 // watchDuties adds the figures of what this gateway does for all.
-func (f *figures) watchDuties(reporter *usage.Reporter, executor *capacity.Executor) {
-	f.duties = func(w io.Writer) {
+func (m *gatewayMetrics) registerFleetTasks(reporter *usage.Reporter, executor *capacity.Executor) {
+	m.writeFleetTasks = func(w io.Writer) {
 		if reporter != nil {
-			writeWindows(w, reporter.Figures())
+			writeUsageWindows(w, reporter.Figures())
 		}
 		if executor != nil {
-			writeWorkers(w, executor.Status())
+			writeCapacity(w, executor.Status())
 		}
 	}
 }
 
 // writeWindows writes what became of windows of usage.
-func writeWindows(w io.Writer, counted usage.Figures) {
-	for _, each := range []struct {
+func writeUsageWindows(w io.Writer, counts usage.Figures) {
+	for _, window := range []struct {
 		outcome string
 		n       int
 	}{
-		{"agreed", counted.Agreed}, {"sent", counted.Sent}, {"late", counted.Late}, {"failed", counted.Failed},
-		{"superseded", counted.Refused},
+		{"agreed", counts.Agreed}, {"sent", counts.Sent}, {"late", counts.Late}, {"failed", counts.Failed},
+		{"superseded", counts.Refused},
 	} {
-		metrics.WriteCounterUint64(w, fmt.Sprintf(`%s{outcome=%q}`, metricWindows, each.outcome), uint64(each.n))
+		metrics.WriteCounterUint64(w, fmt.Sprintf(`%s{outcome=%q}`, metricWindows, window.outcome), uint64(window.n))
 	}
 }
 
 // writeWorkers writes how many workers there are and should be.
-func writeWorkers(w io.Writer, groups []capacity.Status) {
+func writeCapacity(w io.Writer, groups []capacity.Status) {
 	for _, group := range groups {
 		metrics.WriteGaugeFloat64(w, fmt.Sprintf(`%s{group=%q}`, metricBusy, group.Group), group.Busy)
 		for _, zone := range group.Offer.Zones {
@@ -223,98 +225,98 @@
 }
 
 // RequestEnded is part of forward.Observer.
-func (f *figures) RequestEnded(report *forward.Report) {
+func (m *gatewayMetrics) RequestEnded(report *forward.Report) {
 	name := fmt.Sprintf(`%s{rule=%q,status="%d",reason=%q}`, metricRequests, report.Rule, report.Status, report.Reason)
-	f.set.GetOrCreateCounter(name).Inc()
+	m.set.GetOrCreateCounter(name).Inc()
 	if !report.FirstByte.IsZero() {
 		name = fmt.Sprintf(`%s{rule=%q}`, metricFirstByte, report.Rule)
-		f.set.GetOrCreateHistogram(name).Update(report.FirstByte.Sub(report.Arrived).Seconds())
+		m.set.GetOrCreateHistogram(name).Update(report.FirstByte.Sub(report.Arrived).Seconds())
 	}
 	for _, try := range report.Tries {
 		name = fmt.Sprintf(`%s{group=%q,failure=%q}`, metricTries, report.Group, try.Failure)
-		f.set.GetOrCreateCounter(name).Inc()
+		m.set.GetOrCreateCounter(name).Inc()
 		if try.Deferred {
-			f.set.GetOrCreateCounter(fmt.Sprintf(`%s{rule=%q}`, metricDeferred, report.Rule)).Inc()
+			m.set.GetOrCreateCounter(fmt.Sprintf(`%s{rule=%q}`, metricDeferred, report.Rule)).Inc()
 		}
 	}
-	f.countAgainstNotices(report)
-	entry := entryOf(report)
-	f.decisions.Append(report.Ended, entry)
+	m.countNoticeViolations(report)
+	recorded := newRequestDecision(report)
+	m.decisions.Append(report.Ended, recorded)
 	if report.Unanswered {
-		f.unanswered(report, entry)
+		m.recordUnanswered(report, recorded)
 		return
 	}
-	if !entry.smooth() && f.mayLog(report.Reason) {
-		f.log(entry)
+	if !recorded.servedFirstTry() && m.allowLog(report.Reason) {
+		m.logRequest(recorded)
 	}
 }
 
 // Bounds of the lines about requests with one reason.
 const (
-	linesPerSecond = 20
-	linesAtOnce    = 200
+	logLinesPerSecond = 20
+	logLinesBurst     = 200
 )
 
 // mayLog takes a line from the bound of a reason. What is left out is counted; decisions have it all the same.
-func (f *figures) mayLog(reason forward.Reason) bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	bound, known := f.bounds[reason]
+func (m *gatewayMetrics) allowLog(reason forward.Reason) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	limiter, known := m.logLimiters[reason]
 	if !known {
-		bound = rate.NewLimiter(linesPerSecond, linesAtOnce)
-		f.bounds[reason] = bound
+		limiter = rate.NewLimiter(logLinesPerSecond, logLinesBurst)
+		m.logLimiters[reason] = limiter
 	}
-	if bound.Allow() {
+	if limiter.Allow() {
 		return true
 	}
-	f.set.GetOrCreateCounter(fmt.Sprintf(`%s{reason=%q}`, metricLinesLeftOut, reason)).Inc()
+	m.set.GetOrCreateCounter(fmt.Sprintf(`%s{reason=%q}`, metricLinesLeftOut, reason)).Inc()
 	return false
 }
 
 // log writes one line about a request that did not go smoothly.
-func (f *figures) log(entry requestEntry) {
-	if !f.logger.Logger.IsLevelEnabled(logrus.InfoLevel) {
+func (m *gatewayMetrics) logRequest(request requestDecision) {
+	if !m.logger.Logger.IsLevelEnabled(logrus.InfoLevel) {
 		return
 	}
-	f.logger.WithFields(requestFields(entry)).Info("A request did not go smoothly.")
+	m.logger.WithFields(requestFields(request)).Info("A request did not go smoothly.")
 }
 
 // requestFields returns what a line tells of a request.
-func requestFields(entry requestEntry) logrus.Fields {
-	fields := logrus.Fields{"id": entry.id, "status": entry.status, "reason": entry.reason, "version": entry.version}
-	for name, value := range entry.inputs() {
+func requestFields(request requestDecision) logrus.Fields {
+	fields := logrus.Fields{"id": request.id, "status": request.status, "reason": request.reason, "version": request.version}
+	for name, value := range request.inputs() {
 		fields[name] = value
 	}
 	return fields
 }
 
 // RestedOut is part of callers.Observer.
-func (f *figures) RestedOut() { f.set.GetOrCreateCounter(metricRestedOut).Inc() }
+func (m *gatewayMetrics) RestedOut() { m.set.GetOrCreateCounter(metricRestedOut).Inc() }
 
 // countUnanswered counts a request whose caller got no whole answer.
-func (f *figures) countUnanswered(closedBy forward.Closer) {
-	f.set.GetOrCreateCounter(fmt.Sprintf(`%s{closed_by=%q}`, metricUnanswered, closedBy)).Inc()
+func (m *gatewayMetrics) countUnanswered(closedBy forward.Closer) {
+	m.set.GetOrCreateCounter(fmt.Sprintf(`%s{closed_by=%q}`, metricUnanswered, closedBy)).Inc()
 }
 
 // unanswered counts a request whose connection ended before its caller had a whole answer, and writes a line about it. Callers that leave
 // are told at the level of other requests that did not go smoothly; what this side did is a warning.
-func (f *figures) unanswered(report *forward.Report, entry requestEntry) {
-	f.countUnanswered(report.ClosedBy)
-	if !f.mayLog(unansweredReason(report.ClosedBy)) {
+func (m *gatewayMetrics) recordUnanswered(report *forward.Report, request requestDecision) {
+	m.countUnanswered(report.ClosedBy)
+	if !m.allowLog(unansweredReason(report.ClosedBy)) {
 		return
 	}
 	level := logrus.InfoLevel
 	if report.ClosedBy != forward.CloserCaller {
 		level = logrus.WarnLevel
 	}
-	if !f.logger.Logger.IsLevelEnabled(level) {
+	if !m.logger.Logger.IsLevelEnabled(level) {
 		return
 	}
-	fields := requestFields(entry)
-	if fault := new(forward.PanicError); errors.As(report.Err, &fault) {
-		fields["stack"] = string(fault.Stack)
+	fields := requestFields(request)
+	if panicErr := new(forward.PanicError); errors.As(report.Err, &panicErr) {
+		fields["stack"] = string(panicErr.Stack)
 	}
-	f.logger.WithFields(fields).Log(level, "A connection ended with its request unanswered.")
+	m.logger.WithFields(fields).Log(level, "A connection ended with its request unanswered.")
 }
 
 // unansweredReason is the reason under which the lines about unanswered requests are bounded, apart from others.
@@ -323,23 +325,23 @@
 }
 
 // HeadUnanswered is part of callers.Observer. It counts the request, and writes a line.
-func (f *figures) HeadUnanswered(closedBy forward.Closer, peer string, inHand time.Duration) {
-	f.countUnanswered(closedBy)
-	if !f.mayLog(unansweredReason(closedBy)) {
+func (m *gatewayMetrics) HeadUnanswered(closedBy forward.Closer, peer string, elapsed time.Duration) {
+	m.countUnanswered(closedBy)
+	if !m.allowLog(unansweredReason(closedBy)) {
 		return
 	}
-	f.logger.WithFields(logrus.Fields{
-		"closed_by": closedBy.String(), "step": "read the head", "peer": peer, "took_ms": inHand.Milliseconds(), "passed_on_to": "",
+	m.logger.WithFields(logrus.Fields{
+		"closed_by": closedBy.String(), "step": "read the head", "peer": peer, "took_ms": elapsed.Milliseconds(), "passed_on_to": "",
 	}).Info("A connection ended with its request unanswered.")
 }
 
 // ServeHTTP is part of http.Handler.
-func (f *figures) ServeHTTP(writer http.ResponseWriter, _ *http.Request) {
-	f.set.WritePrometheus(writer)
-	if f.budgets != nil {
-		writeBudgets(writer, f.budgets())
+func (m *gatewayMetrics) ServeHTTP(writer http.ResponseWriter, _ *http.Request) {
+	m.set.WritePrometheus(writer)
+	if m.budgets != nil {
+		writeBudgets(writer, m.budgets())
 	}
-	if f.duties != nil {
-		f.duties(writer)
+	if m.writeFleetTasks != nil {
+		m.writeFleetTasks(writer)
 	}
 }
--- a/internal/gateway/figures_test.go
+++ b/internal/gateway/metrics_test.go
@@ -13,16 +13,16 @@
 )
 
 // TestConnectionsThatEndAreCountedByWhoEndsThem has connections end in each way, and reads the figures.
-func TestConnectionsThatEndAreCountedByWhoEndsThem(t *testing.T) {
+func TestClosedConnectionsCountedByCloser(t *testing.T) {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
-	f := newFigures(decisionlog.New("a", 16), logger)
-	f.RestedOut()
+	m := newGatewayMetrics(decisionlog.New("a", 16), logger)
+	m.RestedOut()
 	for _, closer := range []forward.Closer{forward.CloserCaller, forward.CloserHead, forward.CloserStop} {
-		f.HeadUnanswered(closer, "127.0.0.1:1", time.Second)
+		m.HeadUnanswered(closer, "127.0.0.1:1", time.Second)
 	}
 	var text strings.Builder
-	f.set.WritePrometheus(&text)
+	m.set.WritePrometheus(&text)
 	for _, want := range []string{metricRestedOut + " 1", `closed_by="caller"} 1`, `closed_by="bound on heads"} 1`, `closed_by="stop"} 1`} {
 		if !strings.Contains(text.String(), want) {
 			t.Errorf("%s is missing in %s", want, text.String())
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -28,178 +28,178 @@
 
 // notices hears what workers say of themselves in their answers, has it heeded, and tells the other gateways and operators of it. It is safe
 // for concurrent use.
-type notices struct {
+type noticeTracker struct {
 	gateway *Gateway
 	logger  logrus.FieldLogger
 	// complaints bounds the lines about what can't be read.
-	complaints *rate.Limiter
+	logLimiter *rate.Limiter
 
 	mu sync.Mutex
 	// workers are those that said something, by the ids of their incarnations.
-	workers map[string]*heardOf
+	states map[string]*noticeState
 	// untold are workers of which the other gateways are to be told that they leave, with how often they were told.
-	untold []untoldLeaving
+	pendingLeaving []leavingAnnouncement
 	// notify tells that there is something to tell; nil tells nobody.
 	notify func(urgent bool)
 }
 
 // untoldLeaving is a worker that leaves.
-type untoldLeaving struct {
-	id    string
-	times int
+type leavingAnnouncement struct {
+	id   string
+	sent int
 }
 
 // heardOf is what one worker has said.
-type heardOf struct {
+type noticeState struct {
 	// leavingSince is when the worker said first that it leaves; zero if it did not.
 	leavingSince time.Time
 	// backOffSince and backOffUntil bound the time in which it wants no requests.
 	backOffSince, backOffUntil time.Time
-	last                       time.Time
+	lastHeard                  time.Time
 }
 
 // noticeMemory is how long what an incarnation said is kept after it last said anything: longer than one that leaves takes to end.
-const noticeMemory = 10 * time.Minute
+const noticeRetention = 10 * time.Minute
 
 // newNotices has heard nothing.
-func newNotices(g *Gateway) *notices {
-	return &notices{
-		gateway: g, logger: logging.Part(g.logger, "notices"), workers: map[string]*heardOf{},
-		complaints: rate.NewLimiter(linesPerSecond, linesAtOnce),
+func newNoticeTracker(g *Gateway) *noticeTracker {
+	return &noticeTracker{
+		gateway: g, logger: logging.Part(g.logger, "notices"), states: map[string]*noticeState{},
+		logLimiter: rate.NewLimiter(logLinesPerSecond, logLinesBurst),
 	}
 }
 
 // hear takes what a worker said in an answer, and what of it can't be read.
-func (n *notices) hear(worker *backend.Worker, notice backend.Notice, err error) {
+func (t *noticeTracker) handle(worker *backend.Worker, notice backend.Notice, err error) {
 	if err != nil {
-		n.gateway.metrics.noticeUnreadable()
-		if n.complaints.Allow() {
-			n.logger.WithError(err).WithField("worker", worker.ID).Warn("What a worker says of itself can't be read.")
+		t.gateway.metrics.countUnreadableNotice()
+		if t.logLimiter.Allow() {
+			t.logger.WithError(err).WithField("worker", worker.ID).Warn("What a worker says of itself can't be read.")
 		}
 	}
 	if notice.Limit > 0 || !notice.Asked.IsZero() {
-		n.gateway.workerLimits.hear(worker, notice)
+		t.gateway.workerLimits.handle(worker, notice)
 	}
 	if !notice.Leaving && notice.BackOff == 0 {
 		return
 	}
-	if notice.Leaving && n.gateway.view.WorkerLeaves(worker.ID) {
-		n.tellPeers(worker.ID)
+	if notice.Leaving && t.gateway.view.WorkerLeaves(worker.ID) {
+		t.announceLeaving(worker.ID)
 	}
 	if notice.BackOff > 0 {
-		n.gateway.dispatcher.BackOff(worker.ID, notice.BackOff)
+		t.gateway.dispatcher.BackOff(worker.ID, notice.BackOff)
 	}
-	begins := n.note(time.Now(), worker.ID, notice)
+	news := t.record(time.Now(), worker.ID, notice)
 	if notice.Leaving {
-		n.gateway.metrics.noticeHeard(worker.Group, noticeLeaving)
+		t.gateway.metrics.countNotice(worker.Group, noticeLeaving)
 	}
 	if notice.BackOff > 0 {
-		n.gateway.metrics.noticeHeard(worker.Group, noticeBackOff)
+		t.gateway.metrics.countNotice(worker.Group, noticeBackOff)
 	}
-	if begins.Leaving {
-		n.tell(worker, noticeLeaving, "The worker says that it leaves.", map[string]string{"source": sourceAnswer})
+	if news.Leaving {
+		t.report(worker, noticeLeaving, "The worker says that it leaves.", map[string]string{"source": sourceAnswer})
 	}
-	if begins.BackOff > 0 {
-		n.tell(worker, noticeBackOff, "The worker wants no requests of this gateway for a time.",
-			map[string]string{"for_ms": fmt.Sprint(begins.BackOff.Milliseconds())})
+	if news.BackOff > 0 {
+		t.report(worker, noticeBackOff, "The worker wants no requests of this gateway for a time.",
+			map[string]string{"for_ms": fmt.Sprint(news.BackOff.Milliseconds())})
 	}
 }
 
 // note keeps what a worker said, and returns what of it is news: that it leaves, or that a time without requests begins.
-func (n *notices) note(now time.Time, id string, notice backend.Notice) backend.Notice {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	known, found := n.workers[id]
+func (t *noticeTracker) record(now time.Time, id string, notice backend.Notice) backend.Notice {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	state, found := t.states[id]
 	if !found {
-		n.forget(now)
-		known = &heardOf{}
-		n.workers[id] = known
+		t.prune(now)
+		state = &noticeState{}
+		t.states[id] = state
 	}
-	known.last = now
+	state.lastHeard = now
 	var news backend.Notice
-	if notice.Leaving && known.leavingSince.IsZero() {
-		known.leavingSince = now
+	if notice.Leaving && state.leavingSince.IsZero() {
+		state.leavingSince = now
 		news.Leaving = true
 	}
-	if notice.BackOff > 0 && !now.Before(known.backOffUntil) {
-		known.backOffSince = now
+	if notice.BackOff > 0 && !now.Before(state.backOffUntil) {
+		state.backOffSince = now
 		news.BackOff = notice.BackOff
 	}
-	if until := now.Add(notice.BackOff); until.After(known.backOffUntil) {
-		known.backOffUntil = until
+	if until := now.Add(notice.BackOff); until.After(state.backOffUntil) {
+		state.backOffUntil = until
 	}
 	return news
 }
 
 // forget drops what does not count any more. The mutex is held.
-func (n *notices) forget(now time.Time) {
-	for id, known := range n.workers {
-		if now.Sub(known.last) > noticeMemory && !now.Before(known.backOffUntil) {
-			delete(n.workers, id)
+func (t *noticeTracker) prune(now time.Time) {
+	for id, state := range t.states {
+		if now.Sub(state.lastHeard) > noticeRetention && !now.Before(state.backOffUntil) {
+			delete(t.states, id)
 		}
 	}
 }
 
 // tell writes a line and a decision about what a worker said.
-func (n *notices) tell(worker *backend.Worker, what, reason string, inputs map[string]string) {
+func (t *noticeTracker) report(worker *backend.Worker, kind, reason string, inputs map[string]string) {
 	fields := logrus.Fields{"worker": worker.ID, "group": worker.Group, "address": worker.Address}
 	for name, value := range inputs {
 		fields[name] = value
 	}
-	n.logger.WithFields(fields).Info(reason)
-	n.gateway.decide(decision.Record{Kind: decision.KindHealth, Subject: worker.ID, Outcome: what, Reason: reason, Inputs: inputs})
+	t.logger.WithFields(fields).Info(reason)
+	t.gateway.recordDecision(decision.Record{Kind: decision.KindHealth, Subject: worker.ID, Outcome: kind, Reason: reason, Inputs: inputs})
 }
 
 // tellPeers has the other gateways told that a worker leaves: it is true for all, and saves each of them a request.
-func (n *notices) tellPeers(id string) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.notify == nil || len(n.untold) >= mostUntold {
+func (t *noticeTracker) announceLeaving(id string) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.notify == nil || len(t.pendingLeaving) >= maxAnnouncements {
 		return
 	}
-	n.untold = append(n.untold, untoldLeaving{id: id})
-	n.notify(true)
+	t.pendingLeaving = append(t.pendingLeaving, leavingAnnouncement{id: id})
+	t.notify(true)
 }
 
 // Bounds of what other gateways are told.
 const (
 	// mostUntold bounds the workers that are named in one datagram; the others are heard of by their own answers.
-	mostUntold = 256
+	maxAnnouncements = 256
 	// leavingTells is how often a worker is named, at once and then once a second, since datagrams are lost now and then.
-	leavingTells = 4
+	leavingSends = 4
 )
 
 // shareWith has what is to be told gathered. Notify must not wait.
-func (n *notices) shareWith(notify func(urgent bool)) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	n.notify = notify
+func (t *noticeTracker) setNotify(notify func(urgent bool)) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.notify = notify
 }
 
 // drain returns the workers of which other gateways are to be told that they leave: those that are new, and with full set once more those
 // of which they were told lately.
-func (n *notices) drain(full bool) []string {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	var told []string
-	var left []untoldLeaving
-	for _, each := range n.untold {
-		if each.times == 0 || full {
-			told = append(told, each.id)
-			each.times++
+func (t *noticeTracker) drain(full bool) []string {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	var announced []string
+	var remaining []leavingAnnouncement
+	for _, announcement := range t.pendingLeaving {
+		if announcement.sent == 0 || full {
+			announced = append(announced, announcement.id)
+			announcement.sent++
 		}
-		if each.times < leavingTells {
-			left = append(left, each)
+		if announcement.sent < leavingSends {
+			remaining = append(remaining, announcement)
 		}
 	}
-	n.untold = left
-	return told
+	t.pendingLeaving = remaining
+	return announced
 }
 
 // tellHeard writes that another gateway heard a worker say that it leaves.
-func (n *notices) tellHeard(id string) {
-	if worker := n.gateway.worker(id); worker != nil {
-		n.tell(worker, noticeLeaving, "The worker says that it leaves.", map[string]string{"source": sourcePeer})
+func (t *noticeTracker) reportRemoteLeaving(id string) {
+	if worker := t.gateway.worker(id); worker != nil {
+		t.report(worker, noticeLeaving, "The worker says that it leaves.", map[string]string{"source": sourcePeer})
 	}
 }
 
@@ -211,16 +211,16 @@
 }
 
 // against returns which word of a worker speaks against a request that was sent to it at a moment, or nothing.
-func (n *notices) against(id string, at time.Time) string {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	known, found := n.workers[id]
+func (t *noticeTracker) violatedNotice(id string, sentAt time.Time) string {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	state, found := t.states[id]
 	switch {
 	case !found:
 		return ""
-	case !known.leavingSince.IsZero() && at.After(known.leavingSince):
+	case !state.leavingSince.IsZero() && sentAt.After(state.leavingSince):
 		return noticeLeaving
-	case at.After(known.backOffSince) && at.Before(known.backOffUntil):
+	case sentAt.After(state.backOffSince) && sentAt.Before(state.backOffUntil):
 		return noticeBackOff
 	default:
 		return ""
--- a/internal/gateway/outdated_test.go
+++ b/internal/gateway/outdated_test.go
@@ -14,20 +14,20 @@
 )
 
 // TestOutdatedAnswersAreCountedAndLoggedWithinABound has many answers of the store come after its return that were made before.
-func TestOutdatedAnswersAreCountedAndLoggedWithinABound(t *testing.T) {
-	var lines bytes.Buffer
+func TestOutdatedStoreAnswersCountedAndLogLimited(t *testing.T) {
+	var output bytes.Buffer
 	logger := logrus.New()
-	logger.SetOutput(&lines)
-	f := newFigures(decisionlog.New("g", 1), logger)
-	const answers = 3 * linesAtOnce
+	logger.SetOutput(&output)
+	m := newGatewayMetrics(decisionlog.New("g", 1), logger)
+	const answers = 3 * logLinesBurst
 	for range answers {
-		f.storeCalled(store.CallWatch, time.Second, errors.Wrap(store.ErrRestored, "step watch"))
+		m.countStoreCall(store.CallWatch, time.Second, errors.Wrap(store.ErrRestored, "step watch"))
 	}
-	f.storeCalled(store.CallWatch, time.Second, store.ErrBusy)
-	if counted := f.set.GetOrCreateCounter(metricOutdated).Get(); counted != answers {
-		t.Errorf("counted are %d", counted)
+	m.countStoreCall(store.CallWatch, time.Second, store.ErrBusy)
+	if count := m.set.GetOrCreateCounter(metricOutdatedAnswers).Get(); count != answers {
+		t.Errorf("counted are %d", count)
 	}
-	if logged := strings.Count(lines.String(), "is not taken"); logged == 0 || logged > linesAtOnce+linesPerSecond {
-		t.Errorf("%d lines", logged)
+	if lines := strings.Count(output.String(), "is not taken"); lines == 0 || lines > logLinesBurst+logLinesPerSecond {
+		t.Errorf("%d lines", lines)
 	}
 }
--- a/internal/gateway/restoring.go
+++ b/internal/gateway/restore.go
@@ -18,8 +18,8 @@
 
 // eraHeard takes the word of the store, with the answer to any call, that it has come back from an older copy. Nothing is done by the
 // authority of a key from here on until the store has told who holds it, and that is asked at once.
-func (g *Gateway) eraHeard(era int64) {
-	g.lacksEdits.Store(true)
+func (g *Gateway) handleEra(era int64) {
+	g.editsMayBeLost.Store(true)
 	g.controller.Restored(boottime.Now(), era)
 	g.replica.Renew()
 }
@@ -27,15 +27,15 @@
 // StoreRestored is part of cluster.Listener.
 func (g *Gateway) StoreRestored(era int64) {
 	logging.Part(g.logger, "cluster").WithField("era", era).Warn("The store has come back from an older copy.")
-	g.metrics.storeRestored()
-	g.decide(decision.Record{
+	g.metrics.countStoreRestore()
+	g.recordDecision(decision.Record{
 		Kind: decision.KindStore, Subject: "store", Outcome: fmt.Sprintf("era %d", era),
 		Reason: "The store has come back from an older copy. What it lost is written again by those who know it.",
 	})
 	g.controller.Restored(boottime.Now(), era)
-	g.bars.restored()
+	g.barSyncer.rewriteAll()
 	select {
-	case g.restoring <- struct{}{}:
+	case g.restoreTrigger <- struct{}{}:
 	default:
 	}
 }
@@ -43,25 +43,25 @@
 // Times of writing the operators' groups and rules again.
 const (
 	// restoreTurn is by how much later the next of those that take requests writes: the first one is done by then.
-	restoreTurn = 300 * time.Millisecond
+	restoreStagger = 300 * time.Millisecond
 	// restorePause is the pause after a failure, and restoreTimeout bounds one try.
-	restorePause   = 500 * time.Millisecond
-	restoreTimeout = 2 * time.Second
+	restoreRetryDelay = 500 * time.Millisecond
+	restoreTimeout    = 2 * time.Second
 )
 
 // restoreDocuments writes the operators' groups and rules again whenever the store may have lost some, until the context ends.
-func (g *Gateway) restoreDocuments(ctx context.Context) {
+func (g *Gateway) runDocumentRestore(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-g.restoring:
+		case <-g.restoreTrigger:
 		}
-		if !g.takesRequests() || !pause.For(ctx, time.Duration(g.turn())*restoreTurn) {
+		if !g.isEntry() || !pause.For(ctx, time.Duration(g.entryRank())*restoreStagger) {
 			continue
 		}
 		for !g.restoreDocument(ctx) {
-			if !pause.For(ctx, restorePause) {
+			if !pause.For(ctx, restoreRetryDelay) {
 				return
 			}
 		}
@@ -69,7 +69,7 @@
 }
 
 // turn returns the place of this gateway among those that take requests.
-func (g *Gateway) turn() int {
+func (g *Gateway) entryRank() int {
 	for i, entry := range g.Entries() {
 		if entry.Name == g.settings.Name {
 			return i
@@ -82,24 +82,24 @@
 func (g *Gateway) restoreDocument(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, restoreTimeout)
 	defer cancel()
-	g.lacksEdits.Store(false)
+	g.editsMayBeLost.Store(false)
 	known := g.view.Document()
 	if known.Revision == 0 {
 		return true
 	}
-	lines := logging.Part(g.logger, "cluster").WithFields(logrus.Fields{"revision": known.Revision})
+	log := logging.Part(g.logger, "cluster").WithFields(logrus.Fields{"revision": known.Revision})
 	written, err := configuration.Restore(ctx, g.ports.Store, known)
 	switch {
 	case errors.Is(err, configuration.ErrDiverged):
-		lines.WithError(err).Error("Edits of the groups and rules are lost: another edit was made since the store came back. Make them anew.")
+		log.WithError(err).Error("Edits of the groups and rules are lost: another edit was made since the store came back. Make them anew.")
 		return true
 	case errors.Is(err, store.ErrConflict):
 		return false
 	case err != nil:
-		lines.WithError(err).Warn("The groups and rules are not written again yet. It is tried again.")
+		log.WithError(err).Warn("The groups and rules are not written again yet. It is tried again.")
 		return false
 	case written:
-		lines.Info("The groups and rules are written again.")
+		log.Info("The groups and rules are written again.")
 	}
 	return true
 }
@@ -107,15 +107,15 @@
 // propose brings an edit into the store. One that comes just after the store has come back waits until it holds the edits before it again.
 func (g *Gateway) propose(ctx context.Context, request configuration.EditRequest) configuration.ProposeResult {
 	for {
-		if g.lacksEdits.Load() && !g.restoreDocument(ctx) {
-			g.lacksEdits.Store(true)
-			if !pause.For(ctx, restorePause) {
+		if g.editsMayBeLost.Load() && !g.restoreDocument(ctx) {
+			g.editsMayBeLost.Store(true)
+			if !pause.For(ctx, restoreRetryDelay) {
 				return configuration.ProposeResult{Err: ctx.Err()}
 			}
 			continue
 		}
 		result := configuration.Propose(ctx, g.ports.Store, request)
-		if result.Accepted || !g.lacksEdits.Load() {
+		if result.Accepted || !g.editsMayBeLost.Load() {
 			return result
 		}
 	}
--- a/internal/gateway/repeats_test.go
+++ b/internal/gateway/retrybudget_test.go
@@ -19,43 +19,43 @@
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	dispatch := forward.DefaultDispatchSettings()
-	dispatch.Budget = budgetOf(settings)
+	dispatch.Budget = budgetSettings(settings)
 	g := &Gateway{settings: settings, logger: logger, dispatcher: forward.NewDispatcher(dispatch, time.Now)}
 	g.dispatcher.CountRequest("group")
 	return g
 }
 
-func TestEntriesShareTheAllowanceWithThoseInDoubt(t *testing.T) {
+func TestEntriesShareRetryAllowanceWithSuspects(t *testing.T) {
 	g := newBudgetGateway(Settings{RetryRatio: 0.2, RetryAllowance: 54, RetryWindow: 10 * time.Second})
 	for _, test := range []struct {
-		standsBy                  bool
-		entries, inDoubt, serving int
-		want                      int
+		standby                    bool
+		entries, suspects, serving int
+		want                       int
 	}{{false, 6, 0, 13, 8}, {false, 6, 3, 13, 12}, {false, 6, 9, 13, 13}, {true, 6, 3, 13, 28}} {
 		// Fewer count only later, so that each case has its own gateway.
 		g = newBudgetGateway(g.settings)
-		g.setSharers(test.standsBy, test.entries, test.inDoubt, test.serving)
+		g.setRetrySharers(test.standby, test.entries, test.suspects, test.serving)
 		if got := g.dispatcher.Budgets()[0].Sharers; got != test.want {
 			t.Errorf("%+v: divided by %d", test, got)
 		}
 	}
 }
 
-func TestTheBudgetIsThatOfTheSettingsWithRoom(t *testing.T) {
-	got := budgetOf(Settings{RetryRatio: 0.2, RetryAllowance: 54, RetryWindow: 10 * time.Second})
+func TestBudgetSettings(t *testing.T) {
+	got := budgetSettings(Settings{RetryRatio: 0.2, RetryAllowance: 54, RetryWindow: 10 * time.Second})
 	if want := (retrybudget.Settings{Ratio: 0.2, Allowance: 54, Window: 10 * time.Second, Safety: retrybudget.DefaultSafety}); got != want {
 		t.Errorf("the budget is %+v, expected %+v", got, want)
 	}
 }
 
 // TestAShareBeginsAtOnceOnlyIfTheStoreAgreesThatTheFleetIsNew combines the word of the settings with that of the store.
-func TestAShareBeginsAtOnceOnlyIfTheStoreAgreesThatTheFleetIsNew(t *testing.T) {
+func TestRetryShareAvailableAtOnceOnlyInNewFleet(t *testing.T) {
 	for _, test := range []struct {
-		told, isNew bool
-		want        float64
+		firstStart, fleetIsNew bool
+		want                   float64
 	}{{true, true, 1}, {true, false, 0}, {false, true, 0}, {false, false, 0}} {
-		g := newBudgetGateway(Settings{RetryRatio: 0.2, RetryAllowance: 54, RetryWindow: 10 * time.Second, FirstStart: test.told})
-		g.Confirmed(boottime.Now(), test.isNew)
+		g := newBudgetGateway(Settings{RetryRatio: 0.2, RetryAllowance: 54, RetryWindow: 10 * time.Second, FirstStart: test.firstStart})
+		g.Confirmed(boottime.Now(), test.fleetIsNew)
 		if got := g.dispatcher.Budgets()[0].Share; got != test.want {
 			t.Errorf("%+v: the share is %v", test, got)
 		}
@@ -63,39 +63,39 @@
 }
 
 // waitingStore is an empty store that tells how long a watch would wait.
-type waitingStore struct {
+type watchRecorder struct {
 	store.Store
 	waits chan time.Duration
 }
 
-func (w *waitingStore) List(context.Context, string) ([]store.Item, store.Revision, error) {
+func (w *watchRecorder) List(context.Context, string) ([]store.Item, store.Revision, error) {
 	return nil, 1, nil
 }
 
-func (w *waitingStore) ListUntil(context.Context, string, func([]store.Item) bool) ([]store.Item, store.Revision, bool, error) {
+func (w *watchRecorder) ListUntil(context.Context, string, func([]store.Item) bool) ([]store.Item, store.Revision, bool, error) {
 	return nil, 1, true, nil
 }
 
-func (w *waitingStore) Watch(ctx context.Context, _ string, _ store.Revision, wait time.Duration) ([]store.Event, store.Revision, error) {
+func (w *watchRecorder) Watch(ctx context.Context, _ string, _ store.Revision, wait time.Duration) ([]store.Event, store.Revision, error) {
 	w.waits <- wait
 	<-ctx.Done()
 	return nil, 0, ctx.Err()
 }
 
 // ignorant is told what a replica holds, and makes nothing of it.
-type ignorant struct{}
+type nopConsumer struct{}
 
-func (ignorant) Reset([]store.Item)  {}
-func (ignorant) Restored(int64)      {}
-func (ignorant) Apply([]store.Event) {}
-func (ignorant) Lost(error)          {}
-func (ignorant) Current(time.Time)   {}
+func (nopConsumer) Reset([]store.Item)  {}
+func (nopConsumer) Restored(int64)      {}
+func (nopConsumer) Apply([]store.Event) {}
+func (nopConsumer) Lost(error)          {}
+func (nopConsumer) Current(time.Time)   {}
 
-func TestARegistrationThatIsSeenIsSoonConfirmed(t *testing.T) {
+func TestRegisteredShortensNextWatch(t *testing.T) {
 	for _, registered := range []bool{false, true} {
-		waiting := &waitingStore{waits: make(chan time.Duration, 1)}
+		recorder := &watchRecorder{waits: make(chan time.Duration, 1)}
 		g := newBudgetGateway(Settings{RetryWindow: 10 * time.Second})
-		g.replica = store.NewReplica(waiting, everything, store.DefaultReplicaSettings(), ignorant{}, nil)
+		g.replica = store.NewReplica(recorder, allKeys, store.DefaultReplicaSettings(), nopConsumer{}, nil)
 		if registered {
 			g.Registered()
 		}
@@ -105,7 +105,7 @@
 			g.replica.Run(ctx)
 			close(done)
 		}()
-		if wait := <-waiting.waits; (wait < time.Second) != registered {
+		if wait := <-recorder.waits; (wait < time.Second) != registered {
 			t.Errorf("with the registration seen: %v, the next watch waits for %s", registered, wait)
 		}
 		cancel()
--- a/internal/gateway/supplement.go
+++ b/internal/gateway/supplement.go
@@ -13,9 +13,9 @@
 func (g *Gateway) HearSupplement(supplement *loadshare.Supplement) {
 	for _, id := range supplement.Leaving {
 		if g.view.WorkerLeaves(id) {
-			g.notices.tellHeard(id)
+			g.notices.reportRemoteLeaving(id)
 		}
 	}
-	g.workerLimits.hearPeer(supplement.Limits)
+	g.workerLimits.handlePeer(supplement.Limits)
 	g.dispatcher.HearLoans(supplement.Asks, supplement.Loans)
 }
--- a/internal/gateway/used.go
+++ b/internal/gateway/tenantusage.go
@@ -9,22 +9,22 @@
 )
 
 // usedCounts is what this gateway knows of the usage of tenants. Without windows to report it does nothing.
-type usedCounts struct {
+type tenantUsage struct {
 	window   time.Duration
 	clock    *usage.Clock
 	tally    *usage.Tally
 	reporter *usage.Reporter
 	// toldAt is when changes were told last. It is used by the loop that tells.
-	toldAt time.Time
+	sentAt time.Time
 }
 
 // usedInterval is the least time between two messages that tell changed counts: a killed gateway loses what it has counted since
 // the last one, a twentieth of a window of five seconds at the most.
-const usedInterval = 200 * time.Millisecond
+const usageSendInterval = 200 * time.Millisecond
 
 // newUsedCounts returns the counts of a gateway, and makes its handler count.
-func newUsedCounts(g *Gateway) *usedCounts {
-	u := &usedCounts{window: g.settings.UsageWindow, clock: usage.NewClock(usage.ReadClocks())}
+func newTenantUsage(g *Gateway) *tenantUsage {
+	u := &tenantUsage{window: g.settings.UsageWindow, clock: usage.NewClock(usage.ReadClocks())}
 	if u.window <= 0 {
 		return u
 	}
@@ -36,13 +36,13 @@
 	settings := usage.DefaultSettings()
 	settings.Holder, settings.Window, settings.Due = g.settings.Name, u.window, g.settings.UsageDue
 	u.reporter = usage.NewReporter(settings, g.ports.Store, g.ports.Usage, u.tally, u.clock.Now, g.controller.Authority,
-		logging.Part(g.logger, "usage"), g.decide)
+		logging.Part(g.logger, "usage"), g.recordDecision)
 	return u
 }
 
 // tell adds to a message what the other gateways are to know: everything, or what has changed. A gateway that stands by may tell
 // nothing for long after it.
-func (u *usedCounts) tell(message *loadshare.Message, full, standsBy bool) {
+func (u *tenantUsage) addTo(message *loadshare.Message, full, standsBy bool) {
 	if u.tally == nil {
 		return
 	}
@@ -51,15 +51,15 @@
 	case full:
 		message.WallMs = now.UnixMilli()
 		message.Used = u.tally.All(now)
-		u.toldAt = now
-	case standsBy || now.Sub(u.toldAt) >= usedInterval:
+		u.sentAt = now
+	case standsBy || now.Sub(u.sentAt) >= usageSendInterval:
 		message.Used = u.tally.Untold()
-		u.toldAt = now
+		u.sentAt = now
 	}
 }
 
 // hear takes what another gateway told.
-func (u *usedCounts) hear(message *loadshare.Message) {
+func (u *tenantUsage) merge(message *loadshare.Message) {
 	if u.tally == nil {
 		return
 	}
@@ -71,7 +71,7 @@
 
 // UsageAgreed is part of cluster.Listener.
 func (g *Gateway) UsageAgreed(value []byte) {
-	if g.used.tally == nil {
+	if g.tenantUsage.tally == nil {
 		return
 	}
 	ledger, err := usage.DecodeLedger(value)
@@ -79,8 +79,8 @@
 		logging.Part(g.logger, "usage").WithError(err).Error("The ledger of the usage can't be read.")
 		return
 	}
-	g.used.tally.Agreed(ledger.Next)
-	if g.used.reporter != nil {
-		g.used.reporter.Heard(ledger)
+	g.tenantUsage.tally.Agreed(ledger.Next)
+	if g.tenantUsage.reporter != nil {
+		g.tenantUsage.reporter.Heard(ledger)
 	}
 }
--- a/internal/gateway/workerlimits.go
+++ b/internal/gateway/workerlimits.go
@@ -15,188 +15,188 @@
 
 // workerLimits hears which workers name limits in their answers, has them kept, and tells the other gateways and operators of them: most
 // gateways hold no part of a limit, are sent no answer, and know it by others alone. It is safe for concurrent use.
-type workerLimits struct {
+type limitTracker struct {
 	gateway *Gateway
 
 	mu sync.Mutex
 	// known are the limits in force, by the ids of the workers' incarnations, and over those that ended of late: a word of before that comes
 	// late does not bring them back.
-	known, over map[string]*namedLimit
+	active, ended map[string]*workerLimit
 	// notify tells that there is something to tell; nil tells nobody.
 	notify func(urgent bool)
 	// inForce counts the limits, for answers of which nearly all name none while none is known.
-	inForce atomic.Int64
+	activeCount atomic.Int64
 }
 
 // namedLimit is the limit that a worker names.
-type namedLimit struct {
+type workerLimit struct {
 	perSecond float64
 	// since is when it was heard first, and said when the word was said that holds.
-	since, said time.Time
+	since, statedAt time.Time
 	// tries were sent to the worker meanwhile.
-	tries int
+	attempts int
 	// isOwn is set if an answer to this gateway said so; else another one tells it. Tells is how often others are still to be told, at once
 	// and then once a second; a limit is told again whenever an answer names it.
-	isOwn  bool
-	tells  int
-	urgent bool
+	isLocal        bool
+	remainingSends int
+	urgent         bool
 }
 
 // overTells is how often others are told that a limit is over, once a second: for longer than the links between gateways are usually cut. One
 // that holds no part and misses all of them would leave the worker alone until its next life.
-const overTells = 30
+const endedLimitSends = 30
 
 // newWorkerLimits knows of no limit.
-func newWorkerLimits(g *Gateway) *workerLimits {
-	return &workerLimits{gateway: g, known: map[string]*namedLimit{}, over: map[string]*namedLimit{}}
+func newLimitTracker(g *Gateway) *limitTracker {
+	return &limitTracker{gateway: g, active: map[string]*workerLimit{}, ended: map[string]*workerLimit{}}
 }
 
 // shareWith has what is to be told gathered. Notify must not wait.
-func (l *workerLimits) shareWith(notify func(urgent bool)) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.notify = notify
+func (t *limitTracker) setNotify(notify func(urgent bool)) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.notify = notify
 }
 
 // hear takes what a worker says of its limit in an answer. Its word binds from here on.
-func (l *workerLimits) hear(worker *backend.Worker, notice backend.Notice) {
-	if notice.Limit == 0 && l.inForce.Load() == 0 {
+func (t *limitTracker) handle(worker *backend.Worker, notice backend.Notice) {
+	if notice.Limit == 0 && t.activeCount.Load() == 0 {
 		return
 	}
 	now := time.Now()
 	if notice.Limit == 0 {
-		l.end(worker.ID, now.Sub(notice.Asked), sourceAnswer)
+		t.end(worker.ID, now.Sub(notice.Asked), sourceAnswer)
 		return
 	}
-	l.gateway.metrics.noticeHeard(worker.Group, noticeLimit)
-	l.begin(worker.ID, notice.Limit, 0, sourceAnswer)
+	t.gateway.metrics.countNotice(worker.Group, noticeLimit)
+	t.begin(worker.ID, notice.Limit, 0, sourceAnswer)
 }
 
 // hearPeer takes what another gateway tells of limits.
-func (l *workerLimits) hearPeer(told []loadshare.Limit) {
-	for _, each := range told {
-		ago := time.Duration(max(each.AgeMs, 0)) * time.Millisecond
+func (t *limitTracker) handlePeer(limits []loadshare.Limit) {
+	for _, limit := range limits {
+		ago := time.Duration(max(limit.AgeMs, 0)) * time.Millisecond
 		switch {
-		case each.PerSecond == 0:
-			l.end(each.Worker, ago, sourcePeer)
-		case each.PerSecond > 0 && !math.IsInf(each.PerSecond, 0):
-			l.begin(each.Worker, each.PerSecond, ago, sourcePeer)
+		case limit.PerSecond == 0:
+			t.end(limit.Worker, ago, sourcePeer)
+		case limit.PerSecond > 0 && !math.IsInf(limit.PerSecond, 0):
+			t.begin(limit.Worker, limit.PerSecond, ago, sourcePeer)
 		}
 	}
 }
 
 // begin takes a limit that was named so long ago.
-func (l *workerLimits) begin(id string, perSecond float64, ago time.Duration, source string) {
-	if l.noteBegin(id, perSecond, ago, source) {
-		l.tell(id, noticeLimit, "The worker takes only so many requests a second, of all gateways together.",
+func (t *limitTracker) begin(id string, perSecond float64, ago time.Duration, source string) {
+	if t.recordBegin(id, perSecond, ago, source) {
+		t.report(id, noticeLimit, "The worker takes only so many requests a second, of all gateways together.",
 			map[string]string{"per_second": fmt.Sprint(perSecond), "source": source})
 	}
 }
 
 // noteBegin has a limit kept, and tells whether it is news. A word from before the end of a limit that was told late is none.
-func (l *workerLimits) noteBegin(id string, perSecond float64, ago time.Duration, source string) bool {
-	said := time.Now().Add(-ago)
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if ended := l.over[id]; ended != nil && said.Before(ended.said) {
+func (t *limitTracker) recordBegin(id string, perSecond float64, ago time.Duration, source string) bool {
+	statedAt := time.Now().Add(-ago)
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if ended := t.ended[id]; ended != nil && statedAt.Before(ended.statedAt) {
 		return false
 	}
-	delete(l.over, id)
-	news := l.gateway.dispatcher.Limit(id, perSecond, ago)
-	known, found := l.known[id]
+	delete(t.ended, id)
+	news := t.gateway.dispatcher.Limit(id, perSecond, ago)
+	limit, found := t.active[id]
 	if !found {
-		known = &namedLimit{since: said}
-		l.known[id] = known
-		l.inForce.Store(int64(len(l.known)))
+		limit = &workerLimit{since: statedAt}
+		t.active[id] = limit
+		t.activeCount.Store(int64(len(t.active)))
 	}
-	if said.Before(known.said) {
+	if statedAt.Before(limit.statedAt) {
 		return news
 	}
-	known.perSecond, known.said = perSecond, said
+	limit.perSecond, limit.statedAt = perSecond, statedAt
 	if source == sourceAnswer {
-		known.isOwn, known.tells = true, 1
-		l.hasten(known, news)
+		limit.isLocal, limit.remainingSends = true, 1
+		t.announceNow(limit, news)
 	}
 	return news
 }
 
 // end takes that a worker named no limit in the answer to a request which was sent so long ago.
-func (l *workerLimits) end(id string, ago time.Duration, source string) {
-	if ended, was := l.noteEnd(id, ago, source); was {
-		l.tell(id, noticeLimit+" over", "The worker names no limit any more.", map[string]string{
-			"tries": fmt.Sprint(ended.tries), "for_ms": fmt.Sprint(time.Since(ended.since).Milliseconds()), "source": source,
+func (t *limitTracker) end(id string, ago time.Duration, source string) {
+	if limit, found := t.recordEnd(id, ago, source); found {
+		t.report(id, noticeLimit+" over", "The worker names no limit any more.", map[string]string{
+			"tries": fmt.Sprint(limit.attempts), "for_ms": fmt.Sprint(time.Since(limit.since).Milliseconds()), "source": source,
 		})
 	}
 }
 
 // noteEnd has a limit ended, and returns it, or false if there was none.
-func (l *workerLimits) noteEnd(id string, ago time.Duration, source string) (namedLimit, bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	ended := l.known[id]
-	if ended == nil || !l.gateway.dispatcher.Unlimit(id, ago) {
-		return namedLimit{}, false
+func (t *limitTracker) recordEnd(id string, ago time.Duration, source string) (workerLimit, bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	limit := t.active[id]
+	if limit == nil || !t.gateway.dispatcher.Unlimit(id, ago) {
+		return workerLimit{}, false
 	}
-	delete(l.known, id)
-	l.inForce.Store(int64(len(l.known)))
-	ended.perSecond, ended.said = 0, time.Now().Add(-ago)
-	ended.isOwn, ended.tells = source == sourceAnswer, overTells
-	l.over[id] = ended
-	l.hasten(ended, ended.isOwn)
-	return *ended, true
+	delete(t.active, id)
+	t.activeCount.Store(int64(len(t.active)))
+	limit.perSecond, limit.statedAt = 0, time.Now().Add(-ago)
+	limit.isLocal, limit.remainingSends = source == sourceAnswer, endedLimitSends
+	t.ended[id] = limit
+	t.announceNow(limit, limit.isLocal)
+	return *limit, true
 }
 
 // hasten has others told at once of what is news. The mutex is held.
-func (l *workerLimits) hasten(one *namedLimit, news bool) {
-	if !news || l.notify == nil {
+func (t *limitTracker) announceNow(limit *workerLimit, news bool) {
+	if !news || t.notify == nil {
 		return
 	}
-	one.urgent = true
-	l.notify(true)
+	limit.urgent = true
+	t.notify(true)
 }
 
 // tell writes a line and a decision about the limit of a worker, if it is in use.
-func (l *workerLimits) tell(id, what, reason string, inputs map[string]string) {
-	if worker := l.gateway.worker(id); worker != nil {
-		l.gateway.notices.tell(worker, what, reason, inputs)
+func (t *limitTracker) report(id, kind, reason string, inputs map[string]string) {
+	if worker := t.gateway.worker(id); worker != nil {
+		t.gateway.notices.report(worker, kind, reason, inputs)
 	}
 }
 
 // drain returns the limits of which other gateways are to be told: what is news, and with full set all that answers said since the last time.
-func (l *workerLimits) drain(full bool) []loadshare.Limit {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	var told []loadshare.Limit
-	for _, each := range []map[string]*namedLimit{l.known, l.over} {
-		for id, one := range each {
-			if one.tells == 0 || (!full && !one.urgent) || len(told) >= mostUntold {
+func (t *limitTracker) drain(full bool) []loadshare.Limit {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	var announced []loadshare.Limit
+	for _, limits := range []map[string]*workerLimit{t.active, t.ended} {
+		for id, limit := range limits {
+			if limit.remainingSends == 0 || (!full && !limit.urgent) || len(announced) >= maxAnnouncements {
 				continue
 			}
-			one.urgent = false
+			limit.urgent = false
 			if full {
-				one.tells--
+				limit.remainingSends--
 			}
-			if !one.isOwn {
+			if !limit.isLocal {
 				continue
 			}
-			told = append(told, loadshare.Limit{Worker: id, PerSecond: one.perSecond, AgeMs: time.Since(one.said).Milliseconds()})
+			announced = append(announced, loadshare.Limit{Worker: id, PerSecond: limit.perSecond, AgeMs: time.Since(limit.statedAt).Milliseconds()})
 		}
 	}
-	l.over = lo.OmitBy(l.over, func(_ string, one *namedLimit) bool { return one.tells == 0 })
-	return told
+	t.ended = lo.OmitBy(t.ended, func(_ string, limit *workerLimit) bool { return limit.remainingSends == 0 })
+	return announced
 }
 
 // count counts a try that was sent to a worker at a moment, and tells whether a limit was in force there.
-func (l *workerLimits) count(id string, at time.Time) bool {
-	if l.inForce.Load() == 0 {
+func (t *limitTracker) countAttempt(id string, sentAt time.Time) bool {
+	if t.activeCount.Load() == 0 {
 		return false
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	known := l.known[id]
-	if known == nil || at.Before(known.since) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	limit := t.active[id]
+	if limit == nil || sentAt.Before(limit.since) {
 		return false
 	}
-	known.tries++
+	limit.attempts++
 	return true
 }
