--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -23,11 +23,11 @@
 	"github.com/granitebay/granitebay/internal/routing"
 )
 
-// pathMetrics is where the figures are served, beside the API of the operators and its page.
+// pathMetrics is the path of the metrics, next to the admin API and the admin page.
 const pathMetrics = "/metrics"
 
-// adminHandler serves figures, the API of the operators and its page at one port. The API is made when it is asked for the
-// first time, because most gateways never are.
+// adminHandler serves metrics, the admin API and the admin page on one port. The API is created on first use, because
+// most gateways never serve it.
 func (g *Gateway) adminHandler() http.Handler {
 	api := sync.OnceValue(func() http.Handler {
 		mux := http.NewServeMux()
@@ -44,10 +44,10 @@
 	})
 }
 
-// admin shows a gateway to operators. It implements adminapi.Backend.
+// admin implements adminapi.Backend for a gateway.
 type admin struct{ *Gateway }
 
-// Status is part of adminapi.Backend.
+// Status implements adminapi.Backend.
 func (a admin) Status() adminapi.GatewayStatus {
 	serving := a.view.Serving()
 	entries := a.Entries()
@@ -67,12 +67,12 @@
 	return status
 }
 
-// isListed tells whether a gateway is on a list.
+// isListed reports whether a list contains the gateway with the given name.
 func isListed(gateways []member.Gateway, name string) bool {
 	return slices.ContainsFunc(gateways, func(gateway member.Gateway) bool { return gateway.Name == name })
 }
 
-// Workers is part of adminapi.Backend.
+// Workers implements adminapi.Backend.
 func (a admin) Workers() []adminapi.WorkerStatus {
 	statuses := lo.Map(a.dispatcher.Workers(), func(view forward.WorkerView, _ int) adminapi.WorkerStatus {
 		w := view.Worker
@@ -91,7 +91,7 @@
 	return statuses
 }
 
-// stateOf names the state of a worker.
+// stateOf returns the admin API's name for the state of a worker.
 func stateOf(view forward.WorkerView) string {
 	switch {
 	case view.Worker.Draining:
@@ -107,7 +107,7 @@
 	}
 }
 
-// Groups is part of adminapi.Backend.
+// Groups implements adminapi.Backend.
 func (a admin) Groups() []adminapi.GroupStatus {
 	table := a.handler.Table()
 	if table == nil {
@@ -131,7 +131,7 @@
 	})
 }
 
-// Rules is part of adminapi.Backend.
+// Rules implements adminapi.Backend.
 func (a admin) Rules() []adminapi.RuleStatus {
 	table := a.handler.Table()
 	if table == nil {
@@ -147,7 +147,8 @@
 	})
 }
 
-// describeMatch says which requests a rule is for. Selectors are those of the rules by labels.
+// describeMatch describes the requests that a rule matches. selectors maps the names of label rules to their request
+// selectors.
 func describeMatch(rule routing.Rule, selectors map[string]string) string {
 	switch match := rule.Match.(type) {
 	case routing.PathMatch:
@@ -157,7 +158,7 @@
 	}
 }
 
-// Gateways is part of adminapi.Backend.
+// Gateways implements adminapi.Backend.
 func (a admin) Gateways() []adminapi.PeerStatus {
 	reachable := a.view.Reachable()
 	entries := a.Entries()
@@ -169,15 +170,15 @@
 	})
 }
 
-// Document is part of adminapi.Backend.
+// Document implements adminapi.Backend.
 func (a admin) Document() configuration.Document { return a.view.Document() }
 
-// Propose is part of adminapi.Backend.
+// Propose implements adminapi.Backend.
 func (a admin) Propose(ctx context.Context, request configuration.EditRequest) configuration.ProposeResult {
 	return a.propose(ctx, request)
 }
 
-// KnownWorkers is part of adminapi.Backend.
+// KnownWorkers implements adminapi.Backend.
 func (a admin) KnownWorkers() []configuration.WorkerInfo {
 	a.workersMu.Lock()
 	defer a.workersMu.Unlock()
@@ -186,11 +187,11 @@
 	})
 }
 
-// KnownRequests is part of adminapi.Backend.
+// KnownRequests implements adminapi.Backend.
 func (a admin) KnownRequests() []map[string]string { return a.handler.RecentLabels() }
 
-// Decisions is part of adminapi.Backend.
+// Decisions implements adminapi.Backend.
 func (a admin) Decisions(since uint64) []decision.Record { return a.decisions.Latest(since) }
 
-// FollowDecisions is part of adminapi.Backend.
+// FollowDecisions implements adminapi.Backend.
 func (a admin) FollowDecisions() (<-chan decision.Record, func()) { return a.decisions.Follow() }
--- a/internal/gateway/admin_tenants.go
+++ b/internal/gateway/admin_tenants.go
@@ -7,7 +7,7 @@
 	"github.com/granitebay/granitebay/internal/tenant"
 )
 
-// Tenants is part of adminapi.Backend.
+// Tenants implements adminapi.Backend.
 func (a admin) Tenants() []adminapi.TenantStatus {
 	table := a.handler.Table()
 	if table == nil || table.Configuration().Tenants == nil {
@@ -22,7 +22,7 @@
 	})
 }
 
-// Capacity is part of adminapi.Backend.
+// Capacity implements adminapi.Backend.
 func (a admin) Capacity() []adminapi.CapacityStatus {
 	statuses := []adminapi.CapacityStatus{}
 	if a.capacity == nil {
@@ -40,7 +40,7 @@
 	return statuses
 }
 
-// Usage is part of adminapi.Backend.
+// Usage implements adminapi.Backend.
 func (a admin) Usage() adminapi.UsageStatus {
 	status := adminapi.UsageStatus{Gateway: a.settings.Name, Open: []adminapi.OpenWindow{}}
 	if a.tenantUsage.reporter != nil {
--- a/internal/gateway/agreement_test.go
+++ b/internal/gateway/agreement_test.go
@@ -12,31 +12,32 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// fleetPlay plays the entries of a fleet on fake time: lists of gateways, what they tell each other, and what those that stand by ask.
+// fleetSimulation simulates the entry selection of a fleet on a simulated clock: member lists, heartbeats between
+// gateways, and the queries of standby gateways.
 type fleetSimulation struct {
 	random   *rand.Rand
 	now      time.Time
 	gateways []*simulatedGateway
 }
 
-// playedNode is one gateway.
+// simulatedGateway is one gateway of the simulation.
 type simulatedGateway struct {
 	name string
 	list *member.List
-	// stalledUntil is until when it does nothing, ranSince when it did something last, and asks when it asks an entry next.
+	// The gateway is stalled until stalledUntil, last ran at lastRan, and queries an entry next at nextQuery.
 	stalledUntil, lastRan, nextQuery time.Time
 	entries                          []member.Gateway
 	audience                         []string
 	isEntry                          bool
 }
 
-// Times of a play: steps as short as a heartbeat's quarter, and the question of one that stands by.
+// Timing of the simulation: a quarter of the heartbeat interval, and the query interval of standby gateways.
 const (
 	simulationStep = 50 * time.Millisecond
 	queryInterval  = 700 * time.Millisecond
 )
 
-// newFleetPlay returns a fleet of gateways in one zone that know each other.
+// newFleetSimulation returns a fleet of gateways in one zone that know each other.
 func newFleetSimulation(seed uint64, size int) *fleetSimulation {
 	s := &fleetSimulation{random: rand.New(rand.NewPCG(seed, 7)), now: time.Unix(1_700_000_000, 0)}
 	var items []store.Item
@@ -58,15 +59,15 @@
 	return s
 }
 
-// node returns the gateway of a name.
+// gateway returns the gateway with the given name.
 func (p *fleetSimulation) gateway(name string) *simulatedGateway {
 	return p.gateways[slices.IndexFunc(p.gateways, func(g *simulatedGateway) bool { return g.name == name })]
 }
 
-// runs tells whether a gateway does something now.
+// isRunning reports whether a gateway is not stalled.
 func (p *fleetSimulation) isRunning(g *simulatedGateway) bool { return !p.now.Before(g.stalledUntil) }
 
-// play lets time pass.
+// run advances the simulation.
 func (p *fleetSimulation) run(length time.Duration) {
 	for end := p.now.Add(length); p.now.Before(end); {
 		p.now = p.now.Add(simulationStep)
@@ -83,13 +84,13 @@
 	}
 }
 
-// look has a gateway see who takes requests, as watchEntries does.
+// check updates a gateway's view of the entries, as watchEntries does.
 func (p *fleetSimulation) check(g *simulatedGateway) {
 	if p.now.Sub(g.lastRan) > entryCheckInterval+stallThreshold {
 		g.list.Resumed(p.now)
 	}
 	g.lastRan = p.now
-	// The store answers, and those that stand by hear of it from an entry.
+	// An entry gets answers from the store; a standby gateway gets its state from an entry.
 	if g.isEntry {
 		g.list.Connected(p.now)
 	} else if !p.now.Before(g.nextQuery) {
@@ -101,7 +102,7 @@
 	g.entries, g.audience, g.isEntry = entries, audience.Peers, !audience.StandsBy
 }
 
-// ask has one that stands by ask one of the entries that it knows.
+// query makes a standby gateway query a random entry that it knows.
 func (p *fleetSimulation) query(g *simulatedGateway) {
 	if len(g.entries) == 0 {
 		return
@@ -113,7 +114,7 @@
 	g.list.Told(p.now, gatewayNames(teller.entries), gatewayNames(teller.list.Named(p.now)))
 }
 
-// tell has a gateway tell the others that it takes requests, or once that it does not any more.
+// announce tells a gateway's audience whether it is an entry.
 func (p *fleetSimulation) announce(g *simulatedGateway) {
 	for _, name := range g.audience {
 		if other := p.gateway(name); p.isRunning(other) {
@@ -126,7 +127,7 @@
 	}
 }
 
-// agreed tells whether all gateways have the same entries.
+// agreed reports whether all gateways have selected the same entries.
 func (p *fleetSimulation) agreed() bool {
 	for _, g := range p.gateways {
 		if !slices.Equal(gatewayNames(g.entries), gatewayNames(p.gateways[0].entries)) {
@@ -136,8 +137,8 @@
 	return true
 }
 
-// TestGatewaysAgreeSoonWhoTakesRequests freezes an entry while all machines are busy, so that who takes its place is heard late by some,
-// and wakes it. A few seconds after the machines have time again all have the same entries.
+// TestGatewaysAgreeSoonWhoTakesRequests guards against gateways that keep different sets of entries after an entry was
+// stalled while its replacement was noticed late by some.
 func TestGatewaysAgreeSoonWhoTakesRequests(t *testing.T) {
 	const simulations, busy, settled = 60, 4 * time.Second, 5 * time.Second
 	disagreements := 0
@@ -145,7 +146,7 @@
 		s := newFleetSimulation(seed, 14)
 		s.run(5 * time.Second)
 		if !s.agreed() {
-			t.Fatalf("seed %d: they differ from the start", seed)
+			t.Fatalf("seed %d: entries differ at the start", seed)
 		}
 		frozen := s.gateway(s.gateways[0].entries[0].Name)
 		for start := s.now; s.now.Before(start.Add(busy)); {
@@ -165,12 +166,12 @@
 			disagreements++
 			if disagreements == 1 {
 				for _, g := range s.gateways {
-					t.Logf("seed %d: %s takes requests %t, with %v", seed, g.name, g.isEntry, gatewayNames(g.entries))
+					t.Logf("seed %d: %s is entry: %t, entries: %v", seed, g.name, g.isEntry, gatewayNames(g.entries))
 				}
 			}
 		}
 	}
 	if disagreements > 0 {
-		t.Errorf("in %d of %d plays gateways differ %s after all have time again", disagreements, simulations, settled)
+		t.Errorf("in %d of %d simulations entries differ %s after all stalls ended", disagreements, simulations, settled)
 	}
 }
--- a/internal/gateway/barsyncer.go
+++ b/internal/gateway/barsyncer.go
@@ -19,15 +19,15 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// bars keeps the bars of requests that end workers in the store, so that they outlast all gateways and reach those that stand by, are
-// cut off from the others, or start later.
+// barSyncer synchronizes the bars of requests that crash workers with the store, so that they survive all gateways and
+// reach those that stand by, are partitioned or start later.
 type barSyncer struct {
 	gateway *Gateway
 	guard   *poison.Guard
 	logger  logrus.FieldLogger
 
 	mu sync.Mutex
-	// stored are the bars that the store holds, and wanted what it is to hold or not.
+	// stored holds the bars in the store, and pending the changes to be made there.
 	stored  map[poison.Digest]storedBar
 	pending map[poison.Digest]pendingBar
 	wake    chan struct{}
@@ -39,29 +39,30 @@
 	until    time.Time
 }
 
-// wantedBar is a change of the store that is due.
+// pendingBar is a change to be written to the store.
 type pendingBar struct {
 	bar poison.Bar
-	// remove is set when the bar is to go.
+	// remove is set when the bar is to be deleted.
 	remove bool
 	due    time.Time
 }
 
-// Times of the changes of bars in the store.
+// Timing of store updates.
 const (
-	// barRetry is the pause after a change that failed.
+	// barRetryDelay is the delay before a failed change is retried.
 	barRetryDelay = 500 * time.Millisecond
-	// barHearsay is after how long a gateway writes a bar that another one has told: that one may be gone, or cut off from the store.
+	// remoteBarDelay is how long a gateway waits before it writes a bar reported by another one, in case that one has
+	// terminated or is cut off from the store.
 	remoteBarDelay = 1500 * time.Millisecond
-	// barTimeout bounds one change.
+	// barCommitTimeout bounds one change.
 	barCommitTimeout = time.Second
-	// barTidy is how often bars that have been over for long are removed, by the gateway that gives orders, and barKept for how long they
-	// are kept: a request that comes again within it is barred at the next end of a worker.
+	// barCleanupInterval is how often the leader removes old bars, and barRetention how long expired bars are kept:
+	// until then, a repeated request is barred again at its next crash.
 	barCleanupInterval = time.Minute
 	barRetention       = 24 * time.Hour
 )
 
-// newBars returns the bars of a gateway with their guard.
+// newBarSyncer returns a syncer with its guard.
 func newBarSyncer(g *Gateway, prober poison.Prober) *barSyncer {
 	b := &barSyncer{
 		gateway: g, logger: logging.Part(g.logger, "poison"), stored: map[poison.Digest]storedBar{}, pending: map[poison.Digest]pendingBar{},
@@ -71,7 +72,7 @@
 	return b
 }
 
-// note logs and records an event of the guard, and has the store follow it.
+// handleEvent logs and records an event of the guard and schedules the resulting change of the store.
 func (b *barSyncer) handleEvent(event poison.Event) {
 	switch e := event.(type) {
 	case poison.WorkerEnded:
@@ -83,34 +84,35 @@
 		b.gateway.dispatcher.EngineRefuses(e.Worker.ID)
 		b.gateway.recordDecision(decision.Record{
 			Kind: decision.KindBar, Subject: e.Worker.ID, Outcome: "suspected",
-			Reason: fmt.Sprintf("The worker ended, because %s. Any of the requests that it ran may have ended it.", e.By),
+			Reason: fmt.Sprintf("The worker crashed: %s. Any of the requests running there may be the cause.", e.By),
 			Inputs: map[string]string{"asked": digests},
 		})
 	case poison.EndHeard:
 		b.gateway.dispatcher.WorkerEnded(e.Worker, e.Ago)
 	case poison.Made:
-		b.logger.WithFields(barFields(e.Bar)).Warn("A request is barred: workers ended under it.")
-		b.recordDecision(e.Bar, "barred", "Workers ended under the request, one after the other, and it never ended well.")
+		b.logger.WithFields(barFields(e.Bar)).Warn("Request barred: workers crashed while running it.")
+		b.recordDecision(e.Bar, "barred", "Several workers crashed while running the request, one after another, and it never completed.")
 		due := time.Now()
 		if e.Bar.Rule == "" {
-			// One that has seen the request itself knows more of it, and writes first.
+			// Without a rule, this gateway has not seen the request itself. One that has knows more about it and writes
+			// first.
 			due = due.Add(remoteBarDelay)
 		}
 		b.schedule(pendingBar{bar: e.Bar, due: due})
 	case poison.Heard:
-		b.logger.WithFields(barFields(e.Bar)).Info("A request is barred, as the store or another gateway tells.")
-		b.recordDecision(e.Bar, "told", "The store or another gateway tells that the request is barred.")
+		b.logger.WithFields(barFields(e.Bar)).Info("Request barred by the store or another gateway.")
+		b.recordDecision(e.Bar, "told", "The store or another gateway reported the request as barred.")
 		b.schedule(pendingBar{bar: e.Bar, due: time.Now().Add(remoteBarDelay)})
 	case poison.Cleared:
 		bar := poison.Bar{Asked: e.Asked}
-		b.recordDecision(bar, "cleared", "The request ran to a good end: it ends no workers.")
+		b.recordDecision(bar, "cleared", "The request completed without crashing the worker.")
 		if e.WasBarred {
 			b.schedule(pendingBar{bar: bar, remove: true, due: time.Now()})
 		}
 	}
 }
 
-// fieldsOf returns a bar as fields of a log line.
+// barFields returns the log fields of a bar.
 func barFields(bar poison.Bar) logrus.Fields {
 	return logrus.Fields{
 		"asked": bar.Asked, "rule": bar.Rule, "tenant": bar.Tenant, "workers": strings.Join(bar.Workers, ","), "times": bar.Times,
@@ -118,7 +120,7 @@
 	}
 }
 
-// decide records one step of what is held of a request.
+// recordDecision records a decision about a request.
 func (b *barSyncer) recordDecision(bar poison.Bar, outcome, reason string) {
 	record := decision.Record{Kind: decision.KindBar, Subject: bar.Asked.String(), Outcome: outcome, Reason: reason}
 	if len(bar.Workers) > 0 {
@@ -130,7 +132,7 @@
 	b.gateway.recordDecision(record)
 }
 
-// want has the store follow soon.
+// schedule queues a change for the store.
 func (b *barSyncer) schedule(change pendingBar) {
 	b.mu.Lock()
 	b.pending[change.bar.Asked] = change
@@ -141,7 +143,7 @@
 	}
 }
 
-// run has the store follow until the context ends.
+// run writes queued changes to the store until ctx is done.
 func (b *barSyncer) run(ctx context.Context) {
 	cleanup := time.NewTicker(barCleanupInterval)
 	defer cleanup.Stop()
@@ -163,7 +165,7 @@
 	}
 }
 
-// nextDue returns how long to wait for the next change.
+// nextDelay returns the time until the next change is due.
 func (b *barSyncer) nextDelay() time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -174,7 +176,7 @@
 	return delay
 }
 
-// takeDue takes the changes that are due and not done yet.
+// takeDue removes the due changes from the queue and returns those that the store does not reflect yet.
 func (b *barSyncer) takeDue(now time.Time) []pendingBar {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -196,8 +198,9 @@
 	return due
 }
 
-// change carries out one change. A conflict is the change of another gateway, which the store will tell; after other failures the change
-// is tried again. A bar that does not hold any more, because the request ended well or was released, is not written.
+// apply writes one change. On a conflict another gateway has made a change, which the store will report; after other
+// errors the change is retried. A bar that is no longer in force, because the request completed or was released, is not
+// written.
 func (b *barSyncer) apply(ctx context.Context, change pendingBar) {
 	if state, _ := b.guard.Standing(change.bar.Asked); !change.remove && state != poison.Barred {
 		return
@@ -206,12 +209,12 @@
 	if err == nil || errors.Is(err, store.ErrConflict) {
 		return
 	}
-	b.logger.WithError(err).WithField("asked", change.bar.Asked).Warn("The store does not hold the bar of a request yet. It is tried again.")
+	b.logger.WithError(err).WithField("asked", change.bar.Asked).Warn("Writing the bar of a request to the store failed; retrying.")
 	change.due = time.Now().Add(barRetryDelay)
 	b.schedule(change)
 }
 
-// commit writes or removes one bar.
+// commit writes or deletes one bar.
 func (b *barSyncer) commit(ctx context.Context, change pendingBar) error {
 	ctx, cancel := context.WithTimeout(ctx, barCommitTimeout)
 	defer cancel()
@@ -229,10 +232,10 @@
 		transaction.Puts = []store.Put{{Key: key, Value: value}}
 	}
 	_, err := b.gateway.ports.Store.Commit(ctx, transaction)
-	return errors.Wrap(err, "step change the bar of a request")
+	return errors.Wrap(err, "update bar of request in store")
 }
 
-// removeOld has bars that have been over for long removed, if this gateway gives orders.
+// removeExpired schedules the removal of old bars if this gateway is the leader.
 func (b *barSyncer) removeExpired() {
 	if !b.gateway.controller.GivesOrders() {
 		return
@@ -246,13 +249,14 @@
 	}
 }
 
-// release removes the bar of a request by the word of an operator. It fails when the store does not take it.
+// release removes the bar of a request on behalf of an operator and reports whether there was one. It fails if the store
+// rejects the change.
 func (b *barSyncer) release(ctx context.Context, digest poison.Digest) (bool, error) {
 	b.mu.Lock()
 	_, found := b.stored[digest]
 	b.mu.Unlock()
 	if !found {
-		// It may be on its way to the store: the other entries hear of the release as of a good end.
+		// A write may be under way. The other gateways are told of the release as if the request had completed.
 		return b.handleRemoved(digest), nil
 	}
 	if err := b.commit(ctx, pendingBar{bar: poison.Bar{Asked: digest}, remove: true}); err != nil {
@@ -262,20 +266,20 @@
 	return true, nil
 }
 
-// released takes note that the store does not hold a bar any more, and tells whether it was in force here.
+// handleRemoved handles the removal of a bar from the store and reports whether it was in force here.
 func (b *barSyncer) handleRemoved(digest poison.Digest) bool {
 	b.mu.Lock()
 	delete(b.stored, digest)
 	b.mu.Unlock()
 	wasBarred := b.guard.Release(digest)
 	if wasBarred {
-		b.logger.WithField("asked", digest).Info("A request is released.")
-		b.recordDecision(poison.Bar{Asked: digest}, "released", "The store holds no bar of the request any more.")
+		b.logger.WithField("asked", digest).Info("Request released.")
+		b.recordDecision(poison.Bar{Asked: digest}, "released", "The bar of the request was removed from the store.")
 	}
 	return wasBarred
 }
 
-// Barred is part of adminapi.Backend.
+// Barred implements adminapi.Backend.
 func (a admin) Barred() []adminapi.BarredStatus {
 	return lo.Map(a.barSyncer.guard.Bars(), func(bar poison.Bar, _ int) adminapi.BarredStatus {
 		return adminapi.BarredStatus{
@@ -284,12 +288,12 @@
 	})
 }
 
-// Release is part of adminapi.Backend.
+// Release implements adminapi.Backend.
 func (a admin) Release(ctx context.Context, asked poison.Digest) (bool, error) {
 	return a.barSyncer.release(ctx, asked)
 }
 
-// BarsListed is part of cluster.Listener.
+// BarsListed implements cluster.Listener.
 func (g *Gateway) BarsListed(items []store.Item) {
 	b := g.barSyncer
 	listed := map[poison.Digest]bool{}
@@ -306,7 +310,7 @@
 	}
 }
 
-// BarChanged is part of cluster.Listener.
+// BarChanged implements cluster.Listener.
 func (g *Gateway) BarChanged(event store.Event) {
 	if !event.Deleted {
 		g.barSyncer.handleStored(event.Item)
@@ -314,14 +318,14 @@
 	}
 	digest, err := poison.AskedOf(event.Key)
 	if err != nil {
-		g.barSyncer.logger.WithError(err).Error("A bar that is gone can't be read.")
+		g.barSyncer.logger.WithError(err).Error("Cannot decode the key of a removed bar.")
 		return
 	}
 	g.barSyncer.handleRemoved(digest)
 }
 
-// restored has all bars that the store held written again unless it still holds them: it came back from an older copy. None of them is
-// released for that.
+// rewriteAll schedules all bars to be written again after the store was restored from an older copy, unless it still
+// holds them. No request is released.
 func (b *barSyncer) rewriteAll() {
 	due := time.Now().Add(remoteBarDelay)
 	b.mu.Lock()
@@ -332,11 +336,11 @@
 	}
 }
 
-// hold takes a bar that the store holds.
+// handleStored applies a bar that the store holds and reports whether it is valid.
 func (b *barSyncer) handleStored(item store.Item) (poison.Digest, bool) {
 	bar, err := poison.DecodeBar(item.Key, item.Value)
 	if err != nil {
-		b.logger.WithError(err).Error("A bar of the store can't be read.")
+		b.logger.WithError(err).Error("Cannot decode a bar in the store.")
 		return poison.Digest{}, false
 	}
 	b.mu.Lock()
--- a/internal/gateway/barsyncer_test.go
+++ b/internal/gateway/barsyncer_test.go
@@ -15,14 +15,14 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// barStore is a store that keeps what is committed.
+// recordingStore records committed transactions.
 type recordingStore struct {
 	store.Store
 	mu      sync.Mutex
 	commits []store.Transaction
 }
 
-// Commit is part of store.Store.
+// Commit implements store.Store.
 func (s *recordingStore) Commit(_ context.Context, transaction store.Transaction) (store.Revision, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -30,7 +30,7 @@
 	return store.Revision(len(s.commits)), nil
 }
 
-// newTestBars returns the bars of a gateway that does nothing else.
+// newTestBarSyncer returns the syncer of a gateway without other components.
 func newTestBarSyncer() (*barSyncer, *recordingStore) {
 	recording := &recordingStore{}
 	logger := logrus.New()
@@ -41,17 +41,18 @@
 	return g.barSyncer, recording
 }
 
-// toldBar is a bar as another gateway tells it.
+// remoteBar returns a bar as reported by another gateway.
 func remoteBar(digest poison.Digest) poison.Told {
 	return poison.Told{Bars: []poison.ToldBar{{
 		Asked: digest, Rule: "quick", Workers: []string{"w1", "w2", "w3"}, Times: 1, AgoMs: 100, LeftMs: time.Hour.Milliseconds(),
 	}}}
 }
 
-// TestABarIsWrittenOnlyWhileItHolds hears of two bars, one of which is void before this gateway writes it in place of the one that made it.
+// TestBarWrittenOnlyWhileInForce guards against writing a bar that was cleared while waiting for the gateway that made
+// it.
 func TestBarWrittenOnlyWhileInForce(t *testing.T) {
 	b, recording := newTestBarSyncer()
-	barred, cleared := poison.Asked{Target: "/holds"}.Digest(), poison.Asked{Target: "/void"}.Digest()
+	barred, cleared := poison.Asked{Target: "/barred"}.Digest(), poison.Asked{Target: "/cleared"}.Digest()
 	b.guard.Hear(remoteBar(barred))
 	b.guard.Hear(remoteBar(cleared))
 	b.guard.Hear(poison.Told{EndedWell: []poison.ToldGood{{Asked: cleared}}})
@@ -59,25 +60,25 @@
 		b.apply(t.Context(), change)
 	}
 	if len(recording.commits) != 1 || !strings.HasSuffix(recording.commits[0].Puts[0].Key, barred.String()) {
-		t.Errorf("written: %+v", recording.commits)
+		t.Errorf("commits: %+v", recording.commits)
 	}
 }
 
-// TestABarThatTheStoreDoesNotHoldYetIsReleased releases a bar before it is written.
+// TestReleaseOfBarNotYetStored guards against writing a bar that was released before it reached the store.
 func TestReleaseOfBarNotYetStored(t *testing.T) {
 	b, recording := newTestBarSyncer()
 	digest := poison.Asked{Target: "/x"}.Digest()
 	b.guard.Hear(remoteBar(digest))
 	if wasBarred, err := b.release(t.Context(), digest); !wasBarred || err != nil {
-		t.Errorf("released: %t, %v", wasBarred, err)
+		t.Errorf("release returned %t, %v", wasBarred, err)
 	}
 	if state, _ := b.guard.Standing(digest); state != poison.Clear {
-		t.Errorf("the standing is %d", state)
+		t.Errorf("standing is %d", state)
 	}
 	for _, change := range b.takeDue(time.Now().Add(remoteBarDelay)) {
 		b.apply(t.Context(), change)
 	}
 	if len(recording.commits) > 0 {
-		t.Errorf("written: %+v", recording.commits)
+		t.Errorf("commits: %+v", recording.commits)
 	}
 }
--- a/internal/gateway/cachedparts.go
+++ b/internal/gateway/cachedparts.go
@@ -15,21 +15,23 @@
 	"github.com/granitebay/granitebay/internal/rendezvous"
 )
 
-// Bounds of the questions what engines keep.
+// Limits on cache queries.
 const (
-	// keptTimeout bounds one question to an engine.
+	// engineQueryTimeout bounds the query of one engine.
 	engineQueryTimeout = 500 * time.Millisecond
-	// mostAsked bounds the engines that a gateway asks: a second of its time, at some milliseconds each.
+	// maxEnginesQueried bounds the engines that one gateway queries, which takes about a second.
 	maxEnginesQueried = 1024
-	// askedAtOnce bounds the questions under way.
+	// maxConcurrentQueries bounds concurrent engine queries.
 	maxConcurrentQueries = 16
-	// gatewaysAsked is how many gateways are asked: each of those that take requests knows all, but some begin at the same moment.
+	// maxGatewaysQueried is how many gateways to query. Any entry knows all cached parts, but some may have just become
+	// entries themselves.
 	maxGatewaysQueried = 4
 )
 
-// learnKept learns what engines keep of prompts, once they are known and whenever this gateway begins to take requests: one that starts
-// again, or all of them at once, else has every shared part read anew although it lies ready. Those that take requests know it. Where none
-// of them does, each asks its own part of the engines, and all of them each other afterwards.
+// learnCachedParts learns which prompt parts engines cache, once the engines are known and whenever this gateway becomes
+// an entry. Without it, a restart would make engines process shared prompt parts again although these are cached.
+// Entries that already serve know the parts; if there are none, each entry queries its share of the engines and then the
+// other entries.
 func (g *Gateway) learnCachedParts(ctx context.Context) {
 	if g.ports.KeptParts == nil {
 		return
@@ -44,7 +46,7 @@
 		case <-ctx.Done():
 			return
 		case <-g.learnTrigger:
-			// One that took itself for an entry before it knew the others has nothing to learn for.
+			// The gateway may have considered itself an entry only until it knew the others.
 			if !g.isEntry() || g.learnFromGateways(ctx) > 0 {
 				continue
 			}
@@ -54,7 +56,7 @@
 	}
 }
 
-// learnKeptAgain has the engines asked soon.
+// triggerLearning starts learning in the background.
 func (g *Gateway) triggerLearning() {
 	select {
 	case g.learnTrigger <- struct{}{}:
@@ -62,7 +64,8 @@
 	}
 }
 
-// askGateways asks some of the gateways that take requests, or did a moment ago, what engines keep, and returns how much of it was news.
+// learnFromGateways queries some current and previous entries for cached prompt parts and returns how many parts were
+// new.
 func (g *Gateway) learnFromGateways(ctx context.Context) int {
 	var queries sync.WaitGroup
 	var learned atomic.Int64
@@ -70,18 +73,18 @@
 		queries.Go(func() {
 			parts, err := g.cacheAsker.Ask(ctx, address)
 			if err != nil {
-				logging.Part(g.logger, "gateway").WithError(err).Debug("A gateway did not tell what engines keep.")
+				logging.Part(g.logger, "gateway").WithError(err).Debug("Querying a gateway for cached prompt parts failed.")
 				return
 			}
 			learned.Add(int64(g.dispatcher.LearnAll(parts)))
 		})
 	}
 	queries.Wait()
-	logging.Part(g.logger, "gateway").WithField("parts", learned.Load()).Info("Learnt from other gateways what engines keep.")
+	logging.Part(g.logger, "gateway").WithField("parts", learned.Load()).Info("Learned cached prompt parts from other gateways.")
 	return int(learned.Load())
 }
 
-// gatewaysToAsk returns the addresses of the gateways to ask, in random order: those that took requests before this one did come first.
+// gatewaysToQuery returns the addresses of the gateways to query, in random order with the previous entries first.
 func (g *Gateway) gatewaysToQuery() []string {
 	g.entries.mu.Lock()
 	previous, current := g.entries.previous, g.entries.current
@@ -90,7 +93,7 @@
 	return addresses[:min(len(addresses), maxGatewaysQueried)]
 }
 
-// controlAddresses returns where the others of some gateways answer, in random order.
+// controlAddresses returns the control addresses of the given gateways, without this one, in random order.
 func (g *Gateway) controlAddresses(gateways []member.Gateway) []string {
 	var addresses []string
 	for _, gateway := range gateways {
@@ -102,7 +105,7 @@
 	return addresses
 }
 
-// askEngines asks engines what they keep.
+// learnFromEngines queries engines for their cached prompt parts.
 func (g *Gateway) learnFromEngines(ctx context.Context) {
 	slots := make(chan struct{}, maxConcurrentQueries)
 	var queries sync.WaitGroup
@@ -116,7 +119,8 @@
 	queries.Wait()
 }
 
-// enginesToAsk returns the engines that this gateway asks, in random order: its own part of them, as those that take requests divide them.
+// enginesToQuery returns the engines that this gateway queries, in random order. In large groups each entry queries its
+// share.
 func (g *Gateway) enginesToQuery() []*backend.Worker {
 	names := gatewayNames(g.advertised())
 	var engines []*backend.Worker
@@ -131,13 +135,13 @@
 	return engines[:min(len(engines), maxEnginesQueried)]
 }
 
-// learnFrom asks one engine. One that does not answer is not asked again: its parts become known as they are used.
+// learnFromEngine queries one engine. Failures are not retried, because cached parts also become known as they are used.
 func (g *Gateway) learnFromEngine(ctx context.Context, engine *backend.Worker) {
 	ctx, cancel := context.WithTimeout(ctx, engineQueryTimeout)
 	defer cancel()
 	parts, err := g.ports.KeptParts.Kept(ctx, engine)
 	if err != nil {
-		logging.Part(g.logger, "gateway").WithError(err).Debug("An engine did not tell what it keeps.")
+		logging.Part(g.logger, "gateway").WithError(err).Debug("Querying an engine for cached prompt parts failed.")
 		return
 	}
 	g.dispatcher.Learn(engine.ID, parts)
--- a/internal/gateway/cachedparts_test.go
+++ b/internal/gateway/cachedparts_test.go
@@ -16,20 +16,20 @@
 	"github.com/granitebay/granitebay/internal/routing"
 )
 
-// countingParts counts the engines that are asked what they keep.
+// cacheQueryCounter counts queries of engine caches.
 type cacheQueryCounter struct{ queries atomic.Int64 }
 
-// Kept is part of forward.KeptParts.
+// Kept implements forward.KeptParts.
 func (c *cacheQueryCounter) Kept(context.Context, *backend.Worker) ([]forward.KeptPart, error) {
 	c.queries.Add(1)
 	return nil, nil
 }
 
-// anyDecoder reads nothing.
+// nopDecoder decodes nothing.
 type nopDecoder struct{ cluster.Decoder }
 
-// TestOnlyGatewaysThatTakeRequestsAskWhatEnginesKeep guards against a fleet of a thousand that starts: each gateway takes itself for an entry
-// until it knows the others, and all of them would ask each engine.
+// TestOnlyEntriesQueryEngineCaches guards against every gateway of a starting fleet querying every engine, since each
+// considers itself an entry until it knows the others.
 func TestOnlyEntriesQueryEngineCaches(t *testing.T) {
 	for _, isEntry := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
@@ -47,7 +47,7 @@
 			g.triggerLearning()
 			synctest.Wait()
 			if got := counter.queries.Load() > 0; got != isEntry {
-				t.Errorf("one that takes requests, %t, asked %d engines", isEntry, counter.queries.Load())
+				t.Errorf("with isEntry %t: %d engine queries", isEntry, counter.queries.Load())
 			}
 			cancel()
 		})
--- a/internal/gateway/capacity.go
+++ b/internal/gateway/capacity.go
@@ -9,19 +9,19 @@
 	"github.com/granitebay/granitebay/internal/routing"
 )
 
-// recordsBack is how long after an outage of the store, or the start, the records of workers may be missing that live: the pages say
-// two seconds, and a heartbeat besides.
+// recordRecoveryTime is how long after a store outage, or after the start, records of live workers may be missing: two
+// seconds plus a heartbeat.
 const recordRecoveryTime = 3500 * time.Millisecond
 
-// recordsShow is how long after the start most workers have recorded themselves: two heartbeats. Before that a zone that is full looks
-// empty.
+// initialRecordTime is how long after the start most workers have registered: two heartbeats. Before that, a full zone
+// looks empty.
 const initialRecordTime = 2500 * time.Millisecond
 
-// startTime is how long a fleet is new: until its first workers have recorded themselves, and before spot workers that it orders have
-// booted.
+// newFleetPeriod is how long a fleet counts as new. It covers the registration of the first workers and is shorter than
+// the boot time of ordered spot workers.
 const newFleetPeriod = 5 * time.Second
 
-// CapacityGroups is part of capacity.Fleet.
+// CapacityGroups implements capacity.Fleet.
 func (g *Gateway) CapacityGroups() []capacity.Group {
 	table := g.handler.Table()
 	if table == nil || !(g.isEntry() || g.controller.GivesOrders()) {
@@ -36,7 +36,7 @@
 	return groups
 }
 
-// capacityOf returns what is seen of the workers of a group.
+// capacityGroup returns the observed workers and the scaling limits of a group.
 func (g *Gateway) capacityGroup(group routing.Group) capacity.Group {
 	observed := capacity.Group{
 		Name: group.Name, Boot: group.Scaling.Boot, Present: capacity.Plan{}, Busy: g.dispatcher.Busy(group.Name),
--- a/internal/gateway/decisions.go
+++ b/internal/gateway/decisions.go
@@ -13,13 +13,13 @@
 	"github.com/granitebay/granitebay/internal/poison"
 )
 
-// keptDecisions is how many decisions a gateway keeps.
+// maxDecisions is the number of recent decisions that a gateway keeps.
 const maxDecisions = 2048
 
-// decide notes a decision.
+// recordDecision adds a decision to the decision log.
 func (g *Gateway) recordDecision(record decision.Record) { g.decisions.Append(time.Now(), record) }
 
-// requestEntry is what is kept of a request that has ended. It holds no body.
+// requestDecision is the decision log entry of a finished request. It holds no body.
 type requestDecision struct {
 	id              string
 	target          string
@@ -33,13 +33,14 @@
 	tries           []forward.Try
 	err             error
 	digest          *poison.Digest
-	// unanswered holds who closed the connection of a caller that got no whole answer, and how far its request was; nil for others.
+	// unanswered says who closed the connection of a caller that got no complete answer and how far its request had
+	// come; nil for answered requests.
 	unanswered map[string]string
 	roleLoss   *forward.Loss
 	ended      time.Time
 }
 
-// entryOf takes what is kept out of a report.
+// newRequestDecision extracts the decision log entry from a report.
 func newRequestDecision(report *forward.Report) requestDecision {
 	d := requestDecision{
 		rule: report.Rule, group: report.Group, version: report.Version, status: report.Status, reason: report.Reason,
@@ -60,12 +61,12 @@
 	return d
 }
 
-// smooth tells whether the request was served at once.
+// servedFirstTry reports whether the first worker tried served the request.
 func (d requestDecision) servedFirstTry() bool {
 	return d.reason == forward.ReasonServed && len(d.tries) == 1
 }
 
-// Record is part of decisionlog.Entry.
+// Record implements decisionlog.Entry.
 func (d requestDecision) Record() decision.Record {
 	record := decision.Record{
 		Kind: decision.KindRequest, Subject: d.id, Version: d.version, Outcome: strconv.Itoa(d.status),
@@ -78,7 +79,7 @@
 	return record
 }
 
-// inputs are the facts about the request, times in milliseconds.
+// inputs returns the facts about the request, with times in milliseconds.
 func (d requestDecision) inputs() map[string]string {
 	inputs := map[string]string{
 		"rule": d.rule, adminapi.InputGroup: d.group, "took_ms": strconv.FormatInt(d.duration.Milliseconds(), 10),
@@ -98,7 +99,7 @@
 		inputs[adminapi.InputWorker] = try.Worker
 	}
 	if d.roleLoss != nil {
-		inputs["role_gone"] = fmt.Sprintf("%d writers ended, %d engines are becoming writers, %d read; expected back in %d ms",
+		inputs["role_gone"] = fmt.Sprintf("%d decode engines terminated, %d engines changing to decode, %d prefill engines; expected back in %d ms",
 			d.roleLoss.Lost, d.roleLoss.Changing, d.roleLoss.Readers, d.roleLoss.Back.Sub(d.ended).Milliseconds())
 	}
 	if d.err != nil {
@@ -107,7 +108,7 @@
 	return inputs
 }
 
-// describeTry says in a few words what one worker did with a request.
+// describeTry describes one attempt to run a request on a worker.
 func describeTry(try forward.Try) string {
 	text := fmt.Sprintf("worker %s in %d ms", try.Worker, try.Ended.Sub(try.Begun).Milliseconds())
 	if try.Reader != "" {
@@ -120,7 +121,7 @@
 		text += fmt.Sprintf(", answer expected after %.0f ms", millisecondsPerSecond*try.Score.Answer)
 	}
 	if try.Deferred {
-		text += ", too late for its objective and so after all others"
+		text += ", too late for its objective and therefore deferred"
 	}
 	if try.Failure != "" {
 		text += ": " + try.Failure
@@ -128,7 +129,7 @@
 	return text
 }
 
-// describeScore names the parts of an expected cost that are not zero.
+// describeScore lists the non-zero components of an expected cost.
 func describeScore(score balance.Score) string {
 	parts := []struct {
 		name    string
@@ -146,5 +147,4 @@
 	return text
 }
 
-// millisecondsPerSecond turns seconds into milliseconds.
 const millisecondsPerSecond = 1000
--- a/internal/gateway/decisions_test.go
+++ b/internal/gateway/decisions_test.go
@@ -8,17 +8,17 @@
 	"github.com/granitebay/granitebay/internal/forward"
 )
 
-// TestATryTellsWhyItGaveWay shows that a request which was read after all others can be told from the logs, with the numbers.
+// TestDescribeTryOfDeferredRequest checks that the description of a try says that it was deferred and why.
 func TestDescribeTryOfDeferredRequest(t *testing.T) {
 	try := forward.Try{Worker: "w", Candidates: 3, Score: balance.Score{Queue: 0.2, Answer: 0.45}, Deferred: true}
 	text := describeTry(try)
 	for _, fragment := range []string{"answer expected after 450 ms", "too late for its objective"} {
 		if !strings.Contains(text, fragment) {
-			t.Errorf("%q does not say %q", text, fragment)
+			t.Errorf("%q does not contain %q", text, fragment)
 		}
 	}
 	try.Deferred = false
 	if text := describeTry(try); strings.Contains(text, "too late") {
-		t.Errorf("a try in time says %q", text)
+		t.Errorf("description of a try that was not deferred: %q", text)
 	}
 }
--- a/internal/gateway/enginemonitor.go
+++ b/internal/gateway/enginemonitor.go
@@ -18,40 +18,43 @@
 	"github.com/granitebay/granitebay/internal/roles"
 )
 
-// engineWatch asks engines that have ended, or that change their roles, how they are, ahead of their records; and tells when a role is
-// gone and when it is served again. Asking is no order: any gateway may, and each engine is asked by one of them.
+// engineMonitor probes engines that seem to have terminated or are changing roles, ahead of updates of their records,
+// and reports when a group loses its decode engines or gets them back. Probing requires no authority: any gateway may
+// probe, and each engine is assigned to one of them.
 type engineMonitor struct {
 	gateway *Gateway
 	logger  logrus.FieldLogger
 	wake    chan struct{}
-	// asked is when an engine was asked last, and first when it was asked first.
+	// lastProbed and firstProbed hold the times of an engine's latest and first probe, by worker ID.
 	lastProbed, firstProbed map[string]time.Time
-	// lost are the groups without a writer, and since when.
+	// lostSince holds the groups without a decode engine and since when.
 	lostSince map[string]time.Time
 }
 
-// Bounds of the questions.
+// Limits on probing.
 const (
-	// askTimeout bounds one question: longer than a loaded engine takes to answer, and short beside a change of role.
+	// probeTimeout bounds one probe. It is longer than a loaded engine takes to answer, and short compared with a role
+	// change.
 	probeTimeout = 300 * time.Millisecond
-	// askShare is the part of its absence after which an engine is asked again, from forward.AskEngineEvery up to longestAsk, which leaves
-	// two questions within the time that a word counts.
+	// probeBackoffRatio is the fraction of an engine's absence to wait between probes, from forward.AskEngineEvery up to
+	// maxProbeInterval. The maximum allows two probes within the time for which an answer counts.
 	probeBackoffRatio = 0.25
 	maxProbeInterval  = 700 * time.Millisecond
-	// idleEngineTick is how often a gateway looks for lost roles of which it has heard nothing: those whose records went.
+	// idleEngineInterval is how often to check for lost roles without a notification, which finds engines whose records
+	// were removed.
 	idleEngineInterval = time.Second
-	// enginesAskedAtOnce bounds the questions under way: a rack of a fleet of thousands is hundreds of engines.
+	// maxConcurrentProbes bounds concurrent probes: losing a rack in a large fleet affects hundreds of engines.
 	maxConcurrentProbes = 64
 )
 
-// newEngineWatch returns a watch that is woken by the dispatcher.
+// newEngineMonitor returns a monitor that the dispatcher wakes.
 func newEngineMonitor(g *Gateway) *engineMonitor {
 	m := &engineMonitor{
 		gateway: g, logger: logging.Part(g.logger, "engines"), wake: make(chan struct{}, 1), lastProbed: map[string]time.Time{},
 		firstProbed: map[string]time.Time{}, lostSince: map[string]time.Time{},
 	}
 	g.dispatcher.WatchEngines(func() {
-		// Not only once all questions are answered: a silent engine takes askTimeout.
+		// Don't wait for the probes: each silent engine takes probeTimeout.
 		g.controller.Wake()
 		select {
 		case m.wake <- struct{}{}:
@@ -61,7 +64,7 @@
 	return m
 }
 
-// run asks and tells until the context ends.
+// run probes engines and reports role losses until ctx is done.
 func (m *engineMonitor) run(ctx context.Context) {
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -84,7 +87,8 @@
 	}
 }
 
-// idleTick returns when to look for lost roles next. A gateway that stands by asks no engines and only records what it finds.
+// idleInterval returns the time until the next check for lost roles. A standby gateway probes no engines and only
+// records role losses.
 func (m *engineMonitor) idleInterval() time.Duration {
 	if m.gateway.isEntry() {
 		return idleEngineInterval
@@ -92,7 +96,7 @@
 	return standbyIntervalFactor * idleEngineInterval
 }
 
-// forget drops what is kept of engines that are not asked any more.
+// prune removes the state of engines that are no longer candidates for probing.
 func (m *engineMonitor) prune(questions []forward.Question) {
 	if len(m.firstProbed) == 0 {
 		return
@@ -109,8 +113,8 @@
 	}
 }
 
-// due returns the engines that this gateway asks now: its own part of them, and as the one that gives orders those whose end it has not
-// seen itself.
+// dueProbes returns the engines to probe now: those assigned to this gateway and, on the leader, absent ones whose
+// termination it has not confirmed itself.
 func (m *engineMonitor) dueProbes(now time.Time, questions []forward.Question) []forward.Question {
 	if len(questions) == 0 {
 		return nil
@@ -138,7 +142,7 @@
 	return due
 }
 
-// ask asks engines, some at a time.
+// probeAll probes engines concurrently.
 func (m *engineMonitor) probeAll(ctx context.Context, questions []forward.Question) {
 	slots := make(chan struct{}, maxConcurrentProbes)
 	var probes sync.WaitGroup
@@ -152,7 +156,7 @@
 	probes.Wait()
 }
 
-// askOne asks an engine how it is. Silence says nothing.
+// probe queries the state of one engine. A timeout is inconclusive.
 func (m *engineMonitor) probe(ctx context.Context, question forward.Question) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
@@ -168,15 +172,15 @@
 	case errors.Is(err, roles.ErrOtherWorker), errors.As(err, &transport) && transport.Refused():
 		m.gateway.dispatcher.EngineRefuses(worker.ID)
 	default:
-		m.logger.WithError(err).WithField("engine", worker.ID).Debug("An engine did not tell how it is.")
+		m.logger.WithError(err).WithField("engine", worker.ID).Debug("Probing an engine failed.")
 	}
 }
 
-// errLimitUsed means that a worker was not asked, because it takes only so many requests a second.
-var errWorkerLimitReached = errors.New("the worker takes no more requests of this gateway now")
+// errWorkerLimitReached means that a worker was not queried because its request limit leaves no room.
+var errWorkerLimitReached = errors.New("request limit of the worker is used up")
 
-// isTheSame returns nil if it is an engine itself that answers at its address, where connections were refused before: more often it is
-// the next one in its place, which may be of another service, and is left alone until its record tells.
+// verifyIdentity returns nil if the engine itself answers at an address that refused connections before. Usually it is a
+// replacement, possibly of another service, which is ignored until it has a record.
 func (m *engineMonitor) verifyIdentity(ctx context.Context, worker *backend.Worker) error {
 	path := m.gateway.healthPath(worker.Group)
 	if path == "" || m.gateway.ports.Identify == nil {
@@ -192,7 +196,7 @@
 	return err
 }
 
-// healthPath returns where the workers of a group tell who they are.
+// healthPath returns the path at which workers of a group report their ID, or "" if there is none.
 func (g *Gateway) healthPath(group string) string {
 	table := g.handler.Table()
 	if table == nil {
@@ -206,7 +210,7 @@
 	return ""
 }
 
-// tellLosses tells of roles that are gone and served again, and of engines that are back.
+// reportRoleLosses reports roles that were lost or regained, and engines that returned.
 func (m *engineMonitor) reportRoleLosses(now time.Time) {
 	losses := m.gateway.dispatcher.Losses()
 	for group, loss := range losses {
@@ -214,7 +218,7 @@
 			continue
 		}
 		m.lostSince[group] = now
-		m.reportRole(group, "gone", fmt.Sprintf("No engine of the group writes answers: %d have ended, and %d readers live.", loss.Lost, loss.Readers),
+		m.reportRole(group, "gone", fmt.Sprintf("The group has no decode engine: %d terminated, %d prefill engines are left.", loss.Lost, loss.Readers),
 			map[string]string{
 				"ended": fmt.Sprint(loss.Lost), "changing": fmt.Sprint(loss.Changing), "readers": fmt.Sprint(loss.Readers),
 				"expected_in_ms": fmt.Sprint(time.Until(loss.Back).Milliseconds()),
@@ -223,19 +227,19 @@
 	for group, since := range m.lostSince {
 		if _, lost := losses[group]; !lost {
 			delete(m.lostSince, group)
-			m.reportRole(group, "served again", "An engine of the group writes answers again.",
+			m.reportRole(group, "served again", "The group has a decode engine again.",
 				map[string]string{"after_ms": fmt.Sprint(now.Sub(since).Milliseconds())})
 		}
 	}
 	for _, returned := range m.gateway.dispatcher.Returned() {
-		m.reportRole(returned.Worker.RoleGroup(), "back", "An engine that had ended is recorded again.", map[string]string{
+		m.reportRole(returned.Worker.RoleGroup(), "back", "An engine that had terminated is registered again.", map[string]string{
 			"worker": returned.Worker.ID, "address": returned.Worker.Address, "role": string(returned.Worker.Role),
 			"after_ms": fmt.Sprint(returned.Away.Milliseconds()),
 		})
 	}
 }
 
-// note logs and records one step of the loss of a role.
+// reportRole logs a change in the availability of a role and records it as a decision.
 func (m *engineMonitor) reportRole(group, outcome, reason string, inputs map[string]string) {
 	fields := logrus.Fields{"group": group}
 	for name, value := range inputs {
--- a/internal/gateway/entries.go
+++ b/internal/gateway/entries.go
@@ -20,48 +20,52 @@
 	"github.com/granitebay/granitebay/internal/retrybudget"
 )
 
-// entrySet is what this gateway has last taken the entries to be.
+// entryState is the most recent view of the entries, the gateways that receive the requests of callers.
 type entryState struct {
 	mu sync.Mutex
-	// current are the entries, suspects those that serve and have fallen silent, and serving counts all.
+	// current are the entries, suspects the serving gateways that have gone silent. servingCount counts all serving
+	// gateways.
 	current, suspects []member.Gateway
-	// before are those that were the entries until the last change of them.
+	// previous are the entries before the last change.
 	previous     []member.Gateway
 	servingCount int
-	// holder gives the orders for all, and told is who this gateway tells what it does.
+	// leader is the name of the leader, and peers are the addresses that this gateway sends its load to.
 	leader string
 	peers  []string
-	// takesRequests is set while this gateway is an entry, and since when that is so or not.
+	// isEntry is set while this gateway is an entry, and roleSince is when that last changed.
 	isEntry   bool
 	roleSince time.Time
-	// sharers is by how many the allowance of repeats was last divided here.
+	// retrySharers is the number by which the retry allowance was last divided.
 	retrySharers int
-	// named are the gateways that callers are told, as they were at a moment; the zero moment is out of date.
+	// advertised caches the gateways named to callers; a zero advertisedAt invalidates it.
 	advertised   []member.Gateway
 	advertisedAt time.Time
 }
 
-// namedFor is how long the gateways that callers are told are taken to be the same, unless the list changes: a small part of the silence
-// after which one is suspected. Hundreds of questions a second ask for them.
+// advertisedTTL is how long the advertised gateways are cached, since hundreds of requests a second ask for them. It is
+// short compared with the silence after which a gateway is suspected.
 const advertisedTTL = 50 * time.Millisecond
 
-// Times of the watch of the entries.
+// Timing of watchEntries.
 const (
-	// entryTick is how often an entry looks at the others: a part of the silence after which a gateway is suspected. A gateway that
-	// stands by is told of changes, and looks by itself calmTicks times as rarely.
+	// entryCheckInterval is how often an entry checks the other gateways; it is short compared with the silence after
+	// which a gateway is suspected. A standby gateway is notified of changes and checks standbyIntervalFactor times less
+	// often.
 	entryCheckInterval    = 200 * time.Millisecond
 	standbyIntervalFactor = 5
-	// standstill is the time between two looks, beyond the tick, from which on this process has stood still.
+	// stallThreshold is the delay of a check from which on the process is considered to have been stalled.
 	stallThreshold = 400 * time.Millisecond
-	// leastSleep is the shortest time asleep that is told: the clocks are read one after the other, a turn of the processor apart.
+	// minLoggedSuspension is the shortest suspension that is logged. Shorter ones may result from reading two clocks in
+	// sequence.
 	minLoggedSuspension = 50 * time.Millisecond
-	// briefAfter is how long a gateway is an entry before it renews a short lease, and calmAfter how long it stands by before it
-	// renews a long one: each change is two calls to the store, and a fleet that starts changes its mind some times.
+	// shortLeaseDelay is how long a gateway is an entry before it renews a short lease, and longLeaseDelay how long it
+	// stands by before it renews a long one. Each change costs two store calls, and roles may change several times while
+	// a fleet starts.
 	shortLeaseDelay = time.Second
 	longLeaseDelay  = 5 * time.Second
 )
 
-// watchEntries follows who takes requests until the context ends.
+// watchEntries tracks which gateways are entries until ctx is done.
 func (g *Gateway) watchEntries(ctx context.Context) {
 	lastCheck := boottime.Now()
 	suspensions := boottime.NewWatch()
@@ -90,24 +94,24 @@
 	}
 }
 
-// takesRequests tells whether this gateway is an entry.
+// isEntry reports whether this gateway is an entry.
 func (g *Gateway) isEntry() bool {
 	g.entries.mu.Lock()
 	defer g.entries.mu.Unlock()
 	return g.entries.isEntry
 }
 
-// Entries returns the gateways to which callers are sent, by name.
+// Entries returns the gateways that callers are sent to, sorted by name.
 func (g *Gateway) Entries() []member.Gateway {
 	g.entries.mu.Lock()
 	defer g.entries.mu.Unlock()
 	return g.entries.current
 }
 
-// entryNames returns their names.
+// entryNames returns the names of the entries.
 func (g *Gateway) entryNames() []string { return gatewayNames(g.Entries()) }
 
-// named returns the gateways that callers are told.
+// advertised returns the gateways named to callers: the entries that are known to be alive.
 func (g *Gateway) advertised() []member.Gateway {
 	g.entries.mu.Lock()
 	defer g.entries.mu.Unlock()
@@ -117,12 +121,12 @@
 	return g.entries.advertised
 }
 
-// entriesToTell returns the names of the entries, and of those among them that are known to live.
+// feedEntries returns the names of all entries and of the live ones, to be sent along with the change feed.
 func (g *Gateway) feedEntries() (all, live []string) {
 	return g.entryNames(), gatewayNames(g.advertised())
 }
 
-// entriesTold takes the names of the entries of another gateway, and of those among them that it has heard.
+// receiveFeedEntries applies the entries that another gateway sent along with its change feed.
 func (g *Gateway) receiveFeedEntries(names, live []string) {
 	g.view.Told(names, live)
 	if !slices.Equal(names, g.entryNames()) {
@@ -130,27 +134,27 @@
 	}
 }
 
-// isChosen tells whether this gateway is the one for a key among those that take requests and are known to live. Gateways that know the same
-// ones agree without a message.
+// ownsKey reports whether this gateway is responsible for a key. Gateways with the same list of live entries agree
+// without communicating.
 func (g *Gateway) ownsKey(key string) bool {
 	return rendezvous.First(key, gatewayNames(g.advertised())) == g.settings.Name
 }
 
-// lister returns which gateway lists the store for all that take requests, and whether it is this one. Those that know the same ones agree.
+// lister returns the name of the entry that lists the store on behalf of all entries, and whether it is this gateway.
 func (g *Gateway) lister() (string, bool) {
 	name := rendezvous.First(listerElectionKey, gatewayNames(g.advertised()))
 	return name, name == g.settings.Name
 }
 
-// listerKey chooses the gateway that lists the store for all.
+// listerElectionKey is hashed to choose the lister.
 const listerElectionKey = "lister"
 
-// namesOf returns the names of gateways.
+// gatewayNames returns the names of the given gateways.
 func gatewayNames(gateways []member.Gateway) []string {
 	return lo.Map(gateways, func(gateway member.Gateway, _ int) string { return gateway.Name })
 }
 
-// GatewaysChanged is part of cluster.Listener. It tells all parts who takes requests, if that has changed.
+// GatewaysChanged implements cluster.Listener. It passes a changed set of entries on to all components.
 func (g *Gateway) GatewaysChanged() {
 	g.entries.mu.Lock()
 	defer g.entries.mu.Unlock()
@@ -182,7 +186,7 @@
 	g.loadExchange.SetAudience(audience)
 }
 
-// setHolder notes who gives the orders for all, and tells whether that has changed.
+// setLeader records the name of the leader and reports whether it has changed.
 func (g *Gateway) setLeader(name string) bool {
 	g.entries.mu.Lock()
 	defer g.entries.mu.Unlock()
@@ -191,7 +195,7 @@
 	return changed
 }
 
-// holderOf returns the gateway of a name among those that serve, or none.
+// findServing returns the serving gateway with the given name as a slice, or nil.
 func (g *Gateway) findServing(name string) []member.Gateway {
 	if gateway, serves := g.view.Find(name); serves {
 		return []member.Gateway{gateway}
@@ -199,7 +203,7 @@
 	return nil
 }
 
-// noteRole notes whether this gateway takes requests.
+// updateEntryRole records and logs whether this gateway is an entry. The mutex of entries must be held.
 func (g *Gateway) updateEntryRole(isEntry bool, entries, serving int) {
 	if isEntry == g.entries.isEntry && !g.entries.roleSince.IsZero() {
 		return
@@ -214,12 +218,12 @@
 		Infof("This gateway %s.", outcome)
 	g.recordDecision(decision.Record{
 		Kind: decision.KindEntry, Subject: g.settings.Name, Outcome: outcome,
-		Reason: fmt.Sprintf("Callers are sent to %d of %d gateways, so that each of them knows the work of all others.", entries, serving),
+		Reason: fmt.Sprintf("Callers are sent to %d of %d gateways, so that each of these knows the load of all others.", entries, serving),
 	})
 }
 
-// setSharers divides the allowance of repeats, and logs by what when that has changed. Gateways in doubt may take requests and spend as
-// entries do, so that entries count them.
+// setRetrySharers divides the retry allowance and logs a changed divisor. Entries also count uncertain gateways, which
+// may still accept requests and spend retries. The mutex of entries must be held.
 func (g *Gateway) setRetrySharers(standby bool, entries, inDoubt, serving int) {
 	sharers := retrybudget.Sharers(standby, entries, serving)
 	if !standby {
@@ -235,14 +239,15 @@
 	g.entries.retrySharers = sharers
 }
 
-// budgetUsedUp logs that no repeat is left for a group.
+// logBudgetExhausted logs that a group has no retries left.
 func (g *Gateway) logBudgetExhausted(group string, view retrybudget.View) {
 	logging.Part(g.logger, "budget").WithFields(logrus.Fields{
 		"group": group, "granted": view.Granted, "denied": view.Denied, "share": view.Share,
 	}).Warn("The budget of repeats is used up.")
 }
 
-// adaptLease renews a short lease while this gateway takes requests, because its loss has to be noticed, and a long one otherwise.
+// adaptLease uses a short lease while this gateway is an entry, so that its loss is noticed quickly, and a long one
+// otherwise.
 func (g *Gateway) adaptLease(now time.Time) {
 	g.entries.mu.Lock()
 	isEntry, roleAge := g.entries.isEntry, now.Sub(g.entries.roleSince)
@@ -255,8 +260,8 @@
 	}
 }
 
-// leased tells the controller of the lease with which it may hold its key: that of a gateway that takes requests. One that stands
-// by has a lease so long that nobody could follow it in time.
+// handleLease passes a renewed lease to the controller. A standby gateway does not offer its lease for the controller
+// key, because a successor would have to wait too long for its expiry.
 func (g *Gateway) handleLease(start time.Time, lease int64, ttl time.Duration) {
 	g.view.Connected(g.isEntry())
 	g.replica.Answered()
@@ -266,16 +271,16 @@
 	g.controller.Leased(start, lease, ttl)
 }
 
-// audienceOf returns whom a gateway tells what it does: the entries, those in doubt, and the one that gives the orders for all, which need
-// not be an entry in the eyes of each. In doubt are those that have fallen silent, which else would never hear that they are heard again,
-// and those that take requests and are no entries here, which else would never hear that others are.
+// audienceOf returns the recipients of a gateway's load messages: the entries, the uncertain gateways and the leader.
+// Uncertain gateways are suspects, which otherwise would not learn that they are heard again, and gateways that consider
+// themselves entries while this one does not, which otherwise would not learn of the other entries.
 func audienceOf(ownName string, entries, inDoubt, leader []member.Gateway) loadshare.Audience {
 	isEntry := slices.ContainsFunc(entries, func(entry member.Gateway) bool { return entry.Name == ownName })
 	recipients := lo.UniqBy(slices.Concat(entries, inDoubt, leader), func(gateway member.Gateway) string { return gateway.Name })
 	return loadshare.Audience{Peers: peerAddresses(ownName, recipients), StandsBy: !isEntry}
 }
 
-// peersOf returns the addresses of the other gateways.
+// peerAddresses returns the peer addresses of the gateways other than ownName.
 func peerAddresses(ownName string, gateways []member.Gateway) []string {
 	var peers []string
 	for _, gateway := range gateways {
--- a/internal/gateway/entrysizing.go
+++ b/internal/gateway/entrysizing.go
@@ -15,14 +15,15 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// sizeInterval is how often the need for entries is looked at: as often as gateways tell all that they do.
+// sizingInterval is how often the leader updates the required entry capacity. It equals the interval at which gateways
+// send their full state.
 const sizingInterval = time.Second
 
-// idleSizeInterval is how often a gateway that gives no orders looks whether it does by now.
+// idleSizingInterval is how often other gateways check whether they have become the leader.
 const idleSizingInterval = 5 * time.Second
 
-// sizeEntries says how many cores the entries are to have together, while this gateway gives orders, until the context ends. The need
-// lies in the store, so that all gateways pick the same entries.
+// sizeEntries determines how many cores the entries need in total while this gateway is the leader, until ctx is done.
+// The result is kept in the store, so that all gateways select the same entries.
 func (g *Gateway) sizeEntries(ctx context.Context) {
 	sizer := member.NewSizer(member.DefaultSizerSettings())
 	timer := time.NewTimer(idleSizingInterval)
@@ -42,13 +43,13 @@
 		if cores, changed := sizer.Next(time.Now(), g.entryUtilization(), need); changed {
 			g.writeNeed(ctx, cores, revision)
 		} else if need > 0 && revision == 0 {
-			// The store has lost it.
+			// The store has lost the value.
 			g.writeNeed(ctx, need, revision)
 		}
 	}
 }
 
-// entriesBusy returns what the entries use of their limits.
+// entryUtilization returns the utilization of each entry.
 func (g *Gateway) entryUtilization() []member.Busy {
 	utilization := g.dispatcher.PeersBusy()
 	utilization[g.settings.Name] = g.utilization.peak()
@@ -59,7 +60,7 @@
 	return busy
 }
 
-// writeNeed writes the need, unless somebody else has written one meanwhile.
+// writeNeed stores the required cores, unless the stored value has changed since the given revision.
 func (g *Gateway) writeNeed(ctx context.Context, cores float64, revision store.Revision) {
 	ctx, cancel := context.WithTimeout(ctx, sizingInterval)
 	defer cancel()
@@ -72,12 +73,12 @@
 		})
 	}
 	if err != nil {
-		log.WithError(errors.Wrap(err, "step write the need for entries")).Warn("The number of entries stays as it is.")
+		log.WithError(errors.Wrap(err, "write required entry capacity")).Warn("The required entry capacity is unchanged.")
 		return
 	}
-	log.Info("The entries are to have other cores together.")
+	log.Info("Changed the required entry capacity.")
 	g.recordDecision(decision.Record{
 		Kind: decision.KindEntry, Subject: member.NeedKey, Outcome: fmt.Sprintf("%.1f cores", cores),
-		Reason: "What the entries use of their processors, links and descriptors asks for that many cores.",
+		Reason: "The CPU, network and descriptor utilization of the entries requires this capacity.",
 	})
 }
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -33,38 +33,40 @@
 	"github.com/granitebay/granitebay/internal/usage"
 )
 
-// Ports are how the surroundings of a gateway speak.
+// Ports holds the external dependencies of a Gateway.
 type Ports struct {
 	Store    store.Store
 	Decoder  cluster.Decoder
 	Protocol forward.Protocol
-	// Labelled is the protocol of requests that are matched by labels; nil serves none.
+	// Labelled is the protocol of requests that are routed by labels; nil disables it.
 	Labelled forward.LabelledProtocol
 	Workers  forward.Workers
 	Orderer  roles.Orderer
-	// Usage takes reports of the usage of tenants; nil when there are none.
+	// Usage receives the usage reports of tenants; nil disables reporting.
 	Usage usage.Sender
-	// Capacity takes orders of workers; nil when there are none.
+	// Capacity takes orders for workers; nil disables them.
 	Capacity capacity.Orderer
-	// KeptParts tells what engines keep of prompts; nil leaves that to be learnt from requests.
+	// KeptParts queries engines for the prompt parts in their caches; if nil, these are learned only from served
+	// requests.
 	KeptParts forward.KeptParts
-	// Prober asks whether workers have ended.
+	// Prober checks whether a worker's process has terminated.
 	Prober poison.Prober
-	// Identify returns the id of the worker that answers at the address of another one, by the path of its health.
+	// Identify returns the ID of the worker that answers the health path at the address of the given one.
 	Identify func(ctx context.Context, worker *backend.Worker, path string) (string, error)
-	// WatchNotices tells whom to tell what workers say of themselves in their answers, and what of it can't be read; nil tells nobody.
+	// WatchNotices registers a callback for the notices in workers' answers, with an error for those that cannot be
+	// parsed. May be nil.
 	WatchNotices func(heard func(worker *backend.Worker, notice backend.Notice, err error))
-	// WatchEra tells whom to tell that the store says that it has come back from an older copy; nil tells nobody.
+	// WatchEra registers a callback for store responses that report a restore from an older copy. May be nil.
 	WatchEra func(heard func(era int64))
-	// ForgetAddress closes resting connections to an address at which no worker is any more.
+	// ForgetAddress closes idle connections to an address that no worker uses any more.
 	ForgetAddress func(address string)
-	// ReadyHandler serves the question whether the gateway takes requests.
+	// ReadyHandler returns the handler of the readiness endpoint.
 	ReadyHandler func(ready func() bool) http.Handler
-	// DirectoryHandler serves the question where callers of a zone connect.
+	// DirectoryHandler returns the handler that tells callers of a zone which gateways to connect to.
 	DirectoryHandler func(resolve func(zone string) ([]string, time.Duration)) http.Handler
 }
 
-// Gateway is a running gateway.
+// Gateway accepts requests of callers and forwards them to workers, as one member of a fleet of gateways.
 type Gateway struct {
 	settings Settings
 	ports    Ports
@@ -90,27 +92,27 @@
 	workerLimits  *limitTracker
 	capacity      *capacity.Executor
 
-	// grace and addressTTL are durations that Reload may change.
+	// gracePeriod and addressTTL are durations in nanoseconds that Reload may change.
 	gracePeriod atomic.Int64
 	addressTTL  atomic.Int64
 
 	decisions *decisionlog.Log
 	startedAt time.Time
 
-	// workersMu guards the workers as they tell of themselves, and the configuration that puts them into groups.
+	// workersMu guards the known workers and the configuration that assigns them to groups.
 	workersMu sync.Mutex
 	workers   backend.Set
-	// addresses counts the workers at each address.
+	// workersAtAddress counts the workers at each address.
 	workersAtAddress map[string]int
 	configuration    *routing.Configuration
-	// workersKnown is closed once there are workers in groups.
+	// workersKnown is closed once the first workers are assigned to groups.
 	workersKnown     chan struct{}
 	workersKnownOnce sync.Once
-	// learn asks for what engines keep to be learnt, and keptAsker asks other gateways for it.
+	// learnTrigger starts learning which prompt parts engines cache; cacheAsker queries other gateways for them.
 	learnTrigger chan struct{}
-	// restoring asks for what the store has lost to be written again.
+	// restoreTrigger requests that data lost by the store be written again.
 	restoreTrigger chan struct{}
-	// lacksEdits is set while the store may have lost edits of operators that are in force here.
+	// editsMayBeLost is set while the store may lack operators' edits that are in force here.
 	editsMayBeLost atomic.Bool
 	cacheAsker     *keptshare.Asker
 
@@ -120,7 +122,7 @@
 	tasks       sync.WaitGroup
 }
 
-// New puts a gateway together.
+// New returns a gateway that does nothing until Start is called.
 func New(settings Settings, ports Ports, logger *logrus.Logger) *Gateway {
 	g := &Gateway{settings: settings, ports: ports, logger: logger}
 	g.startedAt = time.Now()
@@ -203,10 +205,10 @@
 	return g
 }
 
-// everything is the prefix of all keys: one watch serves configuration, workers and gateways.
+// allKeys is the prefix of all keys: a single watch covers configuration, workers and gateways.
 const allKeys = ""
 
-// Start listens and begins to serve.
+// Start opens the listeners and starts the background tasks.
 func (g *Gateway) Start() error {
 	ctx, cancel := context.WithCancel(context.Background())
 	g.cancel = cancel
@@ -257,7 +259,7 @@
 	return nil
 }
 
-// controlHandler answers other gateways: what the store holds, and what engines keep.
+// controlHandler serves other gateways: the contents of the store, and the prompt parts that engines cache.
 func (g *Gateway) controlHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/", changefeed.Handler(g.replica, g.feedEntries))
@@ -265,7 +267,7 @@
 	return mux
 }
 
-// share begins to tell the other gateways what this one does, and to hear them.
+// startLoadExchange starts exchanging load and notices with the other gateways.
 func (g *Gateway) startLoadExchange(ctx context.Context) error {
 	settings := loadshare.DefaultSettings()
 	settings.Name, settings.Listen = g.settings.Name, g.settings.ListenPeers
@@ -283,7 +285,7 @@
 	return nil
 }
 
-// Drain is part of loadshare.Source.
+// Drain implements loadshare.Source.
 func (g *Gateway) Drain(full bool) loadshare.Message {
 	message := g.dispatcher.Drain(full)
 	if full {
@@ -294,7 +296,7 @@
 	return message
 }
 
-// Hear is part of loadshare.Source.
+// Hear implements loadshare.Source.
 func (g *Gateway) Hear(message *loadshare.Message) {
 	if message.StandsBy {
 		g.view.Unheard(message.Sender)
@@ -306,27 +308,27 @@
 	g.dispatcher.Hear(message)
 }
 
-// listen serves at an address.
+// listen opens a listener and serves it in the background.
 func (g *Gateway) listen(address string, serve func(net.Listener) error) error {
 	listener, err := netdial.Listen(address)
 	if err != nil {
-		return errors.Wrapf(err, "step listen, address %s", address)
+		return errors.Wrapf(err, "listen on %s", address)
 	}
 	g.tasks.Go(func() { _ = serve(listener) })
 	return nil
 }
 
-// serveCallers serves callers, and sees what accepts their connections.
+// serveCallers serves callers and monitors the accept loop.
 func (g *Gateway) serveCallers(listener net.Listener) error {
 	return g.callers.Serve(g.accepting.Watch(listener))
 }
 
-// Ready tells whether the gateway takes requests, and new connections for them.
+// Ready reports whether the gateway accepts connections and requests.
 func (g *Gateway) Ready() bool {
 	return g.handler.Table() != nil && !g.leaving.Load() && g.accepting.Able(time.Now())
 }
 
-// resolve returns the addresses to which callers of a zone connect.
+// resolve returns the addresses that callers connect to and how long to cache them.
 func (g *Gateway) resolve(string) ([]string, time.Duration) {
 	var addresses []string
 	for _, gateway := range g.advertised() {
@@ -335,18 +337,18 @@
 	return addresses, time.Duration(g.addressTTL.Load())
 }
 
-// Stop steps of a planned stop.
+// Timing of a graceful stop.
 const (
-	// serveWhileLeaving is how long a leaving gateway still serves callers that kept its address.
+	// drainPeriod is how long a stopping gateway still accepts requests, for callers that cached its address.
 	drainPeriod = 3 * time.Second
-	// stopMargin is left of the grace when everything is given up.
+	// stopMargin is reserved at the end of the grace period to abort what is still running.
 	stopMargin = 500 * time.Millisecond
-	// stopPoll is how often the end of the requests in hand is looked for.
+	// stopPollInterval is how often to check whether all requests have finished.
 	stopPollInterval = 50 * time.Millisecond
 )
 
-// Stop ends the gateway as planned: the others and the callers are told first, what is in hand is finished, and new requests
-// are refused as not run once callers had the time to go elsewhere.
+// Stop shuts the gateway down gracefully. It notifies the other gateways and the callers, finishes running requests, and
+// after drainPeriod rejects new requests as not executed.
 func (g *Gateway) Stop() {
 	start := time.Now()
 	log := logging.Part(g.logger, "gateway")
@@ -367,7 +369,7 @@
 	g.close()
 }
 
-// close ends everything at once.
+// close terminates everything immediately.
 func (g *Gateway) close() {
 	g.cancel()
 	if g.loadExchange != nil {
@@ -380,22 +382,22 @@
 	g.tasks.Wait()
 }
 
-// Serves tells whether the gateway takes requests and knows workers that can run them.
+// Serves reports whether the gateway is ready and knows workers that can run requests.
 func (g *Gateway) Serves() bool {
 	g.workersMu.Lock()
 	defer g.workersMu.Unlock()
 	return g.Ready() && len(g.workers) > 0
 }
 
-// knownWorkers returns how many workers the gateway knows: all while it takes requests, a shard of them while it stands by.
+// knownWorkers returns the number of known workers: all of them on an entry, a shard on a standby gateway.
 func (g *Gateway) knownWorkers() int {
 	g.workersMu.Lock()
 	defer g.workersMu.Unlock()
 	return len(g.workers)
 }
 
-// Decisions returns the decisions of the gateway.
+// Decisions returns the decision log of the gateway.
 func (g *Gateway) Decisions() *decisionlog.Log { return g.decisions }
 
-// Close ends the gateway at once.
+// Close terminates the gateway immediately.
 func (g *Gateway) Close() { g.close() }
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -7,7 +7,7 @@
 	"github.com/granitebay/granitebay/internal/member"
 )
 
-// TestEveryEntryTellsEveryOther guards against entries of a large fleet that know only a part of the work of the others.
+// TestEveryGatewaySendsToAllEntries guards against entries in a large fleet that know the load of only some gateways.
 func TestEveryGatewaySendsToAllEntries(t *testing.T) {
 	var serving, entries []member.Gateway
 	for i := range 100 {
@@ -26,11 +26,11 @@
 	}
 	for _, entry := range entries {
 		if senders[entry.Name] != len(serving)-1 {
-			t.Errorf("%s is told by %d", entry.Name, senders[entry.Name])
+			t.Errorf("%s has %d senders", entry.Name, senders[entry.Name])
 		}
 	}
 	if len(senders) != len(entries) {
-		t.Errorf("%d are told of %d entries", len(senders), len(entries))
+		t.Errorf("%d recipients, want %d", len(senders), len(entries))
 	}
 }
 
@@ -39,7 +39,7 @@
 	leader := member.Gateway{Name: "c", PeerAddress: "3"}
 	for name, want := range map[string]string{"a": "[2 3]", "b": "[1 3]", "c": "[1 2]", "d": "[1 2 3]"} {
 		if audience := audienceOf(name, entries, entries[:1], []member.Gateway{leader}); fmt.Sprint(audience.Peers) != want {
-			t.Errorf("%s tells %v, want %s", name, audience.Peers, want)
+			t.Errorf("audience of %s is %v, want %s", name, audience.Peers, want)
 		}
 	}
 }
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -16,7 +16,7 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// ConfigurationChanged is part of cluster.Listener.
+// ConfigurationChanged implements cluster.Listener.
 func (g *Gateway) ConfigurationChanged(changed *routing.Configuration) {
 	g.handler.SetTable(routing.NewTable(changed, g.handler.Table()))
 	g.controller.SetGroups(changed.Groups)
@@ -26,11 +26,11 @@
 		"idle_ms": changed.Limits.IdleTimeout.Milliseconds(), "header_ms": changed.Limits.HeaderTimeout.Milliseconds(),
 	}).Info("Configuration in force.")
 	if duplicates := changed.Tenants.Doubled(); duplicates > 0 {
-		logging.Part(g.logger, "gateway").WithField("keys", duplicates).Warn("Keys are given to two tenants. They belong to the first.")
+		logging.Part(g.logger, "gateway").WithField("keys", duplicates).Warn("Some keys are assigned to two tenants; the first one keeps them.")
 	}
 	g.recordDecision(decision.Record{
 		Kind: decision.KindConfiguration, Subject: "configuration", Outcome: fmt.Sprintf("version %d", changed.Version),
-		Reason: fmt.Sprintf("The store holds version %d of the routes and revision %d of the rules by labels.", changed.Version, changed.Revision),
+		Reason: fmt.Sprintf("Applied version %d of the routes and revision %d of the label rules.", changed.Version, changed.Revision),
 	})
 	g.workersMu.Lock()
 	defer g.workersMu.Unlock()
@@ -38,7 +38,7 @@
 	g.selectWorkers()
 }
 
-// WorkersChanged is part of cluster.Listener.
+// WorkersChanged implements cluster.Listener.
 func (g *Gateway) WorkersChanged(changes backend.Changes) {
 	g.workersMu.Lock()
 	defer g.workersMu.Unlock()
@@ -50,8 +50,8 @@
 	logging.Part(g.logger, "gateway").WithField("workers", len(g.workers)).Debug("Workers changed.")
 }
 
-// countAddresses takes workers that are to be changed, and closes the connections to addresses at which none is left. The mutex of the
-// workers is held.
+// updateAddresses counts the workers at each address before changes are applied, and closes connections to addresses
+// without workers. workersMu must be held.
 func (g *Gateway) updateAddresses(changes backend.Changes) {
 	release := func(id string) {
 		previous := g.workers[id]
@@ -74,20 +74,20 @@
 	}
 }
 
-// selectWorkers puts all workers into their groups. The mutex of the workers is held.
+// selectWorkers assigns all workers to groups. workersMu must be held.
 func (g *Gateway) selectWorkers() {
 	g.dispatcher.SetWorkers(g.configuration.Select(g.workers))
 	g.markWorkersKnown()
 }
 
-// noteWorkersKnown notes that there are workers in groups. The mutex of the workers is held.
+// markWorkersKnown closes workersKnown once workers are assigned to groups. workersMu must be held.
 func (g *Gateway) markWorkersKnown() {
 	if g.configuration != nil && len(g.workers) > 0 {
 		g.workersKnownOnce.Do(func() { close(g.workersKnown) })
 	}
 }
 
-// Reload takes settings that were read anew. Addresses and names stay as they were at the start.
+// Reload applies changed settings. Addresses and names keep their values from the start.
 func (g *Gateway) Reload(settings Settings) {
 	g.gracePeriod.Store(int64(settings.Grace))
 	g.addressTTL.Store(int64(min(settings.AddressTTL, settings.MaxAddressTTL)))
@@ -96,17 +96,18 @@
 	logging.Part(g.logger, "gateway").Info("Settings in force.")
 }
 
-// outageMemory is how long after an outage missing records of workers are put down to it.
+// outageMemory is how long after a store outage missing worker records are attributed to it.
 const outageMemory = 1500 * time.Millisecond
 
-// lostTime is how long a worker is used whose record the store has lost with an older copy. It writes its record again with one of its next
-// heartbeats, some of which may be lost; one that has ended meanwhile is found by its connections.
+// lostRecordTimeout is how long a worker stays in use after a store restore lost its record. Live workers register again
+// with one of their next heartbeats, some of which may be lost; a worker that has terminated is detected by its
+// connections.
 const lostRecordTimeout = 5 * time.Second
 
-// fadeShare is the part of the time to drain for which a worker without a record stays in use after an outage.
+// fadeRatio is the fraction of the drain time for which a worker without a record stays in use after a store outage.
 const fadeRatio = 0.6
 
-// rosterOf returns the settings of the list of workers.
+// rosterSettings derives the settings of the worker roster.
 func rosterSettings(settings Settings) backend.RosterSettings {
 	return backend.RosterSettings{
 		FadeTime:     time.Duration(fadeRatio * float64(settings.DrainTime)),
@@ -115,14 +116,14 @@
 	}
 }
 
-// budgetOf returns the share of the repeats that a gateway spends.
+// budgetSettings derives the settings of the retry budgets.
 func budgetSettings(settings Settings) retrybudget.Settings {
 	return retrybudget.Settings{
 		Ratio: settings.RetryRatio, Allowance: settings.RetryAllowance, Window: settings.RetryWindow, Safety: retrybudget.DefaultSafety,
 	}
 }
 
-// ControllerChanged is part of cluster.Listener.
+// ControllerChanged implements cluster.Listener.
 func (g *Gateway) ControllerChanged(value []byte, revision store.Revision) {
 	rank := 0
 	for i, gateway := range g.Entries() {
@@ -136,8 +137,8 @@
 	}
 }
 
-// Confirmed is part of cluster.Listener. The entries were told of every change by then. The word of a first start may be that of settings
-// that were kept since, so that the store has to agree.
+// Confirmed implements cluster.Listener. The set of entries is up to date at this point. FirstStart may be left over
+// from an earlier deployment, so the store must also indicate a new fleet.
 func (g *Gateway) Confirmed(at time.Time, fleetIsNew bool) {
 	if g.settings.FirstStart && fleetIsNew {
 		g.dispatcher.BeginFirst(at)
@@ -146,8 +147,8 @@
 	g.dispatcher.ConfirmShare(at)
 }
 
-// Registered is part of cluster.Listener. What the store holds from now on confirms it, and is asked for at once.
+// Registered implements cluster.Listener. It shortens the next watch, so that the registration is confirmed soon.
 func (g *Gateway) Registered() { g.replica.Hasten() }
 
-// Unregistered is part of cluster.Listener.
+// Unregistered implements cluster.Listener.
 func (g *Gateway) Unregistered() { g.registration.Again() }
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -20,46 +20,48 @@
 	"github.com/granitebay/granitebay/internal/usage"
 )
 
-// Names of the figures.
+// Metric names.
 const (
 	metricRequests  = "granitebay_requests_total"
 	metricFirstByte = "granitebay_first_byte_seconds"
 	metricTries     = "granitebay_tries_total"
-	// metricDeferred counts requests that gave way to others because they were expected too late.
+	// metricDeferred counts requests that were deferred because they were expected to miss their objective.
 	metricDeferred = "granitebay_deferred_total"
-	// metricLinesLeftOut counts log lines about requests that were left out because there were too many.
+	// metricLinesLeftOut counts log lines about requests that were dropped by rate limiting.
 	metricLinesLeftOut = "granitebay_log_lines_left_out_total"
-	// metricWorkerEnds counts workers that ended under requests of this gateway, and metricBarred is how many requests are barred.
+	// metricWorkerEnds counts workers that terminated while running requests of this gateway. metricBarred is the number
+	// of barred requests.
 	metricWorkerEnds = "granitebay_worker_ends_total"
 	metricBarred     = "granitebay_barred_requests"
-	// metricUnanswered counts requests whose connection ended before their callers had a whole answer, and metricRestedOut connections of
-	// callers that the bound on resting connections closed.
+	// metricUnanswered counts requests whose connections ended before a complete answer was sent. metricRestedOut counts
+	// caller connections that were closed by the idle timeout.
 	metricUnanswered = "granitebay_requests_unanswered_total"
 	metricRestedOut  = "granitebay_connections_rested_out_total"
 )
 
-// figures counts what becomes of requests and serves the counts as text. It implements forward.Observer.
+// gatewayMetrics counts request outcomes and serves the metrics in text format. It implements forward.Observer and
+// callers.Observer.
 type gatewayMetrics struct {
 	set       *metrics.Set
 	decisions *decisionlog.Log
 	logger    *logrus.Entry
-	// choice and candidates are those of choices of workers.
+	// choice and candidates observe the duration of worker choices and the number of candidates.
 	choice, candidates *metrics.Histogram
-	// budgets returns the budgets of repeats; nil returns none.
+	// budgets returns the retry budgets; may be nil.
 	budgets func() []forward.BudgetView
-	// notices tells which tries went to workers against what these had said; nil tells none.
+	// notices finds attempts that violated a notice of the worker; may be nil.
 	notices *noticeTracker
-	// workerLimits counts the tries that went to workers with limits; nil counts none.
+	// workerLimits counts attempts on workers with request limits. It is set together with notices.
 	workerLimits *limitTracker
-	// duties writes the figures of what this gateway does for all; nil writes none.
+	// writeFleetTasks writes the metrics of fleet-wide tasks; may be nil.
 	writeFleetTasks func(w io.Writer)
 
-	// mu guards the bounds of log lines.
+	// mu guards logLimiters.
 	mu          sync.Mutex
 	logLimiters map[forward.Reason]*rate.Limiter
 }
 
-// newFigures returns figures that are all zero.
+// newGatewayMetrics returns metrics that are all zero.
 func newGatewayMetrics(decisions *decisionlog.Log, logger *logrus.Logger) *gatewayMetrics {
 	set := metrics.NewSet()
 	return &gatewayMetrics{
@@ -68,7 +70,7 @@
 	}
 }
 
-// watch adds figures that are read when they are asked for.
+// registerGauges adds the metrics that are read from the gateway on demand.
 func (m *gatewayMetrics) registerGauges(g *Gateway) {
 	m.set.NewGauge("granitebay_store_age_seconds", func() float64 { return g.view.Staleness().Seconds() })
 	m.set.NewGauge("granitebay_gateways", func() float64 { return float64(len(g.view.Serving())) })
@@ -80,20 +82,21 @@
 	m.budgets = g.dispatcher.Budgets
 }
 
-// Names of the figures of what grows with the fleet.
+// Names of metrics that grow with the size of the fleet.
 const (
 	metricStoreCalls = "granitebay_store_calls_total"
 	metricChoice     = "granitebay_choice_seconds"
 	metricCandidates = "granitebay_choice_candidates"
-	// metricRestored counts returns of the store from an older copy, and metricOutdated answers of before that came after one.
+	// metricStoreRestores counts restores of the store from an older copy. metricOutdatedAnswers counts answers from
+	// before a restore that arrived after it.
 	metricStoreRestores   = "granitebay_store_restored_total"
 	metricOutdatedAnswers = "granitebay_store_answers_outdated_total"
 )
 
-// storeRestored counts a return of the store.
+// countStoreRestore counts a restore of the store.
 func (m *gatewayMetrics) countStoreRestore() { m.set.GetOrCreateCounter(metricStoreRestores).Inc() }
 
-// storeCalled counts a call to the store.
+// countStoreCall counts a call to the store and whether it failed.
 func (m *gatewayMetrics) countStoreCall(call store.Call, _ time.Duration, err error) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`%s{call=%q,failed="%t"}`, metricStoreCalls, call, err != nil)).Inc()
 	if !errors.Is(err, store.ErrRestored) {
@@ -101,45 +104,46 @@
 	}
 	m.set.GetOrCreateCounter(metricOutdatedAnswers).Inc()
 	if m.allowLog(outdatedResponseReason) {
-		m.logger.WithError(err).WithField("call", call).Warn("An answer of the store is of before it came back from an older copy, and is not taken.")
+		m.logger.WithError(err).WithField("call", call).Warn("Discarded a store answer from before the store was restored from an older copy.")
 	}
 }
 
-// outdatedReason is the reason under which the lines about such answers are bounded.
+// outdatedResponseReason is the rate limiting key of log lines about outdated answers.
 const outdatedResponseReason forward.Reason = "outdated answer of the store"
 
-// chosen notes how long the choice of workers for a request took, and how many were looked at last.
+// observeChoice records the duration of a worker choice and its number of candidates.
 func (m *gatewayMetrics) observeChoice(elapsed time.Duration, candidates int) {
 	m.choice.Update(elapsed.Seconds())
 	m.candidates.Update(float64(candidates))
 }
 
-// workerEnded counts a worker of a group that ended under requests.
+// countWorkerEnd counts a worker of a group that terminated while running requests.
 func (m *gatewayMetrics) countWorkerEnd(group string) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`%s{group=%q}`, metricWorkerEnds, group)).Inc()
 }
 
-// Names of the figures of what workers say of themselves in their answers.
+// Names of metrics about worker notices.
 const (
 	metricNotices           = "granitebay_worker_notices_total"
 	metricNoticesUnreadable = "granitebay_worker_notices_unreadable_total"
-	// metricAgainstNotice counts tries that were sent to workers which had said that they want none.
+	// metricTriesAgainstNotice counts attempts on workers that had asked for no requests.
 	metricTriesAgainstNotice = "granitebay_tries_against_notice_total"
-	// metricUnderLimit counts tries that were sent to workers while these named limits.
+	// metricTriesUnderLimit counts attempts on workers that had a request limit in force.
 	metricTriesUnderLimit = "granitebay_tries_under_limit_total"
 )
 
-// noticeHeard counts what a worker of a group said of itself.
+// countNotice counts a notice of a worker.
 func (m *gatewayMetrics) countNotice(group, kind string) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`%s{group=%q,notice=%q}`, metricNotices, group, kind)).Inc()
 }
 
-// noticeUnreadable counts an answer in which a worker said of itself what can't be read.
+// countUnreadableNotice counts a notice that could not be parsed.
 func (m *gatewayMetrics) countUnreadableNotice() {
 	m.set.GetOrCreateCounter(metricNoticesUnreadable).Inc()
 }
 
-// countAgainstNotices counts the tries of a request that went to workers which had said that they want none.
+// countNoticeViolations counts the attempts of a request on workers that had asked for no requests or had a limit in
+// force.
 func (m *gatewayMetrics) countNoticeViolations(report *forward.Report) {
 	if m.notices == nil {
 		return
@@ -159,14 +163,14 @@
 	}
 }
 
-// Names of the figures of budgets of repeats.
+// Names of retry budget metrics.
 const (
 	metricRepeats        = "granitebay_repeats_total"
 	metricRepeatsLeft    = "granitebay_repeats_left"
 	metricRepeatsSharers = "granitebay_repeats_divided_by"
 )
 
-// writeBudgets writes what was granted and denied of the budgets of repeats, and what is left.
+// writeBudgets writes the granted, denied and remaining retries of each budget.
 func writeBudgets(w io.Writer, budgets []forward.BudgetView) {
 	for _, budget := range budgets {
 		metrics.WriteCounterUint64(w, fmt.Sprintf(`%s{group=%q,outcome="granted"}`, metricRepeats, budget.Group), uint64(budget.Granted))
@@ -176,14 +180,14 @@
 	}
 }
 
-// Names of the figures of duties.
+// Names of the metrics of fleet-wide tasks.
 const (
 	metricWindows = "granitebay_usage_windows_total"
 	metricWorkers = "granitebay_workers"
 	metricBusy    = "granitebay_workers_busy"
 )
 
-// watchDuties adds the figures of what this gateway does for all.
+// registerFleetTasks adds the metrics of usage reporting and capacity orders.
 func (m *gatewayMetrics) registerFleetTasks(reporter *usage.Reporter, executor *capacity.Executor) {
 	m.writeFleetTasks = func(w io.Writer) {
 		if reporter != nil {
@@ -195,7 +199,7 @@
 	}
 }
 
-// writeWindows writes what became of windows of usage.
+// writeUsageWindows writes the outcomes of usage windows.
 func writeUsageWindows(w io.Writer, counts usage.Figures) {
 	for _, window := range []struct {
 		outcome string
@@ -208,7 +212,7 @@
 	}
 }
 
-// writeWorkers writes how many workers there are and should be.
+// writeCapacity writes the present and the planned numbers of workers.
 func writeCapacity(w io.Writer, groups []capacity.Status) {
 	for _, group := range groups {
 		metrics.WriteGaugeFloat64(w, fmt.Sprintf(`%s{group=%q}`, metricBusy, group.Group), group.Busy)
@@ -224,7 +228,7 @@
 	}
 }
 
-// RequestEnded is part of forward.Observer.
+// RequestEnded implements forward.Observer.
 func (m *gatewayMetrics) RequestEnded(report *forward.Report) {
 	name := fmt.Sprintf(`%s{rule=%q,status="%d",reason=%q}`, metricRequests, report.Rule, report.Status, report.Reason)
 	m.set.GetOrCreateCounter(name).Inc()
@@ -251,13 +255,14 @@
 	}
 }
 
-// Bounds of the lines about requests with one reason.
+// Rate limits of log lines about requests, for each reason.
 const (
 	logLinesPerSecond = 20
 	logLinesBurst     = 200
 )
 
-// mayLog takes a line from the bound of a reason. What is left out is counted; decisions have it all the same.
+// allowLog reports whether a line with a reason may be logged. Suppressed lines are counted, and the decision log still
+// has the requests.
 func (m *gatewayMetrics) allowLog(reason forward.Reason) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -273,7 +278,7 @@
 	return false
 }
 
-// log writes one line about a request that did not go smoothly.
+// logRequest logs a request that was not served on the first try.
 func (m *gatewayMetrics) logRequest(request requestDecision) {
 	if !m.logger.Logger.IsLevelEnabled(logrus.InfoLevel) {
 		return
@@ -281,7 +286,7 @@
 	m.logger.WithFields(requestFields(request)).Info("A request did not go smoothly.")
 }
 
-// requestFields returns what a line tells of a request.
+// requestFields returns the log fields of a request.
 func requestFields(request requestDecision) logrus.Fields {
 	fields := logrus.Fields{"id": request.id, "status": request.status, "reason": request.reason, "version": request.version}
 	for name, value := range request.inputs() {
@@ -290,16 +295,16 @@
 	return fields
 }
 
-// RestedOut is part of callers.Observer.
+// RestedOut implements callers.Observer.
 func (m *gatewayMetrics) RestedOut() { m.set.GetOrCreateCounter(metricRestedOut).Inc() }
 
-// countUnanswered counts a request whose caller got no whole answer.
+// countUnanswered counts a request whose caller got no complete answer.
 func (m *gatewayMetrics) countUnanswered(closedBy forward.Closer) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`%s{closed_by=%q}`, metricUnanswered, closedBy)).Inc()
 }
 
-// unanswered counts a request whose connection ended before its caller had a whole answer, and writes a line about it. Callers that leave
-// are told at the level of other requests that did not go smoothly; what this side did is a warning.
+// recordUnanswered counts and logs a request whose connection ended before a complete answer. Connections closed by this
+// side are logged as warnings.
 func (m *gatewayMetrics) recordUnanswered(report *forward.Report, request requestDecision) {
 	m.countUnanswered(report.ClosedBy)
 	if !m.allowLog(unansweredReason(report.ClosedBy)) {
@@ -319,12 +324,12 @@
 	m.logger.WithFields(fields).Log(level, "A connection ended with its request unanswered.")
 }
 
-// unansweredReason is the reason under which the lines about unanswered requests are bounded, apart from others.
+// unansweredReason returns the rate limiting key of log lines about unanswered requests.
 func unansweredReason(closedBy forward.Closer) forward.Reason {
 	return forward.Reason("unanswered: " + closedBy.String())
 }
 
-// HeadUnanswered is part of callers.Observer. It counts the request, and writes a line.
+// HeadUnanswered implements callers.Observer.
 func (m *gatewayMetrics) HeadUnanswered(closedBy forward.Closer, peer string, elapsed time.Duration) {
 	m.countUnanswered(closedBy)
 	if !m.allowLog(unansweredReason(closedBy)) {
@@ -335,7 +340,7 @@
 	}).Info("A connection ended with its request unanswered.")
 }
 
-// ServeHTTP is part of http.Handler.
+// ServeHTTP implements http.Handler.
 func (m *gatewayMetrics) ServeHTTP(writer http.ResponseWriter, _ *http.Request) {
 	m.set.WritePrometheus(writer)
 	if m.budgets != nil {
--- a/internal/gateway/metrics_test.go
+++ b/internal/gateway/metrics_test.go
@@ -12,7 +12,7 @@
 	"github.com/granitebay/granitebay/internal/forward"
 )
 
-// TestConnectionsThatEndAreCountedByWhoEndsThem has connections end in each way, and reads the figures.
+// TestClosedConnectionsCountedByCloser checks the metrics of connections closed by each side.
 func TestClosedConnectionsCountedByCloser(t *testing.T) {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -13,55 +13,56 @@
 	"github.com/granitebay/granitebay/internal/logging"
 )
 
-// What workers say of themselves, as figures and lines name it.
+// Kinds of notices, as used in metrics and logs.
 const (
 	noticeLeaving = "leaving"
 	noticeBackOff = "back off"
 	noticeLimit   = "limit"
 )
 
-// Sources of a word, as lines name them.
+// Sources of a notice, as used in logs.
 const (
 	sourceAnswer = "answer"
 	sourcePeer   = "another gateway"
 )
 
-// notices hears what workers say of themselves in their answers, has it heeded, and tells the other gateways and operators of it. It is safe
-// for concurrent use.
+// noticeTracker handles the notices that workers attach to their answers: it applies them, passes them on to the other
+// gateways and reports them to operators. It is safe for concurrent use.
 type noticeTracker struct {
 	gateway *Gateway
 	logger  logrus.FieldLogger
-	// complaints bounds the lines about what can't be read.
+	// logLimiter limits log lines about notices that cannot be parsed.
 	logLimiter *rate.Limiter
 
 	mu sync.Mutex
-	// workers are those that said something, by the ids of their incarnations.
+	// states holds the workers that sent notices, by incarnation ID.
 	states map[string]*noticeState
-	// untold are workers of which the other gateways are to be told that they leave, with how often they were told.
+	// pendingLeaving holds the leaving workers to announce to other gateways.
 	pendingLeaving []leavingAnnouncement
-	// notify tells that there is something to tell; nil tells nobody.
+	// notify signals that there is something to send; nil until set.
 	notify func(urgent bool)
 }
 
-// untoldLeaving is a worker that leaves.
+// leavingAnnouncement is a leaving worker and how often it has been announced.
 type leavingAnnouncement struct {
 	id   string
 	sent int
 }
 
-// heardOf is what one worker has said.
+// noticeState is the state of one worker's notices.
 type noticeState struct {
-	// leavingSince is when the worker said first that it leaves; zero if it did not.
+	// leavingSince is when the worker first said that it is leaving; zero if it did not.
 	leavingSince time.Time
-	// backOffSince and backOffUntil bound the time in which it wants no requests.
+	// backOffSince and backOffUntil delimit the time for which the worker asked for no requests.
 	backOffSince, backOffUntil time.Time
 	lastHeard                  time.Time
 }
 
-// noticeMemory is how long what an incarnation said is kept after it last said anything: longer than one that leaves takes to end.
+// noticeRetention is how long the state of an incarnation is kept after its last notice. It is longer than a leaving
+// worker takes to terminate.
 const noticeRetention = 10 * time.Minute
 
-// newNotices has heard nothing.
+// newNoticeTracker returns a tracker without notices.
 func newNoticeTracker(g *Gateway) *noticeTracker {
 	return &noticeTracker{
 		gateway: g, logger: logging.Part(g.logger, "notices"), states: map[string]*noticeState{},
@@ -69,12 +70,12 @@
 	}
 }
 
-// hear takes what a worker said in an answer, and what of it can't be read.
+// handle processes a notice in a worker's answer, and the error from parsing it, if any.
 func (t *noticeTracker) handle(worker *backend.Worker, notice backend.Notice, err error) {
 	if err != nil {
 		t.gateway.metrics.countUnreadableNotice()
 		if t.logLimiter.Allow() {
-			t.logger.WithError(err).WithField("worker", worker.ID).Warn("What a worker says of itself can't be read.")
+			t.logger.WithError(err).WithField("worker", worker.ID).Warn("Cannot parse a notice of a worker.")
 		}
 	}
 	if notice.Limit > 0 || !notice.Asked.IsZero() {
@@ -100,12 +101,12 @@
 		t.report(worker, noticeLeaving, "The worker says that it leaves.", map[string]string{"source": sourceAnswer})
 	}
 	if news.BackOff > 0 {
-		t.report(worker, noticeBackOff, "The worker wants no requests of this gateway for a time.",
+		t.report(worker, noticeBackOff, "The worker asked this gateway to back off.",
 			map[string]string{"for_ms": fmt.Sprint(news.BackOff.Milliseconds())})
 	}
 }
 
-// note keeps what a worker said, and returns what of it is news: that it leaves, or that a time without requests begins.
+// record stores a notice and returns what is new in it: that the worker is leaving, or that a back-off begins.
 func (t *noticeTracker) record(now time.Time, id string, notice backend.Notice) backend.Notice {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -131,7 +132,7 @@
 	return news
 }
 
-// forget drops what does not count any more. The mutex is held.
+// prune removes outdated states. The mutex must be held.
 func (t *noticeTracker) prune(now time.Time) {
 	for id, state := range t.states {
 		if now.Sub(state.lastHeard) > noticeRetention && !now.Before(state.backOffUntil) {
@@ -140,7 +141,7 @@
 	}
 }
 
-// tell writes a line and a decision about what a worker said.
+// report logs a notice of a worker and records it as a decision.
 func (t *noticeTracker) report(worker *backend.Worker, kind, reason string, inputs map[string]string) {
 	fields := logrus.Fields{"worker": worker.ID, "group": worker.Group, "address": worker.Address}
 	for name, value := range inputs {
@@ -150,7 +151,8 @@
 	t.gateway.recordDecision(decision.Record{Kind: decision.KindHealth, Subject: worker.ID, Outcome: kind, Reason: reason, Inputs: inputs})
 }
 
-// tellPeers has the other gateways told that a worker leaves: it is true for all, and saves each of them a request.
+// announceLeaving queues an announcement to the other gateways that a worker is leaving, which saves each of them a
+// failed request.
 func (t *noticeTracker) announceLeaving(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -161,23 +163,25 @@
 	t.notify(true)
 }
 
-// Bounds of what other gateways are told.
+// Limits on announcements to other gateways.
 const (
-	// mostUntold bounds the workers that are named in one datagram; the others are heard of by their own answers.
+	// maxAnnouncements bounds the workers in one datagram. Other gateways learn of the rest from the workers' own
+	// answers.
 	maxAnnouncements = 256
-	// leavingTells is how often a worker is named, at once and then once a second, since datagrams are lost now and then.
+	// leavingSends is how many times a leaving worker is announced, at once and then once a second, to make up for lost
+	// datagrams.
 	leavingSends = 4
 )
 
-// shareWith has what is to be told gathered. Notify must not wait.
+// setNotify sets the function that signals pending announcements. It must not block.
 func (t *noticeTracker) setNotify(notify func(urgent bool)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.notify = notify
 }
 
-// drain returns the workers of which other gateways are to be told that they leave: those that are new, and with full set once more those
-// of which they were told lately.
+// drain returns the leaving workers to announce: new ones and, if full is set, also those that were announced fewer than
+// leavingSends times.
 func (t *noticeTracker) drain(full bool) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -196,21 +200,21 @@
 	return announced
 }
 
-// tellHeard writes that another gateway heard a worker say that it leaves.
+// reportRemoteLeaving reports that another gateway announced a leaving worker.
 func (t *noticeTracker) reportRemoteLeaving(id string) {
 	if worker := t.gateway.worker(id); worker != nil {
 		t.report(worker, noticeLeaving, "The worker says that it leaves.", map[string]string{"source": sourcePeer})
 	}
 }
 
-// worker returns a worker that is in use, or nil.
+// worker returns a known worker by ID, or nil.
 func (g *Gateway) worker(id string) *backend.Worker {
 	g.workersMu.Lock()
 	defer g.workersMu.Unlock()
 	return g.workers[id]
 }
 
-// against returns which word of a worker speaks against a request that was sent to it at a moment, or nothing.
+// violatedNotice returns the kind of notice that a request sent to a worker at a given time violated, or "".
 func (t *noticeTracker) violatedNotice(id string, sentAt time.Time) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/gateway/outdated_test.go
+++ b/internal/gateway/outdated_test.go
@@ -13,7 +13,8 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// TestOutdatedAnswersAreCountedAndLoggedWithinABound has many answers of the store come after its return that were made before.
+// TestOutdatedStoreAnswersCountedAndLogLimited guards against flooding the log when many outdated answers arrive after a
+// store restore.
 func TestOutdatedStoreAnswersCountedAndLogLimited(t *testing.T) {
 	var output bytes.Buffer
 	logger := logrus.New()
@@ -25,9 +26,9 @@
 	}
 	m.countStoreCall(store.CallWatch, time.Second, store.ErrBusy)
 	if count := m.set.GetOrCreateCounter(metricOutdatedAnswers).Get(); count != answers {
-		t.Errorf("counted are %d", count)
+		t.Errorf("count is %d", count)
 	}
-	if lines := strings.Count(output.String(), "is not taken"); lines == 0 || lines > logLinesBurst+logLinesPerSecond {
+	if lines := strings.Count(output.String(), "Discarded a store answer"); lines == 0 || lines > logLinesBurst+logLinesPerSecond {
 		t.Errorf("%d lines", lines)
 	}
 }
--- a/internal/gateway/restore.go
+++ b/internal/gateway/restore.go
@@ -16,21 +16,21 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// eraHeard takes the word of the store, with the answer to any call, that it has come back from an older copy. Nothing is done by the
-// authority of a key from here on until the store has told who holds it, and that is asked at once.
+// handleEra handles a store response that reports a restore from an older copy. From here on no authority is exercised
+// until the store has confirmed the key holder, which is requested at once.
 func (g *Gateway) handleEra(era int64) {
 	g.editsMayBeLost.Store(true)
 	g.controller.Restored(boottime.Now(), era)
 	g.replica.Renew()
 }
 
-// StoreRestored is part of cluster.Listener.
+// StoreRestored implements cluster.Listener.
 func (g *Gateway) StoreRestored(era int64) {
 	logging.Part(g.logger, "cluster").WithField("era", era).Warn("The store has come back from an older copy.")
 	g.metrics.countStoreRestore()
 	g.recordDecision(decision.Record{
 		Kind: decision.KindStore, Subject: "store", Outcome: fmt.Sprintf("era %d", era),
-		Reason: "The store has come back from an older copy. What it lost is written again by those who know it.",
+		Reason: "The store was restored from an older copy. Gateways and workers write lost data again.",
 	})
 	g.controller.Restored(boottime.Now(), era)
 	g.barSyncer.rewriteAll()
@@ -40,16 +40,17 @@
 	}
 }
 
-// Times of writing the operators' groups and rules again.
+// Timing of writing the operators' groups and rules again.
 const (
-	// restoreTurn is by how much later the next of those that take requests writes: the first one is done by then.
+	// restoreStagger is the delay between successive entries, so that usually only the first one has to write.
 	restoreStagger = 300 * time.Millisecond
-	// restorePause is the pause after a failure, and restoreTimeout bounds one try.
+	// restoreRetryDelay is the delay after a failure, and restoreTimeout bounds one attempt.
 	restoreRetryDelay = 500 * time.Millisecond
 	restoreTimeout    = 2 * time.Second
 )
 
-// restoreDocuments writes the operators' groups and rules again whenever the store may have lost some, until the context ends.
+// runDocumentRestore writes the operators' groups and rules again whenever the store may have lost edits, until ctx is
+// done.
 func (g *Gateway) runDocumentRestore(ctx context.Context) {
 	for {
 		select {
@@ -68,7 +69,7 @@
 	}
 }
 
-// turn returns the place of this gateway among those that take requests.
+// entryRank returns the position of this gateway among the entries.
 func (g *Gateway) entryRank() int {
 	for i, entry := range g.Entries() {
 		if entry.Name == g.settings.Name {
@@ -78,7 +79,8 @@
 	return 0
 }
 
-// restoreDocument writes the document that is in force again if the store has lost its last edits, and tells whether that is settled.
+// restoreDocument writes the document in force again if the store has lost its last edits, and reports whether no retry
+// is needed.
 func (g *Gateway) restoreDocument(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, restoreTimeout)
 	defer cancel()
@@ -91,12 +93,12 @@
 	written, err := configuration.Restore(ctx, g.ports.Store, known)
 	switch {
 	case errors.Is(err, configuration.ErrDiverged):
-		log.WithError(err).Error("Edits of the groups and rules are lost: another edit was made since the store came back. Make them anew.")
+		log.WithError(err).Error("Edits of the groups and rules are lost, because another edit was made after the store was restored. Apply them again.")
 		return true
 	case errors.Is(err, store.ErrConflict):
 		return false
 	case err != nil:
-		log.WithError(err).Warn("The groups and rules are not written again yet. It is tried again.")
+		log.WithError(err).Warn("Writing the groups and rules again failed; retrying.")
 		return false
 	case written:
 		log.Info("The groups and rules are written again.")
@@ -104,7 +106,8 @@
 	return true
 }
 
-// propose brings an edit into the store. One that comes just after the store has come back waits until it holds the edits before it again.
+// propose submits an edit to the store. After a restore of the store, it first waits until earlier edits are written
+// again.
 func (g *Gateway) propose(ctx context.Context, request configuration.EditRequest) configuration.ProposeResult {
 	for {
 		if g.editsMayBeLost.Load() && !g.restoreDocument(ctx) {
--- a/internal/gateway/retrybudget_test.go
+++ b/internal/gateway/retrybudget_test.go
@@ -14,7 +14,7 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// newBudgetGateway returns a gateway that has its budgets of repeats and nothing else.
+// newBudgetGateway returns a gateway with retry budgets and nothing else.
 func newBudgetGateway(settings Settings) *Gateway {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
@@ -32,11 +32,11 @@
 		entries, suspects, serving int
 		want                       int
 	}{{false, 6, 0, 13, 8}, {false, 6, 3, 13, 12}, {false, 6, 9, 13, 13}, {true, 6, 3, 13, 28}} {
-		// Fewer count only later, so that each case has its own gateway.
+		// A lower number of sharers takes effect only later, so each case needs its own gateway.
 		g = newBudgetGateway(g.settings)
 		g.setRetrySharers(test.standby, test.entries, test.suspects, test.serving)
 		if got := g.dispatcher.Budgets()[0].Sharers; got != test.want {
-			t.Errorf("%+v: divided by %d", test, got)
+			t.Errorf("%+v: sharers are %d", test, got)
 		}
 	}
 }
@@ -44,11 +44,12 @@
 func TestBudgetSettings(t *testing.T) {
 	got := budgetSettings(Settings{RetryRatio: 0.2, RetryAllowance: 54, RetryWindow: 10 * time.Second})
 	if want := (retrybudget.Settings{Ratio: 0.2, Allowance: 54, Window: 10 * time.Second, Safety: retrybudget.DefaultSafety}); got != want {
-		t.Errorf("the budget is %+v, expected %+v", got, want)
+		t.Errorf("got %+v, want %+v", got, want)
 	}
 }
 
-// TestAShareBeginsAtOnceOnlyIfTheStoreAgreesThatTheFleetIsNew combines the word of the settings with that of the store.
+// TestRetryShareAvailableAtOnceOnlyInNewFleet guards against spending the retry allowance twice when FirstStart is left
+// set.
 func TestRetryShareAvailableAtOnceOnlyInNewFleet(t *testing.T) {
 	for _, test := range []struct {
 		firstStart, fleetIsNew bool
@@ -57,12 +58,12 @@
 		g := newBudgetGateway(Settings{RetryRatio: 0.2, RetryAllowance: 54, RetryWindow: 10 * time.Second, FirstStart: test.firstStart})
 		g.Confirmed(boottime.Now(), test.fleetIsNew)
 		if got := g.dispatcher.Budgets()[0].Share; got != test.want {
-			t.Errorf("%+v: the share is %v", test, got)
+			t.Errorf("%+v: share is %v", test, got)
 		}
 	}
 }
 
-// waitingStore is an empty store that tells how long a watch would wait.
+// watchRecorder is an empty store that records the wait times of watches.
 type watchRecorder struct {
 	store.Store
 	waits chan time.Duration
@@ -82,7 +83,7 @@
 	return nil, 0, ctx.Err()
 }
 
-// ignorant is told what a replica holds, and makes nothing of it.
+// nopConsumer ignores all updates.
 type nopConsumer struct{}
 
 func (nopConsumer) Reset([]store.Item)  {}
@@ -106,7 +107,7 @@
 			close(done)
 		}()
 		if wait := <-recorder.waits; (wait < time.Second) != registered {
-			t.Errorf("with the registration seen: %v, the next watch waits for %s", registered, wait)
+			t.Errorf("with registered %v: next watch waits for %s", registered, wait)
 		}
 		cancel()
 		<-done
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -1,62 +1,68 @@
-// Package gateway is the one program of a machine: it answers callers that ask where to connect, takes their requests to
-// workers, and keeps its place among the other gateways.
+// Package gateway implements the gateway process. It serves the directory in which callers look up gateways, forwards
+// their requests to workers, and coordinates with the other gateways of the fleet.
+//
+// A few gateways, the entries, receive the requests of callers; the others stand by. The leader is the gateway that
+// holds the controller key in the store and gives orders to the platform and to engines.
 package gateway
 
 import "time"
 
-// Settings of a gateway, read once at its start but for the parts that Reload takes.
+// Settings configures a gateway. Settings are read once at start, except for those that Reload applies.
 type Settings struct {
-	// Name of the gateway, unique in the fleet.
+	// Name is unique in the fleet.
 	Name string
 	Zone string
-	// Cores is the processor capacity that this process may use, in cores.
+	// Cores is the number of CPU cores available to the process.
 	Cores float64
-	// LinkMbps is the bandwidth of the machine, and Descriptors how many files and connections the process may open; zero is
-	// unknown, and not a bound.
+	// LinkMbps is the network bandwidth of the machine, and Descriptors the limit on open files and connections. Zero
+	// means unknown and sets no bound.
 	LinkMbps    float64
 	Descriptors int
-	// ListenCallers, ListenReady, ListenDirectory and ListenAdmin are host:port. ListenAdmin serves operators and figures.
+	// ListenCallers, ListenReady, ListenDirectory and ListenAdmin are host:port. ListenAdmin serves operators and
+	// metrics.
 	ListenCallers   string
 	ListenReady     string
 	ListenDirectory string
 	ListenAdmin     string
-	// ListenPeers is host:port at which other gateways send datagrams.
+	// ListenPeers is the host:port that receives datagrams of other gateways.
 	ListenPeers string
-	// ListenControl is host:port at which other gateways ask for what this one knows; empty serves nobody.
+	// ListenControl is the host:port at which other gateways query this one; empty disables it.
 	ListenControl string
 	// Seeds are control addresses of other gateways; some may be stale or down.
 	Seeds []string
-	// FirstStart is set when the whole system starts for the first time, so that nothing can have been spent of what all share.
+	// FirstStart is set when the whole fleet starts for the first time, so that none of the shared retry allowance can
+	// have been spent.
 	FirstStart bool
-	// StoreAddress is host:port of the store.
+	// StoreAddress is the host:port of the store.
 	StoreAddress string
-	// Grace is how long a planned stop may take before the process is killed.
+	// Grace is how long a graceful stop may take before the process is killed.
 	Grace time.Duration
-	// AddressTTL is how long callers keep the answer of the directory, at most MaxAddressTTL.
+	// AddressTTL is how long callers cache the answer of the directory, at most MaxAddressTTL.
 	AddressTTL    time.Duration
 	MaxAddressTTL time.Duration
-	// RetryRatio, RetryAllowance and RetryWindow bound the repeats of all gateways together.
+	// RetryRatio, RetryAllowance and RetryWindow limit the retries of all gateways together.
 	RetryRatio     float64
 	RetryAllowance float64
 	RetryWindow    time.Duration
-	// LeaseTTL of leases in the store.
+	// LeaseTTL is the time to live of leases in the store.
 	LeaseTTL time.Duration
-	// ConfigurationAge is how old the configuration may be with which a caller is told that its request is not allowed.
+	// ConfigurationAge is the maximum age of a configuration that may be used to reject a request as not allowed.
 	ConfigurationAge time.Duration
-	// DrainTime is how long a worker that leaves takes requests that are on their way.
+	// DrainTime is how long a leaving worker accepts requests that are already on their way.
 	DrainTime time.Duration
-	// ThawPause is how long after a pause of the process no order is given.
+	// ThawPause is how long no orders are given after the process was suspended or stalled.
 	ThawPause time.Duration
-	// DutiesAddress is host:port at which the platform takes the calls that one gateway makes for all; empty makes none.
+	// DutiesAddress is the host:port of the platform service that takes the calls which only the leader makes; empty
+	// disables them.
 	DutiesAddress string
-	// UsageWindow is the length of the windows in which the usage of tenants is reported, zero for none, and UsageDue how long after
-	// its end a report is wanted.
+	// UsageWindow is the length of the windows for which the usage of tenants is reported, zero for none. UsageDue is
+	// how long after its end the report of a window is due.
 	UsageWindow, UsageDue time.Duration
 	// LogLevel is debug, info, warn or error.
 	LogLevel string
 }
 
-// DefaultSettings returns settings without names and addresses.
+// DefaultSettings returns the default settings, without names and addresses.
 func DefaultSettings() *Settings {
 	return &Settings{
 		Cores:          1,
@@ -67,7 +73,7 @@
 		RetryAllowance: 50,
 		RetryWindow:    10 * time.Second,
 		LeaseTTL:       3 * time.Second,
-		// The bound of the users' deployments within which a configuration is in force.
+		// Deployments require a configuration to be in force within this time.
 		ConfigurationAge: 3 * time.Second,
 		DrainTime:        2 * time.Second,
 		ThawPause:        300 * time.Millisecond,
--- a/internal/gateway/tenantusage.go
+++ b/internal/gateway/tenantusage.go
@@ -8,21 +8,21 @@
 	"github.com/granitebay/granitebay/internal/usage"
 )
 
-// usedCounts is what this gateway knows of the usage of tenants. Without windows to report it does nothing.
+// tenantUsage counts the usage of tenants. It does nothing if no windows are to be reported.
 type tenantUsage struct {
 	window   time.Duration
 	clock    *usage.Clock
 	tally    *usage.Tally
 	reporter *usage.Reporter
-	// toldAt is when changes were told last. It is used by the loop that tells.
+	// sentAt is when changes were last sent. Only the sending goroutine accesses it.
 	sentAt time.Time
 }
 
-// usedInterval is the least time between two messages that tell changed counts: a killed gateway loses what it has counted since
-// the last one, a twentieth of a window of five seconds at the most.
+// usageSendInterval is the minimum time between two messages with changed counts. A killed gateway loses the counts
+// since its last message.
 const usageSendInterval = 200 * time.Millisecond
 
-// newUsedCounts returns the counts of a gateway, and makes its handler count.
+// newTenantUsage returns the usage of a gateway and hooks it into the request handler.
 func newTenantUsage(g *Gateway) *tenantUsage {
 	u := &tenantUsage{window: g.settings.UsageWindow, clock: usage.NewClock(usage.ReadClocks())}
 	if u.window <= 0 {
@@ -40,8 +40,8 @@
 	return u
 }
 
-// tell adds to a message what the other gateways are to know: everything, or what has changed. A gateway that stands by may tell
-// nothing for long after it.
+// addTo adds usage counts to a message: all of them if full is set, else changed ones. A standby gateway may not send
+// again for a long time, so its changes are added immediately.
 func (u *tenantUsage) addTo(message *loadshare.Message, full, standsBy bool) {
 	if u.tally == nil {
 		return
@@ -58,7 +58,7 @@
 	}
 }
 
-// hear takes what another gateway told.
+// merge applies the counts of another gateway.
 func (u *tenantUsage) merge(message *loadshare.Message) {
 	if u.tally == nil {
 		return
@@ -69,14 +69,14 @@
 	u.tally.Merge(time.Now(), message.Sender, message.Used)
 }
 
-// UsageAgreed is part of cluster.Listener.
+// UsageAgreed implements cluster.Listener.
 func (g *Gateway) UsageAgreed(value []byte) {
 	if g.tenantUsage.tally == nil {
 		return
 	}
 	ledger, err := usage.DecodeLedger(value)
 	if err != nil {
-		logging.Part(g.logger, "usage").WithError(err).Error("The ledger of the usage can't be read.")
+		logging.Part(g.logger, "usage").WithError(err).Error("Cannot decode the usage ledger.")
 		return
 	}
 	g.tenantUsage.tally.Agreed(ledger.Next)
--- a/internal/gateway/utilization.go
+++ b/internal/gateway/utilization.go
@@ -8,42 +8,42 @@
 	"github.com/granitebay/granitebay/internal/callers"
 )
 
-// limitUse tells what the process uses of its limits: processor, link and descriptors. It is safe for concurrent use.
+// utilization measures the process's use of its CPU, network and descriptor limits. It is safe for concurrent use.
 type utilization struct {
 	cores, linkMbps float64
 	descriptors     int
-	// traffic is that of the connections of callers.
+	// traffic counts the traffic on connections of callers.
 	traffic callers.Traffic
 
 	mu         sync.Mutex
 	measuredAt time.Time
 	lastTotals resourceTotals
-	// share is that of the last measurement.
+	// lastPeak is the result of the last measurement.
 	lastPeak float64
 }
 
-// totals are what was used since the start.
+// resourceTotals holds the resources used since the start of the process.
 type resourceTotals struct {
 	cpu            time.Duration
 	received, sent int64
 }
 
-// usageInterval is the least time over which use is measured.
+// measureInterval is the minimum time between two measurements.
 const measureInterval = 500 * time.Millisecond
 
-// Costs of a request that the connections of callers do not show: what it brings is passed on to a worker, and so is the answer to
-// the caller, over the same link; and each connection of a caller needs one to a worker at most while it is served.
+// Caller connections account for only half of the use: data is also forwarded to or from a worker over the same link,
+// and each caller connection needs at most one worker connection.
 const (
 	linkFactor       = 2
 	descriptorFactor = 2
 )
 
-// newLimitUse returns the use of a process that has just started.
+// newUtilization returns the utilization of a process that has just started.
 func newUtilization(settings Settings) *utilization {
 	return &utilization{cores: settings.Cores, linkMbps: settings.LinkMbps, descriptors: settings.Descriptors, measuredAt: time.Now()}
 }
 
-// busy returns the part in use of the limit that is used most.
+// peak returns the utilization of the most used limit, as a fraction.
 func (u *utilization) peak() float64 {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -58,7 +58,8 @@
 	return u.lastPeak
 }
 
-// shareOf returns the share of the limit that is used most, from what was used within a time.
+// peakSince returns the utilization of the most used limit, given the totals after the time elapsed since the last
+// measurement.
 func (u *utilization) peakSince(totals resourceTotals, elapsed time.Duration) float64 {
 	peak := 0.0
 	if u.cores > 0 {
@@ -74,10 +75,10 @@
 	return peak
 }
 
-// processorTime returns the processor time of the process since its start.
+// cpuTime returns the CPU time of the process since its start.
 func cpuTime() time.Duration {
 	var usage syscall.Rusage
-	// It fails only for an unknown subject; without an answer the processor does not count.
+	// Getrusage fails only for invalid arguments. Without a result, CPU use is ignored.
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &usage) != nil {
 		return 0
 	}
--- a/internal/gateway/workerlimits.go
+++ b/internal/gateway/workerlimits.go
@@ -13,52 +13,55 @@
 	"github.com/granitebay/granitebay/internal/loadshare"
 )
 
-// workerLimits hears which workers name limits in their answers, has them kept, and tells the other gateways and operators of them: most
-// gateways hold no part of a limit, are sent no answer, and know it by others alone. It is safe for concurrent use.
+// limitTracker tracks the request limits that workers state in their answers and passes them on to the other gateways
+// and operators. Most gateways hold no share of a limit, get no answers from the worker, and learn of its limit only
+// from others. It is safe for concurrent use.
 type limitTracker struct {
 	gateway *Gateway
 
 	mu sync.Mutex
-	// known are the limits in force, by the ids of the workers' incarnations, and over those that ended of late: a word of before that comes
-	// late does not bring them back.
+	// active holds the limits in force, by worker incarnation ID, and ended those that ended recently, so that late
+	// reports do not reinstate them.
 	active, ended map[string]*workerLimit
-	// notify tells that there is something to tell; nil tells nobody.
+	// notify signals that there is something to send; nil until set.
 	notify func(urgent bool)
-	// inForce counts the limits, for answers of which nearly all name none while none is known.
+	// activeCount is len(active). It lets answers without a limit, which is nearly all, skip the mutex while no limit is
+	// in force.
 	activeCount atomic.Int64
 }
 
-// namedLimit is the limit that a worker names.
+// workerLimit is the request limit of a worker.
 type workerLimit struct {
 	perSecond float64
-	// since is when it was heard first, and said when the word was said that holds.
+	// since is when the limit came into force, and statedAt when its current value was stated.
 	since, statedAt time.Time
-	// tries were sent to the worker meanwhile.
+	// attempts counts the requests sent to the worker while the limit was in force.
 	attempts int
-	// isOwn is set if an answer to this gateway said so; else another one tells it. Tells is how often others are still to be told, at once
-	// and then once a second; a limit is told again whenever an answer names it.
+	// isLocal is set if the limit was stated or ended by an answer to this gateway rather than reported by another one.
+	// remainingSends is how many times it is still to be sent, at once and then once a second; each answer that states it
+	// sends it again.
 	isLocal        bool
 	remainingSends int
 	urgent         bool
 }
 
-// overTells is how often others are told that a limit is over, once a second: for longer than the links between gateways are usually cut. One
-// that holds no part and misses all of them would leave the worker alone until its next life.
+// endedLimitSends is how many times the end of a limit is sent, once a second. It covers longer than usual network partitions
+// between gateways: a gateway without a share that missed it would not use the worker until the worker restarts.
 const endedLimitSends = 30
 
-// newWorkerLimits knows of no limit.
+// newLimitTracker returns a tracker without limits.
 func newLimitTracker(g *Gateway) *limitTracker {
 	return &limitTracker{gateway: g, active: map[string]*workerLimit{}, ended: map[string]*workerLimit{}}
 }
 
-// shareWith has what is to be told gathered. Notify must not wait.
+// setNotify sets the function that signals pending announcements. It must not block.
 func (t *limitTracker) setNotify(notify func(urgent bool)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.notify = notify
 }
 
-// hear takes what a worker says of its limit in an answer. Its word binds from here on.
+// handle processes the limit, or its absence, in a worker's answer.
 func (t *limitTracker) handle(worker *backend.Worker, notice backend.Notice) {
 	if notice.Limit == 0 && t.activeCount.Load() == 0 {
 		return
@@ -72,7 +75,7 @@
 	t.begin(worker.ID, notice.Limit, 0, sourceAnswer)
 }
 
-// hearPeer takes what another gateway tells of limits.
+// handlePeer processes limits reported by another gateway.
 func (t *limitTracker) handlePeer(limits []loadshare.Limit) {
 	for _, limit := range limits {
 		ago := time.Duration(max(limit.AgeMs, 0)) * time.Millisecond
@@ -85,15 +88,15 @@
 	}
 }
 
-// begin takes a limit that was named so long ago.
+// begin handles a limit that was stated the given time ago.
 func (t *limitTracker) begin(id string, perSecond float64, ago time.Duration, source string) {
 	if t.recordBegin(id, perSecond, ago, source) {
-		t.report(id, noticeLimit, "The worker takes only so many requests a second, of all gateways together.",
+		t.report(id, noticeLimit, "The worker stated a limit on the requests per second of all gateways together.",
 			map[string]string{"per_second": fmt.Sprint(perSecond), "source": source})
 	}
 }
 
-// noteBegin has a limit kept, and tells whether it is news. A word from before the end of a limit that was told late is none.
+// recordBegin stores a limit and reports whether it is new. Reports older than a known end of the limit are ignored.
 func (t *limitTracker) recordBegin(id string, perSecond float64, ago time.Duration, source string) bool {
 	statedAt := time.Now().Add(-ago)
 	t.mu.Lock()
@@ -120,16 +123,16 @@
 	return news
 }
 
-// end takes that a worker named no limit in the answer to a request which was sent so long ago.
+// end handles an answer without a limit to a request that was sent the given time ago.
 func (t *limitTracker) end(id string, ago time.Duration, source string) {
 	if limit, found := t.recordEnd(id, ago, source); found {
-		t.report(id, noticeLimit+" over", "The worker names no limit any more.", map[string]string{
+		t.report(id, noticeLimit+" over", "The worker no longer states a request limit.", map[string]string{
 			"tries": fmt.Sprint(limit.attempts), "for_ms": fmt.Sprint(time.Since(limit.since).Milliseconds()), "source": source,
 		})
 	}
 }
 
-// noteEnd has a limit ended, and returns it, or false if there was none.
+// recordEnd ends a limit and returns it, or false if none ended.
 func (t *limitTracker) recordEnd(id string, ago time.Duration, source string) (workerLimit, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -146,7 +149,7 @@
 	return *limit, true
 }
 
-// hasten has others told at once of what is news. The mutex is held.
+// announceNow triggers an immediate announcement of a new state. The mutex must be held.
 func (t *limitTracker) announceNow(limit *workerLimit, news bool) {
 	if !news || t.notify == nil {
 		return
@@ -155,14 +158,14 @@
 	t.notify(true)
 }
 
-// tell writes a line and a decision about the limit of a worker, if it is in use.
+// report logs a change of a worker's limit and records it as a decision, if the worker is known.
 func (t *limitTracker) report(id, kind, reason string, inputs map[string]string) {
 	if worker := t.gateway.worker(id); worker != nil {
 		t.gateway.notices.report(worker, kind, reason, inputs)
 	}
 }
 
-// drain returns the limits of which other gateways are to be told: what is news, and with full set all that answers said since the last time.
+// drain returns the limits to send to other gateways: urgent ones or, if full is set, all with sends remaining.
 func (t *limitTracker) drain(full bool) []loadshare.Limit {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -186,7 +189,7 @@
 	return announced
 }
 
-// count counts a try that was sent to a worker at a moment, and tells whether a limit was in force there.
+// countAttempt counts a request sent to a worker at a given time and reports whether a limit was in force.
 func (t *limitTracker) countAttempt(id string, sentAt time.Time) bool {
 	if t.activeCount.Load() == 0 {
 		return false
