--- a/internal/gateway/agreement_test.go
+++ b/internal/gateway/agreement_test.go
@@ -60,66 +60,66 @@
 }
 
 // gateway returns the gateway with the given name.
-func (p *fleetSimulation) gateway(name string) *simulatedGateway {
-	return p.gateways[slices.IndexFunc(p.gateways, func(g *simulatedGateway) bool { return g.name == name })]
+func (s *fleetSimulation) gateway(name string) *simulatedGateway {
+	return s.gateways[slices.IndexFunc(s.gateways, func(g *simulatedGateway) bool { return g.name == name })]
 }
 
 // isRunning reports whether a gateway is not stalled.
-func (p *fleetSimulation) isRunning(g *simulatedGateway) bool { return !p.now.Before(g.stalledUntil) }
+func (s *fleetSimulation) isRunning(g *simulatedGateway) bool { return !s.now.Before(g.stalledUntil) }
 
 // run advances the simulation.
-func (p *fleetSimulation) run(length time.Duration) {
-	for end := p.now.Add(length); p.now.Before(end); {
-		p.now = p.now.Add(simulationStep)
-		for _, g := range p.gateways {
-			if p.isRunning(g) {
-				p.check(g)
+func (s *fleetSimulation) run(length time.Duration) {
+	for end := s.now.Add(length); s.now.Before(end); {
+		s.now = s.now.Add(simulationStep)
+		for _, g := range s.gateways {
+			if s.isRunning(g) {
+				s.check(g)
 			}
 		}
-		for _, g := range p.gateways {
-			if p.isRunning(g) {
-				p.announce(g)
+		for _, g := range s.gateways {
+			if s.isRunning(g) {
+				s.announce(g)
 			}
 		}
 	}
 }
 
 // check updates a gateway's view of the entries, as watchEntries does.
-func (p *fleetSimulation) check(g *simulatedGateway) {
-	if p.now.Sub(g.lastRan) > entryCheckInterval+stallThreshold {
-		g.list.Resumed(p.now)
+func (s *fleetSimulation) check(g *simulatedGateway) {
+	if s.now.Sub(g.lastRan) > entryCheckInterval+stallThreshold {
+		g.list.Resumed(s.now)
 	}
-	g.lastRan = p.now
+	g.lastRan = s.now
 	// An entry gets answers from the store; a standby gateway gets its state from an entry.
 	if g.isEntry {
-		g.list.Connected(p.now)
-	} else if !p.now.Before(g.nextQuery) {
-		g.nextQuery = p.now.Add(queryInterval)
-		p.query(g)
+		g.list.Connected(s.now)
+	} else if !s.now.Before(g.nextQuery) {
+		g.nextQuery = s.now.Add(queryInterval)
+		s.query(g)
 	}
-	entries, suspects := g.list.Entries(p.now)
-	audience := audienceOf(g.name, entries, slices.Concat(suspects, g.list.Claimants(p.now)), nil)
+	entries, suspects := g.list.Entries(s.now)
+	audience := audienceOf(g.name, entries, slices.Concat(suspects, g.list.Claimants(s.now)), nil)
 	g.entries, g.audience, g.isEntry = entries, audience.Peers, !audience.StandsBy
 }
 
 // query makes a standby gateway query a random entry that it knows.
-func (p *fleetSimulation) query(g *simulatedGateway) {
+func (s *fleetSimulation) query(g *simulatedGateway) {
 	if len(g.entries) == 0 {
 		return
 	}
-	teller := p.gateway(g.entries[p.random.IntN(len(g.entries))].Name)
-	if teller == g || !p.isRunning(teller) || !teller.isEntry {
+	entry := s.gateway(g.entries[s.random.IntN(len(g.entries))].Name)
+	if entry == g || !s.isRunning(entry) || !entry.isEntry {
 		return
 	}
-	g.list.Told(p.now, gatewayNames(teller.entries), gatewayNames(teller.list.Named(p.now)))
+	g.list.Told(s.now, gatewayNames(entry.entries), gatewayNames(entry.list.Named(s.now)))
 }
 
 // announce tells a gateway's audience whether it is an entry.
-func (p *fleetSimulation) announce(g *simulatedGateway) {
+func (s *fleetSimulation) announce(g *simulatedGateway) {
 	for _, name := range g.audience {
-		if other := p.gateway(name); p.isRunning(other) {
+		if other := s.gateway(name); s.isRunning(other) {
 			if g.isEntry {
-				other.list.Heard(p.now, g.name)
+				other.list.Heard(s.now, g.name)
 			} else {
 				other.list.Unheard(g.name)
 			}
@@ -128,9 +128,9 @@
 }
 
 // agreed reports whether all gateways have selected the same entries.
-func (p *fleetSimulation) agreed() bool {
-	for _, g := range p.gateways {
-		if !slices.Equal(gatewayNames(g.entries), gatewayNames(p.gateways[0].entries)) {
+func (s *fleetSimulation) agreed() bool {
+	for _, g := range s.gateways {
+		if !slices.Equal(gatewayNames(g.entries), gatewayNames(s.gateways[0].entries)) {
 			return false
 		}
 	}
@@ -148,14 +148,14 @@
 		if !s.agreed() {
 			t.Fatalf("seed %d: entries differ at the start", seed)
 		}
-		frozen := s.gateway(s.gateways[0].entries[0].Name)
+		stalled := s.gateway(s.gateways[0].entries[0].Name)
 		for start := s.now; s.now.Before(start.Add(busy)); {
 			for _, g := range s.gateways {
 				if s.isRunning(g) && s.random.IntN(8) == 0 {
 					g.stalledUntil = s.now.Add(time.Duration(s.random.IntN(2000)) * time.Millisecond)
 				}
 			}
-			frozen.stalledUntil = s.now.Add(time.Hour)
+			stalled.stalledUntil = s.now.Add(time.Hour)
 			s.run(4 * simulationStep)
 		}
 		for _, g := range s.gateways {
--- a/internal/gateway/barsyncer.go
+++ b/internal/gateway/barsyncer.go
@@ -289,8 +289,8 @@
 }
 
 // Release implements adminapi.Backend.
-func (a admin) Release(ctx context.Context, asked poison.Digest) (bool, error) {
-	return a.barSyncer.release(ctx, asked)
+func (a admin) Release(ctx context.Context, digest poison.Digest) (bool, error) {
+	return a.barSyncer.release(ctx, digest)
 }
 
 // BarsListed implements cluster.Listener.
--- a/internal/gateway/enginemonitor.go
+++ b/internal/gateway/enginemonitor.go
@@ -76,10 +76,10 @@
 		case <-timer.C:
 		}
 		m.reportRoleLosses(boottime.Now())
-		questions := m.gateway.dispatcher.Questions()
-		m.prune(questions)
-		m.probeAll(ctx, m.dueProbes(boottime.Now(), questions))
-		if len(questions) > 0 || len(m.lostSince) > 0 {
+		candidates := m.gateway.dispatcher.Questions()
+		m.prune(candidates)
+		m.probeAll(ctx, m.dueProbes(boottime.Now(), candidates))
+		if len(candidates) > 0 || len(m.lostSince) > 0 {
 			timer.Reset(forward.AskEngineEvery)
 		} else {
 			timer.Reset(m.idleInterval())
@@ -97,13 +97,13 @@
 }
 
 // prune removes the state of engines that are no longer candidates for probing.
-func (m *engineMonitor) prune(questions []forward.Question) {
+func (m *engineMonitor) prune(candidates []forward.Question) {
 	if len(m.firstProbed) == 0 {
 		return
 	}
 	current := map[string]bool{}
-	for _, question := range questions {
-		current[question.Worker.ID] = true
+	for _, candidate := range candidates {
+		current[candidate.Worker.ID] = true
 	}
 	for id := range m.firstProbed {
 		if !current[id] {
@@ -115,54 +115,54 @@
 
 // dueProbes returns the engines to probe now: those assigned to this gateway and, on the leader, absent ones whose
 // termination it has not confirmed itself.
-func (m *engineMonitor) dueProbes(now time.Time, questions []forward.Question) []forward.Question {
-	if len(questions) == 0 {
+func (m *engineMonitor) dueProbes(now time.Time, candidates []forward.Question) []forward.Question {
+	if len(candidates) == 0 {
 		return nil
 	}
 	leads := m.gateway.controller.GivesOrders()
 	var due []forward.Question
-	for _, question := range questions {
-		id := question.Worker.ID
+	for _, candidate := range candidates {
+		id := candidate.Worker.ID
 		if _, known := m.firstProbed[id]; !known {
 			m.firstProbed[id] = now
 		}
-		mustConfirm := leads && question.Absent && !question.Confirmed
+		mustConfirm := leads && candidate.Absent && !candidate.Confirmed
 		if !mustConfirm && !m.gateway.ownsKey(id) {
 			continue
 		}
 		interval := forward.AskEngineEvery
-		if question.Absent {
+		if candidate.Absent {
 			interval = min(max(interval, time.Duration(probeBackoffRatio*float64(now.Sub(m.firstProbed[id])))), maxProbeInterval)
 		}
 		if now.Sub(m.lastProbed[id]) >= interval {
 			m.lastProbed[id] = now
-			due = append(due, question)
+			due = append(due, candidate)
 		}
 	}
 	return due
 }
 
 // probeAll probes engines concurrently.
-func (m *engineMonitor) probeAll(ctx context.Context, questions []forward.Question) {
+func (m *engineMonitor) probeAll(ctx context.Context, candidates []forward.Question) {
 	slots := make(chan struct{}, maxConcurrentProbes)
 	var probes sync.WaitGroup
-	for _, question := range questions {
+	for _, candidate := range candidates {
 		slots <- struct{}{}
 		probes.Go(func() {
 			defer func() { <-slots }()
-			m.probe(ctx, question)
+			m.probe(ctx, candidate)
 		})
 	}
 	probes.Wait()
 }
 
 // probe queries the state of one engine. A timeout is inconclusive.
-func (m *engineMonitor) probe(ctx context.Context, question forward.Question) {
+func (m *engineMonitor) probe(ctx context.Context, candidate forward.Question) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	worker := question.Worker
+	worker := candidate.Worker
 	state, err := m.gateway.ports.Orderer.Inspect(ctx, worker)
-	if err == nil && question.Absent {
+	if err == nil && candidate.Absent {
 		err = m.verifyIdentity(ctx, worker)
 	}
 	var transport *httpclient.Error
@@ -203,8 +203,8 @@
 		return ""
 	}
 	for i := range table.Configuration().Groups {
-		if candidate := &table.Configuration().Groups[i]; candidate.Name == group {
-			return candidate.HealthPath
+		if configured := &table.Configuration().Groups[i]; configured.Name == group {
+			return configured.HealthPath
 		}
 	}
 	return ""
--- a/internal/gateway/entries.go
+++ b/internal/gateway/entries.go
@@ -224,17 +224,17 @@
 
 // setRetrySharers divides the retry allowance and logs a changed divisor. Entries also count uncertain gateways, which
 // may still accept requests and spend retries. The mutex of entries must be held.
-func (g *Gateway) setRetrySharers(standby bool, entries, inDoubt, serving int) {
+func (g *Gateway) setRetrySharers(standby bool, entries, uncertain, serving int) {
 	sharers := retrybudget.Sharers(standby, entries, serving)
 	if !standby {
-		sharers = retrybudget.Sharers(standby, min(entries+inDoubt, serving), serving)
+		sharers = retrybudget.Sharers(standby, min(entries+uncertain, serving), serving)
 	}
 	g.dispatcher.SetSharers(sharers)
 	if sharers == g.entries.retrySharers {
 		return
 	}
 	logging.Part(g.logger, "budget").WithFields(logrus.Fields{
-		"divided_by": sharers, "before": g.entries.retrySharers, "stands_by": standby, "entries": entries, "in_doubt": inDoubt, "gateways": serving,
+		"divided_by": sharers, "before": g.entries.retrySharers, "stands_by": standby, "entries": entries, "in_doubt": uncertain, "gateways": serving,
 	}).Info("The share of the allowance of repeats has changed.")
 	g.entries.retrySharers = sharers
 }
@@ -274,9 +274,9 @@
 // audienceOf returns the recipients of a gateway's load messages: the entries, the uncertain gateways and the leader.
 // Uncertain gateways are suspects, which otherwise would not learn that they are heard again, and gateways that consider
 // themselves entries while this one does not, which otherwise would not learn of the other entries.
-func audienceOf(ownName string, entries, inDoubt, leader []member.Gateway) loadshare.Audience {
+func audienceOf(ownName string, entries, uncertain, leader []member.Gateway) loadshare.Audience {
 	isEntry := slices.ContainsFunc(entries, func(entry member.Gateway) bool { return entry.Name == ownName })
-	recipients := lo.UniqBy(slices.Concat(entries, inDoubt, leader), func(gateway member.Gateway) string { return gateway.Name })
+	recipients := lo.UniqBy(slices.Concat(entries, uncertain, leader), func(gateway member.Gateway) string { return gateway.Name })
 	return loadshare.Audience{Peers: peerAddresses(ownName, recipients), StandsBy: !isEntry}
 }
 
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -55,9 +55,9 @@
 	Identify func(ctx context.Context, worker *backend.Worker, path string) (string, error)
 	// WatchNotices registers a callback for the notices in workers' answers, with an error for those that cannot be
 	// parsed. May be nil.
-	WatchNotices func(heard func(worker *backend.Worker, notice backend.Notice, err error))
+	WatchNotices func(handle func(worker *backend.Worker, notice backend.Notice, err error))
 	// WatchEra registers a callback for store responses that report a restore from an older copy. May be nil.
-	WatchEra func(heard func(era int64))
+	WatchEra func(handle func(era int64))
 	// ForgetAddress closes idle connections to an address that no worker uses any more.
 	ForgetAddress func(address string)
 	// ReadyHandler returns the handler of the readiness endpoint.
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -103,13 +103,13 @@
 		return
 	}
 	m.set.GetOrCreateCounter(metricOutdatedAnswers).Inc()
-	if m.allowLog(outdatedResponseReason) {
+	if m.allowLog(outdatedAnswerReason) {
 		m.logger.WithError(err).WithField("call", call).Warn("Discarded a store answer from before the store was restored from an older copy.")
 	}
 }
 
-// outdatedResponseReason is the rate limiting key of log lines about outdated answers.
-const outdatedResponseReason forward.Reason = "outdated answer of the store"
+// outdatedAnswerReason is the rate limiting key of log lines about outdated answers.
+const outdatedAnswerReason forward.Reason = "outdated answer of the store"
 
 // observeChoice records the duration of a worker choice and its number of candidates.
 func (m *gatewayMetrics) observeChoice(elapsed time.Duration, candidates int) {
@@ -244,14 +244,14 @@
 		}
 	}
 	m.countNoticeViolations(report)
-	recorded := newRequestDecision(report)
-	m.decisions.Append(report.Ended, recorded)
+	request := newRequestDecision(report)
+	m.decisions.Append(report.Ended, request)
 	if report.Unanswered {
-		m.recordUnanswered(report, recorded)
+		m.recordUnanswered(report, request)
 		return
 	}
-	if !recorded.servedFirstTry() && m.allowLog(report.Reason) {
-		m.logRequest(recorded)
+	if !request.servedFirstTry() && m.allowLog(report.Reason) {
+		m.logRequest(request)
 	}
 }
 
--- a/internal/gateway/tenantusage.go
+++ b/internal/gateway/tenantusage.go
@@ -42,7 +42,7 @@
 
 // addTo adds usage counts to a message: all of them if full is set, else changed ones. A standby gateway may not send
 // again for a long time, so its changes are added immediately.
-func (u *tenantUsage) addTo(message *loadshare.Message, full, standsBy bool) {
+func (u *tenantUsage) addTo(message *loadshare.Message, full, standby bool) {
 	if u.tally == nil {
 		return
 	}
@@ -52,7 +52,7 @@
 		message.WallMs = now.UnixMilli()
 		message.Used = u.tally.All(now)
 		u.sentAt = now
-	case standsBy || now.Sub(u.sentAt) >= usageSendInterval:
+	case standby || now.Sub(u.sentAt) >= usageSendInterval:
 		message.Used = u.tally.Untold()
 		u.sentAt = now
 	}
