--- a/internal/decisionlog/log.go
+++ b/internal/decisionlog/log.go
@@ -18,7 +18,7 @@
 }
 
 // kept is an entry with what the log adds to it.
-type kept struct {
+type storedEntry struct {
 	sequence uint64
 	time     time.Time
 	entry    Entry
@@ -30,7 +30,7 @@
 	capacity int
 
 	mu        sync.Mutex
-	entries   []kept
+	entries   []storedEntry
 	next      int
 	sequence  uint64
 	followers map[chan decision.Record]struct{}
@@ -46,22 +46,22 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sequence++
-	added := kept{sequence: l.sequence, time: now, entry: entry}
+	stored := storedEntry{sequence: l.sequence, time: now, entry: entry}
 	if len(l.entries) < l.capacity {
-		l.entries = append(l.entries, added)
+		l.entries = append(l.entries, stored)
 	} else {
-		l.entries[l.next] = added
+		l.entries[l.next] = stored
 		l.next = (l.next + 1) % l.capacity
 	}
-	l.offer(added)
+	l.publish(stored)
 }
 
 // offer hands a decision to each follower that has room.
-func (l *Log) offer(added kept) {
+func (l *Log) publish(stored storedEntry) {
 	if len(l.followers) == 0 {
 		return
 	}
-	record := l.record(added)
+	record := l.record(stored)
 	for follower := range l.followers {
 		select {
 		case follower <- record:
@@ -71,9 +71,9 @@
 }
 
 // record completes the record of an entry.
-func (l *Log) record(k kept) decision.Record {
-	record := k.entry.Record()
-	record.Sequence, record.Time, record.Process = k.sequence, k.time, l.process
+func (l *Log) record(stored storedEntry) decision.Record {
+	record := stored.entry.Record()
+	record.Sequence, record.Time, record.Process = stored.sequence, stored.time, l.process
 	return record
 }
 
@@ -83,9 +83,9 @@
 	defer l.mu.Unlock()
 	var found []decision.Record
 	for i := range l.entries {
-		k := l.entries[(l.next+i)%len(l.entries)]
-		if k.sequence > since {
-			found = append(found, l.record(k))
+		stored := l.entries[(l.next+i)%len(l.entries)]
+		if stored.sequence > since {
+			found = append(found, l.record(stored))
 		}
 	}
 	return found
--- a/internal/decisionlog/log_test.go
+++ b/internal/decisionlog/log_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestLatestKeepsTheNewestInOrder appends more than the log keeps.
-func TestLatestKeepsTheNewestInOrder(t *testing.T) {
+func TestLatestReturnsNewestInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacity := rapid.IntRange(1, 10).Draw(t, "capacity")
 		count := rapid.IntRange(0, 40).Draw(t, "count")
@@ -34,7 +34,7 @@
 	})
 }
 
-func TestFollowersGetNewDecisionsAndASlowOneHoldsNobodyUp(t *testing.T) {
+func TestSlowFollowerDoesNotBlock(t *testing.T) {
 	log := New("gateway-a", 4)
 	log.Append(time.Now(), decision.Record{Subject: "before"})
 	records, stop := log.Follow()
