--- a/internal/completions/completions.go
+++ b/internal/completions/completions.go
@@ -59,11 +59,11 @@
 type Callers struct{}
 
 // bearer begins the value of the header with a key.
-const bearer = "Bearer "
+const bearerPrefix = "Bearer "
 
 // Key is part of forward.Protocol.
 func (Callers) Key(r *http.Request) string {
-	key, _ := strings.CutPrefix(r.Header.Get("Authorization"), bearer)
+	key, _ := strings.CutPrefix(r.Header.Get("Authorization"), bearerPrefix)
 	return key
 }
 
@@ -73,14 +73,14 @@
 	if r.Method != http.MethodPost || r.URL.Path != Path {
 		return nil, false
 	}
-	labels, _ := labelsOf(r.Header.Get(HeaderLabels))
+	labels, _ := parseLabels(r.Header.Get(HeaderLabels))
 	if tenant := r.Header.Get(HeaderTenant); tenant != "" {
 		labels[configuration.LabelTenant] = tenant
 	}
 	if owner != nil {
 		labels[configuration.LabelTenant] = owner.Name()
 	}
-	repeatable, _ := repeatableOf(r.Header.Get(HeaderRepeatable))
+	repeatable, _ := parseRepeatable(r.Header.Get(HeaderRepeatable))
 	labels[configuration.LabelRepeatable] = strconv.FormatBool(repeatable)
 	return labels, true
 }
@@ -102,10 +102,10 @@
 
 // Read is part of forward.Protocol. The error names every header that is wrong.
 func (Callers) Read(r *http.Request) (*forward.Request, error) {
-	_, labelErr := labelsOf(r.Header.Get(HeaderLabels))
-	repeatable, repeatableErr := repeatableOf(r.Header.Get(HeaderRepeatable))
-	patience, patienceErr := patienceOf(r.Header.Get(HeaderDeadline))
-	if err := errors.Join(labelErr, repeatableErr, patienceErr); err != nil {
+	_, labelErr := parseLabels(r.Header.Get(HeaderLabels))
+	repeatable, repeatableErr := parseRepeatable(r.Header.Get(HeaderRepeatable))
+	deadline, deadlineErr := parseDeadline(r.Header.Get(HeaderDeadline))
+	if err := errors.Join(labelErr, repeatableErr, deadlineErr); err != nil {
 		return nil, err
 	}
 	request := &forward.Request{
@@ -114,7 +114,7 @@
 		Target:      r.URL.RequestURI(),
 		Host:        r.Host,
 		Header:      http.Header{"Content-Type": {"application/json"}},
-		Patience:    patience,
+		Patience:    deadline,
 		ResumeAfter: r.Header.Get(HeaderLastEvent),
 		RunOnce:     !repeatable,
 		Tenant:      r.Header.Get(HeaderTenant),
@@ -141,17 +141,17 @@
 
 // validate returns all faults of a body, each with its field, its value and what is allowed.
 func (b *Body) validate() error {
-	var faults []error
+	var errs []error
 	if b.Model == "" {
-		faults = append(faults, errors.Newf("field model: %q is not allowed; the name of a model is needed", b.Model))
+		errs = append(errs, errors.Newf("field model: %q is not allowed; the name of a model is needed", b.Model))
 	}
 	if b.MaxTokens != nil && *b.MaxTokens < 1 {
-		faults = append(faults, errors.Newf("field max_tokens: %d is not allowed; a number above 0 is needed", *b.MaxTokens))
+		errs = append(errs, errors.Newf("field max_tokens: %d is not allowed; a number above 0 is needed", *b.MaxTokens))
 	}
 	if b.SharedPrefixTokens < 0 {
-		faults = append(faults, errors.Newf("field shared_prefix_tokens: %d is not allowed; a number of at least 0 is needed", b.SharedPrefixTokens))
+		errs = append(errs, errors.Newf("field shared_prefix_tokens: %d is not allowed; a number of at least 0 is needed", b.SharedPrefixTokens))
 	}
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
 
 // demand returns what the request asks of a worker. Tokens are counted as words: the workers count them for themselves, and
@@ -183,25 +183,25 @@
 }
 
 // labelsOf reads KEY=VALUE pairs.
-func labelsOf(text string) (map[string]string, error) {
+func parseLabels(text string) (map[string]string, error) {
 	labels := map[string]string{}
 	if text == "" {
 		return labels, nil
 	}
-	var faults error
+	var errs error
 	for _, pair := range strings.Split(text, ",") {
 		key, value, found := strings.Cut(strings.TrimSpace(pair), "=")
 		if !found || key == "" {
-			faults = errors.Join(faults, errors.Newf("header %s: %q is not allowed; KEY=VALUE is needed", HeaderLabels, pair))
+			errs = errors.Join(errs, errors.Newf("header %s: %q is not allowed; KEY=VALUE is needed", HeaderLabels, pair))
 			continue
 		}
 		labels[key] = value
 	}
-	return labels, faults
+	return labels, errs
 }
 
 // repeatableOf reads whether the work may run more than once. What can't be read may not.
-func repeatableOf(text string) (bool, error) {
+func parseRepeatable(text string) (bool, error) {
 	if text == "" {
 		return true, nil
 	}
@@ -213,13 +213,13 @@
 }
 
 // patienceOf reads how long a caller waits; zero when it does not say.
-func patienceOf(text string) (time.Duration, error) {
+func parseDeadline(text string) (time.Duration, error) {
 	if text == "" {
 		return 0, nil
 	}
-	patience, err := time.ParseDuration(text)
-	if err != nil || patience <= 0 {
+	deadline, err := time.ParseDuration(text)
+	if err != nil || deadline <= 0 {
 		return 0, errors.Newf("header %s: %q is not allowed; a duration above 0s is needed, as in 1m30s", HeaderDeadline, text)
 	}
-	return patience, nil
+	return deadline, nil
 }
--- a/internal/completions/completions_test.go
+++ b/internal/completions/completions_test.go
@@ -22,8 +22,8 @@
 		name, value, _ := strings.Cut(strings.TrimSpace(line), ": ")
 		r.Header.Set(name, value)
 	}
-	set, speaks := Callers{}.Labels(r, nil)
-	if !speaks {
+	labelSet, matched := Callers{}.Labels(r, nil)
+	if !matched {
 		return "error the request is none of the protocol"
 	}
 	request, err := Callers{}.Read(r)
@@ -39,11 +39,11 @@
 		parts = append(parts, fmt.Sprint(part.Tokens))
 	}
 	return fmt.Sprintf("labels %s\nid %s tenant %s patience %s once %t whole %t\ntokens %d,%d parts %s",
-		labels.Set(set), request.ID, request.Tenant, request.Patience, request.RunOnce, request.Whole,
+		labels.Set(labelSet), request.ID, request.Tenant, request.Patience, request.RunOnce, request.Whole,
 		request.Demand.PromptTokens, request.Demand.OutputTokens, strings.Join(parts, ","))
 }
 
-func TestRequestsAreRead(t *testing.T) {
+func TestReadRequests(t *testing.T) {
 	archive, err := txtar.ParseFile("testdata/read.txtar")
 	if err != nil {
 		t.Fatal(err)
@@ -62,28 +62,28 @@
 	}
 }
 
-func TestOtherRequestsAreNoneOfTheProtocol(t *testing.T) {
+func TestLabelsRejectsOtherRequests(t *testing.T) {
 	for _, r := range []*http.Request{
 		httptest.NewRequest(http.MethodGet, Path, nil), httptest.NewRequest(http.MethodPost, "/v1/other", nil),
 	} {
-		if _, speaks := (Callers{}).Labels(r, nil); speaks {
+		if _, matched := (Callers{}).Labels(r, nil); matched {
 			t.Errorf("%s %s is taken for one", r.Method, r.URL)
 		}
 	}
 }
 
-func TestSameBeginningsHaveTheSameKey(t *testing.T) {
-	demand := func(prompt string) string {
+func TestSharedPrefixDeterminesAffinityKey(t *testing.T) {
+	affinityKey := func(prompt string) string {
 		body := Body{Model: "m", Prompt: prompt, SharedPrefixTokens: 2}
 		return body.demand().AffinityKey()
 	}
-	if demand("a b c") != demand("a b d") || demand("a b c") == demand("a c c") {
+	if affinityKey("a b c") != affinityKey("a b d") || affinityKey("a b c") == affinityKey("a c c") {
 		t.Error("prompts are told apart by something else than their shared beginning")
 	}
 }
 
 // TestTheTenantOfAKeyGoesBeforeWhatTheCallerSays guards against rules that select on a tenant which the caller only claims to be.
-func TestTheTenantOfAKeyGoesBeforeWhatTheCallerSays(t *testing.T) {
+func TestTenantOfKeyOverridesHeader(t *testing.T) {
 	table, err := tenant.NewTable([]tenant.Grant{{Name: "roasters", Keys: []string{"key-1"}}})
 	if err != nil {
 		t.Fatal(err)
