--- a/internal/decision/decision.go
+++ b/internal/decision/decision.go
@@ -1,52 +1,51 @@
-// Package decision defines the typed record of each choice that the system makes, so that operators can watch
-// what was chosen and why.
+// Package decision defines the records of decisions, which show operators what the system chose and why.
 package decision
 
 import "time"
 
-// Kind names what was decided.
+// Kind is the kind of a decision.
 type Kind string
 
-// The kinds of decisions.
+// Decision kinds.
 const (
-	KindRequest       Kind = "request"       // a request reached its end at a gateway
-	KindRefusal       Kind = "refusal"       // a request was given up before it ran
-	KindRole          Kind = "role"          // a worker was ordered to change its role, or was not
-	KindAuthority     Kind = "authority"     // a gateway gained or lost the right to give orders
+	KindRequest       Kind = "request"       // a request was finished by a gateway
+	KindRefusal       Kind = "refusal"       // a request was rejected before it ran
+	KindRole          Kind = "role"          // an engine was to change its role, or a role was lost or regained
+	KindAuthority     Kind = "authority"     // a gateway gained or lost the authority to give orders
 	KindConfiguration Kind = "configuration" // a configuration was put in force
-	KindHealth        Kind = "health"        // a worker was set aside, or said that it leaves or wants no requests
-	KindEntry         Kind = "entry"         // a gateway began or ceased to take requests of callers
+	KindHealth        Kind = "health"        // a worker was ejected, or gave notice that it is leaving, backing off or limited
+	KindEntry         Kind = "entry"         // a gateway became an entry or a standby, or the required entry capacity changed
 	KindUsage         Kind = "usage"         // the usage of a window was reported
 	KindCapacity      Kind = "capacity"      // workers of a zone were ordered
-	KindBar           Kind = "bar"           // a request was suspected of ending workers, barred, cleared or released
-	KindStore         Kind = "store"         // the store came back from an older copy
+	KindBar           Kind = "bar"           // a request was suspected of crashing workers, barred, cleared or released
+	KindStore         Kind = "store"         // the store was restored from an older copy
 )
 
-// Kinds are all kinds, those about requests first.
+// Kinds lists all kinds, those about requests first.
 var Kinds = []Kind{KindRequest, KindRefusal, KindRole, KindAuthority, KindConfiguration, KindHealth, KindEntry, KindUsage, KindCapacity, KindBar, KindStore}
 
-// Record is one decision.
+// Record describes one decision.
 type Record struct {
-	// Sequence numbers the records of one process from 1.
+	// Sequence numbers the records of one process, starting from 1.
 	Sequence uint64 `json:"sequence"`
-	// Time at the deciding process.
+	// Time is the time of the decision by the clock of the deciding process.
 	Time time.Time `json:"time"`
-	// Process that decided, for example "gateway-a-1".
+	// Process is the name of the deciding process, for example "gateway-a-1".
 	Process string `json:"process"`
 	Kind    Kind   `json:"kind"`
-	// Subject is what the decision is about: a request id, a worker or a group.
+	// Subject is what the decision is about: a request ID, a worker or a group.
 	Subject string `json:"subject"`
-	// Outcome is what was chosen, for example a worker or a role.
+	// Outcome is what was decided, for example a status, a state or a role.
 	Outcome string `json:"outcome,omitempty"`
-	// Reason is one plain sentence.
+	// Reason explains the decision in one sentence.
 	Reason string `json:"reason"`
-	// Inputs that mattered, by name.
+	// Inputs are the facts that led to the decision, by name.
 	Inputs map[string]string `json:"inputs,omitempty"`
-	// Version of the routes in force when the decision was made.
+	// Version is the version of the routes in force at the time.
 	Version int64 `json:"version,omitempty"`
-	// Fence of the authority under which the decision was made; zero when it needed none.
+	// Fence is the fencing token of the authority under which the decision was made; zero if it needed none.
 	Fence int64 `json:"fence,omitempty"`
 }
 
-// Record returns the decision itself: a record is an entry of a log as it is.
+// Record implements decisionlog.Entry.
 func (r Record) Record() Record { return r }
