--- a/internal/decisionlog/log.go
+++ b/internal/decisionlog/log.go
@@ -1,4 +1,4 @@
-// Package decisionlog keeps the latest decisions of one process and streams new ones to those who follow.
+// Package decisionlog keeps the most recent decisions of a process and streams new ones to followers.
 package decisionlog
 
 import (
@@ -8,23 +8,25 @@
 	"github.com/granitebay/granitebay/internal/decision"
 )
 
-// followerBuffer bounds the records that wait for one follower; a slower one loses records and sees the gap in Sequence.
+// followerBuffer is the number of records buffered for a follower. A follower that falls behind loses records, which it
+// can tell from gaps in Sequence.
 const followerBuffer = 1024
 
-// Entry is a decision as its maker keeps it. Most entries are never read, so that the record is made only for a reader.
+// Entry is a decision in the form in which its originator keeps it. Most entries are never read, so records are created
+// only on demand.
 type Entry interface {
-	// Record returns the decision without its number, time and process.
+	// Record returns the decision without its sequence number, time and process.
 	Record() decision.Record
 }
 
-// kept is an entry with what the log adds to it.
+// storedEntry is an entry with its sequence number and time.
 type storedEntry struct {
 	sequence uint64
 	time     time.Time
 	entry    Entry
 }
 
-// Log is a bounded ring of decisions. It is safe for use by many goroutines.
+// Log is a ring buffer of decisions. It is safe for concurrent use.
 type Log struct {
 	process  string
 	capacity int
@@ -36,12 +38,12 @@
 	followers map[chan decision.Record]struct{}
 }
 
-// New returns a log of a process that keeps the latest capacity decisions.
+// New returns the log of a process, which keeps the latest capacity decisions.
 func New(process string, capacity int) *Log {
 	return &Log{process: process, capacity: max(capacity, 1), followers: make(map[chan decision.Record]struct{})}
 }
 
-// Append numbers and stamps a decision, keeps it and hands it to the followers.
+// Append adds a decision, assigns its sequence number and sends it to the followers.
 func (l *Log) Append(now time.Time, entry Entry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -56,7 +58,7 @@
 	l.publish(stored)
 }
 
-// offer hands a decision to each follower that has room.
+// publish sends a decision to the followers and drops it for those whose buffers are full.
 func (l *Log) publish(stored storedEntry) {
 	if len(l.followers) == 0 {
 		return
@@ -70,14 +72,14 @@
 	}
 }
 
-// record completes the record of an entry.
+// record returns the complete record of a stored entry.
 func (l *Log) record(stored storedEntry) decision.Record {
 	record := stored.entry.Record()
 	record.Sequence, record.Time, record.Process = stored.sequence, stored.time, l.process
 	return record
 }
 
-// Latest returns the kept decisions with a sequence above since, oldest first.
+// Latest returns the stored decisions with a sequence number above since, oldest first.
 func (l *Log) Latest(since uint64) []decision.Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -91,7 +93,7 @@
 	return found
 }
 
-// Follow returns a channel of new decisions and a function that ends it.
+// Follow returns a channel of new decisions and a function that ends the subscription.
 func (l *Log) Follow() (<-chan decision.Record, func()) {
 	follower := make(chan decision.Record, followerBuffer)
 	l.mu.Lock()
--- a/internal/decisionlog/log_test.go
+++ b/internal/decisionlog/log_test.go
@@ -10,7 +10,7 @@
 	"github.com/granitebay/granitebay/internal/decision"
 )
 
-// TestLatestKeepsTheNewestInOrder appends more than the log keeps.
+// TestLatestReturnsNewestInOrder guards against lost or reordered decisions once the ring buffer wraps around.
 func TestLatestReturnsNewestInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		capacity := rapid.IntRange(1, 10).Draw(t, "capacity")
@@ -42,11 +42,11 @@
 		log.Append(time.Now(), decision.Record{Subject: fmt.Sprint(i)})
 	}
 	if first := <-records; first.Subject != "0" || first.Sequence != 2 {
-		t.Errorf("the first is %+v", first)
+		t.Errorf("first record is %+v", first)
 	}
 	stop()
 	log.Append(time.Now(), decision.Record{})
 	if len(records) != followerBuffer-1 {
-		t.Errorf("%d decisions wait", len(records))
+		t.Errorf("%d decisions are buffered", len(records))
 	}
 }
