--- a/internal/completions/completions.go
+++ b/internal/completions/completions.go
@@ -1,8 +1,7 @@
-// Package completions is the product's own interface to callers: an OpenAI-style completions API whose requests are matched by
-// labels.
+// Package completions implements an OpenAI-style completions API, whose requests are routed by labels.
 //
-// A caller posts a JSON body to /v1/completions. Headers carry its tenant, its labels, how long it waits, and whether the work
-// may run more than once. The answer is a stream of server-sent events, or one JSON object.
+// A caller posts a JSON body to /v1/completions. Headers carry its tenant, its labels, its deadline, and whether the
+// request may be run more than once. The answer is a stream of server-sent events or a single JSON object.
 package completions
 
 import (
@@ -22,53 +21,53 @@
 	"github.com/granitebay/granitebay/internal/tenant"
 )
 
-// Path of the API.
+// Path is the path of the API.
 const Path = "/v1/completions"
 
-// Headers of a request.
+// Request headers.
 const (
 	HeaderTenant = "X-Granitebay-Tenant"
-	// HeaderLabels holds KEY=VALUE pairs, joined by commas.
+	// HeaderLabels holds comma-separated KEY=VALUE pairs.
 	HeaderLabels = "X-Granitebay-Labels"
-	// HeaderDeadline is how long the caller waits, as in "1m30s".
+	// HeaderDeadline is how long the caller waits for the answer, as in "1m30s".
 	HeaderDeadline = "X-Granitebay-Deadline"
-	// HeaderRepeatable is "false" for work that may run at most once; it is "true" by default.
+	// HeaderRepeatable is "false" for a request that may be run at most once; the default is "true".
 	HeaderRepeatable = "X-Granitebay-Repeatable"
-	// HeaderRequestID names the request in answers, logs and decisions; a new id is made for a request without one.
+	// HeaderRequestID identifies the request in answers, logs and decisions. A request without one gets a new ID.
 	HeaderRequestID = "X-Request-Id"
-	// HeaderLastEvent is the id of the last event that the caller of a repeatable stream already has.
+	// HeaderLastEvent is the ID of the last event that the caller of a repeatable stream has received.
 	HeaderLastEvent = "Last-Event-Id"
 )
 
-// DefaultMaxTokens is the length of an answer when a request does not give one.
+// DefaultMaxTokens is the limit on the length of an answer if the request sets none.
 const DefaultMaxTokens = 16
 
-// Body is the body of a request.
+// Body is the JSON body of a request.
 type Body struct {
 	Model  string `json:"model"`
 	Prompt string `json:"prompt"`
-	// MaxTokens bounds the answer.
+	// MaxTokens limits the length of the answer.
 	MaxTokens *int `json:"max_tokens,omitempty"`
 	Stream    bool `json:"stream,omitempty"`
-	// SharedPrefixTokens is how many tokens at the beginning of the prompt other requests share. Requests with the same
-	// beginning are kept together where that pays.
+	// SharedPrefixTokens is the length in tokens of the prompt prefix that other requests share. Requests with the same
+	// prefix are sent to the same worker where that is worthwhile.
 	SharedPrefixTokens int `json:"shared_prefix_tokens,omitempty"`
 }
 
-// Callers reads requests of the API. It implements forward.LabelledProtocol.
+// Callers parses requests of the API. It implements forward.LabelledProtocol.
 type Callers struct{}
 
-// bearer begins the value of the header with a key.
+// bearerPrefix precedes the API key in the Authorization header.
 const bearerPrefix = "Bearer "
 
-// Key is part of forward.Protocol.
+// Key implements forward.Protocol.
 func (Callers) Key(r *http.Request) string {
 	key, _ := strings.CutPrefix(r.Header.Get("Authorization"), bearerPrefix)
 	return key
 }
 
-// Labels is part of forward.LabelledProtocol. Labels that can't be read are left out here, and named by Read.
-// The tenant of a key goes before what the caller says.
+// Labels implements forward.LabelledProtocol. It omits invalid labels, which Read reports. The tenant that owns the API
+// key overrides the tenant header.
 func (Callers) Labels(r *http.Request, owner *tenant.Tenant) (map[string]string, bool) {
 	if r.Method != http.MethodPost || r.URL.Path != Path {
 		return nil, false
@@ -85,22 +84,23 @@
 	return labels, true
 }
 
-// EventError is the name of the event that ends a stream which broke off.
+// EventError is the name of the event that ends an interrupted stream.
 const EventError = "error"
 
-// StreamError is the data of that event. The outcome is not known: a worker has run the request, and may have come to its end.
+// StreamError is the data of an EventError event. The outcome of the request is unknown, since a worker has run it and
+// may have completed it.
 type StreamError struct {
 	Error string `json:"error"`
 }
 
-// BrokenOff is part of forward.LabelledProtocol.
+// BrokenOff implements forward.LabelledProtocol.
 func (Callers) BrokenOff(reason forward.Reason) []byte {
-	// A string can always be encoded.
+	// Marshaling a string cannot fail.
 	data, _ := json.Marshal(StreamError{Error: string(reason)})
 	return []byte("event: " + EventError + "\ndata: " + string(data) + "\n\n")
 }
 
-// Read is part of forward.Protocol. The error names every header that is wrong.
+// Read implements forward.Protocol. The error lists all invalid headers.
 func (Callers) Read(r *http.Request) (*forward.Request, error) {
 	_, labelErr := parseLabels(r.Header.Get(HeaderLabels))
 	repeatable, repeatableErr := parseRepeatable(r.Header.Get(HeaderRepeatable))
@@ -125,7 +125,7 @@
 	return request, nil
 }
 
-// Complete is part of forward.Protocol.
+// Complete implements forward.Protocol.
 func (Callers) Complete(request *forward.Request) error {
 	var body Body
 	if err := json.Unmarshal(request.Body, &body); err != nil {
@@ -139,7 +139,7 @@
 	return nil
 }
 
-// validate returns all faults of a body, each with its field, its value and what is allowed.
+// validate returns an error that lists each invalid field with its value and what is allowed.
 func (b *Body) validate() error {
 	var errs []error
 	if b.Model == "" {
@@ -154,8 +154,8 @@
 	return errors.Join(errs...)
 }
 
-// demand returns what the request asks of a worker. Tokens are counted as words: the workers count them for themselves, and
-// placement needs no more than their order of magnitude.
+// demand returns the resources that the request needs. Tokens are approximated by words: workers count tokens
+// themselves, and placement needs only the order of magnitude.
 func (b *Body) demand() backend.Demand {
 	words := strings.Fields(b.Prompt)
 	demand := backend.Demand{Model: b.Model, PromptTokens: len(words), OutputTokens: DefaultMaxTokens}
@@ -172,7 +172,7 @@
 	return demand
 }
 
-// partID names a part of prompts by what it holds, in hex.
+// partID returns a hexadecimal hash that identifies a prompt part of a model.
 func partID(model string, words []string) string {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(model)
@@ -182,7 +182,7 @@
 	return strconv.FormatUint(digest.Sum64(), 16)
 }
 
-// labelsOf reads KEY=VALUE pairs.
+// parseLabels parses KEY=VALUE pairs.
 func parseLabels(text string) (map[string]string, error) {
 	labels := map[string]string{}
 	if text == "" {
@@ -200,7 +200,7 @@
 	return labels, errs
 }
 
-// repeatableOf reads whether the work may run more than once. What can't be read may not.
+// parseRepeatable parses whether a request may be run more than once. It returns false for invalid values.
 func parseRepeatable(text string) (bool, error) {
 	if text == "" {
 		return true, nil
@@ -212,7 +212,7 @@
 	return repeatable, nil
 }
 
-// patienceOf reads how long a caller waits; zero when it does not say.
+// parseDeadline parses how long a caller waits; zero if it does not say.
 func parseDeadline(text string) (time.Duration, error) {
 	if text == "" {
 		return 0, nil
--- a/internal/completions/completions_test.go
+++ b/internal/completions/completions_test.go
@@ -15,8 +15,8 @@
 	"github.com/granitebay/granitebay/internal/tenant"
 )
 
-// read returns what the protocol reads of a request, in the lines of the script.
-func read(head, body string) string {
+// describeRequest returns the parsed request, or the error, in the format of the script.
+func describeRequest(head, body string) string {
 	r := httptest.NewRequest(http.MethodPost, Path, strings.NewReader(body))
 	for line := range strings.Lines(head) {
 		name, value, _ := strings.Cut(strings.TrimSpace(line), ": ")
@@ -24,7 +24,7 @@
 	}
 	labelSet, matched := Callers{}.Labels(r, nil)
 	if !matched {
-		return "error the request is none of the protocol"
+		return "error not a request of this protocol"
 	}
 	request, err := Callers{}.Read(r)
 	if err == nil {
@@ -52,10 +52,10 @@
 		name := strings.TrimSuffix(pair[0].Name, "/request")
 		t.Run(name, func(t *testing.T) {
 			head, body, _ := strings.Cut("\n"+string(pair[0].Data), "\n\n")
-			got := read(strings.TrimPrefix(head, "\n"), body)
+			got := describeRequest(strings.TrimPrefix(head, "\n"), body)
 			for line := range strings.Lines(string(pair[1].Data)) {
 				if !strings.Contains(got, strings.TrimSpace(line)) {
-					t.Errorf("got\n%s\nwant %q among it", got, strings.TrimSpace(line))
+					t.Errorf("got\n%s\nwant it to contain %q", got, strings.TrimSpace(line))
 				}
 			}
 		})
@@ -67,7 +67,7 @@
 		httptest.NewRequest(http.MethodGet, Path, nil), httptest.NewRequest(http.MethodPost, "/v1/other", nil),
 	} {
 		if _, matched := (Callers{}).Labels(r, nil); matched {
-			t.Errorf("%s %s is taken for one", r.Method, r.URL)
+			t.Errorf("%s %s is accepted", r.Method, r.URL)
 		}
 	}
 }
@@ -78,11 +78,11 @@
 		return body.demand().AffinityKey()
 	}
 	if affinityKey("a b c") != affinityKey("a b d") || affinityKey("a b c") == affinityKey("a c c") {
-		t.Error("prompts are told apart by something else than their shared beginning")
+		t.Error("affinity key does not depend on exactly the shared prefix")
 	}
 }
 
-// TestTheTenantOfAKeyGoesBeforeWhatTheCallerSays guards against rules that select on a tenant which the caller only claims to be.
+// TestTenantOfKeyOverridesHeader guards against selecting rules by a tenant that the caller merely claims to be.
 func TestTenantOfKeyOverridesHeader(t *testing.T) {
 	table, err := tenant.NewTable([]tenant.Grant{{Name: "roasters", Keys: []string{"key-1"}}})
 	if err != nil {
