--- a/internal/gateway/decisions.go
+++ b/internal/gateway/decisions.go
@@ -99,7 +99,7 @@
 		inputs[adminapi.InputWorker] = try.Worker
 	}
 	if d.roleLoss != nil {
-		inputs["role_gone"] = fmt.Sprintf("%d decode engines terminated, %d engines changing to decode, %d prefill engines; expected back in %d ms",
+		inputs["role_gone"] = fmt.Sprintf("%d writers ended, %d engines are becoming writers, %d read; expected back in %d ms",
 			d.roleLoss.Lost, d.roleLoss.Changing, d.roleLoss.Readers, d.roleLoss.Back.Sub(d.ended).Milliseconds())
 	}
 	if d.err != nil {
