--- a/internal/completions/completions_test.go
+++ b/internal/completions/completions_test.go
@@ -15,16 +15,16 @@
 	"github.com/granitebay/granitebay/internal/tenant"
 )
 
-// read returns what the protocol reads of a request, in the lines of the script.
-func read(head, body string) string {
+// describeRequest returns the parsed request, or the error, in the format of the script.
+func describeRequest(head, body string) string {
 	r := httptest.NewRequest(http.MethodPost, Path, strings.NewReader(body))
 	for line := range strings.Lines(head) {
 		name, value, _ := strings.Cut(strings.TrimSpace(line), ": ")
 		r.Header.Set(name, value)
 	}
-	set, speaks := Callers{}.Labels(r, nil)
-	if !speaks {
-		return "error the request is none of the protocol"
+	labelSet, matched := Callers{}.Labels(r, nil)
+	if !matched {
+		return "error not a request of this protocol"
 	}
 	request, err := Callers{}.Read(r)
 	if err == nil {
@@ -39,11 +39,11 @@
 		parts = append(parts, fmt.Sprint(part.Tokens))
 	}
 	return fmt.Sprintf("labels %s\nid %s tenant %s patience %s once %t whole %t\ntokens %d,%d parts %s",
-		labels.Set(set), request.ID, request.Tenant, request.Patience, request.RunOnce, request.Whole,
+		labels.Set(labelSet), request.ID, request.Tenant, request.Patience, request.RunOnce, request.Whole,
 		request.Demand.PromptTokens, request.Demand.OutputTokens, strings.Join(parts, ","))
 }
 
-func TestRequestsAreRead(t *testing.T) {
+func TestReadRequests(t *testing.T) {
 	archive, err := txtar.ParseFile("testdata/read.txtar")
 	if err != nil {
 		t.Fatal(err)
@@ -52,38 +52,38 @@
 		name := strings.TrimSuffix(pair[0].Name, "/request")
 		t.Run(name, func(t *testing.T) {
 			head, body, _ := strings.Cut("\n"+string(pair[0].Data), "\n\n")
-			got := read(strings.TrimPrefix(head, "\n"), body)
+			got := describeRequest(strings.TrimPrefix(head, "\n"), body)
 			for line := range strings.Lines(string(pair[1].Data)) {
 				if !strings.Contains(got, strings.TrimSpace(line)) {
-					t.Errorf("got\n%s\nwant %q among it", got, strings.TrimSpace(line))
+					t.Errorf("got\n%s\nwant it to contain %q", got, strings.TrimSpace(line))
 				}
 			}
 		})
 	}
 }
 
-func TestOtherRequestsAreNoneOfTheProtocol(t *testing.T) {
+func TestLabelsRejectsOtherRequests(t *testing.T) {
 	for _, r := range []*http.Request{
 		httptest.NewRequest(http.MethodGet, Path, nil), httptest.NewRequest(http.MethodPost, "/v1/other", nil),
 	} {
-		if _, speaks := (Callers{}).Labels(r, nil); speaks {
-			t.Errorf("%s %s is taken for one", r.Method, r.URL)
+		if _, matched := (Callers{}).Labels(r, nil); matched {
+			t.Errorf("%s %s is accepted", r.Method, r.URL)
 		}
 	}
 }
 
-func TestSameBeginningsHaveTheSameKey(t *testing.T) {
-	demand := func(prompt string) string {
+func TestSharedPrefixDeterminesAffinityKey(t *testing.T) {
+	affinityKey := func(prompt string) string {
 		body := Body{Model: "m", Prompt: prompt, SharedPrefixTokens: 2}
 		return body.demand().AffinityKey()
 	}
-	if demand("a b c") != demand("a b d") || demand("a b c") == demand("a c c") {
-		t.Error("prompts are told apart by something else than their shared beginning")
+	if affinityKey("a b c") != affinityKey("a b d") || affinityKey("a b c") == affinityKey("a c c") {
+		t.Error("affinity key does not depend on exactly the shared prefix")
 	}
 }
 
-// TestTheTenantOfAKeyGoesBeforeWhatTheCallerSays guards against rules that select on a tenant which the caller only claims to be.
-func TestTheTenantOfAKeyGoesBeforeWhatTheCallerSays(t *testing.T) {
+// TestTenantOfKeyOverridesHeader guards against selecting rules by a tenant that the caller merely claims to be.
+func TestTenantOfKeyOverridesHeader(t *testing.T) {
 	table, err := tenant.NewTable([]tenant.Grant{{Name: "roasters", Keys: []string{"key-1"}}})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/decisionlog/log.go
+++ b/internal/decisionlog/log.go
@@ -1,4 +1,4 @@
-// Package decisionlog keeps the latest decisions of one process and streams new ones to those who follow.
+// Package decisionlog keeps the most recent decisions of a process and streams new ones to followers.
 package decisionlog
 
 import (
@@ -8,60 +8,62 @@
 	"github.com/granitebay/granitebay/internal/decision"
 )
 
-// followerBuffer bounds the records that wait for one follower; a slower one loses records and sees the gap in Sequence.
+// followerBuffer is the number of records buffered for a follower. A follower that falls behind loses records, which it
+// can tell from gaps in Sequence.
 const followerBuffer = 1024
 
-// Entry is a decision as its maker keeps it. Most entries are never read, so that the record is made only for a reader.
+// Entry is a decision in the form in which its originator keeps it. Most entries are never read, so records are created
+// only on demand.
 type Entry interface {
-	// Record returns the decision without its number, time and process.
+	// Record returns the decision without its sequence number, time and process.
 	Record() decision.Record
 }
 
-// kept is an entry with what the log adds to it.
-type kept struct {
+// storedEntry is an entry with its sequence number and time.
+type storedEntry struct {
 	sequence uint64
 	time     time.Time
 	entry    Entry
 }
 
-// Log is a bounded ring of decisions. It is safe for use by many goroutines.
+// Log is a ring buffer of decisions. It is safe for concurrent use.
 type Log struct {
 	process  string
 	capacity int
 
 	mu        sync.Mutex
-	entries   []kept
+	entries   []storedEntry
 	next      int
 	sequence  uint64
 	followers map[chan decision.Record]struct{}
 }
 
-// New returns a log of a process that keeps the latest capacity decisions.
+// New returns the log of a process, which keeps the latest capacity decisions.
 func New(process string, capacity int) *Log {
 	return &Log{process: process, capacity: max(capacity, 1), followers: make(map[chan decision.Record]struct{})}
 }
 
-// Append numbers and stamps a decision, keeps it and hands it to the followers.
+// Append adds a decision, assigns its sequence number and sends it to the followers.
 func (l *Log) Append(now time.Time, entry Entry) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.sequence++
-	added := kept{sequence: l.sequence, time: now, entry: entry}
+	stored := storedEntry{sequence: l.sequence, time: now, entry: entry}
 	if len(l.entries) < l.capacity {
-		l.entries = append(l.entries, added)
+		l.entries = append(l.entries, stored)
 	} else {
-		l.entries[l.next] = added
+		l.entries[l.next] = stored
 		l.next = (l.next + 1) % l.capacity
 	}
-	l.offer(added)
+	l.publish(stored)
 }
 
-// offer hands a decision to each follower that has room.
-func (l *Log) offer(added kept) {
+// publish sends a decision to the followers and drops it for those whose buffers are full.
+func (l *Log) publish(stored storedEntry) {
 	if len(l.followers) == 0 {
 		return
 	}
-	record := l.record(added)
+	record := l.record(stored)
 	for follower := range l.followers {
 		select {
 		case follower <- record:
@@ -70,28 +72,28 @@
 	}
 }
 
-// record completes the record of an entry.
-func (l *Log) record(k kept) decision.Record {
-	record := k.entry.Record()
-	record.Sequence, record.Time, record.Process = k.sequence, k.time, l.process
+// record returns the complete record of a stored entry.
+func (l *Log) record(stored storedEntry) decision.Record {
+	record := stored.entry.Record()
+	record.Sequence, record.Time, record.Process = stored.sequence, stored.time, l.process
 	return record
 }
 
-// Latest returns the kept decisions with a sequence above since, oldest first.
+// Latest returns the stored decisions with a sequence number above since, oldest first.
 func (l *Log) Latest(since uint64) []decision.Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var found []decision.Record
 	for i := range l.entries {
-		k := l.entries[(l.next+i)%len(l.entries)]
-		if k.sequence > since {
-			found = append(found, l.record(k))
+		stored := l.entries[(l.next+i)%len(l.entries)]
+		if stored.sequence > since {
+			found = append(found, l.record(stored))
 		}
 	}
 	return found
 }
 
-// Follow returns a channel of new decisions and a function that ends it.
+// Follow returns a channel of new decisions and a function that ends the subscription.
 func (l *Log) Follow() (<-chan decision.Record, func()) {
 	follower := make(chan decision.Record, followerBuffer)
 	l.mu.Lock()
--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -23,11 +23,11 @@
 	"github.com/granitebay/granitebay/internal/routing"
 )
 
-// pathMetrics is where the figures are served, beside the API of the operators and its page.
+// pathMetrics is the path of the metrics, next to the admin API and the admin page.
 const pathMetrics = "/metrics"
 
-// adminHandler serves figures, the API of the operators and its page at one port. The API is made when it is asked for the
-// first time, because most gateways never are.
+// adminHandler serves metrics, the admin API and the admin page on one port. The API is created on first use, because
+// most gateways never serve it.
 func (g *Gateway) adminHandler() http.Handler {
 	api := sync.OnceValue(func() http.Handler {
 		mux := http.NewServeMux()
@@ -44,10 +44,10 @@
 	})
 }
 
-// admin shows a gateway to operators. It implements adminapi.Backend.
+// admin implements adminapi.Backend for a gateway.
 type admin struct{ *Gateway }
 
-// Status is part of adminapi.Backend.
+// Status implements adminapi.Backend.
 func (a admin) Status() adminapi.GatewayStatus {
 	serving := a.view.Serving()
 	entries := a.Entries()
@@ -67,22 +67,22 @@
 	return status
 }
 
-// isListed tells whether a gateway is on a list.
+// isListed reports whether a list contains the gateway with the given name.
 func isListed(gateways []member.Gateway, name string) bool {
 	return slices.ContainsFunc(gateways, func(gateway member.Gateway) bool { return gateway.Name == name })
 }
 
-// Workers is part of adminapi.Backend.
+// Workers implements adminapi.Backend.
 func (a admin) Workers() []adminapi.WorkerStatus {
-	statuses := lo.Map(a.dispatcher.Workers(), func(seen forward.WorkerView, _ int) adminapi.WorkerStatus {
-		w := seen.Worker
+	statuses := lo.Map(a.dispatcher.Workers(), func(view forward.WorkerView, _ int) adminapi.WorkerStatus {
+		w := view.Worker
 		var limit *adminapi.LimitStatus
-		if q := seen.Quota; q != nil {
-			limit = &adminapi.LimitStatus{PerSecond: q.PerSecond, Part: q.Part, HeardAgoMs: time.Since(q.Heard).Milliseconds()}
+		if quota := view.Quota; quota != nil {
+			limit = &adminapi.LimitStatus{PerSecond: quota.PerSecond, Part: quota.Part, HeardAgoMs: time.Since(quota.Heard).Milliseconds()}
 		}
 		return adminapi.WorkerStatus{
 			Address: w.Address, ID: w.ID, Service: w.Group, Groups: w.Selected, Zone: w.Zone, Labels: w.Labels, Role: string(w.Role),
-			State: stateOf(seen), Running: seen.Load.Running, ReadingTokens: seen.Load.ReadingTokens, Slots: w.Slots, Limit: limit,
+			State: stateOf(view), Running: view.Load.Running, ReadingTokens: view.Load.ReadingTokens, Slots: w.Slots, Limit: limit,
 		}
 	})
 	slices.SortFunc(statuses, func(x, y adminapi.WorkerStatus) int {
@@ -91,23 +91,23 @@
 	return statuses
 }
 
-// stateOf names the state of a worker.
-func stateOf(seen forward.WorkerView) string {
+// stateOf returns the admin API's name for the state of a worker.
+func stateOf(view forward.WorkerView) string {
 	switch {
-	case seen.Worker.Draining:
+	case view.Worker.Draining:
 		return adminapi.StateDraining
-	case seen.Changing:
+	case view.Changing:
 		return adminapi.StateChanging
-	case seen.BacksOff:
+	case view.BacksOff:
 		return adminapi.StateBackOff
-	case seen.SetAside:
+	case view.SetAside:
 		return adminapi.StateSetAside
 	default:
 		return adminapi.StateReady
 	}
 }
 
-// Groups is part of adminapi.Backend.
+// Groups implements adminapi.Backend.
 func (a admin) Groups() []adminapi.GroupStatus {
 	table := a.handler.Table()
 	if table == nil {
@@ -116,22 +116,22 @@
 	workers := a.dispatcher.Workers()
 	return lo.Map(table.Configuration().Groups, func(group routing.Group, _ int) adminapi.GroupStatus {
 		status := adminapi.GroupStatus{Name: group.Name, Of: group.Of, Roles: map[string]int{}}
-		for _, seen := range workers {
-			if !slices.Contains(seen.Worker.Groups(), group.Name) {
+		for _, view := range workers {
+			if !slices.Contains(view.Worker.Groups(), group.Name) {
 				continue
 			}
 			status.Workers++
-			status.Running += seen.Load.Running
-			status.ReadingTokens += seen.Load.ReadingTokens
-			if seen.Worker.Role != backend.RoleNone {
-				status.Roles[string(seen.Worker.Role)]++
+			status.Running += view.Load.Running
+			status.ReadingTokens += view.Load.ReadingTokens
+			if view.Worker.Role != backend.RoleNone {
+				status.Roles[string(view.Worker.Role)]++
 			}
 		}
 		return status
 	})
 }
 
-// Rules is part of adminapi.Backend.
+// Rules implements adminapi.Backend.
 func (a admin) Rules() []adminapi.RuleStatus {
 	table := a.handler.Table()
 	if table == nil {
@@ -147,7 +147,8 @@
 	})
 }
 
-// describeMatch says which requests a rule is for. Selectors are those of the rules by labels.
+// describeMatch describes the requests that a rule matches. selectors maps the names of label rules to their request
+// selectors.
 func describeMatch(rule routing.Rule, selectors map[string]string) string {
 	switch match := rule.Match.(type) {
 	case routing.PathMatch:
@@ -157,7 +158,7 @@
 	}
 }
 
-// Gateways is part of adminapi.Backend.
+// Gateways implements adminapi.Backend.
 func (a admin) Gateways() []adminapi.PeerStatus {
 	reachable := a.view.Reachable()
 	entries := a.Entries()
@@ -169,15 +170,15 @@
 	})
 }
 
-// Document is part of adminapi.Backend.
+// Document implements adminapi.Backend.
 func (a admin) Document() configuration.Document { return a.view.Document() }
 
-// Propose is part of adminapi.Backend.
+// Propose implements adminapi.Backend.
 func (a admin) Propose(ctx context.Context, request configuration.EditRequest) configuration.ProposeResult {
 	return a.propose(ctx, request)
 }
 
-// KnownWorkers is part of adminapi.Backend.
+// KnownWorkers implements adminapi.Backend.
 func (a admin) KnownWorkers() []configuration.WorkerInfo {
 	a.workersMu.Lock()
 	defer a.workersMu.Unlock()
@@ -186,11 +187,11 @@
 	})
 }
 
-// KnownRequests is part of adminapi.Backend.
+// KnownRequests implements adminapi.Backend.
 func (a admin) KnownRequests() []map[string]string { return a.handler.RecentLabels() }
 
-// Decisions is part of adminapi.Backend.
+// Decisions implements adminapi.Backend.
 func (a admin) Decisions(since uint64) []decision.Record { return a.decisions.Latest(since) }
 
-// FollowDecisions is part of adminapi.Backend.
+// FollowDecisions implements adminapi.Backend.
 func (a admin) FollowDecisions() (<-chan decision.Record, func()) { return a.decisions.Follow() }
--- a/internal/gateway/admin_duties.go
+++ b/internal/gateway/admin_tenants.go
@@ -7,7 +7,7 @@
 	"github.com/granitebay/granitebay/internal/tenant"
 )
 
-// Tenants is part of adminapi.Backend.
+// Tenants implements adminapi.Backend.
 func (a admin) Tenants() []adminapi.TenantStatus {
 	table := a.handler.Table()
 	if table == nil || table.Configuration().Tenants == nil {
@@ -22,7 +22,7 @@
 	})
 }
 
-// Capacity is part of adminapi.Backend.
+// Capacity implements adminapi.Backend.
 func (a admin) Capacity() []adminapi.CapacityStatus {
 	statuses := []adminapi.CapacityStatus{}
 	if a.capacity == nil {
@@ -40,16 +40,16 @@
 	return statuses
 }
 
-// Usage is part of adminapi.Backend.
+// Usage implements adminapi.Backend.
 func (a admin) Usage() adminapi.UsageStatus {
 	status := adminapi.UsageStatus{Gateway: a.settings.Name, Open: []adminapi.OpenWindow{}}
-	if a.used.reporter != nil {
-		done := a.used.reporter.Figures()
-		status.Agreed, status.Sent, status.Late, status.Failed, status.Superseded = done.Agreed, done.Sent, done.Late, done.Failed, done.Refused
+	if a.tenantUsage.reporter != nil {
+		counts := a.tenantUsage.reporter.Figures()
+		status.Agreed, status.Sent, status.Late, status.Failed, status.Superseded = counts.Agreed, counts.Sent, counts.Late, counts.Failed, counts.Refused
 	}
-	if a.used.tally != nil {
-		for _, window := range a.used.tally.Open() {
-			requests := a.used.tally.Sum(window)
+	if a.tenantUsage.tally != nil {
+		for _, window := range a.tenantUsage.tally.Open() {
+			requests := a.tenantUsage.tally.Sum(window)
 			status.Open = append(status.Open, adminapi.OpenWindow{
 				Window: window, Requests: lo.Sum(lo.Values(requests)), Tenants: len(requests),
 			})
--- /dev/null
+++ b/internal/gateway/barsyncer.go
@@ -0,0 +1,351 @@
+package gateway
+
+import (
+	"context"
+	"fmt"
+	"strings"
+	"sync"
+	"time"
+
+	"github.com/cockroachdb/errors"
+	"github.com/samber/lo"
+	"github.com/sirupsen/logrus"
+
+	"github.com/granitebay/granitebay/internal/adminapi"
+	"github.com/granitebay/granitebay/internal/boottime"
+	"github.com/granitebay/granitebay/internal/decision"
+	"github.com/granitebay/granitebay/internal/logging"
+	"github.com/granitebay/granitebay/internal/poison"
+	"github.com/granitebay/granitebay/internal/store"
+)
+
+// barSyncer synchronizes the bars of requests that crash workers with the store, so that they survive all gateways and
+// reach those that stand by, are partitioned or start later.
+type barSyncer struct {
+	gateway *Gateway
+	guard   *poison.Guard
+	logger  logrus.FieldLogger
+
+	mu sync.Mutex
+	// stored holds the bars in the store, and pending the changes to be made there.
+	stored  map[poison.Digest]storedBar
+	pending map[poison.Digest]pendingBar
+	wake    chan struct{}
+}
+
+// storedBar is a bar that the store holds.
+type storedBar struct {
+	revision store.Revision
+	until    time.Time
+}
+
+// pendingBar is a change to be written to the store.
+type pendingBar struct {
+	bar poison.Bar
+	// remove is set when the bar is to be deleted.
+	remove bool
+	due    time.Time
+}
+
+// Timing of store updates.
+const (
+	// barRetryDelay is the delay before a failed change is retried.
+	barRetryDelay = 500 * time.Millisecond
+	// remoteBarDelay is how long a gateway waits before it writes a bar reported by another one, in case that one has
+	// terminated or is cut off from the store.
+	remoteBarDelay = 1500 * time.Millisecond
+	// barCommitTimeout bounds one change.
+	barCommitTimeout = time.Second
+	// barCleanupInterval is how often the leader removes old bars, and barRetention how long expired bars are kept:
+	// until then, a repeated request is barred again at its next crash.
+	barCleanupInterval = time.Minute
+	barRetention       = 24 * time.Hour
+)
+
+// newBarSyncer returns a syncer with its guard.
+func newBarSyncer(g *Gateway, prober poison.Prober) *barSyncer {
+	b := &barSyncer{
+		gateway: g, logger: logging.Part(g.logger, "poison"), stored: map[poison.Digest]storedBar{}, pending: map[poison.Digest]pendingBar{},
+		wake: make(chan struct{}, 1),
+	}
+	b.guard = poison.NewGuard(poison.DefaultSettings(), prober, boottime.Now, b.handleEvent)
+	return b
+}
+
+// handleEvent logs and records an event of the guard and schedules the resulting change of the store.
+func (b *barSyncer) handleEvent(event poison.Event) {
+	switch e := event.(type) {
+	case poison.WorkerEnded:
+		b.gateway.dispatcher.WorkerEnded(e.Worker.ID, e.Ago)
+		digests := strings.Join(lo.Map(e.Asked, func(d poison.Digest, _ int) string { return d.String() }), ",")
+		b.logger.WithFields(logrus.Fields{"worker": e.Worker.ID, "peer": e.Worker.Address, "by": e.By, "requests": len(e.Asked)}).
+			Warn("A worker ended under requests.")
+		b.gateway.metrics.countWorkerEnd(e.Worker.Group)
+		b.gateway.dispatcher.EngineRefuses(e.Worker.ID)
+		b.gateway.recordDecision(decision.Record{
+			Kind: decision.KindBar, Subject: e.Worker.ID, Outcome: "suspected",
+			Reason: fmt.Sprintf("The worker crashed: %s. Any of the requests running there may be the cause.", e.By),
+			Inputs: map[string]string{"asked": digests},
+		})
+	case poison.EndHeard:
+		b.gateway.dispatcher.WorkerEnded(e.Worker, e.Ago)
+	case poison.Made:
+		b.logger.WithFields(barFields(e.Bar)).Warn("Request barred: workers crashed while running it.")
+		b.recordDecision(e.Bar, "barred", "Several workers crashed while running the request, one after another, and it never completed.")
+		due := time.Now()
+		if e.Bar.Rule == "" {
+			// Without a rule, this gateway has not seen the request itself. One that has knows more about it and writes
+			// first.
+			due = due.Add(remoteBarDelay)
+		}
+		b.schedule(pendingBar{bar: e.Bar, due: due})
+	case poison.Heard:
+		b.logger.WithFields(barFields(e.Bar)).Info("Request barred by the store or another gateway.")
+		b.recordDecision(e.Bar, "told", "The store or another gateway reported the request as barred.")
+		b.schedule(pendingBar{bar: e.Bar, due: time.Now().Add(remoteBarDelay)})
+	case poison.Cleared:
+		bar := poison.Bar{Asked: e.Asked}
+		b.recordDecision(bar, "cleared", "The request completed without crashing the worker.")
+		if e.WasBarred {
+			b.schedule(pendingBar{bar: bar, remove: true, due: time.Now()})
+		}
+	}
+}
+
+// barFields returns the log fields of a bar.
+func barFields(bar poison.Bar) logrus.Fields {
+	return logrus.Fields{
+		"asked": bar.Asked, "rule": bar.Rule, "tenant": bar.Tenant, "workers": strings.Join(bar.Workers, ","), "times": bar.Times,
+		"until": bar.Until.UTC().Format(time.RFC3339),
+	}
+}
+
+// recordDecision records a decision about a request.
+func (b *barSyncer) recordDecision(bar poison.Bar, outcome, reason string) {
+	record := decision.Record{Kind: decision.KindBar, Subject: bar.Asked.String(), Outcome: outcome, Reason: reason}
+	if len(bar.Workers) > 0 {
+		record.Inputs = map[string]string{
+			"workers": strings.Join(bar.Workers, ","), "times": fmt.Sprint(bar.Times), "until": bar.Until.UTC().Format(time.RFC3339),
+			"rule": bar.Rule, "tenant": bar.Tenant,
+		}
+	}
+	b.gateway.recordDecision(record)
+}
+
+// schedule queues a change for the store.
+func (b *barSyncer) schedule(change pendingBar) {
+	b.mu.Lock()
+	b.pending[change.bar.Asked] = change
+	b.mu.Unlock()
+	select {
+	case b.wake <- struct{}{}:
+	default:
+	}
+}
+
+// run writes queued changes to the store until ctx is done.
+func (b *barSyncer) run(ctx context.Context) {
+	cleanup := time.NewTicker(barCleanupInterval)
+	defer cleanup.Stop()
+	for {
+		timer := time.NewTimer(b.nextDelay())
+		select {
+		case <-ctx.Done():
+			timer.Stop()
+			return
+		case <-cleanup.C:
+			b.removeExpired()
+		case <-b.wake:
+		case <-timer.C:
+		}
+		timer.Stop()
+		for _, change := range b.takeDue(time.Now()) {
+			b.apply(ctx, change)
+		}
+	}
+}
+
+// nextDelay returns the time until the next change is due.
+func (b *barSyncer) nextDelay() time.Duration {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	delay := barCleanupInterval
+	for _, change := range b.pending {
+		delay = min(delay, max(time.Until(change.due), 0))
+	}
+	return delay
+}
+
+// takeDue removes the due changes from the queue and returns those that the store does not reflect yet.
+func (b *barSyncer) takeDue(now time.Time) []pendingBar {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	var due []pendingBar
+	for digest, change := range b.pending {
+		if now.Before(change.due) {
+			continue
+		}
+		delete(b.pending, digest)
+		stored, found := b.stored[digest]
+		isDone := found && !stored.until.Add(time.Second).Before(change.bar.Until)
+		if change.remove {
+			isDone = !found
+		}
+		if !isDone {
+			due = append(due, change)
+		}
+	}
+	return due
+}
+
+// apply writes one change. On a conflict another gateway has made a change, which the store will report; after other
+// errors the change is retried. A bar that is no longer in force, because the request completed or was released, is not
+// written.
+func (b *barSyncer) apply(ctx context.Context, change pendingBar) {
+	if state, _ := b.guard.Standing(change.bar.Asked); !change.remove && state != poison.Barred {
+		return
+	}
+	err := b.commit(ctx, change)
+	if err == nil || errors.Is(err, store.ErrConflict) {
+		return
+	}
+	b.logger.WithError(err).WithField("asked", change.bar.Asked).Warn("Writing the bar of a request to the store failed; retrying.")
+	change.due = time.Now().Add(barRetryDelay)
+	b.schedule(change)
+}
+
+// commit writes or deletes one bar.
+func (b *barSyncer) commit(ctx context.Context, change pendingBar) error {
+	ctx, cancel := context.WithTimeout(ctx, barCommitTimeout)
+	defer cancel()
+	key := poison.KeyOf(change.bar.Asked)
+	b.mu.Lock()
+	transaction := store.Transaction{Conditions: []store.Condition{{Key: key, Revision: b.stored[change.bar.Asked].revision}}}
+	b.mu.Unlock()
+	if change.remove {
+		transaction.Deletes = []string{key}
+	} else {
+		value, err := change.bar.Encode()
+		if err != nil {
+			return err
+		}
+		transaction.Puts = []store.Put{{Key: key, Value: value}}
+	}
+	_, err := b.gateway.ports.Store.Commit(ctx, transaction)
+	return errors.Wrap(err, "update bar of request in store")
+}
+
+// removeExpired schedules the removal of old bars if this gateway is the leader.
+func (b *barSyncer) removeExpired() {
+	if !b.gateway.controller.GivesOrders() {
+		return
+	}
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	for digest, stored := range b.stored {
+		if time.Since(stored.until) > barRetention {
+			b.pending[digest] = pendingBar{bar: poison.Bar{Asked: digest}, remove: true}
+		}
+	}
+}
+
+// release removes the bar of a request on behalf of an operator and reports whether there was one. It fails if the store
+// rejects the change.
+func (b *barSyncer) release(ctx context.Context, digest poison.Digest) (bool, error) {
+	b.mu.Lock()
+	_, found := b.stored[digest]
+	b.mu.Unlock()
+	if !found {
+		// A write may be under way. The other gateways are told of the release as if the request had completed.
+		return b.handleRemoved(digest), nil
+	}
+	if err := b.commit(ctx, pendingBar{bar: poison.Bar{Asked: digest}, remove: true}); err != nil {
+		return false, err
+	}
+	b.handleRemoved(digest)
+	return true, nil
+}
+
+// handleRemoved handles the removal of a bar from the store and reports whether it was in force here.
+func (b *barSyncer) handleRemoved(digest poison.Digest) bool {
+	b.mu.Lock()
+	delete(b.stored, digest)
+	b.mu.Unlock()
+	wasBarred := b.guard.Release(digest)
+	if wasBarred {
+		b.logger.WithField("asked", digest).Info("Request released.")
+		b.recordDecision(poison.Bar{Asked: digest}, "released", "The bar of the request was removed from the store.")
+	}
+	return wasBarred
+}
+
+// Barred implements adminapi.Backend.
+func (a admin) Barred() []adminapi.BarredStatus {
+	return lo.Map(a.barSyncer.guard.Bars(), func(bar poison.Bar, _ int) adminapi.BarredStatus {
+		return adminapi.BarredStatus{
+			Asked: bar.Asked.String(), Rule: bar.Rule, Tenant: bar.Tenant, Workers: bar.Workers, Times: bar.Times, Until: bar.Until,
+		}
+	})
+}
+
+// Release implements adminapi.Backend.
+func (a admin) Release(ctx context.Context, digest poison.Digest) (bool, error) {
+	return a.barSyncer.release(ctx, digest)
+}
+
+// BarsListed implements cluster.Listener.
+func (g *Gateway) BarsListed(items []store.Item) {
+	b := g.barSyncer
+	listed := map[poison.Digest]bool{}
+	for _, item := range items {
+		if digest, valid := b.handleStored(item); valid {
+			listed[digest] = true
+		}
+	}
+	b.mu.Lock()
+	removed := lo.Filter(lo.Keys(b.stored), func(digest poison.Digest, _ int) bool { return !listed[digest] })
+	b.mu.Unlock()
+	for _, digest := range removed {
+		b.handleRemoved(digest)
+	}
+}
+
+// BarChanged implements cluster.Listener.
+func (g *Gateway) BarChanged(event store.Event) {
+	if !event.Deleted {
+		g.barSyncer.handleStored(event.Item)
+		return
+	}
+	digest, err := poison.AskedOf(event.Key)
+	if err != nil {
+		g.barSyncer.logger.WithError(err).Error("Cannot decode the key of a removed bar.")
+		return
+	}
+	g.barSyncer.handleRemoved(digest)
+}
+
+// rewriteAll schedules all bars to be written again after the store was restored from an older copy, unless it still
+// holds them. No request is released.
+func (b *barSyncer) rewriteAll() {
+	due := time.Now().Add(remoteBarDelay)
+	b.mu.Lock()
+	clear(b.stored)
+	b.mu.Unlock()
+	for _, bar := range b.guard.Bars() {
+		b.schedule(pendingBar{bar: bar, due: due})
+	}
+}
+
+// handleStored applies a bar that the store holds and reports whether it is valid.
+func (b *barSyncer) handleStored(item store.Item) (poison.Digest, bool) {
+	bar, err := poison.DecodeBar(item.Key, item.Value)
+	if err != nil {
+		b.logger.WithError(err).Error("Cannot decode a bar in the store.")
+		return poison.Digest{}, false
+	}
+	b.mu.Lock()
+	b.stored[bar.Asked] = storedBar{revision: item.Revision, until: bar.Until}
+	b.mu.Unlock()
+	b.guard.Bar(bar)
+	return bar.Asked, true
+}
--- /dev/null
+++ b/internal/gateway/cachedparts.go
@@ -0,0 +1,148 @@
+package gateway
+
+import (
+	"context"
+	"math/rand/v2"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"github.com/samber/lo"
+
+	"github.com/granitebay/granitebay/internal/backend"
+	"github.com/granitebay/granitebay/internal/logging"
+	"github.com/granitebay/granitebay/internal/member"
+	"github.com/granitebay/granitebay/internal/rendezvous"
+)
+
+// Limits on cache queries.
+const (
+	// engineQueryTimeout bounds the query of one engine.
+	engineQueryTimeout = 500 * time.Millisecond
+	// maxEnginesQueried bounds the engines that one gateway queries, which takes about a second.
+	maxEnginesQueried = 1024
+	// maxConcurrentQueries bounds concurrent engine queries.
+	maxConcurrentQueries = 16
+	// maxGatewaysQueried is how many gateways to query. Any entry knows all cached parts, but some may have just become
+	// entries themselves.
+	maxGatewaysQueried = 4
+)
+
+// learnCachedParts learns which prompt parts engines cache, once the engines are known and whenever this gateway becomes
+// an entry. Without it, a restart would make engines process shared prompt parts again although these are cached.
+// Entries that already serve know the parts; if there are none, each entry queries its share of the engines and then the
+// other entries.
+func (g *Gateway) learnCachedParts(ctx context.Context) {
+	if g.ports.KeptParts == nil {
+		return
+	}
+	select {
+	case <-ctx.Done():
+		return
+	case <-g.workersKnown:
+	}
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-g.learnTrigger:
+			// The gateway may have considered itself an entry only until it knew the others.
+			if !g.isEntry() || g.learnFromGateways(ctx) > 0 {
+				continue
+			}
+			g.learnFromEngines(ctx)
+			g.learnFromGateways(ctx)
+		}
+	}
+}
+
+// triggerLearning starts learning in the background.
+func (g *Gateway) triggerLearning() {
+	select {
+	case g.learnTrigger <- struct{}{}:
+	default:
+	}
+}
+
+// learnFromGateways queries some current and previous entries for cached prompt parts and returns how many parts were
+// new.
+func (g *Gateway) learnFromGateways(ctx context.Context) int {
+	var queries sync.WaitGroup
+	var learned atomic.Int64
+	for _, address := range g.gatewaysToQuery() {
+		queries.Go(func() {
+			parts, err := g.cacheAsker.Ask(ctx, address)
+			if err != nil {
+				logging.Part(g.logger, "gateway").WithError(err).Debug("Querying a gateway for cached prompt parts failed.")
+				return
+			}
+			learned.Add(int64(g.dispatcher.LearnAll(parts)))
+		})
+	}
+	queries.Wait()
+	logging.Part(g.logger, "gateway").WithField("parts", learned.Load()).Info("Learned cached prompt parts from other gateways.")
+	return int(learned.Load())
+}
+
+// gatewaysToQuery returns the addresses of the gateways to query, in random order with the previous entries first.
+func (g *Gateway) gatewaysToQuery() []string {
+	g.entries.mu.Lock()
+	previous, current := g.entries.previous, g.entries.current
+	g.entries.mu.Unlock()
+	addresses := lo.Uniq(append(g.controlAddresses(previous), g.controlAddresses(current)...))
+	return addresses[:min(len(addresses), maxGatewaysQueried)]
+}
+
+// controlAddresses returns the control addresses of the given gateways, without this one, in random order.
+func (g *Gateway) controlAddresses(gateways []member.Gateway) []string {
+	var addresses []string
+	for _, gateway := range gateways {
+		if gateway.Name != g.settings.Name && gateway.ControlAddress != "" {
+			addresses = append(addresses, gateway.ControlAddress)
+		}
+	}
+	rand.Shuffle(len(addresses), func(a, b int) { addresses[a], addresses[b] = addresses[b], addresses[a] })
+	return addresses
+}
+
+// learnFromEngines queries engines for their cached prompt parts.
+func (g *Gateway) learnFromEngines(ctx context.Context) {
+	slots := make(chan struct{}, maxConcurrentQueries)
+	var queries sync.WaitGroup
+	for _, engine := range g.enginesToQuery() {
+		slots <- struct{}{}
+		queries.Go(func() {
+			defer func() { <-slots }()
+			g.learnFromEngine(ctx, engine)
+		})
+	}
+	queries.Wait()
+}
+
+// enginesToQuery returns the engines that this gateway queries, in random order. In large groups each entry queries its
+// share.
+func (g *Gateway) enginesToQuery() []*backend.Worker {
+	names := gatewayNames(g.advertised())
+	var engines []*backend.Worker
+	for _, group := range g.dispatcher.Groups() {
+		for _, engine := range group.Engines {
+			if len(group.Engines) <= maxEnginesQueried || rendezvous.First(engine.Worker.Address, names) == g.settings.Name {
+				engines = append(engines, engine.Worker)
+			}
+		}
+	}
+	rand.Shuffle(len(engines), func(a, b int) { engines[a], engines[b] = engines[b], engines[a] })
+	return engines[:min(len(engines), maxEnginesQueried)]
+}
+
+// learnFromEngine queries one engine. Failures are not retried, because cached parts also become known as they are used.
+func (g *Gateway) learnFromEngine(ctx context.Context, engine *backend.Worker) {
+	ctx, cancel := context.WithTimeout(ctx, engineQueryTimeout)
+	defer cancel()
+	parts, err := g.ports.KeptParts.Kept(ctx, engine)
+	if err != nil {
+		logging.Part(g.logger, "gateway").WithError(err).Debug("Querying an engine for cached prompt parts failed.")
+		return
+	}
+	g.dispatcher.Learn(engine.ID, parts)
+}
--- /dev/null
+++ b/internal/gateway/entrysizing.go
@@ -0,0 +1,84 @@
+package gateway
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"time"
+
+	"github.com/cockroachdb/errors"
+	"github.com/sirupsen/logrus"
+
+	"github.com/granitebay/granitebay/internal/decision"
+	"github.com/granitebay/granitebay/internal/logging"
+	"github.com/granitebay/granitebay/internal/member"
+	"github.com/granitebay/granitebay/internal/store"
+)
+
+// sizingInterval is how often the leader updates the required entry capacity. It equals the interval at which gateways
+// send their full state.
+const sizingInterval = time.Second
+
+// idleSizingInterval is how often other gateways check whether they have become the leader.
+const idleSizingInterval = 5 * time.Second
+
+// sizeEntries determines how many cores the entries need in total while this gateway is the leader, until ctx is done.
+// The result is kept in the store, so that all gateways select the same entries.
+func (g *Gateway) sizeEntries(ctx context.Context) {
+	sizer := member.NewSizer(member.DefaultSizerSettings())
+	timer := time.NewTimer(idleSizingInterval)
+	defer timer.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-timer.C:
+		}
+		if !g.controller.GivesOrders() {
+			timer.Reset(idleSizingInterval)
+			continue
+		}
+		timer.Reset(sizingInterval)
+		need, revision := g.view.EntryNeed()
+		if cores, changed := sizer.Next(time.Now(), g.entryUtilization(), need); changed {
+			g.writeNeed(ctx, cores, revision)
+		} else if need > 0 && revision == 0 {
+			// The store has lost the value.
+			g.writeNeed(ctx, need, revision)
+		}
+	}
+}
+
+// entryUtilization returns the utilization of each entry.
+func (g *Gateway) entryUtilization() []member.Busy {
+	utilization := g.dispatcher.PeersBusy()
+	utilization[g.settings.Name] = g.utilization.peak()
+	var busy []member.Busy
+	for _, entry := range g.Entries() {
+		busy = append(busy, member.Busy{Cores: entry.Cores, Share: utilization[entry.Name]})
+	}
+	return busy
+}
+
+// writeNeed stores the required cores, unless the stored value has changed since the given revision.
+func (g *Gateway) writeNeed(ctx context.Context, cores float64, revision store.Revision) {
+	ctx, cancel := context.WithTimeout(ctx, sizingInterval)
+	defer cancel()
+	log := logging.Part(g.logger, "member").WithFields(logrus.Fields{"cores": fmt.Sprintf("%.1f", cores)})
+	value, err := json.Marshal(member.Need{Cores: cores})
+	if err == nil {
+		_, err = g.ports.Store.Commit(ctx, store.Transaction{
+			Conditions: []store.Condition{{Key: member.NeedKey, Revision: revision}},
+			Puts:       []store.Put{{Key: member.NeedKey, Value: value}},
+		})
+	}
+	if err != nil {
+		log.WithError(errors.Wrap(err, "write required entry capacity")).Warn("The required entry capacity is unchanged.")
+		return
+	}
+	log.Info("Changed the required entry capacity.")
+	g.recordDecision(decision.Record{
+		Kind: decision.KindEntry, Subject: member.NeedKey, Outcome: fmt.Sprintf("%.1f cores", cores),
+		Reason: "The CPU, network and descriptor utilization of the entries requires this capacity.",
+	})
+}
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -16,7 +16,7 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// ConfigurationChanged is part of cluster.Listener.
+// ConfigurationChanged implements cluster.Listener.
 func (g *Gateway) ConfigurationChanged(changed *routing.Configuration) {
 	g.handler.SetTable(routing.NewTable(changed, g.handler.Table()))
 	g.controller.SetGroups(changed.Groups)
@@ -25,12 +25,12 @@
 		"version": changed.Version, "revision": changed.Revision,
 		"idle_ms": changed.Limits.IdleTimeout.Milliseconds(), "header_ms": changed.Limits.HeaderTimeout.Milliseconds(),
 	}).Info("Configuration in force.")
-	if doubled := changed.Tenants.Doubled(); doubled > 0 {
-		logging.Part(g.logger, "gateway").WithField("keys", doubled).Warn("Keys are given to two tenants. They belong to the first.")
+	if duplicates := changed.Tenants.Doubled(); duplicates > 0 {
+		logging.Part(g.logger, "gateway").WithField("keys", duplicates).Warn("Some keys are assigned to two tenants; the first one keeps them.")
 	}
-	g.decide(decision.Record{
+	g.recordDecision(decision.Record{
 		Kind: decision.KindConfiguration, Subject: "configuration", Outcome: fmt.Sprintf("version %d", changed.Version),
-		Reason: fmt.Sprintf("The store holds version %d of the routes and revision %d of the rules by labels.", changed.Version, changed.Revision),
+		Reason: fmt.Sprintf("Applied version %d of the routes and revision %d of the label rules.", changed.Version, changed.Revision),
 	})
 	g.workersMu.Lock()
 	defer g.workersMu.Unlock()
@@ -38,91 +38,92 @@
 	g.selectWorkers()
 }
 
-// WorkersChanged is part of cluster.Listener.
+// WorkersChanged implements cluster.Listener.
 func (g *Gateway) WorkersChanged(changes backend.Changes) {
 	g.workersMu.Lock()
 	defer g.workersMu.Unlock()
-	g.countAddresses(changes)
+	g.updateAddresses(changes)
 	changes.Apply(g.workers)
 	g.dispatcher.ChangeWorkers(g.configuration.SelectChanges(changes))
-	g.noteWorkersKnown()
-	g.bars.guard.ChangeWorkers(changes)
+	g.markWorkersKnown()
+	g.barSyncer.guard.ChangeWorkers(changes)
 	logging.Part(g.logger, "gateway").WithField("workers", len(g.workers)).Debug("Workers changed.")
 }
 
-// countAddresses takes workers that are to be changed, and closes the connections to addresses at which none is left. The mutex of the
-// workers is held.
-func (g *Gateway) countAddresses(changes backend.Changes) {
-	left := func(id string) {
-		before := g.workers[id]
-		if before == nil {
+// updateAddresses counts the workers at each address before changes are applied, and closes connections to addresses
+// without workers. workersMu must be held.
+func (g *Gateway) updateAddresses(changes backend.Changes) {
+	release := func(id string) {
+		previous := g.workers[id]
+		if previous == nil {
 			return
 		}
-		if g.addresses[before.Address]--; g.addresses[before.Address] == 0 {
-			delete(g.addresses, before.Address)
+		if g.workersAtAddress[previous.Address]--; g.workersAtAddress[previous.Address] == 0 {
+			delete(g.workersAtAddress, previous.Address)
 		}
 	}
 	for _, worker := range changes.Put {
-		left(worker.ID)
-		g.addresses[worker.Address]++
+		release(worker.ID)
+		g.workersAtAddress[worker.Address]++
 	}
 	for _, id := range changes.Gone {
-		left(id)
-		if before := g.workers[id]; before != nil && g.addresses[before.Address] == 0 {
-			g.ports.ForgetAddress(before.Address)
+		release(id)
+		if previous := g.workers[id]; previous != nil && g.workersAtAddress[previous.Address] == 0 {
+			g.ports.ForgetAddress(previous.Address)
 		}
 	}
 }
 
-// selectWorkers puts all workers into their groups. The mutex of the workers is held.
+// selectWorkers assigns all workers to groups. workersMu must be held.
 func (g *Gateway) selectWorkers() {
 	g.dispatcher.SetWorkers(g.configuration.Select(g.workers))
-	g.noteWorkersKnown()
+	g.markWorkersKnown()
 }
 
-// noteWorkersKnown notes that there are workers in groups. The mutex of the workers is held.
-func (g *Gateway) noteWorkersKnown() {
+// markWorkersKnown closes workersKnown once workers are assigned to groups. workersMu must be held.
+func (g *Gateway) markWorkersKnown() {
 	if g.configuration != nil && len(g.workers) > 0 {
-		g.knowWorkers.Do(func() { close(g.workersKnown) })
+		g.workersKnownOnce.Do(func() { close(g.workersKnown) })
 	}
 }
 
-// Reload takes settings that were read anew. Addresses and names stay as they were at the start.
+// Reload applies changed settings. Addresses and names keep their values from the start.
 func (g *Gateway) Reload(settings Settings) {
-	g.grace.Store(int64(settings.Grace))
+	g.gracePeriod.Store(int64(settings.Grace))
 	g.addressTTL.Store(int64(min(settings.AddressTTL, settings.MaxAddressTTL)))
-	g.dispatcher.SetBudget(budgetOf(settings))
+	g.dispatcher.SetBudget(budgetSettings(settings))
 	g.replica.SetFreshFor(retrybudget.FreshFor(settings.RetryWindow))
 	logging.Part(g.logger, "gateway").Info("Settings in force.")
 }
 
-// outageMemory is how long after an outage missing records of workers are put down to it.
+// outageMemory is how long after a store outage missing worker records are attributed to it.
 const outageMemory = 1500 * time.Millisecond
 
-// lostTime is how long a worker is used whose record the store has lost with an older copy. It writes its record again with one of its next
-// heartbeats, some of which may be lost; one that has ended meanwhile is found by its connections.
-const lostTime = 5 * time.Second
+// lostRecordTimeout is how long a worker stays in use after a store restore lost its record. Live workers register again
+// with one of their next heartbeats, some of which may be lost; a worker that has terminated is detected by its
+// connections.
+const lostRecordTimeout = 5 * time.Second
 
-// fadeShare is the part of the time to drain for which a worker without a record stays in use after an outage.
-const fadeShare = 0.6
+// fadeRatio is the fraction of the drain time for which a worker without a record stays in use after a store outage.
+const fadeRatio = 0.6
 
-// rosterOf returns the settings of the list of workers.
-func rosterOf(settings Settings) backend.RosterSettings {
+// rosterSettings derives the settings of the worker roster.
+func rosterSettings(settings Settings) backend.RosterSettings {
 	return backend.RosterSettings{
-		FadeTime:     time.Duration(fadeShare * float64(settings.DrainTime)),
+		FadeTime:     time.Duration(fadeRatio * float64(settings.DrainTime)),
 		OutageMemory: outageMemory,
-		LostTime:     lostTime,
+		LostTime:     lostRecordTimeout,
 	}
 }
 
-// budgetOf returns the share of the repeats that a gateway spends.
-func budgetOf(settings Settings) retrybudget.Settings {
+// budgetSettings derives the settings of the retry budgets.
+func budgetSettings(settings Settings) retrybudget.Settings {
 	return retrybudget.Settings{
 		Ratio: settings.RetryRatio, Allowance: settings.RetryAllowance, Window: settings.RetryWindow, Safety: retrybudget.DefaultSafety,
 	}
 }
 
-// ControllerChanged is part of cluster.Listener.
+// ControllerChanged implements cluster.Listener.
 func (g *Gateway) ControllerChanged(value []byte, revision store.Revision) {
 	rank := 0
 	for i, gateway := range g.Entries() {
@@ -131,13 +132,13 @@
 		}
 	}
 	g.controller.KeyChanged(boottime.Now(), value, revision, rank)
-	if g.setHolder(roles.HolderOf(value)) {
+	if g.setLeader(roles.HolderOf(value)) {
 		g.GatewaysChanged()
 	}
 }
 
-// Confirmed is part of cluster.Listener. The entries were told of every change by then. The word of a first start may be that of settings
-// that were kept since, so that the store has to agree.
+// Confirmed implements cluster.Listener. The set of entries is up to date at this point. FirstStart may be left over
+// from an earlier deployment, so the store must also indicate a new fleet.
 func (g *Gateway) Confirmed(at time.Time, fleetIsNew bool) {
 	if g.settings.FirstStart && fleetIsNew {
 		g.dispatcher.BeginFirst(at)
@@ -146,8 +147,8 @@
 	g.dispatcher.ConfirmShare(at)
 }
 
-// Registered is part of cluster.Listener. What the store holds from now on confirms it, and is asked for at once.
+// Registered implements cluster.Listener. It shortens the next watch, so that the registration is confirmed soon.
 func (g *Gateway) Registered() { g.replica.Hasten() }
 
-// Unregistered is part of cluster.Listener.
+// Unregistered implements cluster.Listener.
 func (g *Gateway) Unregistered() { g.registration.Again() }
--- /dev/null
+++ b/internal/gateway/metrics.go
@@ -0,0 +1,352 @@
+package gateway
+
+import (
+	"fmt"
+	"io"
+	"net/http"
+	"sync"
+	"time"
+
+	"github.com/VictoriaMetrics/metrics"
+	"github.com/cockroachdb/errors"
+	"github.com/sirupsen/logrus"
+	"golang.org/x/time/rate"
+
+	"github.com/granitebay/granitebay/internal/capacity"
+	"github.com/granitebay/granitebay/internal/decisionlog"
+	"github.com/granitebay/granitebay/internal/forward"
+	"github.com/granitebay/granitebay/internal/logging"
+	"github.com/granitebay/granitebay/internal/store"
+	"github.com/granitebay/granitebay/internal/usage"
+)
+
+// Metric names.
+const (
+	metricRequests  = "granitebay_requests_total"
+	metricFirstByte = "granitebay_first_byte_seconds"
+	metricTries     = "granitebay_tries_total"
+	// metricDeferred counts requests that were deferred because they were expected to miss their objective.
+	metricDeferred = "granitebay_deferred_total"
+	// metricLinesLeftOut counts log lines about requests that were dropped by rate limiting.
+	metricLinesLeftOut = "granitebay_log_lines_left_out_total"
+	// metricWorkerEnds counts workers that terminated while running requests of this gateway. metricBarred is the number
+	// of barred requests.
+	metricWorkerEnds = "granitebay_worker_ends_total"
+	metricBarred     = "granitebay_barred_requests"
+	// metricUnanswered counts requests whose connections ended before a complete answer was sent. metricRestedOut counts
+	// caller connections that were closed by the idle timeout.
+	metricUnanswered = "granitebay_requests_unanswered_total"
+	metricRestedOut  = "granitebay_connections_rested_out_total"
+)
+
+// gatewayMetrics counts request outcomes and serves the metrics in text format. It implements forward.Observer and
+// callers.Observer.
+type gatewayMetrics struct {
+	set       *metrics.Set
+	decisions *decisionlog.Log
+	logger    *logrus.Entry
+	// choice and candidates observe the duration of worker choices and the number of candidates.
+	choice, candidates *metrics.Histogram
+	// budgets returns the retry budgets; may be nil.
+	budgets func() []forward.BudgetView
+	// notices finds attempts that violated a notice of the worker; may be nil.
+	notices *noticeTracker
+	// workerLimits counts attempts on workers with request limits. It is set together with notices.
+	workerLimits *limitTracker
+	// writeFleetTasks writes the metrics of fleet-wide tasks; may be nil.
+	writeFleetTasks func(w io.Writer)
+
+	// mu guards logLimiters.
+	mu          sync.Mutex
+	logLimiters map[forward.Reason]*rate.Limiter
+}
+
+// newGatewayMetrics returns metrics that are all zero.
+func newGatewayMetrics(decisions *decisionlog.Log, logger *logrus.Logger) *gatewayMetrics {
+	set := metrics.NewSet()
+	return &gatewayMetrics{
+		set: set, decisions: decisions, logger: logging.Part(logger, "request"), logLimiters: map[forward.Reason]*rate.Limiter{},
+		choice: set.NewHistogram(metricChoice), candidates: set.NewHistogram(metricCandidates),
+	}
+}
+
+// registerGauges adds the metrics that are read from the gateway on demand.
+func (m *gatewayMetrics) registerGauges(g *Gateway) {
+	m.set.NewGauge("granitebay_store_age_seconds", func() float64 { return g.view.Staleness().Seconds() })
+	m.set.NewGauge("granitebay_gateways", func() float64 { return float64(len(g.view.Serving())) })
+	m.set.NewGauge("granitebay_gateways_reachable", func() float64 { return float64(len(g.view.Reachable())) })
+	m.set.NewGauge("granitebay_workers_known", func() float64 { return float64(g.knownWorkers()) })
+	m.set.NewGauge("granitebay_unreadable_items_total", func() float64 { return float64(g.view.Unreadable()) })
+	m.set.NewGauge(metricBarred, func() float64 { return float64(len(g.barSyncer.guard.Bars())) })
+	m.set.NewGauge("granitebay_requests_in_hand", func() float64 { return float64(g.handler.Active()) })
+	m.budgets = g.dispatcher.Budgets
+}
+
+// Names of metrics that grow with the size of the fleet.
+const (
+	metricStoreCalls = "granitebay_store_calls_total"
+	metricChoice     = "granitebay_choice_seconds"
+	metricCandidates = "granitebay_choice_candidates"
+	// metricStoreRestores counts restores of the store from an older copy. metricOutdatedAnswers counts answers from
+	// before a restore that arrived after it.
+	metricStoreRestores   = "granitebay_store_restored_total"
+	metricOutdatedAnswers = "granitebay_store_answers_outdated_total"
+)
+
+// countStoreRestore counts a restore of the store.
+func (m *gatewayMetrics) countStoreRestore() { m.set.GetOrCreateCounter(metricStoreRestores).Inc() }
+
+// countStoreCall counts a call to the store and whether it failed.
+func (m *gatewayMetrics) countStoreCall(call store.Call, _ time.Duration, err error) {
+	m.set.GetOrCreateCounter(fmt.Sprintf(`%s{call=%q,failed="%t"}`, metricStoreCalls, call, err != nil)).Inc()
+	if !errors.Is(err, store.ErrRestored) {
+		return
+	}
+	m.set.GetOrCreateCounter(metricOutdatedAnswers).Inc()
+	if m.allowLog(outdatedAnswerReason) {
+		m.logger.WithError(err).WithField("call", call).Warn("Discarded a store answer from before the store was restored from an older copy.")
+	}
+}
+
+// outdatedAnswerReason is the rate limiting key of log lines about outdated answers.
+const outdatedAnswerReason forward.Reason = "outdated answer of the store"
+
+// observeChoice records the duration of a worker choice and its number of candidates.
+func (m *gatewayMetrics) observeChoice(elapsed time.Duration, candidates int) {
+	m.choice.Update(elapsed.Seconds())
+	m.candidates.Update(float64(candidates))
+}
+
+// countWorkerEnd counts a worker of a group that terminated while running requests.
+func (m *gatewayMetrics) countWorkerEnd(group string) {
+	m.set.GetOrCreateCounter(fmt.Sprintf(`%s{group=%q}`, metricWorkerEnds, group)).Inc()
+}
+
+// Names of metrics about worker notices.
+const (
+	metricNotices           = "granitebay_worker_notices_total"
+	metricNoticesUnreadable = "granitebay_worker_notices_unreadable_total"
+	// metricTriesAgainstNotice counts attempts on workers that had asked for no requests.
+	metricTriesAgainstNotice = "granitebay_tries_against_notice_total"
+	// metricTriesUnderLimit counts attempts on workers that had a request limit in force.
+	metricTriesUnderLimit = "granitebay_tries_under_limit_total"
+)
+
+// countNotice counts a notice of a worker.
+func (m *gatewayMetrics) countNotice(group, kind string) {
+	m.set.GetOrCreateCounter(fmt.Sprintf(`%s{group=%q,notice=%q}`, metricNotices, group, kind)).Inc()
+}
+
+// countUnreadableNotice counts a notice that could not be parsed.
+func (m *gatewayMetrics) countUnreadableNotice() {
+	m.set.GetOrCreateCounter(metricNoticesUnreadable).Inc()
+}
+
+// countNoticeViolations counts the attempts of a request on workers that had asked for no requests or had a limit in
+// force.
+func (m *gatewayMetrics) countNoticeViolations(report *forward.Report) {
+	if m.notices == nil {
+		return
+	}
+	for _, try := range report.Tries {
+		for _, send := range []struct {
+			worker string
+			at     time.Time
+		}{{try.Reader, try.Begun}, {try.Worker, try.Begun.Add(try.ReadIn)}} {
+			if m.workerLimits.countAttempt(send.worker, send.at) {
+				m.set.GetOrCreateCounter(fmt.Sprintf(`%s{group=%q}`, metricTriesUnderLimit, report.Group)).Inc()
+			}
+			if kind := m.notices.violatedNotice(send.worker, send.at); kind != "" {
+				m.set.GetOrCreateCounter(fmt.Sprintf(`%s{group=%q,notice=%q}`, metricTriesAgainstNotice, report.Group, kind)).Inc()
+			}
+		}
+	}
+}
+
+// Names of retry budget metrics.
+const (
+	metricRepeats        = "granitebay_repeats_total"
+	metricRepeatsLeft    = "granitebay_repeats_left"
+	metricRepeatsSharers = "granitebay_repeats_divided_by"
+)
+
+// writeBudgets writes the granted, denied and remaining retries of each budget.
+func writeBudgets(w io.Writer, budgets []forward.BudgetView) {
+	for _, budget := range budgets {
+		metrics.WriteCounterUint64(w, fmt.Sprintf(`%s{group=%q,outcome="granted"}`, metricRepeats, budget.Group), uint64(budget.Granted))
+		metrics.WriteCounterUint64(w, fmt.Sprintf(`%s{group=%q,outcome="denied"}`, metricRepeats, budget.Group), uint64(budget.Denied))
+		metrics.WriteGaugeFloat64(w, fmt.Sprintf(`%s{group=%q}`, metricRepeatsLeft, budget.Group), budget.Left)
+		metrics.WriteGaugeUint64(w, fmt.Sprintf(`%s{group=%q}`, metricRepeatsSharers, budget.Group), uint64(budget.Sharers))
+	}
+}
+
+// Names of the metrics of fleet-wide tasks.
+const (
+	metricWindows = "granitebay_usage_windows_total"
+	metricWorkers = "granitebay_workers"
+	metricBusy    = "granitebay_workers_busy"
+)
+
+// registerFleetTasks adds the metrics of usage reporting and capacity orders.
+func (m *gatewayMetrics) registerFleetTasks(reporter *usage.Reporter, executor *capacity.Executor) {
+	m.writeFleetTasks = func(w io.Writer) {
+		if reporter != nil {
+			writeUsageWindows(w, reporter.Figures())
+		}
+		if executor != nil {
+			writeCapacity(w, executor.Status())
+		}
+	}
+}
+
+// writeUsageWindows writes the outcomes of usage windows.
+func writeUsageWindows(w io.Writer, counts usage.Figures) {
+	for _, window := range []struct {
+		outcome string
+		n       int
+	}{
+		{"agreed", counts.Agreed}, {"sent", counts.Sent}, {"late", counts.Late}, {"failed", counts.Failed},
+		{"superseded", counts.Refused},
+	} {
+		metrics.WriteCounterUint64(w, fmt.Sprintf(`%s{outcome=%q}`, metricWindows, window.outcome), uint64(window.n))
+	}
+}
+
+// writeCapacity writes the present and the planned numbers of workers.
+func writeCapacity(w io.Writer, groups []capacity.Status) {
+	for _, group := range groups {
+		metrics.WriteGaugeFloat64(w, fmt.Sprintf(`%s{group=%q}`, metricBusy, group.Group), group.Busy)
+		for _, zone := range group.Offer.Zones {
+			for state, count := range map[string]capacity.Count{"present": group.Present[zone.Name], "wanted": group.Plan[zone.Name]} {
+				name := func(kind string) string {
+					return fmt.Sprintf(`%s{group=%q,zone=%q,kind=%q,state=%q}`, metricWorkers, group.Group, zone.Name, kind, state)
+				}
+				metrics.WriteGaugeUint64(w, name("kept"), uint64(count.Kept))
+				metrics.WriteGaugeUint64(w, name("spot"), uint64(count.Spot))
+			}
+		}
+	}
+}
+
+// RequestEnded implements forward.Observer.
+func (m *gatewayMetrics) RequestEnded(report *forward.Report) {
+	name := fmt.Sprintf(`%s{rule=%q,status="%d",reason=%q}`, metricRequests, report.Rule, report.Status, report.Reason)
+	m.set.GetOrCreateCounter(name).Inc()
+	if !report.FirstByte.IsZero() {
+		name = fmt.Sprintf(`%s{rule=%q}`, metricFirstByte, report.Rule)
+		m.set.GetOrCreateHistogram(name).Update(report.FirstByte.Sub(report.Arrived).Seconds())
+	}
+	for _, try := range report.Tries {
+		name = fmt.Sprintf(`%s{group=%q,failure=%q}`, metricTries, report.Group, try.Failure)
+		m.set.GetOrCreateCounter(name).Inc()
+		if try.Deferred {
+			m.set.GetOrCreateCounter(fmt.Sprintf(`%s{rule=%q}`, metricDeferred, report.Rule)).Inc()
+		}
+	}
+	m.countNoticeViolations(report)
+	request := newRequestDecision(report)
+	m.decisions.Append(report.Ended, request)
+	if report.Unanswered {
+		m.recordUnanswered(report, request)
+		return
+	}
+	if !request.servedFirstTry() && m.allowLog(report.Reason) {
+		m.logRequest(request)
+	}
+}
+
+// Rate limits of log lines about requests, for each reason.
+const (
+	logLinesPerSecond = 20
+	logLinesBurst     = 200
+)
+
+// allowLog reports whether a line with a reason may be logged. Suppressed lines are counted, and the decision log still
+// has the requests.
+func (m *gatewayMetrics) allowLog(reason forward.Reason) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	limiter, known := m.logLimiters[reason]
+	if !known {
+		limiter = rate.NewLimiter(logLinesPerSecond, logLinesBurst)
+		m.logLimiters[reason] = limiter
+	}
+	if limiter.Allow() {
+		return true
+	}
+	m.set.GetOrCreateCounter(fmt.Sprintf(`%s{reason=%q}`, metricLinesLeftOut, reason)).Inc()
+	return false
+}
+
+// logRequest logs a request that was not served on the first try.
+func (m *gatewayMetrics) logRequest(request requestDecision) {
+	if !m.logger.Logger.IsLevelEnabled(logrus.InfoLevel) {
+		return
+	}
+	m.logger.WithFields(requestFields(request)).Info("A request did not go smoothly.")
+}
+
+// requestFields returns the log fields of a request.
+func requestFields(request requestDecision) logrus.Fields {
+	fields := logrus.Fields{"id": request.id, "status": request.status, "reason": request.reason, "version": request.version}
+	for name, value := range request.inputs() {
+		fields[name] = value
+	}
+	return fields
+}
+
+// RestedOut implements callers.Observer.
+func (m *gatewayMetrics) RestedOut() { m.set.GetOrCreateCounter(metricRestedOut).Inc() }
+
+// countUnanswered counts a request whose caller got no complete answer.
+func (m *gatewayMetrics) countUnanswered(closedBy forward.Closer) {
+	m.set.GetOrCreateCounter(fmt.Sprintf(`%s{closed_by=%q}`, metricUnanswered, closedBy)).Inc()
+}
+
+// recordUnanswered counts and logs a request whose connection ended before a complete answer. Connections closed by this
+// side are logged as warnings.
+func (m *gatewayMetrics) recordUnanswered(report *forward.Report, request requestDecision) {
+	m.countUnanswered(report.ClosedBy)
+	if !m.allowLog(unansweredReason(report.ClosedBy)) {
+		return
+	}
+	level := logrus.InfoLevel
+	if report.ClosedBy != forward.CloserCaller {
+		level = logrus.WarnLevel
+	}
+	if !m.logger.Logger.IsLevelEnabled(level) {
+		return
+	}
+	fields := requestFields(request)
+	if panicErr := new(forward.PanicError); errors.As(report.Err, &panicErr) {
+		fields["stack"] = string(panicErr.Stack)
+	}
+	m.logger.WithFields(fields).Log(level, "A connection ended with its request unanswered.")
+}
+
+// unansweredReason returns the rate limiting key of log lines about unanswered requests.
+func unansweredReason(closedBy forward.Closer) forward.Reason {
+	return forward.Reason("unanswered: " + closedBy.String())
+}
+
+// HeadUnanswered implements callers.Observer.
+func (m *gatewayMetrics) HeadUnanswered(closedBy forward.Closer, peer string, elapsed time.Duration) {
+	m.countUnanswered(closedBy)
+	if !m.allowLog(unansweredReason(closedBy)) {
+		return
+	}
+	m.logger.WithFields(logrus.Fields{
+		"closed_by": closedBy.String(), "step": "read the head", "peer": peer, "took_ms": elapsed.Milliseconds(), "passed_on_to": "",
+	}).Info("A connection ended with its request unanswered.")
+}
+
+// ServeHTTP implements http.Handler.
+func (m *gatewayMetrics) ServeHTTP(writer http.ResponseWriter, _ *http.Request) {
+	m.set.WritePrometheus(writer)
+	if m.budgets != nil {
+		writeBudgets(writer, m.budgets())
+	}
+	if m.writeFleetTasks != nil {
+		m.writeFleetTasks(writer)
+	}
+}
--- a/internal/gateway/outdated_test.go
+++ b/internal/gateway/outdated_test.go
@@ -13,21 +13,22 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// TestOutdatedAnswersAreCountedAndLoggedWithinABound has many answers of the store come after its return that were made before.
-func TestOutdatedAnswersAreCountedAndLoggedWithinABound(t *testing.T) {
-	var lines bytes.Buffer
+// TestOutdatedStoreAnswersCountedAndLogLimited guards against flooding the log when many outdated answers arrive after a
+// store restore.
+func TestOutdatedStoreAnswersCountedAndLogLimited(t *testing.T) {
+	var output bytes.Buffer
 	logger := logrus.New()
-	logger.SetOutput(&lines)
-	f := newFigures(decisionlog.New("g", 1), logger)
-	const answers = 3 * linesAtOnce
+	logger.SetOutput(&output)
+	m := newGatewayMetrics(decisionlog.New("g", 1), logger)
+	const answers = 3 * logLinesBurst
 	for range answers {
-		f.storeCalled(store.CallWatch, time.Second, errors.Wrap(store.ErrRestored, "step watch"))
+		m.countStoreCall(store.CallWatch, time.Second, errors.Wrap(store.ErrRestored, "step watch"))
 	}
-	f.storeCalled(store.CallWatch, time.Second, store.ErrBusy)
-	if counted := f.set.GetOrCreateCounter(metricOutdated).Get(); counted != answers {
-		t.Errorf("counted are %d", counted)
+	m.countStoreCall(store.CallWatch, time.Second, store.ErrBusy)
+	if count := m.set.GetOrCreateCounter(metricOutdatedAnswers).Get(); count != answers {
+		t.Errorf("count is %d", count)
 	}
-	if logged := strings.Count(lines.String(), "is not taken"); logged == 0 || logged > linesAtOnce+linesPerSecond {
-		t.Errorf("%d lines", logged)
+	if lines := strings.Count(output.String(), "Discarded a store answer"); lines == 0 || lines > logLinesBurst+logLinesPerSecond {
+		t.Errorf("%d lines", lines)
 	}
 }
--- /dev/null
+++ b/internal/gateway/tenantusage.go
@@ -0,0 +1,86 @@
+package gateway
+
+import (
+	"time"
+
+	"github.com/granitebay/granitebay/internal/loadshare"
+	"github.com/granitebay/granitebay/internal/logging"
+	"github.com/granitebay/granitebay/internal/usage"
+)
+
+// tenantUsage counts the usage of tenants. It does nothing if no windows are to be reported.
+type tenantUsage struct {
+	window   time.Duration
+	clock    *usage.Clock
+	tally    *usage.Tally
+	reporter *usage.Reporter
+	// sentAt is when changes were last sent. Only the sending goroutine accesses it.
+	sentAt time.Time
+}
+
+// usageSendInterval is the minimum time between two messages with changed counts. A killed gateway loses the counts
+// since its last message.
+const usageSendInterval = 200 * time.Millisecond
+
+// newTenantUsage returns the usage of a gateway and hooks it into the request handler.
+func newTenantUsage(g *Gateway) *tenantUsage {
+	u := &tenantUsage{window: g.settings.UsageWindow, clock: usage.NewClock(usage.ReadClocks())}
+	if u.window <= 0 {
+		return u
+	}
+	u.tally = usage.NewTally(g.settings.Name, g.startedAt.UnixNano())
+	g.handler.CountUsage(func(tenant string) { u.tally.Add(usage.WindowAt(u.clock.Now(), u.window), tenant) })
+	if g.ports.Usage == nil {
+		return u
+	}
+	settings := usage.DefaultSettings()
+	settings.Holder, settings.Window, settings.Due = g.settings.Name, u.window, g.settings.UsageDue
+	u.reporter = usage.NewReporter(settings, g.ports.Store, g.ports.Usage, u.tally, u.clock.Now, g.controller.Authority,
+		logging.Part(g.logger, "usage"), g.recordDecision)
+	return u
+}
+
+// addTo adds usage counts to a message: all of them if full is set, else changed ones. A standby gateway may not send
+// again for a long time, so its changes are added immediately.
+func (u *tenantUsage) addTo(message *loadshare.Message, full, standby bool) {
+	if u.tally == nil {
+		return
+	}
+	now := time.Now()
+	switch {
+	case full:
+		message.WallMs = now.UnixMilli()
+		message.Used = u.tally.All(now)
+		u.sentAt = now
+	case standby || now.Sub(u.sentAt) >= usageSendInterval:
+		message.Used = u.tally.Untold()
+		u.sentAt = now
+	}
+}
+
+// merge applies the counts of another gateway.
+func (u *tenantUsage) merge(message *loadshare.Message) {
+	if u.tally == nil {
+		return
+	}
+	if message.WallMs > 0 {
+		u.clock.Heard(message.Sender, time.UnixMilli(message.WallMs))
+	}
+	u.tally.Merge(time.Now(), message.Sender, message.Used)
+}
+
+// UsageAgreed implements cluster.Listener.
+func (g *Gateway) UsageAgreed(value []byte) {
+	if g.tenantUsage.tally == nil {
+		return
+	}
+	ledger, err := usage.DecodeLedger(value)
+	if err != nil {
+		logging.Part(g.logger, "usage").WithError(err).Error("Cannot decode the usage ledger.")
+		return
+	}
+	g.tenantUsage.tally.Agreed(ledger.Next)
+	if g.tenantUsage.reporter != nil {
+		g.tenantUsage.reporter.Heard(ledger)
+	}
+}
--- a/internal/gateway/workerlimits.go
+++ b/internal/gateway/workerlimits.go
@@ -13,190 +13,193 @@
 	"github.com/granitebay/granitebay/internal/loadshare"
 )
 
-// workerLimits hears which workers name limits in their answers, has them kept, and tells the other gateways and operators of them: most
-// gateways hold no part of a limit, are sent no answer, and know it by others alone. It is safe for concurrent use.
-type workerLimits struct {
+// limitTracker tracks the request limits that workers state in their answers and passes them on to the other gateways
+// and operators. Most gateways hold no share of a limit, get no answers from the worker, and learn of its limit only
+// from others. It is safe for concurrent use.
+type limitTracker struct {
 	gateway *Gateway
 
 	mu sync.Mutex
-	// known are the limits in force, by the ids of the workers' incarnations, and over those that ended of late: a word of before that comes
-	// late does not bring them back.
-	known, over map[string]*namedLimit
-	// notify tells that there is something to tell; nil tells nobody.
+	// active holds the limits in force, by worker incarnation ID, and ended those that ended recently, so that late
+	// reports do not reinstate them.
+	active, ended map[string]*workerLimit
+	// notify signals that there is something to send; nil until set.
 	notify func(urgent bool)
-	// inForce counts the limits, for answers of which nearly all name none while none is known.
-	inForce atomic.Int64
+	// activeCount is len(active). It lets answers without a limit, which is nearly all, skip the mutex while no limit is
+	// in force.
+	activeCount atomic.Int64
 }
 
-// namedLimit is the limit that a worker names.
-type namedLimit struct {
+// workerLimit is the request limit of a worker.
+type workerLimit struct {
 	perSecond float64
-	// since is when it was heard first, and said when the word was said that holds.
-	since, said time.Time
-	// tries were sent to the worker meanwhile.
-	tries int
-	// isOwn is set if an answer to this gateway said so; else another one tells it. Tells is how often others are still to be told, at once
-	// and then once a second; a limit is told again whenever an answer names it.
-	isOwn  bool
-	tells  int
-	urgent bool
+	// since is when the limit came into force, and statedAt when its current value was stated.
+	since, statedAt time.Time
+	// attempts counts the requests sent to the worker while the limit was in force.
+	attempts int
+	// isLocal is set if the limit was stated or ended by an answer to this gateway rather than reported by another one.
+	// remainingSends is how many times it is still to be sent, at once and then once a second; each answer that states it
+	// sends it again.
+	isLocal        bool
+	remainingSends int
+	urgent         bool
 }
 
-// overTells is how often others are told that a limit is over, once a second: for longer than the links between gateways are usually cut. One
-// that holds no part and misses all of them would leave the worker alone until its next life.
-const overTells = 30
+// endedLimitSends is how many times the end of a limit is sent, once a second. It covers longer than usual network partitions
+// between gateways: a gateway without a share that missed it would not use the worker until the worker restarts.
+const endedLimitSends = 30
 
-// newWorkerLimits knows of no limit.
-func newWorkerLimits(g *Gateway) *workerLimits {
-	return &workerLimits{gateway: g, known: map[string]*namedLimit{}, over: map[string]*namedLimit{}}
+// newLimitTracker returns a tracker without limits.
+func newLimitTracker(g *Gateway) *limitTracker {
+	return &limitTracker{gateway: g, active: map[string]*workerLimit{}, ended: map[string]*workerLimit{}}
 }
 
-// shareWith has what is to be told gathered. Notify must not wait.
-func (l *workerLimits) shareWith(notify func(urgent bool)) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.notify = notify
+// setNotify sets the function that signals pending announcements. It must not block.
+func (t *limitTracker) setNotify(notify func(urgent bool)) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.notify = notify
 }
 
-// hear takes what a worker says of its limit in an answer. Its word binds from here on.
-func (l *workerLimits) hear(worker *backend.Worker, notice backend.Notice) {
-	if notice.Limit == 0 && l.inForce.Load() == 0 {
+// handle processes the limit, or its absence, in a worker's answer.
+func (t *limitTracker) handle(worker *backend.Worker, notice backend.Notice) {
+	if notice.Limit == 0 && t.activeCount.Load() == 0 {
 		return
 	}
 	now := time.Now()
 	if notice.Limit == 0 {
-		l.end(worker.ID, now.Sub(notice.Asked), sourceAnswer)
+		t.end(worker.ID, now.Sub(notice.Asked), sourceAnswer)
 		return
 	}
-	l.gateway.metrics.noticeHeard(worker.Group, noticeLimit)
-	l.begin(worker.ID, notice.Limit, 0, sourceAnswer)
+	t.gateway.metrics.countNotice(worker.Group, noticeLimit)
+	t.begin(worker.ID, notice.Limit, 0, sourceAnswer)
 }
 
-// hearPeer takes what another gateway tells of limits.
-func (l *workerLimits) hearPeer(told []loadshare.Limit) {
-	for _, each := range told {
-		ago := time.Duration(max(each.AgeMs, 0)) * time.Millisecond
+// handlePeer processes limits reported by another gateway.
+func (t *limitTracker) handlePeer(limits []loadshare.Limit) {
+	for _, limit := range limits {
+		ago := time.Duration(max(limit.AgeMs, 0)) * time.Millisecond
 		switch {
-		case each.PerSecond == 0:
-			l.end(each.Worker, ago, sourcePeer)
-		case each.PerSecond > 0 && !math.IsInf(each.PerSecond, 0):
-			l.begin(each.Worker, each.PerSecond, ago, sourcePeer)
+		case limit.PerSecond == 0:
+			t.end(limit.Worker, ago, sourcePeer)
+		case limit.PerSecond > 0 && !math.IsInf(limit.PerSecond, 0):
+			t.begin(limit.Worker, limit.PerSecond, ago, sourcePeer)
 		}
 	}
 }
 
-// begin takes a limit that was named so long ago.
-func (l *workerLimits) begin(id string, perSecond float64, ago time.Duration, source string) {
-	if l.noteBegin(id, perSecond, ago, source) {
-		l.tell(id, noticeLimit, "The worker takes only so many requests a second, of all gateways together.",
+// begin handles a limit that was stated the given time ago.
+func (t *limitTracker) begin(id string, perSecond float64, ago time.Duration, source string) {
+	if t.recordBegin(id, perSecond, ago, source) {
+		t.report(id, noticeLimit, "The worker stated a limit on the requests per second of all gateways together.",
 			map[string]string{"per_second": fmt.Sprint(perSecond), "source": source})
 	}
 }
 
-// noteBegin has a limit kept, and tells whether it is news. A word from before the end of a limit that was told late is none.
-func (l *workerLimits) noteBegin(id string, perSecond float64, ago time.Duration, source string) bool {
-	said := time.Now().Add(-ago)
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if ended := l.over[id]; ended != nil && said.Before(ended.said) {
+// recordBegin stores a limit and reports whether it is new. Reports older than a known end of the limit are ignored.
+func (t *limitTracker) recordBegin(id string, perSecond float64, ago time.Duration, source string) bool {
+	statedAt := time.Now().Add(-ago)
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if ended := t.ended[id]; ended != nil && statedAt.Before(ended.statedAt) {
 		return false
 	}
-	delete(l.over, id)
-	news := l.gateway.dispatcher.Limit(id, perSecond, ago)
-	known, found := l.known[id]
+	delete(t.ended, id)
+	news := t.gateway.dispatcher.Limit(id, perSecond, ago)
+	limit, found := t.active[id]
 	if !found {
-		known = &namedLimit{since: said}
-		l.known[id] = known
-		l.inForce.Store(int64(len(l.known)))
+		limit = &workerLimit{since: statedAt}
+		t.active[id] = limit
+		t.activeCount.Store(int64(len(t.active)))
 	}
-	if said.Before(known.said) {
+	if statedAt.Before(limit.statedAt) {
 		return news
 	}
-	known.perSecond, known.said = perSecond, said
+	limit.perSecond, limit.statedAt = perSecond, statedAt
 	if source == sourceAnswer {
-		known.isOwn, known.tells = true, 1
-		l.hasten(known, news)
+		limit.isLocal, limit.remainingSends = true, 1
+		t.announceNow(limit, news)
 	}
 	return news
 }
 
-// end takes that a worker named no limit in the answer to a request which was sent so long ago.
-func (l *workerLimits) end(id string, ago time.Duration, source string) {
-	if ended, was := l.noteEnd(id, ago, source); was {
-		l.tell(id, noticeLimit+" over", "The worker names no limit any more.", map[string]string{
-			"tries": fmt.Sprint(ended.tries), "for_ms": fmt.Sprint(time.Since(ended.since).Milliseconds()), "source": source,
+// end handles an answer without a limit to a request that was sent the given time ago.
+func (t *limitTracker) end(id string, ago time.Duration, source string) {
+	if limit, found := t.recordEnd(id, ago, source); found {
+		t.report(id, noticeLimit+" over", "The worker no longer states a request limit.", map[string]string{
+			"tries": fmt.Sprint(limit.attempts), "for_ms": fmt.Sprint(time.Since(limit.since).Milliseconds()), "source": source,
 		})
 	}
 }
 
-// noteEnd has a limit ended, and returns it, or false if there was none.
-func (l *workerLimits) noteEnd(id string, ago time.Duration, source string) (namedLimit, bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	ended := l.known[id]
-	if ended == nil || !l.gateway.dispatcher.Unlimit(id, ago) {
-		return namedLimit{}, false
+// recordEnd ends a limit and returns it, or false if none ended.
+func (t *limitTracker) recordEnd(id string, ago time.Duration, source string) (workerLimit, bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	limit := t.active[id]
+	if limit == nil || !t.gateway.dispatcher.Unlimit(id, ago) {
+		return workerLimit{}, false
 	}
-	delete(l.known, id)
-	l.inForce.Store(int64(len(l.known)))
-	ended.perSecond, ended.said = 0, time.Now().Add(-ago)
-	ended.isOwn, ended.tells = source == sourceAnswer, overTells
-	l.over[id] = ended
-	l.hasten(ended, ended.isOwn)
-	return *ended, true
+	delete(t.active, id)
+	t.activeCount.Store(int64(len(t.active)))
+	limit.perSecond, limit.statedAt = 0, time.Now().Add(-ago)
+	limit.isLocal, limit.remainingSends = source == sourceAnswer, endedLimitSends
+	t.ended[id] = limit
+	t.announceNow(limit, limit.isLocal)
+	return *limit, true
 }
 
-// hasten has others told at once of what is news. The mutex is held.
-func (l *workerLimits) hasten(one *namedLimit, news bool) {
-	if !news || l.notify == nil {
+// announceNow triggers an immediate announcement of a new state. The mutex must be held.
+func (t *limitTracker) announceNow(limit *workerLimit, news bool) {
+	if !news || t.notify == nil {
 		return
 	}
-	one.urgent = true
-	l.notify(true)
+	limit.urgent = true
+	t.notify(true)
 }
 
-// tell writes a line and a decision about the limit of a worker, if it is in use.
-func (l *workerLimits) tell(id, what, reason string, inputs map[string]string) {
-	if worker := l.gateway.worker(id); worker != nil {
-		l.gateway.notices.tell(worker, what, reason, inputs)
+// report logs a change of a worker's limit and records it as a decision, if the worker is known.
+func (t *limitTracker) report(id, kind, reason string, inputs map[string]string) {
+	if worker := t.gateway.worker(id); worker != nil {
+		t.gateway.notices.report(worker, kind, reason, inputs)
 	}
 }
 
-// drain returns the limits of which other gateways are to be told: what is news, and with full set all that answers said since the last time.
-func (l *workerLimits) drain(full bool) []loadshare.Limit {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	var told []loadshare.Limit
-	for _, each := range []map[string]*namedLimit{l.known, l.over} {
-		for id, one := range each {
-			if one.tells == 0 || (!full && !one.urgent) || len(told) >= mostUntold {
+// drain returns the limits to send to other gateways: urgent ones or, if full is set, all with sends remaining.
+func (t *limitTracker) drain(full bool) []loadshare.Limit {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	var announced []loadshare.Limit
+	for _, limits := range []map[string]*workerLimit{t.active, t.ended} {
+		for id, limit := range limits {
+			if limit.remainingSends == 0 || (!full && !limit.urgent) || len(announced) >= maxAnnouncements {
 				continue
 			}
-			one.urgent = false
+			limit.urgent = false
 			if full {
-				one.tells--
+				limit.remainingSends--
 			}
-			if !one.isOwn {
+			if !limit.isLocal {
 				continue
 			}
-			told = append(told, loadshare.Limit{Worker: id, PerSecond: one.perSecond, AgeMs: time.Since(one.said).Milliseconds()})
+			announced = append(announced, loadshare.Limit{Worker: id, PerSecond: limit.perSecond, AgeMs: time.Since(limit.statedAt).Milliseconds()})
 		}
 	}
-	l.over = lo.OmitBy(l.over, func(_ string, one *namedLimit) bool { return one.tells == 0 })
-	return told
+	t.ended = lo.OmitBy(t.ended, func(_ string, limit *workerLimit) bool { return limit.remainingSends == 0 })
+	return announced
 }
 
-// count counts a try that was sent to a worker at a moment, and tells whether a limit was in force there.
-func (l *workerLimits) count(id string, at time.Time) bool {
-	if l.inForce.Load() == 0 {
+// countAttempt counts a request sent to a worker at a given time and reports whether a limit was in force.
+func (t *limitTracker) countAttempt(id string, sentAt time.Time) bool {
+	if t.activeCount.Load() == 0 {
 		return false
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	known := l.known[id]
-	if known == nil || at.Before(known.since) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	limit := t.active[id]
+	if limit == nil || sentAt.Before(limit.since) {
 		return false
 	}
-	known.tries++
+	limit.attempts++
 	return true
 }
