--- a/internal/changefeed/changefeed.go
+++ b/internal/changefeed/changefeed.go
@@ -41,7 +41,7 @@
 	// Snapshot returns everything, or false when nothing is known.
 	Snapshot() (store.Snapshot, bool)
 	// Changes returns what the one that asks does not know, or false when the gateway does not follow the store itself.
-	Changes(question store.Question) (store.Changes, bool)
+	Changes(question store.ChangesRequest) (store.Changes, bool)
 	// Changed returns a channel that is closed when there is more to tell.
 	Changed() <-chan struct{}
 }
@@ -74,7 +74,7 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	if changes.Full || changes.Whole {
+	if changes.Full || changes.FullShard {
 		// The one that asks hears that its answer comes, and waits for it as long as for a body. An error is that of a peer that has left.
 		_ = http.NewResponseController(w).Flush()
 		select {
@@ -88,7 +88,7 @@
 			return
 		}
 	}
-	changes.Entries, changes.Sound = entries()
+	changes.Entries, changes.Live = entries()
 	// An error is that of a peer that has left.
 	_ = json.NewEncoder(w).Encode(changes)
 }
@@ -97,7 +97,7 @@
 // concern the one that asks, and there are many of them in a large fleet, wake nobody else; and a fleet that starts is told of all that come
 // a few times a second at the most.
 func await(
-	ctx context.Context, question store.Question, source Source, entries func() (all, sound []string),
+	ctx context.Context, question store.ChangesRequest, source Source, entries func() (all, sound []string),
 ) (store.Changes, bool) {
 	timer := time.NewTimer(min(question.Wait, maxWait))
 	defer timer.Stop()
@@ -105,8 +105,8 @@
 	for {
 		changed := source.Changed()
 		changes, known := source.Changes(question)
-		isNews := len(changes.Changed) > 0 && !changes.Unhurried
-		if !known || changes.Full || changes.Whole || isNews {
+		isNews := len(changes.Changed) > 0 && !changes.Deferrable
+		if !known || changes.Full || changes.FullShard || isNews {
 			return changes, known
 		}
 		if now, _ := entries(); !slices.Equal(now, before) {
@@ -128,8 +128,8 @@
 	paramAfter + " of at least 0, " + paramShards + " zero or a power of two")
 
 // questionOf reads a question. What a question does not say of shards is that of one that knows all.
-func questionOf(query url.Values) (store.Question, error) {
-	question := store.Question{Shards: 1, Upto: query.Get(paramUpto), All: query.Get(paramAll) != ""}
+func questionOf(query url.Values) (store.ChangesRequest, error) {
+	question := store.ChangesRequest{Shards: 1, ListedThrough: query.Get(paramUpto), AllShards: query.Get(paramAll) != ""}
 	after, afterErr := strconv.ParseInt(query.Get(paramAfter), 10, 64)
 	waitMs, waitErr := strconv.ParseInt(query.Get(paramWait), 10, 64)
 	if afterErr != nil || waitErr != nil || waitMs < 0 {
@@ -137,7 +137,7 @@
 	}
 	question.Wait = time.Duration(waitMs) * time.Millisecond
 	era := int64(0)
-	if question.AnyEra = query.Get(paramEra) == ""; !question.AnyEra {
+	if question.EraUnknown = query.Get(paramEra) == ""; !question.EraUnknown {
 		var err error
 		if era, err = strconv.ParseInt(query.Get(paramEra), 10, 64); err != nil || era < 0 || era >= store.MostEras {
 			return question, errQuestion
@@ -156,21 +156,21 @@
 		if err != nil {
 			return question, errQuestion
 		}
-		question.Seat = number
+		question.ShardHash = number
 	}
 	return question, nil
 }
 
 // queryOf spells a question.
-func queryOf(question store.Question) url.Values {
+func queryOf(question store.ChangesRequest) url.Values {
 	query := url.Values{
 		paramAfter: {strconv.FormatInt(question.After.Number(), 10)}, paramEra: {strconv.FormatInt(question.After.Era(), 10)}, paramWait: {strconv.FormatInt(question.Wait.Milliseconds(), 10)},
-		paramShards: {strconv.Itoa(question.Shards)}, paramSeat: {strconv.FormatUint(question.Seat, 10)},
+		paramShards: {strconv.Itoa(question.Shards)}, paramSeat: {strconv.FormatUint(question.ShardHash, 10)},
 	}
-	if question.Upto != "" {
-		query.Set(paramUpto, question.Upto)
+	if question.ListedThrough != "" {
+		query.Set(paramUpto, question.ListedThrough)
 	}
-	if question.All {
+	if question.AllShards {
 		query.Set(paramAll, "1")
 	}
 	return query
@@ -186,7 +186,7 @@
 )
 
 // changes asks one gateway a question.
-func (a asker) changes(ctx context.Context, address string, question store.Question) (store.Changes, error) {
+func (a asker) changes(ctx context.Context, address string, question store.ChangesRequest) (store.Changes, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	timer := time.AfterFunc(question.Wait+answerSlack, cancel)
--- a/internal/changefeed/changefeed_test.go
+++ b/internal/changefeed/changefeed_test.go
@@ -30,7 +30,7 @@
 	return &changingSource{changes: changes, changed: make(chan struct{})}
 }
 
-func (s *changingSource) Changes(question store.Question) (store.Changes, bool) {
+func (s *changingSource) Changes(question store.ChangesRequest) (store.Changes, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.asked++
@@ -72,8 +72,8 @@
 }
 
 // question asks what came after a revision.
-func question(after store.Revision, wait time.Duration) store.Question {
-	return store.Question{After: after, Wait: wait, Shards: 1}
+func question(after store.Revision, wait time.Duration) store.ChangesRequest {
+	return store.ChangesRequest{After: after, Wait: wait, Shards: 1}
 }
 
 // at returns changes of one item.
@@ -139,7 +139,7 @@
 		t.Errorf("asked %d, %d and %d times", near.count(), otherNear.count(), far.count())
 	}
 	near.silent, otherNear.silent = true, true
-	if _, err := follower.Next(t.Context(), question(3, 0)); !errors.Is(err, store.ErrNobody) {
+	if _, err := follower.Next(t.Context(), question(3, 0)); !errors.Is(err, store.ErrNoUpstream) {
 		t.Errorf("both near ones are silent: %v", err)
 	}
 	ask(3)
@@ -150,15 +150,15 @@
 
 func TestTheStoreIsTriedNowAndThenWhenAllHaveLostIt(t *testing.T) {
 	lost := at(4)
-	lost.StoreLost = true
+	lost.StoreUnavailable = true
 	address := serve(t, newSource(lost))
 	follower, _ := follow(
 		changefeed.Teller{Name: "x", Zone: "a", Address: address}, changefeed.Teller{Name: "y", Zone: "a", Address: serve(t, newSource(lost))},
 	)
-	if _, err := follower.Next(t.Context(), question(3, 0)); !errors.Is(err, store.ErrNobody) {
+	if _, err := follower.Next(t.Context(), question(3, 0)); !errors.Is(err, store.ErrNoUpstream) {
 		t.Errorf("at first the store is to be tried: %v", err)
 	}
-	if changes, err := follower.Next(t.Context(), question(3, 0)); err != nil || !changes.StoreLost {
+	if changes, err := follower.Next(t.Context(), question(3, 0)); err != nil || !changes.StoreUnavailable {
 		t.Errorf("then the one that has lost it is good enough: %+v, %v", changes, err)
 	}
 }
@@ -194,7 +194,7 @@
 // TestATellerThatTheStoreDoesNotAnswerIsLeftForOthers guards against a configuration that those of a zone hear of late: both entries of the
 // zone were cut off from the store, which shows only once their calls have run into time-outs, and answered until then that nothing is new.
 func TestATellerThatTheStoreDoesNotAnswerIsLeftForOthers(t *testing.T) {
-	unanswered := func(ms int64) store.Changes { return store.Changes{Revision: 4, Unanswered: &ms} }
+	unanswered := func(ms int64) store.Changes { return store.Changes{Revision: 4, StoreSilence: &ms} }
 	near, otherNear, far := newSource(unanswered(500)), newSource(unanswered(500)), newSource(at(9))
 	follower, _ := follow(
 		changefeed.Teller{Name: "near", Zone: "a", Address: serve(t, near)},
@@ -211,10 +211,10 @@
 		t.Errorf("both of the zone are cut off, and one of another zone is asked: %+v, %v", changes, err)
 	}
 	far.set(unanswered(1800))
-	if _, err := follower.Next(t.Context(), question(4, 0)); !errors.Is(err, store.ErrNobody) {
+	if _, err := follower.Next(t.Context(), question(4, 0)); !errors.Is(err, store.ErrNoUpstream) {
 		t.Errorf("all are cut off, and the store may be tried: %v", err)
 	}
-	if changes, err := follower.Next(t.Context(), question(4, 0)); err != nil || changes.Unanswered == nil {
+	if changes, err := follower.Next(t.Context(), question(4, 0)); err != nil || changes.StoreSilence == nil {
 		t.Errorf("if the store answers nobody, they are good enough: %+v, %v", changes, err)
 	}
 }
--- a/internal/changefeed/follower.go
+++ b/internal/changefeed/follower.go
@@ -91,7 +91,7 @@
 func (f *Follower) isCutOff(changes store.Changes) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.answeredWithin > 0 && changes.Unanswered != nil && time.Duration(*changes.Unanswered)*time.Millisecond > f.answeredWithin
+	return f.answeredWithin > 0 && changes.StoreSilence != nil && time.Duration(*changes.StoreSilence)*time.Millisecond > f.answeredWithin
 }
 
 // Times of a follower.
@@ -113,11 +113,11 @@
 
 // Next is part of store.Feed. A teller that has lost the store, or seems to be cut off from it, is good enough only while no other one is
 // better off and the store itself is not to be tried.
-func (f *Follower) Next(ctx context.Context, question store.Question) (store.Changes, error) {
+func (f *Follower) Next(ctx context.Context, question store.ChangesRequest) (store.Changes, error) {
 	var doubtful *store.Changes
 	failed := 0
 	for asked := 0; asked < mostAsked && failed < mostFailed; asked++ {
-		teller, found := f.next(time.Now(), question.Teller)
+		teller, found := f.next(time.Now(), question.Upstream)
 		if !found {
 			break
 		}
@@ -128,8 +128,8 @@
 			failed++
 			continue
 		}
-		f.told(changes.Entries, changes.Sound)
-		if !changes.StoreLost && !f.isCutOff(changes) {
+		f.told(changes.Entries, changes.Live)
+		if !changes.StoreUnavailable && !f.isCutOff(changes) {
 			return changes, nil
 		}
 		// Others of its zone may have lost the store with it: those of other zones come next, and need not be waited for.
@@ -139,7 +139,7 @@
 	if doubtful != nil && !f.mayTryStore(time.Now()) {
 		return *doubtful, nil
 	}
-	return store.Changes{}, store.ErrNobody
+	return store.Changes{}, store.ErrNoUpstream
 }
 
 // next returns the teller of a name, or without one that whose turn it is: one of the own zone, or else of any, that has not failed of late,
--- a/internal/store/counted.go
+++ b/internal/store/counted.go
@@ -30,60 +30,62 @@
 }
 
 // note tells of a call that began at a moment.
-func (c counted) note(call Call, begun time.Time, err error) { c.observe(call, time.Since(begun), err) }
+func (c counted) report(call Call, started time.Time, err error) {
+	c.observe(call, time.Since(started), err)
+}
 
 // List is part of Store.
 func (c counted) List(ctx context.Context, prefix string) ([]Item, Revision, error) {
-	begun := time.Now()
-	items, at, err := c.store.List(ctx, prefix)
-	c.note(CallList, begun, err)
-	return items, at, err
+	started := time.Now()
+	items, revision, err := c.store.List(ctx, prefix)
+	c.report(CallList, started, err)
+	return items, revision, err
 }
 
 // ListUntil is part of Store.
-func (c counted) ListUntil(ctx context.Context, prefix string, enough func([]Item) bool) ([]Item, Revision, bool, error) {
-	begun := time.Now()
-	items, at, whole, err := c.store.ListUntil(ctx, prefix, enough)
-	c.note(CallList, begun, err)
-	return items, at, whole, err
+func (c counted) ListUntil(ctx context.Context, prefix string, stop func([]Item) bool) ([]Item, Revision, bool, error) {
+	started := time.Now()
+	items, revision, complete, err := c.store.ListUntil(ctx, prefix, stop)
+	c.report(CallList, started, err)
+	return items, revision, complete, err
 }
 
 // Watch is part of Store.
 func (c counted) Watch(ctx context.Context, prefix string, after Revision, wait time.Duration) ([]Event, Revision, error) {
-	begun := time.Now()
-	events, at, err := c.store.Watch(ctx, prefix, after, wait)
-	c.note(CallWatch, begun, err)
-	return events, at, err
+	started := time.Now()
+	events, revision, err := c.store.Watch(ctx, prefix, after, wait)
+	c.report(CallWatch, started, err)
+	return events, revision, err
 }
 
 // Commit is part of Store.
 func (c counted) Commit(ctx context.Context, transaction Transaction) (Revision, error) {
-	begun := time.Now()
+	started := time.Now()
 	revision, err := c.store.Commit(ctx, transaction)
-	c.note(CallCommit, begun, err)
+	c.report(CallCommit, started, err)
 	return revision, err
 }
 
 // Grant is part of Store.
 func (c counted) Grant(ctx context.Context, ttl time.Duration) (Lease, error) {
-	begun := time.Now()
+	started := time.Now()
 	lease, err := c.store.Grant(ctx, ttl)
-	c.note(CallGrant, begun, err)
+	c.report(CallGrant, started, err)
 	return lease, err
 }
 
 // KeepAlive is part of Store.
 func (c counted) KeepAlive(ctx context.Context, lease int64) error {
-	begun := time.Now()
+	started := time.Now()
 	err := c.store.KeepAlive(ctx, lease)
-	c.note(CallRenew, begun, err)
+	c.report(CallRenew, started, err)
 	return err
 }
 
 // Revoke is part of Store.
 func (c counted) Revoke(ctx context.Context, lease int64) error {
-	begun := time.Now()
+	started := time.Now()
 	err := c.store.Revoke(ctx, lease)
-	c.note(CallRevoke, begun, err)
+	c.report(CallRevoke, started, err)
 	return err
 }
--- a/internal/store/era.go
+++ b/internal/store/era.go
@@ -3,52 +3,54 @@
 import "slices"
 
 // restoredIn tells whether a snapshot is of a later era than what is known. The mutex is held.
-func (r *Replica) restoredIn(snapshot Snapshot) bool {
-	return r.known != nil && snapshot.Revision.Era() > r.after.Era()
+func (r *Replica) isFromLaterEra(snapshot Snapshot) bool {
+	return r.table != nil && snapshot.Revision.Era() > r.revision.Era()
 }
 
 // behind tells whether something is of an earlier era than what is known, so that it tells nothing. The mutex is held.
-func (r *Replica) behind(at Revision) bool { return r.known != nil && at.Era() < r.after.Era() }
+func (r *Replica) isFromEarlierEra(revision Revision) bool {
+	return r.table != nil && revision.Era() < r.revision.Era()
+}
 
 // resume takes a snapshot of a later era for all that was known: what it does not hold is gone, or is written again by whoever wrote it. Those
 // that learn from this process and know the era before are told everything. The mutex is held.
-func (r *Replica) resume(snapshot Snapshot) {
-	r.known, r.completeFrom = newTable(eventsOf(snapshot.Items)), snapshot.Revision
-	r.gapFrom, r.gapTo = 0, 0
+func (r *Replica) adoptEra(snapshot Snapshot) {
+	r.table, r.historyStart = newTable(eventsOf(snapshot.Items)), snapshot.Revision
+	r.gapStart, r.gapEnd = 0, 0
 }
 
 // Adopt puts what a teller said into the era that it named, or into one that is known here if it named none.
-func (c *Changes) Adopt(known int64) {
-	era := eraOr(c.Era, known)
-	c.Revision = c.Revision.in(era)
-	if c.Until != 0 {
-		c.After, c.Until = c.After.in(era), c.Until.in(era)
+func (c *Changes) Adopt(localEra int64) {
+	era := resolveEra(c.Era, localEra)
+	c.Revision = c.Revision.withEra(era)
+	if c.GapEnd != 0 {
+		c.GapStart, c.GapEnd = c.GapStart.withEra(era), c.GapEnd.withEra(era)
 	}
 	for i := range c.Changed {
-		c.Changed[i].Revision = c.Changed[i].Revision.in(era)
+		c.Changed[i].Revision = c.Changed[i].Revision.withEra(era)
 	}
 }
 
 // Adopt puts a snapshot into the era that its teller named, or into one that is known here if it named none.
-func (s *Snapshot) Adopt(known int64) {
-	era := eraOr(s.Era, known)
-	s.Revision = s.Revision.in(era)
+func (s *Snapshot) Adopt(localEra int64) {
+	era := resolveEra(s.Era, localEra)
+	s.Revision = s.Revision.withEra(era)
 	s.Items = slices.Clone(s.Items)
 	for i := range s.Items {
-		s.Items[i].Revision = s.Items[i].Revision.in(era)
+		s.Items[i].Revision = s.Items[i].Revision.withEra(era)
 	}
 }
 
 // eraOr returns an era that was told, or else one that is known.
-func eraOr(told *int64, known int64) int64 {
-	if told == nil || *told < 0 || *told >= MostEras {
-		return known
+func resolveEra(received *int64, localEra int64) int64 {
+	if received == nil || *received < 0 || *received >= MostEras {
+		return localEra
 	}
-	return *told
+	return *received
 }
 
 // eraOf returns the era of a revision as it is told.
-func eraOf(at Revision) *int64 {
-	era := at.Era()
+func eraPointer(revision Revision) *int64 {
+	era := revision.Era()
 	return &era
 }
--- a/internal/store/feed_test.go
+++ b/internal/store/feed_test.go
@@ -14,18 +14,18 @@
 type scriptedFeed struct {
 	mutex sync.Mutex
 	next  func(after Revision) (Changes, error)
-	asked int
+	polls int
 }
 
-func (f *scriptedFeed) Next(ctx context.Context, question Question) (Changes, error) {
+func (f *scriptedFeed) Next(ctx context.Context, request ChangesRequest) (Changes, error) {
 	f.mutex.Lock()
-	f.asked++
+	f.polls++
 	next := f.next
 	f.mutex.Unlock()
 	if next == nil {
-		return Changes{}, ErrNobody
+		return Changes{}, ErrNoUpstream
 	}
-	changes, err := next(question.After)
+	changes, err := next(request.After)
 	if err == nil && len(changes.Changed) == 0 {
 		sleep(ctx, 5*time.Millisecond)
 	}
@@ -40,14 +40,14 @@
 }
 
 // TestACalmReplicaAsksTheStoreOnlyWhileNobodyTells counts the calls to the store of a replica that follows a feed.
-func TestACalmReplicaAsksTheStoreOnlyWhileNobodyTells(t *testing.T) {
+func TestStandbyWatchesStoreOnlyWithoutFeed(t *testing.T) {
 	store := &fakeStore{
-		lists:  []func() ([]Item, Revision, error){listed(5, item("a", 3))},
+		lists:  []func() ([]Item, Revision, error){listResult(5, item("a", 3))},
 		events: make(chan func(Revision) ([]Event, Revision, error), 4),
 	}
 	recorded := &recorder{}
 	settings := DefaultReplicaSettings()
-	settings.Settle = time.Millisecond
+	settings.BatchPause = time.Millisecond
 	replica := NewReplica(store, "", settings, recorded, nil)
 	feed := &scriptedFeed{}
 	feed.script(func(after Revision) (Changes, error) {
@@ -70,12 +70,12 @@
 	})
 	recorded.eventually(t, "b=7")
 	store.mutex.Lock()
-	watches := len(store.after)
+	watches := len(store.watchedAfter)
 	store.mutex.Unlock()
 	if watches != 0 {
 		t.Errorf("the store was watched %d times while others told", watches)
 	}
-	if _, follows := replica.Changes(Question{Shards: 1}); follows {
+	if _, served := replica.Changes(ChangesRequest{Shards: 1}); served {
 		t.Error("one that does not follow the store tells others")
 	}
 	feed.script(nil)
@@ -89,10 +89,10 @@
 }
 
 // TestAReplicaWhoseStoreTurnsItAwayLearnsFromOthers has the store fail for a gateway that takes requests.
-func TestAReplicaWhoseStoreTurnsItAwayLearnsFromOthers(t *testing.T) {
+func TestReplicaUsesFeedWhileStoreIsBusy(t *testing.T) {
 	store := &fakeStore{
 		lists: []func() ([]Item, Revision, error){
-			listed(5, item("a", 3)), func() ([]Item, Revision, error) { return nil, 0, ErrBusy },
+			listResult(5, item("a", 3)), func() ([]Item, Revision, error) { return nil, 0, ErrBusy },
 		},
 		events: make(chan func(Revision) ([]Event, Revision, error), 4),
 	}
@@ -116,13 +116,13 @@
 	recorded.eventually(t, "a=3")
 	store.events <- func(Revision) ([]Event, Revision, error) { return nil, 0, ErrBusy }
 	recorded.eventually(t, "a=6")
-	if changes, follows := replica.Changes(Question{After: 5, Shards: 1}); !follows || !changes.StoreLost {
-		t.Errorf("it tells %+v, %t, and not that it has lost the store", changes, follows)
+	if changes, served := replica.Changes(ChangesRequest{After: 5, Shards: 1}); !served || !changes.StoreUnavailable {
+		t.Errorf("it tells %+v, %t, and not that it has lost the store", changes, served)
 	}
 }
 
 // TestAListThatIsOldTakesNothingBack lists a store whose answer is older than what was told.
-func TestAListThatIsOldTakesNothingBack(t *testing.T) {
+func TestStaleListKeepsNewerItems(t *testing.T) {
 	recorded := &recorder{}
 	replica := NewReplica(nil, "", DefaultReplicaSettings(), recorded, nil)
 	replica.replace(Snapshot{Items: []Item{item("a", 3), item("b", 9), item("d", 2)}, Revision: 10})
@@ -134,7 +134,7 @@
 
 // TestOneThatIsToldHoldsWhatTheTellersHold plays changes, lists and restarts of two tellers that hear of a store at different
 // times. One that learns from them in turn ends with what the store holds, and never goes back.
-func TestOneThatIsToldHoldsWhatTheTellersHold(t *testing.T) {
+func TestFeedFollowerConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var history []Event
 		items := func(at Revision) []Item {
@@ -151,73 +151,73 @@
 			return present
 		}
 		settings := DefaultReplicaSettings()
-		settings.FeedPause = 0
-		newTeller := func() *Replica { return NewReplica(nil, "", settings, &recorder{}, nil) }
-		tellers := []*Replica{newTeller(), newTeller()}
-		told := newTeller()
+		settings.MinFeedInterval = 0
+		newUpstream := func() *Replica { return NewReplica(nil, "", settings, &recorder{}, nil) }
+		upstreams := []*Replica{newUpstream(), newUpstream()}
+		follower := newUpstream()
 		recorded := &recorder{}
-		told.consumer = recorded
-		told.replace(Snapshot{})
-		learn := func(teller *Replica) {
-			after := told.after
-			changes, follows := teller.Changes(Question{After: after, Shards: 1})
-			if !follows {
+		follower.consumer = recorded
+		follower.replace(Snapshot{})
+		poll := func(upstream *Replica) {
+			after := follower.revision
+			changes, served := upstream.Changes(ChangesRequest{After: after, Shards: 1})
+			if !served {
 				return
 			}
-			told.feed = &scriptedFeed{next: func(Revision) (Changes, error) { return changes, nil }}
-			before := told.after
-			if err := told.follow(context.Background(), 0); err != nil {
+			follower.feed = &scriptedFeed{next: func(Revision) (Changes, error) { return changes, nil }}
+			previous := follower.revision
+			if err := follower.pollFeed(context.Background(), 0); err != nil {
 				t.Fatal(err)
 			}
-			if told.after < before && !changes.Full {
-				t.Fatalf("went back from %d to %d", before, told.after)
+			if follower.revision < previous && !changes.Full {
+				t.Fatalf("went back from %d to %d", previous, follower.revision)
 			}
 		}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
-			teller := rapid.IntRange(0, 1).Draw(t, "teller")
-			replica := tellers[teller]
+			index := rapid.IntRange(0, 1).Draw(t, "teller")
+			upstream := upstreams[index]
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0, 1:
 				revision := Revision(len(history) + 1)
 				key := rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "key")
 				history = append(history, Event{Item: item(key, revision), Deleted: rapid.Bool().Draw(t, "deleted")})
 			case 2:
-				if replica.known != nil {
-					replica.fresh(history[replica.after:], Revision(len(history)))
+				if upstream.table != nil {
+					upstream.recordNewer(history[upstream.revision:], Revision(len(history)))
 				}
 			case 3:
-				replica.replace(Snapshot{Items: items(Revision(len(history))), Revision: Revision(len(history))})
+				upstream.replace(Snapshot{Items: items(Revision(len(history))), Revision: Revision(len(history))})
 			case 4:
-				tellers[teller] = newTeller()
+				upstreams[index] = newUpstream()
 			case 5:
-				learn(replica)
+				poll(upstream)
 			}
 		}
-		for _, replica := range tellers {
-			replica.replace(Snapshot{Items: items(Revision(len(history))), Revision: Revision(len(history))})
+		for _, upstream := range upstreams {
+			upstream.replace(Snapshot{Items: items(Revision(len(history))), Revision: Revision(len(history))})
 		}
-		learn(tellers[0])
-		learn(tellers[1])
-		wanted := &recorder{}
-		wanted.Reset(items(Revision(len(history))))
-		if recorded.String() != wanted.String() {
-			t.Fatalf("told %q, the store holds %q", recorded, wanted)
+		poll(upstreams[0])
+		poll(upstreams[1])
+		expected := &recorder{}
+		expected.Reset(items(Revision(len(history))))
+		if recorded.String() != expected.String() {
+			t.Fatalf("told %q, the store holds %q", recorded, expected)
 		}
 	})
 }
 
 // TestDeletedItemsAreForgottenInTheEnd bounds what is remembered of a fleet whose workers come and go.
-func TestDeletedItemsAreForgottenInTheEnd(t *testing.T) {
+func TestTombstonesAreBounded(t *testing.T) {
 	replica := NewReplica(nil, "", DefaultReplicaSettings(), &recorder{}, nil)
 	replica.replace(Snapshot{Revision: 1})
-	for i := range maxDeleted + 2 {
-		replica.fresh([]Event{{Item: Item{Key: fmt.Sprint(i), Revision: Revision(i + 2)}, Deleted: true}}, Revision(i+2))
+	for i := range maxTombstones + 2 {
+		replica.recordNewer([]Event{{Item: Item{Key: fmt.Sprint(i), Revision: Revision(i + 2)}, Deleted: true}}, Revision(i+2))
 	}
-	replica.replace(Snapshot{Revision: maxDeleted + 9})
-	if len(replica.known.latest) > 0 {
-		t.Errorf("%d deleted items are remembered", len(replica.known.latest))
+	replica.replace(Snapshot{Revision: maxTombstones + 9})
+	if len(replica.table.latest) > 0 {
+		t.Errorf("%d deleted items are remembered", len(replica.table.latest))
 	}
-	if changes, _ := replica.Changes(Question{After: 5, Shards: 1}); !changes.Full {
+	if changes, _ := replica.Changes(ChangesRequest{After: 5, Shards: 1}); !changes.Full {
 		t.Error("one that knows little is told the latest changes only")
 	}
 }
--- a/internal/store/pace.go
+++ b/internal/store/pause.go
@@ -10,38 +10,38 @@
 
 // settleShare is the part of the time within which changes have to be known that may be spent on gathering them. The number of readers alone
 // would take all of it in a fleet of thousands.
-const settleShare = 0.1
+const maxPauseFraction = 0.1
 
 // share stretches a pause by the number of readers, as far as the bound of changes allows.
-func (r *Replica) share(pause time.Duration) time.Duration {
-	longer := time.Duration(r.readers.Load()) * perReader
-	if bound := r.knownWithin.Load(); bound > 0 {
-		longer = min(longer, time.Duration(settleShare*float64(bound)))
+func (r *Replica) stretchPause(pause time.Duration) time.Duration {
+	stretched := time.Duration(r.readers.Load()) * pausePerReader
+	if bound := r.propagationBound.Load(); bound > 0 {
+		stretched = min(stretched, time.Duration(maxPauseFraction*float64(bound)))
 	}
-	return max(pause, longer)
+	return max(pause, stretched)
 }
 
 // settle returns the pause after changes that were not noted yet. When every process of a large fleet starts at once, each
 // registration and each new record is a change for all of them: without a longer pause their calls grow with the square of
 // the fleet. The pause delays only what comes after those changes.
-func (r *Replica) settle(events []Event) time.Duration {
+func (r *Replica) batchPause(events []Event) time.Duration {
 	if len(events) == 0 {
 		return 0
 	}
-	pause := r.share(r.settings.Settle)
+	pause := r.stretchPause(r.settings.BatchPause)
 	for _, event := range events {
-		if !r.unhurried(event) {
+		if !r.isDeferrable(event) {
 			return pause
 		}
 	}
-	longer := time.Duration(r.readers.Load()) * r.settings.UnhurriedPerReader
-	return max(pause, min(longer, r.settings.LongestUnhurried))
+	deferrablePause := time.Duration(r.readers.Load()) * r.settings.DeferrablePausePerReader
+	return max(pause, min(deferrablePause, r.settings.MaxDeferrablePause))
 }
 
 // unhurried tells whether those that come after a change may be told late: it concerns an unhurried key, or an item that was
 // not there before. A large fleet that starts has many of these, and none that is waited for.
-func (r *Replica) unhurried(event Event) bool {
-	if r.calm.Load() {
+func (r *Replica) isDeferrable(event Event) bool {
+	if r.standby.Load() {
 		return true
 	}
 	if r.settings.Unhurried != nil && r.settings.Unhurried(event.Key) {
@@ -49,7 +49,7 @@
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.known.get(event.Key).Key == "" && !event.Deleted
+	return r.table.get(event.Key).Key == "" && !event.Deleted
 }
 
 // jitter returns a pause between a half and the whole of the given one.
--- a/internal/store/replica_test.go
+++ b/internal/store/replica_test.go
@@ -14,10 +14,10 @@
 // fakeStore is a store that a test scripts. Calls that are not used return an error.
 type fakeStore struct {
 	Store
-	mutex  sync.Mutex
-	lists  []func() ([]Item, Revision, error)
-	events chan func(after Revision) ([]Event, Revision, error)
-	after  []Revision
+	mutex        sync.Mutex
+	lists        []func() ([]Item, Revision, error)
+	events       chan func(after Revision) ([]Event, Revision, error)
+	watchedAfter []Revision
 }
 
 func (f *fakeStore) List(context.Context, string) ([]Item, Revision, error) {
@@ -37,7 +37,7 @@
 
 func (f *fakeStore) Watch(ctx context.Context, _ string, after Revision, _ time.Duration) ([]Event, Revision, error) {
 	f.mutex.Lock()
-	f.after = append(f.after, after)
+	f.watchedAfter = append(f.watchedAfter, after)
 	f.mutex.Unlock()
 	select {
 	case <-ctx.Done():
@@ -49,10 +49,10 @@
 
 // recorder is a consumer that keeps the items it was told.
 type recorder struct {
-	mutex sync.Mutex
-	eras  []int64
-	items map[string]string
-	lost  int
+	mutex  sync.Mutex
+	eras   []int64
+	items  map[string]string
+	losses int
 }
 
 func (r *recorder) Restored(era int64) {
@@ -85,7 +85,7 @@
 func (r *recorder) Lost(error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.lost++
+	r.losses++
 }
 
 func (r *recorder) Current(time.Time) {}
@@ -123,7 +123,7 @@
 func runReplica(t *testing.T, store Store, fallback Fallback) (*Replica, *recorder) {
 	t.Helper()
 	settings := DefaultReplicaSettings()
-	settings.Settle = time.Millisecond
+	settings.BatchPause = time.Millisecond
 	recorded := &recorder{}
 	replica := NewReplica(store, "", settings, recorded, fallback)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -140,12 +140,12 @@
 }
 
 // listed answers a list.
-func listed(at Revision, items ...Item) func() ([]Item, Revision, error) {
+func listResult(at Revision, items ...Item) func() ([]Item, Revision, error) {
 	return func() ([]Item, Revision, error) { return items, at, nil }
 }
 
-func TestReplicaFollowsChangesAndIgnoresOldOnes(t *testing.T) {
-	store := &fakeStore{lists: []func() ([]Item, Revision, error){listed(5, item("a", 3), item("b", 7))}, events: make(chan func(Revision) ([]Event, Revision, error), 4)}
+func TestReplicaAppliesChangesAndIgnoresStaleOnes(t *testing.T) {
+	store := &fakeStore{lists: []func() ([]Item, Revision, error){listResult(5, item("a", 3), item("b", 7))}, events: make(chan func(Revision) ([]Event, Revision, error), 4)}
 	_, recorded := runReplica(t, store, nil)
 	recorded.eventually(t, "a=3 b=7")
 	// The second page of the list was read at 7: the change at 6 is older than what it told.
@@ -162,9 +162,9 @@
 	recorded.eventually(t, "a=10 b=7 c=9")
 }
 
-func TestReplicaListsAgainWhenHistoryIsGone(t *testing.T) {
+func TestReplicaListsAgainAfterCompaction(t *testing.T) {
 	store := &fakeStore{
-		lists:  []func() ([]Item, Revision, error){listed(5, item("a", 3), item("b", 4)), listed(20, item("a", 15))},
+		lists:  []func() ([]Item, Revision, error){listResult(5, item("a", 3), item("b", 4)), listResult(20, item("a", 15))},
 		events: make(chan func(Revision) ([]Event, Revision, error), 4),
 	}
 	_, recorded := runReplica(t, store, nil)
@@ -173,16 +173,16 @@
 	recorded.eventually(t, "a=15")
 }
 
-func TestReplicaStartsWithWhatOthersKnowWhileTheStoreIsAway(t *testing.T) {
-	away := func() ([]Item, Revision, error) { return nil, 0, errors.New("away") }
-	back := make(chan struct{})
+func TestReplicaStartsFromFallbackDuringOutage(t *testing.T) {
+	unavailable := func() ([]Item, Revision, error) { return nil, 0, errors.New("away") }
+	recovered := make(chan struct{})
 	store := &fakeStore{events: make(chan func(Revision) ([]Event, Revision, error), 4)}
 	store.lists = []func() ([]Item, Revision, error){func() ([]Item, Revision, error) {
 		select {
-		case <-back:
+		case <-recovered:
 			return []Item{item("a", 3), item("b", 5)}, 5, nil
 		default:
-			return away()
+			return unavailable()
 		}
 	}}
 	replica, recorded := runReplica(t, store, func(context.Context) (Snapshot, error) {
@@ -193,17 +193,17 @@
 		t.Errorf("the snapshot is %+v", snapshot)
 	}
 	// What another process knows may lack changes: the store is listed, not only watched, once it answers.
-	close(back)
+	close(recovered)
 	recorded.eventually(t, "a=3 b=5")
 }
 
-func TestRenewBeginsAWaitingWatchAnew(t *testing.T) {
-	store := &fakeStore{lists: []func() ([]Item, Revision, error){listed(5)}, events: make(chan func(Revision) ([]Event, Revision, error))}
+func TestRenewRestartsPendingWatch(t *testing.T) {
+	store := &fakeStore{lists: []func() ([]Item, Revision, error){listResult(5)}, events: make(chan func(Revision) ([]Event, Revision, error))}
 	replica, recorded := runReplica(t, store, nil)
 	watches := func() int {
 		store.mutex.Lock()
 		defer store.mutex.Unlock()
-		return len(store.after)
+		return len(store.watchedAfter)
 	}
 	for range 300 {
 		if watches() > 0 {
@@ -214,7 +214,7 @@
 	replica.Renew()
 	for range 300 {
 		if watches() > 1 {
-			if recorded.lost != 0 {
+			if recorded.losses != 0 {
 				t.Error("a renewed watch counts as a failure of the store")
 			}
 			return
@@ -226,9 +226,9 @@
 
 // TestReplicaListsAfterAWatchFailed guards against changes that a watch did not hear before it was cut: the store has dropped
 // them, and a watch that begins anew waits for the next ones.
-func TestReplicaListsAfterAWatchFailed(t *testing.T) {
+func TestReplicaListsAfterFailedWatch(t *testing.T) {
 	store := &fakeStore{
-		lists:  []func() ([]Item, Revision, error){listed(5, item("a", 3)), listed(9, item("a", 8))},
+		lists:  []func() ([]Item, Revision, error){listResult(5, item("a", 3)), listResult(9, item("a", 8))},
 		events: make(chan func(Revision) ([]Event, Revision, error), 4),
 	}
 	_, recorded := runReplica(t, store, nil)
@@ -238,10 +238,10 @@
 }
 
 // TestManyReadersGatherUnhurriedChanges guards against the calls of a large fleet that starts at once growing with its square.
-func TestManyReadersGatherUnhurriedChanges(t *testing.T) {
+func TestBatchPauseGrowsWithReaders(t *testing.T) {
 	settings := DefaultReplicaSettings()
 	settings.Unhurried = func(key string) bool { return strings.HasPrefix(key, "registrations/") }
-	calm := Event{Item: Item{Key: "registrations/a"}}
+	deferrable := Event{Item: Item{Key: "registrations/a"}}
 	urgent := Event{Item: Item{Key: "configuration"}}
 	added := Event{Item: Item{Key: "workers/new"}}
 	for _, test := range []struct {
@@ -250,21 +250,21 @@
 		events  []Event
 		want    time.Duration
 	}{
-		{"few readers", 2, []Event{calm}, 40 * time.Millisecond},
-		{"more readers", 20, []Event{calm, calm}, 200 * time.Millisecond},
-		{"many readers", 300, []Event{calm}, time.Second},
+		{"few readers", 2, []Event{deferrable}, 40 * time.Millisecond},
+		{"more readers", 20, []Event{deferrable, deferrable}, 200 * time.Millisecond},
+		{"many readers", 300, []Event{deferrable}, time.Second},
 		{"no change", 300, nil, 0},
-		{"new items", 300, []Event{calm, added}, time.Second},
-		{"one change is urgent", 300, []Event{calm, urgent}, 300 * time.Millisecond},
+		{"new items", 300, []Event{deferrable, added}, time.Second},
+		{"one change is urgent", 300, []Event{deferrable, urgent}, 300 * time.Millisecond},
 	} {
 		replica := NewReplica(nil, "", settings, &recorder{}, nil)
 		replica.SetReaders(test.readers)
 		replica.replace(Snapshot{Items: []Item{urgent.Item}})
-		if got := replica.settle(test.events); got != test.want {
+		if got := replica.batchPause(test.events); got != test.want {
 			t.Errorf("%s: the pause is %s, want %s", test.name, got, test.want)
 		}
 		replica.SetCalm(true)
-		if got := replica.settle(test.events); len(test.events) > 0 && got != max(test.want, min(time.Duration(test.readers)*10*time.Millisecond, time.Second)) {
+		if got := replica.batchPause(test.events); len(test.events) > 0 && got != max(test.want, min(time.Duration(test.readers)*10*time.Millisecond, time.Second)) {
 			t.Errorf("%s: the pause of a process that stands by is %s", test.name, got)
 		}
 	}
--- a/internal/store/revision.go
+++ b/internal/store/revision.go
@@ -26,7 +26,7 @@
 func (r Revision) Number() int64 { return int64(r) & (1<<numberBits - 1) }
 
 // in returns the revision of the same number in another era.
-func (r Revision) in(era int64) Revision { return NewRevision(era, r.Number()) }
+func (r Revision) withEra(era int64) Revision { return NewRevision(era, r.Number()) }
 
 // Fence returns a fencing token that rises with the revision, across eras too. In a first era, which is counted as zero or one, it is the
 // number itself, so that gateways of the build before, which know no eras, give fences of the same order.
--- a/internal/store/shard.go
+++ b/internal/store/shard.go
@@ -10,31 +10,31 @@
 const (
 	// mostOfShard is the size from which on there are to be more shards: with a few hundred workers of all zones and services one can serve
 	// callers who kept its address, and what it takes to hold them is small beside the rest.
-	mostOfShard = 384
+	maxShardSize = 384
 	// leastOfShard is the size below which there are to be fewer, if there are several; the room between both keeps the number from
 	// changing to and fro.
-	leastOfShard = 64
+	minShardSize = 64
 	// usualOfShard is the size at which a number of shards is chosen anew.
-	usualOfShard = 192
+	targetShardSize = 192
 )
 
 // inShard tells whether a key belongs to the shard of a seat among so many.
-func inShard(key string, seat uint64, shards int) bool {
-	return shards > 0 && (xxhash.Sum64String(key)^seat)&uint64(shards-1) == 0
+func inShard(key string, shardHash uint64, shards int) bool {
+	return shards > 0 && (xxhash.Sum64String(key)^shardHash)&uint64(shards-1) == 0
 }
 
 // shardsFor returns the number of shards for so many records, given the number that a process knows so far; zero is none.
-func shardsFor(records, known int) int {
-	isFit := known == 1 && records <= mostOfShard
-	if known > 1 {
-		size := records / known
-		isFit = size >= leastOfShard && size <= mostOfShard
+func shardsFor(records, current int) int {
+	isSuitable := current == 1 && records <= maxShardSize
+	if current > 1 {
+		size := records / current
+		isSuitable = size >= minShardSize && size <= maxShardSize
 	}
-	if isFit {
-		return known
+	if isSuitable {
+		return current
 	}
 	shards := 1
-	for records/shards > usualOfShard {
+	for records/shards > targetShardSize {
 		shards *= 2
 	}
 	return shards
--- a/internal/store/known.go
+++ b/internal/store/snapshot.go
@@ -22,28 +22,28 @@
 func (r *Replica) Snapshot() (Snapshot, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.known == nil {
+	if r.table == nil {
 		return Snapshot{}, false
 	}
-	return Snapshot{Revision: r.after, Era: eraOf(r.after), Items: r.known.present(), Shards: r.shards}, true
+	return Snapshot{Revision: r.revision, Era: eraPointer(r.revision), Items: r.table.present(), Shards: r.shardCount}, true
 }
 
 // introduce tells the consumer the items that are not divided into shards, before the others are listed, and returns the last key of them.
-func (r *Replica) introduce(items []Item) string {
-	undivided := r.undivided(items)
-	events := make([]Event, len(undivided))
-	for i, item := range undivided {
+func (r *Replica) applyUnsharded(items []Item) string {
+	unsharded := r.unshardedItems(items)
+	events := make([]Event, len(unsharded))
+	for i, item := range unsharded {
 		events[i] = Event{Item: item}
 	}
 	r.consumer.Apply(events)
-	if len(undivided) == 0 {
+	if len(unsharded) == 0 {
 		return items[0].Key
 	}
-	return undivided[len(undivided)-1].Key
+	return unsharded[len(unsharded)-1].Key
 }
 
 // undivided returns the items that are not divided into shards.
-func (r *Replica) undivided(items []Item) []Item {
+func (r *Replica) unshardedItems(items []Item) []Item {
 	return slices.DeleteFunc(slices.Clone(items), func(item Item) bool { return r.isSharded(item.Key) })
 }
 
@@ -53,11 +53,11 @@
 }
 
 // begin takes the items that were listed up to a key, without any that are divided.
-func (r *Replica) begin(items []Item, at Revision, listed string) {
+func (r *Replica) startWithoutShard(items []Item, revision Revision, listedThrough string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.known, r.after, r.completeFrom = newTable(eventsOf(items)), at, at
-	r.shards, r.sharded, r.listed, r.begunAt = 0, 0, listed, boottime.Now()
+	r.table, r.revision, r.historyStart = newTable(eventsOf(items)), revision, revision
+	r.shardCount, r.shardedItems, r.listedThrough, r.shardWaitStart = 0, 0, listedThrough, boottime.Now()
 }
 
 // eventsOf returns items as changes.
@@ -71,37 +71,37 @@
 
 // maxDeleted bounds the deleted items that are remembered for those that learn from this process. A fleet that restarts each of
 // its processes and workers some times a day deletes about as many.
-const maxDeleted = 16 << 10
+const maxTombstones = 16 << 10
 
 // replace takes a snapshot in place of what was known and tells it to the consumer. What is known of a later revision stays: a
 // snapshot may be some seconds old, and nothing goes back.
 func (r *Replica) replace(snapshot Snapshot) {
 	snapshot.Shards = max(snapshot.Shards, 1)
 	r.mutex.Lock()
-	if r.behind(snapshot.Revision) {
+	if r.isFromEarlierEra(snapshot.Revision) {
 		r.mutex.Unlock()
 		return
 	}
-	isRestored := r.restoredIn(snapshot)
+	isRestored := r.isFromLaterEra(snapshot)
 	if isRestored {
-		r.resume(snapshot)
-	} else if snapshot.Shards != 1 || (r.known != nil && r.shards != 1) {
-		r.restart(snapshot)
+		r.adoptEra(snapshot)
+	} else if snapshot.Shards != 1 || (r.table != nil && r.shardCount != 1) {
+		r.replaceShard(snapshot)
 	} else {
 		r.merge(snapshot)
 	}
-	r.after, r.shards = snapshot.Revision, snapshot.Shards
-	if r.known.deleted > maxDeleted {
-		r.forgetDeleted()
+	r.revision, r.shardCount = snapshot.Revision, snapshot.Shards
+	if r.table.tombstones > maxTombstones {
+		r.dropDeleted()
 	}
-	items := r.known.present()
-	r.sharded = 0
+	items := r.table.present()
+	r.shardedItems = 0
 	for _, item := range items {
 		if r.isSharded(item.Key) {
-			r.sharded++
+			r.shardedItems++
 		}
 	}
-	r.wake()
+	r.notifyWaiters()
 	r.mutex.Unlock()
 	if isRestored {
 		r.consumer.Restored(snapshot.Revision.Era())
@@ -110,101 +110,101 @@
 }
 
 // restart takes a snapshot for what was known of another number of shards. It forgets what came and went before. The mutex is held.
-func (r *Replica) restart(snapshot Snapshot) {
+func (r *Replica) replaceShard(snapshot Snapshot) {
 	events := eventsOf(snapshot.Items)
-	if r.known != nil {
+	if r.table != nil {
 		listed := make(map[string]Revision, len(events))
 		for _, event := range events {
 			listed[event.Key] = event.Revision
 		}
-		for event := range r.known.after(snapshot.Revision) {
-			isOurs := !r.isSharded(event.Key) || inShard(event.Key, r.settings.Seat, snapshot.Shards)
-			if isOurs && event.Revision > listed[event.Key] {
+		for event := range r.table.after(snapshot.Revision) {
+			isOwn := !r.isSharded(event.Key) || inShard(event.Key, r.settings.Seat, snapshot.Shards)
+			if isOwn && event.Revision > listed[event.Key] {
 				events = append(events, event)
 			}
 		}
 	}
-	r.known, r.completeFrom = newTable(events), snapshot.Revision
-	r.gapFrom, r.gapTo = 0, 0
+	r.table, r.historyStart = newTable(events), snapshot.Revision
+	r.gapStart, r.gapEnd = 0, 0
 }
 
 // merge takes a snapshot of everything, and remembers what was known before and is gone. The mutex is held.
 func (r *Replica) merge(snapshot Snapshot) {
-	known := make(map[string]Event, len(snapshot.Items))
+	merged := make(map[string]Event, len(snapshot.Items))
 	for _, item := range snapshot.Items {
-		known[item.Key] = Event{Item: item}
+		merged[item.Key] = Event{Item: item}
 	}
 	switch {
-	case r.known == nil:
-		r.completeFrom = snapshot.Revision
-	case snapshot.Revision > r.after && r.gapTo == 0:
-		r.gapFrom, r.gapTo = r.after, snapshot.Revision
-	case snapshot.Revision > r.after:
-		r.gapTo = max(r.gapTo, snapshot.Revision)
-	}
-	if r.known != nil {
-		for key, event := range r.known.latest {
-			listed, found := known[key]
+	case r.table == nil:
+		r.historyStart = snapshot.Revision
+	case snapshot.Revision > r.revision && r.gapEnd == 0:
+		r.gapStart, r.gapEnd = r.revision, snapshot.Revision
+	case snapshot.Revision > r.revision:
+		r.gapEnd = max(r.gapEnd, snapshot.Revision)
+	}
+	if r.table != nil {
+		for key, event := range r.table.latest {
+			listed, found := merged[key]
 			switch {
 			case event.Revision > snapshot.Revision && event.Revision > listed.Revision:
-				known[key] = event
+				merged[key] = event
 			case !found && event.Deleted:
-				known[key] = event
+				merged[key] = event
 			case !found:
-				known[key] = Event{Item: Item{Key: key, Revision: snapshot.Revision}, Deleted: true}
+				merged[key] = Event{Item: Item{Key: key, Revision: snapshot.Revision}, Deleted: true}
 			}
 		}
 	}
-	r.known = newTable(slices.Collect(maps.Values(known)))
+	r.table = newTable(slices.Collect(maps.Values(merged)))
 }
 
 // forgetDeleted drops deleted items. Those that know less than this process have to be told everything. The mutex is held.
-func (r *Replica) forgetDeleted() { r.completeFrom = max(r.after, r.known.forgetDeleted()) }
+func (r *Replica) dropDeleted() { r.historyStart = max(r.revision, r.table.dropTombstones()) }
 
 // knownSince notes that all changes up to a moment are known, and returns the latest such moment.
-func (r *Replica) knownSince(moment time.Time) time.Time {
+func (r *Replica) advanceCurrentAsOf(moment time.Time) time.Time {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if moment.After(r.knownAt) {
-		r.knownAt = moment
+	if moment.After(r.currentAsOf) {
+		r.currentAsOf = moment
 	}
-	return r.knownAt
+	return r.currentAsOf
 }
 
 // fresh notes events and drops those that the list has told already: pages of a list are read at different revisions.
-func (r *Replica) fresh(events []Event, at Revision) []Event {
+func (r *Replica) recordNewer(events []Event, revision Revision) []Event {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if r.behind(at) {
+	if r.isFromEarlierEra(revision) {
 		return nil
 	}
-	r.after = max(at, r.after)
-	var fresh []Event
+	r.revision = max(revision, r.revision)
+	var newer []Event
 	for _, event := range events {
-		before := r.known.get(event.Key)
-		isOthers := r.isSharded(event.Key) && !inShard(event.Key, r.settings.Seat, r.shards)
-		if event.Revision <= before.Revision || isOthers {
+		previous := r.table.get(event.Key)
+		inOtherShard := r.isSharded(event.Key) && !inShard(event.Key, r.settings.Seat, r.shardCount)
+		if event.Revision <= previous.Revision || inOtherShard {
 			continue
 		}
-		r.countSharded(before, event)
-		r.known.put(event)
-		fresh = append(fresh, event)
+		r.updateShardedCount(previous, event)
+		r.table.put(event)
+		newer = append(newer, event)
 	}
-	if len(fresh) > 0 {
-		r.wake()
+	if len(newer) > 0 {
+		r.notifyWaiters()
 	}
-	return fresh
+	return newer
 }
 
 // countSharded keeps count of the items that are divided and there. The mutex is held.
-func (r *Replica) countSharded(before, after Event) {
-	if !r.isSharded(after.Key) {
+func (r *Replica) updateShardedCount(previous, current Event) {
+	if !r.isSharded(current.Key) {
 		return
 	}
-	if before.Key != "" && !before.Deleted {
-		r.sharded--
+	if previous.Key != "" && !previous.Deleted {
+		r.shardedItems--
 	}
-	if !after.Deleted {
-		r.sharded++
+	if !current.Deleted {
+		r.shardedItems++
 	}
 }
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -78,7 +78,7 @@
 	List(ctx context.Context, prefix string) ([]Item, Revision, error)
 	// ListUntil is List, by pages in the order of the keys. It ends early once enough, which is given all items so far and may be nil, says
 	// so after a page that others follow; then the items are not the whole.
-	ListUntil(ctx context.Context, prefix string, enough func(items []Item) bool) (items []Item, at Revision, whole bool, err error)
+	ListUntil(ctx context.Context, prefix string, stop func(items []Item) bool) (items []Item, revision Revision, complete bool, err error)
 	// Watch waits for changes below a prefix after a revision. It returns the revision to go on from, and no events when
 	// there were none for so long.
 	Watch(ctx context.Context, prefix string, after Revision, wait time.Duration) ([]Event, Revision, error)
--- a/internal/store/table.go
+++ b/internal/store/table.go
@@ -13,26 +13,26 @@
 // Invariant: each item stands in the order at the revision of its latest change; other places of it are out of date and passed over.
 type table struct {
 	latest map[string]Event
-	order  []place
+	order  []position
 	// changed are the items of which more than one change was heard since they came.
-	changed map[string]bool
+	updated map[string]bool
 	// deleted counts the items that are known to be gone.
-	deleted int
+	tombstones int
 }
 
 // place is one change in the order.
-type place struct {
+type position struct {
 	revision Revision
 	key      string
 }
 
 // newTable returns a table of some changes.
 func newTable(events []Event) *table {
-	t := &table{latest: make(map[string]Event, len(events)), changed: map[string]bool{}}
+	t := &table{latest: make(map[string]Event, len(events)), updated: map[string]bool{}}
 	for _, event := range events {
 		t.latest[event.Key] = event
 	}
-	t.arrange()
+	t.rebuildOrder()
 	return t
 }
 
@@ -40,63 +40,63 @@
 func (t *table) get(key string) Event { return t.latest[key] }
 
 // isFirst tells whether the latest change of an item is its first one, as far as is known.
-func (t *table) isFirst(key string) bool { return !t.changed[key] }
+func (t *table) isFirstChange(key string) bool { return !t.updated[key] }
 
 // put takes a change.
 func (t *table) put(event Event) {
-	before, known := t.latest[event.Key]
-	if known && !before.Deleted && !event.Deleted {
-		t.changed[event.Key] = true
+	previous, known := t.latest[event.Key]
+	if known && !previous.Deleted && !event.Deleted {
+		t.updated[event.Key] = true
 	} else {
-		delete(t.changed, event.Key)
+		delete(t.updated, event.Key)
 	}
-	if before.Deleted {
-		t.deleted--
+	if previous.Deleted {
+		t.tombstones--
 	}
 	if event.Deleted {
-		t.deleted++
+		t.tombstones++
 	}
 	t.latest[event.Key] = event
-	added := place{event.Revision, event.Key}
+	newPosition := position{event.Revision, event.Key}
 	if len(t.order) > 0 && t.order[len(t.order)-1].revision > event.Revision {
-		at, _ := slices.BinarySearchFunc(t.order, added, comparePlaces)
-		t.order = slices.Insert(t.order, at, added)
+		index, _ := slices.BinarySearchFunc(t.order, newPosition, comparePositions)
+		t.order = slices.Insert(t.order, index, newPosition)
 	} else {
-		t.order = append(t.order, added)
+		t.order = append(t.order, newPosition)
 	}
-	if len(t.order) > outdatedFactor*len(t.latest)+outdatedPlaces {
-		t.arrange()
+	if len(t.order) > staleFactor*len(t.latest)+staleSlack {
+		t.rebuildOrder()
 	}
 }
 
 // Bounds of the places that are out of date: as many as there are items, and some more.
 const (
-	outdatedFactor = 2
-	outdatedPlaces = 64
+	staleFactor = 2
+	staleSlack  = 64
 )
 
 // arrange puts the items into their order anew.
-func (t *table) arrange() {
-	t.order = make([]place, 0, len(t.latest))
-	t.deleted = 0
+func (t *table) rebuildOrder() {
+	t.order = make([]position, 0, len(t.latest))
+	t.tombstones = 0
 	for key, event := range t.latest {
-		t.order = append(t.order, place{event.Revision, key})
+		t.order = append(t.order, position{event.Revision, key})
 		if event.Deleted {
-			t.deleted++
+			t.tombstones++
 		}
 	}
-	slices.SortFunc(t.order, comparePlaces)
+	slices.SortFunc(t.order, comparePositions)
 }
 
 // comparePlaces orders changes by their revisions, and those of one transaction by their keys.
-func comparePlaces(a, b place) int {
+func comparePositions(a, b position) int {
 	return cmp.Or(cmp.Compare(a.revision, b.revision), strings.Compare(a.key, b.key))
 }
 
 // after returns the latest changes of the items that have changed after a revision, in their order.
 func (t *table) after(revision Revision) iter.Seq[Event] {
 	return func(yield func(Event) bool) {
-		first, _ := slices.BinarySearchFunc(t.order, revision+1, func(p place, revision Revision) int { return cmp.Compare(p.revision, revision) })
+		first, _ := slices.BinarySearchFunc(t.order, revision+1, func(p position, revision Revision) int { return cmp.Compare(p.revision, revision) })
 		for _, each := range t.order[first:] {
 			if event := t.latest[each.key]; event.Revision == each.revision && !yield(event) {
 				return
@@ -118,7 +118,7 @@
 }
 
 // forgetDeleted drops the items that are gone, and returns the revision of the last of them.
-func (t *table) forgetDeleted() Revision {
+func (t *table) dropTombstones() Revision {
 	last := Revision(0)
 	for key, event := range t.latest {
 		if event.Deleted {
@@ -126,6 +126,6 @@
 			delete(t.latest, key)
 		}
 	}
-	t.arrange()
+	t.rebuildOrder()
 	return last
 }
