--- a/internal/store/counted.go
+++ b/internal/store/counted.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Call is a kind of call to a store.
+// Call identifies a store operation.
 type Call string
 
-// The kinds of calls.
+// Store operations as reported to observers. List and ListUntil are both reported as CallList.
 const (
 	CallList   Call = "list"
 	CallWatch  Call = "watch"
@@ -18,23 +18,23 @@
 	CallRevoke Call = "revoke"
 )
 
-// Counted returns a store whose calls are counted: observe is told of each that has ended. It has to be safe for concurrent use.
+// Counted wraps a store and reports each completed call to observe, which must be safe for concurrent use.
 func Counted(store Store, observe func(call Call, took time.Duration, err error)) Store {
 	return counted{store, observe}
 }
 
-// counted tells an observer of each call to a store.
+// counted is a Store that reports its calls to an observer.
 type counted struct {
 	store   Store
 	observe func(call Call, took time.Duration, err error)
 }
 
-// note tells of a call that began at a moment.
+// report passes the outcome of a call that began at started to the observer.
 func (c counted) report(call Call, started time.Time, err error) {
 	c.observe(call, time.Since(started), err)
 }
 
-// List is part of Store.
+// List implements Store.
 func (c counted) List(ctx context.Context, prefix string) ([]Item, Revision, error) {
 	started := time.Now()
 	items, revision, err := c.store.List(ctx, prefix)
@@ -42,7 +42,7 @@
 	return items, revision, err
 }
 
-// ListUntil is part of Store.
+// ListUntil implements Store.
 func (c counted) ListUntil(ctx context.Context, prefix string, stop func([]Item) bool) ([]Item, Revision, bool, error) {
 	started := time.Now()
 	items, revision, complete, err := c.store.ListUntil(ctx, prefix, stop)
@@ -50,7 +50,7 @@
 	return items, revision, complete, err
 }
 
-// Watch is part of Store.
+// Watch implements Store.
 func (c counted) Watch(ctx context.Context, prefix string, after Revision, wait time.Duration) ([]Event, Revision, error) {
 	started := time.Now()
 	events, revision, err := c.store.Watch(ctx, prefix, after, wait)
@@ -58,7 +58,7 @@
 	return events, revision, err
 }
 
-// Commit is part of Store.
+// Commit implements Store.
 func (c counted) Commit(ctx context.Context, transaction Transaction) (Revision, error) {
 	started := time.Now()
 	revision, err := c.store.Commit(ctx, transaction)
@@ -66,7 +66,7 @@
 	return revision, err
 }
 
-// Grant is part of Store.
+// Grant implements Store.
 func (c counted) Grant(ctx context.Context, ttl time.Duration) (Lease, error) {
 	started := time.Now()
 	lease, err := c.store.Grant(ctx, ttl)
@@ -74,7 +74,7 @@
 	return lease, err
 }
 
-// KeepAlive is part of Store.
+// KeepAlive implements Store.
 func (c counted) KeepAlive(ctx context.Context, lease int64) error {
 	started := time.Now()
 	err := c.store.KeepAlive(ctx, lease)
@@ -82,7 +82,7 @@
 	return err
 }
 
-// Revoke is part of Store.
+// Revoke implements Store.
 func (c counted) Revoke(ctx context.Context, lease int64) error {
 	started := time.Now()
 	err := c.store.Revoke(ctx, lease)
--- a/internal/store/era.go
+++ b/internal/store/era.go
@@ -2,24 +2,26 @@
 
 import "slices"
 
-// restoredIn tells whether a snapshot is of a later era than what is known. The mutex is held.
+// isFromLaterEra reports whether the snapshot was taken after a restore of the store that the replica does not know of
+// yet. The caller holds the mutex.
 func (r *Replica) isFromLaterEra(snapshot Snapshot) bool {
 	return r.table != nil && snapshot.Revision.Era() > r.revision.Era()
 }
 
-// behind tells whether something is of an earlier era than what is known, so that it tells nothing. The mutex is held.
+// isFromEarlierEra reports whether a revision predates the last restore of the store, so that data of that revision is
+// obsolete. The caller holds the mutex.
 func (r *Replica) isFromEarlierEra(revision Revision) bool {
 	return r.table != nil && revision.Era() < r.revision.Era()
 }
 
-// resume takes a snapshot of a later era for all that was known: what it does not hold is gone, or is written again by whoever wrote it. Those
-// that learn from this process and know the era before are told everything. The mutex is held.
+// adoptEra replaces all items with a snapshot of a later era. Items that the snapshot lacks are gone until their owners
+// write them again. Standby gateways that still know the earlier era get full changes. The caller holds the mutex.
 func (r *Replica) adoptEra(snapshot Snapshot) {
 	r.table, r.historyStart = newTable(eventsOf(snapshot.Items)), snapshot.Revision
 	r.gapStart, r.gapEnd = 0, 0
 }
 
-// Adopt puts what a teller said into the era that it named, or into one that is known here if it named none.
+// Adopt adds the era to all revisions, which are encoded without it: the era that the sender named, or else localEra.
 func (c *Changes) Adopt(localEra int64) {
 	era := resolveEra(c.Era, localEra)
 	c.Revision = c.Revision.withEra(era)
@@ -31,7 +33,7 @@
 	}
 }
 
-// Adopt puts a snapshot into the era that its teller named, or into one that is known here if it named none.
+// Adopt adds the era to all revisions, which are encoded without it: the era that the sender named, or else localEra.
 func (s *Snapshot) Adopt(localEra int64) {
 	era := resolveEra(s.Era, localEra)
 	s.Revision = s.Revision.withEra(era)
@@ -41,7 +43,7 @@
 	}
 }
 
-// eraOr returns an era that was told, or else one that is known.
+// resolveEra returns the received era if it is present and valid, or else the local one.
 func resolveEra(received *int64, localEra int64) int64 {
 	if received == nil || *received < 0 || *received >= MostEras {
 		return localEra
@@ -49,7 +51,7 @@
 	return *received
 }
 
-// eraOf returns the era of a revision as it is told.
+// eraPointer returns the era of a revision for an optional field.
 func eraPointer(revision Revision) *int64 {
 	era := revision.Era()
 	return &era
--- a/internal/store/era_test.go
+++ b/internal/store/era_test.go
@@ -9,7 +9,8 @@
 	"github.com/granitebay/granitebay/internal/boottime"
 )
 
-// TestRevisionsAreOrderedByErasAndNumbers compares revisions, and takes them apart again.
+// TestRevisionOrder checks that revisions and fences are ordered by era and number, and that only the number is
+// encoded.
 func TestRevisionOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(name string) (era, number int64, revision Revision) {
@@ -20,21 +21,21 @@
 		era, number, revision := draw("one")
 		otherEra, otherNumber, other := draw("other")
 		if revision.Era() != era || revision.Number() != number {
-			t.Fatalf("%d and %d are %d and %d", era, number, revision.Era(), revision.Number())
+			t.Fatalf("era %d and number %d decode to %d and %d", era, number, revision.Era(), revision.Number())
 		}
 		if less := era < otherEra || (era == otherEra && number < otherNumber); less != (revision < other) {
-			t.Fatalf("%d/%d before %d/%d: %t", era, number, otherEra, otherNumber, !less)
+			t.Fatalf("revision %d/%d < %d/%d: got %t", era, number, otherEra, otherNumber, !less)
 		}
 		if era > 1 && otherEra < era && revision.Fence() <= other.Fence() {
-			t.Fatalf("the fence of %d/%d is not above that of %d/%d", era, number, otherEra, otherNumber)
+			t.Fatalf("fence of %d/%d is not greater than that of %d/%d", era, number, otherEra, otherNumber)
 		}
 		if encoded, err := json.Marshal(revision); err != nil || string(encoded) != string(must(json.Marshal(number))) {
-			t.Fatalf("as JSON: %s, %v", encoded, err)
+			t.Fatalf("JSON encoding: %s, %v", encoded, err)
 		}
 	})
 }
 
-// must returns what can't fail.
+// must returns the encoded value and panics on an error.
 func must(encoded []byte, err error) []byte {
 	if err != nil {
 		panic(err)
@@ -42,11 +43,11 @@
 	return encoded
 }
 
-// inEra returns an item of an era.
+// itemInEra returns an item with a revision in an era.
 func itemInEra(era int64, key string, number int64) Item { return item(key, NewRevision(era, number)) }
 
-// TestAReplicaFollowsALaterEra has the store come back with lower numbers. What it does not hold is gone, what is written next is taken, and
-// what comes late of the era before changes nothing.
+// TestReplicaAdoptsLaterEra checks that after a restore with lower revision numbers a replica drops missing items,
+// applies new changes and ignores late data of the earlier era.
 func TestReplicaAdoptsLaterEra(t *testing.T) {
 	replica, recorded := newShardedReplica(&fakeStore{}, 0)
 	replica.replace(Snapshot{Items: []Item{itemInEra(1, "a", 30), itemInEra(1, "b", 31)}, Revision: NewRevision(1, 31)})
@@ -54,25 +55,25 @@
 	if len(recorded.eras) != 1 || recorded.eras[0] != 2 || len(recorded.items) != 1 {
 		t.Fatalf("eras %v, items %v", recorded.eras, recorded.items)
 	}
-	if fresh := replica.recordNewer([]Event{{Item: itemInEra(1, "b", 40)}}, NewRevision(1, 40)); len(fresh) > 0 {
-		t.Errorf("late: %v", fresh)
+	if newer := replica.recordNewer([]Event{{Item: itemInEra(1, "b", 40)}}, NewRevision(1, 40)); len(newer) > 0 {
+		t.Errorf("changes of the earlier era were applied: %v", newer)
 	}
 	replica.replace(Snapshot{Items: []Item{itemInEra(1, "c", 50)}, Revision: NewRevision(1, 50)})
 	if replica.applyChanges(boottime.Now(), Changes{Revision: NewRevision(1, 60), Full: true, Changed: []Event{{Item: itemInEra(1, "d", 60)}}}) {
-		t.Error("a teller of an earlier era was heard")
+		t.Error("a response of an earlier era was applied")
 	}
-	if fresh := replica.recordNewer([]Event{{Item: itemInEra(2, "a", 10)}}, NewRevision(2, 10)); len(fresh) != 1 {
-		t.Errorf("what was written next: %v", fresh)
+	if newer := replica.recordNewer([]Event{{Item: itemInEra(2, "a", 10)}}, NewRevision(2, 10)); len(newer) != 1 {
+		t.Errorf("got %v of the change in the later era", newer)
 	}
 	if snapshot, _ := replica.Snapshot(); len(snapshot.Items) != 1 || snapshot.Revision != NewRevision(2, 10) {
-		t.Errorf("known: %+v", snapshot)
+		t.Errorf("got snapshot %+v", snapshot)
 	}
 	if len(recorded.eras) != 1 {
 		t.Errorf("eras %v", recorded.eras)
 	}
 }
 
-// TestWhoKnowsAnEarlierEraIsToldEverything asks a replica that has seen the store come back.
+// TestRequestFromEarlierEraGetsFullChanges sends requests of different eras to a replica that has seen a restore.
 func TestRequestFromEarlierEraGetsFullChanges(t *testing.T) {
 	replica, _ := newShardedReplica(&fakeStore{}, 0)
 	replica.replace(Snapshot{Items: []Item{itemInEra(1, "a", 30)}, Revision: NewRevision(1, 31)})
@@ -82,20 +83,21 @@
 		request      ChangesRequest
 		served, full bool
 	}{
-		{"the era before", ChangesRequest{After: NewRevision(1, 31), Shards: 1}, true, true},
-		{"this era", ChangesRequest{After: NewRevision(2, 9), Shards: 1}, true, false},
-		{"a later era", ChangesRequest{After: NewRevision(3, 1), Shards: 1}, false, false},
-		{"a build that knows no eras, up to date", ChangesRequest{After: 9, EraUnknown: true, Shards: 1}, true, false},
-		{"a build that knows no eras, behind", ChangesRequest{After: 3, EraUnknown: true, Shards: 1}, true, true},
+		{"earlier era", ChangesRequest{After: NewRevision(1, 31), Shards: 1}, true, true},
+		{"same era", ChangesRequest{After: NewRevision(2, 9), Shards: 1}, true, false},
+		{"later era", ChangesRequest{After: NewRevision(3, 1), Shards: 1}, false, false},
+		{"build without eras, up to date", ChangesRequest{After: 9, EraUnknown: true, Shards: 1}, true, false},
+		{"build without eras, behind", ChangesRequest{After: 3, EraUnknown: true, Shards: 1}, true, true},
 	} {
 		changes, served := replica.Changes(test.request)
 		if served != test.served || changes.Full != test.full {
-			t.Errorf("%s: known %t, full %t", test.desc, served, changes.Full)
+			t.Errorf("%s: served %t, full %t", test.desc, served, changes.Full)
 		}
 	}
 }
 
-// TestWhatIsToldNamesItsEra sends changes and a snapshot as JSON, to a build that knows eras and from one that does not.
+// TestChangesAndSnapshotsCarryEra checks that revisions keep their era when sent as JSON, and that data from a build
+// without eras gets the local era.
 func TestChangesAndSnapshotsCarryEra(t *testing.T) {
 	sent := Changes{
 		Revision: NewRevision(3, 9), Era: eraPointer(NewRevision(3, 9)), GapStart: NewRevision(3, 2), GapEnd: NewRevision(3, 7),
@@ -107,7 +109,7 @@
 	}
 	received.Adopt(1)
 	if received.Revision != sent.Revision || received.GapStart != sent.GapStart || received.GapEnd != sent.GapEnd || received.Changed[0].Revision != sent.Changed[0].Revision {
-		t.Errorf("heard %+v", received)
+		t.Errorf("got %+v, want %+v", received, sent)
 	}
 	var old Changes
 	if err := json.Unmarshal([]byte(`{"revision":9,"changed":[{"key":"a","revision":8}],"entries":[]}`), &old); err != nil {
@@ -115,7 +117,7 @@
 	}
 	old.Adopt(2)
 	if old.Revision != NewRevision(2, 9) || old.Changed[0].Revision != NewRevision(2, 8) || old.GapEnd != 0 {
-		t.Errorf("of a build that names no era: %+v", old)
+		t.Errorf("from a build without eras: got %+v", old)
 	}
 	snapshot := Snapshot{Revision: NewRevision(3, 9), Era: eraPointer(NewRevision(3, 9)), Items: []Item{itemInEra(3, "a", 8)}}
 	var receivedSnapshot Snapshot
@@ -123,6 +125,6 @@
 		t.Fatal(err)
 	}
 	if receivedSnapshot.Adopt(0); receivedSnapshot.Revision != snapshot.Revision || receivedSnapshot.Items[0].Revision != snapshot.Items[0].Revision {
-		t.Errorf("a snapshot: %+v", receivedSnapshot)
+		t.Errorf("got snapshot %+v, want %+v", receivedSnapshot, snapshot)
 	}
 }
--- a/internal/store/feed.go
+++ b/internal/store/feed.go
@@ -10,87 +10,95 @@
 	"github.com/granitebay/granitebay/internal/boottime"
 )
 
-// Changes are what a process that follows the store tells one that does not.
+// Changes is the response of a gateway that follows the store to a request for changes.
 type Changes struct {
-	// Full is set when the changes are all items there are, because the teller does not know what happened since the revision.
+	// Full reports that Changed contains every item, since the history after the requested revision is unknown.
 	Full bool `json:"full,omitempty"`
-	// Changed items, each with its latest change, in the order of the changes.
+	// Changed holds the latest change of each changed item, ordered by revision.
 	Changed []Event `json:"changed,omitempty"`
-	// Revision up to which everything is told.
+	// Revision is the revision up to which the changes are complete.
 	Revision Revision `json:"revision"`
-	// Era is that of all revisions, which are told without it; nil when the teller does not say.
+	// Era is the era of all revisions, which are encoded without it; nil if the sender does not name it.
 	Era *int64 `json:"era,omitempty"`
-	// StoreLost is set while the teller can't reach the store itself.
+	// StoreUnavailable reports that the sender's calls to the store fail.
 	StoreUnavailable bool `json:"storeLost,omitempty"`
-	// After and Until are set when lists of the teller may have hidden items that came and went between these revisions: the changes are all
-	// after the first one, and what the one that asks knows of a revision between both and is not told is gone.
+	// GapStart and GapEnd delimit revisions, both exclusive, between which the sender may have missed items that were
+	// created and deleted. The changes then start after GapStart, and items that the receiver knows from within the gap
+	// and that are not among the changes are deleted.
 	GapStart Revision `json:"after,omitempty"`
 	GapEnd   Revision `json:"until,omitempty"`
-	// Shards is of how many shards the items that are divided are those of one, and Whole is set when all of that shard are told, because
-	// the one that asked held another.
+	// Shards is the number of shards that the sharded items are divided into; the changes contain those of one shard.
+	// FullShard reports that all items of that shard are included, since the receiver requested another number.
 	Shards    int  `json:"shards,omitempty"`
 	FullShard bool `json:"whole,omitempty"`
-	// Unhurried is set when all that has changed may be told late: nobody waits for records and registrations that were not there before.
+	// Deferrable reports that all changes may be sent late, as no process waits for new worker records and
+	// registrations.
 	Deferrable bool `json:"-"`
-	// Unanswered is for how long the store has answered no call of the teller, in milliseconds; nil when it never did or does not say. A
-	// teller that was cut off finds out only when a call has run into its time-out.
+	// StoreSilence is the time in milliseconds since the store last answered a call of the sender; nil if it never did
+	// or the sender does not report it. A sender that was partitioned from the store only notices when a call times
+	// out.
 	StoreSilence *int64 `json:"unansweredMs,omitempty"`
-	// Age is how long ago the teller knew all changes for sure, in milliseconds; nil when it never did or does not say.
+	// Age is the time in milliseconds since the sender certainly knew all changes; nil if it never did or does not
+	// report it.
 	Age *int64 `json:"ageMs,omitempty"`
-	// Entries are the names of the gateways to which the teller sends callers.
+	// Entries names the gateways to which the sender directs callers.
 	Entries []string `json:"entries"`
-	// Sound are those among them that the teller has heard.
+	// Live names the entries that the sender received heartbeats from.
 	Live []string `json:"sound"`
 }
 
-// Question is what a process asks a feed.
+// ChangesRequest asks a gateway that follows the store for changes.
 type ChangesRequest struct {
-	// After is the revision up to which everything is known.
+	// After is the revision up to which the requester knows all changes.
 	After Revision
-	// AnyEra is set when the one that asks does not say of which era that is: then it is that of the one that answers.
+	// EraUnknown reports that the requester does not name the era of After, which is then taken to be that of the
+	// responder.
 	EraUnknown bool
-	// Wait is how long an answer may be held until there is something to tell.
+	// Wait is how long the response may be delayed until there is a change.
 	Wait time.Duration
-	// Shards is of how many shards the one of the Seat is known; zero is none, and then only the keys up to Upto are known of the rest.
+	// Shards is the number of shards of which the requester holds the one that ShardHash selects. Zero means that it
+	// holds no sharded items, and only the other items up to the key ListedThrough.
 	Shards        int
 	ShardHash     uint64
 	ListedThrough string
-	// All is set when all shards are wanted.
+	// AllShards requests the items of all shards.
 	AllShards bool
-	// Teller is the name of the process that is to be asked; empty is any.
+	// Upstream is the name of the gateway to query; empty means any.
 	Upstream string
 }
 
-// Feed tells what other processes know of the store.
+// Feed provides changes of the store from other processes.
 type Feed interface {
-	// Next returns what has changed as soon as there is something, or after the wait. ErrNobody means that no process that can be asked
-	// follows the store.
+	// Next returns the changes as soon as there are any, or after the wait. It returns ErrNoUpstream if no reachable
+	// process follows the store.
 	Next(ctx context.Context, request ChangesRequest) (Changes, error)
 }
 
-// ErrNobody is returned by a feed when nobody tells anything.
-var ErrNoUpstream = errors.New("step follow other gateways: nobody that follows the store answered")
+// ErrNoUpstream is returned by a feed when no process provided changes.
+var ErrNoUpstream = errors.New("request changes from other gateways: no gateway that follows the store answered")
 
-// errToldLost is what the consumer is told when the teller has lost the store.
-var errUpstreamLostStore = errors.New("step follow other gateways: they have lost the store")
+// errUpstreamLostStore is passed to the consumer when the queried gateway cannot reach the store.
+var errUpstreamLostStore = errors.New("request changes from other gateways: they cannot reach the store")
 
-// Waits of a replica that follows a feed.
+// Wait times of a replica that follows a feed.
 const (
-	// feedWait bounds one question, so that a teller that dies or freezes is noticed within a second and a half; a third of the
-	// least bound within which configurations are in force. It is shorter than the silence after which a gateway is suspected: each
-	// answer tells those that stand by who was heard, and without it they take the places of those that take requests.
+	// feedPollWait is the wait of a request to a feed. It ensures that a dead or frozen upstream is noticed within 1.5
+	// s, a third of the shortest configurable configuration age. It is shorter than the heartbeat timeout of gateways:
+	// each response lists the live entries, without which standby gateways would replace them.
 	feedPollWait = 700 * time.Millisecond
-	// directWait bounds a watch of the store by a process that would rather follow a feed, and so the time until it asks again.
+	// standbyWatchWait is the wait of a watch by a standby process that has no feed, and so the time until it retries
+	// the feed.
 	standbyWatchWait = 2 * time.Second
-	// tryWait bounds a watch of the store by one that was told something of late, and only finds out whether the store serves it.
+	// probeWatchWait is the wait of a watch by a standby process whose feed answered recently, which only checks
+	// whether the store serves it.
 	probeWatchWait = 300 * time.Millisecond
 )
 
-// SetFeed makes the replica learn from other processes while it is calm, and while the store does not answer. It is called before
+// SetFeed sets the feed to follow while this process is standby or the store is unavailable. It must be called before
 // Run.
 func (r *Replica) SetFeed(feed Feed) { r.feed = feed }
 
-// follow takes the next changes from the feed.
+// pollFeed requests the next changes from the feed and applies them.
 func (r *Replica) pollFeed(ctx context.Context, wait time.Duration) error {
 	sleep(ctx, time.Until(r.lastFeedPoll.Add(r.settings.MinFeedInterval)))
 	started := boottime.Now()
@@ -105,14 +113,15 @@
 	return nil
 }
 
-// question asks for what came after what is known.
+// newRequest returns a request for the changes after the current revision.
 func (r *Replica) newRequest(wait time.Duration) ChangesRequest {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return ChangesRequest{After: r.revision, Wait: wait, Shards: r.shardCount, ShardHash: r.settings.Seat, ListedThrough: r.listedThrough, AllShards: !r.standby.Load()}
 }
 
-// take takes what a feed told, to a question that was begun at a moment. It tells whether that was of the era that is known, or a later one.
+// applyChanges applies the response to a request that was sent at started. It returns false if the response is of an
+// earlier era.
 func (r *Replica) applyChanges(started time.Time, changes Changes) bool {
 	r.mutex.Lock()
 	outdated := r.isFromEarlierEra(changes.Revision)
@@ -130,14 +139,15 @@
 		r.consumer.Apply(newer)
 	}
 	if !changes.StoreUnavailable {
-		// The teller has told all that came after what was known here, whatever an own watch has missed.
+		// The upstream sent all changes after the local revision, including any that a failed watch missed.
 		r.mustList = false
 		r.consumer.Current(r.advanceCurrentAsOf(changes.currentAsOf(started)))
 	}
 	return true
 }
 
-// hidden returns the ends of items that are known here and went without being seen by the teller.
+// deletedInGap returns deletions of the items that were last changed within the gap of the upstream and are not among
+// its changes.
 func (r *Replica) deletedInGap(changes Changes) []Event {
 	if changes.GapEnd == 0 {
 		return nil
@@ -157,11 +167,11 @@
 	return deletions
 }
 
-// learnInstead takes from another process what a list would tell, after the store has forgotten the changes that come next. Of all that watch
-// the store one lists it, and the others learn from that one: a list of a large fleet is dozens of calls. It tells whether that went well.
+// queryLister requests the changes that the store has compacted from the gateway that lists the store on behalf of all
+// others, since listing the items of a large fleet takes dozens of calls. It returns whether the changes were applied.
 func (r *Replica) queryLister(ctx context.Context) bool {
 	if r.feed == nil || r.lister == nil || r.standby.Load() {
-		// One that is calm has its own tellers: hundreds of questions at once are more than the one that lists can answer.
+		// Standby processes have their own upstreams; the lister cannot serve hundreds of them.
 		return false
 	}
 	lister, isOwn := r.lister()
@@ -178,14 +188,15 @@
 	return r.applyChanges(started, changes)
 }
 
-// listWait is how long the one that lists the store for others is waited for: dozens of calls of some milliseconds.
+// listerWait is how long to wait for the lister, whose list may take dozens of calls of a few milliseconds each.
 const listerWait = time.Second
 
-// SetLister tells which process lists the store for all that watch it, by its name, and whether it is this one. It is called before Run.
+// SetLister sets a function that returns the name of the process that lists the store on behalf of all that watch it,
+// and whether it is this one. It must be called before Run.
 func (r *Replica) SetLister(lister func() (name string, isOwn bool)) { r.lister = lister }
 
-// knownAt returns the moment up to which the changes are all for sure, for a question that was begun at another one: the teller said its
-// age later. It is zero when that is not known.
+// currentAsOf returns the time as of which the changes are certainly complete, given when their request was sent; zero
+// if unknown. The sender determined its age after that, so the result is a lower bound.
 func (c Changes) currentAsOf(started time.Time) time.Time {
 	if c.Age == nil {
 		return time.Time{}
@@ -193,7 +204,8 @@
 	return started.Add(-time.Duration(*c.Age) * time.Millisecond)
 }
 
-// told returns the items that there are after changes that tell everything, or everything of a shard.
+// snapshotOf converts full changes, or the full changes of a shard together with the unsharded items already known,
+// into a snapshot.
 func (r *Replica) snapshotOf(changes Changes) Snapshot {
 	snapshot := Snapshot{Revision: changes.Revision, Shards: changes.Shards}
 	latest := map[string]Event{}
@@ -219,8 +231,8 @@
 	return snapshot
 }
 
-// Changes returns what the replica knows that the one that asks does not, or false when it does not follow the store, or does not know all
-// of it, and so must not be learnt from.
+// Changes returns the changes that the requester lacks, or false if the replica does not follow the store itself or
+// does not hold all shards.
 func (r *Replica) Changes(request ChangesRequest) (Changes, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -243,8 +255,8 @@
 	}
 	changes.Deferrable = true
 	if request.After < r.gapEnd {
-		// Also one that asks from before the gap may hold what came within: it was told by another one, and what it asks from went back
-		// when it took the whole of one that knew less.
+		// A requester whose revision is before the gap may still hold items from within it, if it got them from another
+		// upstream and its revision then went back with the full changes of a less current one.
 		changes.GapStart, changes.GapEnd = r.gapStart, r.gapEnd
 	}
 	if request.After > r.gapStart && request.After < r.gapEnd {
@@ -260,14 +272,14 @@
 	return changes, true
 }
 
-// mayBeLate tells whether nobody waits for a change: it is the first of its item, which is a record of a worker or an unhurried one. The
-// mutex is held.
+// isDeferrableForStandbys reports whether an event may be sent to standby gateways late: the first change of a worker
+// record or of a key that Unhurried selects. The caller holds the mutex.
 func (r *Replica) isDeferrableForStandbys(event Event) bool {
 	isEligible := r.isSharded(event.Key) || (r.settings.Unhurried != nil && r.settings.Unhurried(event.Key))
 	return isEligible && !event.Deleted && r.table.isFirstChange(event.Key)
 }
 
-// wholeFor returns the changes for one that is told everything, or everything of a shard. The mutex is held.
+// fullChanges returns the events of a response with Full or FullShard set. The caller holds the mutex.
 func (r *Replica) fullChanges(request ChangesRequest, changes Changes) []Event {
 	var events []Event
 	for event := range r.table.after(0) {
@@ -283,7 +295,8 @@
 	return events
 }
 
-// millisecondsSince returns the time since a moment, rounded up, so that nothing is said to be younger than it is; nil for the zero moment.
+// millisecondsSince returns the time since a moment, rounded up so that ages are never understated; nil for the zero
+// time.
 func millisecondsSince(moment, now time.Time) *int64 {
 	if moment.IsZero() {
 		return nil
@@ -292,21 +305,21 @@
 	return &elapsed
 }
 
-// Changed returns a channel that is closed when the replica takes the next changes.
+// Changed returns a channel that is closed at the next change.
 func (r *Replica) Changed() <-chan struct{} {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	return r.changed
 }
 
-// Wake makes those that wait for changes look again, because something else has changed that they are told.
+// Wake notifies those waiting on Changed, because other data that they send has changed.
 func (r *Replica) Wake() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.notifyWaiters()
 }
 
-// wake is Wake with the mutex held.
+// notifyWaiters closes the channel returned by Changed. The caller holds the mutex.
 func (r *Replica) notifyWaiters() {
 	close(r.changed)
 	r.changed = make(chan struct{})
--- a/internal/store/feed_test.go
+++ b/internal/store/feed_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// scriptedFeed is a feed that a test scripts. Without a script nobody tells anything.
+// scriptedFeed is a feed whose responses a test defines. Without a script it returns ErrNoUpstream.
 type scriptedFeed struct {
 	mutex sync.Mutex
 	next  func(after Revision) (Changes, error)
@@ -32,14 +32,15 @@
 	return changes, err
 }
 
-// script replaces what is told.
+// script sets the function that provides the responses.
 func (f *scriptedFeed) script(next func(after Revision) (Changes, error)) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.next = next
 }
 
-// TestACalmReplicaAsksTheStoreOnlyWhileNobodyTells counts the calls to the store of a replica that follows a feed.
+// TestStandbyWatchesStoreOnlyWithoutFeed checks that a standby replica watches the store only after its feed has
+// stopped providing changes.
 func TestStandbyWatchesStoreOnlyWithoutFeed(t *testing.T) {
 	store := &fakeStore{
 		lists:  []func() ([]Item, Revision, error){listResult(5, item("a", 3))},
@@ -73,22 +74,23 @@
 	watches := len(store.watchedAfter)
 	store.mutex.Unlock()
 	if watches != 0 {
-		t.Errorf("the store was watched %d times while others told", watches)
+		t.Errorf("the store was watched %d times while the feed provided changes", watches)
 	}
 	if _, served := replica.Changes(ChangesRequest{Shards: 1}); served {
-		t.Error("one that does not follow the store tells others")
+		t.Error("a standby replica served changes")
 	}
 	feed.script(nil)
 	store.events <- func(after Revision) ([]Event, Revision, error) {
 		if after != 8 {
-			t.Errorf("the store is watched after %d, and 8 is known", after)
+			t.Errorf("the store is watched after revision %d, want 8", after)
 		}
 		return []Event{{Item: item("c", 9)}}, 9, nil
 	}
 	recorded.eventually(t, "b=7 c=9")
 }
 
-// TestAReplicaWhoseStoreTurnsItAwayLearnsFromOthers has the store fail for a gateway that takes requests.
+// TestReplicaUsesFeedWhileStoreIsBusy checks that an entry whose calls to the store fail gets changes from its feed and
+// reports the failure in its own responses.
 func TestReplicaUsesFeedWhileStoreIsBusy(t *testing.T) {
 	store := &fakeStore{
 		lists: []func() ([]Item, Revision, error){
@@ -117,11 +119,11 @@
 	store.events <- func(Revision) ([]Event, Revision, error) { return nil, 0, ErrBusy }
 	recorded.eventually(t, "a=6")
 	if changes, served := replica.Changes(ChangesRequest{After: 5, Shards: 1}); !served || !changes.StoreUnavailable {
-		t.Errorf("it tells %+v, %t, and not that it has lost the store", changes, served)
+		t.Errorf("got changes %+v, served %t, want StoreUnavailable", changes, served)
 	}
 }
 
-// TestAListThatIsOldTakesNothingBack lists a store whose answer is older than what was told.
+// TestStaleListKeepsNewerItems checks that a list that is older than the replica does not revert items.
 func TestStaleListKeepsNewerItems(t *testing.T) {
 	recorded := &recorder{}
 	replica := NewReplica(nil, "", DefaultReplicaSettings(), recorded, nil)
@@ -132,8 +134,9 @@
 	}
 }
 
-// TestOneThatIsToldHoldsWhatTheTellersHold plays changes, lists and restarts of two tellers that hear of a store at different
-// times. One that learns from them in turn ends with what the store holds, and never goes back.
+// TestFeedFollowerConverges applies random changes, lists and restarts to two upstreams that are up to date at
+// different times. A follower that polls both must end with the items of the store, and its revision must never
+// decrease except with full changes.
 func TestFeedFollowerConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var history []Event
@@ -170,11 +173,11 @@
 				t.Fatal(err)
 			}
 			if follower.revision < previous && !changes.Full {
-				t.Fatalf("went back from %d to %d", previous, follower.revision)
+				t.Fatalf("the revision decreased from %d to %d", previous, follower.revision)
 			}
 		}
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
-			index := rapid.IntRange(0, 1).Draw(t, "teller")
+			index := rapid.IntRange(0, 1).Draw(t, "upstream")
 			upstream := upstreams[index]
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0, 1:
@@ -201,12 +204,13 @@
 		expected := &recorder{}
 		expected.Reset(items(Revision(len(history))))
 		if recorded.String() != expected.String() {
-			t.Fatalf("told %q, the store holds %q", recorded, expected)
+			t.Fatalf("got items %q, the store has %q", recorded, expected)
 		}
 	})
 }
 
-// TestDeletedItemsAreForgottenInTheEnd bounds what is remembered of a fleet whose workers come and go.
+// TestTombstonesAreBounded checks that the memory for deleted items is bounded in a fleet whose workers are replaced
+// often.
 func TestTombstonesAreBounded(t *testing.T) {
 	replica := NewReplica(nil, "", DefaultReplicaSettings(), &recorder{}, nil)
 	replica.replace(Snapshot{Revision: 1})
@@ -215,9 +219,9 @@
 	}
 	replica.replace(Snapshot{Revision: maxTombstones + 9})
 	if len(replica.table.latest) > 0 {
-		t.Errorf("%d deleted items are remembered", len(replica.table.latest))
+		t.Errorf("%d tombstones are kept", len(replica.table.latest))
 	}
 	if changes, _ := replica.Changes(ChangesRequest{After: 5, Shards: 1}); !changes.Full {
-		t.Error("one that knows little is told the latest changes only")
+		t.Error("a request from before the dropped tombstones did not get full changes")
 	}
 }
--- a/internal/store/freshness_test.go
+++ b/internal/store/freshness_test.go
@@ -10,45 +10,46 @@
 	"github.com/granitebay/granitebay/internal/boottime"
 )
 
-// quietStore is a store in which nothing changes: its watches wait their time, and it notes how long that is.
+// idleStore is a store without changes. It records the waits of its watches.
 type idleStore struct {
 	Store
 	mutex sync.Mutex
 	waits []time.Duration
-	// cut makes watches end early, without changes.
+	// fail makes watches fail immediately.
 	fail bool
 }
 
-func (q *idleStore) List(context.Context, string) ([]Item, Revision, error) {
+func (s *idleStore) List(context.Context, string) ([]Item, Revision, error) {
 	return []Item{item("a", 3)}, 5, nil
 }
 
-func (q *idleStore) ListUntil(ctx context.Context, prefix string, _ func([]Item) bool) ([]Item, Revision, bool, error) {
-	items, at, err := q.List(ctx, prefix)
-	return items, at, true, err
+func (s *idleStore) ListUntil(ctx context.Context, prefix string, _ func([]Item) bool) ([]Item, Revision, bool, error) {
+	items, revision, err := s.List(ctx, prefix)
+	return items, revision, true, err
 }
 
-func (q *idleStore) Watch(ctx context.Context, _ string, _ Revision, wait time.Duration) ([]Event, Revision, error) {
-	q.mutex.Lock()
-	q.waits = append(q.waits, wait)
-	fail := q.fail
-	q.mutex.Unlock()
+func (s *idleStore) Watch(ctx context.Context, _ string, _ Revision, wait time.Duration) ([]Event, Revision, error) {
+	s.mutex.Lock()
+	s.waits = append(s.waits, wait)
+	fail := s.fail
+	s.mutex.Unlock()
 	if fail {
-		return nil, 0, errors.New("cut")
+		return nil, 0, errors.New("connection reset")
 	}
 	sleep(ctx, wait)
 	return nil, 5, nil
 }
 
-// knownRecorder keeps the moments up to which everything was told.
+// asOfRecorder records the times passed to Current.
 type asOfRecorder struct {
 	recorder
 	asOf []time.Time
 }
 
-func (k *asOfRecorder) Current(known time.Time) { k.asOf = append(k.asOf, known) }
+func (r *asOfRecorder) Current(asOf time.Time) { r.asOf = append(r.asOf, asOf) }
 
-// TestAQuietStoreIsAskedWithinTheBoundOfAge watches a store in which nothing changes.
+// TestIdleStoreIsWatchedWithinMaxStaleness checks the waits of watches and the times passed to Current when nothing
+// changes.
 func TestIdleStoreIsWatchedWithinMaxStaleness(t *testing.T) {
 	idle, recorded := &idleStore{}, &asOfRecorder{}
 	replica := NewReplica(idle, "", DefaultReplicaSettings(), recorded, nil)
@@ -60,29 +61,29 @@
 		}
 	}
 	if len(recorded.asOf) != 3 || !recorded.asOf[0].IsZero() {
-		t.Fatalf("a list that may be old, and two watches, were known up to %v", recorded.asOf)
+		t.Fatalf("after a list and two watches: got times %v, want three with the first zero", recorded.asOf)
 	}
 	if idle.waits[0] != minWatchWait || idle.waits[1] < 250*time.Millisecond || idle.waits[1] > 300*time.Millisecond {
-		t.Errorf("the watches waited for %v: at first shortly, because nothing is known for sure, then for the bound", idle.waits)
+		t.Errorf("waits %v, want the minimum and then the staleness bound", idle.waits)
 	}
 	if first, second := recorded.asOf[1].Sub(started), recorded.asOf[2].Sub(started); first < minWatchWait || second < 350*time.Millisecond || recorded.asOf[2].After(boottime.Now()) {
-		t.Errorf("known up to %s and %s after the start", first, second)
+		t.Errorf("current as of %s and %s after the start", first, second)
 	}
 	replica.SetFreshFor(0)
 	replica.Hasten()
 	if err := replica.step(t.Context()); err != nil || idle.waits[2] != minWatchWait {
-		t.Errorf("hastened, a watch waited for %s: %v", idle.waits[2], err)
+		t.Errorf("after Hasten a watch waited %s: %v", idle.waits[2], err)
 	}
 	idle.fail = true
 	if replica.step(t.Context()) == nil || replica.step(t.Context()) != nil {
-		t.Fatal("a watch that is cut is no error, or the list after it is one")
+		t.Fatal("want an error from the failed watch and none from the following list")
 	}
 	if last := recorded.asOf[len(recorded.asOf)-1]; !last.Equal(recorded.asOf[3]) {
-		t.Error("a watch that was cut, and a list, made known what came later")
+		t.Error("a failed watch and a list advanced the time of currency")
 	}
 }
 
-// TestAnAnswerVouchesForWhatItCannotHaveMissed checks what the answers of watches tell for sure.
+// TestCompleteAsOf checks which moment the response of a watch covers.
 func TestCompleteAsOf(t *testing.T) {
 	started, wait := time.Unix(1000, 0), 5*time.Second
 	for _, test := range []struct {
@@ -91,25 +92,25 @@
 		events int
 		want   time.Duration
 	}{
-		{"nothing in the whole wait", wait, 0, wait},
-		{"nothing, and a late answer", 7 * time.Second, 0, wait},
-		{"nothing, before the wait was over", 2 * time.Second, 0, 0},
-		{"a change, of which nobody knows how long it was on its way", 7 * time.Second, 1, 0},
+		{"no events, full wait", wait, 0, wait},
+		{"no events, delayed response", 7 * time.Second, 0, wait},
+		{"no events, early response", 2 * time.Second, 0, 0},
+		{"one event, unknown transit time", 7 * time.Second, 1, 0},
 	} {
 		if got := completeAsOf(started, started.Add(test.passed), wait, test.events).Sub(started); got != test.want {
-			t.Errorf("%s: known up to %s, expected %s", test.name, got, test.want)
+			t.Errorf("%s: complete as of %s, want %s", test.name, got, test.want)
 		}
 	}
 }
 
-// TestWhoIsToldKnowsNoMoreThanItsTeller follows the age of what is known from one process to another.
+// TestFollowerIsNoFresherThanUpstream checks that a follower takes over the age of the upstream's items.
 func TestFollowerIsNoFresherThanUpstream(t *testing.T) {
 	upstream := NewReplica(&idleStore{}, "", DefaultReplicaSettings(), &asOfRecorder{}, nil)
 	if err := upstream.step(t.Context()); err != nil {
 		t.Fatal(err)
 	}
 	if changes, served := upstream.Changes(ChangesRequest{Shards: 1}); !served || changes.Age != nil {
-		t.Error("one that knows nothing for sure told an age")
+		t.Error("want served changes without an age before the first watch")
 	}
 	known := boottime.Now().Add(-3 * time.Second)
 	upstream.advanceCurrentAsOf(known)
@@ -123,10 +124,10 @@
 		t.Fatal(err)
 	}
 	if got := recorded.asOf[0]; got.After(known.Add(boottime.Now().Sub(requested))) || got.Before(known.Add(-10*time.Millisecond)) {
-		t.Errorf("told that all is known up to %s after what the teller knows", got.Sub(known))
+		t.Errorf("the follower is current as of %s after its upstream", got.Sub(known))
 	}
 	changes.Age = nil
 	if err := follower.pollFeed(t.Context(), time.Second); err != nil || !recorded.asOf[1].Equal(recorded.asOf[0]) {
-		t.Errorf("a teller that does not say its age makes known what came later: %v", err)
+		t.Errorf("a response without an age advanced the time of currency: %v", err)
 	}
 }
--- a/internal/store/pause.go
+++ b/internal/store/pause.go
@@ -8,11 +8,11 @@
 	"github.com/granitebay/granitebay/internal/pause"
 )
 
-// settleShare is the part of the time within which changes have to be known that may be spent on gathering them. The number of readers alone
-// would take all of it in a fleet of thousands.
+// maxPauseFraction bounds the pause by the number of readers to a fraction of the propagation bound, which it would
+// exceed in fleets of thousands.
 const maxPauseFraction = 0.1
 
-// share stretches a pause by the number of readers, as far as the bound of changes allows.
+// stretchPause extends a pause by the number of readers, within the propagation bound.
 func (r *Replica) stretchPause(pause time.Duration) time.Duration {
 	stretched := time.Duration(r.readers.Load()) * pausePerReader
 	if bound := r.propagationBound.Load(); bound > 0 {
@@ -21,9 +21,9 @@
 	return max(pause, stretched)
 }
 
-// settle returns the pause after changes that were not noted yet. When every process of a large fleet starts at once, each
-// registration and each new record is a change for all of them: without a longer pause their calls grow with the square of
-// the fleet. The pause delays only what comes after those changes.
+// batchPause returns the pause after events that were not recorded yet. When all processes of a large fleet start at
+// once, every registration and new record is a change for all of them: without a longer pause, the number of calls
+// would grow with the square of the fleet size. The pause delays only later changes.
 func (r *Replica) batchPause(events []Event) time.Duration {
 	if len(events) == 0 {
 		return 0
@@ -38,8 +38,8 @@
 	return max(pause, min(deferrablePause, r.settings.MaxDeferrablePause))
 }
 
-// unhurried tells whether those that come after a change may be told late: it concerns an unhurried key, or an item that was
-// not there before. A large fleet that starts has many of these, and none that is waited for.
+// isDeferrable reports whether changes after this one may be delayed: this process is standby, or the event is of a new
+// item or of a key that Unhurried selects. A starting fleet produces many such events, and no process waits for them.
 func (r *Replica) isDeferrable(event Event) bool {
 	if r.standby.Load() {
 		return true
@@ -52,10 +52,10 @@
 	return r.table.get(event.Key).Key == "" && !event.Deleted
 }
 
-// jitter returns a pause between a half and the whole of the given one.
+// jitter returns a random pause between half of the given one and all of it.
 func jitter(pause time.Duration) time.Duration {
 	return pause/2 + rand.N(pause/2+1)
 }
 
-// sleep waits for a pause or the end of the context.
+// sleep waits for a duration or until the context ends.
 func sleep(ctx context.Context, lasting time.Duration) { pause.For(ctx, lasting) }
--- a/internal/store/replica.go
+++ b/internal/store/replica.go
@@ -11,31 +11,32 @@
 	"github.com/granitebay/granitebay/internal/boottime"
 )
 
-// ReplicaSettings of a replica.
+// ReplicaSettings configures a Replica.
 type ReplicaSettings struct {
-	// Wait is how long one watch waits for changes.
+	// Wait is how long a watch waits for changes.
 	Wait time.Duration
-	// Settle is a pause after changes, so that those that come together are read together.
+	// BatchPause is the pause after changes, so that later ones are read in batches.
 	BatchPause time.Duration
-	// Unhurried tells whether changes of a key may be told late. Nil is none.
+	// Unhurried reports whether changes of a key may be delayed. Nil means none.
 	Unhurried func(key string) bool
-	// UnhurriedPerReader is the pause after changes of unhurried keys alone, for each process that watches, and
-	// LongestUnhurried bounds it.
+	// DeferrablePausePerReader is the pause after changes that are all deferrable, for each process that watches the
+	// store. MaxDeferrablePause limits the total.
 	DeferrablePausePerReader time.Duration
 	MaxDeferrablePause       time.Duration
-	// FirstPause and LongestPause bound the pause after a failed call; it doubles and is jittered.
+	// MinRetryPause and MaxRetryPause bound the pause after a failed call, which doubles each time and is jittered.
 	MinRetryPause time.Duration
 	MaxRetryPause time.Duration
-	// Sharded tells which keys are divided into shards, of which a process that is calm holds one. Nil is none.
+	// Sharded reports whether a key is sharded. Standby processes hold only one shard of these. Nil means none.
 	Sharded func(key string) bool
-	// Seat names the shard of this process for any number of shards.
+	// Seat is a hash of the process's identity that selects its shard for any number of shards.
 	Seat uint64
-	// FeedPause is the least time between two questions to the feed: changes that come together are asked for together, and a
-	// fleet of hundreds that starts asks a few times a second.
+	// MinFeedInterval is the minimum time between requests to the feed. It batches changes and limits the requests when
+	// a fleet of hundreds of gateways starts.
 	MinFeedInterval time.Duration
 }
 
-// DefaultReplicaSettings keep calls few and catch up within a second after an outage.
+// DefaultReplicaSettings returns settings that keep the number of calls low and recover within a second after an
+// outage.
 func DefaultReplicaSettings() ReplicaSettings {
 	return ReplicaSettings{
 		Wait:          20 * time.Second,
@@ -50,24 +51,24 @@
 	}
 }
 
-// Consumer is told what a replica holds. Its methods are called by one goroutine.
+// Consumer receives the items of a replica. Its methods are called from a single goroutine.
 type Consumer interface {
-	// Reset replaces everything that was told before.
+	// Reset replaces all items.
 	Reset(items []Item)
-	// Restored tells that the store has come back from an older copy, in an era. What it holds is told next; changes that were told before
-	// are gone unless it holds them.
+	// Restored reports that the store was restored from a backup, with its new era. A Reset with its items follows;
+	// changes that these lack are lost.
 	Restored(era int64)
-	// Apply tells changes in the order of their revisions.
+	// Apply passes changes in the order of their revisions.
 	Apply(events []Event)
-	// Lost tells that the store failed; what was told before may be out of date from here on.
+	// Lost reports that the store failed; the items may be out of date from now on.
 	Lost(err error)
-	// Current tells that the store has told everything there is, and that everything up to a moment of boottime was told for sure:
-	// an answer may have been on its way for long. The moment is zero while none is known.
+	// Current reports that all changes that the store sent have been passed on, and the time by boottime as of which
+	// these are certainly complete, allowing for responses that were delayed. The time is zero while unknown.
 	Current(asOf time.Time)
 }
 
-// Replica keeps a consumer in step with the items below a prefix: it lists them once and watches them from there on, and
-// lists them again when the history is gone.
+// Replica keeps a consumer up to date with the items below a prefix. It lists them once, then watches them, and lists
+// them again when the history was compacted.
 type Replica struct {
 	store        Store
 	prefix       string
@@ -75,56 +76,57 @@
 	consumer     Consumer
 	restartWatch chan struct{}
 	fallback     Fallback
-	// feed tells what other processes know; nil is nobody.
+	// feed provides changes from other processes; may be nil.
 	feed Feed
-	// lister tells which process lists the store for all; nil is each for itself.
+	// lister returns which process lists the store on behalf of all; nil if each lists for itself.
 	lister func() (name string, isOwn bool)
-	// followed is when the feed was asked last.
+	// lastFeedPoll is when the last request to the feed ended.
 	lastFeedPoll time.Time
 
-	// readers is how many processes watch the same store, and calm is set while this one may hear of every change late.
+	// readers is the number of processes that watch the store. standby is set while this process may receive changes
+	// late.
 	readers atomic.Int64
 	standby atomic.Bool
-	// freshFor is how old what is known may become while the store answers; zero does not bound it.
+	// maxStaleness bounds how old currentAsOf may become while the store answers; zero means unbounded.
 	maxStaleness atomic.Int64
-	// knownWithin is within which time changes have to be known; zero bounds nothing.
+	// propagationBound is the time within which all processes must know a change; zero means unbounded.
 	propagationBound atomic.Int64
-	// hastened is set when the next watch is to wait as shortly as it can.
+	// shortenNextWatch makes the next watch use the minimum wait.
 	shortenNextWatch atomic.Bool
 
 	mutex sync.Mutex
-	// known holds the items that the consumer was told; nil before the first list. Deleted ones stay as such.
+	// table holds the items that the consumer has, and tombstones of deleted ones; nil before the first list.
 	table    *table
 	revision Revision
-	// shards is of how many shards this process holds its own: one is everything, and zero nothing of what is divided. With none, listed
-	// is the last key of the rest that was listed.
+	// shardCount is the number of shards of which this process holds its own: one means all items, zero means no
+	// sharded items. With zero, listedThrough is the last key of the partial list of the other items.
 	shardCount    int
 	listedThrough string
-	// begunAt is when this process began without a shard, and toldAt when a feed told it something, or that there was nothing.
+	// shardWaitStart is when this process began to wait for its shard, and feedAnsweredAt when the feed last answered.
 	shardWaitStart, feedAnsweredAt time.Time
-	// sharded counts the items that are divided and there.
+	// shardedItems is the number of sharded items, without tombstones.
 	shardedItems int
-	// completeFrom is the revision after which no change is missing in known, deletions included.
+	// historyStart is the revision after which the table contains all changes, including deletions.
 	historyStart Revision
-	// Between gapFrom and gapTo, both not included, items may have come and gone that lists did not show.
+	// Between gapStart and gapEnd, both exclusive, items may have been created and deleted without appearing in a list.
 	gapStart, gapEnd Revision
 	// changed is closed at the next change.
 	changed chan struct{}
-	// knownAt is the moment of boottime up to which all changes are known for sure; zero before the first.
+	// currentAsOf is the time by boottime as of which all changes are certainly known; zero if never.
 	currentAsOf time.Time
-	// answeredAt is when the store answered any call of this process, by boottime; zero before the first.
+	// storeAnsweredAt is when the store last answered a call of this process, by boottime; zero if never.
 	storeAnsweredAt time.Time
-	// storeLost is set while calls to the store fail.
+	// storeUnavailable is set while calls to the store fail.
 	storeUnavailable bool
-	// doubted is set after a watch has failed. The store may have dropped changes that the watch did not hear, and one that
-	// begins anew would not tell of them, so that everything is listed first.
+	// mustList is set after a failed watch, as the store may have discarded changes that the watch did not receive and
+	// a new watch would not return them.
 	mustList bool
 }
 
-// Fallback gives the items as another process knows them, for a start while the store is away.
+// Fallback fetches the items of another process, for a start while the store is unavailable.
 type Fallback func(ctx context.Context) (Snapshot, error)
 
-// NewReplica returns a replica that does nothing before Run.
+// NewReplica returns a replica that is idle until Run is called.
 func NewReplica(store Store, prefix string, settings ReplicaSettings, consumer Consumer, fallback Fallback) *Replica {
 	return &Replica{
 		store: store, prefix: prefix, settings: settings, consumer: consumer, restartWatch: make(chan struct{}, 1), fallback: fallback,
@@ -132,36 +134,36 @@
 	}
 }
 
-// Answered tells that the store has answered a call of this process, be it one of the replica or not.
+// Answered records that the store answered a call of this process, whether the call was made by the replica or not.
 func (r *Replica) Answered() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.storeAnsweredAt = boottime.Now()
 }
 
-// SetReaders tells how many processes watch the same store. The more they are, the longer each gathers changes and waits
-// after failures, so that all together stay within what the store answers.
+// SetReaders sets the number of processes that watch the store. The more there are, the longer each batches changes and
+// waits after failures, which limits the load on the store.
 func (r *Replica) SetReaders(count int) { r.readers.Store(int64(count)) }
 
-// SetCalm tells whether this process may hear of every change late, by up to LongestUnhurried: one that nobody is sent to. It
-// learns from its feed where there is one, and goes to the store only while nobody tells it anything.
+// SetCalm sets whether this process is standby and may receive any change late, by up to MaxDeferrablePause. A standby
+// process follows its feed if it has one, and calls the store only while the feed provides nothing.
 func (r *Replica) SetCalm(standby bool) { r.standby.Store(standby) }
 
-// SetFreshFor tells how old what is known for sure may become while the store answers and this process watches it itself: a watch waits
-// no longer than that allows. Each bound that is shorter than the wait of a watch costs a quiet store one call a bound.
+// SetFreshFor bounds how old the time passed to Consumer.Current may become while the store answers and this process
+// watches it, by limiting the wait of a watch. A bound below that wait costs an idle store one call per bound.
 func (r *Replica) SetFreshFor(bound time.Duration) { r.maxStaleness.Store(int64(bound)) }
 
-// SetKnownWithin tells within which time changes have to be known everywhere.
+// SetKnownWithin sets the time within which all processes must know a change.
 func (r *Replica) SetKnownWithin(bound time.Duration) { r.propagationBound.Store(int64(bound)) }
 
-// Hasten makes the next watch of the store short, so that it is soon known for sure that nothing else has changed. One that is waiting
-// goes on: it is called for what a watch has told.
+// Hasten shortens the next watch, which soon confirms that there are no further changes. A pending watch is not
+// affected.
 func (r *Replica) Hasten() { r.shortenNextWatch.Store(true) }
 
-// perReader is the time in which the store answers one call of each of two processes.
+// pausePerReader is the time in which the store answers two calls.
 const pausePerReader = time.Millisecond
 
-// Renew makes a watch that is waiting begin anew, for example after the network has changed.
+// Renew restarts a pending watch, for example after a network change.
 func (r *Replica) Renew() {
 	select {
 	case r.restartWatch <- struct{}{}:
@@ -169,7 +171,7 @@
 	}
 }
 
-// Run keeps the consumer in step until the context ends.
+// Run keeps the consumer up to date until the context ends.
 func (r *Replica) Run(ctx context.Context) {
 	pause := r.settings.MinRetryPause
 	for ctx.Err() == nil {
@@ -204,25 +206,26 @@
 	}
 }
 
-// followsFeed tells whether the replica learns from others in place of the store.
+// usesFeed reports whether the replica follows its feed instead of the store.
 func (r *Replica) usesFeed() bool { return r.feed != nil && r.table != nil && r.standby.Load() }
 
-// Times of a process that has begun without its shard.
+// Timing of a standby process that waits for its feed.
 const (
-	// shardPatience is how long its feed is waited for: those that tell it list everything first, within what a start may take. It is no more
-	// than shardPatienceShare of the time within which changes have to be known, since nothing new is heard meanwhile.
+	// maxFeedTimeout is how long to wait for the feed before listing the store, as upstreams that start at the same
+	// time must list it first. feedTimeoutFraction limits it to a fraction of the propagation bound, since no changes
+	// are received meanwhile.
 	maxFeedTimeout      = 3 * time.Second
 	feedTimeoutFraction = 0.4
-	// shardPause is the pause between two questions that nobody answers.
+	// shardRetryPause is the pause after a request that no gateway answered.
 	shardRetryPause = 150 * time.Millisecond
 )
 
-// awaitsShard tells whether a process that knows nothing of what is divided waits for its feed, and does not list the store yet.
+// awaitsShard reports whether a process without a shard still waits for its feed instead of listing the store.
 func (r *Replica) awaitsShard() bool {
 	return r.shardCount == 0 && boottime.Now().Sub(r.shardWaitStart) < r.feedTimeout()
 }
 
-// patience is how long a process that is calm goes without its feed before it lists the store.
+// feedTimeout returns how long a standby process waits for its feed before it lists the store.
 func (r *Replica) feedTimeout() time.Duration {
 	if bound := r.propagationBound.Load(); bound > 0 {
 		return min(maxFeedTimeout, time.Duration(feedTimeoutFraction*float64(bound)))
@@ -230,39 +233,39 @@
 	return maxFeedTimeout
 }
 
-// mayList tells whether the whole store may be listed. One that is calm, holds its shard and was told something of late leaves that to those
-// that tell it: each of them may try the store when its tellers have lost it, and hundreds of lists at once take longer than the bound of
-// changes.
+// mayList reports whether to list the store. A standby process that holds its shard and whose feed answered recently
+// must not: when the upstreams cannot reach the store, hundreds of standby processes would list it at once, which takes
+// longer than the propagation bound.
 func (r *Replica) mayList() bool {
 	return !r.usesFeed() || r.shardCount == 0 || boottime.Now().Sub(r.feedAnsweredAt) >= r.feedTimeout()
 }
 
-// setStoreLost notes whether the store answers.
+// setStoreUnavailable records whether calls to the store fail.
 func (r *Replica) setStoreUnavailable(unavailable bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.storeUnavailable = unavailable
 }
 
-// bridge spends the pause before the store is asked again with what others know: the store may turn away some processes and serve
-// others.
+// waitWithFeed waits before the next call to the store and polls the feed meanwhile, because the store may reject some
+// processes and serve others.
 func (r *Replica) waitWithFeed(ctx context.Context, pause time.Duration) {
 	end := time.Now().Add(pause)
 	if r.feed != nil && r.table != nil {
-		// Without an answer this process goes on with what it knows, as it does without a feed.
+		// Errors are ignored: the process continues with the items it has.
 		_ = r.pollFeed(ctx, pause)
 	}
 	sleep(ctx, time.Until(end))
 }
 
-// errRenewed ends a watch that Renew interrupts.
-var errWatchRestarted = errors.New("the watch was begun anew")
+// errWatchRestarted ends a watch that Renew interrupts.
+var errWatchRestarted = errors.New("the watch was restarted")
 
-// step lists when nothing is known, or not all of what is needed, and watches otherwise.
+// step lists the store if the replica lacks items that it needs, and watches it otherwise.
 func (r *Replica) step(ctx context.Context) error {
 	isPartial := r.shardCount == 0 || (r.shardCount > 1 && !r.standby.Load())
 	if r.table != nil && isPartial && !r.standby.Load() && r.feed != nil && r.pollFeed(ctx, 0) == nil && r.shardCount == 1 {
-		// Those that take requests have told all that they know.
+		// The entries sent all items.
 		return nil
 	}
 	if r.table == nil || r.mustList || isPartial {
@@ -273,7 +276,7 @@
 	return err
 }
 
-// listOrWait lists, or leaves that to the feed, which is asked next.
+// listOrWait lists the store, or waits for the next request to the feed if the store must not be listed.
 func (r *Replica) listOrWait(ctx context.Context) error {
 	if r.mayList() {
 		return r.list(ctx)
@@ -283,8 +286,8 @@
 	return nil
 }
 
-// list tells the consumer everything anew. A process that turns out to be calm before it has come to what is divided into shards leaves
-// that to its feed: a fleet that starts at once else lists every record once for each process.
+// list lists the store and resets the consumer. A process that turns out to be standby before the first sharded key
+// stops early and gets its shard from the feed; otherwise every process of a starting fleet would list every record.
 func (r *Replica) list(ctx context.Context) error {
 	var listedThrough string
 	stop := func(items []Item) bool {
@@ -305,12 +308,13 @@
 	}
 	r.replace(Snapshot{Items: items, Revision: revision})
 	r.mustList = false
-	// A list may be some seconds old; the watch that goes on from it tells what came since.
+	// A list may be a few seconds old; the following watch returns later changes.
 	r.consumer.Current(r.advanceCurrentAsOf(time.Time{}))
 	return nil
 }
 
-// seed takes what another process knows, and tells whether there was one. It is doubted: the store is listed once it answers.
+// loadFallback loads the items of another process and reports whether there were any. The store is listed once it
+// answers.
 func (r *Replica) loadFallback(ctx context.Context) bool {
 	if r.fallback == nil {
 		return false
@@ -324,7 +328,7 @@
 	return true
 }
 
-// watch tells the consumer the next changes.
+// watch waits for the next changes and passes them to the consumer.
 func (r *Replica) watch(ctx context.Context) error {
 	watchCtx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
@@ -360,10 +364,10 @@
 	return nil
 }
 
-// leastWait is the shortest wait of a watch: two round trips on a slow network.
+// minWatchWait is the minimum wait of a watch: two round trips on a slow network.
 const minWatchWait = 100 * time.Millisecond
 
-// waitOfWatch returns how long the next watch may wait for changes.
+// watchWait returns how long the next watch waits for changes.
 func (r *Replica) watchWait() time.Duration {
 	wait := r.settings.Wait
 	if r.usesFeed() {
@@ -375,17 +379,17 @@
 	if r.shortenNextWatch.Swap(false) {
 		return min(wait, minWatchWait)
 	}
-	freshFor := time.Duration(r.maxStaleness.Load())
-	if freshFor <= 0 {
+	maxStaleness := time.Duration(r.maxStaleness.Load())
+	if maxStaleness <= 0 {
 		return wait
 	}
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return min(wait, max(freshFor-boottime.Now().Sub(r.currentAsOf), minWatchWait))
+	return min(wait, max(maxStaleness-boottime.Now().Sub(r.currentAsOf), minWatchWait))
 }
 
-// toldUntil returns the moment up to which the answer of a watch tells all changes for sure. One without changes that took its whole
-// wait tells all of it; of any other one it is not known how long it was on its way.
+// completeAsOf returns the time as of which the response of a watch is certainly complete. A response without events
+// after the full wait covers all of the wait; any other may have been in transit for an unknown time.
 func completeAsOf(started, ended time.Time, wait time.Duration, events int) time.Time {
 	if events == 0 && ended.Sub(started) >= wait {
 		return started.Add(wait)
--- a/internal/store/replica_test.go
+++ b/internal/store/replica_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// fakeStore is a store that a test scripts. Calls that are not used return an error.
+// fakeStore is a store whose responses a test defines. Methods that are not overridden panic.
 type fakeStore struct {
 	Store
 	mutex        sync.Mutex
@@ -31,8 +31,8 @@
 }
 
 func (f *fakeStore) ListUntil(ctx context.Context, prefix string, _ func([]Item) bool) ([]Item, Revision, bool, error) {
-	items, at, err := f.List(ctx, prefix)
-	return items, at, true, err
+	items, revision, err := f.List(ctx, prefix)
+	return items, revision, true, err
 }
 
 func (f *fakeStore) Watch(ctx context.Context, _ string, after Revision, _ time.Duration) ([]Event, Revision, error) {
@@ -42,12 +42,12 @@
 	select {
 	case <-ctx.Done():
 		return nil, 0, ctx.Err()
-	case answer := <-f.events:
-		return answer(after)
+	case respond := <-f.events:
+		return respond(after)
 	}
 }
 
-// recorder is a consumer that keeps the items it was told.
+// recorder is a consumer that records the values of items.
 type recorder struct {
 	mutex  sync.Mutex
 	eras   []int64
@@ -90,7 +90,7 @@
 
 func (r *recorder) Current(time.Time) {}
 
-// String lists the items in their order.
+// String lists the items by key.
 func (r *recorder) String() string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -102,7 +102,7 @@
 	return strings.Join(all, " ")
 }
 
-// eventually waits until the recorder holds something.
+// eventually waits until the recorder holds the given items.
 func (r *recorder) eventually(t *testing.T, want string) {
 	t.Helper()
 	for range 300 {
@@ -114,7 +114,7 @@
 	t.Fatalf("got %q, want %q", r, want)
 }
 
-// item returns an item whose value names its revision.
+// item returns an item whose value is its revision.
 func item(key string, revision Revision) Item {
 	return Item{Key: key, Value: fmt.Append(nil, revision), Revision: revision}
 }
@@ -139,23 +139,23 @@
 	return replica, recorded
 }
 
-// listed answers a list.
-func listResult(at Revision, items ...Item) func() ([]Item, Revision, error) {
-	return func() ([]Item, Revision, error) { return items, at, nil }
+// listResult returns a response for fakeStore.lists.
+func listResult(revision Revision, items ...Item) func() ([]Item, Revision, error) {
+	return func() ([]Item, Revision, error) { return items, revision, nil }
 }
 
 func TestReplicaAppliesChangesAndIgnoresStaleOnes(t *testing.T) {
 	store := &fakeStore{lists: []func() ([]Item, Revision, error){listResult(5, item("a", 3), item("b", 7))}, events: make(chan func(Revision) ([]Event, Revision, error), 4)}
 	_, recorded := runReplica(t, store, nil)
 	recorded.eventually(t, "a=3 b=7")
-	// The second page of the list was read at 7: the change at 6 is older than what it told.
+	// The second page of the list was read at revision 7, so the change at 6 is stale.
 	store.events <- func(Revision) ([]Event, Revision, error) {
 		return []Event{{Item: item("b", 6)}, {Item: item("a", 8), Deleted: true}, {Item: item("c", 9)}}, 9, nil
 	}
 	recorded.eventually(t, "b=7 c=9")
 	store.events <- func(after Revision) ([]Event, Revision, error) {
 		if after != 9 {
-			t.Errorf("went on after %d", after)
+			t.Errorf("the store is watched after revision %d, want 9", after)
 		}
 		return []Event{{Item: item("a", 8)}, {Item: item("a", 10)}}, 10, nil
 	}
@@ -174,7 +174,7 @@
 }
 
 func TestReplicaStartsFromFallbackDuringOutage(t *testing.T) {
-	unavailable := func() ([]Item, Revision, error) { return nil, 0, errors.New("away") }
+	unavailable := func() ([]Item, Revision, error) { return nil, 0, errors.New("unavailable") }
 	recovered := make(chan struct{})
 	store := &fakeStore{events: make(chan func(Revision) ([]Event, Revision, error), 4)}
 	store.lists = []func() ([]Item, Revision, error){func() ([]Item, Revision, error) {
@@ -190,9 +190,9 @@
 	})
 	recorded.eventually(t, "a=3")
 	if snapshot, known := replica.Snapshot(); !known || snapshot.Revision != 4 || len(snapshot.Items) != 1 {
-		t.Errorf("the snapshot is %+v", snapshot)
+		t.Errorf("got snapshot %+v", snapshot)
 	}
-	// What another process knows may lack changes: the store is listed, not only watched, once it answers.
+	// The fallback may lack changes, so the store must be listed once it is available.
 	close(recovered)
 	recorded.eventually(t, "a=3 b=5")
 }
@@ -215,17 +215,17 @@
 	for range 300 {
 		if watches() > 1 {
 			if recorded.losses != 0 {
-				t.Error("a renewed watch counts as a failure of the store")
+				t.Error("a restarted watch was reported as a failure of the store")
 			}
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("the watch did not begin anew")
+	t.Fatal("the watch was not restarted")
 }
 
-// TestReplicaListsAfterAWatchFailed guards against changes that a watch did not hear before it was cut: the store has dropped
-// them, and a watch that begins anew waits for the next ones.
+// TestReplicaListsAfterFailedWatch guards against missing changes that the store discarded when a watch failed, since a
+// new watch returns only later ones.
 func TestReplicaListsAfterFailedWatch(t *testing.T) {
 	store := &fakeStore{
 		lists:  []func() ([]Item, Revision, error){listResult(5, item("a", 3)), listResult(9, item("a", 8))},
@@ -233,11 +233,11 @@
 	}
 	_, recorded := runReplica(t, store, nil)
 	recorded.eventually(t, "a=3")
-	store.events <- func(Revision) ([]Event, Revision, error) { return nil, 0, errors.New("cut") }
+	store.events <- func(Revision) ([]Event, Revision, error) { return nil, 0, errors.New("connection reset") }
 	recorded.eventually(t, "a=8")
 }
 
-// TestManyReadersGatherUnhurriedChanges guards against the calls of a large fleet that starts at once growing with its square.
+// TestBatchPauseGrowsWithReaders guards against the calls of a starting fleet growing with the square of its size.
 func TestBatchPauseGrowsWithReaders(t *testing.T) {
 	settings := DefaultReplicaSettings()
 	settings.Unhurried = func(key string) bool { return strings.HasPrefix(key, "registrations/") }
@@ -253,9 +253,9 @@
 		{"few readers", 2, []Event{deferrable}, 40 * time.Millisecond},
 		{"more readers", 20, []Event{deferrable, deferrable}, 200 * time.Millisecond},
 		{"many readers", 300, []Event{deferrable}, time.Second},
-		{"no change", 300, nil, 0},
+		{"no events", 300, nil, 0},
 		{"new items", 300, []Event{deferrable, added}, time.Second},
-		{"one change is urgent", 300, []Event{deferrable, urgent}, 300 * time.Millisecond},
+		{"one urgent change", 300, []Event{deferrable, urgent}, 300 * time.Millisecond},
 	} {
 		replica := NewReplica(nil, "", settings, &recorder{}, nil)
 		replica.SetReaders(test.readers)
@@ -265,7 +265,7 @@
 		}
 		replica.SetCalm(true)
 		if got := replica.batchPause(test.events); len(test.events) > 0 && got != max(test.want, min(time.Duration(test.readers)*10*time.Millisecond, time.Second)) {
-			t.Errorf("%s: the pause of a process that stands by is %s", test.name, got)
+			t.Errorf("%s: the pause of a standby process is %s", test.name, got)
 		}
 	}
 }
--- a/internal/store/revision.go
+++ b/internal/store/revision.go
@@ -4,33 +4,34 @@
 	"encoding/json"
 )
 
-// Revision orders the changes of a store: by its era, which rises each time that the store comes back from an older copy and gives numbers
-// out again, and within an era by the number. Zero comes before all, and is the revision of what is absent. As JSON it is the number alone,
-// as it was before there were eras; what tells revisions to another process tells the era beside them.
+// Revision orders the changes of a store, first by era and then by number. The era increases each time the store is
+// restored from a backup, since it then assigns numbers again. Zero precedes all revisions and is the revision of an
+// absent key. Only the number is encoded as JSON, for compatibility with builds without eras; messages carry the era
+// separately.
 type Revision int64
 
 const (
-	// numberBits leave room for a thousand changes a second for thirty years.
+	// numberBits allows a thousand changes per second for thirty years.
 	numberBits = 40
-	// MostEras keeps revisions below 2^53, up to which all readers of JSON keep numbers exact.
+	// MostEras keeps revisions below 2^53, the range of exact integers in common JSON implementations.
 	MostEras = 1 << 13
 )
 
-// NewRevision returns the revision of a number in an era. The era is less than MostEras.
+// NewRevision returns the revision with a number in an era, which must be less than MostEras.
 func NewRevision(era, number int64) Revision { return Revision(era<<numberBits | number) }
 
-// Era returns the era.
+// Era returns the era of the revision.
 func (r Revision) Era() int64 { return int64(r) >> numberBits }
 
-// Number returns the number within the era, as the store gives it.
+// Number returns the number that the store assigned within the era.
 func (r Revision) Number() int64 { return int64(r) & (1<<numberBits - 1) }
 
-// in returns the revision of the same number in another era.
+// withEra returns the revision with the same number in another era.
 func (r Revision) withEra(era int64) Revision { return NewRevision(era, r.Number()) }
 
-// Fence returns a fencing token that rises with the revision, across eras too. In a first era, which is counted as zero or one, it is the
-// number itself, so that gateways of the build before, which know no eras, give fences of the same order.
+// Fence returns a fencing token that increases with the revision. In the first era, which is numbered zero or one, it
+// equals the number, so that tokens are comparable with those of builds without eras.
 func (r Revision) Fence() int64 { return max(r.Era()-1, 0)<<numberBits | r.Number() }
 
-// MarshalJSON is part of json.Marshaler.
+// MarshalJSON implements json.Marshaler.
 func (r Revision) MarshalJSON() ([]byte, error) { return json.Marshal(r.Number()) }
--- a/internal/store/shard.go
+++ b/internal/store/shard.go
@@ -2,28 +2,30 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// A process to which nobody is sent needs the configuration and the list of its peers, but only some of the many records of workers. These
-// are divided into shards by a hash of their keys; each such process has a seat, which names its shard for any number of them. The number
-// is a power of two that whoever tells the changes chooses, so that what one process holds of the records does not grow with the fleet.
+// Standby gateways need the configuration and the registrations of their peers, but only some of the many worker
+// records. These are divided into shards by a hash of their keys. Each standby gateway has a fixed hash that selects
+// its shard for any number of shards. The number is a power of two chosen by the gateway that serves the changes, so
+// that the size of a shard does not grow with the fleet.
 
-// Sizes of a shard, in records.
+// Shard sizes in records.
 const (
-	// mostOfShard is the size from which on there are to be more shards: with a few hundred workers of all zones and services one can serve
-	// callers who kept its address, and what it takes to hold them is small beside the rest.
+	// maxShardSize is the size above which there should be more shards. A few hundred workers of all zones and services
+	// suffice to serve callers that still use the address of a standby gateway, and need little memory.
 	maxShardSize = 384
-	// leastOfShard is the size below which there are to be fewer, if there are several; the room between both keeps the number from
-	// changing to and fro.
+	// minShardSize is the size below which there should be fewer shards. The distance to maxShardSize keeps the number
+	// from oscillating.
 	minShardSize = 64
-	// usualOfShard is the size at which a number of shards is chosen anew.
+	// targetShardSize is the maximum size for which a new number of shards is chosen.
 	targetShardSize = 192
 )
 
-// inShard tells whether a key belongs to the shard of a seat among so many.
+// inShard reports whether a key belongs to the shard that a hash selects.
 func inShard(key string, shardHash uint64, shards int) bool {
 	return shards > 0 && (xxhash.Sum64String(key)^shardHash)&uint64(shards-1) == 0
 }
 
-// shardsFor returns the number of shards for so many records, given the number that a process knows so far; zero is none.
+// shardsFor returns the number of shards for a number of records. It keeps the current number, which may be zero, if
+// the shard size is within bounds.
 func shardsFor(records, current int) int {
 	isSuitable := current == 1 && records <= maxShardSize
 	if current > 1 {
--- a/internal/store/shard_test.go
+++ b/internal/store/shard_test.go
@@ -11,10 +11,10 @@
 	"pgregory.net/rapid"
 )
 
-// divided is a key that is divided into shards.
+// isWorkerKey reports whether a key is sharded in the tests.
 func isWorkerKey(key string) bool { return strings.HasPrefix(key, "workers/") }
 
-// newSharded returns a replica whose keys are divided, and what it told.
+// newShardedReplica returns a replica with sharded worker keys and its recorder.
 func newShardedReplica(store Store, shardHash uint64) (*Replica, *recorder) {
 	settings := DefaultReplicaSettings()
 	settings.MinFeedInterval, settings.BatchPause, settings.Sharded, settings.Seat = 0, time.Millisecond, isWorkerKey, shardHash
@@ -22,13 +22,12 @@
 	return NewReplica(store, "", settings, recorded, nil), recorded
 }
 
-// TestOneThatStandsByHoldsItsShardAndAllThatIsNotDivided plays changes, lists and restarts of two tellers, and one that learns from them by
-// turns, stands by, takes requests and stands by again. It ends with its shard of what the store holds and with all of the rest, and with
-// everything while it takes requests. The numbers of records make the number of shards change.
+// TestStandbyConvergesToShard applies random changes, lists and restarts to two upstreams. A follower polls both and
+// alternates between standby and entry. It must end with its shard and all unsharded items, or with all items while it
+// is an entry. The changes also vary the number of shards.
 //
-// Once in some thousands of draws, one of which is kept, it went on holding records that were gone. It had learned from one teller, taken the
-// whole of another that knew less, and so asked the next time from an early revision, while it still held what the first had told. The teller
-// had listed the store meanwhile, and named the time that its list hides only to those that asked from within it.
+// The kept draw guards against keeping deleted records: full changes from a less current upstream reset the follower's
+// revision to before the gap of the other upstream, which then reported its gap only to requests from within it.
 func TestStandbyConvergesToShard(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		present := map[string]Item{}
@@ -42,8 +41,8 @@
 		}
 		items := func() []Item {
 			var all []Item
-			for _, each := range present {
-				all = append(all, each)
+			for _, item := range present {
+				all = append(all, item)
 			}
 			slices.SortFunc(all, func(a, b Item) int { return strings.Compare(a.Key, b.Key) })
 			return all
@@ -54,7 +53,7 @@
 			return upstream
 		}
 		upstreams := []*Replica{newUpstream(), newUpstream()}
-		shardHash := rapid.Uint64().Draw(t, "seat")
+		shardHash := rapid.Uint64().Draw(t, "shard hash")
 		follower, recorded := newShardedReplica(nil, shardHash)
 		follower.startWithoutShard(nil, 0, "")
 		follower.SetCalm(true)
@@ -65,7 +64,7 @@
 			}
 		}
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
-			index := rapid.IntRange(0, 1).Draw(t, "teller")
+			index := rapid.IntRange(0, 1).Draw(t, "upstream")
 			switch rapid.IntRange(0, 7).Draw(t, "step") {
 			case 0:
 				first := rapid.IntRange(0, 900).Draw(t, "first")
@@ -73,9 +72,9 @@
 					change(fmt.Sprint("workers/", first+i), false)
 				}
 			case 1:
-				for _, each := range items() {
-					if isWorkerKey(each.Key) && rapid.IntRange(0, 2).Draw(t, "stays") == 0 {
-						change(each.Key, true)
+				for _, item := range items() {
+					if isWorkerKey(item.Key) && rapid.IntRange(0, 2).Draw(t, "keep") == 0 {
+						change(item.Key, true)
 					}
 				}
 			case 2:
@@ -98,16 +97,16 @@
 		list(upstreams[1])
 		poll(upstreams[0])
 		poll(upstreams[1])
-		expectedItems := slices.DeleteFunc(items(), func(each Item) bool {
-			return isWorkerKey(each.Key) && !inShard(each.Key, shardHash, follower.shardCount)
+		expectedItems := slices.DeleteFunc(items(), func(item Item) bool {
+			return isWorkerKey(item.Key) && !inShard(item.Key, shardHash, follower.shardCount)
 		})
 		if follower.shardCount == 0 || (!follower.standby.Load() && follower.shardCount != 1) {
-			t.Fatalf("it holds one of %d shards, and stands by: %t", follower.shardCount, follower.standby.Load())
+			t.Fatalf("the follower holds one of %d shards, standby: %t", follower.shardCount, follower.standby.Load())
 		}
 		expected := &recorder{}
 		expected.Reset(expectedItems)
 		if recorded.String() != expected.String() {
-			t.Fatalf("of %d shards told %q, expected %q", follower.shardCount, recorded, expected)
+			t.Fatalf("with %d shards: got %q, want %q", follower.shardCount, recorded, expected)
 		}
 		if records := len(expectedItems); follower.standby.Load() && records > 4*maxShardSize {
 			t.Fatalf("a shard has %d records", records)
@@ -115,10 +114,10 @@
 	})
 }
 
-// askedFeed answers each question by a function.
+// changesFunc is a Feed that returns ErrNoUpstream when the function returns false.
 type changesFunc func(request ChangesRequest) (Changes, bool)
 
-// Next is part of Feed.
+// Next implements Feed.
 func (f changesFunc) Next(_ context.Context, request ChangesRequest) (Changes, error) {
 	changes, served := f(request)
 	if !served {
@@ -127,25 +126,25 @@
 	return changes, nil
 }
 
-// TestTheNumberOfShardsFollowsTheRecords asks for the number at sizes of fleets, and from a number that was known.
+// TestShardsFor checks the number of shards for fleet sizes and current numbers of shards.
 func TestShardsFor(t *testing.T) {
 	for _, test := range []struct{ records, current, want int }{
 		{0, 0, 1}, {177, 0, 1}, {300, 1, 1}, {300, 0, 2}, {385, 1, 2}, {10_004, 0, 64}, {10_004, 64, 64}, {20_008, 64, 64}, {20_008, 0, 128},
 		{3_000, 64, 16}, {10, 16, 1},
 	} {
 		if got := shardsFor(test.records, test.current); got != test.want {
-			t.Errorf("%d records, %d shards known: %d, want %d", test.records, test.current, got, test.want)
+			t.Errorf("%d records, currently %d shards: got %d shards, want %d", test.records, test.current, got, test.want)
 		}
 	}
 }
 
-// pagedStore lists by pages of two items, and counts them.
+// pagedStore lists a fixed set of items in pages of two and counts the pages.
 type pagedStore struct {
 	fakeStore
 	pages int
 }
 
-func (p *pagedStore) ListUntil(_ context.Context, _ string, enough func([]Item) bool) ([]Item, Revision, bool, error) {
+func (p *pagedStore) ListUntil(_ context.Context, _ string, stop func([]Item) bool) ([]Item, Revision, bool, error) {
 	all := []Item{
 		item("configuration", 1), item("gateways/a", 2), item("gateways/b", 3), item("workers/1", 4), item("workers/2", 5), item("workers/3", 6),
 		item("workers/4", 7), item("z", 8),
@@ -155,13 +154,13 @@
 		switch {
 		case first+2 >= len(all):
 			return all, 8, true, nil
-		case enough != nil && enough(all[:first+2]):
+		case stop != nil && stop(all[:first+2]):
 			return all[:first+2], 8, false, nil
 		}
 	}
 }
 
-// standsByOnceToldOf tells a replica that it stands by as soon as it hears of a gateway.
+// standbyOnApply makes a replica standby when it passes on its first changes.
 type standbyOnApply struct {
 	recorder
 	replica *Replica
@@ -172,8 +171,8 @@
 	s.replica.SetCalm(true)
 }
 
-// TestWhoStandsByListsNoWorkers starts a process that learns from the first pages of the list that others take requests, while those that
-// tell it changes start, too. It lists nothing more, waits for them, and gets its shard and what it has not listed from them.
+// TestStandbyDoesNotListWorkers checks that a starting process that becomes standby after the first pages of its list
+// stops listing, waits for its feed and gets its shard and the remaining items from it.
 func TestStandbyDoesNotListWorkers(t *testing.T) {
 	paged := &pagedStore{}
 	paged.events = make(chan func(Revision) ([]Event, Revision, error))
@@ -200,11 +199,12 @@
 	cancel()
 	<-done
 	if paged.pages != 2 {
-		t.Errorf("%d pages were listed", paged.pages)
+		t.Errorf("%d pages were listed, want 2", paged.pages)
 	}
 }
 
-// BenchmarkOneChangeTold has one record of a fleet change, and a gateway that stands by ask what is new, as hundreds do at each entry.
+// BenchmarkChanges measures recording a change of one record and answering the request of a standby gateway. An entry
+// serves hundreds of these.
 func BenchmarkChanges(b *testing.B) {
 	for _, size := range []int{1_000, 10_000, 20_000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
@@ -225,7 +225,8 @@
 	}
 }
 
-// TestNewRecordsAreToldWithoutHurry asks what may be told late: records and registrations that were not there before, and nothing else.
+// TestNewRecordsAreDeferrable checks that only the creation of worker records and of keys that Unhurried selects is
+// deferrable.
 func TestNewRecordsAreDeferrable(t *testing.T) {
 	upstream, _ := newShardedReplica(nil, 0)
 	upstream.settings.Unhurried = func(key string) bool { return strings.HasPrefix(key, "gateways/") }
@@ -246,12 +247,12 @@
 		test.event.Revision = revision
 		upstream.recordNewer([]Event{test.event}, revision)
 		if changes, _ := upstream.Changes(ChangesRequest{After: revision - 1, Shards: 1}); changes.Deferrable != test.want || len(changes.Changed) != 1 {
-			t.Errorf("change %d, %+v: told late %t", i, changes.Changed, changes.Deferrable)
+			t.Errorf("change %d, %+v: deferrable %t", i, changes.Changed, changes.Deferrable)
 		}
 	}
 }
 
-// TestGatheringChangesLeavesTimeToKnowThem bounds the pause of an entry of a fleet of any size.
+// TestPauseStaysWithinPropagationBound checks the pause for fleets of different sizes.
 func TestPauseStaysWithinPropagationBound(t *testing.T) {
 	for _, test := range []struct {
 		readers int
@@ -267,8 +268,8 @@
 	}
 }
 
-// TestOneListsForAllAfterTheHistoryIsGone has the store forget its history. The process that lists it for all does; another one that watches
-// it learns from that one, and lists it itself only if that one tells nothing.
+// TestReplicaQueriesListerAfterCompaction checks that a replica whose history was compacted queries the lister and
+// lists the store only if the lister has no newer changes.
 func TestReplicaQueriesListerAfterCompaction(t *testing.T) {
 	compacted := func(Revision) ([]Event, Revision, error) { return nil, 0, ErrCompacted }
 	for _, test := range []struct {
@@ -277,9 +278,9 @@
 		err     error
 		lists   int
 	}{
-		{"the lister tells", Changes{Changed: []Event{{Item: item("b", 7)}}, Revision: 8, Shards: 1}, nil, 0},
-		{"the lister knows no more", Changes{Revision: 5, Shards: 1}, nil, 1},
-		{"the lister does not answer", Changes{}, ErrNoUpstream, 1},
+		{"lister has changes", Changes{Changed: []Event{{Item: item("b", 7)}}, Revision: 8, Shards: 1}, nil, 0},
+		{"lister has no newer changes", Changes{Revision: 5, Shards: 1}, nil, 1},
+		{"lister does not answer", Changes{}, ErrNoUpstream, 1},
 	} {
 		lists := 0
 		store := &fakeStore{events: make(chan func(Revision) ([]Event, Revision, error), 1)}
@@ -297,19 +298,20 @@
 		replica.SetLister(func() (string, bool) { return "one", false })
 		store.events <- compacted
 		if err := replica.watch(t.Context()); err != nil || lists != test.lists || queried != "one" || recorded.String() != "a=3 b=7" {
-			t.Errorf("%s: %v, %d lists, asked %q, told %s", test.desc, err, lists, queried, recorded)
+			t.Errorf("%s: error %v, %d lists, queried %q, items %s", test.desc, err, lists, queried, recorded)
 		}
 	}
 }
 
-// scriptFeed answers each question by a function.
+// feedFunc is a Feed that calls a function.
 type feedFunc func(request ChangesRequest) (Changes, error)
 
-// Next is part of Feed.
+// Next implements Feed.
 func (f feedFunc) Next(_ context.Context, request ChangesRequest) (Changes, error) { return f(request) }
 
-// TestAListOfATellerCostsThoseThatLearnOnlyWhatHasChanged guards against hundreds of gateways being told everything each time the store forgets
-// its history: lists hide what came and went between two of them, and those that learn know revisions in between from others.
+// TestUpstreamListSendsOnlyChanges guards against sending full changes to hundreds of gateways whenever an upstream
+// lists the store again: the list hides items that were created and deleted since the previous one, and followers may
+// know revisions in between from other upstreams.
 func TestUpstreamListSendsOnlyChanges(t *testing.T) {
 	upstream, _ := newShardedReplica(nil, 0)
 	var items []Item
@@ -323,7 +325,7 @@
 	follower.SetFeed(changesFunc(func(request ChangesRequest) (Changes, bool) {
 		changes, served := upstream.Changes(request)
 		if changes.Full || len(changes.Changed) > 2 {
-			t.Errorf("told %d changes, everything: %t", len(changes.Changed), changes.Full)
+			t.Errorf("sent %d changes, full: %t", len(changes.Changed), changes.Full)
 		}
 		return changes, served
 	}))
@@ -331,12 +333,12 @@
 		t.Fatal(err)
 	}
 	if held := recorded.String(); strings.Contains(held, "came-and-went") || !strings.Contains(held, "configuration=1040") || follower.revision != 1_050 {
-		t.Errorf("it holds %s", held)
+		t.Errorf("the follower holds %s", held)
 	}
 }
 
-// TestOneThatBeginsToTakeRequestsLearnsAllFromTheOthers has one that stands by with a shard take requests. It lists the store only if nobody
-// tells it everything.
+// TestPromotedStandbyLearnsFromEntries checks that a standby gateway that becomes an entry gets all items from the
+// other entries, and lists the store only if none provides them.
 func TestPromotedStandbyLearnsFromEntries(t *testing.T) {
 	for _, entriesAnswer := range []bool{true, false} {
 		upstream, _ := newShardedReplica(nil, 0)
@@ -354,20 +356,20 @@
 		replica.SetCalm(true)
 		replica.SetFeed(changesFunc(upstream.Changes))
 		if err := replica.pollFeed(t.Context(), 0); err != nil || replica.shardCount != 8 {
-			t.Fatalf("it holds one of %d shards, %v", replica.shardCount, err)
+			t.Fatalf("the replica holds one of %d shards, error %v", replica.shardCount, err)
 		}
 		if !entriesAnswer {
 			upstream.SetCalm(true)
 		}
 		replica.SetCalm(false)
 		if err := replica.step(t.Context()); err != nil || replica.shardCount != 1 || replica.shardedItems != 1_000 || (lists == 0) != entriesAnswer {
-			t.Errorf("others tell: %t; one of %d shards, %d records, %d lists, %v", entriesAnswer, replica.shardCount, replica.shardedItems, lists, err)
+			t.Errorf("entries answer: %t; one of %d shards, %d records, %d lists, error %v", entriesAnswer, replica.shardCount, replica.shardedItems, lists, err)
 		}
 	}
 }
 
-// TestWhoStandsByLeavesListsToItsTellers has the tellers of one that stands by lose the store, which forgets its history. It tries the store
-// and does not list it while it is told something, and does once nobody has told it anything for long.
+// TestStandbyAvoidsListsWhileFeedAnswers checks that a standby replica whose upstreams cannot reach the store lists the
+// store after compaction only when the feed has not answered for a while.
 func TestStandbyAvoidsListsWhileFeedAnswers(t *testing.T) {
 	lists := 0
 	store := &fakeStore{events: make(chan func(Revision) ([]Event, Revision, error), 1)}
--- a/internal/store/snapshot.go
+++ b/internal/store/snapshot.go
@@ -8,17 +8,18 @@
 	"github.com/granitebay/granitebay/internal/boottime"
 )
 
-// Snapshot is what a replica knows at a revision.
+// Snapshot holds the items of a replica at a revision.
 type Snapshot struct {
 	Items    []Item   `json:"items"`
 	Revision Revision `json:"revision"`
-	// Era is that of all revisions, which are told without it; nil when the teller does not say.
+	// Era is the era of all revisions, which are encoded without it; nil if the sender does not name it.
 	Era *int64 `json:"era,omitempty"`
-	// Shards is of how many shards the items hold one, of what is divided into shards; zero and one are all.
+	// Shards is the number of shards that sharded items are divided into, of which the snapshot holds one; zero and one
+	// mean that it holds all items.
 	Shards int `json:"shards,omitempty"`
 }
 
-// Snapshot returns what the replica knows, or false when it knows nothing yet. It may be called by any goroutine.
+// Snapshot returns the current items, or false before the first list. It is safe for concurrent use.
 func (r *Replica) Snapshot() (Snapshot, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -28,7 +29,7 @@
 	return Snapshot{Revision: r.revision, Era: eraPointer(r.revision), Items: r.table.present(), Shards: r.shardCount}, true
 }
 
-// introduce tells the consumer the items that are not divided into shards, before the others are listed, and returns the last key of them.
+// applyUnsharded passes the unsharded items of a partial list to the consumer and returns the last key that it covers.
 func (r *Replica) applyUnsharded(items []Item) string {
 	unsharded := r.unshardedItems(items)
 	events := make([]Event, len(unsharded))
@@ -42,17 +43,17 @@
 	return unsharded[len(unsharded)-1].Key
 }
 
-// undivided returns the items that are not divided into shards.
+// unshardedItems returns the items that are not sharded.
 func (r *Replica) unshardedItems(items []Item) []Item {
 	return slices.DeleteFunc(slices.Clone(items), func(item Item) bool { return r.isSharded(item.Key) })
 }
 
-// isSharded tells whether a key is divided into shards.
+// isSharded reports whether an item is assigned to a shard.
 func (r *Replica) isSharded(key string) bool {
 	return r.settings.Sharded != nil && r.settings.Sharded(key)
 }
 
-// begin takes the items that were listed up to a key, without any that are divided.
+// startWithoutShard initializes the replica with the unsharded items of a list that ended at the key listedThrough.
 func (r *Replica) startWithoutShard(items []Item, revision Revision, listedThrough string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -60,7 +61,7 @@
 	r.shardCount, r.shardedItems, r.listedThrough, r.shardWaitStart = 0, 0, listedThrough, boottime.Now()
 }
 
-// eventsOf returns items as changes.
+// eventsOf converts items to events.
 func eventsOf(items []Item) []Event {
 	events := make([]Event, len(items))
 	for i, item := range items {
@@ -69,12 +70,12 @@
 	return events
 }
 
-// maxDeleted bounds the deleted items that are remembered for those that learn from this process. A fleet that restarts each of
-// its processes and workers some times a day deletes about as many.
+// maxTombstones bounds the deleted items that are kept for standby gateways. A fleet whose processes and workers
+// restart a few times a day deletes about as many.
 const maxTombstones = 16 << 10
 
-// replace takes a snapshot in place of what was known and tells it to the consumer. What is known of a later revision stays: a
-// snapshot may be some seconds old, and nothing goes back.
+// replace merges a snapshot into the replica and resets the consumer. Items with later revisions are kept, as a
+// snapshot may be a few seconds old.
 func (r *Replica) replace(snapshot Snapshot) {
 	snapshot.Shards = max(snapshot.Shards, 1)
 	r.mutex.Lock()
@@ -109,7 +110,8 @@
 	r.consumer.Reset(items)
 }
 
-// restart takes a snapshot for what was known of another number of shards. It forgets what came and went before. The mutex is held.
+// replaceShard replaces the items with a snapshot that has another number of shards, discarding tombstones. The caller
+// holds the mutex.
 func (r *Replica) replaceShard(snapshot Snapshot) {
 	events := eventsOf(snapshot.Items)
 	if r.table != nil {
@@ -128,7 +130,7 @@
 	r.gapStart, r.gapEnd = 0, 0
 }
 
-// merge takes a snapshot of everything, and remembers what was known before and is gone. The mutex is held.
+// merge merges a snapshot of all items and adds tombstones for items that it lacks. The caller holds the mutex.
 func (r *Replica) merge(snapshot Snapshot) {
 	merged := make(map[string]Event, len(snapshot.Items))
 	for _, item := range snapshot.Items {
@@ -158,10 +160,10 @@
 	r.table = newTable(slices.Collect(maps.Values(merged)))
 }
 
-// forgetDeleted drops deleted items. Those that know less than this process have to be told everything. The mutex is held.
+// dropDeleted drops tombstones. Requests from earlier revisions then get full changes. The caller holds the mutex.
 func (r *Replica) dropDeleted() { r.historyStart = max(r.revision, r.table.dropTombstones()) }
 
-// knownSince notes that all changes up to a moment are known, and returns the latest such moment.
+// advanceCurrentAsOf records that all changes up to a moment are known, and returns the latest such moment.
 func (r *Replica) advanceCurrentAsOf(moment time.Time) time.Time {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -171,7 +173,8 @@
 	return r.currentAsOf
 }
 
-// fresh notes events and drops those that the list has told already: pages of a list are read at different revisions.
+// recordNewer stores the events that are newer than the known items and returns them. Events may be older, because the
+// pages of a list are read at different revisions.
 func (r *Replica) recordNewer(events []Event, revision Revision) []Event {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -196,7 +199,7 @@
 	return newer
 }
 
-// countSharded keeps count of the items that are divided and there. The mutex is held.
+// updateShardedCount updates the number of sharded items after a change. The caller holds the mutex.
 func (r *Replica) updateShardedCount(previous, current Event) {
 	if !r.isSharded(current.Key) {
 		return
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,5 +1,5 @@
-// Package store is the port to the key-value store in which everything lies that must outlast a process, and keeps a watched
-// copy of it.
+// Package store defines the interface to the key-value store that holds all persistent state, and keeps a watched
+// replica of it.
 package store
 
 import (
@@ -9,82 +9,81 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Errors of a store.
+// Errors returned by stores.
 var (
-	// ErrCompacted is returned by Watch when changes after the revision are not kept any more.
-	ErrCompacted = errors.New("the history of the store after this revision is gone")
-	// ErrRestored is returned when the store came back from an older copy while it was called, and by late answers of before. What the
-	// call did may be gone.
-	ErrRestored = errors.New("the store has come back from an older copy")
-	// ErrConflict is returned by Commit when a condition does not hold.
+	// ErrCompacted is returned by Watch if the store no longer holds the changes after the revision.
+	ErrCompacted = errors.New("the store has compacted the history after this revision")
+	// ErrRestored is returned by calls during which the store was restored from a backup, and for late responses from
+	// before. The effects of such a call may be lost.
+	ErrRestored = errors.New("the store was restored from a backup")
+	// ErrConflict is returned by Commit if a condition does not hold.
 	ErrConflict = errors.New("a condition of the transaction does not hold")
-	// ErrBusy is returned when the store refuses a call because there are too many. Nothing was done.
-	ErrBusy = errors.New("the store is busy")
-	// ErrLeaseExpired is returned for a lease that is over.
-	ErrLeaseExpired = errors.New("the lease is over")
+	// ErrBusy is returned if the store rejects a call because of overload. The call had no effect.
+	ErrBusy = errors.New("the store is overloaded")
+	// ErrLeaseExpired is returned for a lease that has expired or was revoked.
+	ErrLeaseExpired = errors.New("the lease has expired")
 )
 
-// Item is one key with its value.
+// Item is a key with its value.
 type Item struct {
 	Key   string `json:"key"`
 	Value []byte `json:"value"`
-	// Revision of the last change of the item.
+	// Revision is that of the last change of the item.
 	Revision Revision `json:"revision"`
-	// Lease with which the item goes; 0 is none.
+	// Lease is the ID of the lease that the item is deleted with; 0 if none.
 	Lease int64 `json:"lease"`
 }
 
-// Event is one change of an item.
+// Event is a change of an item.
 type Event struct {
 	Item
-	// Deleted is set when the item is gone; it has no value then.
+	// Deleted reports that the item was deleted; it then has no value.
 	Deleted bool `json:"deleted,omitempty"`
 }
 
-// Condition holds when the last change of a key has this revision. Zero means that the key is absent.
+// Condition holds if the last change of the key has the revision. Zero means that the key is absent.
 type Condition struct {
 	Key      string
 	Revision Revision
 }
 
-// Put writes one item.
+// Put writes an item.
 type Put struct {
 	Key   string
 	Value []byte
-	// Lease with which the item goes; 0 is none.
+	// Lease is the ID of the lease that the item is deleted with; 0 if none.
 	Lease int64
 }
 
-// Transaction is done whole or not at all.
+// Transaction is an atomic set of writes that is committed only if all conditions hold.
 type Transaction struct {
 	Conditions []Condition
 	Puts       []Put
 	Deletes    []string
 }
 
-// Lease is a right that ends by itself.
+// Lease is a lease granted by the store, which deletes its items when it expires.
 type Lease struct {
 	ID int64
-	// TTL counts from the arrival of the call at the store, so that a holder counts it from before the call.
+	// TTL starts when the call arrives at the store, so the holder must count it from before the call.
 	TTL time.Duration
 }
 
-// Store is a linearizable key-value store with leases and watches. Errors name the step and the peer. A call that failed
-// without an answer may have been carried out, also later.
+// Store is a linearizable key-value store with leases and watches. Its errors name the operation and the peer. A call
+// that failed without a response may still take effect, even later.
 type Store interface {
-	// List returns the items below a prefix, and a revision from which to watch: every change after it is not yet in the
-	// items, or is. When the store is too busy for linearizable reads the items may be some seconds old; a watch from the
-	// revision tells what came since.
+	// List returns the items below a prefix and a revision to watch from: a watch from it returns every change that the
+	// items lack. If the store is too busy for linearizable reads, the items may be a few seconds old.
 	List(ctx context.Context, prefix string) ([]Item, Revision, error)
-	// ListUntil is List, by pages in the order of the keys. It ends early once enough, which is given all items so far and may be nil, says
-	// so after a page that others follow; then the items are not the whole.
+	// ListUntil is like List, reading pages in key order. After each page but the last it passes all items so far to
+	// stop, which may be nil, and ends early with complete unset if that returns true.
 	ListUntil(ctx context.Context, prefix string, stop func(items []Item) bool) (items []Item, revision Revision, complete bool, err error)
-	// Watch waits for changes below a prefix after a revision. It returns the revision to go on from, and no events when
-	// there were none for so long.
+	// Watch waits for changes below a prefix after a revision. It returns the events and the revision to continue from.
+	// The events are empty if there were none within the wait.
 	Watch(ctx context.Context, prefix string, after Revision, wait time.Duration) ([]Event, Revision, error)
-	// Commit carries out a transaction and returns its revision.
+	// Commit commits a transaction and returns its revision.
 	Commit(ctx context.Context, transaction Transaction) (Revision, error)
-	// Grant returns a new lease.
+	// Grant creates a lease.
 	Grant(ctx context.Context, ttl time.Duration) (Lease, error)
 	// KeepAlive renews a lease.
 	KeepAlive(ctx context.Context, lease int64) error
--- a/internal/store/table.go
+++ b/internal/store/table.go
@@ -7,26 +7,26 @@
 	"strings"
 )
 
-// table holds the latest change of each item, in the order of the changes, so that what came after a revision is found without a look at
-// the rest.
+// table holds the latest change of each item, ordered by revision, so that the changes after a revision are found by
+// binary search.
 //
-// Invariant: each item stands in the order at the revision of its latest change; other places of it are out of date and passed over.
+// Invariant: order contains the position of the latest change of each item; its other positions are stale and skipped.
 type table struct {
 	latest map[string]Event
 	order  []position
-	// changed are the items of which more than one change was heard since they came.
+	// updated holds the items that were changed since they were created.
 	updated map[string]bool
-	// deleted counts the items that are known to be gone.
+	// tombstones is the number of deleted items in latest.
 	tombstones int
 }
 
-// place is one change in the order.
+// position is the position of a change in the order.
 type position struct {
 	revision Revision
 	key      string
 }
 
-// newTable returns a table of some changes.
+// newTable returns a table of the given changes, at most one per key.
 func newTable(events []Event) *table {
 	t := &table{latest: make(map[string]Event, len(events)), updated: map[string]bool{}}
 	for _, event := range events {
@@ -36,13 +36,13 @@
 	return t
 }
 
-// get returns the latest change of an item; the zero event when none is known.
+// get returns the latest change of an item, or the zero event if there is none.
 func (t *table) get(key string) Event { return t.latest[key] }
 
-// isFirst tells whether the latest change of an item is its first one, as far as is known.
+// isFirstChange reports whether the latest known change of an item is its creation.
 func (t *table) isFirstChange(key string) bool { return !t.updated[key] }
 
-// put takes a change.
+// put records a change.
 func (t *table) put(event Event) {
 	previous, known := t.latest[event.Key]
 	if known && !previous.Deleted && !event.Deleted {
@@ -69,13 +69,13 @@
 	}
 }
 
-// Bounds of the places that are out of date: as many as there are items, and some more.
+// Limits on the length of the order, relative to the number of items, before stale positions are removed.
 const (
 	staleFactor = 2
 	staleSlack  = 64
 )
 
-// arrange puts the items into their order anew.
+// rebuildOrder rebuilds the order without stale positions.
 func (t *table) rebuildOrder() {
 	t.order = make([]position, 0, len(t.latest))
 	t.tombstones = 0
@@ -88,12 +88,12 @@
 	slices.SortFunc(t.order, comparePositions)
 }
 
-// comparePlaces orders changes by their revisions, and those of one transaction by their keys.
+// comparePositions orders changes by revision, and those of the same transaction by key.
 func comparePositions(a, b position) int {
 	return cmp.Or(cmp.Compare(a.revision, b.revision), strings.Compare(a.key, b.key))
 }
 
-// after returns the latest changes of the items that have changed after a revision, in their order.
+// after returns the latest changes of the items that changed after a revision, in order.
 func (t *table) after(revision Revision) iter.Seq[Event] {
 	return func(yield func(Event) bool) {
 		first, _ := slices.BinarySearchFunc(t.order, revision+1, func(p position, revision Revision) int { return cmp.Compare(p.revision, revision) })
@@ -105,7 +105,7 @@
 	}
 }
 
-// present returns the items that are there, by key.
+// present returns the items that are not deleted, by key.
 func (t *table) present() []Item {
 	var items []Item
 	for _, event := range t.latest {
@@ -117,7 +117,7 @@
 	return items
 }
 
-// forgetDeleted drops the items that are gone, and returns the revision of the last of them.
+// dropTombstones removes deleted items and returns the revision of the latest deletion.
 func (t *table) dropTombstones() Revision {
 	last := Revision(0)
 	for key, event := range t.latest {
