--- a/internal/store/era_test.go
+++ b/internal/store/era_test.go
@@ -109,7 +109,7 @@
 	}
 	received.Adopt(1)
 	if received.Revision != sent.Revision || received.GapStart != sent.GapStart || received.GapEnd != sent.GapEnd || received.Changed[0].Revision != sent.Changed[0].Revision {
-		t.Errorf("got %+v, want %+v", received, sent)
+		t.Errorf("got %+v", received)
 	}
 	var old Changes
 	if err := json.Unmarshal([]byte(`{"revision":9,"changed":[{"key":"a","revision":8}],"entries":[]}`), &old); err != nil {
@@ -125,6 +125,6 @@
 		t.Fatal(err)
 	}
 	if receivedSnapshot.Adopt(0); receivedSnapshot.Revision != snapshot.Revision || receivedSnapshot.Items[0].Revision != snapshot.Items[0].Revision {
-		t.Errorf("got snapshot %+v, want %+v", receivedSnapshot, snapshot)
+		t.Errorf("got snapshot %+v", receivedSnapshot)
 	}
 }
