--- a/internal/changefeed/changefeed.go
+++ b/internal/changefeed/changefeed.go
@@ -24,13 +24,13 @@
 // Parameters of a question for changes: the number of a revision and its era, for how many milliseconds an answer may be held until there is something to tell, and of
 // what the asker knows a part: the number of shards, its seat among them, the last key that is known besides, and whether all is wanted.
 const (
-	paramAfter  = "after"
-	paramEra    = "era"
-	paramWait   = "hold"
-	paramShards = "shards"
-	paramSeat   = "seat"
-	paramUpto   = "upto"
-	paramAll    = "all"
+	paramAfter         = "after"
+	paramEra           = "era"
+	paramWait          = "hold"
+	paramShards        = "shards"
+	paramShardHash     = "seat"
+	paramListedThrough = "upto"
+	paramAllShards     = "all"
 )
 
 // maxWait bounds the wait of one question.
@@ -41,35 +41,35 @@
 	// Snapshot returns everything, or false when nothing is known.
 	Snapshot() (store.Snapshot, bool)
 	// Changes returns what the one that asks does not know, or false when the gateway does not follow the store itself.
-	Changes(question store.ChangesRequest) (store.Changes, bool)
+	Changes(request store.ChangesRequest) (store.Changes, bool)
 	// Changed returns a channel that is closed when there is more to tell.
 	Changed() <-chan struct{}
 }
 
 // Handler answers what this gateway knows. Entries names those of this gateway, and which of them it has heard.
-func Handler(source Source, entries func() (all, sound []string)) http.Handler {
+func Handler(source Source, entries func() (all, live []string)) http.Handler {
 	mux := http.NewServeMux()
-	large := make(chan struct{}, largeAtOnce)
-	mux.HandleFunc("GET "+pathSnapshot, func(w http.ResponseWriter, _ *http.Request) { tellSnapshot(w, source) })
-	mux.HandleFunc("GET "+pathChanges, func(w http.ResponseWriter, r *http.Request) { tellChanges(w, r, source, entries, large) })
+	large := make(chan struct{}, maxLargeResponses)
+	mux.HandleFunc("GET "+pathSnapshot, func(w http.ResponseWriter, _ *http.Request) { serveSnapshot(w, source) })
+	mux.HandleFunc("GET "+pathChanges, func(w http.ResponseWriter, r *http.Request) { serveChanges(w, r, source, entries, large) })
 	return mux
 }
 
 // largeAtOnce is how many answers with everything, or with a whole shard, are on their way at a moment: hundreds of gateways may ask for them
 // at once, and each answer takes some megabytes until it is sent.
-const largeAtOnce = 16
+const maxLargeResponses = 16
 
 // tellChanges answers one question for changes.
-func tellChanges(
-	w http.ResponseWriter, r *http.Request, source Source, entries func() (all, sound []string), large chan struct{},
+func serveChanges(
+	w http.ResponseWriter, r *http.Request, source Source, entries func() (all, live []string), large chan struct{},
 ) {
-	question, err := questionOf(r.URL.Query())
+	request, err := parseRequest(r.URL.Query())
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	changes, known := await(r.Context(), question, source, entries)
-	if !known {
+	changes, served := awaitChanges(r.Context(), request, source, entries)
+	if !served {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -84,7 +84,7 @@
 			return
 		}
 		// What was gathered before the wait may be old by now. An answer without a body tells nothing.
-		if changes, known = source.Changes(question); !known {
+		if changes, served = source.Changes(request); !served {
 			return
 		}
 	}
@@ -96,82 +96,82 @@
 // await returns what is to be told, as soon as there is something that is waited for or after the wait of a question. Changes that do not
 // concern the one that asks, and there are many of them in a large fleet, wake nobody else; and a fleet that starts is told of all that come
 // a few times a second at the most.
-func await(
-	ctx context.Context, question store.ChangesRequest, source Source, entries func() (all, sound []string),
+func awaitChanges(
+	ctx context.Context, request store.ChangesRequest, source Source, entries func() (all, live []string),
 ) (store.Changes, bool) {
-	timer := time.NewTimer(min(question.Wait, maxWait))
+	timer := time.NewTimer(min(request.Wait, maxWait))
 	defer timer.Stop()
-	before, _ := entries()
+	initial, _ := entries()
 	for {
 		changed := source.Changed()
-		changes, known := source.Changes(question)
-		isNews := len(changes.Changed) > 0 && !changes.Deferrable
-		if !known || changes.Full || changes.FullShard || isNews {
-			return changes, known
+		changes, served := source.Changes(request)
+		isUrgent := len(changes.Changed) > 0 && !changes.Deferrable
+		if !served || changes.Full || changes.FullShard || isUrgent {
+			return changes, served
 		}
-		if now, _ := entries(); !slices.Equal(now, before) {
-			return changes, known
+		if current, _ := entries(); !slices.Equal(current, initial) {
+			return changes, served
 		}
 		select {
 		case <-ctx.Done():
 			// Its caller has left, or this gateway stops and has no news for a caller who still waits.
-			return source.Changes(question)
+			return source.Changes(request)
 		case <-timer.C:
-			return source.Changes(question)
+			return source.Changes(request)
 		case <-changed:
 		}
 	}
 }
 
 // errQuestion says what a question has to be.
-var errQuestion = errors.New(paramAfter + ", " + paramEra + ", " + paramWait + ", " + paramShards + " and " + paramSeat + " have to be whole numbers, all but " +
+var errBadRequest = errors.New(paramAfter + ", " + paramEra + ", " + paramWait + ", " + paramShards + " and " + paramShardHash + " have to be whole numbers, all but " +
 	paramAfter + " of at least 0, " + paramShards + " zero or a power of two")
 
 // questionOf reads a question. What a question does not say of shards is that of one that knows all.
-func questionOf(query url.Values) (store.ChangesRequest, error) {
-	question := store.ChangesRequest{Shards: 1, ListedThrough: query.Get(paramUpto), AllShards: query.Get(paramAll) != ""}
+func parseRequest(query url.Values) (store.ChangesRequest, error) {
+	request := store.ChangesRequest{Shards: 1, ListedThrough: query.Get(paramListedThrough), AllShards: query.Get(paramAllShards) != ""}
 	after, afterErr := strconv.ParseInt(query.Get(paramAfter), 10, 64)
 	waitMs, waitErr := strconv.ParseInt(query.Get(paramWait), 10, 64)
 	if afterErr != nil || waitErr != nil || waitMs < 0 {
-		return question, errQuestion
+		return request, errBadRequest
 	}
-	question.Wait = time.Duration(waitMs) * time.Millisecond
+	request.Wait = time.Duration(waitMs) * time.Millisecond
 	era := int64(0)
-	if question.EraUnknown = query.Get(paramEra) == ""; !question.EraUnknown {
+	if request.EraUnknown = query.Get(paramEra) == ""; !request.EraUnknown {
 		var err error
 		if era, err = strconv.ParseInt(query.Get(paramEra), 10, 64); err != nil || era < 0 || era >= store.MostEras {
-			return question, errQuestion
+			return request, errBadRequest
 		}
 	}
-	question.After = store.NewRevision(era, max(after, 0))
+	request.After = store.NewRevision(era, max(after, 0))
 	if shards := query.Get(paramShards); shards != "" {
 		number, err := strconv.ParseUint(shards, 10, 31)
 		if err != nil || number&(number-1) != 0 {
-			return question, errQuestion
+			return request, errBadRequest
 		}
-		question.Shards = int(number)
+		request.Shards = int(number)
 	}
-	if seat := query.Get(paramSeat); seat != "" {
+	if seat := query.Get(paramShardHash); seat != "" {
 		number, err := strconv.ParseUint(seat, 10, 64)
 		if err != nil {
-			return question, errQuestion
+			return request, errBadRequest
 		}
-		question.ShardHash = number
+		request.ShardHash = number
 	}
-	return question, nil
+	return request, nil
 }
 
 // queryOf spells a question.
-func queryOf(question store.ChangesRequest) url.Values {
+func encodeRequest(request store.ChangesRequest) url.Values {
 	query := url.Values{
-		paramAfter: {strconv.FormatInt(question.After.Number(), 10)}, paramEra: {strconv.FormatInt(question.After.Era(), 10)}, paramWait: {strconv.FormatInt(question.Wait.Milliseconds(), 10)},
-		paramShards: {strconv.Itoa(question.Shards)}, paramSeat: {strconv.FormatUint(question.ShardHash, 10)},
+		paramAfter: {strconv.FormatInt(request.After.Number(), 10)}, paramEra: {strconv.FormatInt(request.After.Era(), 10)}, paramWait: {strconv.FormatInt(request.Wait.Milliseconds(), 10)},
+		paramShards: {strconv.Itoa(request.Shards)}, paramShardHash: {strconv.FormatUint(request.ShardHash, 10)},
 	}
-	if question.ListedThrough != "" {
-		query.Set(paramUpto, question.ListedThrough)
+	if request.ListedThrough != "" {
+		query.Set(paramListedThrough, request.ListedThrough)
 	}
-	if question.AllShards {
-		query.Set(paramAll, "1")
+	if request.AllShards {
+		query.Set(paramAllShards, "1")
 	}
 	return query
 }
@@ -179,32 +179,32 @@
 // Times of an answer.
 const (
 	// answerSlack is how much longer than its wait the head of an answer may take.
-	answerSlack = 350 * time.Millisecond
+	headerSlack = 350 * time.Millisecond
 	// bodyTime is how long the rest may take: the changes of a whole shard and of the list of gateways, some hundred kilobytes, over a link of
 	// ten megabits a second that others use, too. A shorter time would have each gateway that is not served within it list the store.
-	bodyTime = 4 * time.Second
+	bodyTimeout = 4 * time.Second
 )
 
 // changes asks one gateway a question.
-func (a asker) changes(ctx context.Context, address string, question store.ChangesRequest) (store.Changes, error) {
+func (a peerClient) requestChanges(ctx context.Context, address string, request store.ChangesRequest) (store.Changes, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	timer := time.AfterFunc(question.Wait+answerSlack, cancel)
+	timer := time.AfterFunc(request.Wait+headerSlack, cancel)
 	defer timer.Stop()
 	var changes store.Changes
-	err := a.ask(ctx, address, pathChanges+"?"+queryOf(question).Encode(), &changes, func() { timer.Reset(bodyTime) })
-	changes.Adopt(question.After.Era())
+	err := a.get(ctx, address, pathChanges+"?"+encodeRequest(request).Encode(), &changes, func() { timer.Reset(bodyTimeout) })
+	changes.Adopt(request.After.Era())
 	return changes, errors.Wrapf(err, "step ask for changes, peer %s", address)
 }
 
 // asker asks other gateways.
-type asker struct{ client *httpclient.Client }
+type peerClient struct{ client *httpclient.Client }
 
 // errNotTold is returned for an answer that tells nothing.
-var errNotTold = errors.New("the gateway does not tell")
+var errUnavailable = errors.New("the gateway does not tell")
 
 // ask asks one question and decodes the answer. Begun is called once its head is there; nil calls nothing.
-func (a asker) ask(ctx context.Context, address, target string, answer any, begun func()) error {
+func (a peerClient) get(ctx context.Context, address, target string, result any, onHeader func()) error {
 	response, err := a.client.Do(ctx, address, &httpclient.Request{
 		Method: http.MethodGet, Target: target, Host: address, Header: http.Header{},
 	})
@@ -213,10 +213,10 @@
 	}
 	defer response.Body.Close()
 	if response.Status != http.StatusOK {
-		return errNotTold
+		return errUnavailable
 	}
-	if begun != nil {
-		begun()
+	if onHeader != nil {
+		onHeader()
 	}
-	return decode(response.Body, answer)
+	return decode(response.Body, result)
 }
--- a/internal/changefeed/changefeed_test.go
+++ b/internal/changefeed/changefeed_test.go
@@ -17,38 +17,38 @@
 )
 
 // changingSource tells changes that a test sets.
-type changingSource struct {
+type fakeSource struct {
 	changefeed.Source
-	mutex   sync.Mutex
-	changes store.Changes
-	silent  bool
-	changed chan struct{}
-	asked   int
+	mutex       sync.Mutex
+	changes     store.Changes
+	unavailable bool
+	changed     chan struct{}
+	requests    int
 }
 
-func newSource(changes store.Changes) *changingSource {
-	return &changingSource{changes: changes, changed: make(chan struct{})}
+func newSource(changes store.Changes) *fakeSource {
+	return &fakeSource{changes: changes, changed: make(chan struct{})}
 }
 
-func (s *changingSource) Changes(question store.ChangesRequest) (store.Changes, bool) {
+func (s *fakeSource) Changes(request store.ChangesRequest) (store.Changes, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.asked++
-	told := s.changes
-	if question.After >= told.Revision {
-		told.Changed = nil
+	s.requests++
+	changes := s.changes
+	if request.After >= changes.Revision {
+		changes.Changed = nil
 	}
-	return told, !s.silent
+	return changes, !s.unavailable
 }
 
-func (s *changingSource) Changed() <-chan struct{} {
+func (s *fakeSource) Changed() <-chan struct{} {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.changed
 }
 
 // set replaces what is told.
-func (s *changingSource) set(changes store.Changes) {
+func (s *fakeSource) set(changes store.Changes) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.changes = changes
@@ -57,127 +57,127 @@
 }
 
 // count returns how often the source was asked.
-func (s *changingSource) count() int {
+func (s *fakeSource) count() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	return s.asked
+	return s.requests
 }
 
 // serve serves a source with one entry and returns its address.
 func serve(t *testing.T, source changefeed.Source) string {
 	t.Helper()
-	server := httptest.NewServer(changefeed.Handler(source, func() (all, sound []string) { return []string{"entry", "new"}, []string{"entry"} }))
+	server := httptest.NewServer(changefeed.Handler(source, func() (all, live []string) { return []string{"entry", "new"}, []string{"entry"} }))
 	t.Cleanup(server.Close)
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
 // question asks what came after a revision.
-func question(after store.Revision, wait time.Duration) store.ChangesRequest {
+func requestAfter(after store.Revision, wait time.Duration) store.ChangesRequest {
 	return store.ChangesRequest{After: after, Wait: wait, Shards: 1}
 }
 
 // at returns changes of one item.
-func at(revision store.Revision) store.Changes {
+func changeAt(revision store.Revision) store.Changes {
 	return store.Changes{Changed: []store.Event{{Item: store.Item{Key: "k", Revision: revision}}}, Revision: revision}
 }
 
 // follow returns a follower in zone a of these tellers, and the entries that it was told.
-func follow(tellers ...changefeed.Teller) (*changefeed.Follower, func() []string) {
+func newFollower(tellers ...changefeed.Teller) (*changefeed.Follower, func() []string) {
 	var mutex sync.Mutex
-	var told []string
+	var reported []string
 	follower := changefeed.NewFollower("me", "a", func(entries, sound []string) {
 		mutex.Lock()
 		defer mutex.Unlock()
-		told = append(slices.Clone(entries), sound...)
+		reported = append(slices.Clone(entries), sound...)
 	})
 	follower.SetTellers(tellers)
 	return follower, func() []string {
 		mutex.Lock()
 		defer mutex.Unlock()
-		return told
+		return reported
 	}
 }
 
-func TestAQuestionIsAnsweredAsSoonAsThereIsAChange(t *testing.T) {
-	source := newSource(at(4))
-	follower, told := follow(changefeed.Teller{Name: "x", Zone: "a", Address: serve(t, source)})
-	changes, err := follower.Next(t.Context(), question(3, time.Second))
+func TestRequestReturnsAtFirstChange(t *testing.T) {
+	source := newSource(changeAt(4))
+	follower, entries := newFollower(changefeed.Teller{Name: "x", Zone: "a", Address: serve(t, source)})
+	changes, err := follower.Next(t.Context(), requestAfter(3, time.Second))
 	if err != nil || changes.Revision != 4 || len(changes.Changed) != 1 {
 		t.Fatalf("got %+v, %v", changes, err)
 	}
-	if entries := told(); !slices.Equal(entries, []string{"entry", "new", "entry"}) {
-		t.Errorf("told the entries %v", entries)
+	if reported := entries(); !slices.Equal(reported, []string{"entry", "new", "entry"}) {
+		t.Errorf("told the entries %v", reported)
 	}
-	time.AfterFunc(50*time.Millisecond, func() { source.set(at(5)) })
-	begun := time.Now()
-	if changes, err = follower.Next(t.Context(), question(4, 5*time.Second)); err != nil || changes.Revision != 5 || time.Since(begun) > 2*time.Second {
-		t.Errorf("got %+v, %v after %s", changes, err, time.Since(begun))
+	time.AfterFunc(50*time.Millisecond, func() { source.set(changeAt(5)) })
+	started := time.Now()
+	if changes, err = follower.Next(t.Context(), requestAfter(4, 5*time.Second)); err != nil || changes.Revision != 5 || time.Since(started) > 2*time.Second {
+		t.Errorf("got %+v, %v after %s", changes, err, time.Since(started))
 	}
-	if changes, err = follower.Next(t.Context(), question(5, 20*time.Millisecond)); err != nil || len(changes.Changed) != 0 {
+	if changes, err = follower.Next(t.Context(), requestAfter(5, 20*time.Millisecond)); err != nil || len(changes.Changed) != 0 {
 		t.Errorf("without a change: %+v, %v", changes, err)
 	}
 }
 
-func TestTellersOfTheOwnZoneAreAskedByTurnsAndOthersWhenTheyFail(t *testing.T) {
-	near, otherNear, far := newSource(at(4)), newSource(at(4)), newSource(at(4))
-	follower, _ := follow(
-		changefeed.Teller{Name: "near", Zone: "a", Address: serve(t, near)},
-		changefeed.Teller{Name: "otherNear", Zone: "a", Address: serve(t, otherNear)},
-		changefeed.Teller{Name: "far", Zone: "b", Address: serve(t, far)},
+func TestUpstreamsOfOwnZoneAlternateAndFailOver(t *testing.T) {
+	sameZone, otherSameZone, otherZone := newSource(changeAt(4)), newSource(changeAt(4)), newSource(changeAt(4))
+	follower, _ := newFollower(
+		changefeed.Teller{Name: "near", Zone: "a", Address: serve(t, sameZone)},
+		changefeed.Teller{Name: "otherNear", Zone: "a", Address: serve(t, otherSameZone)},
+		changefeed.Teller{Name: "far", Zone: "b", Address: serve(t, otherZone)},
 		changefeed.Teller{Name: "me", Zone: "a", Address: "127.0.0.1:1"},
 	)
-	ask := func(times int) {
+	request := func(times int) {
 		t.Helper()
 		for range times {
-			if _, err := follower.Next(t.Context(), question(3, 0)); err != nil {
+			if _, err := follower.Next(t.Context(), requestAfter(3, 0)); err != nil {
 				t.Fatal(err)
 			}
 		}
 	}
-	ask(4)
-	if near.count() != 2 || otherNear.count() != 2 || far.count() != 0 {
-		t.Errorf("asked %d, %d and %d times", near.count(), otherNear.count(), far.count())
+	request(4)
+	if sameZone.count() != 2 || otherSameZone.count() != 2 || otherZone.count() != 0 {
+		t.Errorf("asked %d, %d and %d times", sameZone.count(), otherSameZone.count(), otherZone.count())
 	}
-	near.silent, otherNear.silent = true, true
-	if _, err := follower.Next(t.Context(), question(3, 0)); !errors.Is(err, store.ErrNoUpstream) {
+	sameZone.unavailable, otherSameZone.unavailable = true, true
+	if _, err := follower.Next(t.Context(), requestAfter(3, 0)); !errors.Is(err, store.ErrNoUpstream) {
 		t.Errorf("both near ones are silent: %v", err)
 	}
-	ask(3)
-	if far.count() != 3 {
-		t.Errorf("the far one was asked %d times", far.count())
+	request(3)
+	if otherZone.count() != 3 {
+		t.Errorf("the far one was asked %d times", otherZone.count())
 	}
 }
 
-func TestTheStoreIsTriedNowAndThenWhenAllHaveLostIt(t *testing.T) {
-	lost := at(4)
+func TestStoreIsTriedWhileAllUpstreamsLostIt(t *testing.T) {
+	lost := changeAt(4)
 	lost.StoreUnavailable = true
 	address := serve(t, newSource(lost))
-	follower, _ := follow(
+	follower, _ := newFollower(
 		changefeed.Teller{Name: "x", Zone: "a", Address: address}, changefeed.Teller{Name: "y", Zone: "a", Address: serve(t, newSource(lost))},
 	)
-	if _, err := follower.Next(t.Context(), question(3, 0)); !errors.Is(err, store.ErrNoUpstream) {
+	if _, err := follower.Next(t.Context(), requestAfter(3, 0)); !errors.Is(err, store.ErrNoUpstream) {
 		t.Errorf("at first the store is to be tried: %v", err)
 	}
-	if changes, err := follower.Next(t.Context(), question(3, 0)); err != nil || !changes.StoreUnavailable {
+	if changes, err := follower.Next(t.Context(), requestAfter(3, 0)); err != nil || !changes.StoreUnavailable {
 		t.Errorf("then the one that has lost it is good enough: %+v, %v", changes, err)
 	}
 }
 
 // TestAQuestionThatWaitsIsAnsweredWhenItsContextEnds, as when the teller stops: its caller is still there, and an answer without a body
 // would be taken for a broken one.
-func TestAQuestionThatWaitsIsAnsweredWhenItsContextEnds(t *testing.T) {
+func TestPendingRequestIsAnsweredWhenContextEnds(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
 	recorder := httptest.NewRecorder()
-	handler := changefeed.Handler(newSource(at(4)), func() (all, sound []string) { return nil, nil })
+	handler := changefeed.Handler(newSource(changeAt(4)), func() (all, live []string) { return nil, nil })
 	handler.ServeHTTP(recorder, httptest.NewRequestWithContext(ctx, http.MethodGet, "/changes?after=4&hold=5000", nil))
 	if body := recorder.Body.String(); recorder.Code != http.StatusOK || !strings.HasPrefix(body, "{") {
 		t.Errorf("got %d %q", recorder.Code, body)
 	}
 }
 
-func TestBadQuestionsAreSaidSo(t *testing.T) {
-	address := serve(t, newSource(at(4)))
+func TestInvalidRequestsAreRejected(t *testing.T) {
+	address := serve(t, newSource(changeAt(4)))
 	for _, query := range []string{"", "?after=x&hold=0", "?after=1&hold=-1"} {
 		response, err := http.Get("http://" + address + "/changes" + query)
 		if err != nil {
@@ -193,40 +193,40 @@
 
 // TestATellerThatTheStoreDoesNotAnswerIsLeftForOthers guards against a configuration that those of a zone hear of late: both entries of the
 // zone were cut off from the store, which shows only once their calls have run into time-outs, and answered until then that nothing is new.
-func TestATellerThatTheStoreDoesNotAnswerIsLeftForOthers(t *testing.T) {
-	unanswered := func(ms int64) store.Changes { return store.Changes{Revision: 4, StoreSilence: &ms} }
-	near, otherNear, far := newSource(unanswered(500)), newSource(unanswered(500)), newSource(at(9))
-	follower, _ := follow(
-		changefeed.Teller{Name: "near", Zone: "a", Address: serve(t, near)},
-		changefeed.Teller{Name: "otherNear", Zone: "a", Address: serve(t, otherNear)},
-		changefeed.Teller{Name: "far", Zone: "b", Address: serve(t, far)},
+func TestUpstreamCutOffFromStoreIsReplaced(t *testing.T) {
+	silentFor := func(ms int64) store.Changes { return store.Changes{Revision: 4, StoreSilence: &ms} }
+	sameZone, otherSameZone, otherZone := newSource(silentFor(500)), newSource(silentFor(500)), newSource(changeAt(9))
+	follower, _ := newFollower(
+		changefeed.Teller{Name: "near", Zone: "a", Address: serve(t, sameZone)},
+		changefeed.Teller{Name: "otherNear", Zone: "a", Address: serve(t, otherSameZone)},
+		changefeed.Teller{Name: "far", Zone: "b", Address: serve(t, otherZone)},
 	)
 	follower.SetBound(2 * time.Second)
-	if changes, err := follower.Next(t.Context(), question(4, 0)); err != nil || changes.Revision != 4 {
+	if changes, err := follower.Next(t.Context(), requestAfter(4, 0)); err != nil || changes.Revision != 4 {
 		t.Errorf("the store answered them half a second ago: %+v, %v", changes, err)
 	}
-	near.set(unanswered(1600))
-	otherNear.set(unanswered(1700))
-	if changes, err := follower.Next(t.Context(), question(4, 0)); err != nil || changes.Revision != 9 {
+	sameZone.set(silentFor(1600))
+	otherSameZone.set(silentFor(1700))
+	if changes, err := follower.Next(t.Context(), requestAfter(4, 0)); err != nil || changes.Revision != 9 {
 		t.Errorf("both of the zone are cut off, and one of another zone is asked: %+v, %v", changes, err)
 	}
-	far.set(unanswered(1800))
-	if _, err := follower.Next(t.Context(), question(4, 0)); !errors.Is(err, store.ErrNoUpstream) {
+	otherZone.set(silentFor(1800))
+	if _, err := follower.Next(t.Context(), requestAfter(4, 0)); !errors.Is(err, store.ErrNoUpstream) {
 		t.Errorf("all are cut off, and the store may be tried: %v", err)
 	}
-	if changes, err := follower.Next(t.Context(), question(4, 0)); err != nil || changes.StoreSilence == nil {
+	if changes, err := follower.Next(t.Context(), requestAfter(4, 0)); err != nil || changes.StoreSilence == nil {
 		t.Errorf("if the store answers nobody, they are good enough: %+v, %v", changes, err)
 	}
 }
 
 // TestChangesThatDoNotConcernTheAskerAreNotTold has a teller wake those that wait for changes of which they are told nothing.
-func TestChangesThatDoNotConcernTheAskerAreNotTold(t *testing.T) {
-	source := newSource(at(4))
-	follower, _ := follow(changefeed.Teller{Name: "x", Zone: "a", Address: serve(t, source)})
+func TestUnrelatedChangesDoNotEndRequest(t *testing.T) {
+	source := newSource(changeAt(4))
+	follower, _ := newFollower(changefeed.Teller{Name: "x", Zone: "a", Address: serve(t, source)})
 	time.AfterFunc(30*time.Millisecond, func() { source.set(store.Changes{Revision: 4}) })
-	begun := time.Now()
-	changes, err := follower.Next(t.Context(), question(4, 150*time.Millisecond))
-	if waited := time.Since(begun); err != nil || len(changes.Changed) != 0 || waited < 140*time.Millisecond {
+	started := time.Now()
+	changes, err := follower.Next(t.Context(), requestAfter(4, 150*time.Millisecond))
+	if waited := time.Since(started); err != nil || len(changes.Changed) != 0 || waited < 140*time.Millisecond {
 		t.Errorf("got %+v, %v after %s", changes, err, waited)
 	}
 }
--- a/internal/changefeed/snapshot_test.go
+++ b/internal/changefeed/snapshot_test.go
@@ -22,21 +22,21 @@
 }
 
 // gateway serves a snapshot of a revision, or none when it is negative, and returns its address.
-func gateway(t *testing.T, revision store.Revision) string {
+func serveSnapshot(t *testing.T, revision store.Revision) string {
 	t.Helper()
-	server := httptest.NewServer(changefeed.Handler(snapshotSource{revision: revision}, func() (all, sound []string) { return nil, nil }))
+	server := httptest.NewServer(changefeed.Handler(snapshotSource{revision: revision}, func() (all, live []string) { return nil, nil }))
 	t.Cleanup(server.Close)
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
 // TestFetchTakesTheNewestAnswer asks gateways of which some know less, nothing, or are gone.
-func TestFetchTakesTheNewestAnswer(t *testing.T) {
+func TestFetchReturnsNewestSnapshot(t *testing.T) {
 	gone := httptest.NewServer(http.NotFoundHandler())
 	gone.Close()
 	nonsense := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("{")) }))
 	t.Cleanup(nonsense.Close)
 	seeds := []string{
-		gateway(t, 4), gateway(t, 9), gateway(t, -1), strings.TrimPrefix(gone.URL, "http://"), strings.TrimPrefix(nonsense.URL, "http://"),
+		serveSnapshot(t, 4), serveSnapshot(t, 9), serveSnapshot(t, -1), strings.TrimPrefix(gone.URL, "http://"), strings.TrimPrefix(nonsense.URL, "http://"),
 	}
 	got, err := changefeed.NewSeeds(seeds).Fetch(t.Context())
 	if err != nil {
@@ -48,8 +48,8 @@
 }
 
 // TestFetchSaysWhenNobodyKnows asks a gateway that has only started.
-func TestFetchSaysWhenNobodyKnows(t *testing.T) {
-	if _, err := changefeed.NewSeeds([]string{gateway(t, -1)}).Fetch(t.Context()); err == nil || !strings.Contains(err.Error(), "ask other gateways") {
+func TestFetchFailsWithoutSnapshots(t *testing.T) {
+	if _, err := changefeed.NewSeeds([]string{serveSnapshot(t, -1)}).Fetch(t.Context()); err == nil || !strings.Contains(err.Error(), "ask other gateways") {
 		t.Errorf("got %v", err)
 	}
 	if _, err := changefeed.NewSeeds(nil).Fetch(t.Context()); err == nil {
