--- a/internal/changefeed/changefeed.go
+++ b/internal/changefeed/changefeed.go
@@ -1,6 +1,6 @@
-// Package changefeed lets gateways learn from each other what the store holds: one that starts while the store is away begins
-// with what another one knows, and those that stand by follow one that follows the store, so that the calls to the store grow
-// with the gateways that take requests and not with the fleet.
+// Package changefeed lets gateways get the items of the store from each other. A gateway that starts while the store is
+// unavailable begins with the snapshot of another one. Standby gateways request changes from entries that follow the
+// store, so that the load on the store grows with the number of entries and not with the fleet.
 package changefeed
 
 import (
@@ -18,11 +18,10 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// pathChanges is where gateways tell what has changed.
+// pathChanges is the path that serves changes.
 const pathChanges = "/changes"
 
-// Parameters of a question for changes: the number of a revision and its era, for how many milliseconds an answer may be held until there is something to tell, and of
-// what the asker knows a part: the number of shards, its seat among them, the last key that is known besides, and whether all is wanted.
+// Query parameters of a request for changes, the encoding of store.ChangesRequest. Wait is in milliseconds.
 const (
 	paramAfter         = "after"
 	paramEra           = "era"
@@ -33,20 +32,21 @@
 	paramAllShards     = "all"
 )
 
-// maxWait bounds the wait of one question.
+// maxWait bounds the wait of a request.
 const maxWait = 10 * time.Second
 
-// Source is what a gateway tells.
+// Source provides the items that a gateway serves to others.
 type Source interface {
-	// Snapshot returns everything, or false when nothing is known.
+	// Snapshot returns all items, or false if none are known yet.
 	Snapshot() (store.Snapshot, bool)
-	// Changes returns what the one that asks does not know, or false when the gateway does not follow the store itself.
+	// Changes returns the changes that the requester lacks, or false if the gateway does not follow the store itself.
 	Changes(request store.ChangesRequest) (store.Changes, bool)
-	// Changed returns a channel that is closed when there is more to tell.
+	// Changed returns a channel that is closed when Changes may return more.
 	Changed() <-chan struct{}
 }
 
-// Handler answers what this gateway knows. Entries names those of this gateway, and which of them it has heard.
+// Handler serves snapshots and changes. The function entries returns the names of the entries known to this gateway,
+// and of those that it received heartbeats from.
 func Handler(source Source, entries func() (all, live []string)) http.Handler {
 	mux := http.NewServeMux()
 	large := make(chan struct{}, maxLargeResponses)
@@ -55,11 +55,11 @@
 	return mux
 }
 
-// largeAtOnce is how many answers with everything, or with a whole shard, are on their way at a moment: hundreds of gateways may ask for them
-// at once, and each answer takes some megabytes until it is sent.
+// maxLargeResponses bounds the concurrent responses with all items or a whole shard: hundreds of gateways may request
+// them at once, and each occupies some megabytes while it is sent.
 const maxLargeResponses = 16
 
-// tellChanges answers one question for changes.
+// serveChanges handles a request for changes.
 func serveChanges(
 	w http.ResponseWriter, r *http.Request, source Source, entries func() (all, live []string), large chan struct{},
 ) {
@@ -75,7 +75,7 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	if changes.Full || changes.FullShard {
-		// The one that asks hears that its answer comes, and waits for it as long as for a body. An error is that of a peer that has left.
+		// The header tells the requester to wait for the body. A flush error means that the peer has disconnected.
 		_ = http.NewResponseController(w).Flush()
 		select {
 		case large <- struct{}{}:
@@ -83,19 +83,20 @@
 		case <-r.Context().Done():
 			return
 		}
-		// What was gathered before the wait may be old by now. An answer without a body tells nothing.
+		// Get the changes again, as they may be outdated after the wait. Without a body, the requester rejects the
+		// response.
 		if changes, served = source.Changes(request); !served {
 			return
 		}
 	}
 	changes.Entries, changes.Live = entries()
-	// An error is that of a peer that has left.
+	// An error means that the peer has disconnected.
 	_ = json.NewEncoder(w).Encode(changes)
 }
 
-// await returns what is to be told, as soon as there is something that is waited for or after the wait of a question. Changes that do not
-// concern the one that asks, and there are many of them in a large fleet, wake nobody else; and a fleet that starts is told of all that come
-// a few times a second at the most.
+// awaitChanges returns the changes as soon as one is urgent or the entries change, and otherwise after the wait of the
+// request. Changes that do not concern the requester, which are frequent in large fleets, do not end the wait; and
+// deferrable changes, of which a starting fleet produces many, are batched.
 func awaitChanges(
 	ctx context.Context, request store.ChangesRequest, source Source, entries func() (all, live []string),
 ) (store.Changes, bool) {
@@ -114,7 +115,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			// Its caller has left, or this gateway stops and has no news for a caller who still waits.
+			// The peer has disconnected, or this gateway is stopping and sends what it has to a peer that still waits.
 			return source.Changes(request)
 		case <-timer.C:
 			return source.Changes(request)
@@ -123,11 +124,12 @@
 	}
 }
 
-// errQuestion says what a question has to be.
+// errBadRequest describes the valid parameters.
 var errBadRequest = errors.New(paramAfter + ", " + paramEra + ", " + paramWait + ", " + paramShards + " and " + paramShardHash + " have to be whole numbers, all but " +
 	paramAfter + " of at least 0, " + paramShards + " zero or a power of two")
 
-// questionOf reads a question. What a question does not say of shards is that of one that knows all.
+// parseRequest parses the parameters of a request. Requests without shard parameters come from gateways that hold all
+// items.
 func parseRequest(query url.Values) (store.ChangesRequest, error) {
 	request := store.ChangesRequest{Shards: 1, ListedThrough: query.Get(paramListedThrough), AllShards: query.Get(paramAllShards) != ""}
 	after, afterErr := strconv.ParseInt(query.Get(paramAfter), 10, 64)
@@ -151,8 +153,8 @@
 		}
 		request.Shards = int(number)
 	}
-	if seat := query.Get(paramShardHash); seat != "" {
-		number, err := strconv.ParseUint(seat, 10, 64)
+	if shardHash := query.Get(paramShardHash); shardHash != "" {
+		number, err := strconv.ParseUint(shardHash, 10, 64)
 		if err != nil {
 			return request, errBadRequest
 		}
@@ -161,7 +163,7 @@
 	return request, nil
 }
 
-// queryOf spells a question.
+// encodeRequest returns the parameters of a request.
 func encodeRequest(request store.ChangesRequest) url.Values {
 	query := url.Values{
 		paramAfter: {strconv.FormatInt(request.After.Number(), 10)}, paramEra: {strconv.FormatInt(request.After.Era(), 10)}, paramWait: {strconv.FormatInt(request.Wait.Milliseconds(), 10)},
@@ -176,36 +178,38 @@
 	return query
 }
 
-// Times of an answer.
+// Timeouts of a response.
 const (
-	// answerSlack is how much longer than its wait the head of an answer may take.
+	// headerSlack is how much longer than the wait of the request the response header may take.
 	headerSlack = 350 * time.Millisecond
-	// bodyTime is how long the rest may take: the changes of a whole shard and of the list of gateways, some hundred kilobytes, over a link of
-	// ten megabits a second that others use, too. A shorter time would have each gateway that is not served within it list the store.
+	// bodyTimeout bounds the rest of the response. A whole shard and the list of gateways are some hundred kilobytes,
+	// which may have to share a link of 10 Mbit/s. With a shorter timeout, every gateway that exceeds it would list the
+	// store.
 	bodyTimeout = 4 * time.Second
 )
 
-// changes asks one gateway a question.
-func (a peerClient) requestChanges(ctx context.Context, address string, request store.ChangesRequest) (store.Changes, error) {
+// requestChanges requests changes from a gateway.
+func (c peerClient) requestChanges(ctx context.Context, address string, request store.ChangesRequest) (store.Changes, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	timer := time.AfterFunc(request.Wait+headerSlack, cancel)
 	defer timer.Stop()
 	var changes store.Changes
-	err := a.get(ctx, address, pathChanges+"?"+encodeRequest(request).Encode(), &changes, func() { timer.Reset(bodyTimeout) })
+	err := c.get(ctx, address, pathChanges+"?"+encodeRequest(request).Encode(), &changes, func() { timer.Reset(bodyTimeout) })
 	changes.Adopt(request.After.Era())
-	return changes, errors.Wrapf(err, "step ask for changes, peer %s", address)
+	return changes, errors.Wrapf(err, "request changes, peer %s", address)
 }
 
-// asker asks other gateways.
+// peerClient sends requests to other gateways.
 type peerClient struct{ client *httpclient.Client }
 
-// errNotTold is returned for an answer that tells nothing.
-var errUnavailable = errors.New("the gateway does not tell")
+// errUnavailable is returned if a gateway responds with an error status.
+var errUnavailable = errors.New("the gateway does not serve the requested data")
 
-// ask asks one question and decodes the answer. Begun is called once its head is there; nil calls nothing.
-func (a peerClient) get(ctx context.Context, address, target string, result any, onHeader func()) error {
-	response, err := a.client.Do(ctx, address, &httpclient.Request{
+// get sends a request and decodes the response into result. It calls onHeader, which may be nil, after the response
+// header.
+func (c peerClient) get(ctx context.Context, address, target string, result any, onHeader func()) error {
+	response, err := c.client.Do(ctx, address, &httpclient.Request{
 		Method: http.MethodGet, Target: target, Host: address, Header: http.Header{},
 	})
 	if err != nil {
--- a/internal/changefeed/changefeed_test.go
+++ b/internal/changefeed/changefeed_test.go
@@ -16,7 +16,7 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// changingSource tells changes that a test sets.
+// fakeSource serves changes that a test sets.
 type fakeSource struct {
 	changefeed.Source
 	mutex       sync.Mutex
@@ -47,7 +47,7 @@
 	return s.changed
 }
 
-// set replaces what is told.
+// set replaces the changes and notifies waiters.
 func (s *fakeSource) set(changes store.Changes) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -56,14 +56,14 @@
 	s.changed = make(chan struct{})
 }
 
-// count returns how often the source was asked.
+// count returns the number of requests.
 func (s *fakeSource) count() int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.requests
 }
 
-// serve serves a source with one entry and returns its address.
+// serve serves a source with one live entry and returns its address.
 func serve(t *testing.T, source changefeed.Source) string {
 	t.Helper()
 	server := httptest.NewServer(changefeed.Handler(source, func() (all, live []string) { return []string{"entry", "new"}, []string{"entry"} }))
@@ -71,17 +71,17 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// question asks what came after a revision.
+// requestAfter returns a request for the changes after a revision.
 func requestAfter(after store.Revision, wait time.Duration) store.ChangesRequest {
 	return store.ChangesRequest{After: after, Wait: wait, Shards: 1}
 }
 
-// at returns changes of one item.
+// changeAt returns the change of one item.
 func changeAt(revision store.Revision) store.Changes {
 	return store.Changes{Changed: []store.Event{{Item: store.Item{Key: "k", Revision: revision}}}, Revision: revision}
 }
 
-// follow returns a follower in zone a of these tellers, and the entries that it was told.
+// newFollower returns a follower in zone a, and a function that returns the entries it reported.
 func newFollower(tellers ...changefeed.Teller) (*changefeed.Follower, func() []string) {
 	var mutex sync.Mutex
 	var reported []string
@@ -106,7 +106,7 @@
 		t.Fatalf("got %+v, %v", changes, err)
 	}
 	if reported := entries(); !slices.Equal(reported, []string{"entry", "new", "entry"}) {
-		t.Errorf("told the entries %v", reported)
+		t.Errorf("reported entries %v", reported)
 	}
 	time.AfterFunc(50*time.Millisecond, func() { source.set(changeAt(5)) })
 	started := time.Now()
@@ -114,7 +114,7 @@
 		t.Errorf("got %+v, %v after %s", changes, err, time.Since(started))
 	}
 	if changes, err = follower.Next(t.Context(), requestAfter(5, 20*time.Millisecond)); err != nil || len(changes.Changed) != 0 {
-		t.Errorf("without a change: %+v, %v", changes, err)
+		t.Errorf("without a change: got %+v, %v", changes, err)
 	}
 }
 
@@ -136,15 +136,15 @@
 	}
 	request(4)
 	if sameZone.count() != 2 || otherSameZone.count() != 2 || otherZone.count() != 0 {
-		t.Errorf("asked %d, %d and %d times", sameZone.count(), otherSameZone.count(), otherZone.count())
+		t.Errorf("got %d, %d and %d requests", sameZone.count(), otherSameZone.count(), otherZone.count())
 	}
 	sameZone.unavailable, otherSameZone.unavailable = true, true
 	if _, err := follower.Next(t.Context(), requestAfter(3, 0)); !errors.Is(err, store.ErrNoUpstream) {
-		t.Errorf("both near ones are silent: %v", err)
+		t.Errorf("both upstreams of the zone are unavailable: got error %v", err)
 	}
 	request(3)
 	if otherZone.count() != 3 {
-		t.Errorf("the far one was asked %d times", otherZone.count())
+		t.Errorf("the upstream of the other zone got %d requests", otherZone.count())
 	}
 }
 
@@ -156,15 +156,15 @@
 		changefeed.Teller{Name: "x", Zone: "a", Address: address}, changefeed.Teller{Name: "y", Zone: "a", Address: serve(t, newSource(lost))},
 	)
 	if _, err := follower.Next(t.Context(), requestAfter(3, 0)); !errors.Is(err, store.ErrNoUpstream) {
-		t.Errorf("at first the store is to be tried: %v", err)
+		t.Errorf("first request: got error %v, want an attempt to use the store", err)
 	}
 	if changes, err := follower.Next(t.Context(), requestAfter(3, 0)); err != nil || !changes.StoreUnavailable {
-		t.Errorf("then the one that has lost it is good enough: %+v, %v", changes, err)
+		t.Errorf("second request: got %+v, %v, want changes of the upstream that lost the store", changes, err)
 	}
 }
 
-// TestAQuestionThatWaitsIsAnsweredWhenItsContextEnds, as when the teller stops: its caller is still there, and an answer without a body
-// would be taken for a broken one.
+// TestPendingRequestIsAnsweredWhenContextEnds guards against a response without a body, which peers reject, when a
+// gateway stops.
 func TestPendingRequestIsAnsweredWhenContextEnds(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 	defer cancel()
@@ -191,8 +191,8 @@
 	}
 }
 
-// TestATellerThatTheStoreDoesNotAnswerIsLeftForOthers guards against a configuration that those of a zone hear of late: both entries of the
-// zone were cut off from the store, which shows only once their calls have run into time-outs, and answered until then that nothing is new.
+// TestUpstreamCutOffFromStoreIsReplaced guards against late configurations when both entries of a zone are cut off from
+// the store. Until their calls to the store time out, they respond that there are no changes.
 func TestUpstreamCutOffFromStoreIsReplaced(t *testing.T) {
 	silentFor := func(ms int64) store.Changes { return store.Changes{Revision: 4, StoreSilence: &ms} }
 	sameZone, otherSameZone, otherZone := newSource(silentFor(500)), newSource(silentFor(500)), newSource(changeAt(9))
@@ -203,23 +203,24 @@
 	)
 	follower.SetBound(2 * time.Second)
 	if changes, err := follower.Next(t.Context(), requestAfter(4, 0)); err != nil || changes.Revision != 4 {
-		t.Errorf("the store answered them half a second ago: %+v, %v", changes, err)
+		t.Errorf("store silent for 0.5 s: got %+v, %v", changes, err)
 	}
 	sameZone.set(silentFor(1600))
 	otherSameZone.set(silentFor(1700))
 	if changes, err := follower.Next(t.Context(), requestAfter(4, 0)); err != nil || changes.Revision != 9 {
-		t.Errorf("both of the zone are cut off, and one of another zone is asked: %+v, %v", changes, err)
+		t.Errorf("own zone cut off: got %+v, %v, want changes of the other zone", changes, err)
 	}
 	otherZone.set(silentFor(1800))
 	if _, err := follower.Next(t.Context(), requestAfter(4, 0)); !errors.Is(err, store.ErrNoUpstream) {
-		t.Errorf("all are cut off, and the store may be tried: %v", err)
+		t.Errorf("all cut off: got error %v, want an attempt to use the store", err)
 	}
 	if changes, err := follower.Next(t.Context(), requestAfter(4, 0)); err != nil || changes.StoreSilence == nil {
-		t.Errorf("if the store answers nobody, they are good enough: %+v, %v", changes, err)
+		t.Errorf("all cut off, store tried: got %+v, %v, want changes of a cut-off upstream", changes, err)
 	}
 }
 
-// TestChangesThatDoNotConcernTheAskerAreNotTold has a teller wake those that wait for changes of which they are told nothing.
+// TestUnrelatedChangesDoNotEndRequest checks that a request is not answered early when a change does not concern the
+// requester.
 func TestUnrelatedChangesDoNotEndRequest(t *testing.T) {
 	source := newSource(changeAt(4))
 	follower, _ := newFollower(changefeed.Teller{Name: "x", Zone: "a", Address: serve(t, source)})
--- a/internal/changefeed/follower.go
+++ b/internal/changefeed/follower.go
@@ -12,37 +12,41 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// Teller is a gateway that can be asked for changes.
+// Teller is a gateway that serves changes.
 type Teller struct {
 	Name string
 	Zone string
-	// Address of its control interface, host:port.
+	// Address is the address of the control interface, host:port.
 	Address string
 }
 
-// Follower asks gateways that follow the store what has changed, those of its own zone by turns, so that one that has fallen
-// behind does not keep it back. It implements store.Feed.
+// Follower requests changes from gateways that follow the store. It alternates between those of its own zone, so that
+// one that lags behind does not delay it. It implements store.Feed.
 type Follower struct {
 	peerClient
 	name, zone string
-	// told is called with the names of the entries in each answer, and of those that the teller has heard.
+	// onEntries is called with the entries named in each response, and those that the upstream received heartbeats
+	// from.
 	onEntries func(entries, live []string)
 
-	// mu guards what follows.
+	// mu protects the following fields.
 	mu        sync.Mutex
 	upstreams []Teller
-	// avoided holds until when a teller that failed is asked only if there is no other one.
+	// failedUntil holds until when to skip upstreams that failed, by address.
 	failedUntil map[string]time.Time
-	// doubted holds until when a teller that has lost the store, or seems to, is asked only if there is no better one.
+	// storeLostUntil holds until when to prefer others to upstreams that cannot reach the store, by address.
 	storeLostUntil map[string]time.Time
-	turn           int
-	// storeAfter is when the store itself may be tried, while all tellers have lost it.
+	// turn selects among equally suitable upstreams in rotation.
+	turn int
+	// nextStoreAttempt is when this gateway may next try the store itself while no upstream can reach it.
 	nextStoreAttempt time.Time
-	// answeredWithin is how lately the store has to have answered a teller; zero bounds nothing.
+	// maxStoreSilence is the time after the last response of the store to an upstream after which that is considered
+	// cut off; zero disables the check.
 	maxStoreSilence time.Duration
 }
 
-// NewFollower returns the follower of a gateway. Told is given the entries that each answer names.
+// NewFollower returns a follower for the gateway with the given name and zone. It calls onEntries with the entries that
+// each response names, and those that the upstream received heartbeats from.
 func NewFollower(name, zone string, onEntries func(entries, live []string)) *Follower {
 	settings := httpclient.DefaultSettings()
 	settings.MaxIdlePerAddress = 1
@@ -53,17 +57,17 @@
 	}
 }
 
-// idleTime is how long a connection to a teller rests: several questions of two tellers by turns.
+// idleTimeout is how long idle connections to upstreams are kept: several requests to two alternating upstreams.
 const idleTimeout = 10 * time.Second
 
-// spread returns a number by which followers begin with different tellers.
+// initialTurn returns the initial turn, which spreads followers over the upstreams.
 func initialTurn(name string) int {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(name))
 	return int(hash.Sum32() >> 1)
 }
 
-// SetTellers replaces the gateways that may be asked.
+// SetTellers sets the gateways to request changes from. Those without an address and this gateway are ignored.
 func (f *Follower) SetTellers(upstreams []Teller) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -75,44 +79,47 @@
 	}
 }
 
-// answeredShare is the part of the time within which changes have to be known after which a teller that the store does not answer counts as
-// cut off from it. A teller renews its registration each second, so that a sound one is younger; and what is left of the time is enough to
-// ask another one.
+// storeSilenceFraction is the fraction of the propagation bound after which an upstream without response from the store
+// is considered cut off. Upstreams renew their registration every second, so healthy ones are well below it, and the
+// rest of the bound suffices to query another one.
 const storeSilenceFraction = 0.75
 
-// SetBound tells within which time changes have to be known.
+// SetBound sets the time within which all gateways must know a change.
 func (f *Follower) SetBound(bound time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.maxStoreSilence = time.Duration(storeSilenceFraction * float64(bound))
 }
 
-// isCutOff tells whether the store has not answered a teller for long, although that does not know yet that it has lost it.
+// isCutOff reports whether the upstream has not had a response from the store for too long, though it may not have
+// noticed yet.
 func (f *Follower) isCutOff(changes store.Changes) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.maxStoreSilence > 0 && changes.StoreSilence != nil && time.Duration(*changes.StoreSilence)*time.Millisecond > f.maxStoreSilence
 }
 
-// Times of a follower.
+// Timing and limits of a follower.
 const (
-	// avoidTime is how long a teller that failed is passed over; as long as a killed process takes to start again.
+	// failurePause is how long an upstream that failed is skipped: the time that a killed process takes to restart.
 	failurePause = 2 * time.Second
-	// startTime is how long one is passed over that tells nothing yet: it lists the store, or finds out that it is asked.
+	// startupPause is how long an upstream is skipped that serves no changes yet, because it is still listing the store
+	// or does not know that it is an entry.
 	startupPause = 300 * time.Millisecond
-	// doubtTime is how long one that has lost the store is put behind others: an outage of some machines lasts longer, and so does what
-	// it takes to notice it, but when all have lost the store each may be the first to have it back.
+	// storeLostPause is how long others are preferred to an upstream that cannot reach the store. It is shorter than a
+	// partial outage and the time to detect one, since after a full outage any upstream may be the first to reach the
+	// store again.
 	storeLostPause = 500 * time.Millisecond
-	// mostAsked bounds the tellers that are asked before the store is, and mostFailed those of them that do not answer: each takes longer than
-	// a question.
+	// maxRequests limits the upstreams queried before the store is tried, and maxFailures those of them that fail, each
+	// of which takes longer than a request.
 	maxRequests = 4
 	maxFailures = 2
-	// storePause is how often the store itself is tried while all tellers have lost it.
+	// storeAttemptInterval is the interval between attempts to use the store while no upstream can reach it.
 	storeAttemptInterval = 2500 * time.Millisecond
 )
 
-// Next is part of store.Feed. A teller that has lost the store, or seems to be cut off from it, is good enough only while no other one is
-// better off and the store itself is not to be tried.
+// Next implements store.Feed. It returns changes of an upstream that is cut off from the store only if no better one
+// answers and the store itself is not due for an attempt.
 func (f *Follower) Next(ctx context.Context, request store.ChangesRequest) (store.Changes, error) {
 	var degraded *store.Changes
 	failed := 0
@@ -123,7 +130,7 @@
 		}
 		changes, err := f.requestChanges(ctx, upstream.Address, request)
 		if err != nil {
-			// The next one is asked; that this one does not tell shows in the entries of its peers.
+			// Try the next upstream. Heartbeats between the entries reveal that this one failed.
 			f.markFailed(upstream, err)
 			failed++
 			continue
@@ -132,7 +139,8 @@
 		if !changes.StoreUnavailable && !f.isCutOff(changes) {
 			return changes, nil
 		}
-		// Others of its zone may have lost the store with it: those of other zones come next, and need not be waited for.
+		// Upstreams of the same zone may be cut off as well. Those of other zones are next and should answer without a
+		// wait.
 		f.markStoreLost(upstream)
 		degraded, request.Wait = &changes, 0
 	}
@@ -142,8 +150,9 @@
 	return store.Changes{}, store.ErrNoUpstream
 }
 
-// next returns the teller of a name, or without one that whose turn it is: one of the own zone, or else of any, that has not failed of late,
-// and that has not lost the store if there is one.
+// pickUpstream returns the upstream with a name, or for an empty name the next in turn: from the own zone if possible,
+// otherwise from any. It skips upstreams that failed recently, and returns one that cannot reach the store only if
+// there is no other.
 func (f *Follower) pickUpstream(now time.Time, name string) (Teller, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -169,14 +178,14 @@
 	return Teller{}, false
 }
 
-// doubt puts a teller behind the others for a while.
+// markStoreLost makes the follower prefer other upstreams for a while.
 func (f *Follower) markStoreLost(upstream Teller) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.storeLostUntil[upstream.Address] = time.Now().Add(storeLostPause)
 }
 
-// avoid passes a teller over for a while, given the error of its answer or nil.
+// markFailed makes the follower skip an upstream for a while after an error.
 func (f *Follower) markFailed(upstream Teller, err error) {
 	now, pause := time.Now(), failurePause
 	if errors.Is(err, errUnavailable) {
@@ -192,8 +201,8 @@
 	f.failedUntil[upstream.Address] = now.Add(pause)
 }
 
-// mayTryStore tells whether it is time to try the store itself although a teller has lost it: the store may turn away the tellers
-// and serve this gateway.
+// claimStoreAttempt reports whether this gateway should try the store itself although its upstreams cannot reach it,
+// since the store may serve this gateway. If so, it schedules the next attempt.
 func (f *Follower) claimStoreAttempt(now time.Time) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/changefeed/request_internal_test.go
+++ b/internal/changefeed/request_internal_test.go
@@ -8,12 +8,13 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// TestQuestionsNameTheirEra spells questions and reads them, and reads those of a build that names no era.
+// TestRequestsCarryEra checks that the era survives encoding and parsing, and that requests of builds without eras are
+// accepted.
 func TestRequestsCarryEra(t *testing.T) {
 	request := store.ChangesRequest{After: store.NewRevision(3, 7), Wait: time.Second, Shards: 1}
 	parsed, err := parseRequest(encodeRequest(request))
 	if err != nil || parsed.After != request.After || parsed.EraUnknown {
-		t.Errorf("read %+v, %v", parsed, err)
+		t.Errorf("parsed %+v, %v", parsed, err)
 	}
 	for query, want := range map[string]store.Revision{"after=7&hold=0": 7, "after=-1&hold=0": 0} {
 		values, _ := url.ParseQuery(query)
@@ -24,7 +25,7 @@
 	for _, query := range []string{"after=7&hold=0&era=-1", "after=7&hold=0&era=x", "after=7&hold=0&era=8192"} {
 		values, _ := url.ParseQuery(query)
 		if _, err := parseRequest(values); err == nil {
-			t.Errorf("%s is taken", query)
+			t.Errorf("%s: invalid era was accepted", query)
 		}
 	}
 }
--- a/internal/changefeed/snapshot.go
+++ b/internal/changefeed/snapshot.go
@@ -13,16 +13,16 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// pathSnapshot is where gateways tell everything they know.
+// pathSnapshot is the path that serves snapshots.
 const pathSnapshot = "/snapshot"
 
-// Bounds of one question.
+// Limits of a request.
 const (
 	snapshotTimeout  = 600 * time.Millisecond
 	maxResponseBytes = 32 << 20
 )
 
-// tellSnapshot answers everything that is known.
+// serveSnapshot handles a request for a snapshot.
 func serveSnapshot(w http.ResponseWriter, source Source) {
 	snapshot, found := source.Snapshot()
 	if !found {
@@ -30,30 +30,30 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	// An error is that of a peer that has left.
+	// An error means that the peer has disconnected.
 	_ = json.NewEncoder(w).Encode(snapshot)
 }
 
-// decode reads a bounded answer.
+// decode decodes a response body of limited size.
 func decode(body io.Reader, result any) error {
 	return json.NewDecoder(io.LimitReader(body, maxResponseBytes)).Decode(result)
 }
 
-// Seeds are gateways that are asked at a start for everything they know.
+// Seeds fetches a snapshot from other gateways when this one starts.
 type Seeds struct {
 	peerClient
 	addresses []string
 }
 
-// NewSeeds returns seeds at these addresses.
+// NewSeeds returns seeds with the addresses of gateways.
 func NewSeeds(addresses []string) *Seeds {
 	return &Seeds{peerClient: peerClient{httpclient.New(httpclient.DefaultSettings())}, addresses: addresses}
 }
 
-// errNobody is returned when no gateway answered.
-var errNoSeedAnswered = errors.New("step ask other gateways: nobody answered")
+// errNoSeedAnswered is returned if no gateway sent a snapshot.
+var errNoSeedAnswered = errors.New("fetch snapshot from other gateways: no gateway answered")
 
-// Fetch asks all seeds and returns the newest answer. It is a store.Fallback.
+// Fetch queries all gateways concurrently and returns the newest snapshot. It is a store.Fallback.
 func (s *Seeds) Fetch(ctx context.Context) (store.Snapshot, error) {
 	ctx, cancel := context.WithTimeout(ctx, snapshotTimeout)
 	defer cancel()
@@ -74,7 +74,7 @@
 	return *newest, nil
 }
 
-// snapshot asks one gateway, and returns nil when it does not know.
+// fetchFrom fetches the snapshot of one gateway, and returns nil on failure.
 func (s *Seeds) fetchFrom(ctx context.Context, address string) *store.Snapshot {
 	var snapshot store.Snapshot
 	if s.get(ctx, address, pathSnapshot, &snapshot, nil) != nil {
--- a/internal/changefeed/snapshot_test.go
+++ b/internal/changefeed/snapshot_test.go
@@ -10,7 +10,7 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// snapshotSource tells a snapshot of a revision, or none when it is negative.
+// snapshotSource returns a snapshot with one item at a revision, or none if the revision is negative.
 type snapshotSource struct {
 	changefeed.Source
 	revision store.Revision
@@ -21,7 +21,7 @@
 	return store.Snapshot{Items: []store.Item{item}, Revision: s.revision}, s.revision >= 0
 }
 
-// gateway serves a snapshot of a revision, or none when it is negative, and returns its address.
+// serveSnapshot serves a snapshot at a revision, or none if it is negative, and returns the address.
 func serveSnapshot(t *testing.T, revision store.Revision) string {
 	t.Helper()
 	server := httptest.NewServer(changefeed.Handler(snapshotSource{revision: revision}, func() (all, live []string) { return nil, nil }))
@@ -29,14 +29,15 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// TestFetchTakesTheNewestAnswer asks gateways of which some know less, nothing, or are gone.
+// TestFetchReturnsNewestSnapshot queries gateways of which some have an older snapshot, none, send invalid data or are
+// down.
 func TestFetchReturnsNewestSnapshot(t *testing.T) {
-	gone := httptest.NewServer(http.NotFoundHandler())
-	gone.Close()
-	nonsense := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("{")) }))
-	t.Cleanup(nonsense.Close)
+	stopped := httptest.NewServer(http.NotFoundHandler())
+	stopped.Close()
+	malformed := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("{")) }))
+	t.Cleanup(malformed.Close)
 	seeds := []string{
-		serveSnapshot(t, 4), serveSnapshot(t, 9), serveSnapshot(t, -1), strings.TrimPrefix(gone.URL, "http://"), strings.TrimPrefix(nonsense.URL, "http://"),
+		serveSnapshot(t, 4), serveSnapshot(t, 9), serveSnapshot(t, -1), strings.TrimPrefix(stopped.URL, "http://"), strings.TrimPrefix(malformed.URL, "http://"),
 	}
 	got, err := changefeed.NewSeeds(seeds).Fetch(t.Context())
 	if err != nil {
@@ -47,12 +48,12 @@
 	}
 }
 
-// TestFetchSaysWhenNobodyKnows asks a gateway that has only started.
+// TestFetchFailsWithoutSnapshots queries a gateway that has just started, and no gateway.
 func TestFetchFailsWithoutSnapshots(t *testing.T) {
-	if _, err := changefeed.NewSeeds([]string{serveSnapshot(t, -1)}).Fetch(t.Context()); err == nil || !strings.Contains(err.Error(), "ask other gateways") {
+	if _, err := changefeed.NewSeeds([]string{serveSnapshot(t, -1)}).Fetch(t.Context()); err == nil || !strings.Contains(err.Error(), "snapshot from other gateways") {
 		t.Errorf("got %v", err)
 	}
 	if _, err := changefeed.NewSeeds(nil).Fetch(t.Context()); err == nil {
-		t.Error("no error without anybody to ask")
+		t.Error("no error without gateways to query")
 	}
 }
