--- a/internal/cluster/configure.go
+++ b/internal/cluster/configuration.go
@@ -9,63 +9,63 @@
 
 // configure takes an item that may hold one of the two parts of the configuration. A part that is not valid, or not newer
 // than the one in force, changes nothing.
-func (v *View) configure(item store.Item) {
+func (v *View) applyConfiguration(item store.Item) {
 	switch {
 	case v.decoder.IsConfiguration(item.Key):
-		v.configureBase(item)
+		v.applyBaseConfiguration(item)
 	case item.Key == configuration.StoreKey:
-		v.configureLabels(item)
+		v.applyLabelConfiguration(item)
 	}
 }
 
 // configureBase takes the routes and services.
-func (v *View) configureBase(item store.Item) {
-	base, err := v.decoder.Configuration(item.Value)
+func (v *View) applyBaseConfiguration(item store.Item) {
+	configuration, err := v.decoder.Configuration(item.Value)
 	if err == nil {
-		err = base.Validate()
+		err = configuration.Validate()
 	}
 	if err != nil {
-		v.complain(err)
+		v.reportUnreadable(err)
 		return
 	}
-	if v.base != nil && base.Version <= v.base.Version {
+	if v.baseConfiguration != nil && configuration.Version <= v.baseConfiguration.Version {
 		return
 	}
-	v.base = base
-	v.tellConfiguration()
+	v.baseConfiguration = configuration
+	v.publishConfiguration()
 }
 
 // configureLabels takes the groups and rules by labels.
-func (v *View) configureLabels(item store.Item) {
+func (v *View) applyLabelConfiguration(item store.Item) {
 	document, err := configuration.Decode(item.Value)
 	if err != nil {
-		v.complain(err)
+		v.reportUnreadable(err)
 		return
 	}
 	snapshot, err := configuration.Compile(document)
 	if err != nil {
-		v.complain(err)
+		v.reportUnreadable(err)
 		return
 	}
-	byLabels := snapshot.Routing()
-	if v.byLabels != nil && byLabels.Revision <= v.byLabels.Revision {
+	labelConfiguration := snapshot.Routing()
+	if v.labelConfiguration != nil && labelConfiguration.Revision <= v.labelConfiguration.Revision {
 		return
 	}
-	v.byLabels = byLabels
+	v.labelConfiguration = labelConfiguration
 	v.setDocument(document)
-	v.tellConfiguration()
+	v.publishConfiguration()
 }
 
 // tellConfiguration tells both parts together. Without routes there is nothing to serve yet. Parts that do not fit each other,
 // as when a service is gone from which a group selects, leave the routes in force alone.
-func (v *View) tellConfiguration() {
-	if v.base == nil {
+func (v *View) publishConfiguration() {
+	if v.baseConfiguration == nil {
 		return
 	}
-	merged := v.base.WithLabels(v.byLabels)
+	merged := v.baseConfiguration.WithLabels(v.labelConfiguration)
 	if err := merged.Validate(); err != nil {
-		v.complain(errors.Wrap(err, "step join the routes with the rules by labels"))
-		merged = v.base
+		v.reportUnreadable(errors.Wrap(err, "step join the routes with the rules by labels"))
+		merged = v.baseConfiguration
 	}
 	v.listener.ConfigurationChanged(merged)
 }
--- a/internal/cluster/gateways.go
+++ b/internal/cluster/gateways.go
@@ -14,16 +14,16 @@
 	defer v.mutex.Unlock()
 	now := v.now()
 	if followsStore {
-		v.answeredAt = now
+		v.configurationCheckedAt = now
 	}
 	v.gateways.Connected(now)
 }
 
 // Told takes the names of the entries of another gateway, and of those among them that it has heard.
-func (v *View) Told(entries, sound []string) {
+func (v *View) Told(entries, live []string) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	v.gateways.Told(v.now(), entries, sound)
+	v.gateways.Told(v.now(), entries, live)
 }
 
 // IsFresh tells whether the store, or another gateway that has not lost it, has answered within a time. Without an answer the
@@ -31,7 +31,7 @@
 func (v *View) IsFresh(within time.Duration) bool {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	return !v.answeredAt.IsZero() && v.now().Sub(v.answeredAt) < within
+	return !v.configurationCheckedAt.IsZero() && v.now().Sub(v.configurationCheckedAt) < within
 }
 
 // IsNew tells whether the whole fleet started within a time: nobody had ever given orders when this process first listed the store.
@@ -46,7 +46,7 @@
 func (v *View) Steady() time.Duration {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	return v.now().Sub(v.lostAt)
+	return v.now().Sub(v.storeLostAt)
 }
 
 // Named returns the gateways that callers are told.
--- a/internal/cluster/view.go
+++ b/internal/cluster/view.go
@@ -68,28 +68,28 @@
 	ownKey   string
 	logger   logrus.FieldLogger
 	// complaints bounds the lines about items that can't be read, and unreadable counts those.
-	complaints *rate.Limiter
-	unreadable atomic.Int64
+	unreadableLogLimiter *rate.Limiter
+	unreadable           atomic.Int64
 	// now counts the time in which the machine is suspended: all that the view holds may have changed meanwhile.
 	now func() time.Time
 
 	// base is the configuration of routes and services in force, and byLabels that of groups and rules by labels; nil before
 	// the first.
-	base     *routing.Configuration
-	byLabels *routing.Configuration
+	baseConfiguration  *routing.Configuration
+	labelConfiguration *routing.Configuration
 	// registered is set once the own registration was seen. Before that it is on its way, and need not be made again.
-	registered bool
+	wasRegistered bool
 	// ownSeen is when the registration that is there was first seen, in the state of ownRevision; zero while there is none. Before it the
 	// store need not have held it.
-	ownSeen     time.Time
-	ownRevision store.Revision
+	registrationSeenAt   time.Time
+	registrationRevision store.Revision
 	// lostSince is when the store was lost; zero while it answers.
-	lostSince time.Time
+	storeLostSince time.Time
 
 	// rosterMutex guards the roster and the telling of it, and fadesAt, when it is told next for a worker that fades out.
-	rosterMutex sync.Mutex
-	roster      *backend.Roster
-	fadesAt     time.Time
+	rosterMutex      sync.Mutex
+	roster           *backend.Roster
+	nextWorkerUpdate time.Time
 
 	mutex     sync.Mutex
 	gateways  *member.List
@@ -98,10 +98,10 @@
 	listedAt   time.Time
 	fleetIsNew bool
 	// lostAt is when the store was lost last, or the start.
-	lostAt time.Time
+	storeLostAt time.Time
 	// answeredAt is when the store answered anything, to this process or to another that tells this one.
-	answeredAt time.Time
-	document   configuration.Document
+	configurationCheckedAt time.Time
+	document               configuration.Document
 }
 
 // NewView returns a view of nothing.
@@ -110,7 +110,7 @@
 ) *View {
 	return &View{
 		decoder: decoder, listener: listener, ownKey: ownKey, logger: logger, now: boottime.Now, roster: roster, gateways: gateways,
-		lostAt: boottime.Now(), complaints: rate.NewLimiter(complaintsPerSecond, complaintsAtOnce),
+		storeLostAt: boottime.Now(), unreadableLogLimiter: rate.NewLimiter(unreadableLogsPerSecond, unreadableLogBurst),
 	}
 }
 
@@ -126,7 +126,7 @@
 		if item.Key == v.ownKey {
 			registered, revision = true, item.Revision
 		}
-		if worker := v.workerOf(item); worker != nil {
+		if worker := v.decodeWorker(item); worker != nil {
 			workers = append(workers, worker)
 		}
 		if item.Key == usage.Key {
@@ -139,19 +139,19 @@
 		v.listedAt = v.now()
 		v.fleetIsNew = !slices.ContainsFunc(items, func(item store.Item) bool { return item.Key == roles.HistoryKey })
 	}
-	v.complain(v.gateways.Reset(v.now(), items))
+	v.reportUnreadable(v.gateways.Reset(v.now(), items))
 	v.mutex.Unlock()
 	v.rosterMutex.Lock()
 	v.roster.Reset(v.now(), workers)
 	v.rosterMutex.Unlock()
 	// A configuration makes the process ready: whoever asks from then on is to find workers.
-	v.tellWorkers()
+	v.publishWorkers()
 	for _, item := range items {
-		v.configure(item)
+		v.applyConfiguration(item)
 	}
 	v.listener.GatewaysChanged()
-	v.resetController(items)
-	v.noteRegistration(registered, revision)
+	v.publishController(items)
+	v.updateRegistration(registered, revision)
 }
 
 // Restored is part of store.Consumer. What is missing in the store from now on may only be lost with what it held: workers and gateways that
@@ -162,29 +162,29 @@
 	v.roster.Restored(now)
 	v.rosterMutex.Unlock()
 	v.mutex.Lock()
-	v.lostAt = now
+	v.storeLostAt = now
 	v.gateways.Restored(now)
 	v.mutex.Unlock()
 	v.listener.StoreRestored(era)
 }
 
 // noteRegistration takes whether the own registration is there and when it was written, and tells when it is gone.
-func (v *View) noteRegistration(present bool, revision store.Revision) {
+func (v *View) updateRegistration(present bool, revision store.Revision) {
 	switch {
 	case !present:
-		v.ownSeen = time.Time{}
-	case v.ownSeen.IsZero() || revision != v.ownRevision:
-		v.ownSeen, v.ownRevision = v.now(), revision
+		v.registrationSeenAt = time.Time{}
+	case v.registrationSeenAt.IsZero() || revision != v.registrationRevision:
+		v.registrationSeenAt, v.registrationRevision = v.now(), revision
 		v.listener.Registered()
 	}
-	if !present && v.registered {
+	if !present && v.wasRegistered {
 		v.listener.Unregistered()
 	}
-	v.registered = v.registered || present
+	v.wasRegistered = v.wasRegistered || present
 }
 
 // resetController tells who holds the key of the controller.
-func (v *View) resetController(items []store.Item) {
+func (v *View) publishController(items []store.Item) {
 	for _, item := range items {
 		if item.Key == roles.Key {
 			v.listener.ControllerChanged(item.Value, item.Revision)
@@ -200,7 +200,7 @@
 	for _, event := range events {
 		workersChanged = v.applyWorker(event) || workersChanged
 		if !event.Deleted {
-			v.configure(event.Item)
+			v.applyConfiguration(event.Item)
 		}
 		if strings.HasPrefix(event.Key, poison.Prefix) {
 			v.listener.BarChanged(event)
@@ -212,12 +212,12 @@
 			v.listener.UsageAgreed(event.Value)
 		}
 		if event.Key == v.ownKey {
-			v.noteRegistration(!event.Deleted, event.Revision)
+			v.updateRegistration(!event.Deleted, event.Revision)
 		}
 		gatewaysChanged = v.applyGateway(event) || gatewaysChanged
 	}
 	if workersChanged {
-		v.tellWorkers()
+		v.publishWorkers()
 	}
 	if gatewaysChanged {
 		v.listener.GatewaysChanged()
@@ -231,14 +231,14 @@
 	}
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	v.complain(v.gateways.Apply(v.now(), event))
+	v.reportUnreadable(v.gateways.Apply(v.now(), event))
 	return true
 }
 
 // Lost is part of store.Consumer.
 func (v *View) Lost(err error) {
-	if v.lostSince.IsZero() {
-		v.lostSince = v.now()
+	if v.storeLostSince.IsZero() {
+		v.storeLostSince = v.now()
 		v.logger.WithError(err).Warn("The store was lost; serving goes on with what is known.")
 	}
 	v.rosterMutex.Lock()
@@ -246,24 +246,24 @@
 	v.rosterMutex.Unlock()
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	v.lostAt = v.now()
-	v.gateways.Outage(v.lostAt)
+	v.storeLostAt = v.now()
+	v.gateways.Outage(v.storeLostAt)
 }
 
 // Current is part of store.Consumer.
-func (v *View) Current(known time.Time) {
-	if !v.lostSince.IsZero() {
-		v.logger.WithField("after_ms", v.now().Sub(v.lostSince).Milliseconds()).Info("The store is back.")
-		v.lostSince = time.Time{}
+func (v *View) Current(asOf time.Time) {
+	if !v.storeLostSince.IsZero() {
+		v.logger.WithField("after_ms", v.now().Sub(v.storeLostSince).Milliseconds()).Info("The store is back.")
+		v.storeLostSince = time.Time{}
 	}
 	v.mutex.Lock()
 	v.currentAt = v.now()
-	v.answeredAt = v.currentAt
+	v.configurationCheckedAt = v.currentAt
 	v.gateways.Connected(v.currentAt)
-	listed, fleetIsNew := v.gateways.IsListed(), v.fleetIsNew
+	isListed, fleetIsNew := v.gateways.IsListed(), v.fleetIsNew
 	v.mutex.Unlock()
-	if listed && !v.ownSeen.IsZero() && !known.Before(v.ownSeen) {
-		v.listener.Confirmed(known, fleetIsNew)
+	if isListed && !v.registrationSeenAt.IsZero() && !asOf.Before(v.registrationSeenAt) {
+		v.listener.Confirmed(asOf, fleetIsNew)
 	}
 }
 
@@ -273,7 +273,7 @@
 	if !isWorker {
 		return false
 	}
-	worker := v.workerOf(event.Item)
+	worker := v.decodeWorker(event.Item)
 	v.rosterMutex.Lock()
 	defer v.rosterMutex.Unlock()
 	switch {
@@ -290,34 +290,34 @@
 // WorkerLeaves takes the word of an incarnation of a worker that it leaves, ahead of its record, and tells whether that is news.
 func (v *View) WorkerLeaves(id string) bool {
 	v.rosterMutex.Lock()
-	news := v.roster.Leaves(v.now(), id)
+	changed := v.roster.Leaves(v.now(), id)
 	v.rosterMutex.Unlock()
-	if news {
-		v.tellWorkers()
+	if changed {
+		v.publishWorkers()
 	}
-	return news
+	return changed
 }
 
 // workerOf decodes the record of a worker. It returns nil for other items and for records that can't be read.
-func (v *View) workerOf(item store.Item) *backend.Worker {
+func (v *View) decodeWorker(item store.Item) *backend.Worker {
 	id, isWorker := v.decoder.WorkerID(item.Key)
 	if !isWorker || len(item.Value) == 0 {
 		return nil
 	}
 	worker, err := v.decoder.Worker(id, item.Value)
-	v.complain(err)
+	v.reportUnreadable(err)
 	return worker
 }
 
 // tellWorkers tells what has changed of the workers in use, now and whenever one fades out.
-func (v *View) tellWorkers() {
+func (v *View) publishWorkers() {
 	v.rosterMutex.Lock()
 	defer v.rosterMutex.Unlock()
 	now := v.now()
 	changes, next := v.roster.Changes(now)
-	if !next.IsZero() && !next.Equal(v.fadesAt) {
-		v.fadesAt = next
-		time.AfterFunc(next.Sub(now)+time.Millisecond, v.tellWorkers)
+	if !next.IsZero() && !next.Equal(v.nextWorkerUpdate) {
+		v.nextWorkerUpdate = next
+		time.AfterFunc(next.Sub(now)+time.Millisecond, v.publishWorkers)
 	}
 	if !changes.Empty() {
 		v.listener.WorkersChanged(changes)
@@ -326,17 +326,17 @@
 
 // Bounds of the lines about items that can't be read: anybody may write records, and each is read again with each list.
 const (
-	complaintsPerSecond = 1
-	complaintsAtOnce    = 20
+	unreadableLogsPerSecond = 1
+	unreadableLogBurst      = 20
 )
 
 // complain counts an item that can't be read, and logs it within bounds. The configuration stays as it was known; a record names no worker.
-func (v *View) complain(err error) {
+func (v *View) reportUnreadable(err error) {
 	if err == nil {
 		return
 	}
 	v.unreadable.Add(1)
-	if v.complaints.Allow() {
+	if v.unreadableLogLimiter.Allow() {
 		v.logger.WithError(err).Error("An item of the store can't be read.")
 	}
 }
--- a/internal/cluster/view_test.go
+++ b/internal/cluster/view_test.go
@@ -17,20 +17,20 @@
 )
 
 // plainDecoder reads versions from the length of a value, and workers from their keys.
-type plainDecoder struct{}
+type fakeDecoder struct{}
 
-func (plainDecoder) IsConfiguration(key string) bool { return key == "configuration" }
+func (fakeDecoder) IsConfiguration(key string) bool { return key == "configuration" }
 
-func (plainDecoder) Configuration(value []byte) (*routing.Configuration, error) {
+func (fakeDecoder) Configuration(value []byte) (*routing.Configuration, error) {
 	if len(value) == 0 {
 		return nil, errors.New("empty")
 	}
 	return &routing.Configuration{Version: int64(len(value))}, nil
 }
 
-func (plainDecoder) WorkerID(key string) (string, bool) { return strings.CutPrefix(key, "worker/") }
+func (fakeDecoder) WorkerID(key string) (string, bool) { return strings.CutPrefix(key, "worker/") }
 
-func (plainDecoder) Worker(id string, _ []byte) (*backend.Worker, error) {
+func (fakeDecoder) Worker(id string, _ []byte) (*backend.Worker, error) {
 	return &backend.Worker{ID: id}, nil
 }
 
@@ -38,18 +38,18 @@
 type recorder struct {
 	versions []int64
 	// workersBefore is how many workers were known when a configuration was told last.
-	workersBefore int
-	workers       int
-	unregistered  int
-	confirmed     time.Time
-	fleetIsNew    bool
-	registered    int
-	controller    string
+	workersAtConfiguration int
+	workers                int
+	unregistered           int
+	confirmed              time.Time
+	fleetIsNew             bool
+	registered             int
+	controller             string
 }
 
 func (r *recorder) ConfigurationChanged(configuration *routing.Configuration) {
 	r.versions = append(r.versions, configuration.Version)
-	r.workersBefore = r.workers
+	r.workersAtConfiguration = r.workers
 }
 func (r *recorder) WorkersChanged(changes backend.Changes) {
 	r.workers += len(changes.Put) - len(changes.Gone)
@@ -73,44 +73,44 @@
 func newTestView() (*View, *recorder) {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
-	told := &recorder{}
+	recorded := &recorder{}
 	roster := backend.NewRoster(backend.RosterSettings{FadeTime: 30 * time.Millisecond, OutageMemory: time.Second})
-	return NewView(plainDecoder{}, told, member.NewList(member.Gateway{Name: "a"}), roster, ownKey, logger), told
+	return NewView(fakeDecoder{}, recorded, member.NewList(member.Gateway{Name: "a"}), roster, ownKey, logger), recorded
 }
 
 // put is an event of a written item.
-func put(key, value string) store.Event {
+func putEvent(key, value string) store.Event {
 	return store.Event{Item: store.Item{Key: key, Value: []byte(value)}}
 }
 
-func TestConfigurationsNeverGoBack(t *testing.T) {
-	view, told := newTestView()
-	view.Reset([]store.Item{put("configuration", "333").Item})
-	view.Apply([]store.Event{put("configuration", "22"), put("configuration", ""), put("configuration", "55555")})
-	view.Reset([]store.Item{put("configuration", "4444").Item})
-	if len(told.versions) != 2 || told.versions[0] != 3 || told.versions[1] != 5 {
-		t.Errorf("in force were %v", told.versions)
+func TestStaleConfigurationsAreIgnored(t *testing.T) {
+	view, recorded := newTestView()
+	view.Reset([]store.Item{putEvent("configuration", "333").Item})
+	view.Apply([]store.Event{putEvent("configuration", "22"), putEvent("configuration", ""), putEvent("configuration", "55555")})
+	view.Reset([]store.Item{putEvent("configuration", "4444").Item})
+	if len(recorded.versions) != 2 || recorded.versions[0] != 3 || recorded.versions[1] != 5 {
+		t.Errorf("in force were %v", recorded.versions)
 	}
 }
 
-func TestWorkersFollowTheirRecords(t *testing.T) {
-	view, told := newTestView()
-	view.Reset([]store.Item{put("worker/1", "x").Item, put("worker/2", "x").Item})
-	view.Apply([]store.Event{{Item: store.Item{Key: "worker/1"}, Deleted: true}, put("worker/3", "x")})
-	if told.workers != 2 {
-		t.Errorf("%d workers are in use", told.workers)
+func TestWorkersFollowRecords(t *testing.T) {
+	view, recorded := newTestView()
+	view.Reset([]store.Item{putEvent("worker/1", "x").Item, putEvent("worker/2", "x").Item})
+	view.Apply([]store.Event{{Item: store.Item{Key: "worker/1"}, Deleted: true}, putEvent("worker/3", "x")})
+	if recorded.workers != 2 {
+		t.Errorf("%d workers are in use", recorded.workers)
 	}
 }
 
-func TestWorkersWithoutRecordsFadeAfterAnOutage(t *testing.T) {
-	view, told := newTestView()
-	view.Reset([]store.Item{put("worker/1", "x").Item})
+func TestWorkersWithoutRecordsExpireAfterOutage(t *testing.T) {
+	view, recorded := newTestView()
+	view.Reset([]store.Item{putEvent("worker/1", "x").Item})
 	view.Lost(errors.New("lost"))
 	view.Reset(nil)
 	inUse := func() int {
 		view.rosterMutex.Lock()
 		defer view.rosterMutex.Unlock()
-		return told.workers
+		return recorded.workers
 	}
 	if inUse() != 1 {
 		t.Error("the worker was lost with the store")
@@ -121,101 +121,101 @@
 	}
 }
 
-func TestTheOwnRegistrationAndTheControllerAreWatched(t *testing.T) {
-	view, told := newTestView()
-	view.Reset([]store.Item{put(ownKey, "{}").Item, put(roles.Key, "holder").Item})
-	if told.unregistered != 0 || told.controller != "holder" {
-		t.Errorf("told %+v", told)
+func TestOwnRegistrationAndControllerAreWatched(t *testing.T) {
+	view, recorded := newTestView()
+	view.Reset([]store.Item{putEvent(ownKey, "{}").Item, putEvent(roles.Key, "holder").Item})
+	if recorded.unregistered != 0 || recorded.controller != "holder" {
+		t.Errorf("told %+v", recorded)
 	}
 	view.Apply([]store.Event{{Item: store.Item{Key: ownKey}, Deleted: true}, {Item: store.Item{Key: roles.Key}, Deleted: true}})
-	if told.unregistered != 1 || told.controller != "" {
-		t.Errorf("told %+v", told)
+	if recorded.unregistered != 1 || recorded.controller != "" {
+		t.Errorf("told %+v", recorded)
 	}
 }
 
 // TestARegistrationOnItsWayIsNotMadeAgain guards against each gateway of a fleet that starts registering twice.
-func TestARegistrationOnItsWayIsNotMadeAgain(t *testing.T) {
-	view, told := newTestView()
+func TestPendingRegistrationIsNotReportedMissing(t *testing.T) {
+	view, recorded := newTestView()
 	own := store.Item{Key: view.ownKey, Value: []byte("{}"), Revision: 5}
 	view.Reset(nil)
-	if told.unregistered != 0 {
+	if recorded.unregistered != 0 {
 		t.Error("a registration that is on its way was told to be gone")
 	}
 	view.Apply([]store.Event{{Item: own}})
 	view.Reset([]store.Item{own})
 	view.Reset(nil)
-	if told.unregistered != 1 {
-		t.Errorf("a registration that is gone was told %d times", told.unregistered)
+	if recorded.unregistered != 1 {
+		t.Errorf("a registration that is gone was told %d times", recorded.unregistered)
 	}
 }
 
 // TestTheListVouchesForWhenItWasCurrent follows for which moments the others know of this gateway, and this one of them: those up to which
 // all changes are known, from when the registration was seen, while it is there and does not leave.
-func TestTheListVouchesForWhenItWasCurrent(t *testing.T) {
-	view, told := newTestView()
+func TestRegistrationIsConfirmedWhileListed(t *testing.T) {
+	view, recorded := newTestView()
 	now := time.Unix(1000, 0)
 	view.now = func() time.Time { return now }
-	expect := func(when string, known, want time.Time) {
+	expect := func(when string, asOf, want time.Time) {
 		t.Helper()
-		told.confirmed = time.Time{}
-		view.Current(known)
-		if !told.confirmed.Equal(want) {
-			t.Errorf("%s it vouches for %v, expected %v", when, told.confirmed, want)
+		recorded.confirmed = time.Time{}
+		view.Current(asOf)
+		if !recorded.confirmed.Equal(want) {
+			t.Errorf("%s it vouches for %v, expected %v", when, recorded.confirmed, want)
 		}
 	}
 	own := func(revision store.Revision) store.Event {
 		return store.Event{Item: store.Item{Key: ownKey, Value: []byte(`{"name":"a"}`), Revision: revision}}
 	}
-	pass := func() { now = now.Add(time.Second) }
+	advance := func() { now = now.Add(time.Second) }
 	view.Reset([]store.Item{own(5).Item})
 	expect("by the word of a list that may be old", time.Time{}, time.Time{})
 	expect("up to a moment before the registration was seen", now.Add(-time.Millisecond), time.Time{})
 	expect("from when it was seen", now, now)
-	pass()
+	advance()
 	view.Reset([]store.Item{own(5).Item})
 	expect("listed again as it was", now.Add(-time.Millisecond), now.Add(-time.Millisecond))
 	view.Apply([]store.Event{own(7)})
 	expect("written anew, with what was before not known", now.Add(-time.Millisecond), time.Time{})
 	view.Lost(errors.New("away"))
-	pass()
+	advance()
 	expect("while the store is lost and nothing later is known", now.Add(-time.Second), now.Add(-time.Second))
 	view.Apply([]store.Event{{Item: store.Item{Key: ownKey, Revision: 9}, Deleted: true}})
 	expect("without its registration", now, time.Time{})
-	pass()
+	advance()
 	view.Apply([]store.Event{own(11)})
 	expect("registered anew", now, now)
 	view.Leave()
 	expect("while it leaves", now, time.Time{})
-	if told.registered != 3 {
-		t.Errorf("it was seen to be registered anew %d times of 3", told.registered)
+	if recorded.registered != 3 {
+		t.Errorf("it was seen to be registered anew %d times of 3", recorded.registered)
 	}
 }
 
 // TestAFleetIsNewWhileNobodyHasGivenOrders checks what goes with the word that the registration is confirmed.
-func TestAFleetIsNewWhileNobodyHasGivenOrders(t *testing.T) {
-	history := put(roles.HistoryKey, "{}")
+func TestFleetIsNewWithoutControllerHistory(t *testing.T) {
+	history := putEvent(roles.HistoryKey, "{}")
 	for _, test := range []struct {
 		name     string
 		history  bool
 		expected bool
 	}{{"the first start", false, true}, {"a later one", true, false}} {
-		view, told := newTestView()
-		items := []store.Item{put(ownKey, `{"name":"a"}`).Item}
+		view, recorded := newTestView()
+		items := []store.Item{putEvent(ownKey, `{"name":"a"}`).Item}
 		if test.history {
 			items = append(items, history.Item)
 		}
 		view.Reset(items)
 		view.Apply([]store.Event{history})
 		view.Current(view.now())
-		if told.confirmed.IsZero() || told.fleetIsNew != test.expected {
-			t.Errorf("%s: the fleet is new: %v", test.name, told.fleetIsNew)
+		if recorded.confirmed.IsZero() || recorded.fleetIsNew != test.expected {
+			t.Errorf("%s: the fleet is new: %v", test.name, recorded.fleetIsNew)
 		}
 	}
 }
 
 // TestOneThatIsToldNothingKnowsThatItsConfigurationMayBeOld has the store answer the renewals of a gateway that learns from others, while
 // those tell it nothing: it must not deny what a newer configuration allows.
-func TestOneThatIsToldNothingKnowsThatItsConfigurationMayBeOld(t *testing.T) {
+func TestStoreResponseDoesNotRefreshFollower(t *testing.T) {
 	view, _ := newTestView()
 	now := time.Unix(1000, 0)
 	view.now = func() time.Time { return now }
@@ -238,10 +238,10 @@
 
 // TestWorkersAreKnownBeforeTheConfiguration guards against a gateway that is ready and knows no workers, for as long as the process is held up
 // between both.
-func TestWorkersAreKnownBeforeTheConfiguration(t *testing.T) {
-	view, told := newTestView()
-	view.Reset([]store.Item{put("configuration", "333").Item, put("worker/1", "x").Item})
-	if told.workersBefore != 1 {
-		t.Errorf("%d workers were known when the configuration was told", told.workersBefore)
+func TestWorkersAreReportedBeforeConfiguration(t *testing.T) {
+	view, recorded := newTestView()
+	view.Reset([]store.Item{putEvent("configuration", "333").Item, putEvent("worker/1", "x").Item})
+	if recorded.workersAtConfiguration != 1 {
+		t.Errorf("%d workers were known when the configuration was told", recorded.workersAtConfiguration)
 	}
 }
