--- a/internal/cluster/configuration.go
+++ b/internal/cluster/configuration.go
@@ -7,8 +7,8 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// configure takes an item that may hold one of the two parts of the configuration. A part that is not valid, or not newer
-// than the one in force, changes nothing.
+// applyConfiguration applies an item that may hold one of the two parts of the configuration. It ignores parts that are
+// invalid or not newer than the current one.
 func (v *View) applyConfiguration(item store.Item) {
 	switch {
 	case v.decoder.IsConfiguration(item.Key):
@@ -18,7 +18,7 @@
 	}
 }
 
-// configureBase takes the routes and services.
+// applyBaseConfiguration applies the routes and services.
 func (v *View) applyBaseConfiguration(item store.Item) {
 	configuration, err := v.decoder.Configuration(item.Value)
 	if err == nil {
@@ -35,7 +35,7 @@
 	v.publishConfiguration()
 }
 
-// configureLabels takes the groups and rules by labels.
+// applyLabelConfiguration applies the groups and label rules.
 func (v *View) applyLabelConfiguration(item store.Item) {
 	document, err := configuration.Decode(item.Value)
 	if err != nil {
@@ -56,28 +56,29 @@
 	v.publishConfiguration()
 }
 
-// tellConfiguration tells both parts together. Without routes there is nothing to serve yet. Parts that do not fit each other,
-// as when a service is gone from which a group selects, leave the routes in force alone.
+// publishConfiguration passes the merged configuration to the listener once there are routes. If the parts are
+// inconsistent, for example because a group selects from a removed service, it passes the routes without groups and
+// label rules.
 func (v *View) publishConfiguration() {
 	if v.baseConfiguration == nil {
 		return
 	}
 	merged := v.baseConfiguration.WithLabels(v.labelConfiguration)
 	if err := merged.Validate(); err != nil {
-		v.reportUnreadable(errors.Wrap(err, "step join the routes with the rules by labels"))
+		v.reportUnreadable(errors.Wrap(err, "merge the routes with the label rules"))
 		merged = v.baseConfiguration
 	}
 	v.listener.ConfigurationChanged(merged)
 }
 
-// setDocument keeps the document of the groups and rules by labels.
+// setDocument stores the document of the groups and label rules.
 func (v *View) setDocument(document configuration.Document) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	v.document = document
 }
 
-// Document returns the document of the groups and rules by labels; the zero document before the first.
+// Document returns the document of the groups and label rules; the zero document if there is none yet.
 func (v *View) Document() configuration.Document {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
--- a/internal/cluster/gateways.go
+++ b/internal/cluster/gateways.go
@@ -7,8 +7,8 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// Connected tells that the store has answered this process. It makes what is known of the configuration fresh only where this process follows
-// the store itself: one that learns from others may be answered by the store, and be told nothing.
+// Connected records that the store answered this process. If this process follows the store itself, its configuration
+// is then up to date; a standby gateway may get answers from the store but no changes from its upstreams.
 func (v *View) Connected(followsStore bool) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
@@ -19,65 +19,66 @@
 	v.gateways.Connected(now)
 }
 
-// Told takes the names of the entries of another gateway, and of those among them that it has heard.
+// Told records the entries named by another gateway, and those of them that it received heartbeats from.
 func (v *View) Told(entries, live []string) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	v.gateways.Told(v.now(), entries, live)
 }
 
-// IsFresh tells whether the store, or another gateway that has not lost it, has answered within a time. Without an answer the
-// configuration may be out of date.
+// IsFresh reports whether the store, or another gateway that can reach it, answered within the given time. Otherwise
+// the configuration may be outdated.
 func (v *View) IsFresh(within time.Duration) bool {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	return !v.configurationCheckedAt.IsZero() && v.now().Sub(v.configurationCheckedAt) < within
 }
 
-// IsNew tells whether the whole fleet started within a time: nobody had ever given orders when this process first listed the store.
+// IsNew reports whether the whole fleet was started within the given time: there had never been a controller when this
+// process first listed the store.
 func (v *View) IsNew(within time.Duration) bool {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	return v.fleetIsNew && v.now().Sub(v.listedAt) < within
 }
 
-// Steady tells for how long the store has not been lost, by this process or those that tell it: records that went meanwhile are
-// written anew within some seconds.
+// Steady returns how long the store has been available to this process or its upstreams. Records that expired during an
+// outage are written again within a few seconds.
 func (v *View) Steady() time.Duration {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	return v.now().Sub(v.storeLostAt)
 }
 
-// Named returns the gateways that callers are told.
+// Named returns the gateways that callers are directed to.
 func (v *View) Named() []member.Gateway {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	return v.gateways.Named(v.now())
 }
 
-// Resumed tells that this process has stood still.
+// Resumed records that this process was suspended.
 func (v *View) Resumed() {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	v.gateways.Resumed(v.now())
 }
 
-// Entries returns the gateways to which callers are sent, and those that serve and have fallen silent.
+// Entries returns the entries, and the gateways that serve but are suspected to be down.
 func (v *View) Entries() (entries, suspects []member.Gateway) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	return v.gateways.Entries(v.now())
 }
 
-// Registered returns the gateways to which callers are sent by the store alone.
+// Registered returns the entries as determined by the store alone, regardless of heartbeats.
 func (v *View) Registered() []member.Gateway {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	return v.gateways.Registered(v.now())
 }
 
-// Claimants returns the gateways that say that they take requests and are no entries in the eyes of this one.
+// Claimants returns the gateways that consider themselves entries while this one does not.
 func (v *View) Claimants() []member.Gateway {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
@@ -91,56 +92,56 @@
 	return v.gateways.Serving(v.now())
 }
 
-// Find returns a gateway that serves callers by its name, or false.
+// Find returns the serving gateway with a name, or false.
 func (v *View) Find(name string) (member.Gateway, bool) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	return v.gateways.Find(v.now(), name)
 }
 
-// EntryNeed returns the cores that the entries are to have together, and the revision of the store at which that was said.
+// EntryNeed returns the number of cores that the entries need in total, and the revision at which it was written.
 func (v *View) EntryNeed() (cores float64, revision store.Revision) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	return v.gateways.Need()
 }
 
-// ServingCount returns how many gateways serve callers.
+// ServingCount returns the number of gateways that serve callers.
 func (v *View) ServingCount() int {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	return v.gateways.ServingCount(v.now())
 }
 
-// Reachable returns the gateways that serve callers and have not fallen silent.
+// Reachable returns the gateways that serve callers and are not suspected to be down.
 func (v *View) Reachable() []member.Gateway {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	return v.gateways.Reachable(v.now())
 }
 
-// Heard tells that another gateway was heard.
+// Heard records a heartbeat of another gateway.
 func (v *View) Heard(name string) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	v.gateways.Heard(v.now(), name)
 }
 
-// Unheard tells that another gateway stands by and will not be heard any more.
+// Unheard records that another gateway is now standby and stops sending heartbeats.
 func (v *View) Unheard(name string) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	v.gateways.Unheard(name)
 }
 
-// Leave takes the own gateway off the list.
+// Leave removes this gateway from the list.
 func (v *View) Leave() {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	v.gateways.Leave()
 }
 
-// Staleness returns how long ago the view was known to be current.
+// Staleness returns the time since the view was last known to be current.
 func (v *View) Staleness() time.Duration {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
--- a/internal/cluster/view.go
+++ b/internal/cluster/view.go
@@ -1,5 +1,5 @@
-// Package cluster puts together what a gateway knows of the whole system from the items of the store: the configuration, the
-// workers and the other gateways.
+// Package cluster maintains a gateway's view of the system from the items of the store: the configuration, the workers
+// and the other gateways.
 package cluster
 
 import (
@@ -23,70 +23,75 @@
 	"github.com/granitebay/granitebay/internal/usage"
 )
 
-// Decoder says what the items that operators and workers write mean.
+// Decoder decodes the items that operators and workers write.
 type Decoder interface {
-	// IsConfiguration tells whether a key holds the configuration.
+	// IsConfiguration reports whether a key holds the configuration.
 	IsConfiguration(key string) bool
-	// Configuration decodes it.
+	// Configuration decodes the configuration.
 	Configuration(value []byte) (*routing.Configuration, error)
-	// WorkerID returns the id of the worker whose record a key holds.
+	// WorkerID returns the ID of the worker whose record has the key, or false for other keys.
 	WorkerID(key string) (string, bool)
-	// Worker decodes the record of a worker.
+	// Worker decodes a worker record.
 	Worker(id string, value []byte) (*backend.Worker, error)
 }
 
-// Listener is told of changes, one at a time. It must not call back into the roster.
+// Listener is notified of changes, one at a time. It must not call back into the roster.
 type Listener interface {
-	// ConfigurationChanged gives a configuration that was validated.
+	// ConfigurationChanged passes a validated configuration.
 	ConfigurationChanged(configuration *routing.Configuration)
-	// WorkersChanged tells which workers are new, described anew or gone.
+	// WorkersChanged passes the workers that were added, updated or removed.
 	WorkersChanged(changes backend.Changes)
-	// GatewaysChanged tells that the list of gateways has changed.
+	// GatewaysChanged reports that the list of gateways changed.
 	GatewaysChanged()
-	// ControllerChanged tells who holds the key of the controller; a value of nil is nobody.
+	// ControllerChanged passes the value and revision of the controller key; nil if no gateway holds it.
 	ControllerChanged(value []byte, revision store.Revision)
-	// UsageAgreed tells the ledger of the usage.
+	// UsageAgreed passes the usage ledger.
 	UsageAgreed(value []byte)
-	// BarsListed gives all bars of requests, and BarChanged one that has changed.
+	// BarsListed passes all bars of requests, and BarChanged a change of one.
 	BarsListed(items []store.Item)
 	BarChanged(event store.Event)
-	// Unregistered tells that the registration of this gateway is gone.
+	// Unregistered reports that the registration of this gateway has disappeared.
 	Unregistered()
-	// StoreRestored tells that the store has come back from an older copy, in an era. What it holds is told next.
+	// StoreRestored reports that the store was restored from a backup, with its new era. Its items are passed next.
 	StoreRestored(era int64)
-	// Registered tells that the registration of this gateway was seen, or that it was written anew.
+	// Registered reports that the registration of this gateway was seen for the first time or with a new revision.
 	Registered()
-	// Confirmed tells that the store held the registration of this gateway at a moment of boottime, and that all changes of the
-	// list of gateways up to that moment were told. The fleet is new if nobody had ever given orders when the store was listed first.
+	// Confirmed reports that the store held the registration of this gateway at a time by boottime, and that all
+	// changes of the list of gateways up to that time have been passed. The fleet is new if there had never been a
+	// controller when the store was first listed.
 	Confirmed(at time.Time, fleetIsNew bool)
 }
 
-// View is a store.Consumer. Serving and Staleness may be called by any goroutine.
+// View is a store.Consumer that maintains the view. The methods of store.Consumer must be called from a single
+// goroutine; the others are safe for concurrent use.
 type View struct {
 	decoder  Decoder
 	listener Listener
 	ownKey   string
 	logger   logrus.FieldLogger
-	// complaints bounds the lines about items that can't be read, and unreadable counts those.
+	// unreadableLogLimiter limits the log lines about invalid items, and unreadable counts these.
 	unreadableLogLimiter *rate.Limiter
 	unreadable           atomic.Int64
-	// now counts the time in which the machine is suspended: all that the view holds may have changed meanwhile.
+	// now returns the time including periods in which the machine was suspended, since the view may be outdated
+	// afterwards.
 	now func() time.Time
 
-	// base is the configuration of routes and services in force, and byLabels that of groups and rules by labels; nil before
-	// the first.
+	// baseConfiguration holds the routes and services, and labelConfiguration the groups and label rules; nil until
+	// received.
 	baseConfiguration  *routing.Configuration
 	labelConfiguration *routing.Configuration
-	// registered is set once the own registration was seen. Before that it is on its way, and need not be made again.
+	// wasRegistered is set once the own registration was seen. Until then it may still be pending and must not be
+	// reported as gone.
 	wasRegistered bool
-	// ownSeen is when the registration that is there was first seen, in the state of ownRevision; zero while there is none. Before it the
-	// store need not have held it.
+	// registrationSeenAt is when the own registration was first seen at registrationRevision; zero while it is absent.
+	// The store need not have held it before.
 	registrationSeenAt   time.Time
 	registrationRevision store.Revision
-	// lostSince is when the store was lost; zero while it answers.
+	// storeLostSince is when the store became unavailable; zero while it is available.
 	storeLostSince time.Time
 
-	// rosterMutex guards the roster and the telling of it, and fadesAt, when it is told next for a worker that fades out.
+	// rosterMutex protects roster, the notifications of its changes and nextWorkerUpdate, when a worker without a
+	// record expires next.
 	rosterMutex      sync.Mutex
 	roster           *backend.Roster
 	nextWorkerUpdate time.Time
@@ -94,17 +99,18 @@
 	mutex     sync.Mutex
 	gateways  *member.List
 	currentAt time.Time
-	// listedAt is when the store was listed first, and fleetIsNew is set when nobody had given orders by then.
+	// listedAt is when the store was first listed, and fleetIsNew is set if there had never been a controller by then.
 	listedAt   time.Time
 	fleetIsNew bool
-	// lostAt is when the store was lost last, or the start.
+	// storeLostAt is when the store was last unavailable, initially the time of the start.
 	storeLostAt time.Time
-	// answeredAt is when the store answered anything, to this process or to another that tells this one.
+	// configurationCheckedAt is when the store last answered this process or its upstream, so that the configuration
+	// was known to be current.
 	configurationCheckedAt time.Time
 	document               configuration.Document
 }
 
-// NewView returns a view of nothing.
+// NewView returns an empty view.
 func NewView(
 	decoder Decoder, listener Listener, gateways *member.List, roster *backend.Roster, ownKey string, logger logrus.FieldLogger,
 ) *View {
@@ -114,7 +120,7 @@
 	}
 }
 
-// Reset is part of store.Consumer.
+// Reset implements store.Consumer.
 func (v *View) Reset(items []store.Item) {
 	registered, revision := false, store.Revision(0)
 	var workers []*backend.Worker
@@ -144,7 +150,7 @@
 	v.rosterMutex.Lock()
 	v.roster.Reset(v.now(), workers)
 	v.rosterMutex.Unlock()
-	// A configuration makes the process ready: whoever asks from then on is to find workers.
+	// The first configuration makes the process ready, so the workers must be known before.
 	v.publishWorkers()
 	for _, item := range items {
 		v.applyConfiguration(item)
@@ -154,8 +160,8 @@
 	v.updateRegistration(registered, revision)
 }
 
-// Restored is part of store.Consumer. What is missing in the store from now on may only be lost with what it held: workers and gateways that
-// came after the copy was made have not left, and write that they are there again.
+// Restored implements store.Consumer. Workers and gateways that registered after the backup was made may be missing
+// from the store although they are running, and will write their records again.
 func (v *View) Restored(era int64) {
 	now := v.now()
 	v.rosterMutex.Lock()
@@ -168,7 +174,8 @@
 	v.listener.StoreRestored(era)
 }
 
-// noteRegistration takes whether the own registration is there and when it was written, and tells when it is gone.
+// updateRegistration records whether the own registration is present and its revision, and notifies the listener of
+// changes.
 func (v *View) updateRegistration(present bool, revision store.Revision) {
 	switch {
 	case !present:
@@ -183,7 +190,7 @@
 	v.wasRegistered = v.wasRegistered || present
 }
 
-// resetController tells who holds the key of the controller.
+// publishController passes the controller key to the listener.
 func (v *View) publishController(items []store.Item) {
 	for _, item := range items {
 		if item.Key == roles.Key {
@@ -194,7 +201,7 @@
 	v.listener.ControllerChanged(nil, 0)
 }
 
-// Apply is part of store.Consumer.
+// Apply implements store.Consumer.
 func (v *View) Apply(events []store.Event) {
 	workersChanged, gatewaysChanged := false, false
 	for _, event := range events {
@@ -224,7 +231,7 @@
 	}
 }
 
-// applyGateway gives a change to the list of gateways, and tells whether it was one of it.
+// applyGateway applies an event to the list of gateways and reports whether it was relevant.
 func (v *View) applyGateway(event store.Event) bool {
 	if !member.Concerns(event.Key) {
 		return false
@@ -235,11 +242,11 @@
 	return true
 }
 
-// Lost is part of store.Consumer.
+// Lost implements store.Consumer.
 func (v *View) Lost(err error) {
 	if v.storeLostSince.IsZero() {
 		v.storeLostSince = v.now()
-		v.logger.WithError(err).Warn("The store was lost; serving goes on with what is known.")
+		v.logger.WithError(err).Warn("The store is unavailable; continuing with the known state.")
 	}
 	v.rosterMutex.Lock()
 	v.roster.Outage(v.now())
@@ -250,10 +257,10 @@
 	v.gateways.Outage(v.storeLostAt)
 }
 
-// Current is part of store.Consumer.
+// Current implements store.Consumer.
 func (v *View) Current(asOf time.Time) {
 	if !v.storeLostSince.IsZero() {
-		v.logger.WithField("after_ms", v.now().Sub(v.storeLostSince).Milliseconds()).Info("The store is back.")
+		v.logger.WithField("after_ms", v.now().Sub(v.storeLostSince).Milliseconds()).Info("The store is available again.")
 		v.storeLostSince = time.Time{}
 	}
 	v.mutex.Lock()
@@ -267,7 +274,7 @@
 	}
 }
 
-// applyWorker takes a change of the record of a worker, and tells whether it was one.
+// applyWorker applies an event to the roster of workers and reports whether it was a worker record.
 func (v *View) applyWorker(event store.Event) bool {
 	id, isWorker := v.decoder.WorkerID(event.Key)
 	if !isWorker {
@@ -287,7 +294,8 @@
 	return true
 }
 
-// WorkerLeaves takes the word of an incarnation of a worker that it leaves, ahead of its record, and tells whether that is news.
+// WorkerLeaves records that a worker incarnation announced its shutdown before its record shows it, and reports whether
+// that is new.
 func (v *View) WorkerLeaves(id string) bool {
 	v.rosterMutex.Lock()
 	changed := v.roster.Leaves(v.now(), id)
@@ -298,7 +306,7 @@
 	return changed
 }
 
-// workerOf decodes the record of a worker. It returns nil for other items and for records that can't be read.
+// decodeWorker decodes a worker record. It returns nil for other items and for invalid records.
 func (v *View) decodeWorker(item store.Item) *backend.Worker {
 	id, isWorker := v.decoder.WorkerID(item.Key)
 	if !isWorker || len(item.Value) == 0 {
@@ -309,7 +317,7 @@
 	return worker
 }
 
-// tellWorkers tells what has changed of the workers in use, now and whenever one fades out.
+// publishWorkers passes changes of the usable workers to the listener, now and when a worker without a record expires.
 func (v *View) publishWorkers() {
 	v.rosterMutex.Lock()
 	defer v.rosterMutex.Unlock()
@@ -324,22 +332,23 @@
 	}
 }
 
-// Bounds of the lines about items that can't be read: anybody may write records, and each is read again with each list.
+// Limits on log lines about invalid items. Many processes write records, and each list reads them all again.
 const (
 	unreadableLogsPerSecond = 1
 	unreadableLogBurst      = 20
 )
 
-// complain counts an item that can't be read, and logs it within bounds. The configuration stays as it was known; a record names no worker.
+// reportUnreadable counts an invalid item and logs it, rate-limited. An invalid configuration leaves the previous one
+// in place; an invalid record yields no worker.
 func (v *View) reportUnreadable(err error) {
 	if err == nil {
 		return
 	}
 	v.unreadable.Add(1)
 	if v.unreadableLogLimiter.Allow() {
-		v.logger.WithError(err).Error("An item of the store can't be read.")
+		v.logger.WithError(err).Error("An item in the store is invalid.")
 	}
 }
 
-// Unreadable returns how many items could not be read so far, each time that they were told.
+// Unreadable returns how often an invalid item was received.
 func (v *View) Unreadable() int64 { return v.unreadable.Load() }
--- a/internal/cluster/view_test.go
+++ b/internal/cluster/view_test.go
@@ -16,7 +16,7 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// plainDecoder reads versions from the length of a value, and workers from their keys.
+// fakeDecoder decodes configurations whose version is the length of the value, and workers by their keys.
 type fakeDecoder struct{}
 
 func (fakeDecoder) IsConfiguration(key string) bool { return key == "configuration" }
@@ -34,10 +34,10 @@
 	return &backend.Worker{ID: id}, nil
 }
 
-// recorder keeps what it was told.
+// recorder is a Listener that records notifications.
 type recorder struct {
 	versions []int64
-	// workersBefore is how many workers were known when a configuration was told last.
+	// workersAtConfiguration is the number of workers at the last configuration.
 	workersAtConfiguration int
 	workers                int
 	unregistered           int
@@ -69,7 +69,7 @@
 
 const ownKey = member.KeyPrefix + "a"
 
-// newTestView returns a view with its recorder.
+// newTestView returns a view and its recorder.
 func newTestView() (*View, *recorder) {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
@@ -78,7 +78,7 @@
 	return NewView(fakeDecoder{}, recorded, member.NewList(member.Gateway{Name: "a"}), roster, ownKey, logger), recorded
 }
 
-// put is an event of a written item.
+// putEvent returns the event of a written item.
 func putEvent(key, value string) store.Event {
 	return store.Event{Item: store.Item{Key: key, Value: []byte(value)}}
 }
@@ -89,7 +89,7 @@
 	view.Apply([]store.Event{putEvent("configuration", "22"), putEvent("configuration", ""), putEvent("configuration", "55555")})
 	view.Reset([]store.Item{putEvent("configuration", "4444").Item})
 	if len(recorded.versions) != 2 || recorded.versions[0] != 3 || recorded.versions[1] != 5 {
-		t.Errorf("in force were %v", recorded.versions)
+		t.Errorf("got configuration versions %v, want 3 and 5", recorded.versions)
 	}
 }
 
@@ -98,7 +98,7 @@
 	view.Reset([]store.Item{putEvent("worker/1", "x").Item, putEvent("worker/2", "x").Item})
 	view.Apply([]store.Event{{Item: store.Item{Key: "worker/1"}, Deleted: true}, putEvent("worker/3", "x")})
 	if recorded.workers != 2 {
-		t.Errorf("%d workers are in use", recorded.workers)
+		t.Errorf("got %d workers, want 2", recorded.workers)
 	}
 }
 
@@ -107,17 +107,17 @@
 	view.Reset([]store.Item{putEvent("worker/1", "x").Item})
 	view.Lost(errors.New("lost"))
 	view.Reset(nil)
-	inUse := func() int {
+	workerCount := func() int {
 		view.rosterMutex.Lock()
 		defer view.rosterMutex.Unlock()
 		return recorded.workers
 	}
-	if inUse() != 1 {
-		t.Error("the worker was lost with the store")
+	if workerCount() != 1 {
+		t.Error("the worker was removed during the outage")
 	}
 	time.Sleep(60 * time.Millisecond)
-	if inUse() != 0 {
-		t.Error("the worker did not fade")
+	if workerCount() != 0 {
+		t.Error("the worker did not expire")
 	}
 }
 
@@ -125,32 +125,33 @@
 	view, recorded := newTestView()
 	view.Reset([]store.Item{putEvent(ownKey, "{}").Item, putEvent(roles.Key, "holder").Item})
 	if recorded.unregistered != 0 || recorded.controller != "holder" {
-		t.Errorf("told %+v", recorded)
+		t.Errorf("got %+v", recorded)
 	}
 	view.Apply([]store.Event{{Item: store.Item{Key: ownKey}, Deleted: true}, {Item: store.Item{Key: roles.Key}, Deleted: true}})
 	if recorded.unregistered != 1 || recorded.controller != "" {
-		t.Errorf("told %+v", recorded)
+		t.Errorf("got %+v", recorded)
 	}
 }
 
-// TestARegistrationOnItsWayIsNotMadeAgain guards against each gateway of a fleet that starts registering twice.
+// TestPendingRegistrationIsNotReportedMissing guards against every gateway of a starting fleet registering twice.
 func TestPendingRegistrationIsNotReportedMissing(t *testing.T) {
 	view, recorded := newTestView()
 	own := store.Item{Key: view.ownKey, Value: []byte("{}"), Revision: 5}
 	view.Reset(nil)
 	if recorded.unregistered != 0 {
-		t.Error("a registration that is on its way was told to be gone")
+		t.Error("a pending registration was reported as gone")
 	}
 	view.Apply([]store.Event{{Item: own}})
 	view.Reset([]store.Item{own})
 	view.Reset(nil)
 	if recorded.unregistered != 1 {
-		t.Errorf("a registration that is gone was told %d times", recorded.unregistered)
+		t.Errorf("a missing registration was reported %d times, want 1", recorded.unregistered)
 	}
 }
 
-// TestTheListVouchesForWhenItWasCurrent follows for which moments the others know of this gateway, and this one of them: those up to which
-// all changes are known, from when the registration was seen, while it is there and does not leave.
+// TestRegistrationIsConfirmedWhileListed checks up to which time the registration is confirmed: only for times as of
+// which all changes are known, from when the registration was first seen at its revision, while it is present and the
+// gateway is not leaving.
 func TestRegistrationIsConfirmedWhileListed(t *testing.T) {
 	view, recorded := newTestView()
 	now := time.Unix(1000, 0)
@@ -160,7 +161,7 @@
 		recorded.confirmed = time.Time{}
 		view.Current(asOf)
 		if !recorded.confirmed.Equal(want) {
-			t.Errorf("%s it vouches for %v, expected %v", when, recorded.confirmed, want)
+			t.Errorf("%s: confirmed as of %v, want %v", when, recorded.confirmed, want)
 		}
 	}
 	own := func(revision store.Revision) store.Event {
@@ -168,37 +169,38 @@
 	}
 	advance := func() { now = now.Add(time.Second) }
 	view.Reset([]store.Item{own(5).Item})
-	expect("by the word of a list that may be old", time.Time{}, time.Time{})
-	expect("up to a moment before the registration was seen", now.Add(-time.Millisecond), time.Time{})
-	expect("from when it was seen", now, now)
+	expect("after a list that may be stale", time.Time{}, time.Time{})
+	expect("as of before the registration was seen", now.Add(-time.Millisecond), time.Time{})
+	expect("as of when the registration was seen", now, now)
 	advance()
 	view.Reset([]store.Item{own(5).Item})
-	expect("listed again as it was", now.Add(-time.Millisecond), now.Add(-time.Millisecond))
+	expect("listed again at the same revision", now.Add(-time.Millisecond), now.Add(-time.Millisecond))
 	view.Apply([]store.Event{own(7)})
-	expect("written anew, with what was before not known", now.Add(-time.Millisecond), time.Time{})
+	expect("written again, as of before that", now.Add(-time.Millisecond), time.Time{})
 	view.Lost(errors.New("away"))
 	advance()
-	expect("while the store is lost and nothing later is known", now.Add(-time.Second), now.Add(-time.Second))
+	expect("while the store is unavailable", now.Add(-time.Second), now.Add(-time.Second))
 	view.Apply([]store.Event{{Item: store.Item{Key: ownKey, Revision: 9}, Deleted: true}})
-	expect("without its registration", now, time.Time{})
+	expect("without the registration", now, time.Time{})
 	advance()
 	view.Apply([]store.Event{own(11)})
-	expect("registered anew", now, now)
+	expect("registered again", now, now)
 	view.Leave()
-	expect("while it leaves", now, time.Time{})
+	expect("while leaving", now, time.Time{})
 	if recorded.registered != 3 {
-		t.Errorf("it was seen to be registered anew %d times of 3", recorded.registered)
+		t.Errorf("%d registrations were reported, want 3", recorded.registered)
 	}
 }
 
-// TestAFleetIsNewWhileNobodyHasGivenOrders checks what goes with the word that the registration is confirmed.
+// TestFleetIsNewWithoutControllerHistory checks that a fleet is new if there was no controller history when the store
+// was first listed.
 func TestFleetIsNewWithoutControllerHistory(t *testing.T) {
 	history := putEvent(roles.HistoryKey, "{}")
 	for _, test := range []struct {
 		name     string
 		history  bool
 		expected bool
-	}{{"the first start", false, true}, {"a later one", true, false}} {
+	}{{"first start", false, true}, {"later start", true, false}} {
 		view, recorded := newTestView()
 		items := []store.Item{putEvent(ownKey, `{"name":"a"}`).Item}
 		if test.history {
@@ -208,13 +210,13 @@
 		view.Apply([]store.Event{history})
 		view.Current(view.now())
 		if recorded.confirmed.IsZero() || recorded.fleetIsNew != test.expected {
-			t.Errorf("%s: the fleet is new: %v", test.name, recorded.fleetIsNew)
+			t.Errorf("%s: fleet is new: %v", test.name, recorded.fleetIsNew)
 		}
 	}
 }
 
-// TestOneThatIsToldNothingKnowsThatItsConfigurationMayBeOld has the store answer the renewals of a gateway that learns from others, while
-// those tell it nothing: it must not deny what a newer configuration allows.
+// TestStoreResponseDoesNotRefreshFollower guards against a standby gateway that considers its configuration fresh
+// because the store answers its lease renewals, while its upstreams send no changes.
 func TestStoreResponseDoesNotRefreshFollower(t *testing.T) {
 	view, _ := newTestView()
 	now := time.Unix(1000, 0)
@@ -223,25 +225,25 @@
 	now = now.Add(4 * time.Second)
 	view.Connected(false)
 	if view.IsFresh(3 * time.Second) {
-		t.Error("a renewal made it fresh")
+		t.Error("a response to a standby gateway made the configuration fresh")
 	}
 	view.Current(now)
 	if !view.IsFresh(3 * time.Second) {
-		t.Error("it was told, and is not fresh")
+		t.Error("changes did not make the configuration fresh")
 	}
 	now = now.Add(4 * time.Second)
 	view.Connected(true)
 	if !view.IsFresh(3 * time.Second) {
-		t.Error("one that follows the store itself was answered, and is not fresh")
+		t.Error("a response to a gateway that follows the store did not make the configuration fresh")
 	}
 }
 
-// TestWorkersAreKnownBeforeTheConfiguration guards against a gateway that is ready and knows no workers, for as long as the process is held up
-// between both.
+// TestWorkersAreReportedBeforeConfiguration guards against a gateway that is ready but knows no workers if it is
+// delayed between the two.
 func TestWorkersAreReportedBeforeConfiguration(t *testing.T) {
 	view, recorded := newTestView()
 	view.Reset([]store.Item{putEvent("configuration", "333").Item, putEvent("worker/1", "x").Item})
 	if recorded.workersAtConfiguration != 1 {
-		t.Errorf("%d workers were known when the configuration was told", recorded.workersAtConfiguration)
+		t.Errorf("%d workers were known at the configuration, want 1", recorded.workersAtConfiguration)
 	}
 }
