--- a/internal/cluster/view.go
+++ b/internal/cluster/view.go
@@ -233,7 +233,7 @@
 
 // applyGateway applies an event to the list of gateways and reports whether it was relevant.
 func (v *View) applyGateway(event store.Event) bool {
-	if !member.Concerns(event.Key) {
+	if !member.IsListKey(event.Key) {
 		return false
 	}
 	v.mutex.Lock()
--- a/internal/member/entry.go
+++ b/internal/member/entry.go
@@ -10,62 +10,62 @@
 // load of the workers and of what they keep; the others stand by.
 type EntrySettings struct {
 	// EveryoneUpTo is the size of a fleet up to which every gateway is an entry: so few tell each other everything anyway.
-	EveryoneUpTo int
+	MaxAllEntries int
 	// LeastPerZone entries are in each zone as long as it has as many gateways, so that the loss of one leaves another one near.
-	LeastPerZone int
+	MinPerZone int
 	// Least is the number of entries of a fleet of few zones.
-	Least int
+	Min int
 	// Most is what the directory may name in one answer.
-	Most int
+	Max int
 }
 
 // DefaultEntrySettings bear the loss of several entries at once, in any zone.
 func DefaultEntrySettings() EntrySettings {
-	return EntrySettings{EveryoneUpTo: 12, LeastPerZone: 2, Least: 6, Most: 64}
+	return EntrySettings{MaxAllEntries: 12, MinPerZone: 2, Min: 6, Max: 64}
 }
 
 // Entries returns the gateways to which callers are sent, by name: the least number of each zone, and more of them until they
 // have the cores that are needed. It takes those of the largest capacity first and goes round the zones among equals, so that
 // every process that knows the same gateways picks the same ones, and one that is lost is replaced in its own zone.
 func Entries(gateways []Gateway, neededCores float64, settings EntrySettings) []Gateway {
-	if len(gateways) <= settings.EveryoneUpTo {
+	if len(gateways) <= settings.MaxAllEntries {
 		return gateways
 	}
-	preferred := newPreference(gateways)
-	return pickEntries(preferred.all(), preferred.zones, neededCores, settings)
+	ranking := newRanking(gateways)
+	return selectEntries(ranking.all(), ranking.zones, neededCores, settings)
 }
 
 // pickEntries returns the entries of a fleet of which some stand by, of gateways in the order of preference. Zones counts the gateways of
 // each zone; some of them may not be among the gateways.
-func pickEntries(preferred iter.Seq[Gateway], zones map[string]int, neededCores float64, settings EntrySettings) []Gateway {
-	picked := map[string]bool{}
+func selectEntries(ranked iter.Seq[Gateway], zones map[string]int, neededCores float64, settings EntrySettings) []Gateway {
+	selected := map[string]bool{}
 	var entries []Gateway
 	cores := 0.0
-	pick := func(gateway Gateway) {
-		picked[gateway.Name] = true
+	add := func(gateway Gateway) {
+		selected[gateway.Name] = true
 		entries = append(entries, gateway)
 		cores += gateway.Cores
 	}
 	inZone := map[string]int{}
-	left := len(zones)
-	for gateway := range preferred {
-		if left == 0 || len(entries) >= settings.Most {
+	incompleteZones := len(zones)
+	for gateway := range ranked {
+		if incompleteZones == 0 || len(entries) >= settings.Max {
 			break
 		}
-		if inZone[gateway.Zone] >= settings.LeastPerZone {
+		if inZone[gateway.Zone] >= settings.MinPerZone {
 			continue
 		}
-		if inZone[gateway.Zone]++; inZone[gateway.Zone] == min(settings.LeastPerZone, zones[gateway.Zone]) {
-			left--
+		if inZone[gateway.Zone]++; inZone[gateway.Zone] == min(settings.MinPerZone, zones[gateway.Zone]) {
+			incompleteZones--
 		}
-		pick(gateway)
+		add(gateway)
 	}
-	for gateway := range preferred {
-		if len(entries) >= settings.Most || (len(entries) >= settings.Least && cores >= neededCores) {
+	for gateway := range ranked {
+		if len(entries) >= settings.Max || (len(entries) >= settings.Min && cores >= neededCores) {
 			break
 		}
-		if !picked[gateway.Name] {
-			pick(gateway)
+		if !selected[gateway.Name] {
+			add(gateway)
 		}
 	}
 	return byName(entries)
--- a/internal/member/entry_test.go
+++ b/internal/member/entry_test.go
@@ -10,7 +10,7 @@
 )
 
 // fleet returns gateways of a size in each zone.
-func fleet(perZone int, cores float64, kind string, zones ...string) []Gateway {
+func newFleet(perZone int, cores float64, kind string, zones ...string) []Gateway {
 	var gateways []Gateway
 	for _, zone := range zones {
 		for i := range perZone {
@@ -20,28 +20,28 @@
 	return gateways
 }
 
-func TestEveryGatewayOfASmallFleetIsAnEntry(t *testing.T) {
-	small := fleet(3, 0.4, "g", "a", "b", "c")
-	if got := names(Entries(small, 0, DefaultEntrySettings())); got != names(small) {
+func TestAllGatewaysOfSmallFleetAreEntries(t *testing.T) {
+	small := newFleet(3, 0.4, "g", "a", "b", "c")
+	if got := gatewayNames(Entries(small, 0, DefaultEntrySettings())); got != gatewayNames(small) {
 		t.Errorf("entries %s", got)
 	}
 }
 
-func TestTheLargestGatewaysOfAMixedFleetAreEntries(t *testing.T) {
-	large := fleet(2, 0.8, "large", "a", "b", "c", "d")
-	mixed := append(fleet(20, 0.2, "small", "a", "b", "c", "d"), large...)
-	if got := names(Entries(mixed, 0, DefaultEntrySettings())); got != names(large) {
+func TestLargestGatewaysAreEntries(t *testing.T) {
+	large := newFleet(2, 0.8, "large", "a", "b", "c", "d")
+	mixed := append(newFleet(20, 0.2, "small", "a", "b", "c", "d"), large...)
+	if got := gatewayNames(Entries(mixed, 0, DefaultEntrySettings())); got != gatewayNames(large) {
 		t.Errorf("entries %s", got)
 	}
-	withoutOne := append(fleet(20, 0.2, "small", "a", "b", "c", "d"), large[1:]...)
+	withoutOne := append(newFleet(20, 0.2, "small", "a", "b", "c", "d"), large[1:]...)
 	entries := Entries(withoutOne, 0, DefaultEntrySettings())
-	if len(entries) != 8 || names(entries[:7]) != names(large[1:]) || entries[7].Name != "small-a-00" {
-		t.Errorf("entries after the loss of one: %s", names(entries))
+	if len(entries) != 8 || gatewayNames(entries[:7]) != gatewayNames(large[1:]) || entries[7].Name != "small-a-00" {
+		t.Errorf("entries after the loss of one: %s", gatewayNames(entries))
 	}
 }
 
-func TestEntriesOfAnEvenFleetAreSpreadOverZones(t *testing.T) {
-	even := fleet(30, 0.4, "g", "a", "b", "c")
+func TestEntriesAreSpreadOverZones(t *testing.T) {
+	even := newFleet(30, 0.4, "g", "a", "b", "c")
 	tests := []struct {
 		neededCores float64
 		want        map[string]int
@@ -65,7 +65,7 @@
 
 // TestEntriesFollowWhatIsKnown checks over random fleets that the order in which gateways are known says nothing, that no zone
 // is without an entry, and that the loss of an entry takes no other one off the list.
-func TestEntriesFollowWhatIsKnown(t *testing.T) {
+func TestEntriesDependOnlyOnKnownGateways(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var gateways []Gateway
 		for i := range rapid.IntRange(1, 80).Draw(t, "gateways") {
@@ -77,8 +77,8 @@
 		needed := rapid.Float64Range(0, 20).Draw(t, "needed")
 		settings := DefaultEntrySettings()
 		entries := Entries(gateways, needed, settings)
-		if got := Entries(rapid.Permutation(gateways).Draw(t, "order"), needed, settings); names(byName(got)) != names(byName(entries)) {
-			t.Fatalf("in another order %s, before %s", names(got), names(entries))
+		if got := Entries(rapid.Permutation(gateways).Draw(t, "order"), needed, settings); gatewayNames(byName(got)) != gatewayNames(byName(entries)) {
+			t.Fatalf("in another order %s, before %s", gatewayNames(got), gatewayNames(entries))
 		}
 		cores, all := map[string]float64{}, map[string]float64{}
 		for _, gateway := range gateways {
@@ -92,7 +92,7 @@
 		if len(cores) != len(all) {
 			t.Fatalf("entries in %d of %d zones", len(cores), len(all))
 		}
-		if len(entries) < min(len(gateways), settings.Most) && total < needed {
+		if len(entries) < min(len(gateways), settings.Max) && total < needed {
 			t.Fatalf("%.1f cores where %.1f are needed, and there are more", total, needed)
 		}
 		lost := rapid.SampledFrom(entries).Draw(t, "lost").Name
--- a/internal/member/list.go
+++ b/internal/member/list.go
@@ -35,10 +35,10 @@
 
 // fadeTime is how long a gateway whose registration lapsed around an outage of the store stays on the list: the outage may
 // have ended the lease of a gateway that lives, which registers again within that time.
-const fadeTime = 3 * time.Second
+const lapseGrace = 3 * time.Second
 
 // outageMemory is how long after an outage lapses are put down to it.
-const outageMemory = 6 * time.Second
+const outageWindow = 6 * time.Second
 
 // List is the list of live gateways as the store told it. It is a pure state machine and not safe for concurrent use.
 type List struct {
@@ -46,16 +46,16 @@
 	own      Gateway
 	gateways map[string]Gateway
 	// fading holds until when a gateway without a registration stays on the list.
-	fading     map[string]time.Time
-	lastOutage time.Time
+	lapsedUntil map[string]time.Time
+	lastOutage  time.Time
 	// isRestored is set until the first list of a store that came back from an older copy.
 	isRestored bool
 	// heard holds when each other gateway was heard last, by its own word or by that of another, and claims when each told last by
 	// its own that it takes requests.
-	heard, claims map[string]time.Time
+	lastHeard, lastClaimed map[string]time.Time
 
 	// preferred holds those that serve in the order in which they are picked as entries.
-	preferred *preference
+	ranking *ranking
 
 	settings EntrySettings
 	// neededCores are those that the entries have together at least.
@@ -63,20 +63,20 @@
 	needRevision store.Revision
 	// picked holds since when each entry is one, and unresponsive until when a gateway is passed over that was one and told
 	// nothing.
-	picked       map[string]time.Time
-	unresponsive map[string]time.Time
+	entrySince        map[string]time.Time
+	unresponsiveUntil map[string]time.Time
 	// sound holds until when a gateway is known to live, by its own word or by that of a gateway that heard it.
-	sound map[string]time.Time
+	liveUntil map[string]time.Time
 	// connected is when this process was last answered, by the store or by another gateway that follows it.
-	connected time.Time
+	connectedAt time.Time
 }
 
 // NewList returns a list with only the own gateway.
 func NewList(own Gateway) *List {
 	return &List{
-		own: own, gateways: map[string]Gateway{}, fading: map[string]time.Time{}, heard: map[string]time.Time{}, claims: map[string]time.Time{},
-		preferred: newPreference(servingOnly(own)), settings: DefaultEntrySettings(), picked: map[string]time.Time{}, unresponsive: map[string]time.Time{},
-		sound: map[string]time.Time{},
+		own: own, gateways: map[string]Gateway{}, lapsedUntil: map[string]time.Time{}, lastHeard: map[string]time.Time{}, lastClaimed: map[string]time.Time{},
+		ranking: newRanking(servingOnly(own)), settings: DefaultEntrySettings(), entrySince: map[string]time.Time{}, unresponsiveUntil: map[string]time.Time{},
+		liveUntil: map[string]time.Time{},
 	}
 }
 
@@ -91,23 +91,23 @@
 // Reset replaces the registrations by those among the items.
 func (l *List) Reset(now time.Time, items []store.Item) error {
 	present := map[string]bool{}
-	var faults []error
+	var errs []error
 	for _, item := range items {
 		if IsRegistration(item.Key) {
 			present[item.Key] = true
-			faults = append(faults, l.put(item))
+			errs = append(errs, l.putRegistration(item))
 		}
 	}
-	needed := l.neededCores
+	previousCores := l.neededCores
 	l.neededCores, l.needRevision = 0, 0
 	for _, item := range items {
 		if item.Key == NeedKey {
-			faults = append(faults, l.putNeed(item))
+			errs = append(errs, l.putNeed(item))
 		}
 	}
 	if l.isRestored && l.needRevision == 0 {
 		// Whoever gives the orders writes it again. Without it fewer gateways would take requests until then.
-		l.neededCores = needed
+		l.neededCores = previousCores
 	}
 	l.isRestored = false
 	for key := range l.gateways {
@@ -115,7 +115,7 @@
 			l.lapse(now, key)
 		}
 	}
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
 
 // Apply takes one change of an item.
@@ -132,7 +132,7 @@
 		l.lapse(now, event.Key)
 		return nil
 	default:
-		return l.put(event.Item)
+		return l.putRegistration(event.Item)
 	}
 }
 
@@ -161,51 +161,51 @@
 
 // Heard tells that another gateway said that it takes requests.
 func (l *List) Heard(now time.Time, name string) {
-	l.claims[name] = now
-	l.hear(now, name)
+	l.lastClaimed[name] = now
+	l.recordLife(now, name)
 }
 
 // hear notes that a gateway was heard, by its own word or by that of another.
-func (l *List) hear(now time.Time, name string) {
-	l.heard[name] = now
-	l.sound[name] = now.Add(suspectAfter)
-	delete(l.unresponsive, name)
+func (l *List) recordLife(now time.Time, name string) {
+	l.lastHeard[name] = now
+	l.liveUntil[name] = now.Add(heartbeatTimeout)
+	delete(l.unresponsiveUntil, name)
 }
 
 // suspectAfter is how long a gateway may be silent that was heard before. It tells of itself four times in that time.
-const suspectAfter = 900 * time.Millisecond
+const heartbeatTimeout = 900 * time.Millisecond
 
 // Reachable returns the gateways that serve, by name, without those that have fallen silent. When most of those that were heard
 // have, the fault is on the own side and nobody is suspected, unless this process is answered by others.
 func (l *List) Reachable(now time.Time) []Gateway {
-	reachable, _ := l.reach(now)
+	reachable, _ := l.findReachable(now)
 	return byName(slices.Collect(reachable))
 }
 
 // reach returns the gateways that serve and are reachable, in the order of preference, and those that have fallen silent, by name. It looks
 // only at those of which something was heard: they are the few that take requests.
-func (l *List) reach(now time.Time) (reachable iter.Seq[Gateway], suspects []Gateway) {
-	l.fade(now)
-	heard, silent := 0, 0
+func (l *List) findReachable(now time.Time) (reachable iter.Seq[Gateway], suspects []Gateway) {
+	l.removeLapsed(now)
+	heardCount, silentCount := 0, 0
 	suspected := map[string]bool{}
-	for name := range l.heard {
+	for name := range l.lastHeard {
 		if _, serves := l.Find(now, name); !serves {
 			continue
 		}
-		heard++
+		heardCount++
 		switch {
 		case name == l.own.Name:
-		case l.standsBySilently(now, name):
-			delete(l.heard, name)
-		case l.silent(now, name):
-			silent++
+		case l.isSilentStandby(now, name):
+			delete(l.lastHeard, name)
+		case l.isSilent(now, name):
+			silentCount++
 			suspected[name] = true
 		}
 	}
-	if 2*silent > heard && !l.isConnected(now) {
-		return l.preferred.all(), nil
+	if 2*silentCount > heardCount && !l.isConnected(now) {
+		return l.ranking.all(), nil
 	}
-	for name, until := range l.unresponsive {
+	for name, until := range l.unresponsiveUntil {
 		if now.Before(until) {
 			suspected[name] = true
 		}
@@ -215,38 +215,38 @@
 			suspects = append(suspects, gateway)
 		}
 	}
-	return l.preferred.without(suspected), byName(suspects)
+	return l.ranking.without(suspected), byName(suspects)
 }
 
 // Unheard tells that a gateway stands by and will not be heard any more.
 func (l *List) Unheard(name string) {
-	delete(l.heard, name)
-	delete(l.claims, name)
-	delete(l.sound, name)
+	delete(l.lastHeard, name)
+	delete(l.lastClaimed, name)
+	delete(l.liveUntil, name)
 }
 
 // standsBySilently tells whether a gateway has been silent for so long that its registration would have lapsed if it were gone: it
 // stands by, and its word of that was lost.
-func (l *List) standsBySilently(now time.Time, name string) bool {
-	heard, before := l.heard[name]
-	return before && now.Sub(heard) > unresponsiveTime
+func (l *List) isSilentStandby(now time.Time, name string) bool {
+	heardAt, found := l.lastHeard[name]
+	return found && now.Sub(heardAt) > unresponsivePause
 }
 
 // silent tells whether a gateway that was heard before has not been for too long.
-func (l *List) silent(now time.Time, name string) bool {
-	heard, before := l.heard[name]
-	return before && now.Sub(heard) > suspectAfter
+func (l *List) isSilent(now time.Time, name string) bool {
+	heardAt, found := l.lastHeard[name]
+	return found && now.Sub(heardAt) > heartbeatTimeout
 }
 
 // Serving returns the gateways that serve callers, by name.
 func (l *List) Serving(now time.Time) []Gateway {
-	l.fade(now)
-	return byName(slices.Collect(l.preferred.all()))
+	l.removeLapsed(now)
+	return byName(slices.Collect(l.ranking.all()))
 }
 
 // Find returns a gateway that serves callers by its name, or false.
 func (l *List) Find(now time.Time, name string) (Gateway, bool) {
-	l.fade(now)
+	l.removeLapsed(now)
 	if name == l.own.Name {
 		return l.own, !l.own.Leaving
 	}
@@ -256,60 +256,60 @@
 
 // ServingCount returns how many these are.
 func (l *List) ServingCount(now time.Time) int {
-	l.fade(now)
-	return l.preferred.count
+	l.removeLapsed(now)
+	return l.ranking.count
 }
 
 // fade takes gateways off the list whose registrations have been gone for long enough.
-func (l *List) fade(now time.Time) {
-	for key, until := range l.fading {
+func (l *List) removeLapsed(now time.Time) {
+	for key, until := range l.lapsedUntil {
 		if now.After(until) {
-			delete(l.fading, key)
-			l.drop(key)
+			delete(l.lapsedUntil, key)
+			l.remove(key)
 		}
 	}
 }
 
 // drop takes a registration off the list.
-func (l *List) drop(key string) {
+func (l *List) remove(key string) {
 	if gateway, known := l.gateways[key]; known && gateway.Name != l.own.Name {
-		l.preferred.remove(gateway)
+		l.ranking.remove(gateway)
 	}
 	delete(l.gateways, key)
 }
 
 // Leave takes the own gateway off the list.
 func (l *List) Leave() {
-	l.preferred.remove(l.own)
+	l.ranking.remove(l.own)
 	l.own.Leaving = true
 }
 
 // IsListed tells whether the own gateway serves and its registration was there when the store told last.
 func (l *List) IsListed() bool {
 	key := KeyPrefix + l.own.Name
-	_, listed := l.gateways[key]
-	_, fades := l.fading[key]
-	return listed && !fades && !l.own.Leaving
+	_, isListed := l.gateways[key]
+	_, isLapsed := l.lapsedUntil[key]
+	return isListed && !isLapsed && !l.own.Leaving
 }
 
 // put takes a registration.
-func (l *List) put(item store.Item) error {
+func (l *List) putRegistration(item store.Item) error {
 	var gateway Gateway
 	if err := json.Unmarshal(item.Value, &gateway); err != nil {
 		return errors.Wrapf(err, "step read the registration %s", item.Key)
 	}
 	l.register(item.Key, gateway)
-	delete(l.fading, item.Key)
-	delete(l.unresponsive, gateway.Name)
+	delete(l.lapsedUntil, item.Key)
+	delete(l.unresponsiveUntil, gateway.Name)
 	return nil
 }
 
 // register puts a gateway on the list in place of what was registered under its key.
 func (l *List) register(key string, gateway Gateway) {
-	l.drop(key)
+	l.remove(key)
 	l.gateways[key] = gateway
 	if !gateway.Leaving && gateway.Name != l.own.Name {
-		l.preferred.add(gateway)
+		l.ranking.add(gateway)
 	}
 }
 
@@ -319,18 +319,18 @@
 	if !known {
 		return
 	}
-	if !gateway.Leaving && !l.lastOutage.IsZero() && now.Sub(l.lastOutage) < outageMemory {
-		if _, fades := l.fading[key]; !fades {
-			l.fading[key] = now.Add(fadeTime)
+	if !gateway.Leaving && !l.lastOutage.IsZero() && now.Sub(l.lastOutage) < outageWindow {
+		if _, isLapsed := l.lapsedUntil[key]; !isLapsed {
+			l.lapsedUntil[key] = now.Add(lapseGrace)
 		}
 		return
 	}
-	l.drop(key)
-	delete(l.fading, key)
+	l.remove(key)
+	delete(l.lapsedUntil, key)
 }
 
 // Concerns tells whether a change of a key is one of the list.
-func Concerns(key string) bool { return key == NeedKey || IsRegistration(key) }
+func IsListKey(key string) bool { return key == NeedKey || IsRegistration(key) }
 
 // IsRegistration tells whether a key is that of a gateway.
 func IsRegistration(key string) bool {
--- a/internal/member/picked_test.go
+++ b/internal/member/liveness_test.go
@@ -10,25 +10,25 @@
 
 // largeList returns the list of a gateway of a fleet of 30 gateways in three zones, in which g00 to g05 are entries.
 func largeList(own string) *List {
-	list := NewList(gatewayOf(own))
+	list := NewList(testGateway(own))
 	for i := range 30 {
-		gateway := gatewayOf(fmt.Sprintf("g%02d", i))
+		gateway := testGateway(fmt.Sprintf("g%02d", i))
 		list.register(KeyPrefix+gateway.Name, gateway)
 	}
 	return list
 }
 
 // gatewayOf returns a gateway whose zone follows from its number.
-func gatewayOf(name string) Gateway {
+func testGateway(name string) Gateway {
 	var number int
 	_, _ = fmt.Sscanf(name, "g%d", &number)
 	return Gateway{Name: name, Zone: string(rune('a' + number%3)), Cores: 0.4}
 }
 
 // hear tells the list at a moment that these were heard.
-func hear(list *List, now time.Time, heard ...string) {
+func hearFrom(list *List, now time.Time, names ...string) {
 	list.Connected(now)
-	for _, name := range heard {
+	for _, name := range names {
 		list.Heard(now, name)
 	}
 }
@@ -46,114 +46,114 @@
 
 const allEntries = "[g00 g01 g02 g03 g04 g05]"
 
-func TestASilentEntryIsReplacedInItsZone(t *testing.T) {
+func TestSilentEntryIsReplacedInItsZone(t *testing.T) {
 	list := largeList("g00")
-	hear(list, epoch, "g01", "g02", "g03", "g04", "g05")
-	if got := names(entriesAt(list, epoch)); got != allEntries {
+	hearFrom(list, startTime, "g01", "g02", "g03", "g04", "g05")
+	if got := gatewayNames(entriesAt(list, startTime)); got != allEntries {
 		t.Fatalf("at first %s", got)
 	}
-	later := epoch.Add(suspectAfter + time.Millisecond)
-	hear(list, later, "g02", "g03", "g04", "g05")
-	if got := names(entriesAt(list, later)); got != "[g00 g02 g03 g04 g05 g07]" {
+	later := startTime.Add(heartbeatTimeout + time.Millisecond)
+	hearFrom(list, later, "g02", "g03", "g04", "g05")
+	if got := gatewayNames(entriesAt(list, later)); got != "[g00 g02 g03 g04 g05 g07]" {
 		t.Fatalf("g01 silent: %s", got)
 	}
-	if got := names(suspectsAt(list, later)); got != "[g01]" {
+	if got := gatewayNames(suspectsAt(list, later)); got != "[g01]" {
 		t.Errorf("suspects %s", got)
 	}
 	// The one that took its place says nothing either.
-	later = later.Add(answerTime + time.Millisecond)
-	hear(list, later, "g02", "g03", "g04", "g05")
+	later = later.Add(entryAnswerTimeout + time.Millisecond)
+	hearFrom(list, later, "g02", "g03", "g04", "g05")
 	list.Entries(later)
-	if got := names(entriesAt(list, later)); got != "[g00 g02 g03 g04 g05 g10]" {
+	if got := gatewayNames(entriesAt(list, later)); got != "[g00 g02 g03 g04 g05 g10]" {
 		t.Fatalf("g07 silent too: %s", got)
 	}
-	hear(list, later, "g01")
-	if got := names(entriesAt(list, later)); got != allEntries {
+	hearFrom(list, later, "g01")
+	if got := gatewayNames(entriesAt(list, later)); got != allEntries {
 		t.Errorf("g01 is heard again: %s", got)
 	}
 }
 
-func TestAllEntriesAreReplacedOnlyWhenTheOwnSideIsSound(t *testing.T) {
+func TestAllEntriesAreReplacedOnlyWhileConnected(t *testing.T) {
 	list := largeList("g20")
-	list.Told(epoch, []string{"g00", "g01", "g02", "g03", "g04", "g05"}, nil)
-	list.Entries(epoch)
-	later := epoch.Add(connectedTime + time.Millisecond)
-	if got := names(entriesAt(list, later)); got != allEntries {
+	list.Told(startTime, []string{"g00", "g01", "g02", "g03", "g04", "g05"}, nil)
+	list.Entries(startTime)
+	later := startTime.Add(connectedWindow + time.Millisecond)
+	if got := gatewayNames(entriesAt(list, later)); got != allEntries {
 		t.Errorf("nobody answers: %s", got)
 	}
 	list.Connected(later)
-	if got := names(entriesAt(list, later)); got != "[g06 g07 g08 g09 g10 g11]" {
+	if got := gatewayNames(entriesAt(list, later)); got != "[g06 g07 g08 g09 g10 g11]" {
 		t.Errorf("the store answers: %s", got)
 	}
 }
 
-func TestWhoStandsByFollowsWhatItIsTold(t *testing.T) {
+func TestStandbyFollowsReportedEntries(t *testing.T) {
 	list := largeList("g20")
-	list.Told(epoch, []string{"g00", "g01", "g02", "g03", "g04", "g05"}, nil)
-	list.Entries(epoch)
-	list.Told(epoch, []string{"g00", "g02", "g03", "g04", "g05", "g07"}, nil)
-	if got := names(entriesAt(list, epoch)); got != "[g00 g02 g03 g04 g05 g07]" {
+	list.Told(startTime, []string{"g00", "g01", "g02", "g03", "g04", "g05"}, nil)
+	list.Entries(startTime)
+	list.Told(startTime, []string{"g00", "g02", "g03", "g04", "g05", "g07"}, nil)
+	if got := gatewayNames(entriesAt(list, startTime)); got != "[g00 g02 g03 g04 g05 g07]" {
 		t.Errorf("told that g01 is replaced: %s", got)
 	}
 	// One that takes its place is told nothing any more, and has to hear the others.
-	later := epoch.Add(answerTime)
-	hear(list, later, "g00", "g02", "g03", "g04", "g05", "g07")
-	if got := names(entriesAt(list, later)); got != "[g00 g02 g03 g04 g05 g07]" {
+	later := startTime.Add(entryAnswerTimeout)
+	hearFrom(list, later, "g00", "g02", "g03", "g04", "g05", "g07")
+	if got := gatewayNames(entriesAt(list, later)); got != "[g00 g02 g03 g04 g05 g07]" {
 		t.Errorf("later: %s", got)
 	}
 }
 
 // TestOnlyGatewaysThatLiveAreNamed guards against naming machines that have long been off: those that stood by are registered for long.
-func TestOnlyGatewaysThatLiveAreNamed(t *testing.T) {
+func TestOnlyLiveGatewaysAreNamed(t *testing.T) {
 	entry := largeList("g00")
-	if got := names(entry.Named(epoch)); got != "[g00]" {
+	if got := gatewayNames(entry.Named(startTime)); got != "[g00]" {
 		t.Errorf("nobody was heard: %s", got)
 	}
-	hear(entry, epoch, "g01", "g02", "g03", "g04", "g05")
-	if got := names(entry.Named(epoch)); got != allEntries {
+	hearFrom(entry, startTime, "g01", "g02", "g03", "g04", "g05")
+	if got := gatewayNames(entry.Named(startTime)); got != allEntries {
 		t.Errorf("all were heard: %s", got)
 	}
-	later := epoch.Add(suspectAfter + time.Millisecond)
-	hear(entry, later, "g02", "g03", "g04", "g05")
-	if got := names(entry.Named(later)); got != "[g00 g02 g03 g04 g05]" {
+	later := startTime.Add(heartbeatTimeout + time.Millisecond)
+	hearFrom(entry, later, "g02", "g03", "g04", "g05")
+	if got := gatewayNames(entry.Named(later)); got != "[g00 g02 g03 g04 g05]" {
 		t.Errorf("g07 was picked in place of g01 and said nothing yet: %s", got)
 	}
-	standBy := largeList("g20")
-	standBy.Told(epoch, []string{"g00", "g02", "g03", "g04", "g05", "g07"}, []string{"g00", "g02", "g03", "g04", "g05"})
-	if got := names(standBy.Named(epoch)); got != "[g00 g02 g03 g04 g05]" {
+	standby := largeList("g20")
+	standby.Told(startTime, []string{"g00", "g02", "g03", "g04", "g05", "g07"}, []string{"g00", "g02", "g03", "g04", "g05"})
+	if got := gatewayNames(standby.Named(startTime)); got != "[g00 g02 g03 g04 g05]" {
 		t.Errorf("told that g07 said nothing yet: %s", got)
 	}
-	if got := names(standBy.Named(epoch.Add(toldTime + time.Millisecond))); got != "[g20]" {
+	if got := gatewayNames(standby.Named(startTime.Add(reportedLiveWindow + time.Millisecond))); got != "[g20]" {
 		t.Errorf("told nothing any more: %s", got)
 	}
 }
 
-func TestNobodyIsSilentToAProcessThatStoodStill(t *testing.T) {
+func TestNoGatewayIsSuspectedAfterResume(t *testing.T) {
 	list := largeList("g00")
-	hear(list, epoch, "g01", "g02", "g03", "g04", "g05")
-	list.Entries(epoch)
-	later := epoch.Add(time.Minute)
+	hearFrom(list, startTime, "g01", "g02", "g03", "g04", "g05")
+	list.Entries(startTime)
+	later := startTime.Add(time.Minute)
 	list.Resumed(later)
 	list.Connected(later)
-	if got := names(entriesAt(list, later)); got != allEntries {
+	if got := gatewayNames(entriesAt(list, later)); got != allEntries {
 		t.Errorf("just resumed: %s", got)
 	}
 }
 
 // TestEntriesSettle plays gateways that are heard or not, and checks that the own view comes to rest at entries that are all
 // heard, within the time in which those that say nothing are noticed one after the other.
-func TestEntriesSettle(t *testing.T) {
+func TestEntriesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := largeList("g00")
 		alive := map[string]bool{"g00": true}
 		for i := 1; i < 30; i++ {
 			alive[fmt.Sprintf("g%02d", i)] = rapid.IntRange(0, 2).Draw(t, "alive") > 0
 		}
-		now := epoch
+		now := startTime
 		// The ten of a zone are tried in turn at the worst, each for answerTime and until the next look; none is tried twice, because
 		// all of that is less than unresponsiveTime.
 		const look, inZone = 100 * time.Millisecond, 10
-		for range inZone * int(answerTime/look+2) {
+		for range inZone * int(entryAnswerTimeout/look+2) {
 			now = now.Add(look)
 			list.Connected(now)
 			for _, entry := range entriesAt(list, now) {
@@ -162,33 +162,33 @@
 				}
 			}
 		}
-		count := 0
+		silent := 0
 		for _, entry := range entriesAt(list, now) {
 			if !alive[entry.Name] {
-				count++
+				silent++
 			}
 		}
 		living := map[string]int{}
 		for name, lives := range alive {
 			if lives {
-				living[gatewayOf(name).Zone]++
+				living[testGateway(name).Zone]++
 			}
 		}
-		if count > 0 && living["a"] >= 2 && living["b"] >= 2 && living["c"] >= 2 {
-			t.Fatalf("%d of the entries %s say nothing", count, names(entriesAt(list, now)))
+		if silent > 0 && living["a"] >= 2 && living["b"] >= 2 && living["c"] >= 2 {
+			t.Fatalf("%d of the entries %s say nothing", silent, gatewayNames(entriesAt(list, now)))
 		}
 	})
 }
 
 // TestThoseThatTheStoreNamesDoNotDependOnWhoIsHeard keeps two gateways of one mind that hear different ones.
-func TestThoseThatTheStoreNamesDoNotDependOnWhoIsHeard(t *testing.T) {
+func TestRegisteredDoesNotDependOnHeartbeats(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		one, other := largeList("g00"), largeList("g07")
 		now := time.Unix(1000, 0)
 		for range rapid.IntRange(0, 40).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 900).Draw(t, "pause")) * time.Millisecond)
 			name := fmt.Sprintf("g%02d", rapid.IntRange(0, 29).Draw(t, "name"))
-			hear(rapid.SampledFrom([]*List{one, other}).Draw(t, "hears"), now, name)
+			hearFrom(rapid.SampledFrom([]*List{one, other}).Draw(t, "hears"), now, name)
 			entriesAt(one, now)
 			entriesAt(other, now)
 		}
--- a/internal/member/registration.go
+++ b/internal/member/registration.go
@@ -22,19 +22,19 @@
 	// CallTimeout bounds one call to the store.
 	CallTimeout time.Duration
 	// Pause after a failed call.
-	Pause time.Duration
+	RetryPause time.Duration
 	// CalmFactor is by how much all but the time of a call is longer for a gateway that stands by, whose loss nobody waits for.
-	CalmFactor time.Duration
+	StandbyFactor time.Duration
 }
 
 // DefaultRegistrationSettings take a dead gateway off the list after three seconds.
 func DefaultRegistrationSettings() RegistrationSettings {
 	return RegistrationSettings{
-		TTL:         3 * time.Second,
-		Interval:    time.Second,
-		CallTimeout: 1200 * time.Millisecond,
-		Pause:       250 * time.Millisecond,
-		CalmFactor:  5,
+		TTL:           3 * time.Second,
+		Interval:      time.Second,
+		CallTimeout:   1200 * time.Millisecond,
+		RetryPause:    250 * time.Millisecond,
+		StandbyFactor: 5,
 	}
 }
 
@@ -45,13 +45,13 @@
 	own      Gateway
 	logger   logrus.FieldLogger
 	// onTrouble is called when the store can't be reached.
-	onTrouble func()
+	onFailure func()
 	// onLease is told of each lease that was granted or renewed, with the moment at which the call began by the clock that counts sleep.
-	onLease func(begun time.Time, lease int64, ttl time.Duration)
-	again   chan struct{}
+	onLease func(started time.Time, lease int64, ttl time.Duration)
+	rewrite chan struct{}
 	leave   chan struct{}
 	// brief is set for a gateway that takes requests.
-	brief atomic.Bool
+	isEntry atomic.Bool
 	// lease is that of the registration; 0 is none. It runs for ttl.
 	lease int64
 	ttl   time.Duration
@@ -60,11 +60,11 @@
 // NewRegistration returns a registration that does nothing before Run.
 func NewRegistration(
 	settings RegistrationSettings, store store.Store, own Gateway, logger logrus.FieldLogger,
-	onTrouble func(), onLease func(begun time.Time, lease int64, ttl time.Duration),
+	onFailure func(), onLease func(started time.Time, lease int64, ttl time.Duration),
 ) *Registration {
 	return &Registration{
-		settings: settings, store: store, own: own, logger: logger, onTrouble: onTrouble, onLease: onLease,
-		again: make(chan struct{}, 1), leave: make(chan struct{}, 1),
+		settings: settings, store: store, own: own, logger: logger, onFailure: onFailure, onLease: onLease,
+		rewrite: make(chan struct{}, 1), leave: make(chan struct{}, 1),
 	}
 }
 
@@ -72,26 +72,26 @@
 func (r *Registration) Key() string { return KeyPrefix + r.own.Name }
 
 // Again registers anew, for example because the registration was seen to be gone.
-func (r *Registration) Again() { notify(r.again) }
+func (r *Registration) Again() { signal(r.rewrite) }
 
 // SetBrief tells whether the others have to notice soon when this gateway is gone, because it takes requests. It begins as one
 // that nobody waits for.
-func (r *Registration) SetBrief(brief bool) {
-	if r.brief.Swap(brief) != brief {
+func (r *Registration) SetBrief(isEntry bool) {
+	if r.isEntry.Swap(isEntry) != isEntry {
 		r.Again()
 	}
 }
 
 // stretch returns a time of the settings as the role of the gateway has it.
-func (r *Registration) stretch(duration time.Duration) time.Duration {
-	if r.brief.Load() {
+func (r *Registration) scaleForRole(duration time.Duration) time.Duration {
+	if r.isEntry.Load() {
 		return duration
 	}
-	return duration * r.settings.CalmFactor
+	return duration * r.settings.StandbyFactor
 }
 
 // Leave tells the other gateways that this one gets no new callers.
-func (r *Registration) Leave() { notify(r.leave) }
+func (r *Registration) Leave() { signal(r.leave) }
 
 // Run registers and renews until the context ends.
 func (r *Registration) Run(ctx context.Context) {
@@ -99,14 +99,14 @@
 	for ctx.Err() == nil {
 		err := r.step(ctx, registered)
 		registered = err == nil
-		pause := r.stretch(r.settings.Interval)
+		pause := r.scaleForRole(r.settings.Interval)
 		if err != nil {
-			pause = r.stretch(r.settings.Pause)
-			r.onTrouble()
+			pause = r.scaleForRole(r.settings.RetryPause)
+			r.onFailure()
 		}
 		if failed := err != nil; failed != failing {
 			failing = failed
-			r.logChange(err)
+			r.logTransition(err)
 		}
 		if r.wait(ctx, pause) {
 			registered = false
@@ -115,7 +115,7 @@
 }
 
 // logChange tells that the registration began to fail, or that it stands again.
-func (r *Registration) logChange(err error) {
+func (r *Registration) logTransition(err error) {
 	if err != nil {
 		r.logger.WithError(err).Warn("The registration can't be renewed.")
 		return
@@ -127,8 +127,8 @@
 func (r *Registration) step(ctx context.Context, registered bool) error {
 	ctx, cancel := context.WithTimeout(ctx, r.settings.CallTimeout)
 	defer cancel()
-	begun := boottime.Now()
-	if r.ttl != r.stretch(r.settings.TTL) {
+	started := boottime.Now()
+	if r.ttl != r.scaleForRole(r.settings.TTL) {
 		// The old lease runs out with nothing that goes with it.
 		r.lease, registered = 0, false
 	}
@@ -140,26 +140,26 @@
 		} else if err != nil {
 			return err
 		} else {
-			r.onLease(begun, r.lease, r.ttl)
+			r.onLease(started, r.lease, r.ttl)
 		}
 	}
 	if r.lease == 0 {
-		ttl := r.stretch(r.settings.TTL)
+		ttl := r.scaleForRole(r.settings.TTL)
 		lease, err := r.store.Grant(ctx, ttl)
 		if err != nil {
 			return err
 		}
 		r.lease, r.ttl = lease.ID, ttl
-		r.onLease(begun, lease.ID, lease.TTL)
+		r.onLease(started, lease.ID, lease.TTL)
 	}
 	if registered {
 		return nil
 	}
-	return r.put(ctx)
+	return r.write(ctx)
 }
 
 // put writes the registration. It is the only writer of its key, so that it needs no condition and may be repeated.
-func (r *Registration) put(ctx context.Context) error {
+func (r *Registration) write(ctx context.Context) error {
 	value, err := json.Marshal(r.own)
 	if err != nil {
 		return errors.Wrap(err, "step write the registration")
@@ -181,7 +181,7 @@
 	case <-r.leave:
 		r.own.Leaving = true
 		return true
-	case <-r.again:
+	case <-r.rewrite:
 		return true
 	case <-timer.C:
 		return false
@@ -189,7 +189,7 @@
 }
 
 // notify fills a channel of one place.
-func notify(channel chan struct{}) {
+func signal(channel chan struct{}) {
 	select {
 	case channel <- struct{}{}:
 	default:
--- a/internal/member/registration_test.go
+++ b/internal/member/registration_test.go
@@ -18,7 +18,7 @@
 	store.Store
 	mutex   sync.Mutex
 	granted int64
-	lasting time.Duration
+	lastTTL time.Duration
 	expired bool
 	puts    []store.Put
 }
@@ -27,14 +27,14 @@
 func (l *leaseStore) ttl() time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.lasting
+	return l.lastTTL
 }
 
 func (l *leaseStore) Grant(_ context.Context, ttl time.Duration) (store.Lease, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.granted++
-	l.lasting = ttl
+	l.lastTTL = ttl
 	l.expired = false
 	return store.Lease{ID: l.granted, TTL: time.Second}, nil
 }
@@ -68,7 +68,7 @@
 	return gateway, put.Lease, len(l.puts)
 }
 
-func TestRegistrationIsKeptRenewedAndLeft(t *testing.T) {
+func TestRegistrationLifecycle(t *testing.T) {
 	settings := DefaultRegistrationSettings()
 	settings.Interval = 5 * time.Millisecond
 	keys := &leaseStore{}
@@ -87,17 +87,17 @@
 		cancel()
 		<-done
 	}()
-	wait := func(what string, holds func(gateway Gateway, lease int64, puts int) bool) {
+	eventually := func(what string, condition func(gateway Gateway, lease int64, puts int) bool) {
 		t.Helper()
 		for range 300 {
-			if holds(keys.last()) {
+			if condition(keys.last()) {
 				return
 			}
 			time.Sleep(5 * time.Millisecond)
 		}
 		t.Fatalf("it did not become true: %s", what)
 	}
-	wait("registered", func(gateway Gateway, lease int64, puts int) bool {
+	eventually("registered", func(gateway Gateway, lease int64, puts int) bool {
 		return gateway.Name == "a" && lease == 1 && puts == 1
 	})
 	if <-leased != 1 {
@@ -106,15 +106,15 @@
 	keys.mutex.Lock()
 	keys.expired = true
 	keys.mutex.Unlock()
-	wait("registered with a new lease", func(_ Gateway, lease int64, _ int) bool { return lease == 2 })
+	eventually("registered with a new lease", func(_ Gateway, lease int64, _ int) bool { return lease == 2 })
 	registration.Again()
-	wait("registered again", func(_ Gateway, _ int64, puts int) bool { return puts == 3 })
+	eventually("registered again", func(_ Gateway, _ int64, puts int) bool { return puts == 3 })
 	registration.Leave()
-	wait("left", func(gateway Gateway, _ int64, _ int) bool { return gateway.Leaving })
+	eventually("left", func(gateway Gateway, _ int64, _ int) bool { return gateway.Leaving })
 }
 
 // TestOnlyGatewaysThatTakeRequestsRenewAShortLease changes the role of a gateway and looks at the lease of its registration.
-func TestOnlyGatewaysThatTakeRequestsRenewAShortLease(t *testing.T) {
+func TestLeaseDurationDependsOnRole(t *testing.T) {
 	settings := DefaultRegistrationSettings()
 	keys := &leaseStore{}
 	logger := logrus.New()
@@ -132,7 +132,7 @@
 		cancel()
 		<-done
 	}()
-	for i, want := range []time.Duration{settings.TTL * settings.CalmFactor, settings.TTL, settings.TTL * settings.CalmFactor} {
+	for i, want := range []time.Duration{settings.TTL * settings.StandbyFactor, settings.TTL, settings.TTL * settings.StandbyFactor} {
 		registration.SetBrief(i%2 == 1)
 		select {
 		case got := <-ttls:
--- a/internal/member/sizer.go
+++ b/internal/member/sizer.go
@@ -15,25 +15,25 @@
 type SizerSettings struct {
 	// MoreFrom is the part of their limits that entries use together from which on more are wanted, once that has lasted for
 	// MoreAfter: with half a burst of one and a half times the load and the loss of a quarter of the entries are borne together.
-	MoreFrom  float64
-	MoreAfter time.Duration
+	GrowFrom  float64
+	GrowAfter time.Duration
 	// LessBelow is the part below which fewer do, once that has lasted for LessAfter: a set that grows and shrinks moves callers.
-	LessBelow float64
-	LessAfter time.Duration
+	ShrinkBelow float64
+	ShrinkAfter time.Duration
 	// Step is by how many times the cores change at once.
-	Step float64
+	Factor float64
 	// Settle is how long after a change its effect is awaited: callers keep the addresses of before for some seconds.
-	Settle time.Duration
+	SettleTime time.Duration
 	// Effect is the part to which a growth has to bring the use for another one to follow. What entries tell each other grows with
 	// their number, so that more of them may make things worse.
-	Effect float64
+	MaxRemaining float64
 }
 
 // DefaultSizerSettings grow within two seconds and shrink slowly.
 func DefaultSizerSettings() SizerSettings {
 	return SizerSettings{
-		MoreFrom: 0.5, MoreAfter: 2 * time.Second, LessBelow: 0.15, LessAfter: time.Minute, Step: 1.5, Settle: 5 * time.Second,
-		Effect: 0.9,
+		GrowFrom: 0.5, GrowAfter: 2 * time.Second, ShrinkBelow: 0.15, ShrinkAfter: time.Minute, Factor: 1.5, SettleTime: 5 * time.Second,
+		MaxRemaining: 0.9,
 	}
 }
 
@@ -52,8 +52,8 @@
 	// highSince and lowSince are since when more are wanted, and fewer would do; zero when not.
 	highSince, lowSince time.Time
 	// changedAt is when the cores were changed last, and usedBefore what was used before a growth.
-	changedAt  time.Time
-	usedBefore float64
+	changedAt               time.Time
+	utilizationBeforeGrowth float64
 }
 
 // NewSizer returns a sizer that has seen nothing.
@@ -61,34 +61,34 @@
 
 // Next returns the cores that the entries are to have, given what they use and the need in force, and whether that is to change.
 func (s *Sizer) Next(now time.Time, entries []Busy, need float64) (float64, bool) {
-	used, have := 0.0, 0.0
+	utilization, cores := 0.0, 0.0
 	for _, entry := range entries {
-		used += entry.Cores * entry.Share
-		have += entry.Cores
+		utilization += entry.Cores * entry.Share
+		cores += entry.Cores
 	}
-	if have == 0 {
+	if cores == 0 {
 		return need, false
 	}
-	used /= have
-	high := lasting(&s.highSince, now, used >= s.settings.MoreFrom, s.settings.MoreAfter)
-	low := lasting(&s.lowSince, now, need > 0 && used < s.settings.LessBelow, s.settings.LessAfter)
-	if !s.changedAt.IsZero() && now.Sub(s.changedAt) < s.settings.Settle {
+	utilization /= cores
+	isHigh := hasHeldFor(&s.highSince, now, utilization >= s.settings.GrowFrom, s.settings.GrowAfter)
+	isLow := hasHeldFor(&s.lowSince, now, need > 0 && utilization < s.settings.ShrinkBelow, s.settings.ShrinkAfter)
+	if !s.changedAt.IsZero() && now.Sub(s.changedAt) < s.settings.SettleTime {
 		return need, false
 	}
 	switch {
-	case high && (s.usedBefore == 0 || used < s.settings.Effect*s.usedBefore):
-		s.changedAt, s.usedBefore = now, used
-		return have * s.settings.Step, true
-	case low:
-		s.changedAt, s.usedBefore, s.lowSince = now, 0, time.Time{}
-		return need / s.settings.Step, true
+	case isHigh && (s.utilizationBeforeGrowth == 0 || utilization < s.settings.MaxRemaining*s.utilizationBeforeGrowth):
+		s.changedAt, s.utilizationBeforeGrowth = now, utilization
+		return cores * s.settings.Factor, true
+	case isLow:
+		s.changedAt, s.utilizationBeforeGrowth, s.lowSince = now, 0, time.Time{}
+		return need / s.settings.Factor, true
 	default:
 		return need, false
 	}
 }
 
 // lasting keeps since when something holds, and tells whether it has held for long enough.
-func lasting(since *time.Time, now time.Time, holds bool, long time.Duration) bool {
+func hasHeldFor(since *time.Time, now time.Time, holds bool, duration time.Duration) bool {
 	if !holds {
 		*since = time.Time{}
 		return false
@@ -96,5 +96,5 @@
 	if since.IsZero() {
 		*since = now
 	}
-	return now.Sub(*since) >= long
+	return now.Sub(*since) >= duration
 }
--- a/internal/member/sizer_test.go
+++ b/internal/member/sizer_test.go
@@ -12,29 +12,29 @@
 )
 
 // TestSizes plays the days of testdata/sizes.txtar on fake time.
-func TestSizes(t *testing.T) {
+func TestSizer(t *testing.T) {
 	archive, err := txtar.ParseFile("testdata/sizes.txtar")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, file := range archive.Files {
-		t.Run(file.Name, func(t *testing.T) { playSizes(t, string(file.Data)) })
+		t.Run(file.Name, func(t *testing.T) { runSizerScript(t, string(file.Data)) })
 	}
 }
 
 // playSizes plays the lines of one day.
-func playSizes(t *testing.T, script string) {
+func runSizerScript(t *testing.T, script string) {
 	sizer := NewSizer(DefaultSizerSettings())
-	now, need, changes := epoch, 0.0, 0
+	now, need, changes := startTime, 0.0, 0
 	var entries []Busy
 	for line := range strings.Lines(script) {
 		line = strings.TrimSpace(line)
 		var count, seconds, wantChanges int
 		var share, wantNeed float64
 		switch {
-		case scan(line, "entries %d", &count):
+		case scanLine(line, "entries %d", &count):
 			entries = make([]Busy, count)
-		case scan(line, "for %ds busy %g", &seconds, &share):
+		case scanLine(line, "for %ds busy %g", &seconds, &share):
 			for range seconds {
 				now = now.Add(time.Second)
 				for i := range entries {
@@ -46,7 +46,7 @@
 					changes++
 				}
 			}
-		case scan(line, "need %g changes %d", &wantNeed, &wantChanges):
+		case scanLine(line, "need %g changes %d", &wantNeed, &wantChanges):
 			if fmt.Sprintf("%.2f", need) != fmt.Sprintf("%.2f", wantNeed) || changes != wantChanges {
 				t.Errorf("%s: the need is %.2f after %d changes", line, need, changes)
 			}
@@ -58,28 +58,28 @@
 }
 
 // scan reads a line of a form.
-func scan(line, form string, values ...any) bool {
+func scanLine(line, form string, values ...any) bool {
 	count, err := fmt.Sscanf(line, form, values...)
 	return err == nil && count == len(values)
 }
 
 // TestNeedsAreFollowedFromTheStore changes the need and looks at the entries.
-func TestNeedsAreFollowedFromTheStore(t *testing.T) {
+func TestNeedInStoreDeterminesEntries(t *testing.T) {
 	list := largeList("g00")
 	item := store.Item{Key: NeedKey, Value: []byte(`{"cores":3.9}`), Revision: 7}
-	if err := list.Apply(epoch, store.Event{Item: item}); err != nil {
+	if err := list.Apply(startTime, store.Event{Item: item}); err != nil {
 		t.Fatal(err)
 	}
-	if got := len(entriesAt(list, epoch)); got != 10 {
+	if got := len(entriesAt(list, startTime)); got != 10 {
 		t.Errorf("%d entries where 3.9 cores are needed of gateways of 0.4", got)
 	}
 	if _, revision := list.Need(); revision != 7 {
 		t.Errorf("the need is that of revision %d", revision)
 	}
-	if err := list.Apply(epoch, store.Event{Item: store.Item{Key: NeedKey, Revision: 8}, Deleted: true}); err != nil {
+	if err := list.Apply(startTime, store.Event{Item: store.Item{Key: NeedKey, Revision: 8}, Deleted: true}); err != nil {
 		t.Fatal(err)
 	}
-	if got := names(entriesAt(list, epoch)); got != allEntries {
+	if got := gatewayNames(entriesAt(list, startTime)); got != allEntries {
 		t.Errorf("without a need: %s", got)
 	}
 }
