--- a/internal/member/entry.go
+++ b/internal/member/entry.go
@@ -6,27 +6,29 @@
 	"slices"
 )
 
-// EntrySettings say how many gateways of a fleet take requests of callers. The fewer they are, the more each knows of the
-// load of the workers and of what they keep; the others stand by.
+// EntrySettings determines how many gateways of a fleet are entries, which callers are directed to. The fewer there
+// are, the more accurately each knows the load and the caches of the workers. The other gateways are standby.
 type EntrySettings struct {
-	// EveryoneUpTo is the size of a fleet up to which every gateway is an entry: so few tell each other everything anyway.
+	// MaxAllEntries is the maximum size of a fleet in which all gateways are entries. Such a fleet is small enough for
+	// all of them to exchange their state.
 	MaxAllEntries int
-	// LeastPerZone entries are in each zone as long as it has as many gateways, so that the loss of one leaves another one near.
+	// MinPerZone is the minimum number of entries in each zone, as far as it has gateways, so that the loss of one
+	// leaves another nearby.
 	MinPerZone int
-	// Least is the number of entries of a fleet of few zones.
+	// Min is the minimum number of entries of the fleet.
 	Min int
-	// Most is what the directory may name in one answer.
+	// Max is the maximum number of entries, which is what the directory may name in one answer.
 	Max int
 }
 
-// DefaultEntrySettings bear the loss of several entries at once, in any zone.
+// DefaultEntrySettings returns settings that tolerate the concurrent loss of several entries in any zone.
 func DefaultEntrySettings() EntrySettings {
 	return EntrySettings{MaxAllEntries: 12, MinPerZone: 2, Min: 6, Max: 64}
 }
 
-// Entries returns the gateways to which callers are sent, by name: the least number of each zone, and more of them until they
-// have the cores that are needed. It takes those of the largest capacity first and goes round the zones among equals, so that
-// every process that knows the same gateways picks the same ones, and one that is lost is replaced in its own zone.
+// Entries returns the entries by name: the minimum number of each zone, and more until they have the needed cores. It
+// prefers gateways with more cores and distributes equal ones evenly over the zones. All processes that know the same
+// gateways select the same entries, and a lost entry is replaced in its own zone.
 func Entries(gateways []Gateway, neededCores float64, settings EntrySettings) []Gateway {
 	if len(gateways) <= settings.MaxAllEntries {
 		return gateways
@@ -35,8 +37,8 @@
 	return selectEntries(ranking.all(), ranking.zones, neededCores, settings)
 }
 
-// pickEntries returns the entries of a fleet of which some stand by, of gateways in the order of preference. Zones counts the gateways of
-// each zone; some of them may not be among the gateways.
+// selectEntries selects the entries from gateways in ranking order. The map zones holds the number of gateways of each
+// zone, of which some may be missing in the sequence.
 func selectEntries(ranked iter.Seq[Gateway], zones map[string]int, neededCores float64, settings EntrySettings) []Gateway {
 	selected := map[string]bool{}
 	var entries []Gateway
@@ -71,7 +73,7 @@
 	return byName(entries)
 }
 
-// byName returns gateways by name.
+// byName returns the gateways sorted by name.
 func byName(gateways []Gateway) []Gateway {
 	return slices.SortedFunc(slices.Values(gateways), func(a, b Gateway) int { return cmp.Compare(a.Name, b.Name) })
 }
--- a/internal/member/entry_test.go
+++ b/internal/member/entry_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-// fleet returns gateways of a size in each zone.
+// newFleet returns gateways with the same number of cores in each zone.
 func newFleet(perZone int, cores float64, kind string, zones ...string) []Gateway {
 	var gateways []Gateway
 	for _, zone := range zones {
@@ -23,7 +23,7 @@
 func TestAllGatewaysOfSmallFleetAreEntries(t *testing.T) {
 	small := newFleet(3, 0.4, "g", "a", "b", "c")
 	if got := gatewayNames(Entries(small, 0, DefaultEntrySettings())); got != gatewayNames(small) {
-		t.Errorf("entries %s", got)
+		t.Errorf("got entries %s", got)
 	}
 }
 
@@ -31,12 +31,12 @@
 	large := newFleet(2, 0.8, "large", "a", "b", "c", "d")
 	mixed := append(newFleet(20, 0.2, "small", "a", "b", "c", "d"), large...)
 	if got := gatewayNames(Entries(mixed, 0, DefaultEntrySettings())); got != gatewayNames(large) {
-		t.Errorf("entries %s", got)
+		t.Errorf("got entries %s", got)
 	}
 	withoutOne := append(newFleet(20, 0.2, "small", "a", "b", "c", "d"), large[1:]...)
 	entries := Entries(withoutOne, 0, DefaultEntrySettings())
 	if len(entries) != 8 || gatewayNames(entries[:7]) != gatewayNames(large[1:]) || entries[7].Name != "small-a-00" {
-		t.Errorf("entries after the loss of one: %s", gatewayNames(entries))
+		t.Errorf("after the loss of one: got entries %s", gatewayNames(entries))
 	}
 }
 
@@ -63,8 +63,8 @@
 	}
 }
 
-// TestEntriesFollowWhatIsKnown checks over random fleets that the order in which gateways are known says nothing, that no zone
-// is without an entry, and that the loss of an entry takes no other one off the list.
+// TestEntriesDependOnlyOnKnownGateways checks on random fleets that the order of the gateways does not matter, that
+// each zone has an entry, and that the loss of an entry does not displace another one.
 func TestEntriesDependOnlyOnKnownGateways(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var gateways []Gateway
@@ -78,7 +78,7 @@
 		settings := DefaultEntrySettings()
 		entries := Entries(gateways, needed, settings)
 		if got := Entries(rapid.Permutation(gateways).Draw(t, "order"), needed, settings); gatewayNames(byName(got)) != gatewayNames(byName(entries)) {
-			t.Fatalf("in another order %s, before %s", gatewayNames(got), gatewayNames(entries))
+			t.Fatalf("got entries %s in another order, want %s", gatewayNames(got), gatewayNames(entries))
 		}
 		cores, all := map[string]float64{}, map[string]float64{}
 		for _, gateway := range gateways {
@@ -93,14 +93,14 @@
 			t.Fatalf("entries in %d of %d zones", len(cores), len(all))
 		}
 		if len(entries) < min(len(gateways), settings.Max) && total < needed {
-			t.Fatalf("%.1f cores where %.1f are needed, and there are more", total, needed)
+			t.Fatalf("the entries have %.1f cores of the needed %.1f, though there are more gateways", total, needed)
 		}
 		lost := rapid.SampledFrom(entries).Draw(t, "lost").Name
 		rest := slices.DeleteFunc(slices.Clone(gateways), func(g Gateway) bool { return g.Name == lost })
 		after := Entries(rest, needed, settings)
 		for _, entry := range entries {
 			if entry.Name != lost && !slices.ContainsFunc(after, func(g Gateway) bool { return g.Name == entry.Name }) {
-				t.Fatalf("%s is no entry any more after the loss of %s", entry.Name, lost)
+				t.Fatalf("%s is no longer an entry after the loss of %s", entry.Name, lost)
 			}
 		}
 	})
--- a/internal/member/list.go
+++ b/internal/member/list.go
@@ -1,4 +1,5 @@
-// Package member keeps the list of live gateways: each registers itself in the store under a lease, and all watch the list.
+// Package member maintains the list of live gateways. Each registers itself in the store under a lease, and all watch
+// the registrations.
 package member
 
 import (
@@ -12,66 +13,68 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// KeyPrefix is where gateways register.
+// KeyPrefix is the key prefix of registrations.
 const KeyPrefix = "gateways/"
 
-// Gateway is one process that serves callers.
+// Gateway is the registration of a gateway.
 type Gateway struct {
 	Name string `json:"name"`
-	// Address at which callers connect, host:port.
+	// Address is where callers connect, host:port.
 	Address string `json:"address"`
-	// PeerAddress takes datagrams of other gateways, host:port.
+	// PeerAddress receives datagrams of other gateways, host:port.
 	PeerAddress string `json:"peerAddress"`
-	// ControlAddress answers other gateways, host:port; empty answers nobody.
+	// ControlAddress serves requests of other gateways, host:port; empty if it serves none.
 	ControlAddress string `json:"controlAddress,omitempty"`
 	Zone           string `json:"zone"`
-	// AdminAddress serves operators, host:port.
+	// AdminAddress serves requests of operators, host:port.
 	AdminAddress string `json:"adminAddress,omitempty"`
-	// Cores is the processor capacity, in cores.
+	// Cores is the CPU capacity.
 	Cores float64 `json:"cores"`
-	// Leaving gateways finish what they have and get no new callers.
+	// Leaving is set while the gateway finishes its requests and accepts no new callers.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// fadeTime is how long a gateway whose registration lapsed around an outage of the store stays on the list: the outage may
-// have ended the lease of a gateway that lives, which registers again within that time.
+// lapseGrace is how long a gateway whose registration expired around a store outage stays on the list. The outage may
+// have expired the lease of a running gateway, which registers again within that time.
 const lapseGrace = 3 * time.Second
 
-// outageMemory is how long after an outage lapses are put down to it.
+// outageWindow is how long after an outage expired registrations are attributed to it.
 const outageWindow = 6 * time.Second
 
-// List is the list of live gateways as the store told it. It is a pure state machine and not safe for concurrent use.
+// List is the list of live gateways according to the store and to heartbeats. It is a pure state machine and not safe
+// for concurrent use.
 type List struct {
-	// own is always on the list while it serves.
+	// own is this gateway, which is on the list until it leaves.
 	own      Gateway
 	gateways map[string]Gateway
-	// fading holds until when a gateway without a registration stays on the list.
+	// lapsedUntil holds until when gateways whose registrations expired stay on the list, by key.
 	lapsedUntil map[string]time.Time
 	lastOutage  time.Time
-	// isRestored is set until the first list of a store that came back from an older copy.
+	// isRestored is set after a restore of the store from a backup, until the next list.
 	isRestored bool
-	// heard holds when each other gateway was heard last, by its own word or by that of another, and claims when each told last by
-	// its own that it takes requests.
+	// lastHeard holds when each other gateway was last known to be an entry, from a heartbeat or from the report of
+	// another gateway. lastClaimed holds when each last sent a heartbeat as an entry.
 	lastHeard, lastClaimed map[string]time.Time
 
-	// preferred holds those that serve in the order in which they are picked as entries.
+	// ranking holds the serving gateways in the order in which they are selected as entries.
 	ranking *ranking
 
 	settings EntrySettings
-	// neededCores are those that the entries have together at least.
+	// neededCores is the minimum total number of cores of the entries.
 	neededCores  float64
 	needRevision store.Revision
-	// picked holds since when each entry is one, and unresponsive until when a gateway is passed over that was one and told
-	// nothing.
+	// entrySince holds since when each entry is one, and unresponsiveUntil until when to skip gateways that were
+	// selected but sent no heartbeat.
 	entrySince        map[string]time.Time
 	unresponsiveUntil map[string]time.Time
-	// sound holds until when a gateway is known to live, by its own word or by that of a gateway that heard it.
+	// liveUntil holds until when each gateway is considered live, from a heartbeat or from the report of a gateway that
+	// received one.
 	liveUntil map[string]time.Time
-	// connected is when this process was last answered, by the store or by another gateway that follows it.
+	// connectedAt is when the store, or another gateway that follows it, last answered this process.
 	connectedAt time.Time
 }
 
-// NewList returns a list with only the own gateway.
+// NewList returns a list that contains only the own gateway.
 func NewList(own Gateway) *List {
 	return &List{
 		own: own, gateways: map[string]Gateway{}, lapsedUntil: map[string]time.Time{}, lastHeard: map[string]time.Time{}, lastClaimed: map[string]time.Time{},
@@ -80,7 +83,7 @@
 	}
 }
 
-// servingOnly returns a gateway if it serves.
+// servingOnly returns the gateway unless it is leaving.
 func servingOnly(gateway Gateway) []Gateway {
 	if gateway.Leaving {
 		return nil
@@ -88,7 +91,7 @@
 	return []Gateway{gateway}
 }
 
-// Reset replaces the registrations by those among the items.
+// Reset replaces all registrations and the need by those among the items.
 func (l *List) Reset(now time.Time, items []store.Item) error {
 	present := map[string]bool{}
 	var errs []error
@@ -106,7 +109,7 @@
 		}
 	}
 	if l.isRestored && l.needRevision == 0 {
-		// Whoever gives the orders writes it again. Without it fewer gateways would take requests until then.
+		// The controller will write the need again. Without it, there would be fewer entries until then.
 		l.neededCores = previousCores
 	}
 	l.isRestored = false
@@ -118,7 +121,7 @@
 	return errors.Join(errs...)
 }
 
-// Apply takes one change of an item.
+// Apply applies a change of an item.
 func (l *List) Apply(now time.Time, event store.Event) error {
 	switch {
 	case event.Key == NeedKey && event.Deleted:
@@ -136,54 +139,54 @@
 	}
 }
 
-// putNeed takes the cores that the entries are to have together.
+// putNeed sets the number of cores that the entries need.
 func (l *List) putNeed(item store.Item) error {
 	var need Need
 	if err := json.Unmarshal(item.Value, &need); err != nil {
-		return errors.Wrapf(err, "step read the need %s", item.Key)
+		return errors.Wrapf(err, "decode need %s", item.Key)
 	}
 	l.neededCores, l.needRevision = need.Cores, item.Revision
 	return nil
 }
 
-// Need returns the cores that the entries are to have together, and the revision of the store at which that was said.
+// Need returns the total number of cores that the entries need, and the revision at which it was written.
 func (l *List) Need() (cores float64, revision store.Revision) { return l.neededCores, l.needRevision }
 
-// Outage tells that the store failed.
+// Outage records that the store is unavailable.
 func (l *List) Outage(now time.Time) { l.lastOutage = now }
 
-// Restored tells that the store has come back from an older copy, before its registrations are told: those that are missing may only be
-// lost, and are written again.
+// Restored records that the store was restored from a backup. It must be called before the restored registrations are
+// passed. Missing ones may be lost and will be written again.
 func (l *List) Restored(now time.Time) {
 	l.Outage(now)
 	l.isRestored = true
 }
 
-// Heard tells that another gateway said that it takes requests.
+// Heard records a heartbeat of another gateway, which claims to be an entry.
 func (l *List) Heard(now time.Time, name string) {
 	l.lastClaimed[name] = now
-	l.recordLife(now, name)
+	l.recordAlive(now, name)
 }
 
-// hear notes that a gateway was heard, by its own word or by that of another.
-func (l *List) recordLife(now time.Time, name string) {
+// recordAlive records that a gateway is an entry, from a heartbeat or from the report of another gateway.
+func (l *List) recordAlive(now time.Time, name string) {
 	l.lastHeard[name] = now
 	l.liveUntil[name] = now.Add(heartbeatTimeout)
 	delete(l.unresponsiveUntil, name)
 }
 
-// suspectAfter is how long a gateway may be silent that was heard before. It tells of itself four times in that time.
+// heartbeatTimeout is how long a gateway may be silent before it is suspected: four heartbeat intervals.
 const heartbeatTimeout = 900 * time.Millisecond
 
-// Reachable returns the gateways that serve, by name, without those that have fallen silent. When most of those that were heard
-// have, the fault is on the own side and nobody is suspected, unless this process is answered by others.
+// Reachable returns the serving gateways by name, except those suspected to be down. If most known entries are silent,
+// the fault is probably on this side and none is suspected, unless the store or a peer answers this process.
 func (l *List) Reachable(now time.Time) []Gateway {
 	reachable, _ := l.findReachable(now)
 	return byName(slices.Collect(reachable))
 }
 
-// reach returns the gateways that serve and are reachable, in the order of preference, and those that have fallen silent, by name. It looks
-// only at those of which something was heard: they are the few that take requests.
+// findReachable returns the serving gateways that are not suspected to be down, in ranking order, and the suspected
+// ones by name. It only examines the gateways in lastHeard, which are the few entries.
 func (l *List) findReachable(now time.Time) (reachable iter.Seq[Gateway], suspects []Gateway) {
 	l.removeLapsed(now)
 	heardCount, silentCount := 0, 0
@@ -218,33 +221,33 @@
 	return l.ranking.without(suspected), byName(suspects)
 }
 
-// Unheard tells that a gateway stands by and will not be heard any more.
+// Unheard records that a gateway is now standby and stops sending heartbeats.
 func (l *List) Unheard(name string) {
 	delete(l.lastHeard, name)
 	delete(l.lastClaimed, name)
 	delete(l.liveUntil, name)
 }
 
-// standsBySilently tells whether a gateway has been silent for so long that its registration would have lapsed if it were gone: it
-// stands by, and its word of that was lost.
+// isSilentStandby reports whether a gateway has been silent for so long that its registration would have expired if it
+// were down. It must be standby, and its notification of that was lost.
 func (l *List) isSilentStandby(now time.Time, name string) bool {
 	heardAt, found := l.lastHeard[name]
 	return found && now.Sub(heardAt) > unresponsivePause
 }
 
-// silent tells whether a gateway that was heard before has not been for too long.
+// isSilent reports whether the heartbeats of a gateway have stopped.
 func (l *List) isSilent(now time.Time, name string) bool {
 	heardAt, found := l.lastHeard[name]
 	return found && now.Sub(heardAt) > heartbeatTimeout
 }
 
-// Serving returns the gateways that serve callers, by name.
+// Serving returns the serving gateways by name.
 func (l *List) Serving(now time.Time) []Gateway {
 	l.removeLapsed(now)
 	return byName(slices.Collect(l.ranking.all()))
 }
 
-// Find returns a gateway that serves callers by its name, or false.
+// Find returns the serving gateway with a name, or false.
 func (l *List) Find(now time.Time, name string) (Gateway, bool) {
 	l.removeLapsed(now)
 	if name == l.own.Name {
@@ -254,13 +257,13 @@
 	return gateway, known && !gateway.Leaving
 }
 
-// ServingCount returns how many these are.
+// ServingCount returns the number of serving gateways.
 func (l *List) ServingCount(now time.Time) int {
 	l.removeLapsed(now)
 	return l.ranking.count
 }
 
-// fade takes gateways off the list whose registrations have been gone for long enough.
+// removeLapsed removes gateways whose grace period is over.
 func (l *List) removeLapsed(now time.Time) {
 	for key, until := range l.lapsedUntil {
 		if now.After(until) {
@@ -270,7 +273,7 @@
 	}
 }
 
-// drop takes a registration off the list.
+// remove removes a registration from the list.
 func (l *List) remove(key string) {
 	if gateway, known := l.gateways[key]; known && gateway.Name != l.own.Name {
 		l.ranking.remove(gateway)
@@ -278,13 +281,13 @@
 	delete(l.gateways, key)
 }
 
-// Leave takes the own gateway off the list.
+// Leave removes the own gateway from the list.
 func (l *List) Leave() {
 	l.ranking.remove(l.own)
 	l.own.Leaving = true
 }
 
-// IsListed tells whether the own gateway serves and its registration was there when the store told last.
+// IsListed reports whether the own gateway serves and was registered according to the last state of the store.
 func (l *List) IsListed() bool {
 	key := KeyPrefix + l.own.Name
 	_, isListed := l.gateways[key]
@@ -292,11 +295,11 @@
 	return isListed && !isLapsed && !l.own.Leaving
 }
 
-// put takes a registration.
+// putRegistration adds or updates a registration.
 func (l *List) putRegistration(item store.Item) error {
 	var gateway Gateway
 	if err := json.Unmarshal(item.Value, &gateway); err != nil {
-		return errors.Wrapf(err, "step read the registration %s", item.Key)
+		return errors.Wrapf(err, "decode registration %s", item.Key)
 	}
 	l.register(item.Key, gateway)
 	delete(l.lapsedUntil, item.Key)
@@ -304,7 +307,7 @@
 	return nil
 }
 
-// register puts a gateway on the list in place of what was registered under its key.
+// register sets the gateway registered under a key.
 func (l *List) register(key string, gateway Gateway) {
 	l.remove(key)
 	l.gateways[key] = gateway
@@ -313,7 +316,7 @@
 	}
 }
 
-// lapse takes a registration that is gone off the list, at once or after a while.
+// lapse removes an expired registration, after a grace period if the store was unavailable recently.
 func (l *List) lapse(now time.Time, key string) {
 	gateway, known := l.gateways[key]
 	if !known {
@@ -329,10 +332,10 @@
 	delete(l.lapsedUntil, key)
 }
 
-// Concerns tells whether a change of a key is one of the list.
+// IsListKey reports whether the list depends on a key.
 func IsListKey(key string) bool { return key == NeedKey || IsRegistration(key) }
 
-// IsRegistration tells whether a key is that of a gateway.
+// IsRegistration reports whether a key is that of a registration.
 func IsRegistration(key string) bool {
 	return len(key) > len(KeyPrefix) && key[:len(KeyPrefix)] == KeyPrefix
 }
--- a/internal/member/list_test.go
+++ b/internal/member/list_test.go
@@ -9,16 +9,16 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// epoch is where the tests begin.
+// startTime is the initial time of the tests.
 var startTime = time.Unix(1000, 0)
 
-// registered returns the event of a registration.
+// registeredEvent returns the event of a registration.
 func registeredEvent(name string, leaving bool) store.Event {
 	value, _ := json.Marshal(Gateway{Name: name, Address: name + ":1", Leaving: leaving})
 	return store.Event{Item: store.Item{Key: KeyPrefix + name, Value: value, Revision: 1}}
 }
 
-// names lists the names of gateways.
+// gatewayNames formats the names of gateways.
 func gatewayNames(gateways []Gateway) string {
 	var result []string
 	for _, gateway := range gateways {
@@ -27,7 +27,7 @@
 	return fmt.Sprint(result)
 }
 
-// listOf returns the list of a gateway "a" with others registered.
+// newTestList returns the list of a gateway "a" with other gateways registered.
 func newTestList(t *testing.T, others ...string) *List {
 	t.Helper()
 	list := NewList(Gateway{Name: "a", Address: "a:1"})
@@ -50,10 +50,10 @@
 	list.Outage(startTime)
 	_ = list.Apply(startTime, gone)
 	if got := gatewayNames(list.Serving(startTime)); got != "[a b c]" {
-		t.Errorf("after a lapse around an outage: %s", got)
+		t.Errorf("after a lapse during an outage: %s", got)
 	}
 	if got := gatewayNames(list.Serving(startTime.Add(lapseGrace + 1))); got != "[a c]" {
-		t.Errorf("later: %s", got)
+		t.Errorf("after the grace period: %s", got)
 	}
 	list = newTestList(t, "b", "c")
 	list.Outage(startTime)
@@ -81,7 +81,7 @@
 	later := startTime.Add(heartbeatTimeout + time.Millisecond)
 	list.Heard(later, "c")
 	list.Heard(later, "d")
-	// The one that was never heard is taken at the word of the store.
+	// Gateway e never sent a heartbeat and is listed because of its registration.
 	if got := gatewayNames(list.Reachable(later)); got != "[a c d e]" {
 		t.Errorf("one silent: %s", got)
 	}
@@ -90,7 +90,8 @@
 	}
 }
 
-// TestGatewaysThatStandByAreNotSuspected guards a large fleet, in which only those are heard to which callers are sent.
+// TestStandbyGatewaysAreNotSuspected guards against suspecting standby gateways of large fleets, which send no
+// heartbeats.
 func TestStandbyGatewaysAreNotSuspected(t *testing.T) {
 	list := newTestList(t, "b", "c", "d", "e", "f", "g")
 	for _, name := range []string{"b", "c", "d"} {
@@ -100,9 +101,9 @@
 	later := startTime.Add(heartbeatTimeout + time.Millisecond)
 	list.Heard(later, "c")
 	if got := gatewayNames(list.Reachable(later)); got != "[a c d e f g]" {
-		t.Errorf("one of those that are heard is silent: %s", got)
+		t.Errorf("one entry silent: %s", got)
 	}
 	if got := gatewayNames(list.Reachable(later.Add(time.Minute))); got != "[a b c d e f g]" {
-		t.Errorf("all that are heard are silent: %s", got)
+		t.Errorf("all entries silent: %s", got)
 	}
 }
--- a/internal/member/liveness.go
+++ b/internal/member/liveness.go
@@ -5,31 +5,32 @@
 	"time"
 )
 
-// Times in which entries have to be heard.
+// Timing of the detection of failed entries.
 const (
-	// answerTime is how long a gateway that was picked as an entry may say nothing: the time in which it hears of the others
-	// that take requests, and they of it.
+	// entryAnswerTimeout is how long a gateway selected as an entry may take until its first heartbeat: the time until
+	// it and the other entries learn of each other.
 	entryAnswerTimeout = 1500 * time.Millisecond
-	// unresponsiveTime is how long one that said nothing is passed over, unless it is heard or registers anew: longer than the
-	// lease of a gateway that stands by, so that a dead one is not picked twice.
+	// unresponsivePause is how long a gateway that sent no heartbeat is skipped, unless it sends one or registers
+	// again. It is longer than the lease of a standby gateway, so that a dead one is not selected twice.
 	unresponsivePause = 20 * time.Second
-	// connectedTime is how long an answer shows that the own side is sound: longer than the time between two questions to the
-	// store, or to another gateway.
+	// connectedWindow is how long after a response this process is considered connected. It is longer than the interval
+	// between requests to the store or to another gateway.
 	connectedWindow = 2500 * time.Millisecond
-	// toldTime is how long the word of another gateway counts that one lives: a question, two that fail and one more.
+	// reportedLiveWindow is how long a report that a gateway is live is valid: the time of four requests, of which two
+	// may fail.
 	reportedLiveWindow = 2500 * time.Millisecond
 )
 
-// Connected tells that the store, or another gateway that follows it, has answered this process.
+// Connected records that the store, or another gateway that follows it, answered this process.
 func (l *List) Connected(now time.Time) { l.connectedAt = now }
 
-// isConnected tells whether this process was answered of late.
+// isConnected reports whether this process got a response recently.
 func (l *List) isConnected(now time.Time) bool {
 	return !l.connectedAt.IsZero() && now.Sub(l.connectedAt) < connectedWindow
 }
 
-// Entries returns the gateways to which callers are sent, by name, and those that serve but have fallen silent. An entry that was
-// picked and says nothing is replaced by the next.
+// Entries returns the entries by name, and the serving gateways that are suspected to be down. Entries that send no
+// heartbeats are replaced.
 func (l *List) Entries(now time.Time) (entries, suspects []Gateway) {
 	reachable, suspects := l.findReachable(now)
 	if l.ServingCount(now) <= l.settings.MaxAllEntries {
@@ -52,8 +53,8 @@
 	return entries, suspects
 }
 
-// Registered returns the gateways to which callers are sent by the store alone, by name, whether they are heard or not: all that read the
-// same list agree.
+// Registered returns the entries by name as determined by the store alone. All processes with the same registrations
+// agree on them.
 func (l *List) Registered(now time.Time) []Gateway {
 	if l.ServingCount(now) <= l.settings.MaxAllEntries {
 		return byName(slices.Collect(l.ranking.all()))
@@ -61,13 +62,13 @@
 	return selectEntries(l.ranking.all(), l.ranking.zones, l.neededCores, l.settings)
 }
 
-// Told takes the names of the entries of another gateway that hears them, and of those among them that it has heard. Nobody else is
-// waited for.
+// Told records the entries that another gateway reported, and those of them that it received heartbeats from.
+// Heartbeats of any other gateways are no longer expected.
 func (l *List) Told(now time.Time, entries, live []string) {
 	l.Connected(now)
 	clear(l.lastHeard)
 	for _, name := range entries {
-		l.recordLife(now, name)
+		l.recordAlive(now, name)
 	}
 	clear(l.liveUntil)
 	for _, name := range live {
@@ -80,8 +81,9 @@
 	}
 }
 
-// Named returns the gateways that callers are told, by name: the entries that are known to live. A gateway that knows of none names
-// itself, because it can serve. A registration is no sign of life: one that stands by keeps it long after it is gone.
+// Named returns the gateways that callers are directed to, by name: the entries known to be live. If there is none, it
+// returns the own gateway, which can serve as well. A registration does not prove that a gateway is live, as that of a
+// standby gateway expires late.
 func (l *List) Named(now time.Time) []Gateway {
 	entries, _ := l.Entries(now)
 	named := slices.DeleteFunc(entries, func(entry Gateway) bool {
@@ -93,8 +95,9 @@
 	return named
 }
 
-// Claimants returns the gateways that said of late that they take requests and are no entries in the eyes of this one, by name. Who took
-// the place of an entry may have been heard late by some: without a word of the others it would go on beside them.
+// Claimants returns the gateways by name that recently claimed to be entries while this process does not consider them
+// such. They must receive heartbeats, too: without these, a gateway that replaced an entry may not learn that the entry
+// is live after all, and would remain an entry beside it.
 func (l *List) Claimants(now time.Time) []Gateway {
 	var claimants []Gateway
 	for name, claimed := range l.lastClaimed {
@@ -109,7 +112,7 @@
 	return byName(claimants)
 }
 
-// Resumed tells that this process has stood still: nobody is silent who could not be heard.
+// Resumed records that this process was suspended and could not receive heartbeats, so that silence does not count.
 func (l *List) Resumed(now time.Time) {
 	for name := range l.lastHeard {
 		l.lastHeard[name] = now
--- a/internal/member/liveness_test.go
+++ b/internal/member/liveness_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// largeList returns the list of a gateway of a fleet of 30 gateways in three zones, in which g00 to g05 are entries.
+// largeList returns the list of a gateway in a fleet of 30 gateways in three zones, of which g00 to g05 are entries.
 func largeList(own string) *List {
 	list := NewList(testGateway(own))
 	for i := range 30 {
@@ -18,14 +18,14 @@
 	return list
 }
 
-// gatewayOf returns a gateway whose zone follows from its number.
+// testGateway returns a gateway whose zone is derived from its number.
 func testGateway(name string) Gateway {
 	var number int
 	_, _ = fmt.Sscanf(name, "g%d", &number)
 	return Gateway{Name: name, Zone: string(rune('a' + number%3)), Cores: 0.4}
 }
 
-// hear tells the list at a moment that these were heard.
+// hearFrom connects the list and records heartbeats of gateways.
 func hearFrom(list *List, now time.Time, names ...string) {
 	list.Connected(now)
 	for _, name := range names {
@@ -33,7 +33,7 @@
 	}
 }
 
-// entriesAt returns the entries at a moment, and suspectsAt those that have fallen silent.
+// entriesAt returns the entries at a time, and suspectsAt the gateways suspected to be down.
 func entriesAt(list *List, now time.Time) []Gateway {
 	entries, _ := list.Entries(now)
 	return entries
@@ -50,7 +50,7 @@
 	list := largeList("g00")
 	hearFrom(list, startTime, "g01", "g02", "g03", "g04", "g05")
 	if got := gatewayNames(entriesAt(list, startTime)); got != allEntries {
-		t.Fatalf("at first %s", got)
+		t.Fatalf("initially: %s", got)
 	}
 	later := startTime.Add(heartbeatTimeout + time.Millisecond)
 	hearFrom(list, later, "g02", "g03", "g04", "g05")
@@ -58,9 +58,9 @@
 		t.Fatalf("g01 silent: %s", got)
 	}
 	if got := gatewayNames(suspectsAt(list, later)); got != "[g01]" {
-		t.Errorf("suspects %s", got)
+		t.Errorf("got suspects %s", got)
 	}
-	// The one that took its place says nothing either.
+	// The gateway that replaced it sends no heartbeat either.
 	later = later.Add(entryAnswerTimeout + time.Millisecond)
 	hearFrom(list, later, "g02", "g03", "g04", "g05")
 	list.Entries(later)
@@ -69,7 +69,7 @@
 	}
 	hearFrom(list, later, "g01")
 	if got := gatewayNames(entriesAt(list, later)); got != allEntries {
-		t.Errorf("g01 is heard again: %s", got)
+		t.Errorf("g01 sends heartbeats again: %s", got)
 	}
 }
 
@@ -79,11 +79,11 @@
 	list.Entries(startTime)
 	later := startTime.Add(connectedWindow + time.Millisecond)
 	if got := gatewayNames(entriesAt(list, later)); got != allEntries {
-		t.Errorf("nobody answers: %s", got)
+		t.Errorf("not connected: %s", got)
 	}
 	list.Connected(later)
 	if got := gatewayNames(entriesAt(list, later)); got != "[g06 g07 g08 g09 g10 g11]" {
-		t.Errorf("the store answers: %s", got)
+		t.Errorf("connected to the store: %s", got)
 	}
 }
 
@@ -93,38 +93,39 @@
 	list.Entries(startTime)
 	list.Told(startTime, []string{"g00", "g02", "g03", "g04", "g05", "g07"}, nil)
 	if got := gatewayNames(entriesAt(list, startTime)); got != "[g00 g02 g03 g04 g05 g07]" {
-		t.Errorf("told that g01 is replaced: %s", got)
+		t.Errorf("after the report that g01 was replaced: %s", got)
 	}
-	// One that takes its place is told nothing any more, and has to hear the others.
+	// If it becomes an entry itself, it gets no more reports and must receive heartbeats.
 	later := startTime.Add(entryAnswerTimeout)
 	hearFrom(list, later, "g00", "g02", "g03", "g04", "g05", "g07")
 	if got := gatewayNames(entriesAt(list, later)); got != "[g00 g02 g03 g04 g05 g07]" {
-		t.Errorf("later: %s", got)
+		t.Errorf("after heartbeats: %s", got)
 	}
 }
 
-// TestOnlyGatewaysThatLiveAreNamed guards against naming machines that have long been off: those that stood by are registered for long.
+// TestOnlyLiveGatewaysAreNamed guards against directing callers to dead machines: the registrations of standby gateways
+// expire late.
 func TestOnlyLiveGatewaysAreNamed(t *testing.T) {
 	entry := largeList("g00")
 	if got := gatewayNames(entry.Named(startTime)); got != "[g00]" {
-		t.Errorf("nobody was heard: %s", got)
+		t.Errorf("without heartbeats: %s", got)
 	}
 	hearFrom(entry, startTime, "g01", "g02", "g03", "g04", "g05")
 	if got := gatewayNames(entry.Named(startTime)); got != allEntries {
-		t.Errorf("all were heard: %s", got)
+		t.Errorf("with heartbeats of all entries: %s", got)
 	}
 	later := startTime.Add(heartbeatTimeout + time.Millisecond)
 	hearFrom(entry, later, "g02", "g03", "g04", "g05")
 	if got := gatewayNames(entry.Named(later)); got != "[g00 g02 g03 g04 g05]" {
-		t.Errorf("g07 was picked in place of g01 and said nothing yet: %s", got)
+		t.Errorf("g07 replaced g01 and sent no heartbeat yet: %s", got)
 	}
 	standby := largeList("g20")
 	standby.Told(startTime, []string{"g00", "g02", "g03", "g04", "g05", "g07"}, []string{"g00", "g02", "g03", "g04", "g05"})
 	if got := gatewayNames(standby.Named(startTime)); got != "[g00 g02 g03 g04 g05]" {
-		t.Errorf("told that g07 said nothing yet: %s", got)
+		t.Errorf("after the report that g07 sent no heartbeat yet: %s", got)
 	}
 	if got := gatewayNames(standby.Named(startTime.Add(reportedLiveWindow + time.Millisecond))); got != "[g20]" {
-		t.Errorf("told nothing any more: %s", got)
+		t.Errorf("without further reports: %s", got)
 	}
 }
 
@@ -136,12 +137,12 @@
 	list.Resumed(later)
 	list.Connected(later)
 	if got := gatewayNames(entriesAt(list, later)); got != allEntries {
-		t.Errorf("just resumed: %s", got)
+		t.Errorf("after resuming: %s", got)
 	}
 }
 
-// TestEntriesSettle plays gateways that are heard or not, and checks that the own view comes to rest at entries that are all
-// heard, within the time in which those that say nothing are noticed one after the other.
+// TestEntriesConverge checks that with random gateways down the selected entries are eventually all live, within the
+// time to detect one dead gateway after the other.
 func TestEntriesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := largeList("g00")
@@ -150,11 +151,11 @@
 			alive[fmt.Sprintf("g%02d", i)] = rapid.IntRange(0, 2).Draw(t, "alive") > 0
 		}
 		now := startTime
-		// The ten of a zone are tried in turn at the worst, each for answerTime and until the next look; none is tried twice, because
-		// all of that is less than unresponsiveTime.
-		const look, inZone = 100 * time.Millisecond, 10
-		for range inZone * int(entryAnswerTimeout/look+2) {
-			now = now.Add(look)
+		// In the worst case all ten gateways of a zone are tried in turn, each for entryAnswerTimeout and until the
+		// next check. None is tried twice, as that takes less than unresponsivePause.
+		const checkInterval, perZone = 100 * time.Millisecond, 10
+		for range perZone * int(entryAnswerTimeout/checkInterval+2) {
+			now = now.Add(checkInterval)
 			list.Connected(now)
 			for _, entry := range entriesAt(list, now) {
 				if alive[entry.Name] {
@@ -175,12 +176,13 @@
 			}
 		}
 		if silent > 0 && living["a"] >= 2 && living["b"] >= 2 && living["c"] >= 2 {
-			t.Fatalf("%d of the entries %s say nothing", silent, gatewayNames(entriesAt(list, now)))
+			t.Fatalf("%d of the entries %s are down", silent, gatewayNames(entriesAt(list, now)))
 		}
 	})
 }
 
-// TestThoseThatTheStoreNamesDoNotDependOnWhoIsHeard keeps two gateways of one mind that hear different ones.
+// TestRegisteredDoesNotDependOnHeartbeats checks that gateways that receive different heartbeats return the same
+// registered entries.
 func TestRegisteredDoesNotDependOnHeartbeats(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		one, other := largeList("g00"), largeList("g07")
@@ -193,7 +195,7 @@
 			entriesAt(other, now)
 		}
 		if a, b := fmt.Sprint(one.Registered(now)), fmt.Sprint(other.Registered(now)); a != b {
-			t.Fatalf("%s and %s", a, b)
+			t.Fatalf("got %s and %s", a, b)
 		}
 	})
 }
--- a/internal/member/ranking.go
+++ b/internal/member/ranking.go
@@ -7,24 +7,25 @@
 	"strings"
 )
 
-// preference holds gateways in the order in which they are picked as entries: by falling capacity, and those of one capacity by their place
-// within their zone, so that all zones get the same number. One that comes or goes moves only those of its own zone and capacity.
+// ranking holds gateways in the order in which they are selected as entries: by decreasing cores, and alternating
+// between zones among those with equal cores. Adding or removing a gateway moves only others of the same zone and
+// cores.
 type ranking struct {
-	// classes hold the gateways of one capacity in one zone by name, in the order of capacities and zones.
+	// classes are sorted by decreasing cores and by zone.
 	classes []*capacityClass
-	// zones counts the gateways of each zone.
+	// zones holds the number of gateways of each zone, and count the total.
 	zones map[string]int
 	count int
 }
 
-// class is the gateways of one capacity in one zone.
+// capacityClass holds the gateways of one zone with the same number of cores, by name.
 type capacityClass struct {
 	zone     string
 	cores    float64
 	gateways []Gateway
 }
 
-// newPreference returns the order of some gateways. Their names differ.
+// newRanking returns a ranking of gateways with distinct names.
 func newRanking(gateways []Gateway) *ranking {
 	r := &ranking{zones: map[string]int{}}
 	for _, gateway := range gateways {
@@ -33,19 +34,19 @@
 	return r
 }
 
-// find returns the place of the class of a gateway.
+// findClass returns the index of the class of a gateway, or where to insert it and false.
 func (r *ranking) findClass(gateway Gateway) (int, bool) {
 	return slices.BinarySearchFunc(r.classes, gateway, func(c *capacityClass, g Gateway) int {
 		return cmp.Or(cmp.Compare(g.Cores, c.cores), strings.Compare(c.zone, g.Zone))
 	})
 }
 
-// place returns the place of a name in a class.
+// index returns the index of a gateway by name, or where to insert it and false.
 func (c *capacityClass) index(name string) (int, bool) {
 	return slices.BinarySearchFunc(c.gateways, name, func(g Gateway, name string) int { return strings.Compare(g.Name, name) })
 }
 
-// add takes a gateway that is not there.
+// add adds a gateway that is not in the ranking.
 func (r *ranking) add(gateway Gateway) {
 	classIndex, found := r.findClass(gateway)
 	if !found {
@@ -58,7 +59,7 @@
 	r.count++
 }
 
-// remove drops a gateway as it was added, if it is there.
+// remove removes a gateway if it is in the ranking with the same zone and cores.
 func (r *ranking) remove(gateway Gateway) {
 	classIndex, found := r.findClass(gateway)
 	if !found {
@@ -78,7 +79,7 @@
 	r.count--
 }
 
-// all returns the gateways in their order.
+// all returns the gateways in order.
 func (r *ranking) all() iter.Seq[Gateway] {
 	return func(yield func(Gateway) bool) {
 		for first := 0; first < len(r.classes); {
@@ -94,7 +95,8 @@
 	}
 }
 
-// yieldByPlace yields the first gateways of some classes, then the second ones, and so on. It returns false when that was broken off.
+// yieldInterleaved yields the first gateways of all classes, then the second ones, and so on. It returns false if yield
+// did.
 func yieldInterleaved(classes []*capacityClass, yield func(Gateway) bool) bool {
 	for index, more := 0, true; more; index++ {
 		more = false
@@ -111,7 +113,7 @@
 	return true
 }
 
-// without returns the gateways in their order but for some, by name.
+// without returns the gateways in order, except those with the given names.
 func (r *ranking) without(names map[string]bool) iter.Seq[Gateway] {
 	return func(yield func(Gateway) bool) {
 		for gateway := range r.all() {
--- a/internal/member/ranking_test.go
+++ b/internal/member/ranking_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// TestAGatewayThatComesOrGoesChangesNothingElse compares an order that was kept through changes with one that is made anew.
+// TestUpdatedRankingEqualsNewOne compares a ranking after random changes with a new ranking of the same gateways.
 func TestUpdatedRankingEqualsNewOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		updated := newRanking(nil)
@@ -17,7 +17,7 @@
 			name := fmt.Sprint("g", rapid.IntRange(0, 12).Draw(t, "gateway"))
 			updated.remove(present[name])
 			delete(present, name)
-			if rapid.Bool().Draw(t, "comes") {
+			if rapid.Bool().Draw(t, "add") {
 				present[name] = Gateway{
 					Name: name, Zone: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "zone"),
 					Cores: rapid.SampledFrom([]float64{0.2, 0.4, 0.8}).Draw(t, "cores"),
@@ -31,17 +31,17 @@
 		}
 		rebuilt := newRanking(all)
 		if one, other := slices.Collect(updated.all()), slices.Collect(rebuilt.all()); !slices.Equal(one, other) || updated.count != len(all) {
-			t.Fatalf("kept %v, anew %v", one, other)
+			t.Fatalf("updated ranking %v, new ranking %v", one, other)
 		}
 		for zone, count := range updated.zones {
 			if count != rebuilt.zones[zone] || count == 0 {
-				t.Fatalf("zone %s has %d, anew %d", zone, count, rebuilt.zones[zone])
+				t.Fatalf("zone %s has %d gateways, %d in the new ranking", zone, count, rebuilt.zones[zone])
 			}
 		}
 	})
 }
 
-// BenchmarkRegistration has the registration of one gateway of a fleet change, and the entries picked anew.
+// BenchmarkRegistration measures a changed registration and the following selection of entries.
 func BenchmarkRegistration(b *testing.B) {
 	for _, size := range []int{300, 1_000, 2_000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
--- a/internal/member/registration.go
+++ b/internal/member/registration.go
@@ -13,21 +13,21 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// RegistrationSettings of a registration.
+// RegistrationSettings configures a Registration.
 type RegistrationSettings struct {
-	// TTL of the lease of a gateway that takes requests.
+	// TTL is the duration of the lease of an entry.
 	TTL time.Duration
-	// Interval between two renewals.
+	// Interval is the time between renewals.
 	Interval time.Duration
-	// CallTimeout bounds one call to the store.
+	// CallTimeout bounds a call to the store.
 	CallTimeout time.Duration
-	// Pause after a failed call.
+	// RetryPause is the pause after a failed call.
 	RetryPause time.Duration
-	// CalmFactor is by how much all but the time of a call is longer for a gateway that stands by, whose loss nobody waits for.
+	// StandbyFactor extends all times but CallTimeout for standby gateways, whose loss need not be noticed soon.
 	StandbyFactor time.Duration
 }
 
-// DefaultRegistrationSettings take a dead gateway off the list after three seconds.
+// DefaultRegistrationSettings returns settings that remove a dead entry from the list after three seconds.
 func DefaultRegistrationSettings() RegistrationSettings {
 	return RegistrationSettings{
 		TTL:           3 * time.Second,
@@ -38,26 +38,26 @@
 	}
 }
 
-// Registration keeps the own gateway on the list of live gateways.
+// Registration keeps the own gateway registered in the store.
 type Registration struct {
 	settings RegistrationSettings
 	store    store.Store
 	own      Gateway
 	logger   logrus.FieldLogger
-	// onTrouble is called when the store can't be reached.
+	// onFailure is called after each failed call to the store.
 	onFailure func()
-	// onLease is told of each lease that was granted or renewed, with the moment at which the call began by the clock that counts sleep.
+	// onLease is called with each lease that was granted or renewed, and the time by boottime at which the call began.
 	onLease func(started time.Time, lease int64, ttl time.Duration)
 	rewrite chan struct{}
 	leave   chan struct{}
-	// brief is set for a gateway that takes requests.
+	// isEntry is set while the gateway is an entry.
 	isEntry atomic.Bool
-	// lease is that of the registration; 0 is none. It runs for ttl.
+	// lease is the ID of the lease of the registration; 0 if none. Its duration is ttl.
 	lease int64
 	ttl   time.Duration
 }
 
-// NewRegistration returns a registration that does nothing before Run.
+// NewRegistration returns a registration that is idle until Run is called.
 func NewRegistration(
 	settings RegistrationSettings, store store.Store, own Gateway, logger logrus.FieldLogger,
 	onFailure func(), onLease func(started time.Time, lease int64, ttl time.Duration),
@@ -68,21 +68,20 @@
 	}
 }
 
-// Key under which the gateway registers.
+// Key returns the key of the registration.
 func (r *Registration) Key() string { return KeyPrefix + r.own.Name }
 
-// Again registers anew, for example because the registration was seen to be gone.
+// Again writes the registration again, for example because it has disappeared.
 func (r *Registration) Again() { signal(r.rewrite) }
 
-// SetBrief tells whether the others have to notice soon when this gateway is gone, because it takes requests. It begins as one
-// that nobody waits for.
+// SetBrief sets whether the gateway is an entry, whose loss the others must notice soon. Initially it is not.
 func (r *Registration) SetBrief(isEntry bool) {
 	if r.isEntry.Swap(isEntry) != isEntry {
 		r.Again()
 	}
 }
 
-// stretch returns a time of the settings as the role of the gateway has it.
+// scaleForRole returns the duration adjusted to the role of the gateway.
 func (r *Registration) scaleForRole(duration time.Duration) time.Duration {
 	if r.isEntry.Load() {
 		return duration
@@ -90,10 +89,10 @@
 	return duration * r.settings.StandbyFactor
 }
 
-// Leave tells the other gateways that this one gets no new callers.
+// Leave marks the registration as leaving, so that the gateway gets no new callers.
 func (r *Registration) Leave() { signal(r.leave) }
 
-// Run registers and renews until the context ends.
+// Run registers the gateway and renews its lease until the context ends.
 func (r *Registration) Run(ctx context.Context) {
 	registered, failing := false, false
 	for ctx.Err() == nil {
@@ -114,22 +113,22 @@
 	}
 }
 
-// logChange tells that the registration began to fail, or that it stands again.
+// logTransition logs that renewals began to fail, or succeed again.
 func (r *Registration) logTransition(err error) {
 	if err != nil {
-		r.logger.WithError(err).Warn("The registration can't be renewed.")
+		r.logger.WithError(err).Warn("Renewing the registration failed.")
 		return
 	}
-	r.logger.Info("The registration stands again.")
+	r.logger.Info("The registration was renewed again.")
 }
 
-// step renews the registration, or makes it when there is none.
+// step renews the lease, and writes the registration if needed.
 func (r *Registration) step(ctx context.Context, registered bool) error {
 	ctx, cancel := context.WithTimeout(ctx, r.settings.CallTimeout)
 	defer cancel()
 	started := boottime.Now()
 	if r.ttl != r.scaleForRole(r.settings.TTL) {
-		// The old lease runs out with nothing that goes with it.
+		// The old lease expires without any items.
 		r.lease, registered = 0, false
 	}
 	if r.lease != 0 {
@@ -158,11 +157,12 @@
 	return r.write(ctx)
 }
 
-// put writes the registration. It is the only writer of its key, so that it needs no condition and may be repeated.
+// write writes the registration. This process is the only writer of the key, so the write needs no condition and may be
+// repeated.
 func (r *Registration) write(ctx context.Context) error {
 	value, err := json.Marshal(r.own)
 	if err != nil {
-		return errors.Wrap(err, "step write the registration")
+		return errors.Wrap(err, "encode registration")
 	}
 	_, err = r.store.Commit(ctx, store.Transaction{Puts: []store.Put{{Key: r.Key(), Value: value, Lease: r.lease}}})
 	if errors.Is(err, store.ErrLeaseExpired) {
@@ -171,7 +171,7 @@
 	return err
 }
 
-// wait returns after a pause, or at once with true when the registration is to be written anew.
+// wait waits for a pause, or returns true early if the registration must be written again.
 func (r *Registration) wait(ctx context.Context, pause time.Duration) bool {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
@@ -188,7 +188,7 @@
 	}
 }
 
-// notify fills a channel of one place.
+// signal sends to a channel with a buffer of one unless it is full.
 func signal(channel chan struct{}) {
 	select {
 	case channel <- struct{}{}:
--- a/internal/member/registration_test.go
+++ b/internal/member/registration_test.go
@@ -13,7 +13,7 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// leaseStore is a store that keeps registrations and leases.
+// leaseStore is a store that records registrations and leases.
 type leaseStore struct {
 	store.Store
 	mutex   sync.Mutex
@@ -23,7 +23,7 @@
 	puts    []store.Put
 }
 
-// ttl returns for how long the last lease was granted.
+// ttl returns the duration of the last granted lease.
 func (l *leaseStore) ttl() time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -55,7 +55,7 @@
 	return store.Revision(len(l.puts)), nil
 }
 
-// last returns the last registration and how many there were.
+// last returns the last registration, its lease and the number of writes.
 func (l *leaseStore) last() (Gateway, int64, int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -95,13 +95,13 @@
 			}
 			time.Sleep(5 * time.Millisecond)
 		}
-		t.Fatalf("it did not become true: %s", what)
+		t.Fatalf("timed out waiting for: %s", what)
 	}
 	eventually("registered", func(gateway Gateway, lease int64, puts int) bool {
 		return gateway.Name == "a" && lease == 1 && puts == 1
 	})
 	if <-leased != 1 {
-		t.Error("the lease was not told")
+		t.Error("onLease was called with another lease than 1")
 	}
 	keys.mutex.Lock()
 	keys.expired = true
@@ -113,7 +113,7 @@
 	eventually("left", func(gateway Gateway, _ int64, _ int) bool { return gateway.Leaving })
 }
 
-// TestOnlyGatewaysThatTakeRequestsRenewAShortLease changes the role of a gateway and looks at the lease of its registration.
+// TestLeaseDurationDependsOnRole changes the role of a gateway and checks the duration of its lease.
 func TestLeaseDurationDependsOnRole(t *testing.T) {
 	settings := DefaultRegistrationSettings()
 	keys := &leaseStore{}
@@ -137,13 +137,13 @@
 		select {
 		case got := <-ttls:
 			if got != want {
-				t.Fatalf("change %d: the lease runs for %s, want %s", i, got, want)
+				t.Fatalf("change %d: lease duration %s, want %s", i, got, want)
 			}
 		case <-time.After(3 * time.Second):
 			t.Fatalf("change %d: no lease was granted", i)
 		}
 	}
 	if _, lease, _ := keys.last(); lease == 0 {
-		t.Error("the registration goes with no lease")
+		t.Error("the registration has no lease")
 	}
 }
--- a/internal/member/sizer.go
+++ b/internal/member/sizer.go
@@ -2,34 +2,36 @@
 
 import "time"
 
-// NeedKey is where the gateway that gives orders writes how many cores the entries are to have together.
+// NeedKey is the key under which the controller writes how many cores the entries need.
 const NeedKey = "entries"
 
-// Need is the value of that key.
+// Need is the value of NeedKey.
 type Need struct {
-	// Cores that the entries have together at least.
+	// Cores is the minimum total number of cores of the entries.
 	Cores float64 `json:"cores"`
 }
 
-// SizerSettings of a sizer.
+// SizerSettings configures a Sizer.
 type SizerSettings struct {
-	// MoreFrom is the part of their limits that entries use together from which on more are wanted, once that has lasted for
-	// MoreAfter: with half a burst of one and a half times the load and the loss of a quarter of the entries are borne together.
+	// GrowFrom is the utilization at which the entries need more cores once it has lasted for GrowAfter. At one half,
+	// they can bear a load peak of 1.5 times together with the loss of a quarter of the entries.
 	GrowFrom  float64
 	GrowAfter time.Duration
-	// LessBelow is the part below which fewer do, once that has lasted for LessAfter: a set that grows and shrinks moves callers.
+	// ShrinkBelow is the utilization below which they need fewer cores once it has lasted for ShrinkAfter. Changing the
+	// entries often would keep redirecting callers.
 	ShrinkBelow float64
 	ShrinkAfter time.Duration
-	// Step is by how many times the cores change at once.
+	// Factor is the factor of a change.
 	Factor float64
-	// Settle is how long after a change its effect is awaited: callers keep the addresses of before for some seconds.
+	// SettleTime is how long to wait for the effect of a change, as callers keep the previous addresses for some
+	// seconds.
 	SettleTime time.Duration
-	// Effect is the part to which a growth has to bring the use for another one to follow. What entries tell each other grows with
-	// their number, so that more of them may make things worse.
+	// MaxRemaining is the maximum ratio of the utilization to that before the last growth for another growth to follow.
+	// The messages between entries grow with their number, so more entries may even increase the load.
 	MaxRemaining float64
 }
 
-// DefaultSizerSettings grow within two seconds and shrink slowly.
+// DefaultSizerSettings returns settings that grow within two seconds and shrink slowly.
 func DefaultSizerSettings() SizerSettings {
 	return SizerSettings{
 		GrowFrom: 0.5, GrowAfter: 2 * time.Second, ShrinkBelow: 0.15, ShrinkAfter: time.Minute, Factor: 1.5, SettleTime: 5 * time.Second,
@@ -37,29 +39,32 @@
 	}
 }
 
-// Busy is what one entry uses of its limits.
+// Busy is the utilization of an entry.
 type Busy struct {
 	Cores float64
-	// Share of its limits that is in use, of the one that is used most.
+	// Share is the utilization of its most used resource, as a fraction of the limit.
 	Share float64
 }
 
-// Sizer says how many cores the entries need. It is a pure state machine.
+// Sizer determines how many cores the entries need. It is a pure state machine.
 //
-// Invariants: it asks for more only from MoreFrom on, and for more again only if the growth before brought the use down.
+// Invariants: it grows only at a utilization of GrowFrom or more, and grows again only if the previous growth reduced
+// the utilization.
 type Sizer struct {
 	settings SizerSettings
-	// highSince and lowSince are since when more are wanted, and fewer would do; zero when not.
+	// highSince and lowSince are since when the utilization is above GrowFrom and below ShrinkBelow; zero if it is not.
 	highSince, lowSince time.Time
-	// changedAt is when the cores were changed last, and usedBefore what was used before a growth.
+	// changedAt is when the need last changed, and utilizationBeforeGrowth the utilization before that if it was a
+	// growth.
 	changedAt               time.Time
 	utilizationBeforeGrowth float64
 }
 
-// NewSizer returns a sizer that has seen nothing.
+// NewSizer returns a sizer without measurements.
 func NewSizer(settings SizerSettings) *Sizer { return &Sizer{settings: settings} }
 
-// Next returns the cores that the entries are to have, given what they use and the need in force, and whether that is to change.
+// Next returns the cores that the entries need, given their utilization and the current need, and whether the need
+// changes.
 func (s *Sizer) Next(now time.Time, entries []Busy, need float64) (float64, bool) {
 	utilization, cores := 0.0, 0.0
 	for _, entry := range entries {
@@ -87,7 +92,7 @@
 	}
 }
 
-// lasting keeps since when something holds, and tells whether it has held for long enough.
+// hasHeldFor tracks since when a condition holds and reports whether it has held for the duration.
 func hasHeldFor(since *time.Time, now time.Time, holds bool, duration time.Duration) bool {
 	if !holds {
 		*since = time.Time{}
--- a/internal/member/sizer_test.go
+++ b/internal/member/sizer_test.go
@@ -11,7 +11,7 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// TestSizes plays the days of testdata/sizes.txtar on fake time.
+// TestSizer runs the scripts of testdata/sizes.txtar on simulated time.
 func TestSizer(t *testing.T) {
 	archive, err := txtar.ParseFile("testdata/sizes.txtar")
 	if err != nil {
@@ -22,7 +22,7 @@
 	}
 }
 
-// playSizes plays the lines of one day.
+// runSizerScript runs one script.
 func runSizerScript(t *testing.T, script string) {
 	sizer := NewSizer(DefaultSizerSettings())
 	now, need, changes := startTime, 0.0, 0
@@ -34,7 +34,7 @@
 		switch {
 		case scanLine(line, "entries %d", &count):
 			entries = make([]Busy, count)
-		case scanLine(line, "for %ds busy %g", &seconds, &share):
+		case scanLine(line, "for %ds utilization %g", &seconds, &share):
 			for range seconds {
 				now = now.Add(time.Second)
 				for i := range entries {
@@ -48,22 +48,22 @@
 			}
 		case scanLine(line, "need %g changes %d", &wantNeed, &wantChanges):
 			if fmt.Sprintf("%.2f", need) != fmt.Sprintf("%.2f", wantNeed) || changes != wantChanges {
-				t.Errorf("%s: the need is %.2f after %d changes", line, need, changes)
+				t.Errorf("%s: got need %.2f after %d changes", line, need, changes)
 			}
 			changes = 0
 		default:
-			t.Fatalf("%q is no line of a day", line)
+			t.Fatalf("invalid script line %q", line)
 		}
 	}
 }
 
-// scan reads a line of a form.
-func scanLine(line, form string, values ...any) bool {
-	count, err := fmt.Sscanf(line, form, values...)
+// scanLine parses a line in the given format.
+func scanLine(line, format string, values ...any) bool {
+	count, err := fmt.Sscanf(line, format, values...)
 	return err == nil && count == len(values)
 }
 
-// TestNeedsAreFollowedFromTheStore changes the need and looks at the entries.
+// TestNeedInStoreDeterminesEntries checks the number of entries for a need that is written and deleted.
 func TestNeedInStoreDeterminesEntries(t *testing.T) {
 	list := largeList("g00")
 	item := store.Item{Key: NeedKey, Value: []byte(`{"cores":3.9}`), Revision: 7}
@@ -71,10 +71,10 @@
 		t.Fatal(err)
 	}
 	if got := len(entriesAt(list, startTime)); got != 10 {
-		t.Errorf("%d entries where 3.9 cores are needed of gateways of 0.4", got)
+		t.Errorf("got %d entries for a need of 3.9 cores with gateways of 0.4 cores", got)
 	}
 	if _, revision := list.Need(); revision != 7 {
-		t.Errorf("the need is that of revision %d", revision)
+		t.Errorf("got revision %d of the need", revision)
 	}
 	if err := list.Apply(startTime, store.Event{Item: store.Item{Key: NeedKey, Revision: 8}, Deleted: true}); err != nil {
 		t.Fatal(err)
