--- a/internal/changefeed/changefeed_test.go
+++ b/internal/changefeed/changefeed_test.go
@@ -85,10 +85,10 @@
 func newFollower(tellers ...changefeed.Teller) (*changefeed.Follower, func() []string) {
 	var mutex sync.Mutex
 	var reported []string
-	follower := changefeed.NewFollower("me", "a", func(entries, sound []string) {
+	follower := changefeed.NewFollower("me", "a", func(entries, live []string) {
 		mutex.Lock()
 		defer mutex.Unlock()
-		reported = append(slices.Clone(entries), sound...)
+		reported = append(slices.Clone(entries), live...)
 	})
 	follower.SetTellers(tellers)
 	return follower, func() []string {
--- a/internal/cluster/view_test.go
+++ b/internal/cluster/view_test.go
@@ -105,7 +105,7 @@
 func TestWorkersWithoutRecordsExpireAfterOutage(t *testing.T) {
 	view, recorded := newTestView()
 	view.Reset([]store.Item{putEvent("worker/1", "x").Item})
-	view.Lost(errors.New("lost"))
+	view.Lost(errors.New("unavailable"))
 	view.Reset(nil)
 	workerCount := func() int {
 		view.rosterMutex.Lock()
@@ -177,7 +177,7 @@
 	expect("listed again at the same revision", now.Add(-time.Millisecond), now.Add(-time.Millisecond))
 	view.Apply([]store.Event{own(7)})
 	expect("written again, as of before that", now.Add(-time.Millisecond), time.Time{})
-	view.Lost(errors.New("away"))
+	view.Lost(errors.New("unavailable"))
 	advance()
 	expect("while the store is unavailable", now.Add(-time.Second), now.Add(-time.Second))
 	view.Apply([]store.Event{{Item: store.Item{Key: ownKey, Revision: 9}, Deleted: true}})
--- a/internal/member/registration_test.go
+++ b/internal/member/registration_test.go
@@ -71,11 +71,11 @@
 func TestRegistrationLifecycle(t *testing.T) {
 	settings := DefaultRegistrationSettings()
 	settings.Interval = 5 * time.Millisecond
-	keys := &leaseStore{}
+	leases := &leaseStore{}
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	leased := make(chan int64, 1000)
-	registration := NewRegistration(settings, keys, Gateway{Name: "a"}, logger, func() {},
+	registration := NewRegistration(settings, leases, Gateway{Name: "a"}, logger, func() {},
 		func(_ time.Time, lease int64, _ time.Duration) { leased <- lease })
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -90,7 +90,7 @@
 	eventually := func(what string, condition func(gateway Gateway, lease int64, puts int) bool) {
 		t.Helper()
 		for range 300 {
-			if condition(keys.last()) {
+			if condition(leases.last()) {
 				return
 			}
 			time.Sleep(5 * time.Millisecond)
@@ -103,9 +103,9 @@
 	if <-leased != 1 {
 		t.Error("onLease was called with another lease than 1")
 	}
-	keys.mutex.Lock()
-	keys.expired = true
-	keys.mutex.Unlock()
+	leases.mutex.Lock()
+	leases.expired = true
+	leases.mutex.Unlock()
 	eventually("registered with a new lease", func(_ Gateway, lease int64, _ int) bool { return lease == 2 })
 	registration.Again()
 	eventually("registered again", func(_ Gateway, _ int64, puts int) bool { return puts == 3 })
@@ -116,12 +116,12 @@
 // TestLeaseDurationDependsOnRole changes the role of a gateway and checks the duration of its lease.
 func TestLeaseDurationDependsOnRole(t *testing.T) {
 	settings := DefaultRegistrationSettings()
-	keys := &leaseStore{}
+	leases := &leaseStore{}
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	ttls := make(chan time.Duration, 100)
-	registration := NewRegistration(settings, keys, Gateway{Name: "a"}, logger, func() {},
-		func(_ time.Time, _ int64, _ time.Duration) { ttls <- keys.ttl() })
+	registration := NewRegistration(settings, leases, Gateway{Name: "a"}, logger, func() {},
+		func(_ time.Time, _ int64, _ time.Duration) { ttls <- leases.ttl() })
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -143,7 +143,7 @@
 			t.Fatalf("change %d: no lease was granted", i)
 		}
 	}
-	if _, lease, _ := keys.last(); lease == 0 {
+	if _, lease, _ := leases.last(); lease == 0 {
 		t.Error("the registration has no lease")
 	}
 }
