--- a/internal/changefeed/snapshot.go
+++ b/internal/changefeed/snapshot.go
@@ -13,71 +13,71 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// pathSnapshot is where gateways tell everything they know.
+// pathSnapshot is the path that serves snapshots.
 const pathSnapshot = "/snapshot"
 
-// Bounds of one question.
+// Limits of a request.
 const (
-	snapshotTimeout = 600 * time.Millisecond
-	maxAnswerBytes  = 32 << 20
+	snapshotTimeout  = 600 * time.Millisecond
+	maxResponseBytes = 32 << 20
 )
 
-// tellSnapshot answers everything that is known.
-func tellSnapshot(w http.ResponseWriter, source Source) {
-	known, found := source.Snapshot()
+// serveSnapshot handles a request for a snapshot.
+func serveSnapshot(w http.ResponseWriter, source Source) {
+	snapshot, found := source.Snapshot()
 	if !found {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	// An error is that of a peer that has left.
-	_ = json.NewEncoder(w).Encode(known)
+	// An error means that the peer has disconnected.
+	_ = json.NewEncoder(w).Encode(snapshot)
 }
 
-// decode reads a bounded answer.
-func decode(body io.Reader, answer any) error {
-	return json.NewDecoder(io.LimitReader(body, maxAnswerBytes)).Decode(answer)
+// decode decodes a response body of limited size.
+func decode(body io.Reader, result any) error {
+	return json.NewDecoder(io.LimitReader(body, maxResponseBytes)).Decode(result)
 }
 
-// Seeds are gateways that are asked at a start for everything they know.
+// Seeds fetches a snapshot from other gateways when this one starts.
 type Seeds struct {
-	asker
+	peerClient
 	addresses []string
 }
 
-// NewSeeds returns seeds at these addresses.
+// NewSeeds returns seeds with the addresses of gateways.
 func NewSeeds(addresses []string) *Seeds {
-	return &Seeds{asker: asker{httpclient.New(httpclient.DefaultSettings())}, addresses: addresses}
+	return &Seeds{peerClient: peerClient{httpclient.New(httpclient.DefaultSettings())}, addresses: addresses}
 }
 
-// errNobody is returned when no gateway answered.
-var errNobody = errors.New("step ask other gateways: nobody answered")
+// errNoSeedAnswered is returned if no gateway sent a snapshot.
+var errNoSeedAnswered = errors.New("fetch snapshot from other gateways: no gateway answered")
 
-// Fetch asks all seeds and returns the newest answer. It is a store.Fallback.
+// Fetch queries all gateways concurrently and returns the newest snapshot. It is a store.Fallback.
 func (s *Seeds) Fetch(ctx context.Context) (store.Snapshot, error) {
 	ctx, cancel := context.WithTimeout(ctx, snapshotTimeout)
 	defer cancel()
-	answers := make(chan *store.Snapshot, len(s.addresses))
+	snapshots := make(chan *store.Snapshot, len(s.addresses))
 	for _, address := range s.addresses {
-		go func() { answers <- s.snapshot(ctx, address) }()
+		go func() { snapshots <- s.fetchFrom(ctx, address) }()
 	}
 	var newest *store.Snapshot
 	for range s.addresses {
-		answer := <-answers
-		if answer != nil && (newest == nil || answer.Revision > newest.Revision) {
-			newest = answer
+		snapshot := <-snapshots
+		if snapshot != nil && (newest == nil || snapshot.Revision > newest.Revision) {
+			newest = snapshot
 		}
 	}
 	if newest == nil {
-		return store.Snapshot{}, errNobody
+		return store.Snapshot{}, errNoSeedAnswered
 	}
 	return *newest, nil
 }
 
-// snapshot asks one gateway, and returns nil when it does not know.
-func (s *Seeds) snapshot(ctx context.Context, address string) *store.Snapshot {
+// fetchFrom fetches the snapshot of one gateway, and returns nil on failure.
+func (s *Seeds) fetchFrom(ctx context.Context, address string) *store.Snapshot {
 	var snapshot store.Snapshot
-	if s.ask(ctx, address, pathSnapshot, &snapshot, nil) != nil {
+	if s.get(ctx, address, pathSnapshot, &snapshot, nil) != nil {
 		return nil
 	}
 	snapshot.Adopt(0)
--- /dev/null
+++ b/internal/cluster/configuration.go
@@ -0,0 +1,86 @@
+package cluster
+
+import (
+	"github.com/cockroachdb/errors"
+
+	"github.com/granitebay/granitebay/internal/configuration"
+	"github.com/granitebay/granitebay/internal/store"
+)
+
+// applyConfiguration applies an item that may hold one of the two parts of the configuration. It ignores parts that are
+// invalid or not newer than the current one.
+func (v *View) applyConfiguration(item store.Item) {
+	switch {
+	case v.decoder.IsConfiguration(item.Key):
+		v.applyBaseConfiguration(item)
+	case item.Key == configuration.StoreKey:
+		v.applyLabelConfiguration(item)
+	}
+}
+
+// applyBaseConfiguration applies the routes and services.
+func (v *View) applyBaseConfiguration(item store.Item) {
+	configuration, err := v.decoder.Configuration(item.Value)
+	if err == nil {
+		err = configuration.Validate()
+	}
+	if err != nil {
+		v.reportUnreadable(err)
+		return
+	}
+	if v.baseConfiguration != nil && configuration.Version <= v.baseConfiguration.Version {
+		return
+	}
+	v.baseConfiguration = configuration
+	v.publishConfiguration()
+}
+
+// applyLabelConfiguration applies the groups and label rules.
+func (v *View) applyLabelConfiguration(item store.Item) {
+	document, err := configuration.Decode(item.Value)
+	if err != nil {
+		v.reportUnreadable(err)
+		return
+	}
+	snapshot, err := configuration.Compile(document)
+	if err != nil {
+		v.reportUnreadable(err)
+		return
+	}
+	labelConfiguration := snapshot.Routing()
+	if v.labelConfiguration != nil && labelConfiguration.Revision <= v.labelConfiguration.Revision {
+		return
+	}
+	v.labelConfiguration = labelConfiguration
+	v.setDocument(document)
+	v.publishConfiguration()
+}
+
+// publishConfiguration passes the merged configuration to the listener once there are routes. If the parts are
+// inconsistent, for example because a group selects from a removed service, it passes the routes without groups and
+// label rules.
+func (v *View) publishConfiguration() {
+	if v.baseConfiguration == nil {
+		return
+	}
+	merged := v.baseConfiguration.WithLabels(v.labelConfiguration)
+	if err := merged.Validate(); err != nil {
+		v.reportUnreadable(errors.Wrap(err, "merge the routes with the label rules"))
+		merged = v.baseConfiguration
+	}
+	v.listener.ConfigurationChanged(merged)
+}
+
+// setDocument stores the document of the groups and label rules.
+func (v *View) setDocument(document configuration.Document) {
+	v.mutex.Lock()
+	defer v.mutex.Unlock()
+	v.document = document
+}
+
+// Document returns the document of the groups and label rules; the zero document if there is none yet.
+func (v *View) Document() configuration.Document {
+	v.mutex.Lock()
+	defer v.mutex.Unlock()
+	return v.document
+}
--- a/internal/member/entry_test.go
+++ b/internal/member/entry_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// fleet returns gateways of a size in each zone.
-func fleet(perZone int, cores float64, kind string, zones ...string) []Gateway {
+// newFleet returns gateways with the same number of cores in each zone.
+func newFleet(perZone int, cores float64, kind string, zones ...string) []Gateway {
 	var gateways []Gateway
 	for _, zone := range zones {
 		for i := range perZone {
@@ -20,28 +20,28 @@
 	return gateways
 }
 
-func TestEveryGatewayOfASmallFleetIsAnEntry(t *testing.T) {
-	small := fleet(3, 0.4, "g", "a", "b", "c")
-	if got := names(Entries(small, 0, DefaultEntrySettings())); got != names(small) {
-		t.Errorf("entries %s", got)
+func TestAllGatewaysOfSmallFleetAreEntries(t *testing.T) {
+	small := newFleet(3, 0.4, "g", "a", "b", "c")
+	if got := gatewayNames(Entries(small, 0, DefaultEntrySettings())); got != gatewayNames(small) {
+		t.Errorf("got entries %s", got)
 	}
 }
 
-func TestTheLargestGatewaysOfAMixedFleetAreEntries(t *testing.T) {
-	large := fleet(2, 0.8, "large", "a", "b", "c", "d")
-	mixed := append(fleet(20, 0.2, "small", "a", "b", "c", "d"), large...)
-	if got := names(Entries(mixed, 0, DefaultEntrySettings())); got != names(large) {
-		t.Errorf("entries %s", got)
+func TestLargestGatewaysAreEntries(t *testing.T) {
+	large := newFleet(2, 0.8, "large", "a", "b", "c", "d")
+	mixed := append(newFleet(20, 0.2, "small", "a", "b", "c", "d"), large...)
+	if got := gatewayNames(Entries(mixed, 0, DefaultEntrySettings())); got != gatewayNames(large) {
+		t.Errorf("got entries %s", got)
 	}
-	withoutOne := append(fleet(20, 0.2, "small", "a", "b", "c", "d"), large[1:]...)
+	withoutOne := append(newFleet(20, 0.2, "small", "a", "b", "c", "d"), large[1:]...)
 	entries := Entries(withoutOne, 0, DefaultEntrySettings())
-	if len(entries) != 8 || names(entries[:7]) != names(large[1:]) || entries[7].Name != "small-a-00" {
-		t.Errorf("entries after the loss of one: %s", names(entries))
+	if len(entries) != 8 || gatewayNames(entries[:7]) != gatewayNames(large[1:]) || entries[7].Name != "small-a-00" {
+		t.Errorf("after the loss of one: got entries %s", gatewayNames(entries))
 	}
 }
 
-func TestEntriesOfAnEvenFleetAreSpreadOverZones(t *testing.T) {
-	even := fleet(30, 0.4, "g", "a", "b", "c")
+func TestEntriesAreSpreadOverZones(t *testing.T) {
+	even := newFleet(30, 0.4, "g", "a", "b", "c")
 	tests := []struct {
 		neededCores float64
 		want        map[string]int
@@ -63,9 +63,9 @@
 	}
 }
 
-// TestEntriesFollowWhatIsKnown checks over random fleets that the order in which gateways are known says nothing, that no zone
-// is without an entry, and that the loss of an entry takes no other one off the list.
-func TestEntriesFollowWhatIsKnown(t *testing.T) {
+// TestEntriesDependOnlyOnKnownGateways checks on random fleets that the order of the gateways does not matter, that
+// each zone has an entry, and that the loss of an entry does not displace another one.
+func TestEntriesDependOnlyOnKnownGateways(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var gateways []Gateway
 		for i := range rapid.IntRange(1, 80).Draw(t, "gateways") {
@@ -77,8 +77,8 @@
 		needed := rapid.Float64Range(0, 20).Draw(t, "needed")
 		settings := DefaultEntrySettings()
 		entries := Entries(gateways, needed, settings)
-		if got := Entries(rapid.Permutation(gateways).Draw(t, "order"), needed, settings); names(byName(got)) != names(byName(entries)) {
-			t.Fatalf("in another order %s, before %s", names(got), names(entries))
+		if got := Entries(rapid.Permutation(gateways).Draw(t, "order"), needed, settings); gatewayNames(byName(got)) != gatewayNames(byName(entries)) {
+			t.Fatalf("got entries %s in another order, want %s", gatewayNames(got), gatewayNames(entries))
 		}
 		cores, all := map[string]float64{}, map[string]float64{}
 		for _, gateway := range gateways {
@@ -92,15 +92,15 @@
 		if len(cores) != len(all) {
 			t.Fatalf("entries in %d of %d zones", len(cores), len(all))
 		}
-		if len(entries) < min(len(gateways), settings.Most) && total < needed {
-			t.Fatalf("%.1f cores where %.1f are needed, and there are more", total, needed)
+		if len(entries) < min(len(gateways), settings.Max) && total < needed {
+			t.Fatalf("the entries have %.1f cores of the needed %.1f, though there are more gateways", total, needed)
 		}
 		lost := rapid.SampledFrom(entries).Draw(t, "lost").Name
 		rest := slices.DeleteFunc(slices.Clone(gateways), func(g Gateway) bool { return g.Name == lost })
 		after := Entries(rest, needed, settings)
 		for _, entry := range entries {
 			if entry.Name != lost && !slices.ContainsFunc(after, func(g Gateway) bool { return g.Name == entry.Name }) {
-				t.Fatalf("%s is no entry any more after the loss of %s", entry.Name, lost)
+				t.Fatalf("%s is no longer an entry after the loss of %s", entry.Name, lost)
 			}
 		}
 	})
--- a/internal/member/registration.go
+++ b/internal/member/registration.go
@@ -13,100 +13,99 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// RegistrationSettings of a registration.
+// RegistrationSettings configures a Registration.
 type RegistrationSettings struct {
-	// TTL of the lease of a gateway that takes requests.
+	// TTL is the duration of the lease of an entry.
 	TTL time.Duration
-	// Interval between two renewals.
+	// Interval is the time between renewals.
 	Interval time.Duration
-	// CallTimeout bounds one call to the store.
+	// CallTimeout bounds a call to the store.
 	CallTimeout time.Duration
-	// Pause after a failed call.
-	Pause time.Duration
-	// CalmFactor is by how much all but the time of a call is longer for a gateway that stands by, whose loss nobody waits for.
-	CalmFactor time.Duration
+	// RetryPause is the pause after a failed call.
+	RetryPause time.Duration
+	// StandbyFactor extends all times but CallTimeout for standby gateways, whose loss need not be noticed soon.
+	StandbyFactor time.Duration
 }
 
-// DefaultRegistrationSettings take a dead gateway off the list after three seconds.
+// DefaultRegistrationSettings returns settings that remove a dead entry from the list after three seconds.
 func DefaultRegistrationSettings() RegistrationSettings {
 	return RegistrationSettings{
-		TTL:         3 * time.Second,
-		Interval:    time.Second,
-		CallTimeout: 1200 * time.Millisecond,
-		Pause:       250 * time.Millisecond,
-		CalmFactor:  5,
+		TTL:           3 * time.Second,
+		Interval:      time.Second,
+		CallTimeout:   1200 * time.Millisecond,
+		RetryPause:    250 * time.Millisecond,
+		StandbyFactor: 5,
 	}
 }
 
-// Registration keeps the own gateway on the list of live gateways.
+// Registration keeps the own gateway registered in the store.
 type Registration struct {
 	settings RegistrationSettings
 	store    store.Store
 	own      Gateway
 	logger   logrus.FieldLogger
-	// onTrouble is called when the store can't be reached.
-	onTrouble func()
-	// onLease is told of each lease that was granted or renewed, with the moment at which the call began by the clock that counts sleep.
-	onLease func(begun time.Time, lease int64, ttl time.Duration)
-	again   chan struct{}
+	// onFailure is called after each failed call to the store.
+	onFailure func()
+	// onLease is called with each lease that was granted or renewed, and the time by boottime at which the call began.
+	onLease func(started time.Time, lease int64, ttl time.Duration)
+	rewrite chan struct{}
 	leave   chan struct{}
-	// brief is set for a gateway that takes requests.
-	brief atomic.Bool
-	// lease is that of the registration; 0 is none. It runs for ttl.
+	// isEntry is set while the gateway is an entry.
+	isEntry atomic.Bool
+	// lease is the ID of the lease of the registration; 0 if none. Its duration is ttl.
 	lease int64
 	ttl   time.Duration
 }
 
-// NewRegistration returns a registration that does nothing before Run.
+// NewRegistration returns a registration that is idle until Run is called.
 func NewRegistration(
 	settings RegistrationSettings, store store.Store, own Gateway, logger logrus.FieldLogger,
-	onTrouble func(), onLease func(begun time.Time, lease int64, ttl time.Duration),
+	onFailure func(), onLease func(started time.Time, lease int64, ttl time.Duration),
 ) *Registration {
 	return &Registration{
-		settings: settings, store: store, own: own, logger: logger, onTrouble: onTrouble, onLease: onLease,
-		again: make(chan struct{}, 1), leave: make(chan struct{}, 1),
+		settings: settings, store: store, own: own, logger: logger, onFailure: onFailure, onLease: onLease,
+		rewrite: make(chan struct{}, 1), leave: make(chan struct{}, 1),
 	}
 }
 
-// Key under which the gateway registers.
+// Key returns the key of the registration.
 func (r *Registration) Key() string { return KeyPrefix + r.own.Name }
 
-// Again registers anew, for example because the registration was seen to be gone.
-func (r *Registration) Again() { notify(r.again) }
+// Again writes the registration again, for example because it has disappeared.
+func (r *Registration) Again() { signal(r.rewrite) }
 
-// SetBrief tells whether the others have to notice soon when this gateway is gone, because it takes requests. It begins as one
-// that nobody waits for.
-func (r *Registration) SetBrief(brief bool) {
-	if r.brief.Swap(brief) != brief {
+// SetBrief sets whether the gateway is an entry, whose loss the others must notice soon. Initially it is not.
+func (r *Registration) SetBrief(isEntry bool) {
+	if r.isEntry.Swap(isEntry) != isEntry {
 		r.Again()
 	}
 }
 
-// stretch returns a time of the settings as the role of the gateway has it.
-func (r *Registration) stretch(duration time.Duration) time.Duration {
-	if r.brief.Load() {
+// scaleForRole returns the duration adjusted to the role of the gateway.
+func (r *Registration) scaleForRole(duration time.Duration) time.Duration {
+	if r.isEntry.Load() {
 		return duration
 	}
-	return duration * r.settings.CalmFactor
+	return duration * r.settings.StandbyFactor
 }
 
-// Leave tells the other gateways that this one gets no new callers.
-func (r *Registration) Leave() { notify(r.leave) }
+// Leave marks the registration as leaving, so that the gateway gets no new callers.
+func (r *Registration) Leave() { signal(r.leave) }
 
-// Run registers and renews until the context ends.
+// Run registers the gateway and renews its lease until the context ends.
 func (r *Registration) Run(ctx context.Context) {
 	registered, failing := false, false
 	for ctx.Err() == nil {
 		err := r.step(ctx, registered)
 		registered = err == nil
-		pause := r.stretch(r.settings.Interval)
+		pause := r.scaleForRole(r.settings.Interval)
 		if err != nil {
-			pause = r.stretch(r.settings.Pause)
-			r.onTrouble()
+			pause = r.scaleForRole(r.settings.RetryPause)
+			r.onFailure()
 		}
 		if failed := err != nil; failed != failing {
 			failing = failed
-			r.logChange(err)
+			r.logTransition(err)
 		}
 		if r.wait(ctx, pause) {
 			registered = false
@@ -114,22 +113,22 @@
 	}
 }
 
-// logChange tells that the registration began to fail, or that it stands again.
-func (r *Registration) logChange(err error) {
+// logTransition logs that renewals began to fail, or succeed again.
+func (r *Registration) logTransition(err error) {
 	if err != nil {
-		r.logger.WithError(err).Warn("The registration can't be renewed.")
+		r.logger.WithError(err).Warn("Renewing the registration failed.")
 		return
 	}
-	r.logger.Info("The registration stands again.")
+	r.logger.Info("The registration was renewed again.")
 }
 
-// step renews the registration, or makes it when there is none.
+// step renews the lease, and writes the registration if needed.
 func (r *Registration) step(ctx context.Context, registered bool) error {
 	ctx, cancel := context.WithTimeout(ctx, r.settings.CallTimeout)
 	defer cancel()
-	begun := boottime.Now()
-	if r.ttl != r.stretch(r.settings.TTL) {
-		// The old lease runs out with nothing that goes with it.
+	started := boottime.Now()
+	if r.ttl != r.scaleForRole(r.settings.TTL) {
+		// The old lease expires without any items.
 		r.lease, registered = 0, false
 	}
 	if r.lease != 0 {
@@ -140,29 +139,30 @@
 		} else if err != nil {
 			return err
 		} else {
-			r.onLease(begun, r.lease, r.ttl)
+			r.onLease(started, r.lease, r.ttl)
 		}
 	}
 	if r.lease == 0 {
-		ttl := r.stretch(r.settings.TTL)
+		ttl := r.scaleForRole(r.settings.TTL)
 		lease, err := r.store.Grant(ctx, ttl)
 		if err != nil {
 			return err
 		}
 		r.lease, r.ttl = lease.ID, ttl
-		r.onLease(begun, lease.ID, lease.TTL)
+		r.onLease(started, lease.ID, lease.TTL)
 	}
 	if registered {
 		return nil
 	}
-	return r.put(ctx)
+	return r.write(ctx)
 }
 
-// put writes the registration. It is the only writer of its key, so that it needs no condition and may be repeated.
-func (r *Registration) put(ctx context.Context) error {
+// write writes the registration. This process is the only writer of the key, so the write needs no condition and may be
+// repeated.
+func (r *Registration) write(ctx context.Context) error {
 	value, err := json.Marshal(r.own)
 	if err != nil {
-		return errors.Wrap(err, "step write the registration")
+		return errors.Wrap(err, "encode registration")
 	}
 	_, err = r.store.Commit(ctx, store.Transaction{Puts: []store.Put{{Key: r.Key(), Value: value, Lease: r.lease}}})
 	if errors.Is(err, store.ErrLeaseExpired) {
@@ -171,7 +171,7 @@
 	return err
 }
 
-// wait returns after a pause, or at once with true when the registration is to be written anew.
+// wait waits for a pause, or returns true early if the registration must be written again.
 func (r *Registration) wait(ctx context.Context, pause time.Duration) bool {
 	timer := time.NewTimer(pause)
 	defer timer.Stop()
@@ -181,15 +181,15 @@
 	case <-r.leave:
 		r.own.Leaving = true
 		return true
-	case <-r.again:
+	case <-r.rewrite:
 		return true
 	case <-timer.C:
 		return false
 	}
 }
 
-// notify fills a channel of one place.
-func notify(channel chan struct{}) {
+// signal sends to a channel with a buffer of one unless it is full.
+func signal(channel chan struct{}) {
 	select {
 	case channel <- struct{}{}:
 	default:
--- a/internal/member/registration_test.go
+++ b/internal/member/registration_test.go
@@ -13,28 +13,28 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// leaseStore is a store that keeps registrations and leases.
+// leaseStore is a store that records registrations and leases.
 type leaseStore struct {
 	store.Store
 	mutex   sync.Mutex
 	granted int64
-	lasting time.Duration
+	lastTTL time.Duration
 	expired bool
 	puts    []store.Put
 }
 
-// ttl returns for how long the last lease was granted.
+// ttl returns the duration of the last granted lease.
 func (l *leaseStore) ttl() time.Duration {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	return l.lasting
+	return l.lastTTL
 }
 
 func (l *leaseStore) Grant(_ context.Context, ttl time.Duration) (store.Lease, error) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.granted++
-	l.lasting = ttl
+	l.lastTTL = ttl
 	l.expired = false
 	return store.Lease{ID: l.granted, TTL: time.Second}, nil
 }
@@ -55,7 +55,7 @@
 	return store.Revision(len(l.puts)), nil
 }
 
-// last returns the last registration and how many there were.
+// last returns the last registration, its lease and the number of writes.
 func (l *leaseStore) last() (Gateway, int64, int) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -68,14 +68,14 @@
 	return gateway, put.Lease, len(l.puts)
 }
 
-func TestRegistrationIsKeptRenewedAndLeft(t *testing.T) {
+func TestRegistrationLifecycle(t *testing.T) {
 	settings := DefaultRegistrationSettings()
 	settings.Interval = 5 * time.Millisecond
-	keys := &leaseStore{}
+	leases := &leaseStore{}
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	leased := make(chan int64, 1000)
-	registration := NewRegistration(settings, keys, Gateway{Name: "a"}, logger, func() {},
+	registration := NewRegistration(settings, leases, Gateway{Name: "a"}, logger, func() {},
 		func(_ time.Time, lease int64, _ time.Duration) { leased <- lease })
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -87,41 +87,41 @@
 		cancel()
 		<-done
 	}()
-	wait := func(what string, holds func(gateway Gateway, lease int64, puts int) bool) {
+	eventually := func(what string, condition func(gateway Gateway, lease int64, puts int) bool) {
 		t.Helper()
 		for range 300 {
-			if holds(keys.last()) {
+			if condition(leases.last()) {
 				return
 			}
 			time.Sleep(5 * time.Millisecond)
 		}
-		t.Fatalf("it did not become true: %s", what)
+		t.Fatalf("timed out waiting for: %s", what)
 	}
-	wait("registered", func(gateway Gateway, lease int64, puts int) bool {
+	eventually("registered", func(gateway Gateway, lease int64, puts int) bool {
 		return gateway.Name == "a" && lease == 1 && puts == 1
 	})
 	if <-leased != 1 {
-		t.Error("the lease was not told")
+		t.Error("onLease was called with another lease than 1")
 	}
-	keys.mutex.Lock()
-	keys.expired = true
-	keys.mutex.Unlock()
-	wait("registered with a new lease", func(_ Gateway, lease int64, _ int) bool { return lease == 2 })
+	leases.mutex.Lock()
+	leases.expired = true
+	leases.mutex.Unlock()
+	eventually("registered with a new lease", func(_ Gateway, lease int64, _ int) bool { return lease == 2 })
 	registration.Again()
-	wait("registered again", func(_ Gateway, _ int64, puts int) bool { return puts == 3 })
+	eventually("registered again", func(_ Gateway, _ int64, puts int) bool { return puts == 3 })
 	registration.Leave()
-	wait("left", func(gateway Gateway, _ int64, _ int) bool { return gateway.Leaving })
+	eventually("left", func(gateway Gateway, _ int64, _ int) bool { return gateway.Leaving })
 }
 
-// TestOnlyGatewaysThatTakeRequestsRenewAShortLease changes the role of a gateway and looks at the lease of its registration.
-func TestOnlyGatewaysThatTakeRequestsRenewAShortLease(t *testing.T) {
+// TestLeaseDurationDependsOnRole changes the role of a gateway and checks the duration of its lease.
+func TestLeaseDurationDependsOnRole(t *testing.T) {
 	settings := DefaultRegistrationSettings()
-	keys := &leaseStore{}
+	leases := &leaseStore{}
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	ttls := make(chan time.Duration, 100)
-	registration := NewRegistration(settings, keys, Gateway{Name: "a"}, logger, func() {},
-		func(_ time.Time, _ int64, _ time.Duration) { ttls <- keys.ttl() })
+	registration := NewRegistration(settings, leases, Gateway{Name: "a"}, logger, func() {},
+		func(_ time.Time, _ int64, _ time.Duration) { ttls <- leases.ttl() })
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -132,18 +132,18 @@
 		cancel()
 		<-done
 	}()
-	for i, want := range []time.Duration{settings.TTL * settings.CalmFactor, settings.TTL, settings.TTL * settings.CalmFactor} {
+	for i, want := range []time.Duration{settings.TTL * settings.StandbyFactor, settings.TTL, settings.TTL * settings.StandbyFactor} {
 		registration.SetBrief(i%2 == 1)
 		select {
 		case got := <-ttls:
 			if got != want {
-				t.Fatalf("change %d: the lease runs for %s, want %s", i, got, want)
+				t.Fatalf("change %d: lease duration %s, want %s", i, got, want)
 			}
 		case <-time.After(3 * time.Second):
 			t.Fatalf("change %d: no lease was granted", i)
 		}
 	}
-	if _, lease, _ := keys.last(); lease == 0 {
-		t.Error("the registration goes with no lease")
+	if _, lease, _ := leases.last(); lease == 0 {
+		t.Error("the registration has no lease")
 	}
 }
--- a/internal/store/counted.go
+++ b/internal/store/counted.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Call is a kind of call to a store.
+// Call identifies a store operation.
 type Call string
 
-// The kinds of calls.
+// Store operations as reported to observers. List and ListUntil are both reported as CallList.
 const (
 	CallList   Call = "list"
 	CallWatch  Call = "watch"
@@ -18,72 +18,74 @@
 	CallRevoke Call = "revoke"
 )
 
-// Counted returns a store whose calls are counted: observe is told of each that has ended. It has to be safe for concurrent use.
+// Counted wraps a store and reports each completed call to observe, which must be safe for concurrent use.
 func Counted(store Store, observe func(call Call, took time.Duration, err error)) Store {
 	return counted{store, observe}
 }
 
-// counted tells an observer of each call to a store.
+// counted is a Store that reports its calls to an observer.
 type counted struct {
 	store   Store
 	observe func(call Call, took time.Duration, err error)
 }
 
-// note tells of a call that began at a moment.
-func (c counted) note(call Call, begun time.Time, err error) { c.observe(call, time.Since(begun), err) }
+// report passes the outcome of a call that began at started to the observer.
+func (c counted) report(call Call, started time.Time, err error) {
+	c.observe(call, time.Since(started), err)
+}
 
-// List is part of Store.
+// List implements Store.
 func (c counted) List(ctx context.Context, prefix string) ([]Item, Revision, error) {
-	begun := time.Now()
-	items, at, err := c.store.List(ctx, prefix)
-	c.note(CallList, begun, err)
-	return items, at, err
+	started := time.Now()
+	items, revision, err := c.store.List(ctx, prefix)
+	c.report(CallList, started, err)
+	return items, revision, err
 }
 
-// ListUntil is part of Store.
-func (c counted) ListUntil(ctx context.Context, prefix string, enough func([]Item) bool) ([]Item, Revision, bool, error) {
-	begun := time.Now()
-	items, at, whole, err := c.store.ListUntil(ctx, prefix, enough)
-	c.note(CallList, begun, err)
-	return items, at, whole, err
+// ListUntil implements Store.
+func (c counted) ListUntil(ctx context.Context, prefix string, stop func([]Item) bool) ([]Item, Revision, bool, error) {
+	started := time.Now()
+	items, revision, complete, err := c.store.ListUntil(ctx, prefix, stop)
+	c.report(CallList, started, err)
+	return items, revision, complete, err
 }
 
-// Watch is part of Store.
+// Watch implements Store.
 func (c counted) Watch(ctx context.Context, prefix string, after Revision, wait time.Duration) ([]Event, Revision, error) {
-	begun := time.Now()
-	events, at, err := c.store.Watch(ctx, prefix, after, wait)
-	c.note(CallWatch, begun, err)
-	return events, at, err
+	started := time.Now()
+	events, revision, err := c.store.Watch(ctx, prefix, after, wait)
+	c.report(CallWatch, started, err)
+	return events, revision, err
 }
 
-// Commit is part of Store.
+// Commit implements Store.
 func (c counted) Commit(ctx context.Context, transaction Transaction) (Revision, error) {
-	begun := time.Now()
+	started := time.Now()
 	revision, err := c.store.Commit(ctx, transaction)
-	c.note(CallCommit, begun, err)
+	c.report(CallCommit, started, err)
 	return revision, err
 }
 
-// Grant is part of Store.
+// Grant implements Store.
 func (c counted) Grant(ctx context.Context, ttl time.Duration) (Lease, error) {
-	begun := time.Now()
+	started := time.Now()
 	lease, err := c.store.Grant(ctx, ttl)
-	c.note(CallGrant, begun, err)
+	c.report(CallGrant, started, err)
 	return lease, err
 }
 
-// KeepAlive is part of Store.
+// KeepAlive implements Store.
 func (c counted) KeepAlive(ctx context.Context, lease int64) error {
-	begun := time.Now()
+	started := time.Now()
 	err := c.store.KeepAlive(ctx, lease)
-	c.note(CallRenew, begun, err)
+	c.report(CallRenew, started, err)
 	return err
 }
 
-// Revoke is part of Store.
+// Revoke implements Store.
 func (c counted) Revoke(ctx context.Context, lease int64) error {
-	begun := time.Now()
+	started := time.Now()
 	err := c.store.Revoke(ctx, lease)
-	c.note(CallRevoke, begun, err)
+	c.report(CallRevoke, started, err)
 	return err
 }
--- a/internal/store/era_test.go
+++ b/internal/store/era_test.go
@@ -9,8 +9,9 @@
 	"github.com/granitebay/granitebay/internal/boottime"
 )
 
-// TestRevisionsAreOrderedByErasAndNumbers compares revisions, and takes them apart again.
-func TestRevisionsAreOrderedByErasAndNumbers(t *testing.T) {
+// TestRevisionOrder checks that revisions and fences are ordered by era and number, and that only the number is
+// encoded.
+func TestRevisionOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(name string) (era, number int64, revision Revision) {
 			era = rapid.Int64Range(0, MostEras-1).Draw(t, name+" era")
@@ -20,21 +21,21 @@
 		era, number, revision := draw("one")
 		otherEra, otherNumber, other := draw("other")
 		if revision.Era() != era || revision.Number() != number {
-			t.Fatalf("%d and %d are %d and %d", era, number, revision.Era(), revision.Number())
+			t.Fatalf("era %d and number %d decode to %d and %d", era, number, revision.Era(), revision.Number())
 		}
 		if less := era < otherEra || (era == otherEra && number < otherNumber); less != (revision < other) {
-			t.Fatalf("%d/%d before %d/%d: %t", era, number, otherEra, otherNumber, !less)
+			t.Fatalf("revision %d/%d < %d/%d: got %t", era, number, otherEra, otherNumber, !less)
 		}
 		if era > 1 && otherEra < era && revision.Fence() <= other.Fence() {
-			t.Fatalf("the fence of %d/%d is not above that of %d/%d", era, number, otherEra, otherNumber)
+			t.Fatalf("fence of %d/%d is not greater than that of %d/%d", era, number, otherEra, otherNumber)
 		}
 		if encoded, err := json.Marshal(revision); err != nil || string(encoded) != string(must(json.Marshal(number))) {
-			t.Fatalf("as JSON: %s, %v", encoded, err)
+			t.Fatalf("JSON encoding: %s, %v", encoded, err)
 		}
 	})
 }
 
-// must returns what can't fail.
+// must returns the encoded value and panics on an error.
 func must(encoded []byte, err error) []byte {
 	if err != nil {
 		panic(err)
@@ -42,87 +43,88 @@
 	return encoded
 }
 
-// inEra returns an item of an era.
-func inEra(era int64, key string, number int64) Item { return item(key, NewRevision(era, number)) }
+// itemInEra returns an item with a revision in an era.
+func itemInEra(era int64, key string, number int64) Item { return item(key, NewRevision(era, number)) }
 
-// TestAReplicaFollowsALaterEra has the store come back with lower numbers. What it does not hold is gone, what is written next is taken, and
-// what comes late of the era before changes nothing.
-func TestAReplicaFollowsALaterEra(t *testing.T) {
-	replica, recorded := newSharded(&fakeStore{}, 0)
-	replica.replace(Snapshot{Items: []Item{inEra(1, "a", 30), inEra(1, "b", 31)}, Revision: NewRevision(1, 31)})
-	replica.replace(Snapshot{Items: []Item{inEra(2, "a", 5)}, Revision: NewRevision(2, 9)})
+// TestReplicaAdoptsLaterEra checks that after a restore with lower revision numbers a replica drops missing items,
+// applies new changes and ignores late data of the earlier era.
+func TestReplicaAdoptsLaterEra(t *testing.T) {
+	replica, recorded := newShardedReplica(&fakeStore{}, 0)
+	replica.replace(Snapshot{Items: []Item{itemInEra(1, "a", 30), itemInEra(1, "b", 31)}, Revision: NewRevision(1, 31)})
+	replica.replace(Snapshot{Items: []Item{itemInEra(2, "a", 5)}, Revision: NewRevision(2, 9)})
 	if len(recorded.eras) != 1 || recorded.eras[0] != 2 || len(recorded.items) != 1 {
 		t.Fatalf("eras %v, items %v", recorded.eras, recorded.items)
 	}
-	if fresh := replica.fresh([]Event{{Item: inEra(1, "b", 40)}}, NewRevision(1, 40)); len(fresh) > 0 {
-		t.Errorf("late: %v", fresh)
+	if newer := replica.recordNewer([]Event{{Item: itemInEra(1, "b", 40)}}, NewRevision(1, 40)); len(newer) > 0 {
+		t.Errorf("changes of the earlier era were applied: %v", newer)
 	}
-	replica.replace(Snapshot{Items: []Item{inEra(1, "c", 50)}, Revision: NewRevision(1, 50)})
-	if replica.take(boottime.Now(), Changes{Revision: NewRevision(1, 60), Full: true, Changed: []Event{{Item: inEra(1, "d", 60)}}}) {
-		t.Error("a teller of an earlier era was heard")
+	replica.replace(Snapshot{Items: []Item{itemInEra(1, "c", 50)}, Revision: NewRevision(1, 50)})
+	if replica.applyChanges(boottime.Now(), Changes{Revision: NewRevision(1, 60), Full: true, Changed: []Event{{Item: itemInEra(1, "d", 60)}}}) {
+		t.Error("a response of an earlier era was applied")
 	}
-	if fresh := replica.fresh([]Event{{Item: inEra(2, "a", 10)}}, NewRevision(2, 10)); len(fresh) != 1 {
-		t.Errorf("what was written next: %v", fresh)
+	if newer := replica.recordNewer([]Event{{Item: itemInEra(2, "a", 10)}}, NewRevision(2, 10)); len(newer) != 1 {
+		t.Errorf("got %v of the change in the later era", newer)
 	}
 	if snapshot, _ := replica.Snapshot(); len(snapshot.Items) != 1 || snapshot.Revision != NewRevision(2, 10) {
-		t.Errorf("known: %+v", snapshot)
+		t.Errorf("got snapshot %+v", snapshot)
 	}
 	if len(recorded.eras) != 1 {
 		t.Errorf("eras %v", recorded.eras)
 	}
 }
 
-// TestWhoKnowsAnEarlierEraIsToldEverything asks a replica that has seen the store come back.
-func TestWhoKnowsAnEarlierEraIsToldEverything(t *testing.T) {
-	replica, _ := newSharded(&fakeStore{}, 0)
-	replica.replace(Snapshot{Items: []Item{inEra(1, "a", 30)}, Revision: NewRevision(1, 31)})
-	replica.replace(Snapshot{Items: []Item{inEra(2, "a", 5)}, Revision: NewRevision(2, 9)})
+// TestRequestFromEarlierEraGetsFullChanges sends requests of different eras to a replica that has seen a restore.
+func TestRequestFromEarlierEraGetsFullChanges(t *testing.T) {
+	replica, _ := newShardedReplica(&fakeStore{}, 0)
+	replica.replace(Snapshot{Items: []Item{itemInEra(1, "a", 30)}, Revision: NewRevision(1, 31)})
+	replica.replace(Snapshot{Items: []Item{itemInEra(2, "a", 5)}, Revision: NewRevision(2, 9)})
 	for _, test := range []struct {
-		desc        string
-		question    Question
-		known, full bool
+		desc         string
+		request      ChangesRequest
+		served, full bool
 	}{
-		{"the era before", Question{After: NewRevision(1, 31), Shards: 1}, true, true},
-		{"this era", Question{After: NewRevision(2, 9), Shards: 1}, true, false},
-		{"a later era", Question{After: NewRevision(3, 1), Shards: 1}, false, false},
-		{"a build that knows no eras, up to date", Question{After: 9, AnyEra: true, Shards: 1}, true, false},
-		{"a build that knows no eras, behind", Question{After: 3, AnyEra: true, Shards: 1}, true, true},
+		{"earlier era", ChangesRequest{After: NewRevision(1, 31), Shards: 1}, true, true},
+		{"same era", ChangesRequest{After: NewRevision(2, 9), Shards: 1}, true, false},
+		{"later era", ChangesRequest{After: NewRevision(3, 1), Shards: 1}, false, false},
+		{"build without eras, up to date", ChangesRequest{After: 9, EraUnknown: true, Shards: 1}, true, false},
+		{"build without eras, behind", ChangesRequest{After: 3, EraUnknown: true, Shards: 1}, true, true},
 	} {
-		changes, known := replica.Changes(test.question)
-		if known != test.known || changes.Full != test.full {
-			t.Errorf("%s: known %t, full %t", test.desc, known, changes.Full)
+		changes, served := replica.Changes(test.request)
+		if served != test.served || changes.Full != test.full {
+			t.Errorf("%s: served %t, full %t", test.desc, served, changes.Full)
 		}
 	}
 }
 
-// TestWhatIsToldNamesItsEra sends changes and a snapshot as JSON, to a build that knows eras and from one that does not.
-func TestWhatIsToldNamesItsEra(t *testing.T) {
-	told := Changes{
-		Revision: NewRevision(3, 9), Era: eraOf(NewRevision(3, 9)), After: NewRevision(3, 2), Until: NewRevision(3, 7),
-		Changed: []Event{{Item: inEra(3, "a", 8)}},
+// TestChangesAndSnapshotsCarryEra checks that revisions keep their era when sent as JSON, and that data from a build
+// without eras gets the local era.
+func TestChangesAndSnapshotsCarryEra(t *testing.T) {
+	sent := Changes{
+		Revision: NewRevision(3, 9), Era: eraPointer(NewRevision(3, 9)), GapStart: NewRevision(3, 2), GapEnd: NewRevision(3, 7),
+		Changed: []Event{{Item: itemInEra(3, "a", 8)}},
 	}
-	var heard Changes
-	if err := json.Unmarshal(must(json.Marshal(told)), &heard); err != nil {
+	var received Changes
+	if err := json.Unmarshal(must(json.Marshal(sent)), &received); err != nil {
 		t.Fatal(err)
 	}
-	heard.Adopt(1)
-	if heard.Revision != told.Revision || heard.After != told.After || heard.Until != told.Until || heard.Changed[0].Revision != told.Changed[0].Revision {
-		t.Errorf("heard %+v", heard)
+	received.Adopt(1)
+	if received.Revision != sent.Revision || received.GapStart != sent.GapStart || received.GapEnd != sent.GapEnd || received.Changed[0].Revision != sent.Changed[0].Revision {
+		t.Errorf("got %+v", received)
 	}
 	var old Changes
 	if err := json.Unmarshal([]byte(`{"revision":9,"changed":[{"key":"a","revision":8}],"entries":[]}`), &old); err != nil {
 		t.Fatal(err)
 	}
 	old.Adopt(2)
-	if old.Revision != NewRevision(2, 9) || old.Changed[0].Revision != NewRevision(2, 8) || old.Until != 0 {
-		t.Errorf("of a build that names no era: %+v", old)
+	if old.Revision != NewRevision(2, 9) || old.Changed[0].Revision != NewRevision(2, 8) || old.GapEnd != 0 {
+		t.Errorf("from a build without eras: got %+v", old)
 	}
-	snapshot := Snapshot{Revision: NewRevision(3, 9), Era: eraOf(NewRevision(3, 9)), Items: []Item{inEra(3, "a", 8)}}
-	var known Snapshot
-	if err := json.Unmarshal(must(json.Marshal(snapshot)), &known); err != nil {
+	snapshot := Snapshot{Revision: NewRevision(3, 9), Era: eraPointer(NewRevision(3, 9)), Items: []Item{itemInEra(3, "a", 8)}}
+	var receivedSnapshot Snapshot
+	if err := json.Unmarshal(must(json.Marshal(snapshot)), &receivedSnapshot); err != nil {
 		t.Fatal(err)
 	}
-	if known.Adopt(0); known.Revision != snapshot.Revision || known.Items[0].Revision != snapshot.Items[0].Revision {
-		t.Errorf("a snapshot: %+v", known)
+	if receivedSnapshot.Adopt(0); receivedSnapshot.Revision != snapshot.Revision || receivedSnapshot.Items[0].Revision != snapshot.Items[0].Revision {
+		t.Errorf("got snapshot %+v", receivedSnapshot)
 	}
 }
--- a/internal/store/replica_test.go
+++ b/internal/store/replica_test.go
@@ -11,13 +11,13 @@
 	"time"
 )
 
-// fakeStore is a store that a test scripts. Calls that are not used return an error.
+// fakeStore is a store whose responses a test defines. Methods that are not overridden panic.
 type fakeStore struct {
 	Store
-	mutex  sync.Mutex
-	lists  []func() ([]Item, Revision, error)
-	events chan func(after Revision) ([]Event, Revision, error)
-	after  []Revision
+	mutex        sync.Mutex
+	lists        []func() ([]Item, Revision, error)
+	events       chan func(after Revision) ([]Event, Revision, error)
+	watchedAfter []Revision
 }
 
 func (f *fakeStore) List(context.Context, string) ([]Item, Revision, error) {
@@ -31,28 +31,28 @@
 }
 
 func (f *fakeStore) ListUntil(ctx context.Context, prefix string, _ func([]Item) bool) ([]Item, Revision, bool, error) {
-	items, at, err := f.List(ctx, prefix)
-	return items, at, true, err
+	items, revision, err := f.List(ctx, prefix)
+	return items, revision, true, err
 }
 
 func (f *fakeStore) Watch(ctx context.Context, _ string, after Revision, _ time.Duration) ([]Event, Revision, error) {
 	f.mutex.Lock()
-	f.after = append(f.after, after)
+	f.watchedAfter = append(f.watchedAfter, after)
 	f.mutex.Unlock()
 	select {
 	case <-ctx.Done():
 		return nil, 0, ctx.Err()
-	case answer := <-f.events:
-		return answer(after)
+	case respond := <-f.events:
+		return respond(after)
 	}
 }
 
-// recorder is a consumer that keeps the items it was told.
+// recorder is a consumer that records the values of items.
 type recorder struct {
-	mutex sync.Mutex
-	eras  []int64
-	items map[string]string
-	lost  int
+	mutex  sync.Mutex
+	eras   []int64
+	items  map[string]string
+	losses int
 }
 
 func (r *recorder) Restored(era int64) {
@@ -85,12 +85,12 @@
 func (r *recorder) Lost(error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.lost++
+	r.losses++
 }
 
 func (r *recorder) Current(time.Time) {}
 
-// String lists the items in their order.
+// String lists the items by key.
 func (r *recorder) String() string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -102,7 +102,7 @@
 	return strings.Join(all, " ")
 }
 
-// eventually waits until the recorder holds something.
+// eventually waits until the recorder holds the given items.
 func (r *recorder) eventually(t *testing.T, want string) {
 	t.Helper()
 	for range 300 {
@@ -114,7 +114,7 @@
 	t.Fatalf("got %q, want %q", r, want)
 }
 
-// item returns an item whose value names its revision.
+// item returns an item whose value is its revision.
 func item(key string, revision Revision) Item {
 	return Item{Key: key, Value: fmt.Append(nil, revision), Revision: revision}
 }
@@ -123,7 +123,7 @@
 func runReplica(t *testing.T, store Store, fallback Fallback) (*Replica, *recorder) {
 	t.Helper()
 	settings := DefaultReplicaSettings()
-	settings.Settle = time.Millisecond
+	settings.BatchPause = time.Millisecond
 	recorded := &recorder{}
 	replica := NewReplica(store, "", settings, recorded, fallback)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -139,32 +139,32 @@
 	return replica, recorded
 }
 
-// listed answers a list.
-func listed(at Revision, items ...Item) func() ([]Item, Revision, error) {
-	return func() ([]Item, Revision, error) { return items, at, nil }
+// listResult returns a response for fakeStore.lists.
+func listResult(revision Revision, items ...Item) func() ([]Item, Revision, error) {
+	return func() ([]Item, Revision, error) { return items, revision, nil }
 }
 
-func TestReplicaFollowsChangesAndIgnoresOldOnes(t *testing.T) {
-	store := &fakeStore{lists: []func() ([]Item, Revision, error){listed(5, item("a", 3), item("b", 7))}, events: make(chan func(Revision) ([]Event, Revision, error), 4)}
+func TestReplicaAppliesChangesAndIgnoresStaleOnes(t *testing.T) {
+	store := &fakeStore{lists: []func() ([]Item, Revision, error){listResult(5, item("a", 3), item("b", 7))}, events: make(chan func(Revision) ([]Event, Revision, error), 4)}
 	_, recorded := runReplica(t, store, nil)
 	recorded.eventually(t, "a=3 b=7")
-	// The second page of the list was read at 7: the change at 6 is older than what it told.
+	// The second page of the list was read at revision 7, so the change at 6 is stale.
 	store.events <- func(Revision) ([]Event, Revision, error) {
 		return []Event{{Item: item("b", 6)}, {Item: item("a", 8), Deleted: true}, {Item: item("c", 9)}}, 9, nil
 	}
 	recorded.eventually(t, "b=7 c=9")
 	store.events <- func(after Revision) ([]Event, Revision, error) {
 		if after != 9 {
-			t.Errorf("went on after %d", after)
+			t.Errorf("the store is watched after revision %d, want 9", after)
 		}
 		return []Event{{Item: item("a", 8)}, {Item: item("a", 10)}}, 10, nil
 	}
 	recorded.eventually(t, "a=10 b=7 c=9")
 }
 
-func TestReplicaListsAgainWhenHistoryIsGone(t *testing.T) {
+func TestReplicaListsAgainAfterCompaction(t *testing.T) {
 	store := &fakeStore{
-		lists:  []func() ([]Item, Revision, error){listed(5, item("a", 3), item("b", 4)), listed(20, item("a", 15))},
+		lists:  []func() ([]Item, Revision, error){listResult(5, item("a", 3), item("b", 4)), listResult(20, item("a", 15))},
 		events: make(chan func(Revision) ([]Event, Revision, error), 4),
 	}
 	_, recorded := runReplica(t, store, nil)
@@ -173,16 +173,16 @@
 	recorded.eventually(t, "a=15")
 }
 
-func TestReplicaStartsWithWhatOthersKnowWhileTheStoreIsAway(t *testing.T) {
-	away := func() ([]Item, Revision, error) { return nil, 0, errors.New("away") }
-	back := make(chan struct{})
+func TestReplicaStartsFromFallbackDuringOutage(t *testing.T) {
+	unavailable := func() ([]Item, Revision, error) { return nil, 0, errors.New("unavailable") }
+	recovered := make(chan struct{})
 	store := &fakeStore{events: make(chan func(Revision) ([]Event, Revision, error), 4)}
 	store.lists = []func() ([]Item, Revision, error){func() ([]Item, Revision, error) {
 		select {
-		case <-back:
+		case <-recovered:
 			return []Item{item("a", 3), item("b", 5)}, 5, nil
 		default:
-			return away()
+			return unavailable()
 		}
 	}}
 	replica, recorded := runReplica(t, store, func(context.Context) (Snapshot, error) {
@@ -190,20 +190,20 @@
 	})
 	recorded.eventually(t, "a=3")
 	if snapshot, known := replica.Snapshot(); !known || snapshot.Revision != 4 || len(snapshot.Items) != 1 {
-		t.Errorf("the snapshot is %+v", snapshot)
+		t.Errorf("got snapshot %+v", snapshot)
 	}
-	// What another process knows may lack changes: the store is listed, not only watched, once it answers.
-	close(back)
+	// The fallback may lack changes, so the store must be listed once it is available.
+	close(recovered)
 	recorded.eventually(t, "a=3 b=5")
 }
 
-func TestRenewBeginsAWaitingWatchAnew(t *testing.T) {
-	store := &fakeStore{lists: []func() ([]Item, Revision, error){listed(5)}, events: make(chan func(Revision) ([]Event, Revision, error))}
+func TestRenewRestartsPendingWatch(t *testing.T) {
+	store := &fakeStore{lists: []func() ([]Item, Revision, error){listResult(5)}, events: make(chan func(Revision) ([]Event, Revision, error))}
 	replica, recorded := runReplica(t, store, nil)
 	watches := func() int {
 		store.mutex.Lock()
 		defer store.mutex.Unlock()
-		return len(store.after)
+		return len(store.watchedAfter)
 	}
 	for range 300 {
 		if watches() > 0 {
@@ -214,34 +214,34 @@
 	replica.Renew()
 	for range 300 {
 		if watches() > 1 {
-			if recorded.lost != 0 {
-				t.Error("a renewed watch counts as a failure of the store")
+			if recorded.losses != 0 {
+				t.Error("a restarted watch was reported as a failure of the store")
 			}
 			return
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("the watch did not begin anew")
+	t.Fatal("the watch was not restarted")
 }
 
-// TestReplicaListsAfterAWatchFailed guards against changes that a watch did not hear before it was cut: the store has dropped
-// them, and a watch that begins anew waits for the next ones.
-func TestReplicaListsAfterAWatchFailed(t *testing.T) {
+// TestReplicaListsAfterFailedWatch guards against missing changes that the store discarded when a watch failed, since a
+// new watch returns only later ones.
+func TestReplicaListsAfterFailedWatch(t *testing.T) {
 	store := &fakeStore{
-		lists:  []func() ([]Item, Revision, error){listed(5, item("a", 3)), listed(9, item("a", 8))},
+		lists:  []func() ([]Item, Revision, error){listResult(5, item("a", 3)), listResult(9, item("a", 8))},
 		events: make(chan func(Revision) ([]Event, Revision, error), 4),
 	}
 	_, recorded := runReplica(t, store, nil)
 	recorded.eventually(t, "a=3")
-	store.events <- func(Revision) ([]Event, Revision, error) { return nil, 0, errors.New("cut") }
+	store.events <- func(Revision) ([]Event, Revision, error) { return nil, 0, errors.New("connection reset") }
 	recorded.eventually(t, "a=8")
 }
 
-// TestManyReadersGatherUnhurriedChanges guards against the calls of a large fleet that starts at once growing with its square.
-func TestManyReadersGatherUnhurriedChanges(t *testing.T) {
+// TestBatchPauseGrowsWithReaders guards against the calls of a starting fleet growing with the square of its size.
+func TestBatchPauseGrowsWithReaders(t *testing.T) {
 	settings := DefaultReplicaSettings()
 	settings.Unhurried = func(key string) bool { return strings.HasPrefix(key, "registrations/") }
-	calm := Event{Item: Item{Key: "registrations/a"}}
+	deferrable := Event{Item: Item{Key: "registrations/a"}}
 	urgent := Event{Item: Item{Key: "configuration"}}
 	added := Event{Item: Item{Key: "workers/new"}}
 	for _, test := range []struct {
@@ -250,22 +250,22 @@
 		events  []Event
 		want    time.Duration
 	}{
-		{"few readers", 2, []Event{calm}, 40 * time.Millisecond},
-		{"more readers", 20, []Event{calm, calm}, 200 * time.Millisecond},
-		{"many readers", 300, []Event{calm}, time.Second},
-		{"no change", 300, nil, 0},
-		{"new items", 300, []Event{calm, added}, time.Second},
-		{"one change is urgent", 300, []Event{calm, urgent}, 300 * time.Millisecond},
+		{"few readers", 2, []Event{deferrable}, 40 * time.Millisecond},
+		{"more readers", 20, []Event{deferrable, deferrable}, 200 * time.Millisecond},
+		{"many readers", 300, []Event{deferrable}, time.Second},
+		{"no events", 300, nil, 0},
+		{"new items", 300, []Event{deferrable, added}, time.Second},
+		{"one urgent change", 300, []Event{deferrable, urgent}, 300 * time.Millisecond},
 	} {
 		replica := NewReplica(nil, "", settings, &recorder{}, nil)
 		replica.SetReaders(test.readers)
 		replica.replace(Snapshot{Items: []Item{urgent.Item}})
-		if got := replica.settle(test.events); got != test.want {
+		if got := replica.batchPause(test.events); got != test.want {
 			t.Errorf("%s: the pause is %s, want %s", test.name, got, test.want)
 		}
 		replica.SetCalm(true)
-		if got := replica.settle(test.events); len(test.events) > 0 && got != max(test.want, min(time.Duration(test.readers)*10*time.Millisecond, time.Second)) {
-			t.Errorf("%s: the pause of a process that stands by is %s", test.name, got)
+		if got := replica.batchPause(test.events); len(test.events) > 0 && got != max(test.want, min(time.Duration(test.readers)*10*time.Millisecond, time.Second)) {
+			t.Errorf("%s: the pause of a standby process is %s", test.name, got)
 		}
 	}
 }
--- a/internal/store/table.go
+++ b/internal/store/table.go
@@ -7,96 +7,96 @@
 	"strings"
 )
 
-// table holds the latest change of each item, in the order of the changes, so that what came after a revision is found without a look at
-// the rest.
+// table holds the latest change of each item, ordered by revision, so that the changes after a revision are found by
+// binary search.
 //
-// Invariant: each item stands in the order at the revision of its latest change; other places of it are out of date and passed over.
+// Invariant: order contains the position of the latest change of each item; its other positions are stale and skipped.
 type table struct {
 	latest map[string]Event
-	order  []place
-	// changed are the items of which more than one change was heard since they came.
-	changed map[string]bool
-	// deleted counts the items that are known to be gone.
-	deleted int
+	order  []position
+	// updated holds the items that were changed since they were created.
+	updated map[string]bool
+	// tombstones is the number of deleted items in latest.
+	tombstones int
 }
 
-// place is one change in the order.
-type place struct {
+// position is the position of a change in the order.
+type position struct {
 	revision Revision
 	key      string
 }
 
-// newTable returns a table of some changes.
+// newTable returns a table of the given changes, at most one per key.
 func newTable(events []Event) *table {
-	t := &table{latest: make(map[string]Event, len(events)), changed: map[string]bool{}}
+	t := &table{latest: make(map[string]Event, len(events)), updated: map[string]bool{}}
 	for _, event := range events {
 		t.latest[event.Key] = event
 	}
-	t.arrange()
+	t.rebuildOrder()
 	return t
 }
 
-// get returns the latest change of an item; the zero event when none is known.
+// get returns the latest change of an item, or the zero event if there is none.
 func (t *table) get(key string) Event { return t.latest[key] }
 
-// isFirst tells whether the latest change of an item is its first one, as far as is known.
-func (t *table) isFirst(key string) bool { return !t.changed[key] }
+// isFirstChange reports whether the latest known change of an item is its creation.
+func (t *table) isFirstChange(key string) bool { return !t.updated[key] }
 
-// put takes a change.
+// put records a change.
 func (t *table) put(event Event) {
-	before, known := t.latest[event.Key]
-	if known && !before.Deleted && !event.Deleted {
-		t.changed[event.Key] = true
+	previous, known := t.latest[event.Key]
+	if known && !previous.Deleted && !event.Deleted {
+		t.updated[event.Key] = true
 	} else {
-		delete(t.changed, event.Key)
+		delete(t.updated, event.Key)
 	}
-	if before.Deleted {
-		t.deleted--
+	if previous.Deleted {
+		t.tombstones--
 	}
 	if event.Deleted {
-		t.deleted++
+		t.tombstones++
 	}
 	t.latest[event.Key] = event
-	added := place{event.Revision, event.Key}
+	newPosition := position{event.Revision, event.Key}
 	if len(t.order) > 0 && t.order[len(t.order)-1].revision > event.Revision {
-		at, _ := slices.BinarySearchFunc(t.order, added, comparePlaces)
-		t.order = slices.Insert(t.order, at, added)
+		index, _ := slices.BinarySearchFunc(t.order, newPosition, comparePositions)
+		t.order = slices.Insert(t.order, index, newPosition)
 	} else {
-		t.order = append(t.order, added)
+		t.order = append(t.order, newPosition)
 	}
-	if len(t.order) > outdatedFactor*len(t.latest)+outdatedPlaces {
-		t.arrange()
+	if len(t.order) > staleFactor*len(t.latest)+staleSlack {
+		t.rebuildOrder()
 	}
 }
 
-// Bounds of the places that are out of date: as many as there are items, and some more.
+// Limits on the length of the order, relative to the number of items, before stale positions are removed.
 const (
-	outdatedFactor = 2
-	outdatedPlaces = 64
+	staleFactor = 2
+	staleSlack  = 64
 )
 
-// arrange puts the items into their order anew.
-func (t *table) arrange() {
-	t.order = make([]place, 0, len(t.latest))
-	t.deleted = 0
+// rebuildOrder rebuilds the order without stale positions.
+func (t *table) rebuildOrder() {
+	t.order = make([]position, 0, len(t.latest))
+	t.tombstones = 0
 	for key, event := range t.latest {
-		t.order = append(t.order, place{event.Revision, key})
+		t.order = append(t.order, position{event.Revision, key})
 		if event.Deleted {
-			t.deleted++
+			t.tombstones++
 		}
 	}
-	slices.SortFunc(t.order, comparePlaces)
+	slices.SortFunc(t.order, comparePositions)
 }
 
-// comparePlaces orders changes by their revisions, and those of one transaction by their keys.
-func comparePlaces(a, b place) int {
+// comparePositions orders changes by revision, and those of the same transaction by key.
+func comparePositions(a, b position) int {
 	return cmp.Or(cmp.Compare(a.revision, b.revision), strings.Compare(a.key, b.key))
 }
 
-// after returns the latest changes of the items that have changed after a revision, in their order.
+// after returns the latest changes of the items that changed after a revision, in order.
 func (t *table) after(revision Revision) iter.Seq[Event] {
 	return func(yield func(Event) bool) {
-		first, _ := slices.BinarySearchFunc(t.order, revision+1, func(p place, revision Revision) int { return cmp.Compare(p.revision, revision) })
+		first, _ := slices.BinarySearchFunc(t.order, revision+1, func(p position, revision Revision) int { return cmp.Compare(p.revision, revision) })
 		for _, each := range t.order[first:] {
 			if event := t.latest[each.key]; event.Revision == each.revision && !yield(event) {
 				return
@@ -105,7 +105,7 @@
 	}
 }
 
-// present returns the items that are there, by key.
+// present returns the items that are not deleted, by key.
 func (t *table) present() []Item {
 	var items []Item
 	for _, event := range t.latest {
@@ -117,8 +117,8 @@
 	return items
 }
 
-// forgetDeleted drops the items that are gone, and returns the revision of the last of them.
-func (t *table) forgetDeleted() Revision {
+// dropTombstones removes deleted items and returns the revision of the latest deletion.
+func (t *table) dropTombstones() Revision {
 	last := Revision(0)
 	for key, event := range t.latest {
 		if event.Deleted {
@@ -126,6 +126,6 @@
 			delete(t.latest, key)
 		}
 	}
-	t.arrange()
+	t.rebuildOrder()
 	return last
 }
