--- a/internal/configuration/configuration_test.go
+++ b/internal/configuration/configuration_test.go
@@ -18,7 +18,7 @@
 	return workers
 }
 
-func TestExamplesAreValidAndMatchEverything(t *testing.T) {
+func TestExamplesSelectAllWorkersAndRequests(t *testing.T) {
 	tests := []struct {
 		desc     string
 		example  string
--- a/internal/configuration/diff.go
+++ b/internal/configuration/diff.go
@@ -23,22 +23,22 @@
 
 // Diff returns what changes from one spec to another, in words, in order of field.
 func Diff(before, after Spec) ([]Difference, error) {
-	beforeValues, err := fieldsOf(normalize(before))
+	beforeValues, err := newFieldValues(normalize(before))
 	if err != nil {
 		return nil, err
 	}
-	afterValues, err := fieldsOf(normalize(after))
+	afterValues, err := newFieldValues(normalize(after))
 	if err != nil {
 		return nil, err
 	}
 	changed := changedFields(beforeValues, afterValues)
 	return lo.Map(changed, func(field Field, _ int) Difference {
-		return Difference{Field: field, Text: describe(field, beforeValues[field], afterValues[field])}
+		return Difference{Field: field, Text: describeChange(field, beforeValues[field], afterValues[field])}
 	}), nil
 }
 
 // describe says how one field changes.
-func describe(field Field, before, after json.RawMessage) string {
+func describeChange(field Field, before, after json.RawMessage) string {
 	switch {
 	case before == nil && field.Kind == KindWorkerLabel:
 		return fmt.Sprintf("%s: set to %s", field, after)
@@ -49,41 +49,41 @@
 	case field.Kind == KindWorkerLabel:
 		return fmt.Sprintf("%s: %s -> %s", field, before, after)
 	}
-	return fmt.Sprintf("%s: %s", field, strings.Join(describeLeaves(before, after), "; "))
+	return fmt.Sprintf("%s: %s", field, strings.Join(describeLeafChanges(before, after), "; "))
 }
 
 // describeLeaves says which values within an object change.
-func describeLeaves(before, after json.RawMessage) []string {
-	beforeLeaves, afterLeaves := leavesOf(before), leavesOf(after)
+func describeLeafChanges(before, after json.RawMessage) []string {
+	beforeLeaves, afterLeaves := leafValues(before), leafValues(after)
 	paths := strictyaml.SortedKeys(lo.Assign(beforeLeaves, afterLeaves))
 	return lo.FilterMap(paths, func(path string, _ int) (string, bool) {
-		old, now := beforeLeaves[path], afterLeaves[path]
-		text := fmt.Sprintf("%s %s -> %s", path, lo.CoalesceOrEmpty(old, "nothing"), lo.CoalesceOrEmpty(now, "nothing"))
-		return text, old != now
+		oldValue, newValue := beforeLeaves[path], afterLeaves[path]
+		text := fmt.Sprintf("%s %s -> %s", path, lo.CoalesceOrEmpty(oldValue, "nothing"), lo.CoalesceOrEmpty(newValue, "nothing"))
+		return text, oldValue != newValue
 	})
 }
 
 // leavesOf returns the values of an object by path. Lists are values as a whole.
-func leavesOf(object json.RawMessage) map[string]string {
-	result := map[string]string{}
+func leafValues(object json.RawMessage) map[string]string {
+	leaves := map[string]string{}
 	var tree any
 	decoder := json.NewDecoder(bytes.NewReader(object))
 	decoder.UseNumber()
 	if decoder.Decode(&tree) == nil {
-		collectLeaves("", tree, result)
+		collectLeaves("", tree, leaves)
 	}
-	return result
+	return leaves
 }
 
-func collectLeaves(path string, value any, into map[string]string) {
+func collectLeaves(path string, value any, leaves map[string]string) {
 	object, isObject := value.(map[string]any)
 	if !isObject {
 		if value != nil {
-			into[path] = strictyaml.Quote(value)
+			leaves[path] = strictyaml.Quote(value)
 		}
 		return
 	}
 	for name, inner := range object {
-		collectLeaves(strictyaml.Join(path, name), inner, into)
+		collectLeaves(strictyaml.Join(path, name), inner, leaves)
 	}
 }
--- a/internal/configuration/edit.go
+++ b/internal/configuration/edit.go
@@ -58,29 +58,29 @@
 // ApplyEdits makes edits one after the other. The error is FieldErrors with all edits that make no sense. The result
 // may still be an invalid document.
 func ApplyEdits(base Spec, edits []Edit) (Spec, error) {
-	values, err := fieldsOf(base)
+	values, err := newFieldValues(base)
 	if err != nil {
 		return Spec{}, err
 	}
-	var faults FieldErrors
+	var fieldErrors FieldErrors
 	for i, edit := range edits {
-		values, faults = applyEdit(values, edit, fmt.Sprintf("edits[%d]", i), faults)
+		values, fieldErrors = applyEdit(values, edit, fmt.Sprintf("edits[%d]", i), fieldErrors)
 	}
-	if err := faults.OrNil(); err != nil {
+	if err := fieldErrors.OrNil(); err != nil {
 		return Spec{}, err
 	}
-	return values.spec()
+	return values.toSpec()
 }
 
 // applyEdit makes one edit and adds its faults.
-func applyEdit(values fieldValues, edit Edit, path string, faults FieldErrors) (fieldValues, FieldErrors) {
-	fault := func(field string, value any, problem, allowed string) {
-		faults = append(faults, FieldError{Field: path + field, Value: strictyaml.Quote(value), Problem: problem, Allowed: allowed})
+func applyEdit(values fieldValues, edit Edit, path string, fieldErrors FieldErrors) (fieldValues, FieldErrors) {
+	addError := func(field string, value any, problem, allowed string) {
+		fieldErrors = append(fieldErrors, FieldError{Field: path + field, Value: strictyaml.Quote(value), Problem: problem, Allowed: allowed})
 	}
 	switch edit.Kind {
 	case EditSetLabel, EditRemoveLabel:
 		if edit.Worker == "" || edit.Label == "" {
-			fault("", nil, "names no label", "worker and label")
+			addError("", nil, "names no label", "worker and label")
 			break
 		}
 		field := Field{Kind: KindWorkerLabel, Name: edit.Worker, Label: edit.Label}
@@ -88,59 +88,59 @@
 			delete(values, field)
 			break
 		}
-		if err := values.put(field, edit.Value); err != nil {
-			fault(".value", edit.Value, err.Error(), "")
+		if err := values.set(field, edit.Value); err != nil {
+			addError(".value", edit.Value, err.Error(), "")
 		}
 	case EditPut:
-		field, object, err := edit.object()
+		field, object, err := edit.putTarget()
 		if err == nil {
-			err = values.put(field, object)
+			err = values.set(field, object)
 		}
 		if err != nil {
-			fault("", nil, err.Error(), "one of group and rule")
+			addError("", nil, err.Error(), "one of group and rule")
 		}
 	case EditDelete:
 		field := Field{Kind: edit.Object, Name: edit.Name}
 		if _, exists := values[field]; !exists {
-			fault(".name", edit.Name, fmt.Sprintf("there is no %s", field), "an object that exists")
+			addError(".name", edit.Name, fmt.Sprintf("there is no %s", field), "an object that exists")
 		}
 		delete(values, field)
 	case EditApply:
-		return applyWhole(values, edit, fault), faults
+		return replaceSpec(values, edit, addError), fieldErrors
 	default:
-		fault(".kind", edit.Kind, "is not a kind of edit", "set-label, remove-label, put, delete, apply")
+		addError(".kind", edit.Kind, "is not a kind of edit", "set-label, remove-label, put, delete, apply")
 	}
-	return values, faults
+	return values, fieldErrors
 }
 
 // applyWhole replaces all fields.
-func applyWhole(values fieldValues, edit Edit, fault func(field string, value any, problem, allowed string)) fieldValues {
+func replaceSpec(values fieldValues, edit Edit, addError func(field string, value any, problem, allowed string)) fieldValues {
 	if edit.Spec == nil {
-		fault(".spec", nil, "is missing", "a whole spec")
+		addError(".spec", nil, "is missing", "a whole spec")
 		return values
 	}
-	whole, err := fieldsOf(normalize(*edit.Spec))
+	replacement, err := newFieldValues(normalize(*edit.Spec))
 	if err != nil {
-		fault(".spec", nil, err.Error(), "a whole spec")
+		addError(".spec", nil, err.Error(), "a whole spec")
 		return values
 	}
-	return whole
+	return replacement
 }
 
 // object returns the field and the value of EditPut.
-func (e Edit) object() (Field, any, error) {
+func (e Edit) putTarget() (Field, any, error) {
 	var field Field
 	var object any
 	count := 0
-	choose := func(kind Kind, name string, value any) {
+	setTarget := func(kind Kind, name string, value any) {
 		field, object = Field{Kind: kind, Name: name}, value
 		count++
 	}
 	if e.Group != nil {
-		choose(KindGroup, e.Group.Name, e.Group)
+		setTarget(KindGroup, e.Group.Name, e.Group)
 	}
 	if e.Rule != nil {
-		choose(KindRule, e.Rule.Name, e.Rule)
+		setTarget(KindRule, e.Rule.Name, e.Rule)
 	}
 	if count != 1 {
 		return Field{}, nil, fmt.Errorf("has %d objects", count)
--- a/internal/configuration/examples.go
+++ b/internal/configuration/examples.go
@@ -27,6 +27,6 @@
 	if err != nil {
 		return Document{}, err
 	}
-	document, faults := ParseAndValidate(data)
-	return document, errors.Wrapf(faults.OrNil(), "read the example %s", name)
+	document, fieldErrors := ParseAndValidate(data)
+	return document, errors.Wrapf(fieldErrors.OrNil(), "read the example %s", name)
 }
--- a/internal/configuration/fields.go
+++ b/internal/configuration/fields.go
@@ -14,46 +14,46 @@
 type fieldValues map[Field]json.RawMessage
 
 // fieldsOf takes a spec apart.
-func fieldsOf(spec Spec) (fieldValues, error) {
+func newFieldValues(spec Spec) (fieldValues, error) {
 	values := fieldValues{}
 	spec = normalize(spec)
 	err := errors.Join(
-		putAll(values, KindGroup, spec.Groups, func(g Group) string { return g.Name }),
-		putAll(values, KindRule, spec.Rules, func(r Rule) string { return r.Name }),
+		setAll(values, KindGroup, spec.Groups, func(g Group) string { return g.Name }),
+		setAll(values, KindRule, spec.Rules, func(r Rule) string { return r.Name }),
 	)
 	for address, labels := range spec.WorkerLabels {
 		for label, value := range labels {
-			err = errors.Join(err, values.put(Field{Kind: KindWorkerLabel, Name: address, Label: label}, value))
+			err = errors.Join(err, values.set(Field{Kind: KindWorkerLabel, Name: address, Label: label}, value))
 		}
 	}
 	return values, errors.Wrap(err, "take the configuration apart")
 }
 
 // spec puts a spec together again.
-func (v fieldValues) spec() (Spec, error) {
+func (v fieldValues) toSpec() (Spec, error) {
 	spec := Spec{WorkerLabels: map[string]map[string]string{}}
 	var err error
-	for _, field := range v.sorted() {
-		err = errors.Join(err, spec.take(field, v[field]))
+	for _, field := range v.sortedFields() {
+		err = errors.Join(err, spec.addField(field, v[field]))
 	}
 	return normalize(spec), errors.Wrap(err, "put the configuration together")
 }
 
 // take adds one field to a spec.
-func (s *Spec) take(field Field, value json.RawMessage) error {
+func (s *Spec) addField(field Field, value json.RawMessage) error {
 	switch field.Kind {
 	case KindGroup:
 		return appendDecoded(&s.Groups, value)
 	case KindRule:
 		return appendDecoded(&s.Rules, value)
 	case KindWorkerLabel:
-		return s.takeLabel(field, value)
+		return s.addWorkerLabel(field, value)
 	default:
 		return errors.Newf("unknown kind of object %q", field.Kind)
 	}
 }
 
-func (s *Spec) takeLabel(field Field, value json.RawMessage) error {
+func (s *Spec) addWorkerLabel(field Field, value json.RawMessage) error {
 	if s.WorkerLabels[field.Name] == nil {
 		s.WorkerLabels[field.Name] = map[string]string{}
 	}
@@ -64,14 +64,14 @@
 }
 
 // put sets one field.
-func (v fieldValues) put(field Field, value any) error {
+func (v fieldValues) set(field Field, value any) error {
 	data, err := json.Marshal(value)
 	v[field] = data
 	return err
 }
 
 // sorted returns the fields in order.
-func (v fieldValues) sorted() []Field {
+func (v fieldValues) sortedFields() []Field {
 	fields := lo.Keys(v)
 	slices.SortFunc(fields, compareFields)
 	return fields
@@ -80,7 +80,7 @@
 // changedFields returns the fields that differ between two specs, in order.
 func changedFields(before, after fieldValues) []Field {
 	all := lo.Assign(before, after)
-	return lo.Filter(all.sorted(), func(field Field, _ int) bool {
+	return lo.Filter(all.sortedFields(), func(field Field, _ int) bool {
 		return !bytes.Equal(before[field], after[field])
 	})
 }
@@ -89,10 +89,10 @@
 	return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Name, b.Name), cmp.Compare(a.Label, b.Label))
 }
 
-func putAll[T any](values fieldValues, kind Kind, objects []T, name func(T) string) error {
+func setAll[T any](values fieldValues, kind Kind, objects []T, name func(T) string) error {
 	var err error
 	for _, object := range objects {
-		err = errors.Join(err, values.put(Field{Kind: kind, Name: name(object)}, object))
+		err = errors.Join(err, values.set(Field{Kind: kind, Name: name(object)}, object))
 	}
 	return err
 }
--- a/internal/configuration/history.go
+++ b/internal/configuration/history.go
@@ -20,27 +20,27 @@
 }
 
 // OldestBase returns the oldest revision that At can give back.
-func (d Document) OldestBase() uint64 { return d.Revision - uint64(len(d.History)) }
+func (d Document) OldestRevision() uint64 { return d.Revision - uint64(len(d.History)) }
 
 // At returns the document at an earlier revision, by undoing the changes since. It returns false when the history does
 // not reach back so far, or when the revision is still to come.
 func (d Document) At(revision uint64) (Document, bool, error) {
-	if revision > d.Revision || revision < d.OldestBase() {
+	if revision > d.Revision || revision < d.OldestRevision() {
 		return Document{}, false, nil
 	}
-	values, err := fieldsOf(d.Spec)
+	values, err := newFieldValues(d.Spec)
 	if err != nil {
 		return Document{}, false, err
 	}
-	undone := int(d.Revision - revision)
-	for _, change := range d.History[:undone] {
+	undoCount := int(d.Revision - revision)
+	for _, change := range d.History[:undoCount] {
 		values.undo(change)
 	}
-	spec, err := values.spec()
+	spec, err := values.toSpec()
 	if err != nil {
 		return Document{}, false, err
 	}
-	status := Status{Revision: revision, History: d.History[undone:]}
+	status := Status{Revision: revision, History: d.History[undoCount:]}
 	if len(status.History) > 0 {
 		status.ChangeID = status.History[0].ChangeID
 	}
@@ -59,19 +59,19 @@
 }
 
 // changeInfo is what a new change carries besides its fields.
-type changeInfo struct {
+type changeMetadata struct {
 	changeID   string
 	author     string
 	unixMillis int64
 }
 
 // successor returns the document that follows another one with a new spec. It returns false when nothing changed.
-func (d Document) successor(spec Spec, info changeInfo) (Document, bool, error) {
-	before, err := fieldsOf(d.Spec)
+func (d Document) nextRevision(spec Spec, metadata changeMetadata) (Document, bool, error) {
+	before, err := newFieldValues(d.Spec)
 	if err != nil {
 		return Document{}, false, err
 	}
-	after, err := fieldsOf(spec)
+	after, err := newFieldValues(spec)
 	if err != nil {
 		return Document{}, false, err
 	}
@@ -80,7 +80,7 @@
 		return d, false, nil
 	}
 	change := Change{
-		Revision: d.Revision + 1, ChangeID: info.changeID, Author: info.author, UnixMillis: info.unixMillis,
+		Revision: d.Revision + 1, ChangeID: metadata.changeID, Author: metadata.author, UnixMillis: metadata.unixMillis,
 		Fields: lo.Map(fields, func(field Field, _ int) FieldChange {
 			return FieldChange{Field: field, Before: before[field]}
 		}),
@@ -92,10 +92,10 @@
 
 // trimHistory drops the oldest changes beyond the bounds.
 func trimHistory(history []Change) []Change {
-	bytes := 0
+	size := 0
 	for i, change := range history {
-		bytes += lo.SumBy(change.Fields, func(changed FieldChange) int { return len(changed.Before) })
-		if i >= MaximumHistory || (i >= MinimumHistory && bytes > MaximumHistoryBytes) {
+		size += lo.SumBy(change.Fields, func(changed FieldChange) int { return len(changed.Before) })
+		if i >= MaximumHistory || (i >= MinimumHistory && size > MaximumHistoryBytes) {
 			return history[:i]
 		}
 	}
--- a/internal/configuration/merge.go
+++ b/internal/configuration/merge.go
@@ -22,30 +22,30 @@
 
 // String names the field and the other edit in one sentence.
 func (c Conflict) String() string {
-	by := c.ChangeID
+	edit := c.ChangeID
 	if c.Author != "" {
-		by += " by " + c.Author
+		edit += " by " + c.Author
 	}
 	return fmt.Sprintf("%s was also changed by edit %s (revision %d): theirs %s, mine %s",
-		c.Field, by, c.Revision, orRemoved(c.Theirs), orRemoved(c.Mine))
+		c.Field, edit, c.Revision, valueOrRemoved(c.Theirs), valueOrRemoved(c.Mine))
 }
 
-func orRemoved(value json.RawMessage) string {
+func valueOrRemoved(value json.RawMessage) string {
 	return lo.Ternary(len(value) == 0, "removed", string(value))
 }
 
 // Merge joins two descendants of one base, field by field. Where only one of them changed a field, that change holds;
 // where both did and differ, theirs holds and the conflict is returned. The result has the status of theirs.
 func Merge(base, mine, theirs Document) (Document, []Conflict, error) {
-	baseValues, err := fieldsOf(base.Spec)
+	baseValues, err := newFieldValues(base.Spec)
 	if err != nil {
 		return Document{}, nil, err
 	}
-	mineValues, err := fieldsOf(mine.Spec)
+	mineValues, err := newFieldValues(mine.Spec)
 	if err != nil {
 		return Document{}, nil, err
 	}
-	theirValues, err := fieldsOf(theirs.Spec)
+	theirValues, err := newFieldValues(theirs.Spec)
 	if err != nil {
 		return Document{}, nil, err
 	}
@@ -53,9 +53,9 @@
 	merged := lo.Assign(theirValues)
 	for _, field := range changedFields(baseValues, mineValues) {
 		mineValue, theirValue := mineValues[field], theirValues[field]
-		theyChanged := !bytes.Equal(baseValues[field], theirValue)
-		if theyChanged && !bytes.Equal(mineValue, theirValue) {
-			conflicts = append(conflicts, conflictOf(theirs, base.Revision, field, mineValue, theirValue))
+		changedInTheirs := !bytes.Equal(baseValues[field], theirValue)
+		if changedInTheirs && !bytes.Equal(mineValue, theirValue) {
+			conflicts = append(conflicts, newConflict(theirs, base.Revision, field, mineValue, theirValue))
 			continue
 		}
 		if mineValue == nil {
@@ -64,15 +64,15 @@
 		}
 		merged[field] = mineValue
 	}
-	spec, err := merged.spec()
+	spec, err := merged.toSpec()
 	return Document{Spec: spec, Status: theirs.Status}, conflicts, err
 }
 
 // conflictOf describes a conflict and finds the latest edit after the base that changed the field.
-func conflictOf(theirs Document, baseRevision uint64, field Field, mine, their json.RawMessage) Conflict {
-	conflict := Conflict{Field: field, Mine: mine, Theirs: their}
+func newConflict(theirs Document, baseRevision uint64, field Field, mineValue, theirValue json.RawMessage) Conflict {
+	conflict := Conflict{Field: field, Mine: mineValue, Theirs: theirValue}
 	for _, change := range theirs.History {
-		if change.Revision > baseRevision && change.touches(field) {
+		if change.Revision > baseRevision && change.includes(field) {
 			conflict.Revision, conflict.ChangeID, conflict.Author = change.Revision, change.ChangeID, change.Author
 			return conflict
 		}
@@ -80,6 +80,6 @@
 	return conflict
 }
 
-func (c Change) touches(field Field) bool {
+func (c Change) includes(field Field) bool {
 	return lo.ContainsBy(c.Fields, func(changed FieldChange) bool { return changed.Field == field })
 }
--- a/internal/configuration/merge_test.go
+++ b/internal/configuration/merge_test.go
@@ -12,7 +12,7 @@
 )
 
 // edited applies edits as one accepted change.
-func edited(t interface{ Fatal(...any) }, document Document, changeID string, edits ...Edit) Document {
+func mustAccept(t interface{ Fatal(...any) }, document Document, changeID string, edits ...Edit) Document {
 	request := EditRequest{ChangeID: changeID, BaseRevision: document.Revision, Edits: edits}
 	next, conflicts, err := Preview(document, request, time.Unix(1_700_000_000, 0))
 	if err != nil || len(conflicts) > 0 {
@@ -22,23 +22,23 @@
 }
 
 // example returns the accepted example of Fès, with labels on some workers, and its rule for quick requests.
-func example(t testing.TB) (document Document, quick Rule) {
+func acceptedExample(t testing.TB) (document Document, quick Rule) {
 	t.Helper()
-	given, err := Example(ExampleFes)
+	shipped, err := Example(ExampleFes)
 	if err != nil {
 		t.Fatal(err)
 	}
-	given.WorkerLabels = map[string]map[string]string{}
+	shipped.WorkerLabels = map[string]map[string]string{}
 	for i := range 4 {
-		given.WorkerLabels[fmt.Sprintf("w%d", i+1)] = map[string]string{"pool": "counter"}
+		shipped.WorkerLabels[fmt.Sprintf("w%d", i+1)] = map[string]string{"pool": "counter"}
 	}
-	document = edited(t, Document{}, "first", Apply(given.Spec))
+	document = mustAccept(t, Document{}, "first", Apply(shipped.Spec))
 	quick, _ = lo.Find(document.Rules, func(rule Rule) bool { return rule.Name == "quick" })
 	return document, quick
 }
 
 // scriptedEdit reads one line of the script of merges.
-func scriptedEdit(t *testing.T, start Document, quick Rule, line string) Edit {
+func parseScriptedEdit(t *testing.T, start Document, quick Rule, line string) Edit {
 	t.Helper()
 	words := append(strings.Fields(line), "", "")
 	rule := func() Rule {
@@ -67,13 +67,13 @@
 }
 
 func TestPreviewMergesOrNamesTheOtherEdit(t *testing.T) {
-	start, quick := example(t)
+	start, quick := acceptedExample(t)
 	cases := readScript(t, "testdata/merge.txtar")
 	for _, name := range cases.cases {
 		t.Run(name, func(t *testing.T) {
 			lines := cases.lines(name, "edits")
-			theirs, mine := scriptedEdit(t, start, quick, lines[0]), scriptedEdit(t, start, quick, lines[1])
-			current := edited(t, start, "theirs", theirs)
+			theirs, mine := parseScriptedEdit(t, start, quick, lines[0]), parseScriptedEdit(t, start, quick, lines[1])
+			current := mustAccept(t, start, "theirs", theirs)
 			request := EditRequest{ChangeID: "mine", BaseRevision: start.Revision, Edits: []Edit{mine}}
 			next, conflicts, err := Preview(current, request, time.Unix(1_700_000_000, 0))
 			kind, detail, _ := strings.Cut(cases.lines(name, "want")[0], " ")
@@ -90,9 +90,9 @@
 				if err != nil || len(conflicts) > 0 {
 					t.Fatalf("conflicts %v, error %v", conflicts, err)
 				}
-				both := edited(t, start, "both", theirs)
+				both := mustAccept(t, start, "both", theirs)
 				if mine.Kind != EditApply {
-					both = edited(t, both, "both", mine)
+					both = mustAccept(t, both, "both", mine)
 				}
 				if differences, _ := Diff(both.Spec, next.Spec); len(differences) > 0 {
 					t.Errorf("not both edits hold: %v", differences)
@@ -112,7 +112,7 @@
 }
 
 // TestHistoryGivesEveryBaseBack makes many edits and compares each kept base with what was in force then.
-func TestHistoryGivesEveryBaseBack(t *testing.T) {
+func TestHistoryReconstructsKeptRevisions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var documents []Document
 		document := Document{}
@@ -124,14 +124,14 @@
 			if rapid.Bool().Draw(t, "set") {
 				edit = SetLabel(address, label, fmt.Sprint(i))
 			}
-			document = edited(t, document, fmt.Sprint("change-", i), edit)
+			document = mustAccept(t, document, fmt.Sprint("change-", i), edit)
 		}
 		if len(document.History) > MaximumHistory {
 			t.Errorf("history has %d changes", len(document.History))
 		}
 		for _, earlier := range documents {
 			base, known, err := document.At(earlier.Revision)
-			if err != nil || known != (earlier.Revision >= document.OldestBase()) {
+			if err != nil || known != (earlier.Revision >= document.OldestRevision()) {
 				t.Fatalf("revision %d: known %t, %v", earlier.Revision, known, err)
 			}
 			if differences, _ := Diff(base.Spec, earlier.Spec); known && len(differences) > 0 {
@@ -141,11 +141,11 @@
 	})
 }
 
-func TestDiffInWords(t *testing.T) {
-	document, quick := example(t)
+func TestDiffDescribesChanges(t *testing.T) {
+	document, quick := acceptedExample(t)
 	quick.Priority = 9
 	quick.TenantInFlight = 8
-	after := edited(t, document, "mine", PutRule(quick), SetLabel("w1", "pool", "x"),
+	after := mustAccept(t, document, "mine", PutRule(quick), SetLabel("w1", "pool", "x"),
 		SetLabel("w2", "rack", "7"), RemoveLabel("w3", "pool"), Delete(KindRule, "other"))
 	differences, err := Diff(document.Spec, after.Spec)
 	if err != nil {
@@ -164,9 +164,9 @@
 }
 
 func TestWhatIf(t *testing.T) {
-	before, quick := example(t)
+	before, quick := acceptedExample(t)
 	quick.RequestSelector = "class=quick,tenant=cafe"
-	after := edited(t, before, "mine", PutRule(quick), RemoveLabel("w2", "pool"))
+	after := mustAccept(t, before, "mine", PutRule(quick), RemoveLabel("w2", "pool"))
 	var workers []WorkerInfo
 	for i := range 4 {
 		workers = append(workers, WorkerInfo{Address: fmt.Sprintf("w%d", i+1), Service: "roastmind"})
--- a/internal/configuration/normalize.go
+++ b/internal/configuration/normalize.go
@@ -15,20 +15,20 @@
 func normalize(spec Spec) Spec {
 	spec.Groups = sortedBy(spec.Groups, func(g Group) string { return g.Name })
 	spec.Rules = sortedBy(spec.Rules, func(r Rule) string { return r.Name })
-	spec.WorkerLabels = lo.PickBy(spec.WorkerLabels, func(_ string, of map[string]string) bool { return len(of) > 0 })
+	spec.WorkerLabels = lo.PickBy(spec.WorkerLabels, func(_ string, labels map[string]string) bool { return len(labels) > 0 })
 	for i := range spec.Groups {
 		floors := map[backend.Role]int{}
 		maps.Copy(floors, spec.Groups[i].RoleFloors)
 		spec.Groups[i].RoleFloors = floors
 	}
 	for i := range spec.Rules {
-		spec.Rules[i].Groups = orEmpty(spec.Rules[i].Groups)
+		spec.Rules[i].Groups = nonNil(spec.Rules[i].Groups)
 	}
 	return spec
 }
 
 // orEmpty returns an empty list for a missing one.
-func orEmpty[T any](list []T) []T {
+func nonNil[T any](list []T) []T {
 	if list == nil {
 		return []T{}
 	}
--- a/internal/configuration/parse.go
+++ b/internal/configuration/parse.go
@@ -33,8 +33,8 @@
 // ParseAndValidate reads a document and returns all its faults at once.
 func ParseAndValidate(data []byte) (Document, FieldErrors) {
 	document, err := Parse(data)
-	faults, _ := err.(FieldErrors)
-	return document, append(faults, Validate(document)...)
+	fieldErrors, _ := err.(FieldErrors)
+	return document, append(fieldErrors, Validate(document)...)
 }
 
 // Decode reads a document as Encode wrote it.
--- a/internal/configuration/propose.go
+++ b/internal/configuration/propose.go
@@ -62,11 +62,11 @@
 // Preview returns the document that an edit would make of the given one, or the conflicts that it has with the edits
 // since its base. The error is FieldErrors when the edit or the document after it is not valid.
 func Preview(current Document, request EditRequest, now time.Time) (Document, []Conflict, error) {
-	base, known, err := current.At(request.BaseRevision)
+	base, found, err := current.At(request.BaseRevision)
 	if err != nil {
 		return Document{}, nil, err
 	}
-	if !known {
+	if !found {
 		return Document{}, nil, ErrUnknownBase
 	}
 	mine, err := ApplyEdits(base.Spec, request.Edits)
@@ -77,7 +77,7 @@
 	if err != nil || len(conflicts) > 0 {
 		return Document{}, conflicts, err
 	}
-	next, _, err := current.successor(merged.Spec, changeInfo{
+	next, _, err := current.nextRevision(merged.Spec, changeMetadata{
 		changeID: request.ChangeID, author: request.Author, unixMillis: now.UnixMilli(),
 	})
 	if err != nil {
@@ -87,7 +87,7 @@
 }
 
 // proposePause is the wait after a failed call to the store.
-const proposePause = 100 * time.Millisecond
+const retryInterval = 100 * time.Millisecond
 
 // proposal is an edit on its way into the store.
 //
@@ -97,38 +97,38 @@
 	store   store.Store
 	request EditRequest
 	// inDoubt is set while a write may have taken effect, or still may.
-	inDoubt bool
+	outcomeUnknown bool
 	// compared is the revision with which the write in doubt compared.
-	compared store.Revision
+	expectedRevision store.Revision
 }
 
 // Propose brings an edit into the store: it reads the document, makes the edit, and writes the result if nobody wrote
 // meanwhile. It tries until the context ends.
 func Propose(ctx context.Context, target store.Store, request EditRequest) ProposeResult {
-	return propose(ctx, target, request, proposePause)
+	return propose(ctx, target, request, retryInterval)
 }
 
 // propose is Propose with the wait after a failed call.
-func propose(ctx context.Context, target store.Store, request EditRequest, pause time.Duration) ProposeResult {
+func propose(ctx context.Context, target store.Store, request EditRequest, interval time.Duration) ProposeResult {
 	if request.ChangeID == "" {
 		return ProposeResult{Err: ErrNoChangeID}
 	}
 	p := &proposal{store: target, request: request}
 	for ctx.Err() == nil {
-		if result, done := p.try(ctx); done {
+		if result, done := p.attempt(ctx); done {
 			result.ChangeID = request.ChangeID
 			return result
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(pause):
+		case <-time.After(interval):
 		}
 	}
-	return ProposeResult{ChangeID: request.ChangeID, Err: lo.Ternary(p.inDoubt, ErrOutcomeUnknown, ErrStoreUnavailable)}
+	return ProposeResult{ChangeID: request.ChangeID, Err: lo.Ternary(p.outcomeUnknown, ErrOutcomeUnknown, ErrStoreUnavailable)}
 }
 
 // try makes one round, and tells whether the result is final.
-func (p *proposal) try(ctx context.Context) (ProposeResult, bool) {
+func (p *proposal) attempt(ctx context.Context) (ProposeResult, bool) {
 	current, revision, err := Read(ctx, p.store)
 	if errors.Is(err, ErrUnreadable) {
 		return ProposeResult{Err: err}, true
@@ -139,9 +139,9 @@
 	if change, found := current.FindChange(p.request.ChangeID); found {
 		return ProposeResult{Accepted: true, Revision: change.Revision}, true
 	}
-	if revision != p.compared {
+	if revision != p.expectedRevision {
 		// The key was written since, so that a write which compared with the older revision can't take effect any more.
-		p.inDoubt = false
+		p.outcomeUnknown = false
 	}
 	next, conflicts, err := Preview(current, p.request, time.Now())
 	switch {
@@ -172,14 +172,14 @@
 	case errors.Is(err, store.ErrConflict) || errors.Is(err, store.ErrBusy):
 		return ProposeResult{}, false
 	default:
-		p.inDoubt, p.compared = true, revision
+		p.outcomeUnknown, p.expectedRevision = true, revision
 		return ProposeResult{}, false
 	}
 }
 
 // Read returns the document in the store with the revision of its key; the zero document and zero when there is none.
-func Read(ctx context.Context, from store.Store) (Document, store.Revision, error) {
-	items, _, err := from.List(ctx, StoreKey)
+func Read(ctx context.Context, source store.Store) (Document, store.Revision, error) {
+	items, _, err := source.List(ctx, StoreKey)
 	if err != nil {
 		return Document{}, 0, errors.Wrap(err, "step read the configuration")
 	}
--- a/internal/configuration/propose_test.go
+++ b/internal/configuration/propose_test.go
@@ -28,24 +28,24 @@
 )
 
 // errNoAnswer is what a caller sees of a lost answer.
-var errNoAnswer = errors.New("no answer")
+var errNoResponse = errors.New("no answer")
 
 // memoryStore holds one document. Its writes end as scripted, and then well.
 type memoryStore struct {
 	store.Store
-	value    []byte
-	revision store.Revision
-	faults   []fault
-	late     *store.Transaction
+	value     []byte
+	revision  store.Revision
+	faults    []fault
+	lateWrite *store.Transaction
 	// reads are scripted to fail so many times.
 	failReads int
 }
 
 func (m *memoryStore) List(context.Context, string) ([]store.Item, store.Revision, error) {
-	m.catchUp()
+	m.applyLateWrite()
 	if m.failReads > 0 {
 		m.failReads--
-		return nil, 0, errNoAnswer
+		return nil, 0, errNoResponse
 	}
 	if m.revision == 0 {
 		return nil, 0, nil
@@ -53,8 +53,8 @@
 	return []store.Item{{Key: StoreKey, Value: m.value, Revision: m.revision}}, m.revision, nil
 }
 
-func (m *memoryStore) Commit(_ context.Context, wanted store.Transaction) (store.Revision, error) {
-	m.catchUp()
+func (m *memoryStore) Commit(_ context.Context, transaction store.Transaction) (store.Revision, error) {
+	m.applyLateWrite()
 	next := faultNone
 	if len(m.faults) > 0 {
 		next, m.faults = m.faults[0], m.faults[1:]
@@ -63,44 +63,44 @@
 	case faultBusy:
 		return 0, store.ErrBusy
 	case faultDropped:
-		return 0, errNoAnswer
+		return 0, errNoResponse
 	case faultLate:
-		m.late = &wanted
-		return 0, errNoAnswer
+		m.lateWrite = &transaction
+		return 0, errNoResponse
 	}
-	if !m.write(wanted) {
+	if !m.applyIfUnchanged(transaction) {
 		return 0, store.ErrConflict
 	}
 	if next == faultLost {
-		return 0, errNoAnswer
+		return 0, errNoResponse
 	}
 	return m.revision, nil
 }
 
 // catchUp does a write whose answer was lost.
-func (m *memoryStore) catchUp() {
-	if m.late != nil {
-		m.write(*m.late)
-		m.late = nil
+func (m *memoryStore) applyLateWrite() {
+	if m.lateWrite != nil {
+		m.applyIfUnchanged(*m.lateWrite)
+		m.lateWrite = nil
 	}
 }
 
 // write does a write whose condition holds.
-func (m *memoryStore) write(wanted store.Transaction) bool {
-	if wanted.Conditions[0].Revision != m.revision {
+func (m *memoryStore) applyIfUnchanged(transaction store.Transaction) bool {
+	if transaction.Conditions[0].Revision != m.revision {
 		return false
 	}
 	m.revision++
-	m.value = wanted.Puts[0].Value
+	m.value = transaction.Puts[0].Value
 	return true
 }
 
 // TestEditsAreAppliedOnce proposes an edit to a store whose answers are lost, late or refused.
 func TestEditsAreAppliedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		all := []fault{faultBusy, faultLost, faultDropped, faultLate}
+		faults := []fault{faultBusy, faultLost, faultDropped, faultLate}
 		m := &memoryStore{
-			faults:    rapid.SliceOfN(rapid.SampledFrom(all), 0, 2).Draw(t, "faults"),
+			faults:    rapid.SliceOfN(rapid.SampledFrom(faults), 0, 2).Draw(t, "faults"),
 			failReads: rapid.IntRange(0, 1).Draw(t, "failed reads"),
 		}
 		ctx, cancel := context.WithTimeout(context.Background(), 10*time.Second)
@@ -110,7 +110,7 @@
 		if !result.Accepted || result.Revision != 1 || result.Err != nil {
 			t.Fatalf("got %+v", result)
 		}
-		m.catchUp()
+		m.applyLateWrite()
 		document, _, err := Read(ctx, m)
 		if err != nil || document.Revision != 1 || document.WorkerLabels["w1"]["pool"] != "x" {
 			t.Fatalf("the store holds %+v, %v", document, err)
@@ -118,8 +118,8 @@
 	})
 }
 
-func TestProposeTellsWhatItKnowsWhenTimeIsOver(t *testing.T) {
-	many := func(f fault) (faults []fault) {
+func TestProposeReportsOutcomeOnTimeout(t *testing.T) {
+	repeated := func(f fault) (faults []fault) {
 		for range 1000 {
 			faults = append(faults, f)
 		}
@@ -130,8 +130,8 @@
 		faults []fault
 		want   error
 	}{
-		{"the store refuses", many(faultBusy), ErrStoreUnavailable},
-		{"writes are lost", many(faultDropped), ErrOutcomeUnknown},
+		{"the store refuses", repeated(faultBusy), ErrStoreUnavailable},
+		{"writes are lost", repeated(faultDropped), ErrOutcomeUnknown},
 	}
 	for _, test := range tests {
 		ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
@@ -143,7 +143,7 @@
 	}
 }
 
-func TestProposeRefusesWhatCanNotBe(t *testing.T) {
+func TestProposeRejectsInvalidInput(t *testing.T) {
 	if result := Propose(context.Background(), &memoryStore{}, EditRequest{}); !errors.Is(result.Err, ErrNoChangeID) {
 		t.Errorf("without a change id: %+v", result)
 	}
--- a/internal/configuration/restore_test.go
+++ b/internal/configuration/restore_test.go
@@ -8,33 +8,33 @@
 )
 
 // TestLostEditsAreWrittenAgain has the store hold no document, an earlier one, the same, a later one, and one that went another way.
-func TestLostEditsAreWrittenAgain(t *testing.T) {
-	edit := func(to *memoryStore, id, label string) Document {
+func TestRestoreWritesLostEdits(t *testing.T) {
+	edit := func(target *memoryStore, id, label string) Document {
 		t.Helper()
-		current, _, err := Read(context.Background(), to)
+		current, _, err := Read(context.Background(), target)
 		if err != nil {
 			t.Fatal(err)
 		}
-		result := Propose(t.Context(), to, EditRequest{ChangeID: id, BaseRevision: current.Revision, Edits: []Edit{SetLabel("10.0.0.1:80", "tier", label)}})
+		result := Propose(t.Context(), target, EditRequest{ChangeID: id, BaseRevision: current.Revision, Edits: []Edit{SetLabel("10.0.0.1:80", "tier", label)}})
 		if !result.Accepted {
 			t.Fatalf("%s: %+v", id, result)
 		}
-		document, _, err := Read(context.Background(), to)
+		document, _, err := Read(context.Background(), target)
 		if err != nil {
 			t.Fatal(err)
 		}
 		return document
 	}
-	held := &memoryStore{}
-	first := edit(held, "one", "a")
-	earlier := *held
-	edit(held, "two", "b")
-	known := edit(held, "three", "c")
-	current := *held
-	edit(held, "four", "d")
-	later := *held
-	other := earlier
-	edit(&other, "another", "z")
+	source := &memoryStore{}
+	first := edit(source, "one", "a")
+	earlier := *source
+	edit(source, "two", "b")
+	known := edit(source, "three", "c")
+	current := *source
+	edit(source, "four", "d")
+	later := *source
+	diverged := earlier
+	edit(&diverged, "another", "z")
 	for _, test := range []struct {
 		desc     string
 		store    memoryStore
@@ -46,7 +46,7 @@
 		{"an earlier one", earlier, true, false, 3},
 		{"the same", current, false, false, 3},
 		{"a later one", later, false, false, 4},
-		{"one that went another way", other, false, true, 2},
+		{"one that went another way", diverged, false, true, 2},
 	} {
 		t.Run(test.desc, func(t *testing.T) {
 			written, err := Restore(t.Context(), &test.store, known)
--- a/internal/configuration/selector.go
+++ b/internal/configuration/selector.go
@@ -11,26 +11,26 @@
 )
 
 // anyValue stands in a witness for "any value that is not mentioned".
-const anyValue = "other"
+const placeholderValue = "other"
 
 // keyConstraint is what a conjunction of requirements leaves open for one label.
 type keyConstraint struct {
 	// absent and present tell whether the label may be missing, and whether it may be there.
-	absent, present bool
+	mayBeAbsent, mayBePresent bool
 	// allowed values; nil means every value.
 	allowed map[string]bool
 	// excluded values.
 	excluded map[string]bool
 	// greaterThan and lessThan bound integer values; numeric tells that one of them is set.
 	greaterThan, lessThan int64
-	numeric               bool
+	bounded               bool
 }
 
 // constraints is what a conjunction of requirements leaves open, by key of label.
 type constraints map[string]*keyConstraint
 
 // constrain returns the constraints of requirements.
-func constrain(requirements ...labels.Requirement) constraints {
+func newConstraints(requirements ...labels.Requirement) constraints {
 	result := constraints{}
 	for _, requirement := range requirements {
 		result.add(requirement)
@@ -39,11 +39,11 @@
 }
 
 // of returns the constraint of one key.
-func (c constraints) of(key string) *keyConstraint {
+func (c constraints) forKey(key string) *keyConstraint {
 	constraint, known := c[key]
 	if !known {
 		constraint = &keyConstraint{
-			absent: true, present: true, excluded: map[string]bool{},
+			mayBeAbsent: true, mayBePresent: true, excluded: map[string]bool{},
 			greaterThan: math.MinInt64, lessThan: math.MaxInt64,
 		}
 		c[key] = constraint
@@ -53,31 +53,31 @@
 
 // add joins one more requirement.
 func (c constraints) add(requirement labels.Requirement) {
-	constraint := c.of(requirement.Key())
+	constraint := c.forKey(requirement.Key())
 	values := requirement.ValuesUnsorted()
 	switch requirement.Operator() {
 	case selection.In, selection.Equals, selection.DoubleEquals:
-		constraint.absent = false
-		constraint.allow(values)
+		constraint.mayBeAbsent = false
+		constraint.intersectAllowed(values)
 	case selection.NotIn, selection.NotEquals:
 		for _, value := range values {
 			constraint.excluded[value] = true
 		}
 	case selection.Exists:
-		constraint.absent = false
+		constraint.mayBeAbsent = false
 	case selection.DoesNotExist:
-		constraint.present = false
+		constraint.mayBePresent = false
 	case selection.GreaterThan:
-		constraint.absent, constraint.numeric = false, true
-		constraint.greaterThan = max(constraint.greaterThan, integer(values))
+		constraint.mayBeAbsent, constraint.bounded = false, true
+		constraint.greaterThan = max(constraint.greaterThan, parseBound(values))
 	case selection.LessThan:
-		constraint.absent, constraint.numeric = false, true
-		constraint.lessThan = min(constraint.lessThan, integer(values))
+		constraint.mayBeAbsent, constraint.bounded = false, true
+		constraint.lessThan = min(constraint.lessThan, parseBound(values))
 	}
 }
 
 // allow keeps only the given values.
-func (k *keyConstraint) allow(values []string) {
+func (k *keyConstraint) intersectAllowed(values []string) {
 	allowed := map[string]bool{}
 	for _, value := range values {
 		if k.allowed == nil || k.allowed[value] {
@@ -88,7 +88,7 @@
 }
 
 // integer returns the one value of a comparison. The parser of selectors lets nothing else through.
-func integer(values []string) int64 {
+func parseBound(values []string) int64 {
 	value, _ := strconv.ParseInt(values[0], 10, 64)
 	return value
 }
@@ -98,7 +98,7 @@
 	if k.excluded[value] || (k.allowed != nil && !k.allowed[value]) {
 		return false
 	}
-	if !k.numeric {
+	if !k.bounded {
 		return true
 	}
 	number, err := strconv.ParseInt(value, 10, 64)
@@ -106,8 +106,8 @@
 }
 
 // value returns a value that fits, and whether there is one.
-func (k *keyConstraint) value() (string, bool) {
-	if !k.present {
+func (k *keyConstraint) exampleValue() (string, bool) {
+	if !k.mayBePresent {
 		return "", false
 	}
 	if k.allowed != nil {
@@ -115,8 +115,8 @@
 		slices.Sort(candidates)
 		return lo.Find(candidates, k.accepts)
 	}
-	if !k.numeric {
-		return k.freeValue(), true
+	if !k.bounded {
+		return k.unexcludedValue(), true
 	}
 	if k.greaterThan == math.MaxInt64 {
 		return "", false
@@ -131,22 +131,22 @@
 }
 
 // freeValue returns a value that is not excluded.
-func (k *keyConstraint) freeValue() string {
-	value := anyValue
+func (k *keyConstraint) unexcludedValue() string {
+	value := placeholderValue
 	for k.excluded[value] {
-		value += "-" + anyValue
+		value += "-" + placeholderValue
 	}
 	return value
 }
 
 // witness returns labels that meet all constraints, and whether there are any.
-func (c constraints) witness() (labels.Set, bool) {
+func (c constraints) example() (labels.Set, bool) {
 	result := labels.Set{}
 	for key, constraint := range c {
-		if constraint.absent {
+		if constraint.mayBeAbsent {
 			continue
 		}
-		value, found := constraint.value()
+		value, found := constraint.exampleValue()
 		if !found {
 			return nil, false
 		}
@@ -157,7 +157,7 @@
 
 // satisfiable tells whether some labels meet all constraints.
 func (c constraints) satisfiable() bool {
-	_, found := c.witness()
+	_, found := c.example()
 	return found
 }
 
@@ -165,11 +165,11 @@
 // the answer is yes, but never the reverse.
 func implies(narrow, wide labels.Requirements) bool {
 	return lo.EveryBy(wide, func(requirement labels.Requirement) bool {
-		negated, known := negate(requirement)
-		if !known {
+		negated, negatable := negate(requirement)
+		if !negatable {
 			return lo.SomeBy(narrow, requirement.Equal)
 		}
-		return !constrain(append(slices.Clone(narrow), negated)...).satisfiable()
+		return !newConstraints(append(slices.Clone(narrow), negated)...).satisfiable()
 	})
 }
 
--- a/internal/configuration/snapshot.go
+++ b/internal/configuration/snapshot.go
@@ -65,7 +65,7 @@
 		s.rules = append(s.rules, compiledRule{rule: rule, selector: Selector{selector}})
 	}
 	slices.SortFunc(s.rules, func(a, b compiledRule) int {
-		return lo.Ternary(ruleBefore(a.rule, b.rule), -1, 1)
+		return lo.Ternary(rulePrecedes(a.rule, b.rule), -1, 1)
 	})
 	return nil
 }
@@ -108,21 +108,21 @@
 
 // Routing returns the groups and rules as the request path takes them. Groups whose services are not there have no members.
 func (s *Snapshot) Routing() *routing.Configuration {
-	compiled := &routing.Configuration{Revision: int64(s.Revision()), WorkerLabels: s.document.WorkerLabels}
-	for _, each := range s.groups {
-		compiled.Groups = append(compiled.Groups, routing.Group{
-			Name: each.group.Name, Of: each.group.Service, Selector: each.selector,
-			LeastOfRole: map[backend.Role]int(each.group.RoleFloors),
+	result := &routing.Configuration{Revision: int64(s.Revision()), WorkerLabels: s.document.WorkerLabels}
+	for _, g := range s.groups {
+		result.Groups = append(result.Groups, routing.Group{
+			Name: g.group.Name, Of: g.group.Service, Selector: g.selector,
+			LeastOfRole: map[backend.Role]int(g.group.RoleFloors),
 		})
 	}
-	for _, each := range s.rules {
-		compiled.Rules = append(compiled.Rules, each.routing())
+	for _, r := range s.rules {
+		result.Rules = append(result.Rules, r.toRoutingRule())
 	}
-	return compiled
+	return result
 }
 
 // routing returns a rule as the request path takes it.
-func (c compiledRule) routing() routing.Rule {
+func (c compiledRule) toRoutingRule() routing.Rule {
 	return routing.Rule{
 		Name:           c.rule.Name,
 		Match:          routing.LabelMatch{Selector: c.selector, Precedence: c.rule.Precedence},
--- a/internal/configuration/validate.go
+++ b/internal/configuration/validate.go
@@ -24,8 +24,8 @@
 
 // validator collects the faults of one document.
 type validator struct {
-	spec   Spec
-	faults FieldErrors
+	spec Spec
+	errs FieldErrors
 	// groupSelectors and ruleSelectors are parsed, in the order of the spec; nil where parsing failed.
 	groupSelectors []labels.Selector
 	ruleSelectors  []labels.Selector
@@ -33,31 +33,31 @@
 
 // Validate returns all faults of a document at once, in the order of its fields. It returns nil for a valid document.
 func Validate(document Document) FieldErrors {
-	check := &validator{spec: document.Spec}
-	check.groups()
-	check.rules()
-	check.workerLabels()
-	return check.faults
+	v := &validator{spec: document.Spec}
+	v.validateGroups()
+	v.validateRules()
+	v.validateWorkerLabels()
+	return v.errs
 }
 
 // fault notes one fault. A nil value is not shown.
-func (v *validator) fault(field string, value any, problem, allowed string) {
-	v.faults = append(v.faults, FieldError{Field: field, Value: strictyaml.Quote(value), Problem: problem, Allowed: allowed})
+func (v *validator) addError(field string, value any, problem, allowed string) {
+	v.errs = append(v.errs, FieldError{Field: field, Value: strictyaml.Quote(value), Problem: problem, Allowed: allowed})
 }
 
 // names checks the names of the objects of one kind and returns the path of each object.
-func (v *validator) names(list string, names []string) []string {
+func (v *validator) validateNames(listName string, names []string) []string {
 	seen := map[string]bool{}
 	paths := make([]string, len(names))
 	for i, name := range names {
-		paths[i] = fmt.Sprintf("spec.%s[%s]", list, lo.CoalesceOrEmpty(name, strconv.Itoa(i)))
+		paths[i] = fmt.Sprintf("spec.%s[%s]", listName, lo.CoalesceOrEmpty(name, strconv.Itoa(i)))
 		switch {
 		case name == "":
-			v.fault(paths[i]+".name", nil, "is missing", allowedName)
+			v.addError(paths[i]+".name", nil, "is missing", allowedName)
 		case len(content.IsDNS1123Label(name)) > 0:
-			v.fault(paths[i]+".name", name, "is not a name", allowedName)
+			v.addError(paths[i]+".name", name, "is not a name", allowedName)
 		case seen[name]:
-			v.fault(paths[i]+".name", name, "is there twice", "each name once")
+			v.addError(paths[i]+".name", name, "is there twice", "each name once")
 		}
 		seen[name] = true
 	}
@@ -65,70 +65,70 @@
 }
 
 // atLeast checks the lower bound of a number.
-func (v *validator) atLeast(field string, value, least float64) {
-	if value < least || math.IsNaN(value) || math.IsInf(value, 0) {
-		v.fault(field, value, "is too small", fmt.Sprintf("a number from %v", least))
+func (v *validator) validateMinimum(field string, value, minimum float64) {
+	if value < minimum || math.IsNaN(value) || math.IsInf(value, 0) {
+		v.addError(field, value, "is too small", fmt.Sprintf("a number from %v", minimum))
 	}
 }
 
 // texts checks that a list has no empty and no repeated entries.
-func (v *validator) texts(field string, values []string) {
+func (v *validator) validateUnique(field string, values []string) {
 	seen := map[string]bool{}
 	for i, value := range values {
 		if value == "" || seen[value] {
-			v.fault(fmt.Sprintf("%s[%d]", field, i), value, "is empty or repeated", "each entry once")
+			v.addError(fmt.Sprintf("%s[%d]", field, i), value, "is empty or repeated", "each entry once")
 		}
 		seen[value] = true
 	}
 }
 
-func (v *validator) workerLabels() {
+func (v *validator) validateWorkerLabels() {
 	for _, address := range strictyaml.SortedKeys(v.spec.WorkerLabels) {
 		path := fmt.Sprintf("spec.workerLabels[%s]", address)
 		if address == "" {
-			v.fault(path, nil, "has no worker", "the address of a worker")
+			v.addError(path, nil, "has no worker", "the address of a worker")
 		}
 		for _, key := range strictyaml.SortedKeys(v.spec.WorkerLabels[address]) {
-			v.workerLabel(path, key, v.spec.WorkerLabels[address][key])
+			v.validateWorkerLabel(path, key, v.spec.WorkerLabels[address][key])
 		}
 	}
 }
 
-func (v *validator) workerLabel(path, key, value string) {
+func (v *validator) validateWorkerLabel(path, key, value string) {
 	field := fmt.Sprintf("%s[%s]", path, key)
 	if problems := content.IsLabelKey(key); len(problems) > 0 {
-		v.fault(field, key, "is not a key of a label", strings.Join(problems, "; "))
+		v.addError(field, key, "is not a key of a label", strings.Join(problems, "; "))
 	}
 	if key == LabelZone || key == LabelRole {
-		v.fault(field, key, "is set by the worker", "any other key")
+		v.addError(field, key, "is set by the worker", "any other key")
 	}
 	if problems := content.IsLabelValue(value); len(problems) > 0 {
-		v.fault(field, value, "is not a value of a label", strings.Join(problems, "; "))
+		v.addError(field, value, "is not a value of a label", strings.Join(problems, "; "))
 	}
 }
 
 // selector parses a selector and checks that something can match it.
-func (v *validator) selector(field, text string) labels.Selector {
+func (v *validator) parseSelector(field, text string) labels.Selector {
 	selector, err := labels.Parse(text)
 	if err != nil {
-		v.fault(field, text, "is not a selector: "+err.Error(), allowedSelector)
+		v.addError(field, text, "is not a selector: "+err.Error(), allowedSelector)
 		return nil
 	}
-	if !constrain(requirementsOf(selector)...).satisfiable() {
-		v.fault(field, text, "contradicts itself and can never match", allowedSelector)
+	if !newConstraints(requirementsOf(selector)...).satisfiable() {
+		v.addError(field, text, "contradicts itself and can never match", allowedSelector)
 		return nil
 	}
 	return selector
 }
 
 // floors checks the least numbers of workers in each role.
-func (v *validator) floors(field string, floors map[backend.Role]int) {
+func (v *validator) validateRoleFloors(field string, floors map[backend.Role]int) {
 	for _, role := range []backend.Role{backend.RolePrefill, backend.RoleDecode} {
-		v.atLeast(fmt.Sprintf("%s[%s]", field, role), float64(floors[role]), 0)
+		v.validateMinimum(fmt.Sprintf("%s[%s]", field, role), float64(floors[role]), 0)
 	}
 	for role := range floors {
 		if role != backend.RolePrefill && role != backend.RoleDecode {
-			v.fault(fmt.Sprintf("%s[%s]", field, role), role, "is not a role", "prefill, decode")
+			v.addError(fmt.Sprintf("%s[%s]", field, role), role, "is not a role", "prefill, decode")
 		}
 	}
 }
--- a/internal/configuration/validate_selection.go
+++ b/internal/configuration/validate_selection.go
@@ -10,32 +10,32 @@
 	"k8s.io/apimachinery/pkg/selection"
 )
 
-func (v *validator) groups() {
-	paths := v.names("groups", lo.Map(v.spec.Groups, func(g Group, _ int) string { return g.Name }))
+func (v *validator) validateGroups() {
+	paths := v.validateNames("groups", lo.Map(v.spec.Groups, func(g Group, _ int) string { return g.Name }))
 	for i, group := range v.spec.Groups {
 		if group.Service == "" {
-			v.fault(paths[i]+".service", nil, "is missing", "the name of a service")
+			v.addError(paths[i]+".service", nil, "is missing", "the name of a service")
 		}
-		v.groupSelectors = append(v.groupSelectors, v.selector(paths[i]+".workerSelector", group.WorkerSelector))
-		v.floors(paths[i]+".roleFloors", group.RoleFloors)
-		v.groupOverlaps(paths[i]+".workerSelector", i)
+		v.groupSelectors = append(v.groupSelectors, v.parseSelector(paths[i]+".workerSelector", group.WorkerSelector))
+		v.validateRoleFloors(paths[i]+".roleFloors", group.RoleFloors)
+		v.validateGroupOverlaps(paths[i]+".workerSelector", i)
 	}
 }
 
 // groupOverlaps checks that no worker can be selected by this group and an earlier one.
-func (v *validator) groupOverlaps(field string, place int) {
-	selector := v.groupSelectors[place]
+func (v *validator) validateGroupOverlaps(field string, index int) {
+	selector := v.groupSelectors[index]
 	if selector == nil {
 		return
 	}
-	for earlier, other := range v.groupSelectors[:place] {
-		if other == nil || v.spec.Groups[earlier].Service != v.spec.Groups[place].Service {
+	for earlier, other := range v.groupSelectors[:index] {
+		if other == nil || v.spec.Groups[earlier].Service != v.spec.Groups[index].Service {
 			continue
 		}
-		both := constrain(append(slices.Clone(requirementsOf(selector)), requirementsOf(other)...)...)
-		example, overlap := both.witness()
+		both := newConstraints(append(slices.Clone(requirementsOf(selector)), requirementsOf(other)...)...)
+		example, overlap := both.example()
 		if overlap {
-			v.fault(field, v.spec.Groups[place].WorkerSelector, fmt.Sprintf(
+			v.addError(field, v.spec.Groups[index].WorkerSelector, fmt.Sprintf(
 				"can select a worker that group %s selects too (%s: %q), for example one with the labels {%s}",
 				v.spec.Groups[earlier].Name, "workerSelector", v.spec.Groups[earlier].WorkerSelector, example),
 				"selectors that demand different values of one label")
@@ -43,34 +43,34 @@
 	}
 }
 
-func (v *validator) rules() {
-	paths := v.names("rules", lo.Map(v.spec.Rules, func(r Rule, _ int) string { return r.Name }))
+func (v *validator) validateRules() {
+	paths := v.validateNames("rules", lo.Map(v.spec.Rules, func(r Rule, _ int) string { return r.Name }))
 	for i, rule := range v.spec.Rules {
-		v.ruleSelectors = append(v.ruleSelectors, v.ruleSelector(paths[i]+".requestSelector", rule.RequestSelector))
-		v.ruleGroups(paths[i]+".groups", rule)
-		v.ruleValues(paths[i], rule)
+		v.ruleSelectors = append(v.ruleSelectors, v.parseRuleSelector(paths[i]+".requestSelector", rule.RequestSelector))
+		v.validateRuleGroups(paths[i]+".groups", rule)
+		v.validateRuleValues(paths[i], rule)
 	}
 	for i := range v.spec.Rules {
-		v.shadowed(paths[i]+".requestSelector", i)
+		v.validateReachable(paths[i]+".requestSelector", i)
 	}
 }
 
 // ruleSelector parses the selector of a rule and checks the labels that the system sets.
-func (v *validator) ruleSelector(field, text string) labels.Selector {
-	selector := v.selector(field, text)
+func (v *validator) parseRuleSelector(field, text string) labels.Selector {
+	selector := v.parseSelector(field, text)
 	if selector == nil {
 		return nil
 	}
-	withRepeatable := constrain(requirementsOf(selector)...)
-	withRepeatable.add(repeatableIsBoolean())
-	if !withRepeatable.satisfiable() {
-		v.fault(field, text, "can never match: the label repeatable is always true or false", "repeatable=true, repeatable=false")
+	combined := newConstraints(requirementsOf(selector)...)
+	combined.add(repeatableRequirement())
+	if !combined.satisfiable() {
+		v.addError(field, text, "can never match: the label repeatable is always true or false", "repeatable=true, repeatable=false")
 	}
 	return selector
 }
 
 // repeatableIsBoolean is what the system guarantees of the label repeatable.
-func repeatableIsBoolean() labels.Requirement {
+func repeatableRequirement() labels.Requirement {
 	requirement, err := labels.NewRequirement(LabelRepeatable, selection.In, []string{"false", "true"})
 	if err != nil {
 		panic(err) // cannot be: the values are constant
@@ -79,53 +79,53 @@
 }
 
 // ruleGroups checks that the groups of a rule exist and share its requests.
-func (v *validator) ruleGroups(field string, rule Rule) {
+func (v *validator) validateRuleGroups(field string, rule Rule) {
 	if len(rule.Groups) == 0 {
-		v.fault(field, nil, "is missing", "at least one group")
+		v.addError(field, nil, "is missing", "at least one group")
 		return
 	}
-	v.texts(field, lo.Map(rule.Groups, func(share GroupShare, _ int) string { return share.Group }))
-	total := 0
+	v.validateUnique(field, lo.Map(rule.Groups, func(share GroupShare, _ int) string { return share.Group }))
+	totalWeight := 0
 	for i, share := range rule.Groups {
 		path := fmt.Sprintf("%s[%d]", field, i)
 		if !lo.ContainsBy(v.spec.Groups, func(g Group) bool { return g.Name == share.Group }) {
-			v.fault(path+".group", share.Group, "is an unknown group", v.groupNames())
+			v.addError(path+".group", share.Group, "is an unknown group", v.groupNames())
 		}
-		v.atLeast(path+".weight", float64(share.Weight), 0)
-		total += share.Weight
+		v.validateMinimum(path+".weight", float64(share.Weight), 0)
+		totalWeight += share.Weight
 	}
-	if total <= 0 {
-		v.fault(field, nil, "share nothing", "at least one weight above 0")
+	if totalWeight <= 0 {
+		v.addError(field, nil, "share nothing", "at least one weight above 0")
 	}
 }
 
-func (v *validator) ruleValues(path string, rule Rule) {
+func (v *validator) validateRuleValues(path string, rule Rule) {
 	if rule.Priority < 0 || rule.Priority > MaximumPriority {
-		v.fault(path+".priority", rule.Priority, "is out of bounds", fmt.Sprintf("a whole number from 0 to %d", MaximumPriority))
+		v.addError(path+".priority", rule.Priority, "is out of bounds", fmt.Sprintf("a whole number from 0 to %d", MaximumPriority))
 	}
 	if rule.Timeout <= 0 {
-		v.fault(path+".timeout", rule.Timeout, "is not positive", "a duration above 0s")
+		v.addError(path+".timeout", rule.Timeout, "is not positive", "a duration above 0s")
 	}
 	if rule.Objective <= 0 {
-		v.fault(path+".objective", rule.Objective, "is not positive", "a duration above 0s")
+		v.addError(path+".objective", rule.Objective, "is not positive", "a duration above 0s")
 	}
-	v.atLeast(path+".maximumAttempts", float64(rule.MaximumAttempts), 1)
-	v.atLeast(path+".tenantInFlight", float64(rule.TenantInFlight), 0)
+	v.validateMinimum(path+".maximumAttempts", float64(rule.MaximumAttempts), 1)
+	v.validateMinimum(path+".tenantInFlight", float64(rule.TenantInFlight), 0)
 }
 
 // shadowed checks that no rule of higher precedence takes all requests of this one.
-func (v *validator) shadowed(field string, place int) {
-	selector := v.ruleSelectors[place]
+func (v *validator) validateReachable(field string, index int) {
+	selector := v.ruleSelectors[index]
 	if selector == nil {
 		return
 	}
 	for i, other := range v.ruleSelectors {
-		if i == place || other == nil || !ruleBefore(v.spec.Rules[i], v.spec.Rules[place]) {
+		if i == index || other == nil || !rulePrecedes(v.spec.Rules[i], v.spec.Rules[index]) {
 			continue
 		}
-		narrow := append(slices.Clone(requirementsOf(selector)), repeatableIsBoolean())
-		if implies(narrow, requirementsOf(other)) {
-			v.fault(field, v.spec.Rules[place].RequestSelector, fmt.Sprintf(
+		requirements := append(slices.Clone(requirementsOf(selector)), repeatableRequirement())
+		if implies(requirements, requirementsOf(other)) {
+			v.addError(field, v.spec.Rules[index].RequestSelector, fmt.Sprintf(
 				"can never match: rule %s comes first (precedence %d) and takes all these requests (%q)",
 				v.spec.Rules[i].Name, v.spec.Rules[i].Precedence, v.spec.Rules[i].RequestSelector),
 				"a higher precedence, or another selector")
@@ -135,7 +135,7 @@
 }
 
 // ruleBefore tells whether rule a is tried before rule b.
-func ruleBefore(a, b Rule) bool {
+func rulePrecedes(a, b Rule) bool {
 	if a.Precedence != b.Precedence {
 		return a.Precedence > b.Precedence
 	}
--- a/internal/configuration/validate_test.go
+++ b/internal/configuration/validate_test.go
@@ -13,7 +13,7 @@
 	"sigs.k8s.io/yaml"
 )
 
-func TestValidateFindsAllFaults(t *testing.T) {
+func TestValidateReportsAllErrors(t *testing.T) {
 	cases := readScript(t, "testdata/validate.txtar")
 	for _, name := range cases.cases {
 		t.Run(name, func(t *testing.T) {
@@ -22,14 +22,14 @@
 				old, replacement, _ := strings.Cut(line, " => ")
 				replace = append(replace, old, replacement)
 			}
-			_, faults := ParseAndValidate([]byte(strings.NewReplacer(replace...).Replace(cases.files["base.yaml"])))
-			got := lo.Map(faults, func(fault FieldError, _ int) string { return fault.Field })
+			_, fieldErrors := ParseAndValidate([]byte(strings.NewReplacer(replace...).Replace(cases.files["base.yaml"])))
+			got := lo.Map(fieldErrors, func(fieldError FieldError, _ int) string { return fieldError.Field })
 			if !slices.Equal(got, cases.lines(name, "want")) {
-				t.Errorf("faults %q\nwant fields %q", faults, cases.lines(name, "want"))
+				t.Errorf("faults %q\nwant fields %q", fieldErrors, cases.lines(name, "want"))
 			}
-			for _, fault := range faults {
-				if fault.Problem == "" || (fault.Allowed == "" && fault.Field != "(document)") {
-					t.Errorf("%v does not tell what is wrong and what is allowed", fault)
+			for _, fieldError := range fieldErrors {
+				if fieldError.Problem == "" || (fieldError.Allowed == "" && fieldError.Field != "(document)") {
+					t.Errorf("%v does not tell what is wrong and what is allowed", fieldError)
 				}
 			}
 		})
@@ -39,9 +39,9 @@
 // validDocument returns the valid document of the script.
 func validDocument(t *testing.T) Document {
 	t.Helper()
-	document, faults := ParseAndValidate([]byte(readScript(t, "testdata/validate.txtar").files["base.yaml"]))
-	if len(faults) > 0 {
-		t.Fatal(faults)
+	document, fieldErrors := ParseAndValidate([]byte(readScript(t, "testdata/validate.txtar").files["base.yaml"]))
+	if len(fieldErrors) > 0 {
+		t.Fatal(fieldErrors)
 	}
 	return document
 }
@@ -52,26 +52,26 @@
 	if quick.Priority != DefaultPriority || quick.Timeout != DefaultTimeout || quick.Groups[0].Weight != DefaultWeight {
 		t.Errorf("defaults are missing: %+v", quick)
 	}
-	accepted := edited(t, Document{}, "first", Apply(document.Spec))
-	accepted = edited(t, accepted, "second", SetLabel("10.0.0.1:80", "rack", "7"))
+	accepted := mustAccept(t, Document{}, "first", Apply(document.Spec))
+	accepted = mustAccept(t, accepted, "second", SetLabel("10.0.0.1:80", "rack", "7"))
 	text, err := yaml.Marshal(accepted)
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, faults := ParseAndValidate(text)
-	if len(faults) > 0 {
-		t.Fatal(faults)
+	reparsed, fieldErrors := ParseAndValidate(text)
+	if len(fieldErrors) > 0 {
+		t.Fatal(fieldErrors)
 	}
 	want, err := Encode(accepted)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := Encode(again); err != nil || !bytes.Equal(got, want) {
+	if got, err := Encode(reparsed); err != nil || !bytes.Equal(got, want) {
 		t.Errorf("read again %s, %v\nwant %s", got, err, want)
 	}
 }
 
-func TestSnapshotMatches(t *testing.T) {
+func TestSnapshotSelectsGroupsAndRules(t *testing.T) {
 	snapshot, err := Compile(validDocument(t))
 	if err != nil {
 		t.Fatal(err)
@@ -147,7 +147,7 @@
 }
 
 // TestSelectorLogic compares what is concluded from selectors with all sets of labels over a few values.
-func TestSelectorLogic(t *testing.T) {
+func TestSelectorReasoningMatchesEnumeration(t *testing.T) {
 	var sets []labels.Set
 	for _, a := range []string{"", "0", "1", "2", "3", "4", "x"} {
 		for _, b := range []string{"", "0", "1", "2", "3", "4", "x"} {
@@ -156,19 +156,19 @@
 		}
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		one, two := drawSelector(t, "one"), drawSelector(t, "two")
-		both := constrain(append(slices.Clone(requirementsOf(one)), requirementsOf(two)...)...)
-		common := lo.SomeBy(sets, func(set labels.Set) bool { return one.Matches(set) && two.Matches(set) })
-		witness, found := both.witness()
-		if common != found {
-			t.Fatalf("%q and %q: overlap %t, found %t", one, two, common, found)
+		first, second := drawSelector(t, "one"), drawSelector(t, "two")
+		both := newConstraints(append(slices.Clone(requirementsOf(first)), requirementsOf(second)...)...)
+		overlap := lo.SomeBy(sets, func(set labels.Set) bool { return first.Matches(set) && second.Matches(set) })
+		example, found := both.example()
+		if overlap != found {
+			t.Fatalf("%q and %q: overlap %t, found %t", first, second, overlap, found)
 		}
-		if found && (!one.Matches(witness) || !two.Matches(witness)) {
-			t.Fatalf("%q and %q do not match the example {%s}", one, two, witness)
+		if found && (!first.Matches(example) || !second.Matches(example)) {
+			t.Fatalf("%q and %q do not match the example {%s}", first, second, example)
 		}
-		contained := lo.EveryBy(sets, func(set labels.Set) bool { return !one.Matches(set) || two.Matches(set) })
-		if implies(requirementsOf(one), requirementsOf(two)) && !contained {
-			t.Fatalf("%q does not imply %q", one, two)
+		implied := lo.EveryBy(sets, func(set labels.Set) bool { return !first.Matches(set) || second.Matches(set) })
+		if implies(requirementsOf(first), requirementsOf(second)) && !implied {
+			t.Fatalf("%q does not imply %q", first, second)
 		}
 	})
 }
--- a/internal/configuration/warnings.go
+++ b/internal/configuration/warnings.go
@@ -63,7 +63,7 @@
 }
 
 // shownNames is the most workers that one warning names.
-const shownNames = 3
+const maxListedWorkers = 3
 
 func labelWarnings(snapshot *Snapshot, workers []WorkerInfo) []string {
 	known := lo.Map(workers, func(w WorkerInfo, _ int) string { return w.Address })
@@ -71,8 +71,8 @@
 	if len(unknown) == 0 {
 		return nil
 	}
-	text := strings.Join(unknown[:min(shownNames, len(unknown))], ", ")
-	if more := len(unknown) - shownNames; more > 0 {
+	text := strings.Join(unknown[:min(maxListedWorkers, len(unknown))], ", ")
+	if more := len(unknown) - maxListedWorkers; more > 0 {
 		text += fmt.Sprintf(" and %d more", more)
 	}
 	return []string{"workerLabels: there are labels on workers that do not exist now: " + text}
--- a/internal/configuration/what_if.go
+++ b/internal/configuration/what_if.go
@@ -53,8 +53,8 @@
 }
 
 func workerMoves(before, after *Snapshot, workers []WorkerInfo) []Move {
-	sorted := sortedBy(workers, func(w WorkerInfo) string { return w.Address })
-	return lo.FilterMap(sorted, func(worker WorkerInfo, _ int) (Move, bool) {
+	sortedWorkers := sortedBy(workers, func(w WorkerInfo) string { return w.Address })
+	return lo.FilterMap(sortedWorkers, func(worker WorkerInfo, _ int) (Move, bool) {
 		from, _ := before.GroupOf(worker)
 		to, _ := after.GroupOf(worker)
 		return Move{Subject: "worker " + worker.Address, From: from.Name, To: to.Name}, from.Name != to.Name
