--- a/internal/configuration/configuration_test.go
+++ b/internal/configuration/configuration_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// exampleWorkers returns the workers of a service, all with one label of a pool.
+// exampleWorkers returns workers of a service that are all labeled with the same pool.
 func exampleWorkers(service, pool string, count int) []WorkerInfo {
 	var workers []WorkerInfo
 	for i := range count {
@@ -56,7 +56,7 @@
 				}
 			}
 			if err := snapshot.Routing().Validate(); err == nil {
-				t.Error("the services are not there, and yet the routes are valid")
+				t.Error("the routing configuration is valid without its services")
 			}
 		})
 	}
--- a/internal/configuration/defaults.go
+++ b/internal/configuration/defaults.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Defaults of rules.
+// Defaults of the optional fields of Rule and GroupShare.
 const (
 	DefaultPriority        = 5
 	DefaultTimeout         = Duration(30 * time.Second)
@@ -14,7 +14,7 @@
 	DefaultWeight          = 1
 )
 
-// DefaultRule returns a rule with every default and no name.
+// DefaultRule returns an unnamed rule with all defaults set.
 func DefaultRule() Rule {
 	return Rule{
 		Priority:        DefaultPriority,
@@ -24,7 +24,7 @@
 	}
 }
 
-// UnmarshalJSON reads a rule; what is not given has its default.
+// UnmarshalJSON decodes a rule; omitted fields get their defaults.
 func (r *Rule) UnmarshalJSON(data []byte) error {
 	type plain Rule
 	value := plain(DefaultRule())
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// UnmarshalJSON reads a share; what is not given has its default.
+// UnmarshalJSON decodes a share; omitted fields get their defaults.
 func (s *GroupShare) UnmarshalJSON(data []byte) error {
 	type plain GroupShare
 	value := plain(GroupShare{Weight: DefaultWeight})
--- a/internal/configuration/diff.go
+++ b/internal/configuration/diff.go
@@ -14,14 +14,14 @@
 // Difference is one field that differs between two specs.
 type Difference struct {
 	Field Field `json:"field"`
-	// Text says what changed, in words.
+	// Text describes the change for people.
 	Text string `json:"text"`
 }
 
-// String returns the difference in words.
+// String returns the text of the difference.
 func (d Difference) String() string { return d.Text }
 
-// Diff returns what changes from one spec to another, in words, in order of field.
+// Diff returns the differences between two specs, sorted by field.
 func Diff(before, after Spec) ([]Difference, error) {
 	beforeValues, err := newFieldValues(normalize(before))
 	if err != nil {
@@ -37,7 +37,7 @@
 	}), nil
 }
 
-// describe says how one field changes.
+// describeChange formats the change of one field.
 func describeChange(field Field, before, after json.RawMessage) string {
 	switch {
 	case before == nil && field.Kind == KindWorkerLabel:
@@ -52,7 +52,7 @@
 	return fmt.Sprintf("%s: %s", field, strings.Join(describeLeafChanges(before, after), "; "))
 }
 
-// describeLeaves says which values within an object change.
+// describeLeafChanges formats the changed values within an object.
 func describeLeafChanges(before, after json.RawMessage) []string {
 	beforeLeaves, afterLeaves := leafValues(before), leafValues(after)
 	paths := strictyaml.SortedKeys(lo.Assign(beforeLeaves, afterLeaves))
@@ -63,7 +63,7 @@
 	})
 }
 
-// leavesOf returns the values of an object by path. Lists are values as a whole.
+// leafValues returns the non-object values within an object, by path. A list counts as one value.
 func leafValues(object json.RawMessage) map[string]string {
 	leaves := map[string]string{}
 	var tree any
--- a/internal/configuration/doc.go
+++ b/internal/configuration/doc.go
@@ -1,4 +1,4 @@
-// Package configuration holds what operators decide by labels: the labels that they put on workers, the groups that select
-// workers and the rules that select requests. It defines the document and its checks, compiles it for the request path,
-// merges the edits of operators and brings them into the store.
+// Package configuration defines the label-based configuration that operators edit: labels of workers, groups that select
+// workers and rules that select requests. It validates the document, compiles it for the request path, merges concurrent
+// edits and writes them to the store.
 package configuration
--- a/internal/configuration/edit.go
+++ b/internal/configuration/edit.go
@@ -6,33 +6,33 @@
 	"github.com/granitebay/granitebay/internal/strictyaml"
 )
 
-// EditKind tells what an Edit does.
+// EditKind selects the operation of an Edit.
 type EditKind string
 
 // The kinds of edits.
 const (
 	EditSetLabel    EditKind = "set-label"    // set one label of one worker
 	EditRemoveLabel EditKind = "remove-label" // remove one label of one worker
-	EditPut         EditKind = "put"          // add or replace one object
-	EditDelete      EditKind = "delete"       // remove one object by kind and name
+	EditPut         EditKind = "put"          // create or replace one object
+	EditDelete      EditKind = "delete"       // delete one object by kind and name
 	EditApply       EditKind = "apply"        // replace the whole spec
 )
 
-// Edit is one change of a document. Kind tells which other fields count.
+// Edit is one operation on a document. Kind determines which of the other fields are used.
 type Edit struct {
 	Kind EditKind `json:"kind"`
-	// Worker and Label name the label of EditSetLabel and EditRemoveLabel.
+	// Worker and Label identify the label for EditSetLabel and EditRemoveLabel.
 	Worker string `json:"worker,omitempty"`
 	Label  string `json:"label,omitempty"`
-	// Value of EditSetLabel.
+	// Value of the label for EditSetLabel.
 	Value string `json:"value,omitempty"`
-	// Object and Name name the object of EditDelete.
+	// Object and Name identify the object for EditDelete.
 	Object Kind   `json:"object,omitempty"`
 	Name   string `json:"name,omitempty"`
-	// Exactly one of these is the object of EditPut.
+	// Group or Rule is the object for EditPut; exactly one is set.
 	Group *Group `json:"group,omitempty"`
 	Rule  *Rule  `json:"rule,omitempty"`
-	// Spec of EditApply.
+	// Spec is the new spec for EditApply.
 	Spec *Spec `json:"spec,omitempty"`
 }
 
@@ -49,14 +49,14 @@
 // Apply returns the edit that replaces the whole spec.
 func Apply(spec Spec) Edit { return Edit{Kind: EditApply, Spec: &spec} }
 
-// Delete returns the edit that removes one object.
+// Delete returns the edit that deletes one object.
 func Delete(kind Kind, name string) Edit { return Edit{Kind: EditDelete, Object: kind, Name: name} }
 
-// PutRule returns the edit that adds or replaces a rule.
+// PutRule returns the edit that creates or replaces a rule.
 func PutRule(rule Rule) Edit { return Edit{Kind: EditPut, Rule: &rule} }
 
-// ApplyEdits makes edits one after the other. The error is FieldErrors with all edits that make no sense. The result
-// may still be an invalid document.
+// ApplyEdits applies edits in order. The error is FieldErrors and lists every edit that cannot be applied. The resulting
+// spec is not validated.
 func ApplyEdits(base Spec, edits []Edit) (Spec, error) {
 	values, err := newFieldValues(base)
 	if err != nil {
@@ -72,7 +72,7 @@
 	return values.toSpec()
 }
 
-// applyEdit makes one edit and adds its faults.
+// applyEdit applies one edit and appends its errors to fieldErrors.
 func applyEdit(values fieldValues, edit Edit, path string, fieldErrors FieldErrors) (fieldValues, FieldErrors) {
 	addError := func(field string, value any, problem, allowed string) {
 		fieldErrors = append(fieldErrors, FieldError{Field: path + field, Value: strictyaml.Quote(value), Problem: problem, Allowed: allowed})
@@ -80,7 +80,7 @@
 	switch edit.Kind {
 	case EditSetLabel, EditRemoveLabel:
 		if edit.Worker == "" || edit.Label == "" {
-			addError("", nil, "names no label", "worker and label")
+			addError("", nil, "does not identify a label", "worker and label")
 			break
 		}
 		field := Field{Kind: KindWorkerLabel, Name: edit.Worker, Label: edit.Label}
@@ -108,26 +108,26 @@
 	case EditApply:
 		return replaceSpec(values, edit, addError), fieldErrors
 	default:
-		addError(".kind", edit.Kind, "is not a kind of edit", "set-label, remove-label, put, delete, apply")
+		addError(".kind", edit.Kind, "is an unknown kind of edit", "set-label, remove-label, put, delete, apply")
 	}
 	return values, fieldErrors
 }
 
-// applyWhole replaces all fields.
+// replaceSpec returns the fields of the edit's spec, or the given ones if that spec cannot be used.
 func replaceSpec(values fieldValues, edit Edit, addError func(field string, value any, problem, allowed string)) fieldValues {
 	if edit.Spec == nil {
-		addError(".spec", nil, "is missing", "a whole spec")
+		addError(".spec", nil, "is missing", "a complete spec")
 		return values
 	}
 	replacement, err := newFieldValues(normalize(*edit.Spec))
 	if err != nil {
-		addError(".spec", nil, err.Error(), "a whole spec")
+		addError(".spec", nil, err.Error(), "a complete spec")
 		return values
 	}
 	return replacement
 }
 
-// object returns the field and the value of EditPut.
+// putTarget returns the field and the object of EditPut.
 func (e Edit) putTarget() (Field, any, error) {
 	var field Field
 	var object any
@@ -143,7 +143,7 @@
 		setTarget(KindRule, e.Rule.Name, e.Rule)
 	}
 	if count != 1 {
-		return Field{}, nil, fmt.Errorf("has %d objects", count)
+		return Field{}, nil, fmt.Errorf("has %d objects instead of one", count)
 	}
 	return field, object, nil
 }
--- a/internal/configuration/examples.go
+++ b/internal/configuration/examples.go
@@ -15,18 +15,18 @@
 	ExampleMagnolia = "magnolia"
 )
 
-// ExampleYAML returns the text of a shipped example.
+// ExampleYAML returns the YAML source of a shipped example.
 func ExampleYAML(name string) ([]byte, error) {
 	data, err := examples.ReadFile("examples/" + name + ".yaml")
-	return data, errors.Wrapf(err, "read the example %s", name)
+	return data, errors.Wrapf(err, "read example configuration %s", name)
 }
 
-// Example returns a shipped example.
+// Example parses and validates a shipped example.
 func Example(name string) (Document, error) {
 	data, err := ExampleYAML(name)
 	if err != nil {
 		return Document{}, err
 	}
 	document, fieldErrors := ParseAndValidate(data)
-	return document, errors.Wrapf(fieldErrors.OrNil(), "read the example %s", name)
+	return document, errors.Wrapf(fieldErrors.OrNil(), "parse example configuration %s", name)
 }
--- a/internal/configuration/field.go
+++ b/internal/configuration/field.go
@@ -5,7 +5,7 @@
 	"fmt"
 )
 
-// Kind is a kind of objects in a document.
+// Kind is a kind of object in a document.
 type Kind string
 
 // The kinds of objects.
@@ -15,16 +15,16 @@
 	KindWorkerLabel Kind = "worker-label"
 )
 
-// Field names the smallest part of a document that edits change as a whole: one object, or one label of one worker.
+// Field identifies a unit that edits change and merges compare as a whole: one object, or one label of one worker.
 type Field struct {
 	Kind Kind `json:"kind"`
-	// Name of the object or address of the worker.
+	// Name of the object, or address of the worker.
 	Name string `json:"name"`
-	// Label is the key of the label; only for KindWorkerLabel.
+	// Label is the label key; set only for KindWorkerLabel.
 	Label string `json:"label,omitempty"`
 }
 
-// String returns the field in words, for example "rule quick" or "label pool of worker 10.0.0.1:80".
+// String returns a description such as "rule quick" or "label pool of worker 10.0.0.1:80".
 func (f Field) String() string {
 	if f.Kind == KindWorkerLabel {
 		return fmt.Sprintf("label %s of worker %s", f.Label, f.Name)
@@ -32,9 +32,9 @@
 	return fmt.Sprintf("%s %s", f.Kind, f.Name)
 }
 
-// FieldChange is a field that an edit changed.
+// FieldChange records that an edit changed a field.
 type FieldChange struct {
 	Field Field `json:"field"`
-	// Before is the value that the edit replaced; empty when the field was not there.
+	// Before is the value that the edit replaced; empty if the field did not exist.
 	Before json.RawMessage `json:"before,omitempty"`
 }
--- a/internal/configuration/fields.go
+++ b/internal/configuration/fields.go
@@ -10,10 +10,10 @@
 	"github.com/samber/lo"
 )
 
-// fieldValues holds a spec as one JSON value for each field. An absent field has no entry.
+// fieldValues represents a spec as one JSON value per field. A field that does not exist has no entry.
 type fieldValues map[Field]json.RawMessage
 
-// fieldsOf takes a spec apart.
+// newFieldValues splits a spec into its fields.
 func newFieldValues(spec Spec) (fieldValues, error) {
 	values := fieldValues{}
 	spec = normalize(spec)
@@ -26,20 +26,20 @@
 			err = errors.Join(err, values.set(Field{Kind: KindWorkerLabel, Name: address, Label: label}, value))
 		}
 	}
-	return values, errors.Wrap(err, "take the configuration apart")
+	return values, errors.Wrap(err, "encode configuration fields")
 }
 
-// spec puts a spec together again.
+// toSpec rebuilds the spec from its fields.
 func (v fieldValues) toSpec() (Spec, error) {
 	spec := Spec{WorkerLabels: map[string]map[string]string{}}
 	var err error
 	for _, field := range v.sortedFields() {
 		err = errors.Join(err, spec.addField(field, v[field]))
 	}
-	return normalize(spec), errors.Wrap(err, "put the configuration together")
+	return normalize(spec), errors.Wrap(err, "decode configuration fields")
 }
 
-// take adds one field to a spec.
+// addField decodes one field and adds it to the spec.
 func (s *Spec) addField(field Field, value json.RawMessage) error {
 	switch field.Kind {
 	case KindGroup:
@@ -63,21 +63,21 @@
 	return err
 }
 
-// put sets one field.
+// set stores the JSON encoding of a value.
 func (v fieldValues) set(field Field, value any) error {
 	data, err := json.Marshal(value)
 	v[field] = data
 	return err
 }
 
-// sorted returns the fields in order.
+// sortedFields returns the fields sorted by kind, name and label.
 func (v fieldValues) sortedFields() []Field {
 	fields := lo.Keys(v)
 	slices.SortFunc(fields, compareFields)
 	return fields
 }
 
-// changedFields returns the fields that differ between two specs, in order.
+// changedFields returns the fields that differ between two specs, sorted.
 func changedFields(before, after fieldValues) []Field {
 	all := lo.Assign(before, after)
 	return lo.Filter(all.sortedFields(), func(field Field, _ int) bool {
--- a/internal/configuration/group.go
+++ b/internal/configuration/group.go
@@ -6,13 +6,13 @@
 type Group struct {
 	// Name of the group. Required.
 	Name string `json:"name"`
-	// Service whose workers the group selects from, as the platform names it. Required.
+	// Service whose workers the group selects from, by the name that the platform uses. Required.
 	Service string `json:"service"`
-	// WorkerSelector selects the workers by label, in the selector syntax of Kubernetes, for example
-	// "pool=counter,zone in (zone-a, zone-b)". Labels are those that the workers tell of themselves (LabelZone and
-	// LabelRole among them) and those of the operators on top. An empty selector selects every worker. Default: empty.
+	// WorkerSelector is a Kubernetes label selector for workers, for example "pool=counter,zone in (zone-a, zone-b)". It
+	// matches the labels that workers report, including LabelZone and LabelRole, overridden by those that operators set. An
+	// empty selector selects every worker. Default: empty.
 	WorkerSelector string `json:"workerSelector"`
-	// RoleFloors is the least number of workers of the group that keep each role. Default: none, which leaves half of the
+	// RoleFloors is the minimum number of workers of the group in each role. Default: none, which assigns half of the
 	// workers to each role.
 	RoleFloors map[backend.Role]int `json:"roleFloors"`
 }
--- a/internal/configuration/history.go
+++ b/internal/configuration/history.go
@@ -4,26 +4,26 @@
 	"github.com/samber/lo"
 )
 
-// Bounds of the history that a document keeps.
+// Limits on the history that a document keeps.
 const (
-	// MaximumHistory is the most changes that are kept.
+	// MaximumHistory is the maximum number of changes kept.
 	MaximumHistory = 64
-	// MinimumHistory is how many changes are kept whatever their size.
+	// MinimumHistory is the number of changes kept regardless of their size.
 	MinimumHistory = 8
-	// MaximumHistoryBytes is the most bytes of replaced values beyond MinimumHistory changes.
+	// MaximumHistoryBytes limits the total size of the replaced values once there are more than MinimumHistory changes.
 	MaximumHistoryBytes = 64 << 10
 )
 
-// FindChange returns the change with an id, if the history still has it.
+// FindChange returns the change with the given id if it is still in the history.
 func (d Document) FindChange(changeID string) (Change, bool) {
 	return lo.Find(d.History, func(change Change) bool { return change.ChangeID == changeID })
 }
 
-// OldestBase returns the oldest revision that At can give back.
+// OldestRevision returns the oldest revision that At can reconstruct.
 func (d Document) OldestRevision() uint64 { return d.Revision - uint64(len(d.History)) }
 
-// At returns the document at an earlier revision, by undoing the changes since. It returns false when the history does
-// not reach back so far, or when the revision is still to come.
+// At reconstructs the document at an earlier revision by undoing the changes since. It returns false if the history does
+// not reach back that far, or if the revision does not exist yet.
 func (d Document) At(revision uint64) (Document, bool, error) {
 	if revision > d.Revision || revision < d.OldestRevision() {
 		return Document{}, false, nil
@@ -47,7 +47,7 @@
 	return Document{Spec: spec, Status: status}, true, nil
 }
 
-// undo puts back the values that a change replaced.
+// undo restores the values that a change replaced.
 func (v fieldValues) undo(change Change) {
 	for _, changed := range change.Fields {
 		if changed.Before == nil {
@@ -58,14 +58,14 @@
 	}
 }
 
-// changeInfo is what a new change carries besides its fields.
+// changeMetadata describes the origin of a new change.
 type changeMetadata struct {
 	changeID   string
 	author     string
 	unixMillis int64
 }
 
-// successor returns the document that follows another one with a new spec. It returns false when nothing changed.
+// nextRevision returns the document with the new spec as its next revision. It returns false if the spec is unchanged.
 func (d Document) nextRevision(spec Spec, metadata changeMetadata) (Document, bool, error) {
 	before, err := newFieldValues(d.Spec)
 	if err != nil {
@@ -90,7 +90,7 @@
 	return Document{Spec: normalize(spec), Status: status}, true, nil
 }
 
-// trimHistory drops the oldest changes beyond the bounds.
+// trimHistory drops the oldest changes beyond the limits.
 func trimHistory(history []Change) []Change {
 	size := 0
 	for i, change := range history {
--- a/internal/configuration/merge.go
+++ b/internal/configuration/merge.go
@@ -11,16 +11,16 @@
 // Conflict is a field that two edits changed to different values.
 type Conflict struct {
 	Field Field `json:"field"`
-	// Revision and ChangeID of the other edit. Empty when the history no longer tells it.
+	// Revision, ChangeID and Author of the other edit; empty if it is no longer in the history.
 	Revision uint64 `json:"revision"`
 	ChangeID string `json:"changeID"`
 	Author   string `json:"author,omitempty"`
-	// Mine and Theirs are the two values; empty when that edit removed the field.
+	// Mine and Theirs are the conflicting values; empty if that edit removed the field.
 	Mine   json.RawMessage `json:"mine,omitempty"`
 	Theirs json.RawMessage `json:"theirs,omitempty"`
 }
 
-// String names the field and the other edit in one sentence.
+// String describes the conflict in one sentence.
 func (c Conflict) String() string {
 	edit := c.ChangeID
 	if c.Author != "" {
@@ -34,8 +34,9 @@
 	return lo.Ternary(len(value) == 0, "removed", string(value))
 }
 
-// Merge joins two descendants of one base, field by field. Where only one of them changed a field, that change holds;
-// where both did and differ, theirs holds and the conflict is returned. The result has the status of theirs.
+// Merge performs a three-way merge, field by field. A field that only one side changed takes that change. A field that both
+// sides changed to different values takes the value of theirs and is returned as a conflict. The result has the status of
+// theirs.
 func Merge(base, mine, theirs Document) (Document, []Conflict, error) {
 	baseValues, err := newFieldValues(base.Spec)
 	if err != nil {
@@ -68,7 +69,7 @@
 	return Document{Spec: spec, Status: theirs.Status}, conflicts, err
 }
 
-// conflictOf describes a conflict and finds the latest edit after the base that changed the field.
+// newConflict returns a conflict attributed to the latest edit after the base that changed the field.
 func newConflict(theirs Document, baseRevision uint64, field Field, mineValue, theirValue json.RawMessage) Conflict {
 	conflict := Conflict{Field: field, Mine: mineValue, Theirs: theirValue}
 	for _, change := range theirs.History {
--- a/internal/configuration/merge_test.go
+++ b/internal/configuration/merge_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// edited applies edits as one accepted change.
+// mustAccept applies edits as one change, which must be accepted.
 func mustAccept(t interface{ Fatal(...any) }, document Document, changeID string, edits ...Edit) Document {
 	request := EditRequest{ChangeID: changeID, BaseRevision: document.Revision, Edits: edits}
 	next, conflicts, err := Preview(document, request, time.Unix(1_700_000_000, 0))
@@ -21,7 +21,7 @@
 	return next
 }
 
-// example returns the accepted example of Fès, with labels on some workers, and its rule for quick requests.
+// acceptedExample returns the Fès example as an accepted document with labels on four workers, and its rule "quick".
 func acceptedExample(t testing.TB) (document Document, quick Rule) {
 	t.Helper()
 	shipped, err := Example(ExampleFes)
@@ -37,7 +37,7 @@
 	return document, quick
 }
 
-// scriptedEdit reads one line of the script of merges.
+// parseScriptedEdit parses an edit in testdata/merge.txtar.
 func parseScriptedEdit(t *testing.T, start Document, quick Rule, line string) Edit {
 	t.Helper()
 	words := append(strings.Fields(line), "", "")
@@ -78,13 +78,13 @@
 			next, conflicts, err := Preview(current, request, time.Unix(1_700_000_000, 0))
 			kind, detail, _ := strings.Cut(cases.lines(name, "want")[0], " ")
 			switch kind {
-			case "fault":
+			case "error":
 				if err == nil || !strings.Contains(err.Error(), detail) {
 					t.Errorf("error %v, want %q", err, detail)
 				}
 			case "conflict":
 				if len(conflicts) != 1 || conflicts[0].ChangeID != "theirs" || conflicts[0].Revision != 2 || conflicts[0].Field.String() != detail {
-					t.Errorf("conflicts %v, want one with theirs about %s", conflicts, detail)
+					t.Errorf("conflicts %v, want one with edit theirs about %s", conflicts, detail)
 				}
 			default:
 				if err != nil || len(conflicts) > 0 {
@@ -95,14 +95,14 @@
 					both = mustAccept(t, both, "both", mine)
 				}
 				if differences, _ := Diff(both.Spec, next.Spec); len(differences) > 0 {
-					t.Errorf("not both edits hold: %v", differences)
+					t.Errorf("the merged spec does not contain both edits: %v", differences)
 				}
 			}
 		})
 	}
 }
 
-// withRule returns a spec with another version of a rule.
+// withRule returns a spec with the given version of a rule.
 func withRule(spec Spec, rule Rule) Spec {
 	changed, err := ApplyEdits(spec, []Edit{PutRule(rule)})
 	if err != nil {
@@ -111,7 +111,7 @@
 	return changed
 }
 
-// TestHistoryGivesEveryBaseBack makes many edits and compares each kept base with what was in force then.
+// TestHistoryReconstructsKeptRevisions compares each revision that At reconstructs with the document that was accepted then.
 func TestHistoryReconstructsKeptRevisions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var documents []Document
@@ -181,7 +181,7 @@
 	if got := fmt.Sprint(consequences.WorkerMoves, " ", consequences.RequestMoves); got != want {
 		t.Errorf("got %s, want %s", got, want)
 	}
-	if len(consequences.Warnings) != 1 || !strings.HasPrefix(consequences.Warnings[0], "group counter: the floors need 4") {
+	if len(consequences.Warnings) != 1 || !strings.HasPrefix(consequences.Warnings[0], "group counter: its roleFloors require 4") {
 		t.Errorf("warnings %v", consequences.Warnings)
 	}
 }
--- a/internal/configuration/normalize.go
+++ b/internal/configuration/normalize.go
@@ -10,8 +10,8 @@
 	"github.com/granitebay/granitebay/internal/backend"
 )
 
-// normalize returns the spec in the one form that all specs of the same content have: objects in order of name, and
-// empty lists instead of missing ones. So equal content has equal bytes. The argument is not changed.
+// normalize returns the canonical form of a spec: objects sorted by name, and empty lists and maps instead of nil, so that
+// equal content has equal encodings. It does not modify its argument.
 func normalize(spec Spec) Spec {
 	spec.Groups = sortedBy(spec.Groups, func(g Group) string { return g.Name })
 	spec.Rules = sortedBy(spec.Rules, func(r Rule) string { return r.Name })
@@ -27,7 +27,7 @@
 	return spec
 }
 
-// orEmpty returns an empty list for a missing one.
+// nonNil returns an empty list for nil.
 func nonNil[T any](list []T) []T {
 	if list == nil {
 		return []T{}
--- a/internal/configuration/parse.go
+++ b/internal/configuration/parse.go
@@ -6,43 +6,41 @@
 	"github.com/granitebay/granitebay/internal/strictyaml"
 )
 
-// What readers of documents share with those of other files.
+// Aliases of the strictyaml types that appear in this package's API.
 type (
-	// FieldError is one fault, FieldErrors all of a document.
 	FieldError  = strictyaml.FieldError
 	FieldErrors = strictyaml.FieldErrors
-	// Duration is a time.Duration that is written as in "1m30s".
-	Duration = strictyaml.Duration
+	Duration    = strictyaml.Duration
 )
 
-// Parse reads a document in YAML or JSON. What is not given has its default. The error is FieldErrors with all faults
-// of form at once. The document holds what could be read, so that Validate can find the other faults too.
+// Parse decodes a document in YAML or JSON. Omitted fields get their defaults. The error is FieldErrors and lists all unknown
+// fields and values of the wrong type. The document holds everything that could be decoded, so that Validate can check it.
 func Parse(data []byte) (Document, error) {
 	var document Document
 	err := strictyaml.Parse(data, &document)
 	return document, err
 }
 
-// ParseEditRequest reads an edit in YAML or JSON. The error is FieldErrors as for Parse.
+// ParseEditRequest decodes an edit request in YAML or JSON. The error is FieldErrors as for Parse.
 func ParseEditRequest(data []byte) (EditRequest, error) {
 	var request EditRequest
 	err := strictyaml.Parse(data, &request)
 	return request, err
 }
 
-// ParseAndValidate reads a document and returns all its faults at once.
+// ParseAndValidate decodes a document and returns all parse and validation errors.
 func ParseAndValidate(data []byte) (Document, FieldErrors) {
 	document, err := Parse(data)
 	fieldErrors, _ := err.(FieldErrors)
 	return document, append(fieldErrors, Validate(document)...)
 }
 
-// Decode reads a document as Encode wrote it.
+// Decode decodes a document written by Encode.
 func Decode(data []byte) (Document, error) {
 	var document Document
 	err := json.Unmarshal(data, &document)
 	return document, err
 }
 
-// Encode writes a document as JSON. Equal documents give equal bytes.
+// Encode encodes a document as JSON. Equal documents have equal encodings.
 func Encode(document Document) ([]byte, error) { return json.Marshal(document) }
--- a/internal/configuration/propose.go
+++ b/internal/configuration/propose.go
@@ -10,57 +10,58 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// StoreKey is the key of the store that holds the document.
+// StoreKey is the key under which the store holds the document.
 const StoreKey = "granitebay/configuration"
 
-// MaximumDocumentBytes is the most that a document may take as JSON, its history included.
+// MaximumDocumentBytes limits the size of a JSON-encoded document, including its history.
 const MaximumDocumentBytes = 1 << 20
 
-// The reasons for which an edit is not accepted, besides FieldErrors and conflicts.
+// Reasons other than FieldErrors and conflicts why an edit is not accepted.
 var (
-	// ErrStoreUnavailable means that the store did not answer in time. The edit was not accepted.
-	ErrStoreUnavailable = errors.New("the store did not answer in time; the edit was not accepted")
-	// ErrOutcomeUnknown means that the answer to the write was lost and could not be read back. Proposing the same edit
-	// again with the same change id and base revision settles it.
-	ErrOutcomeUnknown = errors.New("the store did not tell whether the edit was written; propose it again with the same change id")
-	// ErrUnknownBase means that the base revision is too old to be merged, or does not exist.
-	ErrUnknownBase = errors.New("the base revision is unknown or too old; read the configuration and make the edit anew")
-	// ErrNoChangeID means that the edit has no change id.
+	// ErrStoreUnavailable means that the store did not respond in time and the edit was not written.
+	ErrStoreUnavailable = errors.New("the store did not respond in time; the edit was not accepted")
+	// ErrOutcomeUnknown means that the response to the write was lost and the outcome could not be read back. Proposing the
+	// same edit again with the same change id and base revision is safe and resolves it.
+	ErrOutcomeUnknown = errors.New("the store did not confirm whether the edit was written; propose it again with the same change id")
+	// ErrUnknownBase means that the base revision does not exist or is no longer in the history.
+	ErrUnknownBase = errors.New("the base revision is unknown or too old; read the current configuration and redo the edit")
+	// ErrNoChangeID means that the edit request has no change id.
 	ErrNoChangeID = errors.New("the edit has no change id")
-	// ErrTooLarge means that the document would become too large.
-	ErrTooLarge = errors.Newf("the configuration would take more than %d bytes", MaximumDocumentBytes)
-	// ErrUnreadable means that the store holds something that is not a document.
-	ErrUnreadable = errors.New("the store holds a configuration that cannot be read")
+	// ErrTooLarge means that the edited document would exceed MaximumDocumentBytes.
+	ErrTooLarge = errors.Newf("the configuration would exceed %d bytes", MaximumDocumentBytes)
+	// ErrUnreadable means that the stored document cannot be decoded.
+	ErrUnreadable = errors.New("the configuration in the store cannot be decoded")
 )
 
-// EditRequest is an edit of an operator.
+// EditRequest is a list of edits that an operator proposes together.
 type EditRequest struct {
-	// ChangeID tells this edit apart from all others. It is applied once, however often it is proposed.
+	// ChangeID identifies the request. A request is applied once, however often it is proposed.
 	ChangeID string `json:"changeID"`
-	// Author of the edit, for the record only.
+	// Author of the edit; only recorded.
 	Author string `json:"author,omitempty"`
-	// BaseRevision is the revision that the operator saw; zero means that there was no document.
+	// BaseRevision is the revision that the edit is based on; zero means that there was no document.
 	BaseRevision uint64 `json:"baseRevision"`
-	// Edits are made one after the other, all or none.
+	// Edits are applied in order, all or none.
 	Edits []Edit `json:"edits"`
 }
 
-// ProposeResult is what became of an EditRequest.
+// ProposeResult is the outcome of an EditRequest.
 type ProposeResult struct {
 	ChangeID string
 	Accepted bool
-	// Unchanged is set with Accepted when there was nothing to change.
+	// Unchanged is set together with Accepted if the edit changes nothing.
 	Unchanged bool
-	// Revision that the edit made when it was accepted, or that it was merged with otherwise.
+	// Revision that the edit created if it was accepted; otherwise the one it was checked against, or the one it would have
+	// created.
 	Revision uint64
 	// Conflicts with other edits; the edit was not accepted.
 	Conflicts []Conflict
-	// Err tells why the edit was not accepted: FieldErrors or one of the errors of this package, wrapped.
+	// Err is the reason why the edit was not accepted: FieldErrors or one of the errors of this package, possibly wrapped.
 	Err error
 }
 
-// Preview returns the document that an edit would make of the given one, or the conflicts that it has with the edits
-// since its base. The error is FieldErrors when the edit or the document after it is not valid.
+// Preview returns the document that results from applying a request to the current one, or its conflicts with the edits
+// made since its base. The error is FieldErrors if the edit or the resulting document is invalid.
 func Preview(current Document, request EditRequest, now time.Time) (Document, []Conflict, error) {
 	base, found, err := current.At(request.BaseRevision)
 	if err != nil {
@@ -86,29 +87,29 @@
 	return next, nil, Validate(next).OrNil()
 }
 
-// proposePause is the wait after a failed call to the store.
+// retryInterval is the delay after an attempt that failed or lost a race.
 const retryInterval = 100 * time.Millisecond
 
-// proposal is an edit on its way into the store.
+// proposal writes one edit to the store, with retries.
 //
-// Invariant: a write is conditional on the revision that was read before it, and the change id of the edit is looked for in
-// each document that is read, so that an edit is applied once even when the answer to a write is lost.
+// Invariant: each write is conditional on the revision read before it, and each document read is searched for the change id,
+// so an edit is applied once even if the response to a write is lost.
 type proposal struct {
 	store   store.Store
 	request EditRequest
-	// inDoubt is set while a write may have taken effect, or still may.
+	// outcomeUnknown is set while an earlier write may have taken effect or may still do so.
 	outcomeUnknown bool
-	// compared is the revision with which the write in doubt compared.
+	// expectedRevision is the revision on which that write was conditional.
 	expectedRevision store.Revision
 }
 
-// Propose brings an edit into the store: it reads the document, makes the edit, and writes the result if nobody wrote
-// meanwhile. It tries until the context ends.
+// Propose applies an edit to the document in the store with optimistic concurrency control: it reads the document, merges
+// the edit and writes the result if the document is unchanged since. It retries until the context ends.
 func Propose(ctx context.Context, target store.Store, request EditRequest) ProposeResult {
 	return propose(ctx, target, request, retryInterval)
 }
 
-// propose is Propose with the wait after a failed call.
+// propose is Propose with a configurable retry interval.
 func propose(ctx context.Context, target store.Store, request EditRequest, interval time.Duration) ProposeResult {
 	if request.ChangeID == "" {
 		return ProposeResult{Err: ErrNoChangeID}
@@ -127,7 +128,7 @@
 	return ProposeResult{ChangeID: request.ChangeID, Err: lo.Ternary(p.outcomeUnknown, ErrOutcomeUnknown, ErrStoreUnavailable)}
 }
 
-// try makes one round, and tells whether the result is final.
+// attempt reads, merges and writes once, and reports whether the result is final.
 func (p *proposal) attempt(ctx context.Context) (ProposeResult, bool) {
 	current, revision, err := Read(ctx, p.store)
 	if errors.Is(err, ErrUnreadable) {
@@ -140,7 +141,7 @@
 		return ProposeResult{Accepted: true, Revision: change.Revision}, true
 	}
 	if revision != p.expectedRevision {
-		// The key was written since, so that a write which compared with the older revision can't take effect any more.
+		// The key has been written since, so a write conditional on the older revision can no longer take effect.
 		p.outcomeUnknown = false
 	}
 	next, conflicts, err := Preview(current, p.request, time.Now())
@@ -153,7 +154,7 @@
 	return p.write(ctx, next, revision)
 }
 
-// write writes a document in place of the one at a revision.
+// write replaces the document if it is still at the given revision.
 func (p *proposal) write(ctx context.Context, next Document, revision store.Revision) (ProposeResult, bool) {
 	snapshot, err := Compile(next)
 	if err == nil && len(snapshot.encoded) > MaximumDocumentBytes {
@@ -177,11 +178,11 @@
 	}
 }
 
-// Read returns the document in the store with the revision of its key; the zero document and zero when there is none.
+// Read returns the document in the store and the revision of its key, or zero values if there is none.
 func Read(ctx context.Context, source store.Store) (Document, store.Revision, error) {
 	items, _, err := source.List(ctx, StoreKey)
 	if err != nil {
-		return Document{}, 0, errors.Wrap(err, "step read the configuration")
+		return Document{}, 0, errors.Wrap(err, "read configuration from the store")
 	}
 	for _, item := range items {
 		if item.Key != StoreKey {
--- a/internal/configuration/propose_test.go
+++ b/internal/configuration/propose_test.go
@@ -11,33 +11,33 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// fault is how one write to the memory store ends.
+// fault is a failure injected into one write to a memoryStore.
 type fault int
 
 const (
-	// faultNone does the write and answers.
+	// faultNone applies the write and responds.
 	faultNone fault = iota
-	// faultBusy refuses the write.
+	// faultBusy rejects the write.
 	faultBusy
-	// faultLost does the write and loses the answer.
+	// faultLost applies the write and loses the response.
 	faultLost
 	// faultDropped loses the write.
 	faultDropped
-	// faultLate loses the answer and does the write before the next call, if its condition holds then.
+	// faultLate loses the response and applies the write before the next call, if its condition holds then.
 	faultLate
 )
 
-// errNoAnswer is what a caller sees of a lost answer.
-var errNoResponse = errors.New("no answer")
+// errNoResponse is the error that a client gets for a lost response.
+var errNoResponse = errors.New("no response")
 
-// memoryStore holds one document. Its writes end as scripted, and then well.
+// memoryStore holds one document. Its writes are subject to the scripted faults, after which they succeed.
 type memoryStore struct {
 	store.Store
 	value     []byte
 	revision  store.Revision
 	faults    []fault
 	lateWrite *store.Transaction
-	// reads are scripted to fail so many times.
+	// failReads is the number of reads that are still to fail.
 	failReads int
 }
 
@@ -77,7 +77,7 @@
 	return m.revision, nil
 }
 
-// catchUp does a write whose answer was lost.
+// applyLateWrite applies a pending write of faultLate.
 func (m *memoryStore) applyLateWrite() {
 	if m.lateWrite != nil {
 		m.applyIfUnchanged(*m.lateWrite)
@@ -85,7 +85,7 @@
 	}
 }
 
-// write does a write whose condition holds.
+// applyIfUnchanged applies a write if its condition holds.
 func (m *memoryStore) applyIfUnchanged(transaction store.Transaction) bool {
 	if transaction.Conditions[0].Revision != m.revision {
 		return false
@@ -95,7 +95,7 @@
 	return true
 }
 
-// TestEditsAreAppliedOnce proposes an edit to a store whose answers are lost, late or refused.
+// TestEditsAreAppliedOnce proposes an edit to a store that rejects, loses or delays writes, or loses their responses.
 func TestEditsAreAppliedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		faults := []fault{faultBusy, faultLost, faultDropped, faultLate}
@@ -130,7 +130,7 @@
 		faults []fault
 		want   error
 	}{
-		{"the store refuses", repeated(faultBusy), ErrStoreUnavailable},
+		{"the store rejects writes", repeated(faultBusy), ErrStoreUnavailable},
 		{"writes are lost", repeated(faultDropped), ErrOutcomeUnknown},
 	}
 	for _, test := range tests {
@@ -149,6 +149,6 @@
 	}
 	unreadable := &memoryStore{value: []byte("{"), revision: 1}
 	if result := Propose(context.Background(), unreadable, EditRequest{ChangeID: "mine"}); !errors.Is(result.Err, ErrUnreadable) {
-		t.Errorf("an unreadable document: %+v", result)
+		t.Errorf("with an unreadable document: %+v", result)
 	}
 }
--- a/internal/configuration/restore.go
+++ b/internal/configuration/restore.go
@@ -8,11 +8,11 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// ErrDiverged is returned by Restore when the store holds an edit that the known document does not have.
-var ErrDiverged = errors.New("the store holds an edit that is not in the document known here")
+// ErrDiverged is returned by Restore if the store holds an edit that the last known document does not contain.
+var ErrDiverged = errors.New("the store holds an edit that is missing from the last known configuration")
 
-// Restore writes a document that was in force again if the store holds an earlier revision of it, as one does that has come back from an
-// older copy: nobody else has the edits that it lost. It tells whether something was written.
+// Restore writes the last known document back if the store holds an earlier revision of it. This recovers the edits that a
+// store restored from an old backup has lost. It reports whether it wrote.
 func Restore(ctx context.Context, target store.Store, lastKnown Document) (bool, error) {
 	current, revision, err := Read(ctx, target)
 	if err != nil || current.Revision >= lastKnown.Revision {
@@ -28,10 +28,10 @@
 	_, err = target.Commit(ctx, store.Transaction{
 		Conditions: []store.Condition{{Key: StoreKey, Revision: revision}}, Puts: []store.Put{{Key: StoreKey, Value: snapshot.encoded}},
 	})
-	return err == nil, errors.Wrap(err, "step write the configuration again")
+	return err == nil, errors.Wrap(err, "write last known configuration to the store")
 }
 
-// follows tells whether another document is an earlier revision of this one, as far as the history reaches.
+// descendsFrom reports whether the other document is an earlier revision of this one that is still in the history, or empty.
 func (d Document) descendsFrom(other Document) bool {
 	if other.Revision == 0 {
 		return true
--- a/internal/configuration/restore_test.go
+++ b/internal/configuration/restore_test.go
@@ -7,7 +7,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// TestLostEditsAreWrittenAgain has the store hold no document, an earlier one, the same, a later one, and one that went another way.
+// TestRestoreWritesLostEdits checks that Restore only writes to a store that holds an earlier revision of the known document or none.
 func TestRestoreWritesLostEdits(t *testing.T) {
 	edit := func(target *memoryStore, id, label string) Document {
 		t.Helper()
@@ -43,10 +43,10 @@
 		revision uint64
 	}{
 		{"no document", memoryStore{}, true, false, 3},
-		{"an earlier one", earlier, true, false, 3},
-		{"the same", current, false, false, 3},
-		{"a later one", later, false, false, 4},
-		{"one that went another way", diverged, false, true, 2},
+		{"earlier revision", earlier, true, false, 3},
+		{"same revision", current, false, false, 3},
+		{"later revision", later, false, false, 4},
+		{"diverged document", diverged, false, true, 2},
 	} {
 		t.Run(test.desc, func(t *testing.T) {
 			written, err := Restore(t.Context(), &test.store, known)
--- a/internal/configuration/script_test.go
+++ b/internal/configuration/script_test.go
@@ -8,14 +8,14 @@
 	"golang.org/x/tools/txtar"
 )
 
-// script is a file of scripted cases.
+// script is a txtar archive of test cases.
 type script struct {
 	files map[string]string
-	// cases are the names of the cases, in the order of the file.
+	// cases are the names of the test cases, in file order.
 	cases []string
 }
 
-// readScript reads a file of testdata. Files of the archive are named CASE/PART.
+// readScript reads a txtar archive whose files are named CASE/PART.
 func readScript(t *testing.T, path string) script {
 	t.Helper()
 	archive, err := txtar.ParseFile(path)
@@ -32,7 +32,7 @@
 	return s
 }
 
-// lines returns the lines of one part of a case that are not empty.
+// lines returns the non-empty lines of one part of a case.
 func (s script) lines(name, part string) []string {
 	return slices.DeleteFunc(strings.Split(s.files[name+"/"+part], "\n"), func(line string) bool { return line == "" })
 }
--- a/internal/configuration/selector.go
+++ b/internal/configuration/selector.go
@@ -10,26 +10,25 @@
 	"k8s.io/apimachinery/pkg/selection"
 )
 
-// anyValue stands in a witness for "any value that is not mentioned".
+// placeholderValue is the label value in an example if any value satisfies the constraint.
 const placeholderValue = "other"
 
-// keyConstraint is what a conjunction of requirements leaves open for one label.
+// keyConstraint is the set of values of one label that a conjunction of requirements allows.
 type keyConstraint struct {
-	// absent and present tell whether the label may be missing, and whether it may be there.
+	// mayBeAbsent and mayBePresent report whether the label may be missing and whether it may be set.
 	mayBeAbsent, mayBePresent bool
-	// allowed values; nil means every value.
-	allowed map[string]bool
-	// excluded values.
+	// allowed values; nil allows every value.
+	allowed  map[string]bool
 	excluded map[string]bool
-	// greaterThan and lessThan bound integer values; numeric tells that one of them is set.
+	// greaterThan and lessThan are exclusive bounds for integer values; bounded is set if either applies.
 	greaterThan, lessThan int64
 	bounded               bool
 }
 
-// constraints is what a conjunction of requirements leaves open, by key of label.
+// constraints is a conjunction of requirements, by label key.
 type constraints map[string]*keyConstraint
 
-// constrain returns the constraints of requirements.
+// newConstraints returns the conjunction of the requirements.
 func newConstraints(requirements ...labels.Requirement) constraints {
 	result := constraints{}
 	for _, requirement := range requirements {
@@ -38,7 +37,7 @@
 	return result
 }
 
-// of returns the constraint of one key.
+// forKey returns the constraint of a label key, which it creates if necessary.
 func (c constraints) forKey(key string) *keyConstraint {
 	constraint, known := c[key]
 	if !known {
@@ -51,7 +50,7 @@
 	return constraint
 }
 
-// add joins one more requirement.
+// add adds a requirement to the conjunction.
 func (c constraints) add(requirement labels.Requirement) {
 	constraint := c.forKey(requirement.Key())
 	values := requirement.ValuesUnsorted()
@@ -76,7 +75,7 @@
 	}
 }
 
-// allow keeps only the given values.
+// intersectAllowed restricts the allowed values to the given ones.
 func (k *keyConstraint) intersectAllowed(values []string) {
 	allowed := map[string]bool{}
 	for _, value := range values {
@@ -87,13 +86,13 @@
 	k.allowed = allowed
 }
 
-// integer returns the one value of a comparison. The parser of selectors lets nothing else through.
+// parseBound returns the operand of a comparison, which the selector parser has checked to be a single integer.
 func parseBound(values []string) int64 {
 	value, _ := strconv.ParseInt(values[0], 10, 64)
 	return value
 }
 
-// accepts tells whether one value fits.
+// accepts reports whether a value satisfies the constraint.
 func (k *keyConstraint) accepts(value string) bool {
 	if k.excluded[value] || (k.allowed != nil && !k.allowed[value]) {
 		return false
@@ -105,7 +104,7 @@
 	return err == nil && number > k.greaterThan && number < k.lessThan
 }
 
-// value returns a value that fits, and whether there is one.
+// exampleValue returns a value that satisfies the constraint, and whether there is one.
 func (k *keyConstraint) exampleValue() (string, bool) {
 	if !k.mayBePresent {
 		return "", false
@@ -121,7 +120,7 @@
 	if k.greaterThan == math.MaxInt64 {
 		return "", false
 	}
-	// Each step meets another excluded value, so the loop is as long as the list of excluded values.
+	// Each rejected candidate is an excluded value, so the loop ends after at most len(k.excluded)+1 iterations.
 	for number := k.greaterThan + 1; number < k.lessThan; number++ {
 		if candidate := strconv.FormatInt(number, 10); k.accepts(candidate) {
 			return candidate, true
@@ -130,7 +129,7 @@
 	return "", false
 }
 
-// freeValue returns a value that is not excluded.
+// unexcludedValue returns a value that is not excluded.
 func (k *keyConstraint) unexcludedValue() string {
 	value := placeholderValue
 	for k.excluded[value] {
@@ -139,7 +138,7 @@
 	return value
 }
 
-// witness returns labels that meet all constraints, and whether there are any.
+// example returns labels that satisfy all constraints, and whether there are any.
 func (c constraints) example() (labels.Set, bool) {
 	result := labels.Set{}
 	for key, constraint := range c {
@@ -155,14 +154,14 @@
 	return result, true
 }
 
-// satisfiable tells whether some labels meet all constraints.
+// satisfiable reports whether any labels satisfy all constraints.
 func (c constraints) satisfiable() bool {
 	_, found := c.example()
 	return found
 }
 
-// implies tells whether everything that meets the requirements of narrow also meets those of wide. It may say no where
-// the answer is yes, but never the reverse.
+// implies reports whether all labels that satisfy narrow also satisfy wide. It is conservative: it may return false where
+// the implication holds, but never true where it does not.
 func implies(narrow, wide labels.Requirements) bool {
 	return lo.EveryBy(wide, func(requirement labels.Requirement) bool {
 		negated, negatable := negate(requirement)
@@ -173,7 +172,7 @@
 	})
 }
 
-// negate returns the requirement that holds exactly where the given one does not, if there is one.
+// negate returns the logical negation of a requirement, if it can be expressed as one.
 func negate(requirement labels.Requirement) (labels.Requirement, bool) {
 	var operator selection.Operator
 	switch requirement.Operator() {
--- a/internal/configuration/snapshot.go
+++ b/internal/configuration/snapshot.go
@@ -11,7 +11,7 @@
 	"github.com/granitebay/granitebay/internal/routing"
 )
 
-// Snapshot is a compiled document. It never changes and may be used by several goroutines.
+// Snapshot is a compiled document. It is immutable and safe for concurrent use.
 type Snapshot struct {
 	document Document
 	encoded  []byte
@@ -29,13 +29,13 @@
 	selector Selector
 }
 
-// Selector is a parsed selector of labels. It implements routing.Selector.
+// Selector is a parsed label selector. It implements routing.Selector.
 type Selector struct{ parsed labels.Selector }
 
-// MatchesLabels is part of routing.Selector.
+// MatchesLabels reports whether the selector matches a set of labels.
 func (s Selector) MatchesLabels(set map[string]string) bool { return s.parsed.Matches(labels.Set(set)) }
 
-// Compile checks a document and prepares it for matching. The error is FieldErrors when the document is not valid.
+// Compile validates a document and compiles its selectors. The error is FieldErrors if the document is invalid.
 func Compile(document Document) (*Snapshot, error) {
 	if err := Validate(document).OrNil(); err != nil {
 		return nil, err
@@ -43,7 +43,7 @@
 	document.Spec = normalize(document.Spec)
 	encoded, err := Encode(document)
 	if err != nil {
-		return nil, errors.Wrap(err, "step encode the configuration")
+		return nil, errors.Wrap(err, "encode configuration")
 	}
 	snapshot := &Snapshot{document: document, encoded: encoded}
 	return snapshot, snapshot.compileSelectors()
@@ -53,14 +53,14 @@
 	for _, group := range s.document.Groups {
 		selector, err := labels.Parse(group.WorkerSelector)
 		if err != nil {
-			return errors.Wrapf(err, "step compile the selector of group %s", group.Name)
+			return errors.Wrapf(err, "compile selector of group %s", group.Name)
 		}
 		s.groups = append(s.groups, compiledGroup{group: group, selector: Selector{selector}})
 	}
 	for _, rule := range s.document.Rules {
 		selector, err := labels.Parse(rule.RequestSelector)
 		if err != nil {
-			return errors.Wrapf(err, "step compile the selector of rule %s", rule.Name)
+			return errors.Wrapf(err, "compile selector of rule %s", rule.Name)
 		}
 		s.rules = append(s.rules, compiledRule{rule: rule, selector: Selector{selector}})
 	}
@@ -70,16 +70,16 @@
 	return nil
 }
 
-// Document returns the document. The caller must not change it.
+// Document returns the document. The caller must not modify it.
 func (s *Snapshot) Document() Document { return s.document }
 
 // Revision returns the revision of the document.
 func (s *Snapshot) Revision() uint64 { return s.document.Revision }
 
-// Groups returns all groups by name. The caller must not change them.
+// Groups returns all groups sorted by name. The caller must not modify them.
 func (s *Snapshot) Groups() []Group { return s.document.Groups }
 
-// Rules returns all rules in the order in which they are tried.
+// Rules returns all rules in matching order.
 func (s *Snapshot) Rules() []Rule {
 	return lo.Map(s.rules, func(c compiledRule, _ int) Rule { return c.rule })
 }
@@ -95,7 +95,7 @@
 	return Group{}, false
 }
 
-// LabelsOf returns all labels of a worker: its own and those of the operators on top.
+// LabelsOf returns the labels that a worker reports, overridden by those that operators set.
 func (s *Snapshot) LabelsOf(worker WorkerInfo) map[string]string {
 	return lo.Assign(worker.Labels, s.document.WorkerLabels[worker.Address])
 }
@@ -106,7 +106,7 @@
 	return found.rule, selected
 }
 
-// Routing returns the groups and rules as the request path takes them. Groups whose services are not there have no members.
+// Routing converts the groups and rules to the configuration of the request path. It does not include the services.
 func (s *Snapshot) Routing() *routing.Configuration {
 	result := &routing.Configuration{Revision: int64(s.Revision()), WorkerLabels: s.document.WorkerLabels}
 	for _, g := range s.groups {
@@ -121,7 +121,7 @@
 	return result
 }
 
-// routing returns a rule as the request path takes it.
+// toRoutingRule converts a rule to the form that the request path uses.
 func (c compiledRule) toRoutingRule() routing.Rule {
 	return routing.Rule{
 		Name:           c.rule.Name,
--- a/internal/configuration/validate_selection.go
+++ b/internal/configuration/validate_selection.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// groupOverlaps checks that no worker can be selected by this group and an earlier one.
+// validateGroupOverlaps checks that no worker can be selected by both this group and an earlier one.
 func (v *validator) validateGroupOverlaps(field string, index int) {
 	selector := v.groupSelectors[index]
 	if selector == nil {
@@ -36,9 +36,9 @@
 		example, overlap := both.example()
 		if overlap {
 			v.addError(field, v.spec.Groups[index].WorkerSelector, fmt.Sprintf(
-				"can select a worker that group %s selects too (%s: %q), for example one with the labels {%s}",
+				"can select a worker that group %s also selects (%s: %q), for example one with the labels {%s}",
 				v.spec.Groups[earlier].Name, "workerSelector", v.spec.Groups[earlier].WorkerSelector, example),
-				"selectors that demand different values of one label")
+				"selectors that require different values of a label")
 		}
 	}
 }
@@ -55,7 +55,8 @@
 	}
 }
 
-// ruleSelector parses the selector of a rule and checks the labels that the system sets.
+// parseRuleSelector parses the selector of a rule and checks that it allows a valid value of the label repeatable. It
+// returns nil if the selector is invalid.
 func (v *validator) parseRuleSelector(field, text string) labels.Selector {
 	selector := v.parseSelector(field, text)
 	if selector == nil {
@@ -69,16 +70,16 @@
 	return selector
 }
 
-// repeatableIsBoolean is what the system guarantees of the label repeatable.
+// repeatableRequirement returns the requirement that every request satisfies: the label repeatable is true or false.
 func repeatableRequirement() labels.Requirement {
 	requirement, err := labels.NewRequirement(LabelRepeatable, selection.In, []string{"false", "true"})
 	if err != nil {
-		panic(err) // cannot be: the values are constant
+		panic(err) // unreachable: the arguments are constant
 	}
 	return *requirement
 }
 
-// ruleGroups checks that the groups of a rule exist and share its requests.
+// validateRuleGroups checks that the groups of a rule exist and that their weights are usable.
 func (v *validator) validateRuleGroups(field string, rule Rule) {
 	if len(rule.Groups) == 0 {
 		v.addError(field, nil, "is missing", "at least one group")
@@ -95,13 +96,13 @@
 		totalWeight += share.Weight
 	}
 	if totalWeight <= 0 {
-		v.addError(field, nil, "share nothing", "at least one weight above 0")
+		v.addError(field, nil, "have a total weight of 0", "at least one weight above 0")
 	}
 }
 
 func (v *validator) validateRuleValues(path string, rule Rule) {
 	if rule.Priority < 0 || rule.Priority > MaximumPriority {
-		v.addError(path+".priority", rule.Priority, "is out of bounds", fmt.Sprintf("a whole number from 0 to %d", MaximumPriority))
+		v.addError(path+".priority", rule.Priority, "is out of range", fmt.Sprintf("an integer from 0 to %d", MaximumPriority))
 	}
 	if rule.Timeout <= 0 {
 		v.addError(path+".timeout", rule.Timeout, "is not positive", "a duration above 0s")
@@ -113,7 +114,7 @@
 	v.validateMinimum(path+".tenantInFlight", float64(rule.TenantInFlight), 0)
 }
 
-// shadowed checks that no rule of higher precedence takes all requests of this one.
+// validateReachable checks that no rule tried earlier selects every request that this one selects.
 func (v *validator) validateReachable(field string, index int) {
 	selector := v.ruleSelectors[index]
 	if selector == nil {
@@ -126,15 +127,15 @@
 		requirements := append(slices.Clone(requirementsOf(selector)), repeatableRequirement())
 		if implies(requirements, requirementsOf(other)) {
 			v.addError(field, v.spec.Rules[index].RequestSelector, fmt.Sprintf(
-				"can never match: rule %s comes first (precedence %d) and takes all these requests (%q)",
+				"can never match: rule %s is tried first (precedence %d) and selects all these requests (%q)",
 				v.spec.Rules[i].Name, v.spec.Rules[i].Precedence, v.spec.Rules[i].RequestSelector),
-				"a higher precedence, or another selector")
+				"a higher precedence or another selector")
 			return
 		}
 	}
 }
 
-// ruleBefore tells whether rule a is tried before rule b.
+// rulePrecedes reports whether rule a is tried before rule b.
 func rulePrecedes(a, b Rule) bool {
 	if a.Precedence != b.Precedence {
 		return a.Precedence > b.Precedence
--- a/internal/configuration/validate_test.go
+++ b/internal/configuration/validate_test.go
@@ -25,18 +25,18 @@
 			_, fieldErrors := ParseAndValidate([]byte(strings.NewReplacer(replace...).Replace(cases.files["base.yaml"])))
 			got := lo.Map(fieldErrors, func(fieldError FieldError, _ int) string { return fieldError.Field })
 			if !slices.Equal(got, cases.lines(name, "want")) {
-				t.Errorf("faults %q\nwant fields %q", fieldErrors, cases.lines(name, "want"))
+				t.Errorf("errors %q\nwant fields %q", fieldErrors, cases.lines(name, "want"))
 			}
 			for _, fieldError := range fieldErrors {
 				if fieldError.Problem == "" || (fieldError.Allowed == "" && fieldError.Field != "(document)") {
-					t.Errorf("%v does not tell what is wrong and what is allowed", fieldError)
+					t.Errorf("%v does not state the problem and the allowed values", fieldError)
 				}
 			}
 		})
 	}
 }
 
-// validDocument returns the valid document of the script.
+// validDocument returns the base document of testdata/validate.txtar.
 func validDocument(t *testing.T) Document {
 	t.Helper()
 	document, fieldErrors := ParseAndValidate([]byte(readScript(t, "testdata/validate.txtar").files["base.yaml"]))
@@ -67,7 +67,7 @@
 		t.Fatal(err)
 	}
 	if got, err := Encode(reparsed); err != nil || !bytes.Equal(got, want) {
-		t.Errorf("read again %s, %v\nwant %s", got, err, want)
+		t.Errorf("after round trip %s, %v\nwant %s", got, err, want)
 	}
 }
 
@@ -82,8 +82,8 @@
 		labels  map[string]string
 		want    string
 	}{
-		{"label of the operators over that of the worker", "10.0.0.1:80", map[string]string{"pool": "desk"}, "dock"},
-		{"label of the worker", "10.0.0.2:80", map[string]string{"pool": "spare"}, "desk"},
+		{"operator label overrides worker label", "10.0.0.1:80", map[string]string{"pool": "desk"}, "dock"},
+		{"worker label", "10.0.0.2:80", map[string]string{"pool": "spare"}, "desk"},
 		{"no label", "10.0.0.2:80", nil, ""},
 	}
 	for _, test := range tests {
@@ -113,9 +113,9 @@
 	got := Warnings(document, []WorkerInfo{{Address: "b", Service: "review"}, {Address: "10.0.0.1:80", Service: "review"}})
 	want := []string{
 		`group desk: its selector "pool in (desk, spare)" matches no worker of service review`,
-		"group dock: the floors need 2 workers and it has 1",
-		"rule quick: none of its groups has a worker",
-		"workerLabels: there are labels on workers that do not exist now: x-1, x-2, x-3 and 2 more",
+		"group dock: its roleFloors require 2 workers but it has 1",
+		"rule quick: none of its groups has workers",
+		"workerLabels: labels are set on workers that do not exist: x-1, x-2, x-3 and 2 more",
 	}
 	if !slices.Equal(got, want) {
 		t.Errorf("got  %q\nwant %q", got, want)
@@ -127,7 +127,7 @@
 	}
 }
 
-// drawSelector draws a selector over a few keys and values.
+// drawSelector draws a selector over two keys and three values.
 func drawSelector(t *rapid.T, name string) labels.Selector {
 	requirement := rapid.Custom(func(t *rapid.T) string {
 		key := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "key")
@@ -146,7 +146,7 @@
 	return selector
 }
 
-// TestSelectorLogic compares what is concluded from selectors with all sets of labels over a few values.
+// TestSelectorReasoningMatchesEnumeration compares satisfiability and implication with an enumeration of label sets.
 func TestSelectorReasoningMatchesEnumeration(t *testing.T) {
 	var sets []labels.Set
 	for _, a := range []string{"", "0", "1", "2", "3", "4", "x"} {
--- a/internal/configuration/warnings.go
+++ b/internal/configuration/warnings.go
@@ -9,16 +9,16 @@
 	"github.com/granitebay/granitebay/internal/strictyaml"
 )
 
-// WorkerInfo is what a worker tells of itself.
+// WorkerInfo is what a worker reports about itself.
 type WorkerInfo struct {
 	Address string `json:"address"`
 	Service string `json:"service"`
-	// Labels of the worker, its zone and its role included.
+	// Labels of the worker, including its zone and role.
 	Labels map[string]string `json:"labels"`
 }
 
-// Warnings returns what is allowed but likely to be a mistake: groups that select no or too few workers, labels on unknown
-// workers, and rules whose groups are all empty. The document must be valid.
+// Warnings returns likely mistakes in a valid document: groups that select no or too few workers, rules whose groups are all
+// empty, and labels on unknown workers.
 func Warnings(document Document, workers []WorkerInfo) []string {
 	snapshot, err := Compile(document)
 	if err != nil {
@@ -46,7 +46,7 @@
 		}
 		floors := lo.Sum(lo.Values(group.RoleFloors))
 		if floors > size {
-			warnings = append(warnings, fmt.Sprintf("group %s: the floors need %d workers and it has %d", group.Name, floors, size))
+			warnings = append(warnings, fmt.Sprintf("group %s: its roleFloors require %d workers but it has %d", group.Name, floors, size))
 		}
 	}
 	return warnings
@@ -56,13 +56,13 @@
 	var warnings []string
 	for _, rule := range snapshot.Rules() {
 		if lo.EveryBy(rule.Groups, func(share GroupShare) bool { return sizes[share.Group] == 0 }) {
-			warnings = append(warnings, fmt.Sprintf("rule %s: none of its groups has a worker", rule.Name))
+			warnings = append(warnings, fmt.Sprintf("rule %s: none of its groups has workers", rule.Name))
 		}
 	}
 	return warnings
 }
 
-// shownNames is the most workers that one warning names.
+// maxListedWorkers limits the number of workers that a warning lists.
 const maxListedWorkers = 3
 
 func labelWarnings(snapshot *Snapshot, workers []WorkerInfo) []string {
@@ -75,10 +75,10 @@
 	if more := len(unknown) - maxListedWorkers; more > 0 {
 		text += fmt.Sprintf(" and %d more", more)
 	}
-	return []string{"workerLabels: there are labels on workers that do not exist now: " + text}
+	return []string{"workerLabels: labels are set on workers that do not exist: " + text}
 }
 
-// RequestWarnings returns the classes of requests that no rule selects. The document must be valid.
+// RequestWarnings returns a warning for each class of requests that no rule of a valid document selects.
 func RequestWarnings(document Document, requests []map[string]string) []string {
 	snapshot, err := Compile(document)
 	if err != nil {
--- a/internal/configuration/what_if.go
+++ b/internal/configuration/what_if.go
@@ -6,34 +6,34 @@
 	"github.com/samber/lo"
 )
 
-// Move is a worker that changes its group, or a class of requests that changes its rule.
+// Move is a change of the group of a worker, or of the rule of a class of requests.
 type Move struct {
 	// Subject is the address of the worker, or the labels of the requests.
 	Subject string `json:"subject"`
-	// From and To are names of groups or rules; empty means none.
+	// From and To are the names of groups or rules; empty means none.
 	From string `json:"from"`
 	To   string `json:"to"`
 }
 
-// String returns the move in words.
+// String returns a description such as "worker 10.0.0.1:80: dock -> none".
 func (m Move) String() string {
 	return fmt.Sprintf("%s: %s -> %s", m.Subject, lo.CoalesceOrEmpty(m.From, "none"), lo.CoalesceOrEmpty(m.To, "none"))
 }
 
-// Consequences is what an edit would do.
+// Consequences lists the effects that an edit would have.
 type Consequences struct {
-	// Differences of the spec, in words.
+	// Differences between the specs.
 	Differences []Difference `json:"differences"`
-	// WorkerMoves are the workers that change their group.
+	// WorkerMoves are the workers whose group changes.
 	WorkerMoves []Move `json:"workerMoves"`
-	// RequestMoves are the classes of requests that change their rule.
+	// RequestMoves are the classes of requests whose rule changes.
 	RequestMoves []Move `json:"requestMoves"`
-	// Warnings about the document after the edit.
+	// Warnings about the edited document.
 	Warnings []string `json:"warnings"`
 }
 
-// WhatIf returns what would follow if the document after took the place of the document before, for the given workers
-// and classes of requests. The error is FieldErrors when the document after is not valid.
+// WhatIf returns the effects of replacing one document by another on the given workers and classes of requests. The error is
+// FieldErrors if the new document is invalid.
 func WhatIf(before, after Document, workers []WorkerInfo, requests []map[string]string) (Consequences, error) {
 	newSnapshot, err := Compile(after)
 	if err != nil {
