--- a/internal/configuration/parse.go
+++ b/internal/configuration/parse.go
@@ -8,9 +8,11 @@
 
 // Aliases of the strictyaml types that appear in this package's API.
 type (
+	// FieldError is one error in a document, and FieldErrors lists all of them.
 	FieldError  = strictyaml.FieldError
 	FieldErrors = strictyaml.FieldErrors
-	Duration    = strictyaml.Duration
+	// Duration is a time.Duration that is encoded as a string such as "1m30s".
+	Duration = strictyaml.Duration
 )
 
 // Parse decodes a document in YAML or JSON. Omitted fields get their defaults. The error is FieldErrors and lists all unknown
