--- a/internal/settings/fields.go
+++ b/internal/settings/fields.go
@@ -20,32 +20,32 @@
 
 // Fields lists the fields of a settings file, in their order.
 func Fields() []Field {
-	given := defaults()
-	missing := map[string]bool{}
-	for _, fault := range given.faults() {
-		missing[fault.Field] = true
+	initial := defaultFile()
+	required := map[string]bool{}
+	for _, fieldError := range initial.validate() {
+		required[fieldError.Field] = true
 	}
 	var fields []Field
-	collect("", reflect.ValueOf(given), func(path string, value reflect.Value) {
-		fields = append(fields, Field{Path: path, Default: show(value), Required: missing[path]})
+	visitFields("", reflect.ValueOf(initial), func(path string, value reflect.Value) {
+		fields = append(fields, Field{Path: path, Default: formatDefault(value), Required: required[path]})
 	})
 	return fields
 }
 
 // collect visits the fields of a struct and of those in it.
-func collect(prefix string, value reflect.Value, visit func(path string, value reflect.Value)) {
+func visitFields(prefix string, value reflect.Value, visit func(path string, value reflect.Value)) {
 	for i := range value.NumField() {
 		name, _, _ := strings.Cut(value.Type().Field(i).Tag.Get("json"), ",")
-		if member := value.Field(i); member.Kind() == reflect.Struct {
-			collect(prefix+name+".", member, visit)
+		if field := value.Field(i); field.Kind() == reflect.Struct {
+			visitFields(prefix+name+".", field, visit)
 		} else {
-			visit(prefix+name, member)
+			visit(prefix+name, field)
 		}
 	}
 }
 
 // show writes a default.
-func show(value reflect.Value) string {
+func formatDefault(value reflect.Value) string {
 	switch v := value.Interface().(type) {
 	case []string:
 		return strings.Join(v, ", ")
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -20,7 +20,7 @@
 const PathVariable = "GRANITEBAY_CONFIG"
 
 // file is the form of the settings. Addresses are IP:PORT.
-type file struct {
+type settingsFile struct {
 	// Name of the gateway, unique in the fleet. Required.
 	Name string `json:"name"`
 	// Zone of the gateway; near workers are preferred.
@@ -28,24 +28,24 @@
 	// Cores is the processor capacity that the process may use.
 	Cores float64 `json:"cores"`
 	// LinkMbps is the bandwidth of the machine, and Descriptors how many files and connections the process may open; 0 is unknown.
-	LinkMbps    float64 `json:"linkMbps"`
-	Descriptors int     `json:"descriptors"`
-	Listen      listen  `json:"listen"`
+	LinkMbps    float64        `json:"linkMbps"`
+	Descriptors int            `json:"descriptors"`
+	Listen      listenSettings `json:"listen"`
 	// Seeds are control addresses of other gateways; some may be stale or down.
 	Seeds []string `json:"seeds"`
 	// FirstStart is set when the whole system starts for the first time.
 	FirstStart bool `json:"firstStart"`
 	// Store is the address of the store. Required.
-	Store   string  `json:"store"`
-	Timings timings `json:"timings"`
-	Retries retries `json:"retries"`
-	Duties  duties  `json:"duties"`
+	Store   string         `json:"store"`
+	Timings timingSettings `json:"timings"`
+	Retries retrySettings  `json:"retries"`
+	Duties  dutySettings   `json:"duties"`
 	// LogLevel is debug, info, warn or error.
 	LogLevel string `json:"logLevel"`
 }
 
 // listen are the addresses at which a gateway serves.
-type listen struct {
+type listenSettings struct {
 	// Callers, Ready, Directory and Peers are required.
 	Callers   string `json:"callers"`
 	Ready     string `json:"ready"`
@@ -59,7 +59,7 @@
 }
 
 // timings are the durations that the surroundings of a gateway set.
-type timings struct {
+type timingSettings struct {
 	// Grace is how long a planned stop may take.
 	Grace strictyaml.Duration `json:"grace"`
 	// AddressTTL is how long callers keep addresses, at most MaximumAddressTTL.
@@ -77,14 +77,14 @@
 }
 
 // retries bound the repeats of all gateways together within a window: a ratio of the requests and an allowance.
-type retries struct {
+type retrySettings struct {
 	Ratio     float64             `json:"ratio"`
 	Allowance float64             `json:"allowance"`
 	Window    strictyaml.Duration `json:"window"`
 }
 
 // duties are the calls to the platform that one gateway makes for all.
-type duties struct {
+type dutySettings struct {
 	// Address takes the calls; empty makes none.
 	Address string `json:"address"`
 	// UsageWindow is the length of the windows in which the usage of tenants is reported, 0s for none, and UsageDue how long after
@@ -94,18 +94,18 @@
 }
 
 // defaults returns a file in which only the required fields are missing.
-func defaults() file {
-	given := gateway.DefaultSettings()
-	return file{
-		Cores: given.Cores,
-		Timings: timings{
-			Grace: strictyaml.Duration(given.Grace), AddressTTL: strictyaml.Duration(given.AddressTTL),
-			MaximumAddressTTL: strictyaml.Duration(given.MaxAddressTTL), Lease: strictyaml.Duration(given.LeaseTTL),
-			Configuration: strictyaml.Duration(given.ConfigurationAge),
-			Drain:         strictyaml.Duration(given.DrainTime), Thaw: strictyaml.Duration(given.ThawPause),
+func defaultFile() settingsFile {
+	settings := gateway.DefaultSettings()
+	return settingsFile{
+		Cores: settings.Cores,
+		Timings: timingSettings{
+			Grace: strictyaml.Duration(settings.Grace), AddressTTL: strictyaml.Duration(settings.AddressTTL),
+			MaximumAddressTTL: strictyaml.Duration(settings.MaxAddressTTL), Lease: strictyaml.Duration(settings.LeaseTTL),
+			Configuration: strictyaml.Duration(settings.ConfigurationAge),
+			Drain:         strictyaml.Duration(settings.DrainTime), Thaw: strictyaml.Duration(settings.ThawPause),
 		},
-		Retries:  retries{Ratio: given.RetryRatio, Allowance: given.RetryAllowance, Window: strictyaml.Duration(given.RetryWindow)},
-		LogLevel: given.LogLevel,
+		Retries:  retrySettings{Ratio: settings.RetryRatio, Allowance: settings.RetryAllowance, Window: strictyaml.Duration(settings.RetryWindow)},
+		LogLevel: settings.LogLevel,
 	}
 }
 
@@ -120,18 +120,18 @@
 
 // Parse reads the content of a settings file.
 func Parse(content []byte) (*gateway.Settings, error) {
-	f := defaults()
+	f := defaultFile()
 	err := strictyaml.Parse(content, &f)
-	var faults strictyaml.FieldErrors
-	errors.As(err, &faults)
-	if faults = append(faults, f.faults()...); len(faults) > 0 {
-		return nil, errors.Wrap(faults, "step check the settings")
+	var fieldErrors strictyaml.FieldErrors
+	errors.As(err, &fieldErrors)
+	if fieldErrors = append(fieldErrors, f.validate()...); len(fieldErrors) > 0 {
+		return nil, errors.Wrap(fieldErrors, "step check the settings")
 	}
-	return f.settings(), nil
+	return f.toSettings(), nil
 }
 
 // settings returns the file as the gateway takes it.
-func (f *file) settings() *gateway.Settings {
+func (f *settingsFile) toSettings() *gateway.Settings {
 	s := gateway.DefaultSettings()
 	s.Name, s.Zone, s.Cores = f.Name, f.Zone, f.Cores
 	s.LinkMbps, s.Descriptors = f.LinkMbps, f.Descriptors
@@ -150,76 +150,76 @@
 }
 
 // faults returns everything that is missing or out of range.
-func (f *file) faults() strictyaml.FieldErrors {
-	c := &checker{}
+func (f *settingsFile) validate() strictyaml.FieldErrors {
+	v := &validator{}
 	if f.Name == "" {
-		c.add("name", f.Name, "is missing", "a name that no other gateway has")
+		v.addError("name", f.Name, "is missing", "a name that no other gateway has")
 	}
-	c.positive("cores", f.Cores)
-	c.atLeastZero("linkMbps", f.LinkMbps)
-	c.atLeastZero("descriptors", float64(f.Descriptors))
-	c.address("listen.callers", f.Listen.Callers, true)
-	c.address("listen.ready", f.Listen.Ready, true)
-	c.address("listen.directory", f.Listen.Directory, true)
-	c.address("listen.peers", f.Listen.Peers, true)
-	c.address("listen.control", f.Listen.Control, false)
-	c.address("listen.admin", f.Listen.Admin, false)
+	v.checkPositive("cores", f.Cores)
+	v.checkNotNegative("linkMbps", f.LinkMbps)
+	v.checkNotNegative("descriptors", float64(f.Descriptors))
+	v.checkAddress("listen.callers", f.Listen.Callers, true)
+	v.checkAddress("listen.ready", f.Listen.Ready, true)
+	v.checkAddress("listen.directory", f.Listen.Directory, true)
+	v.checkAddress("listen.peers", f.Listen.Peers, true)
+	v.checkAddress("listen.control", f.Listen.Control, false)
+	v.checkAddress("listen.admin", f.Listen.Admin, false)
 	for i, seed := range f.Seeds {
-		c.address(fmt.Sprintf("seeds[%d]", i), seed, true)
+		v.checkAddress(fmt.Sprintf("seeds[%d]", i), seed, true)
 	}
-	c.address("store", f.Store, true)
-	c.duration("timings.grace", f.Timings.Grace, true)
-	c.duration("timings.addressTTL", f.Timings.AddressTTL, true)
-	c.duration("timings.maximumAddressTTL", f.Timings.MaximumAddressTTL, true)
-	c.duration("timings.lease", f.Timings.Lease, true)
-	c.duration("timings.minimumLease", f.Timings.MinimumLease, false)
-	c.duration("timings.configuration", f.Timings.Configuration, true)
-	c.duration("timings.drain", f.Timings.Drain, false)
-	c.duration("timings.thaw", f.Timings.Thaw, false)
-	c.atLeastZero("retries.ratio", f.Retries.Ratio)
-	c.atLeastZero("retries.allowance", f.Retries.Allowance)
-	c.duration("retries.window", f.Retries.Window, true)
-	c.address("duties.address", f.Duties.Address, false)
-	c.duration("duties.usageWindow", f.Duties.UsageWindow, false)
-	c.duration("duties.usageDue", f.Duties.UsageDue, false)
+	v.checkAddress("store", f.Store, true)
+	v.checkDuration("timings.grace", f.Timings.Grace, true)
+	v.checkDuration("timings.addressTTL", f.Timings.AddressTTL, true)
+	v.checkDuration("timings.maximumAddressTTL", f.Timings.MaximumAddressTTL, true)
+	v.checkDuration("timings.lease", f.Timings.Lease, true)
+	v.checkDuration("timings.minimumLease", f.Timings.MinimumLease, false)
+	v.checkDuration("timings.configuration", f.Timings.Configuration, true)
+	v.checkDuration("timings.drain", f.Timings.Drain, false)
+	v.checkDuration("timings.thaw", f.Timings.Thaw, false)
+	v.checkNotNegative("retries.ratio", f.Retries.Ratio)
+	v.checkNotNegative("retries.allowance", f.Retries.Allowance)
+	v.checkDuration("retries.window", f.Retries.Window, true)
+	v.checkAddress("duties.address", f.Duties.Address, false)
+	v.checkDuration("duties.usageWindow", f.Duties.UsageWindow, false)
+	v.checkDuration("duties.usageDue", f.Duties.UsageDue, false)
 	if _, err := logrus.ParseLevel(f.LogLevel); err != nil {
-		c.add("logLevel", f.LogLevel, "is not a level", "debug, info, warn or error")
+		v.addError("logLevel", f.LogLevel, "is not a level", "debug, info, warn or error")
 	}
-	return c.faults
+	return v.errs
 }
 
 // checker collects faults.
-type checker struct{ faults strictyaml.FieldErrors }
+type validator struct{ errs strictyaml.FieldErrors }
 
 // add notes one fault.
-func (c *checker) add(field string, value any, problem, allowed string) {
-	c.faults = append(c.faults, strictyaml.FieldError{Field: field, Value: strictyaml.Quote(value), Problem: problem, Allowed: allowed})
+func (v *validator) addError(field string, value any, problem, allowed string) {
+	v.errs = append(v.errs, strictyaml.FieldError{Field: field, Value: strictyaml.Quote(value), Problem: problem, Allowed: allowed})
 }
 
 // address checks IP:PORT.
-func (c *checker) address(field, value string, required bool) {
+func (v *validator) checkAddress(field, value string, required bool) {
 	if value == "" && !required {
 		return
 	}
 	if _, _, err := net.SplitHostPort(value); err != nil {
-		c.add(field, value, "is not an address", "IP:PORT")
+		v.addError(field, value, "is not an address", "IP:PORT")
 	}
 }
 
-func (c *checker) positive(field string, value float64) {
+func (v *validator) checkPositive(field string, value float64) {
 	if !(value > 0) {
-		c.add(field, value, "is not positive", "a number above 0")
+		v.addError(field, value, "is not positive", "a number above 0")
 	}
 }
 
-func (c *checker) atLeastZero(field string, value float64) {
+func (v *validator) checkNotNegative(field string, value float64) {
 	if !(value >= 0) {
-		c.add(field, value, "is negative", "a number of at least 0")
+		v.addError(field, value, "is negative", "a number of at least 0")
 	}
 }
 
-func (c *checker) duration(field string, value strictyaml.Duration, positive bool) {
+func (v *validator) checkDuration(field string, value strictyaml.Duration, positive bool) {
 	if value < 0 || (positive && value == 0) {
-		c.add(field, value, "is out of range", fmt.Sprintf("a duration above 0s, as in %s", 3*time.Second))
+		v.addError(field, value, "is out of range", fmt.Sprintf("a duration above 0s, as in %s", 3*time.Second))
 	}
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -8,15 +8,15 @@
 )
 
 // least has the required fields only.
-const least = `
+const minimalSettings = `
 name: gateway-1
 listen: {callers: "10.0.0.1:1", ready: "10.0.0.1:2", directory: "10.0.0.1:3", peers: "10.0.0.1:4", control: "10.0.0.1:5"}
 store: 10.0.0.9:80
 seeds: ["10.0.0.1:5", "10.0.0.2:5"]
 `
 
-func TestDefaultsStandInForWhatIsNotGiven(t *testing.T) {
-	got, err := Parse([]byte(least))
+func TestParseAppliesDefaults(t *testing.T) {
+	got, err := Parse([]byte(minimalSettings))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -25,15 +25,15 @@
 	}
 }
 
-func TestEveryFaultIsNamed(t *testing.T) {
+func TestParseReportsAllErrors(t *testing.T) {
 	tests := []struct {
 		desc, text string
 		want       []string
 	}{
 		{"nothing", "{}", []string{"name:", "listen.callers:", "listen.ready:", "listen.directory:", "listen.peers:", "store:"}},
-		{"values", least + "cores: -1\nlogLevel: loud\ntimings: {grace: 0s, thaw: -1s}\nretries: {ratio: -1, window: soon}\n",
+		{"values", minimalSettings + "cores: -1\nlogLevel: loud\ntimings: {grace: 0s, thaw: -1s}\nretries: {ratio: -1, window: soon}\n",
 			[]string{"cores: -1", `logLevel: "loud"`, "timings.grace", "timings.thaw", "retries.ratio", "retries.window"}},
-		{"unknown field", least + "zones: a\n", []string{"zones"}},
+		{"unknown field", minimalSettings + "zones: a\n", []string{"zones"}},
 		{"no YAML", "[", []string{"(document)"}},
 	}
 	for _, test := range tests {
