--- a/internal/settings/fields.go
+++ b/internal/settings/fields.go
@@ -12,13 +12,13 @@
 type Field struct {
 	// Path of the field, for example "listen.callers".
 	Path string
-	// Default as it would be written; empty when there is none.
+	// Default value as written in the file; empty if there is none.
 	Default string
-	// Required fields have no default and must be given.
+	// Required is set for fields without a default.
 	Required bool
 }
 
-// Fields lists the fields of a settings file, in their order.
+// Fields returns all fields of a settings file, in declaration order.
 func Fields() []Field {
 	initial := defaultFile()
 	required := map[string]bool{}
@@ -32,7 +32,7 @@
 	return fields
 }
 
-// collect visits the fields of a struct and of those in it.
+// visitFields calls visit for each leaf field of a struct, including those of nested structs.
 func visitFields(prefix string, value reflect.Value, visit func(path string, value reflect.Value)) {
 	for i := range value.NumField() {
 		name, _, _ := strings.Cut(value.Type().Field(i).Tag.Get("json"), ",")
@@ -44,7 +44,7 @@
 	}
 }
 
-// show writes a default.
+// formatDefault formats a value as it is written in the file.
 func formatDefault(value reflect.Value) string {
 	switch v := value.Interface().(type) {
 	case []string:
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the settings of a gateway: a YAML file that is read at the start and whenever it changes. On the
-// users' machines the platform fills it from deploy/gateway.yaml.
+// Package settings loads the settings of a gateway from a YAML file, which is read at startup and whenever it changes. In
+// production the platform generates the file from the template deploy/gateway.yaml.
 package settings
 
 import (
@@ -16,24 +16,24 @@
 	"github.com/granitebay/granitebay/internal/strictyaml"
 )
 
-// PathVariable names the environment variable with the path of the file.
+// PathVariable is the environment variable that holds the path of the settings file.
 const PathVariable = "GRANITEBAY_CONFIG"
 
-// file is the form of the settings. Addresses are IP:PORT.
+// settingsFile is the schema of the settings file. Addresses are IP:PORT.
 type settingsFile struct {
-	// Name of the gateway, unique in the fleet. Required.
+	// Name of the gateway, unique within the fleet. Required.
 	Name string `json:"name"`
-	// Zone of the gateway; near workers are preferred.
+	// Zone of the gateway, which prefers workers in its own zone.
 	Zone string `json:"zone"`
-	// Cores is the processor capacity that the process may use.
+	// Cores is the CPU capacity available to the process.
 	Cores float64 `json:"cores"`
-	// LinkMbps is the bandwidth of the machine, and Descriptors how many files and connections the process may open; 0 is unknown.
+	// LinkMbps is the network bandwidth of the machine, and Descriptors the file descriptor limit of the process; 0 means unknown.
 	LinkMbps    float64        `json:"linkMbps"`
 	Descriptors int            `json:"descriptors"`
 	Listen      listenSettings `json:"listen"`
-	// Seeds are control addresses of other gateways; some may be stale or down.
+	// Seeds are control addresses of other gateways; some may be stale or unreachable.
 	Seeds []string `json:"seeds"`
-	// FirstStart is set when the whole system starts for the first time.
+	// FirstStart is set when the system as a whole starts for the first time.
 	FirstStart bool `json:"firstStart"`
 	// Store is the address of the store. Required.
 	Store   string         `json:"store"`
@@ -44,56 +44,56 @@
 	LogLevel string `json:"logLevel"`
 }
 
-// listen are the addresses at which a gateway serves.
+// listenSettings are the addresses that a gateway listens on.
 type listenSettings struct {
 	// Callers, Ready, Directory and Peers are required.
 	Callers   string `json:"callers"`
 	Ready     string `json:"ready"`
 	Directory string `json:"directory"`
-	// Peers takes datagrams of other gateways.
+	// Peers receives datagrams from other gateways.
 	Peers string `json:"peers"`
-	// Control answers other gateways; empty serves nobody.
+	// Control serves other gateways; empty disables it.
 	Control string `json:"control"`
-	// Admin serves operators and figures; empty serves nobody.
+	// Admin serves the operator API and metrics; empty disables it.
 	Admin string `json:"admin"`
 }
 
-// timings are the durations that the surroundings of a gateway set.
+// timingSettings are durations given by the environment that a gateway runs in.
 type timingSettings struct {
-	// Grace is how long a planned stop may take.
+	// Grace limits the duration of a graceful shutdown.
 	Grace strictyaml.Duration `json:"grace"`
-	// AddressTTL is how long callers keep addresses, at most MaximumAddressTTL.
+	// AddressTTL is how long callers cache addresses, at most MaximumAddressTTL.
 	AddressTTL        strictyaml.Duration `json:"addressTTL"`
 	MaximumAddressTTL strictyaml.Duration `json:"maximumAddressTTL"`
-	// Lease is the time to live of leases in the store, at least MinimumLease.
+	// Lease is the TTL of leases in the store, at least MinimumLease.
 	Lease        strictyaml.Duration `json:"lease"`
 	MinimumLease strictyaml.Duration `json:"minimumLease"`
-	// Configuration is within what time a new configuration is in force.
+	// Configuration is the time within which a new configuration must take effect.
 	Configuration strictyaml.Duration `json:"configuration"`
-	// Drain is how long a worker that leaves takes requests that are on their way.
+	// Drain is how long a departing worker keeps accepting requests that are already on their way.
 	Drain strictyaml.Duration `json:"drain"`
-	// Thaw is how long after a pause of the process no order is given.
+	// Thaw is how long after a pause of the process no commands are issued.
 	Thaw strictyaml.Duration `json:"thaw"`
 }
 
-// retries bound the repeats of all gateways together within a window: a ratio of the requests and an allowance.
+// retrySettings limit the retries of all gateways together within a window to a ratio of the requests plus an allowance.
 type retrySettings struct {
 	Ratio     float64             `json:"ratio"`
 	Allowance float64             `json:"allowance"`
 	Window    strictyaml.Duration `json:"window"`
 }
 
-// duties are the calls to the platform that one gateway makes for all.
+// dutySettings configure the calls to the platform that one gateway makes on behalf of all.
 type dutySettings struct {
-	// Address takes the calls; empty makes none.
+	// Address receives the calls; empty disables them.
 	Address string `json:"address"`
-	// UsageWindow is the length of the windows in which the usage of tenants is reported, 0s for none, and UsageDue how long after
-	// its end a report is wanted.
+	// UsageWindow is the length of the reporting windows for tenant usage, 0s to disable reports, and UsageDue is the time after
+	// the end of a window by which its report is due.
 	UsageWindow strictyaml.Duration `json:"usageWindow"`
 	UsageDue    strictyaml.Duration `json:"usageDue"`
 }
 
-// defaults returns a file in which only the required fields are missing.
+// defaultFile returns a file with all defaults set and the required fields empty.
 func defaultFile() settingsFile {
 	settings := gateway.DefaultSettings()
 	return settingsFile{
@@ -109,28 +109,28 @@
 	}
 }
 
-// Load reads a settings file. The error names every field that is unknown, missing or out of range.
+// Load reads a settings file. The error lists every field that is unknown, missing or out of range.
 func Load(path string) (*gateway.Settings, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
-		return nil, errors.Wrap(err, "step read the settings")
+		return nil, errors.Wrap(err, "read settings")
 	}
 	return Parse(content)
 }
 
-// Parse reads the content of a settings file.
+// Parse parses and validates the content of a settings file.
 func Parse(content []byte) (*gateway.Settings, error) {
 	f := defaultFile()
 	err := strictyaml.Parse(content, &f)
 	var fieldErrors strictyaml.FieldErrors
 	errors.As(err, &fieldErrors)
 	if fieldErrors = append(fieldErrors, f.validate()...); len(fieldErrors) > 0 {
-		return nil, errors.Wrap(fieldErrors, "step check the settings")
+		return nil, errors.Wrap(fieldErrors, "validate settings")
 	}
 	return f.toSettings(), nil
 }
 
-// settings returns the file as the gateway takes it.
+// toSettings converts the file to the settings of a gateway.
 func (f *settingsFile) toSettings() *gateway.Settings {
 	s := gateway.DefaultSettings()
 	s.Name, s.Zone, s.Cores = f.Name, f.Zone, f.Cores
@@ -149,7 +149,7 @@
 	return s
 }
 
-// faults returns everything that is missing or out of range.
+// validate returns an error for each field that is missing or out of range.
 func (f *settingsFile) validate() strictyaml.FieldErrors {
 	v := &validator{}
 	if f.Name == "" {
@@ -183,20 +183,20 @@
 	v.checkDuration("duties.usageWindow", f.Duties.UsageWindow, false)
 	v.checkDuration("duties.usageDue", f.Duties.UsageDue, false)
 	if _, err := logrus.ParseLevel(f.LogLevel); err != nil {
-		v.addError("logLevel", f.LogLevel, "is not a level", "debug, info, warn or error")
+		v.addError("logLevel", f.LogLevel, "is not a log level", "debug, info, warn or error")
 	}
 	return v.errs
 }
 
-// checker collects faults.
+// validator collects errors.
 type validator struct{ errs strictyaml.FieldErrors }
 
-// add notes one fault.
+// addError records one error.
 func (v *validator) addError(field string, value any, problem, allowed string) {
 	v.errs = append(v.errs, strictyaml.FieldError{Field: field, Value: strictyaml.Quote(value), Problem: problem, Allowed: allowed})
 }
 
-// address checks IP:PORT.
+// checkAddress checks that a value is IP:PORT.
 func (v *validator) checkAddress(field, value string, required bool) {
 	if value == "" && !required {
 		return
@@ -220,6 +220,6 @@
 
 func (v *validator) checkDuration(field string, value strictyaml.Duration, positive bool) {
 	if value < 0 || (positive && value == 0) {
-		v.addError(field, value, "is out of range", fmt.Sprintf("a duration above 0s, as in %s", 3*time.Second))
+		v.addError(field, value, "is out of range", fmt.Sprintf("a duration above 0s, for example %s", 3*time.Second))
 	}
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// least has the required fields only.
+// minimalSettings has the required fields, a control address and seeds.
 const minimalSettings = `
 name: gateway-1
 listen: {callers: "10.0.0.1:1", ready: "10.0.0.1:2", directory: "10.0.0.1:3", peers: "10.0.0.1:4", control: "10.0.0.1:5"}
@@ -30,23 +30,23 @@
 		desc, text string
 		want       []string
 	}{
-		{"nothing", "{}", []string{"name:", "listen.callers:", "listen.ready:", "listen.directory:", "listen.peers:", "store:"}},
-		{"values", minimalSettings + "cores: -1\nlogLevel: loud\ntimings: {grace: 0s, thaw: -1s}\nretries: {ratio: -1, window: soon}\n",
+		{"required fields", "{}", []string{"name:", "listen.callers:", "listen.ready:", "listen.directory:", "listen.peers:", "store:"}},
+		{"invalid values", minimalSettings + "cores: -1\nlogLevel: loud\ntimings: {grace: 0s, thaw: -1s}\nretries: {ratio: -1, window: soon}\n",
 			[]string{"cores: -1", `logLevel: "loud"`, "timings.grace", "timings.thaw", "retries.ratio", "retries.window"}},
 		{"unknown field", minimalSettings + "zones: a\n", []string{"zones"}},
-		{"no YAML", "[", []string{"(document)"}},
+		{"invalid YAML", "[", []string{"(document)"}},
 	}
 	for _, test := range tests {
 		_, err := Parse([]byte(test.text))
 		for _, want := range test.want {
 			if err == nil || !strings.Contains(err.Error(), want) {
-				t.Errorf("%s: %v does not name %s", test.desc, err, want)
+				t.Errorf("%s: error %v does not contain %q", test.desc, err, want)
 			}
 		}
 	}
 }
 
-// TestExamplesAreValid reads the settings of the README.
+// TestExamplesAreValid parses the example settings that the README uses.
 func TestExamplesAreValid(t *testing.T) {
 	for _, name := range []string{"a", "b", "c"} {
 		content, err := os.ReadFile("../../examples/gateway-" + name + ".yaml")
