--- a/internal/tenant/tenant.go
+++ b/internal/tenant/tenant.go
@@ -43,31 +43,31 @@
 }
 
 // digest is a key as a table keeps it.
-type digest [sha256.Size]byte
+type keyDigest [sha256.Size]byte
 
 // Table finds the tenant of a key. It is never changed, and safe for concurrent use.
 type Table struct {
 	tenants  []*Tenant
-	byDigest map[digest]*Tenant
+	byDigest map[keyDigest]*Tenant
 	// doubled counts keys that more than one tenant has.
-	doubled int
+	duplicateKeys int
 }
 
 // NewTable returns the table of some grants. The error names the tenant at fault, and no key.
 func NewTable(grants []Grant) (*Table, error) {
-	table := &Table{byDigest: map[digest]*Tenant{}}
-	named := map[string]bool{}
+	table := &Table{byDigest: map[keyDigest]*Tenant{}}
+	names := map[string]bool{}
 	for _, grant := range grants {
 		if grant.Name == "" {
 			return nil, errors.New("field name of a tenant: it is empty; a name is needed")
 		}
-		if named[grant.Name] {
+		if names[grant.Name] {
 			return nil, errors.Newf("tenant %q: it is there twice; names must differ", grant.Name)
 		}
-		named[grant.Name] = true
-		one := &Tenant{name: grant.Name, keys: len(grant.Keys), priority: grant.Priority}
-		table.tenants = append(table.tenants, one)
-		if err := table.add(one, grant.Keys); err != nil {
+		names[grant.Name] = true
+		tenant := &Tenant{name: grant.Name, keys: len(grant.Keys), priority: grant.Priority}
+		table.tenants = append(table.tenants, tenant)
+		if err := table.addKeys(tenant, grant.Keys); err != nil {
 			return nil, err
 		}
 	}
@@ -77,17 +77,17 @@
 
 // add takes the keys of a tenant. A key that another tenant has already stays there: one key in doubt must not keep a whole
 // configuration out of force.
-func (t *Table) add(one *Tenant, keys []string) error {
+func (t *Table) addKeys(tenant *Tenant, keys []string) error {
 	for i, key := range keys {
 		if key == "" {
-			return errors.Newf("tenant %q, key %d: it is empty; a key is needed", one.name, i)
+			return errors.Newf("tenant %q, key %d: it is empty; a key is needed", tenant.name, i)
 		}
-		hashed := digestOf(key)
-		if other, taken := t.byDigest[hashed]; taken && other != one {
-			t.doubled++
+		hashed := newKeyDigest(key)
+		if other, taken := t.byDigest[hashed]; taken && other != tenant {
+			t.duplicateKeys++
 			continue
 		}
-		t.byDigest[hashed] = one
+		t.byDigest[hashed] = tenant
 	}
 	return nil
 }
@@ -97,7 +97,7 @@
 	if key == "" {
 		return nil, false
 	}
-	found, known := t.byDigest[digestOf(key)]
+	found, known := t.byDigest[newKeyDigest(key)]
 	return found, known
 }
 
@@ -106,26 +106,26 @@
 	if t == nil {
 		return 0
 	}
-	return t.doubled
+	return t.duplicateKeys
 }
 
 // Tenants returns all tenants by name.
 func (t *Table) Tenants() []*Tenant { return t.tenants }
 
 // secretBytes is the length of the secret: that of the hash, as RFC 2104 advises.
-const secretBytes = sha256.Size
+const digestSecretBytes = sha256.Size
 
 // secret is drawn once by each process, so that hashes of two processes have nothing to do with each other.
-var secret = sync.OnceValue(func() []byte {
-	drawn := make([]byte, secretBytes)
+var digestSecret = sync.OnceValue(func() []byte {
+	secret := make([]byte, digestSecretBytes)
 	// It never fails.
-	_, _ = rand.Read(drawn)
-	return drawn
+	_, _ = rand.Read(secret)
+	return secret
 })
 
 // digestOf hashes a key.
-func digestOf(key string) digest {
-	hash := hmac.New(sha256.New, secret())
+func newKeyDigest(key string) keyDigest {
+	hash := hmac.New(sha256.New, digestSecret())
 	_, _ = hash.Write([]byte(key))
-	return digest(hash.Sum(nil))
+	return keyDigest(hash.Sum(nil))
 }
--- a/internal/tenant/tenant_test.go
+++ b/internal/tenant/tenant_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestKeysAreFound(t *testing.T) {
+func TestFindReturnsTenantOfKey(t *testing.T) {
 	urgent := 0
 	table, err := NewTable([]Grant{{Name: "b", Keys: []string{"k3"}, Priority: &urgent}, {Name: "a", Keys: []string{"k1", "k2"}}})
 	if err != nil {
@@ -50,7 +50,7 @@
 }
 
 // A key belongs to the tenant that the newest grants say, whatever was before: a table knows nothing of the one before.
-func TestTheTenantOfAKeyIsThatOfTheGrants(t *testing.T) {
+func TestFindMatchesGrants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		owners := rapid.MapOf(rapid.StringMatching(`k[0-9]`), rapid.SampledFrom([]string{"a", "b", "c"})).Draw(t, "owners")
 		keys := map[string][]string{}
@@ -58,8 +58,8 @@
 			keys[owner] = append(keys[owner], key)
 		}
 		var grants []Grant
-		for owner, of := range keys {
-			grants = append(grants, Grant{Name: owner, Keys: of})
+		for owner, tenantKeys := range keys {
+			grants = append(grants, Grant{Name: owner, Keys: tenantKeys})
 		}
 		table, err := NewTable(grants)
 		if err != nil {
