--- a/internal/tenant/tenant.go
+++ b/internal/tenant/tenant.go
@@ -1,5 +1,5 @@
-// Package tenant holds whose key is whose. A table keeps no key: each is hashed with a secret of the process, and looked up by its
-// hash, so that neither a dump nor a log of a table shows one, and the time of a look-up tells nothing of the keys that are there.
+// Package tenant maps API keys to tenants. A table stores no keys, only their HMACs under a secret of the process, so that
+// neither dumps nor logs of a table reveal keys, and lookup times reveal nothing about the keys in it.
 package tenant
 
 import (
@@ -13,28 +13,28 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Grant says which keys a tenant has. Keys are only read to make a table.
+// Grant lists the keys of a tenant. Tables do not retain them.
 type Grant struct {
 	Name string
 	Keys []string
-	// Priority of the requests of the tenant, 0 the most urgent; nil leaves that of the rule.
+	// Priority of the tenant's requests, 0 being the most urgent; nil uses the priority of the rule.
 	Priority *int
 }
 
-// Tenant is one that sends requests.
+// Tenant is a tenant in a Table.
 type Tenant struct {
 	name     string
 	keys     int
 	priority *int
 }
 
-// Name of the tenant.
+// Name returns the name of the tenant.
 func (t *Tenant) Name() string { return t.name }
 
-// Keys returns how many keys the tenant has.
+// Keys returns the number of keys granted to the tenant.
 func (t *Tenant) Keys() int { return t.keys }
 
-// Priority returns the rank of the requests of the tenant, 0 the most urgent, and false when that of their rule holds.
+// Priority returns the priority of the tenant's requests, 0 being the most urgent, or false if the priority of the rule applies.
 func (t *Tenant) Priority() (int, bool) {
 	if t.priority == nil {
 		return 0, false
@@ -42,27 +42,27 @@
 	return *t.priority, true
 }
 
-// digest is a key as a table keeps it.
+// keyDigest is the HMAC of a key.
 type keyDigest [sha256.Size]byte
 
-// Table finds the tenant of a key. It is never changed, and safe for concurrent use.
+// Table looks up the tenant of a key. It is immutable and safe for concurrent use.
 type Table struct {
 	tenants  []*Tenant
 	byDigest map[keyDigest]*Tenant
-	// doubled counts keys that more than one tenant has.
+	// duplicateKeys counts grants of keys that already belong to another tenant.
 	duplicateKeys int
 }
 
-// NewTable returns the table of some grants. The error names the tenant at fault, and no key.
+// NewTable returns a table of the grants. The error identifies the invalid tenant but never contains a key.
 func NewTable(grants []Grant) (*Table, error) {
 	table := &Table{byDigest: map[keyDigest]*Tenant{}}
 	names := map[string]bool{}
 	for _, grant := range grants {
 		if grant.Name == "" {
-			return nil, errors.New("field name of a tenant: it is empty; a name is needed")
+			return nil, errors.New("tenant without a name; a name is required")
 		}
 		if names[grant.Name] {
-			return nil, errors.Newf("tenant %q: it is there twice; names must differ", grant.Name)
+			return nil, errors.Newf("tenant %q: duplicate name; names must be unique", grant.Name)
 		}
 		names[grant.Name] = true
 		tenant := &Tenant{name: grant.Name, keys: len(grant.Keys), priority: grant.Priority}
@@ -75,12 +75,12 @@
 	return table, nil
 }
 
-// add takes the keys of a tenant. A key that another tenant has already stays there: one key in doubt must not keep a whole
-// configuration out of force.
+// addKeys adds the keys of a tenant. A key that belongs to an earlier tenant stays with it instead of being an error, since one
+// ambiguous key must not block a whole configuration.
 func (t *Table) addKeys(tenant *Tenant, keys []string) error {
 	for i, key := range keys {
 		if key == "" {
-			return errors.Newf("tenant %q, key %d: it is empty; a key is needed", tenant.name, i)
+			return errors.Newf("tenant %q, key %d: empty key; a key is required", tenant.name, i)
 		}
 		hashed := newKeyDigest(key)
 		if other, taken := t.byDigest[hashed]; taken && other != tenant {
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// Find returns the tenant that has a key.
+// Find returns the tenant that a key belongs to.
 func (t *Table) Find(key string) (*Tenant, bool) {
 	if key == "" {
 		return nil, false
@@ -101,7 +101,8 @@
 	return found, known
 }
 
-// Doubled returns how many keys a second tenant has too. They belong to the first.
+// Doubled returns the number of grants of keys that already belong to another tenant. Each key belongs to the first tenant that
+// lists it.
 func (t *Table) Doubled() int {
 	if t == nil {
 		return 0
@@ -109,21 +110,21 @@
 	return t.duplicateKeys
 }
 
-// Tenants returns all tenants by name.
+// Tenants returns all tenants sorted by name. The caller must not modify the slice.
 func (t *Table) Tenants() []*Tenant { return t.tenants }
 
-// secretBytes is the length of the secret: that of the hash, as RFC 2104 advises.
+// digestSecretBytes is the length of the HMAC key, which RFC 2104 recommends to be that of the hash.
 const digestSecretBytes = sha256.Size
 
-// secret is drawn once by each process, so that hashes of two processes have nothing to do with each other.
+// digestSecret returns a random secret generated once per process, so that digests of different processes are unrelated.
 var digestSecret = sync.OnceValue(func() []byte {
 	secret := make([]byte, digestSecretBytes)
-	// It never fails.
+	// crypto/rand.Read never returns an error.
 	_, _ = rand.Read(secret)
 	return secret
 })
 
-// digestOf hashes a key.
+// newKeyDigest computes the HMAC of a key.
 func newKeyDigest(key string) keyDigest {
 	hash := hmac.New(sha256.New, digestSecret())
 	_, _ = hash.Write([]byte(key))
--- a/internal/tenant/tenant_test.go
+++ b/internal/tenant/tenant_test.go
@@ -24,7 +24,7 @@
 		t.Errorf("got %s", names)
 	}
 	if priority, given := table.Tenants()[1].Priority(); !given || priority != 0 {
-		t.Error("the priority of a tenant is lost")
+		t.Error("the granted priority is missing")
 	}
 	if _, given := table.Tenants()[0].Priority(); given {
 		t.Error("a tenant without a priority has one")
@@ -38,18 +38,18 @@
 	}
 	found, _ := table.Find("secret-key-1")
 	dump := fmt.Sprintf("%+v %#v %v %+v", table, table, table.byDigest, *found)
-	_, twice := NewTable([]Grant{{Name: "a", Keys: []string{"secret-key-1"}}, {Name: "a", Keys: []string{"secret-key-2"}}})
-	_, empty := NewTable([]Grant{{Name: "a", Keys: []string{"secret-key-1", ""}}})
+	_, duplicateName := NewTable([]Grant{{Name: "a", Keys: []string{"secret-key-1"}}, {Name: "a", Keys: []string{"secret-key-2"}}})
+	_, emptyKey := NewTable([]Grant{{Name: "a", Keys: []string{"secret-key-1", ""}}})
 	_, unnamed := NewTable([]Grant{{Keys: []string{"secret-key-1"}}})
-	if twice == nil || empty == nil || unnamed == nil {
-		t.Error("bad grants are taken")
+	if duplicateName == nil || emptyKey == nil || unnamed == nil {
+		t.Error("invalid grants are accepted")
 	}
-	if text := fmt.Sprint(dump, twice, empty, unnamed); strings.Contains(text, "secret-key") {
-		t.Errorf("a key shows in %s", text)
+	if text := fmt.Sprint(dump, duplicateName, emptyKey, unnamed); strings.Contains(text, "secret-key") {
+		t.Errorf("a key is visible in %s", text)
 	}
 }
 
-// A key belongs to the tenant that the newest grants say, whatever was before: a table knows nothing of the one before.
+// TestFindMatchesGrants looks up every key of random grants, and keys that are not granted.
 func TestFindMatchesGrants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		owners := rapid.MapOf(rapid.StringMatching(`k[0-9]`), rapid.SampledFrom([]string{"a", "b", "c"})).Draw(t, "owners")
