--- a/internal/configuration/diff.go
+++ b/internal/configuration/diff.go
@@ -79,11 +79,11 @@
 	object, isObject := value.(map[string]any)
 	if !isObject {
 		if value != nil {
-			leaves[path] = strictyaml.Quote(value)
+			leaves[path] = strictyaml.FormatValue(value)
 		}
 		return
 	}
 	for name, inner := range object {
-		collectLeaves(strictyaml.Join(path, name), inner, leaves)
+		collectLeaves(strictyaml.JoinPath(path, name), inner, leaves)
 	}
 }
--- a/internal/configuration/edit.go
+++ b/internal/configuration/edit.go
@@ -75,7 +75,7 @@
 // applyEdit applies one edit and appends its errors to fieldErrors.
 func applyEdit(values fieldValues, edit Edit, path string, fieldErrors FieldErrors) (fieldValues, FieldErrors) {
 	addError := func(field string, value any, problem, allowed string) {
-		fieldErrors = append(fieldErrors, FieldError{Field: path + field, Value: strictyaml.Quote(value), Problem: problem, Allowed: allowed})
+		fieldErrors = append(fieldErrors, FieldError{Field: path + field, Value: strictyaml.FormatValue(value), Problem: problem, Allowed: allowed})
 	}
 	switch edit.Kind {
 	case EditSetLabel, EditRemoveLabel:
--- a/internal/configuration/validate.go
+++ b/internal/configuration/validate.go
@@ -43,7 +43,7 @@
 
 // addError records one error. A nil value is omitted from the message.
 func (v *validator) addError(field string, value any, problem, allowed string) {
-	v.errs = append(v.errs, FieldError{Field: field, Value: strictyaml.Quote(value), Problem: problem, Allowed: allowed})
+	v.errs = append(v.errs, FieldError{Field: field, Value: strictyaml.FormatValue(value), Problem: problem, Allowed: allowed})
 }
 
 // validateNames checks the names of the objects in a list and returns the path of each object.
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -193,7 +193,7 @@
 
 // addError records one error.
 func (v *validator) addError(field string, value any, problem, allowed string) {
-	v.errs = append(v.errs, strictyaml.FieldError{Field: field, Value: strictyaml.Quote(value), Problem: problem, Allowed: allowed})
+	v.errs = append(v.errs, strictyaml.FieldError{Field: field, Value: strictyaml.FormatValue(value), Problem: problem, Allowed: allowed})
 }
 
 // checkAddress checks that a value is IP:PORT.
--- a/internal/strictyaml/field_error.go
+++ b/internal/strictyaml/field_error.go
@@ -37,8 +37,8 @@
 // Error returns the faults, one in a line.
 func (e FieldErrors) Error() string {
 	lines := make([]string, len(e))
-	for i, fault := range e {
-		lines[i] = fault.Error()
+	for i, fieldError := range e {
+		lines[i] = fieldError.Error()
 	}
 	return strings.Join(lines, "\n")
 }
--- a/internal/strictyaml/strictyaml_test.go
+++ b/internal/strictyaml/strictyaml_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-type sample struct {
+type sampleDocument struct {
 	Name  string   `json:"name"`
 	Ratio float64  `json:"ratio"`
 	First bool     `json:"first"`
@@ -17,8 +17,8 @@
 	} `json:"deep"`
 }
 
-func TestParseKeepsDefaultsAndNamesAllFaults(t *testing.T) {
-	value := sample{Name: "default", Wait: Duration(time.Second)}
+func TestParseKeepsDefaultsAndReportsAllErrors(t *testing.T) {
+	value := sampleDocument{Name: "default", Wait: Duration(time.Second)}
 	if err := Parse([]byte("ratio: 0.5\nfirst: true\ndeep: {count: 3}\nnames: [a, b]"), &value); err != nil {
 		t.Fatal(err)
 	}
