--- a/internal/strictyaml/duration.go
+++ b/internal/strictyaml/duration.go
@@ -7,19 +7,19 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Duration is a time.Duration that is written as in "1m30s".
+// Duration is a time.Duration that is encoded as a string such as "1m30s".
 type Duration time.Duration
 
-// Std returns the duration in the type of the standard library.
+// Std returns the duration as a time.Duration.
 func (d Duration) Std() time.Duration { return time.Duration(d) }
 
-// String returns the duration as in "1m30s".
+// String formats the duration like time.Duration, for example "1m30s".
 func (d Duration) String() string { return time.Duration(d).String() }
 
-// MarshalJSON writes the duration as a string.
+// MarshalJSON encodes the duration as a string.
 func (d Duration) MarshalJSON() ([]byte, error) { return json.Marshal(d.String()) }
 
-// UnmarshalJSON reads the duration from a string.
+// UnmarshalJSON decodes the duration from a string.
 func (d *Duration) UnmarshalJSON(data []byte) error {
 	var text string
 	if err := json.Unmarshal(data, &text); err != nil {
--- a/internal/strictyaml/field_error.go
+++ b/internal/strictyaml/field_error.go
@@ -5,19 +5,19 @@
 	"strings"
 )
 
-// FieldError is one fault of a document.
+// FieldError is one error in a document.
 type FieldError struct {
 	// Field is the path of the field, for example "spec.rules[quick].priority".
 	Field string `json:"field"`
-	// Value that was found, as it would be written in JSON; empty when there is none.
+	// Value of the field as JSON; empty if there is none.
 	Value string `json:"value,omitempty"`
-	// Problem in a few words.
+	// Problem is a short description of the error.
 	Problem string `json:"problem"`
-	// Allowed says what may stand there.
+	// Allowed describes the allowed values.
 	Allowed string `json:"allowed,omitempty"`
 }
 
-// Error returns the fault in one line.
+// Error formats the error on one line.
 func (e FieldError) Error() string {
 	var text strings.Builder
 	text.WriteString(e.Field)
@@ -31,10 +31,10 @@
 	return text.String()
 }
 
-// FieldErrors are all the faults of a document.
+// FieldErrors lists the errors in a document.
 type FieldErrors []FieldError
 
-// Error returns the faults, one in a line.
+// Error formats the errors, one per line.
 func (e FieldErrors) Error() string {
 	lines := make([]string, len(e))
 	for i, fieldError := range e {
@@ -43,7 +43,7 @@
 	return strings.Join(lines, "\n")
 }
 
-// OrNil returns the faults as an error, or nil when there are none.
+// OrNil returns the list as an error, or nil if it is empty.
 func (e FieldErrors) OrNil() error {
 	if len(e) == 0 {
 		return nil
--- a/internal/strictyaml/strictyaml.go
+++ b/internal/strictyaml/strictyaml.go
@@ -1,5 +1,5 @@
-// Package strictyaml reads YAML and JSON into structs and names all faults at once: unknown fields, values of a wrong type, and
-// keys that are there twice.
+// Package strictyaml decodes YAML and JSON into structs. It rejects unknown fields, values of the wrong type and duplicate keys,
+// and reports all unknown fields and wrong types at once.
 package strictyaml
 
 import (
@@ -15,15 +15,15 @@
 	"sigs.k8s.io/yaml"
 )
 
-// wholeDocument stands for the path of faults that belong to no field.
+// documentPath is the path of errors that concern no particular field.
 const documentPath = "(document)"
 
-// Parse reads a value in YAML or JSON. What is not given keeps what the value has. The error is FieldErrors with all faults of
-// form; what could be read is in the value all the same, so that other checks can find the other faults too.
+// Parse decodes YAML or JSON into value. Omitted fields keep their current values. The error is FieldErrors; fields without an
+// error are decoded nevertheless, so that the caller can validate them.
 func Parse[T any](data []byte, value *T) error {
 	data, err := yaml.YAMLToJSONStrict(data)
 	if err != nil {
-		return FieldErrors{{Field: documentPath, Problem: err.Error(), Allowed: "YAML or JSON without repeated keys"}}
+		return FieldErrors{{Field: documentPath, Problem: err.Error(), Allowed: "YAML or JSON without duplicate keys"}}
 	}
 	decoder := json.NewDecoder(bytes.NewReader(data))
 	decoder.UseNumber()
@@ -39,7 +39,7 @@
 	return checker.errs.OrNil()
 }
 
-// decodeTree turns a tree that has the right shape into a value.
+// decodeTree decodes a tree that matches the type of value.
 func decodeTree(tree, value any) error {
 	if tree == (invalid{}) {
 		return nil
@@ -51,13 +51,13 @@
 	return json.Unmarshal(data, value)
 }
 
-// shapeCheck compares a tree of JSON values with a Go type and collects all differences.
+// typeChecker compares a tree of JSON values with a Go type and collects all mismatches.
 type typeChecker struct{ errs FieldErrors }
 
-// omitted stands for a value that does not fit its type.
+// invalid replaces a value that does not match its type.
 type invalid struct{}
 
-// check returns the part of the value that fits the type.
+// check returns the part of a value that matches the type, or invalid.
 func (c *typeChecker) check(path string, value any, typ reflect.Type) any {
 	if value == nil {
 		return nil
@@ -82,7 +82,7 @@
 	}
 }
 
-// fault notes a difference and returns the mark of an omitted value.
+// addError records a mismatch and returns invalid.
 func (c *typeChecker) addError(path string, value any, problem, allowed string) any {
 	field := lo.CoalesceOrEmpty(path, documentPath)
 	c.errs = append(c.errs, FieldError{Field: field, Value: FormatValue(value), Problem: problem, Allowed: allowed})
@@ -93,7 +93,7 @@
 	var duration Duration
 	data, _ := json.Marshal(value)
 	if err := duration.UnmarshalJSON(data); err != nil {
-		return c.addError(path, value, "is not a duration", `text such as "250ms" or "1m30s"`)
+		return c.addError(path, value, "is not a duration", `a string such as "250ms" or "1m30s"`)
 	}
 	return value
 }
@@ -136,7 +136,7 @@
 func (c *typeChecker) checkMap(path string, value any, typ reflect.Type) any {
 	object, isObject := value.(map[string]any)
 	if !isObject {
-		return c.addError(path, value, "is not a map", "keys with values")
+		return c.addError(path, value, "is not a map", "a map of keys to values")
 	}
 	result := map[string]any{}
 	for _, key := range SortedKeys(object) {
@@ -151,11 +151,11 @@
 	switch typ.Kind() {
 	case reflect.String:
 		if _, isString := value.(string); !isString {
-			return c.addError(path, value, "is not a text", "text; put numbers and true or false in quotes")
+			return c.addError(path, value, "is not a string", "a string; quote numbers and booleans")
 		}
 	case reflect.Bool:
 		if _, isBool := value.(bool); !isBool {
-			return c.addError(path, value, "is not true or false", "true, false")
+			return c.addError(path, value, "is not a boolean", "true, false")
 		}
 	case reflect.Float64:
 		if _, isNumber := value.(json.Number); !isNumber {
@@ -176,12 +176,12 @@
 		_, err = strconv.ParseInt(number.String(), 10, typ.Bits())
 	}
 	if !isNumber || err != nil {
-		return c.addError(path, value, "is not a whole number", "a whole number")
+		return c.addError(path, value, "is not an integer", "an integer")
 	}
 	return value
 }
 
-// elementName returns the name of an object in a list, or its place when it has none.
+// elementKey returns the name of an object in a list, or its index if it has none.
 func elementKey(element any, index int) string {
 	if object, isObject := element.(map[string]any); isObject {
 		if name, isString := object["name"].(string); isString && name != "" {
@@ -191,7 +191,7 @@
 	return strconv.Itoa(index)
 }
 
-// fieldTypes returns the types of the fields of a struct by their names in JSON.
+// fieldTypes returns the types of the fields of a struct by JSON name.
 func fieldTypes(typ reflect.Type) map[string]reflect.Type {
 	result := map[string]reflect.Type{}
 	for i := range typ.NumField() {
@@ -203,14 +203,14 @@
 
 func fieldNames(typ reflect.Type) []string { return SortedKeys(fieldTypes(typ)) }
 
-// SortedKeys returns the keys of a map in order.
+// SortedKeys returns the sorted keys of a map.
 func SortedKeys[V any](values map[string]V) []string {
 	keys := lo.Keys(values)
 	slices.Sort(keys)
 	return keys
 }
 
-// Join returns the path of a field below another one.
+// JoinPath returns the path of a field within the object at path.
 func JoinPath(path, name string) string {
 	if path == "" {
 		return name
@@ -218,7 +218,7 @@
 	return path + "." + name
 }
 
-// Quote writes a value as JSON, or nothing for no value.
+// FormatValue formats a value as JSON, and nil as an empty string.
 func FormatValue(value any) string {
 	if value == nil {
 		return ""
--- a/internal/strictyaml/strictyaml_test.go
+++ b/internal/strictyaml/strictyaml_test.go
@@ -28,7 +28,7 @@
 	err := Parse([]byte("name: 1\nfirst: 1\nratio: much\nwait: 3\nnames: a\ndeep: {count: 1.5, other: 1}"), &value)
 	for _, want := range []string{"name: 1", "first: 1", "ratio: \"much\"", "wait: 3", "names: \"a\"", "deep.count: 1.5", "deep.other"} {
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%v does not name %s", err, want)
+			t.Errorf("error %v does not contain %q", err, want)
 		}
 	}
 }
