--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -95,9 +95,9 @@
 }
 
 // workers places the same workers in each zone, for example engine-a-1 to engine-a-3 in zone-a.
-func workers(zones []string, each []Worker) []Worker {
+func workers(zones []string, perZone []Worker) []Worker {
 	return lo.FlatMap(zones, func(zone string, _ int) []Worker {
-		return lo.Map(each, func(worker Worker, index int) Worker {
+		return lo.Map(perZone, func(worker Worker, index int) Worker {
 			worker.Zone = zone
 			worker.Name = fmt.Sprintf("engine-%s-%d", strings.TrimPrefix(zone, "zone-"), index+1)
 			return worker
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -6,9 +6,9 @@
 	"github.com/granitebay/granitebay/internal/configuration"
 )
 
-func TestExamplesSelectEveryWorkerOfTheirDeployments(t *testing.T) {
-	for _, each := range All() {
-		document, err := configuration.Example(each.Configuration)
+func TestExamplesSelectAllWorkersOfDeployments(t *testing.T) {
+	for _, deployment := range All() {
+		document, err := configuration.Example(deployment.Configuration)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -16,16 +16,16 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, worker := range each.Workers {
-			info := configuration.WorkerInfo{Service: each.Service, Labels: map[string]string{"pool": worker.Pool}}
+		for _, worker := range deployment.Workers {
+			info := configuration.WorkerInfo{Service: deployment.Service, Labels: map[string]string{"pool": worker.Pool}}
 			if _, selected := snapshot.GroupOf(info); !selected {
-				t.Errorf("%s: no group selects %s", each.Name, worker.Name)
+				t.Errorf("%s: no group selects %s", deployment.Name, worker.Name)
 			}
 		}
 	}
 }
 
-func TestFindNamesWhatIsAllowed(t *testing.T) {
+func TestFindReportsAllowedNames(t *testing.T) {
 	if found, err := Find(NameMagnolia); err != nil || len(found.Workers) != 18 {
 		t.Errorf("%d workers, %v", len(found.Workers), err)
 	}
