--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -1,5 +1,5 @@
-// Package deployment describes the fleets that granitebay is built for: their zones, gateways and workers, and the example
-// configuration that goes with them.
+// Package deployment describes the target fleets of granitebay: their zones, gateways and workers, and the example
+// configuration of each.
 package deployment
 
 import (
@@ -18,29 +18,29 @@
 	NameMagnolia = "magnolia"
 )
 
-// Worker is one engine of a deployment.
+// Worker is one inference engine of a deployment.
 type Worker struct {
 	// Name of the worker, for example "engine-a-1".
 	Name string
 	Zone string
-	// Pool is the label by which the groups of the example select it.
+	// Pool is the label value by which the groups of the example configuration select the worker.
 	Pool string
-	// Reads is set for engines that begin by reading prompts.
+	// Reads is set for engines that start in the prefill role; all others start in the decode role.
 	Reads bool
 }
 
 // Deployment is one fleet.
 type Deployment struct {
-	// Name by which commands choose it.
+	// Name by which command lines select the deployment.
 	Name string
-	// Title is the full name, for people.
+	// Title is the full display name.
 	Title string
 	// Zones of the fleet, all in one region.
 	Zones []string
-	// GatewaysPerZone and Workers of the fleet.
+	// GatewaysPerZone is the number of gateways in each zone.
 	GatewaysPerZone int
 	Workers         []Worker
-	// Service that the workers belong to, and the Model that they serve.
+	// Service that the workers belong to, and Model that they serve.
 	Service string
 	Model   string
 	// Configuration is the name of the example configuration.
@@ -69,32 +69,32 @@
 	}
 }
 
-// All lists the deployments.
+// All returns all deployments.
 func All() []Deployment { return []Deployment{Fes(), Magnolia()} }
 
-// Names lists the names of the deployments.
+// Names returns the names of all deployments.
 func Names() []string {
 	return lo.Map(All(), func(deployment Deployment, _ int) string { return deployment.Name })
 }
 
-// ErrUnknown is the error for a deployment that does not exist.
+// ErrUnknown is returned by Find for a name that no deployment has.
 var ErrUnknown = errors.New("unknown deployment")
 
-// Find returns the deployment of a name. The error names the value and what is allowed.
+// Find returns the deployment with the given name. The error lists the allowed names.
 func Find(name string) (Deployment, error) {
 	found, ok := lo.Find(All(), func(deployment Deployment) bool { return deployment.Name == name })
 	if !ok {
-		return Deployment{}, errors.Wrapf(ErrUnknown, "deployment is %q, allowed are %s", name, strings.Join(Names(), ", "))
+		return Deployment{}, errors.Wrapf(ErrUnknown, "deployment is %q, must be one of %s", name, strings.Join(Names(), ", "))
 	}
 	return found, nil
 }
 
-// zones names zones by the letters of the alphabet.
+// zones returns zone names in alphabetical order: zone-a, zone-b and so on.
 func zones(count int) []string {
 	return lo.Times(count, func(index int) string { return fmt.Sprintf("zone-%c", 'a'+index) })
 }
 
-// workers places the same workers in each zone, for example engine-a-1 to engine-a-3 in zone-a.
+// workers returns the same set of workers for each zone, for example engine-a-1 to engine-a-3 in zone-a.
 func workers(zones []string, perZone []Worker) []Worker {
 	return lo.FlatMap(zones, func(zone string, _ int) []Worker {
 		return lo.Map(perZone, func(worker Worker, index int) Worker {
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -29,7 +29,7 @@
 	if found, err := Find(NameMagnolia); err != nil || len(found.Workers) != 18 {
 		t.Errorf("%d workers, %v", len(found.Workers), err)
 	}
-	if _, err := Find("none"); err == nil || err.Error() != `deployment is "none", allowed are fes, magnolia: unknown deployment` {
+	if _, err := Find("none"); err == nil || err.Error() != `deployment is "none", must be one of fes, magnolia: unknown deployment` {
 		t.Errorf("error %v", err)
 	}
 }
