--- a/internal/configuration/validate_selection.go
+++ b/internal/configuration/validate_selection.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// parseRuleSelector parses the selector of a rule and checks that it allows a valid value of the label repeatable. It
-// returns nil if the selector is invalid.
+// parseRuleSelector parses the selector of a rule like parseSelector, and checks that it allows a value that the label
+// repeatable can have.
 func (v *validator) parseRuleSelector(field, text string) labels.Selector {
 	selector := v.parseSelector(field, text)
 	if selector == nil {
@@ -96,7 +96,7 @@
 		totalWeight += share.Weight
 	}
 	if totalWeight <= 0 {
-		v.addError(field, nil, "have a total weight of 0", "at least one weight above 0")
+		v.addError(field, nil, "have no positive total weight", "at least one weight above 0")
 	}
 }
 
