--- a/internal/configuration/normalize.go
+++ b/internal/configuration/normalize.go
@@ -10,25 +10,25 @@
 	"github.com/granitebay/granitebay/internal/backend"
 )
 
-// normalize returns the spec in the one form that all specs of the same content have: objects in order of name, and
-// empty lists instead of missing ones. So equal content has equal bytes. The argument is not changed.
+// normalize returns the canonical form of a spec: objects sorted by name, and empty lists and maps instead of nil, so that
+// equal content has equal encodings. It does not modify its argument.
 func normalize(spec Spec) Spec {
 	spec.Groups = sortedBy(spec.Groups, func(g Group) string { return g.Name })
 	spec.Rules = sortedBy(spec.Rules, func(r Rule) string { return r.Name })
-	spec.WorkerLabels = lo.PickBy(spec.WorkerLabels, func(_ string, of map[string]string) bool { return len(of) > 0 })
+	spec.WorkerLabels = lo.PickBy(spec.WorkerLabels, func(_ string, labels map[string]string) bool { return len(labels) > 0 })
 	for i := range spec.Groups {
 		floors := map[backend.Role]int{}
 		maps.Copy(floors, spec.Groups[i].RoleFloors)
 		spec.Groups[i].RoleFloors = floors
 	}
 	for i := range spec.Rules {
-		spec.Rules[i].Groups = orEmpty(spec.Rules[i].Groups)
+		spec.Rules[i].Groups = nonNil(spec.Rules[i].Groups)
 	}
 	return spec
 }
 
-// orEmpty returns an empty list for a missing one.
-func orEmpty[T any](list []T) []T {
+// nonNil returns an empty list for nil.
+func nonNil[T any](list []T) []T {
 	if list == nil {
 		return []T{}
 	}
--- a/internal/configuration/validate_test.go
+++ b/internal/configuration/validate_test.go
@@ -13,7 +13,7 @@
 	"sigs.k8s.io/yaml"
 )
 
-func TestValidateFindsAllFaults(t *testing.T) {
+func TestValidateReportsAllErrors(t *testing.T) {
 	cases := readScript(t, "testdata/validate.txtar")
 	for _, name := range cases.cases {
 		t.Run(name, func(t *testing.T) {
@@ -22,26 +22,26 @@
 				old, replacement, _ := strings.Cut(line, " => ")
 				replace = append(replace, old, replacement)
 			}
-			_, faults := ParseAndValidate([]byte(strings.NewReplacer(replace...).Replace(cases.files["base.yaml"])))
-			got := lo.Map(faults, func(fault FieldError, _ int) string { return fault.Field })
+			_, fieldErrors := ParseAndValidate([]byte(strings.NewReplacer(replace...).Replace(cases.files["base.yaml"])))
+			got := lo.Map(fieldErrors, func(fieldError FieldError, _ int) string { return fieldError.Field })
 			if !slices.Equal(got, cases.lines(name, "want")) {
-				t.Errorf("faults %q\nwant fields %q", faults, cases.lines(name, "want"))
+				t.Errorf("errors %q\nwant fields %q", fieldErrors, cases.lines(name, "want"))
 			}
-			for _, fault := range faults {
-				if fault.Problem == "" || (fault.Allowed == "" && fault.Field != "(document)") {
-					t.Errorf("%v does not tell what is wrong and what is allowed", fault)
+			for _, fieldError := range fieldErrors {
+				if fieldError.Problem == "" || (fieldError.Allowed == "" && fieldError.Field != "(document)") {
+					t.Errorf("%v does not state the problem and the allowed values", fieldError)
 				}
 			}
 		})
 	}
 }
 
-// validDocument returns the valid document of the script.
+// validDocument returns the base document of testdata/validate.txtar.
 func validDocument(t *testing.T) Document {
 	t.Helper()
-	document, faults := ParseAndValidate([]byte(readScript(t, "testdata/validate.txtar").files["base.yaml"]))
-	if len(faults) > 0 {
-		t.Fatal(faults)
+	document, fieldErrors := ParseAndValidate([]byte(readScript(t, "testdata/validate.txtar").files["base.yaml"]))
+	if len(fieldErrors) > 0 {
+		t.Fatal(fieldErrors)
 	}
 	return document
 }
@@ -52,26 +52,26 @@
 	if quick.Priority != DefaultPriority || quick.Timeout != DefaultTimeout || quick.Groups[0].Weight != DefaultWeight {
 		t.Errorf("defaults are missing: %+v", quick)
 	}
-	accepted := edited(t, Document{}, "first", Apply(document.Spec))
-	accepted = edited(t, accepted, "second", SetLabel("10.0.0.1:80", "rack", "7"))
+	accepted := mustAccept(t, Document{}, "first", Apply(document.Spec))
+	accepted = mustAccept(t, accepted, "second", SetLabel("10.0.0.1:80", "rack", "7"))
 	text, err := yaml.Marshal(accepted)
 	if err != nil {
 		t.Fatal(err)
 	}
-	again, faults := ParseAndValidate(text)
-	if len(faults) > 0 {
-		t.Fatal(faults)
+	reparsed, fieldErrors := ParseAndValidate(text)
+	if len(fieldErrors) > 0 {
+		t.Fatal(fieldErrors)
 	}
 	want, err := Encode(accepted)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got, err := Encode(again); err != nil || !bytes.Equal(got, want) {
-		t.Errorf("read again %s, %v\nwant %s", got, err, want)
+	if got, err := Encode(reparsed); err != nil || !bytes.Equal(got, want) {
+		t.Errorf("after round trip %s, %v\nwant %s", got, err, want)
 	}
 }
 
-func TestSnapshotMatches(t *testing.T) {
+func TestSnapshotSelectsGroupsAndRules(t *testing.T) {
 	snapshot, err := Compile(validDocument(t))
 	if err != nil {
 		t.Fatal(err)
@@ -82,8 +82,8 @@
 		labels  map[string]string
 		want    string
 	}{
-		{"label of the operators over that of the worker", "10.0.0.1:80", map[string]string{"pool": "desk"}, "dock"},
-		{"label of the worker", "10.0.0.2:80", map[string]string{"pool": "spare"}, "desk"},
+		{"operator label overrides worker label", "10.0.0.1:80", map[string]string{"pool": "desk"}, "dock"},
+		{"worker label", "10.0.0.2:80", map[string]string{"pool": "spare"}, "desk"},
 		{"no label", "10.0.0.2:80", nil, ""},
 	}
 	for _, test := range tests {
@@ -113,9 +113,9 @@
 	got := Warnings(document, []WorkerInfo{{Address: "b", Service: "review"}, {Address: "10.0.0.1:80", Service: "review"}})
 	want := []string{
 		`group desk: its selector "pool in (desk, spare)" matches no worker of service review`,
-		"group dock: the floors need 2 workers and it has 1",
-		"rule quick: none of its groups has a worker",
-		"workerLabels: there are labels on workers that do not exist now: x-1, x-2, x-3 and 2 more",
+		"group dock: its roleFloors require 2 workers but it has 1",
+		"rule quick: none of its groups has workers",
+		"workerLabels: labels are set on workers that do not exist: x-1, x-2, x-3 and 2 more",
 	}
 	if !slices.Equal(got, want) {
 		t.Errorf("got  %q\nwant %q", got, want)
@@ -127,7 +127,7 @@
 	}
 }
 
-// drawSelector draws a selector over a few keys and values.
+// drawSelector draws a selector over two keys and three values.
 func drawSelector(t *rapid.T, name string) labels.Selector {
 	requirement := rapid.Custom(func(t *rapid.T) string {
 		key := rapid.SampledFrom([]string{"a", "b"}).Draw(t, "key")
@@ -146,8 +146,8 @@
 	return selector
 }
 
-// TestSelectorLogic compares what is concluded from selectors with all sets of labels over a few values.
-func TestSelectorLogic(t *testing.T) {
+// TestSelectorReasoningMatchesEnumeration compares satisfiability and implication with an enumeration of label sets.
+func TestSelectorReasoningMatchesEnumeration(t *testing.T) {
 	var sets []labels.Set
 	for _, a := range []string{"", "0", "1", "2", "3", "4", "x"} {
 		for _, b := range []string{"", "0", "1", "2", "3", "4", "x"} {
@@ -156,19 +156,19 @@
 		}
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		one, two := drawSelector(t, "one"), drawSelector(t, "two")
-		both := constrain(append(slices.Clone(requirementsOf(one)), requirementsOf(two)...)...)
-		common := lo.SomeBy(sets, func(set labels.Set) bool { return one.Matches(set) && two.Matches(set) })
-		witness, found := both.witness()
-		if common != found {
-			t.Fatalf("%q and %q: overlap %t, found %t", one, two, common, found)
+		first, second := drawSelector(t, "one"), drawSelector(t, "two")
+		both := newConstraints(append(slices.Clone(requirementsOf(first)), requirementsOf(second)...)...)
+		overlap := lo.SomeBy(sets, func(set labels.Set) bool { return first.Matches(set) && second.Matches(set) })
+		example, found := both.example()
+		if overlap != found {
+			t.Fatalf("%q and %q: overlap %t, found %t", first, second, overlap, found)
 		}
-		if found && (!one.Matches(witness) || !two.Matches(witness)) {
-			t.Fatalf("%q and %q do not match the example {%s}", one, two, witness)
+		if found && (!first.Matches(example) || !second.Matches(example)) {
+			t.Fatalf("%q and %q do not match the example {%s}", first, second, example)
 		}
-		contained := lo.EveryBy(sets, func(set labels.Set) bool { return !one.Matches(set) || two.Matches(set) })
-		if implies(requirementsOf(one), requirementsOf(two)) && !contained {
-			t.Fatalf("%q does not imply %q", one, two)
+		implied := lo.EveryBy(sets, func(set labels.Set) bool { return !first.Matches(set) || second.Matches(set) })
+		if implies(requirementsOf(first), requirementsOf(second)) && !implied {
+			t.Fatalf("%q does not imply %q", first, second)
 		}
 	})
 }
--- a/internal/settings/fields.go
+++ b/internal/settings/fields.go
@@ -12,40 +12,40 @@
 type Field struct {
 	// Path of the field, for example "listen.callers".
 	Path string
-	// Default as it would be written; empty when there is none.
+	// Default value as written in the file; empty if there is none.
 	Default string
-	// Required fields have no default and must be given.
+	// Required is set for fields without a default.
 	Required bool
 }
 
-// Fields lists the fields of a settings file, in their order.
+// Fields returns all fields of a settings file, in declaration order.
 func Fields() []Field {
-	given := defaults()
-	missing := map[string]bool{}
-	for _, fault := range given.faults() {
-		missing[fault.Field] = true
+	initial := defaultFile()
+	required := map[string]bool{}
+	for _, fieldError := range initial.validate() {
+		required[fieldError.Field] = true
 	}
 	var fields []Field
-	collect("", reflect.ValueOf(given), func(path string, value reflect.Value) {
-		fields = append(fields, Field{Path: path, Default: show(value), Required: missing[path]})
+	visitFields("", reflect.ValueOf(initial), func(path string, value reflect.Value) {
+		fields = append(fields, Field{Path: path, Default: formatDefault(value), Required: required[path]})
 	})
 	return fields
 }
 
-// collect visits the fields of a struct and of those in it.
-func collect(prefix string, value reflect.Value, visit func(path string, value reflect.Value)) {
+// visitFields calls visit for each leaf field of a struct, including those of nested structs.
+func visitFields(prefix string, value reflect.Value, visit func(path string, value reflect.Value)) {
 	for i := range value.NumField() {
 		name, _, _ := strings.Cut(value.Type().Field(i).Tag.Get("json"), ",")
-		if member := value.Field(i); member.Kind() == reflect.Struct {
-			collect(prefix+name+".", member, visit)
+		if field := value.Field(i); field.Kind() == reflect.Struct {
+			visitFields(prefix+name+".", field, visit)
 		} else {
-			visit(prefix+name, member)
+			visit(prefix+name, field)
 		}
 	}
 }
 
-// show writes a default.
-func show(value reflect.Value) string {
+// formatDefault formats a value as it is written in the file.
+func formatDefault(value reflect.Value) string {
 	switch v := value.Interface().(type) {
 	case []string:
 		return strings.Join(v, ", ")
--- a/internal/strictyaml/strictyaml_test.go
+++ b/internal/strictyaml/strictyaml_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-type sample struct {
+type sampleDocument struct {
 	Name  string   `json:"name"`
 	Ratio float64  `json:"ratio"`
 	First bool     `json:"first"`
@@ -17,8 +17,8 @@
 	} `json:"deep"`
 }
 
-func TestParseKeepsDefaultsAndNamesAllFaults(t *testing.T) {
-	value := sample{Name: "default", Wait: Duration(time.Second)}
+func TestParseKeepsDefaultsAndReportsAllErrors(t *testing.T) {
+	value := sampleDocument{Name: "default", Wait: Duration(time.Second)}
 	if err := Parse([]byte("ratio: 0.5\nfirst: true\ndeep: {count: 3}\nnames: [a, b]"), &value); err != nil {
 		t.Fatal(err)
 	}
@@ -28,7 +28,7 @@
 	err := Parse([]byte("name: 1\nfirst: 1\nratio: much\nwait: 3\nnames: a\ndeep: {count: 1.5, other: 1}"), &value)
 	for _, want := range []string{"name: 1", "first: 1", "ratio: \"much\"", "wait: 3", "names: \"a\"", "deep.count: 1.5", "deep.other"} {
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%v does not name %s", err, want)
+			t.Errorf("error %v does not contain %q", err, want)
 		}
 	}
 }
