--- a/internal/callers/conn.go
+++ b/internal/callers/conn.go
@@ -22,11 +22,11 @@
 	// phaseNew waits for the first bytes of the first head.
 	phaseNew phase = iota
 	// phaseResting waits for the first bytes of the next head.
-	phaseResting
+	phaseIdle
 	// phaseHead has some bytes of a head.
-	phaseHead
+	phaseReadingHeader
 	// phaseInHand has a whole head.
-	phaseInHand
+	phaseActive
 )
 
 // connection is a connection of a caller. It counts its bytes, bounds its own rest and the coming of heads, and knows who of this side
@@ -42,12 +42,12 @@
 	mu    sync.Mutex
 	phase phase
 	// ahead is set when the first byte of the next head came while a request was in hand.
-	ahead bool
+	pipelined bool
 	// since is when the bound began to run: at the opening, at the end of an answer or at the first byte of a head after one.
-	since time.Time
-	bound time.Duration
+	timeoutStart time.Time
+	timeout      time.Duration
 	// given is the deadline that net/http asks for, and deadline the one that is set; zero is none.
-	given, deadline time.Time
+	requestedDeadline, currentDeadline time.Time
 
 	closed atomic.Bool
 	// failed is set when the connection broke or was ended from the other side.
@@ -55,49 +55,49 @@
 	// closer is who of this side ended the connection, a forward.Closer; forward.CloserCaller until then.
 	closer atomic.Int32
 	// handed is set while a request is in the hands of the handler, and answered once bytes were sent since the last request began.
-	handed, answered atomic.Bool
+	inHandler, responseStarted atomic.Bool
 }
 
 // newConnection returns a connection that was just accepted.
 func newConnection(accepted net.Conn, server *Server) *connection {
-	return &connection{Conn: accepted, server: server, since: time.Now(), bound: server.boundOf(phaseNew)}
+	return &connection{Conn: accepted, server: server, timeoutStart: time.Now(), timeout: server.timeoutFor(phaseNew)}
 }
 
 // Read is part of net.Conn. It reports a timeout only when a bound has passed and nothing had come then.
 func (c *connection) Read(buffer []byte) (int, error) {
-	c.renew()
+	c.refreshDeadline()
 	for {
 		n, err := c.Conn.Read(buffer)
-		if isTimeout(err) && c.bounded() {
-			if n, err = c.look(buffer); isTimeout(err) && c.prolonged() {
+		if isDeadlineExceeded(err) && c.hasOwnTimeout() {
+			if n, err = c.tryRead(buffer); isDeadlineExceeded(err) && c.extendDeadline() {
 				continue
 			}
 		}
-		c.took(n, len(buffer), err)
+		c.recordRead(n, len(buffer), err)
 		return n, err
 	}
 }
 
 // isTimeout tells whether a reading ended at its deadline; the system calls a connection that TCP gave up a timeout as well. It is asked
 // for each request, whose watch ends so, and looks at the two forms of the error that there are.
-func isTimeout(err error) bool {
-	if failed, wrapped := err.(*net.OpError); wrapped {
-		err = failed.Err
+func isDeadlineExceeded(err error) bool {
+	if opErr, ok := err.(*net.OpError); ok {
+		err = opErr.Err
 	}
 	return err == os.ErrDeadlineExceeded
 }
 
 // took notes what a reading into so many bytes brought.
-func (c *connection) took(n, room int, err error) {
+func (c *connection) recordRead(n, bufferSize int, err error) {
 	c.server.traffic.Received.Add(int64(n))
 	if n > 0 {
-		c.heard(room)
+		c.bytesReceived(bufferSize)
 	}
 	switch {
 	case err == nil || c.closed.Load():
-	case !isTimeout(err):
+	case !isDeadlineExceeded(err):
 		c.failed.Store(true)
-	case c.timedOut():
+	case c.abandonOnTimeout():
 		// Without this net/http would answer the part of a request line that it has. An error is that of a connection that is closed.
 		_ = c.Close()
 	}
@@ -105,20 +105,20 @@
 
 // watchBytes is the room that net/http reads into while a request is in hand, to see the connection end. What it reads is the beginning
 // of the next head; bodies are read into more.
-const watchBytes = 1
+const backgroundReadBytes = 1
 
 // heard notes that bytes have come. The bound of a first head goes on from the opening.
-func (c *connection) heard(room int) {
+func (c *connection) bytesReceived(bufferSize int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch c.phase {
 	case phaseNew:
-		c.phase = phaseHead
-	case phaseResting:
-		c.begin(phaseHead)
-	case phaseInHand:
-		c.ahead = room == watchBytes
-	case phaseHead:
+		c.phase = phaseReadingHeader
+	case phaseIdle:
+		c.startPhase(phaseReadingHeader)
+	case phaseActive:
+		c.pipelined = bufferSize == backgroundReadBytes
+	case phaseReadingHeader:
 	}
 }
 
@@ -127,7 +127,7 @@
 	n, err := c.Conn.Write(buffer)
 	c.server.traffic.Sent.Add(int64(n))
 	if n > 0 {
-		c.answered.Store(true)
+		c.responseStarted.Store(true)
 	}
 	return n, err
 }
@@ -136,8 +136,8 @@
 func (c *connection) SetReadDeadline(deadline time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.given = deadline
-	return c.set(c.until())
+	c.requestedDeadline = deadline
+	return c.applyDeadline(c.readDeadline())
 }
 
 // SetDeadline is part of net.Conn.
@@ -147,8 +147,8 @@
 
 // CloseWrite ends what is sent, so that net/http can have an answer arrive before it closes a connection with unread bytes.
 func (c *connection) CloseWrite() error {
-	if half, can := c.Conn.(interface{ CloseWrite() error }); can {
-		return half.CloseWrite()
+	if closer, ok := c.Conn.(interface{ CloseWrite() error }); ok {
+		return closer.CloseWrite()
 	}
 	return nil
 }
@@ -158,28 +158,28 @@
 func (c *connection) Close() error {
 	if !c.closed.Swap(true) {
 		c.server.remove(c)
-		if inHand, unheard := c.unanswered(); !unheard && !c.handed.Load() && !c.answered.Load() {
-			c.server.observer.HeadUnanswered(c.closedBy(), c.RemoteAddr().String(), inHand)
+		if elapsed, notStarted := c.requestProgress(); !notStarted && !c.inHandler.Load() && !c.responseStarted.Load() {
+			c.server.observer.HeadUnanswered(c.closedBy(), c.RemoteAddr().String(), elapsed)
 		}
 	}
 	return c.Conn.Close()
 }
 
 // unanswered returns for how long a request has been coming, and whether none has begun to.
-func (c *connection) unanswered() (inHand time.Duration, unheard bool) {
+func (c *connection) requestProgress() (elapsed time.Duration, notStarted bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return time.Since(c.since), c.phase == phaseNew || c.phase == phaseResting
+	return time.Since(c.timeoutStart), c.phase == phaseNew || c.phase == phaseIdle
 }
 
 // leftWhileAhead tells whether the other side has ended the connection after it had sent the first byte of the next head: net/http reads
 // no further while a request is in hand, and does not see it.
-func (c *connection) leftWhileAhead() bool {
+func (c *connection) peerClosedWhilePipelined() bool {
 	c.mu.Lock()
-	ahead := c.ahead
+	pipelined := c.pipelined
 	c.mu.Unlock()
-	raw, isRaw := c.Conn.(syscall.Conn)
-	return ahead && isRaw && hasEnded(raw)
+	raw, ok := c.Conn.(syscall.Conn)
+	return pipelined && ok && peerHasClosed(raw)
 }
 
 // closedBy returns who ended the connection. What this side closes without a name is closed by its end.
@@ -193,9 +193,9 @@
 
 // stateChanged is the ConnState hook of the server of callers. net/http calls it from the goroutine that reads the connection, while no
 // other reads.
-func stateChanged(conn net.Conn, state http.ConnState) {
-	c, ofCaller := conn.(*connection)
-	if !ofCaller {
+func onConnState(conn net.Conn, state http.ConnState) {
+	c, ok := conn.(*connection)
+	if !ok {
 		return
 	}
 	switch state {
@@ -203,58 +203,58 @@
 		// The time of the last request bounds no answer to the next one, also not one that net/http gives by itself. An error is that of a
 		// connection that is closed.
 		_ = c.SetWriteDeadline(time.Time{})
-		c.handed.Store(false)
-		c.answered.Store(false)
-		c.enter(phaseResting)
+		c.inHandler.Store(false)
+		c.responseStarted.Store(false)
+		c.enterPhase(phaseIdle)
 	case http.StateActive:
-		c.enter(phaseInHand)
+		c.enterPhase(phaseActive)
 	case http.StateNew, http.StateClosed, http.StateHijacked:
 	}
 }
 
 // enter begins a phase.
-func (c *connection) enter(next phase) {
+func (c *connection) enterPhase(next phase) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case next != phaseResting:
+	case next != phaseIdle:
 		c.phase = next
-	case c.ahead:
-		c.begin(phaseHead)
+	case c.pipelined:
+		c.startPhase(phaseReadingHeader)
 	default:
-		c.begin(phaseResting)
+		c.startPhase(phaseIdle)
 	}
-	c.ahead = false
+	c.pipelined = false
 	// It fails only for a connection that is closed, as the next reading will.
-	_ = c.set(c.until())
+	_ = c.applyDeadline(c.readDeadline())
 }
 
 // begin begins a phase with a bound of its own. The mutex is held.
-func (c *connection) begin(next phase) {
-	c.phase, c.since, c.bound = next, time.Now(), c.server.boundOf(next)
+func (c *connection) startPhase(next phase) {
+	c.phase, c.timeoutStart, c.timeout = next, time.Now(), c.server.timeoutFor(next)
 }
 
 // connKey is the key of the connection in the contexts of its requests.
 type connKey struct{}
 
 // withConn is the ConnContext of a server of callers.
-func withConn(ctx context.Context, conn net.Conn) context.Context {
+func connContext(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, conn)
 }
 
 // CloserOf returns who ended the connection on which the request of a context came.
 func CloserOf(ctx context.Context) forward.Closer {
-	if conn, known := ctx.Value(connKey{}).(*connection); known {
+	if conn, ok := ctx.Value(connKey{}).(*connection); ok {
 		return conn.closedBy()
 	}
 	return forward.CloserCaller
 }
 
 // handing returns a handler that notes on the connections of callers that a request is in hand.
-func handing(handler http.Handler) http.Handler {
+func trackHandler(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if conn, known := r.Context().Value(connKey{}).(*connection); known {
-			conn.handed.Store(true)
+		if conn, ok := r.Context().Value(connKey{}).(*connection); ok {
+			conn.inHandler.Store(true)
 		}
 		handler.ServeHTTP(w, r)
 	})
--- a/internal/callers/bounds.go
+++ b/internal/callers/deadlines.go
@@ -13,15 +13,15 @@
 )
 
 // timedOut tells whether a reading that timed out gives the connection up, and notes who does.
-func (c *connection) timedOut() bool {
+func (c *connection) abandonOnTimeout() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case c.phase == phaseInHand:
+	case c.phase == phaseActive:
 		return false
-	case c.server.stopping.Load() != nil:
+	case c.server.shutdownStart.Load() != nil:
 		c.closer.Store(int32(forward.CloserStop))
-	case c.phase == phaseHead:
+	case c.phase == phaseReadingHeader:
 		c.closer.Store(int32(forward.CloserHead))
 	default:
 		c.closer.Store(int32(forward.CloserRest))
@@ -31,31 +31,31 @@
 }
 
 // bounded tells whether the connection is under a bound of its own.
-func (c *connection) bounded() bool {
+func (c *connection) hasOwnTimeout() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.phase != phaseInHand
+	return c.phase != phaseActive
 }
 
 // until returns when a reading is given up; zero is never. The mutex is held.
-func (c *connection) until() time.Time {
-	if c.phase == phaseInHand {
-		return c.given
+func (c *connection) readDeadline() time.Time {
+	if c.phase == phaseActive {
+		return c.requestedDeadline
 	}
-	end := c.since.Add(c.bound)
-	stopping := c.server.stopping.Load()
+	end := c.timeoutStart.Add(c.timeout)
+	shutdownStart := c.server.shutdownStart.Load()
 	switch {
-	case stopping != nil && c.phase == phaseResting:
-		end = c.since
-	case stopping != nil && c.phase == phaseNew:
-		end = earlier(end, stopping.Add(silenceWhileStopping))
-	case c.bound == unbounded:
-		return c.given
+	case shutdownStart != nil && c.phase == phaseIdle:
+		end = c.timeoutStart
+	case shutdownStart != nil && c.phase == phaseNew:
+		end = earlier(end, shutdownStart.Add(newConnGrace))
+	case c.timeout == noTimeout:
+		return c.requestedDeadline
 	}
-	if c.given.IsZero() {
+	if c.requestedDeadline.IsZero() {
 		return end
 	}
-	return earlier(c.given, end)
+	return earlier(c.requestedDeadline, end)
 }
 
 // earlier returns the earlier of two times.
@@ -67,38 +67,38 @@
 }
 
 // renew sets the deadline that holds now, also for a reading that waits.
-func (c *connection) renew() {
+func (c *connection) refreshDeadline() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	// It fails only for a connection that is closed, as the next reading will.
-	_ = c.set(c.until())
+	_ = c.applyDeadline(c.readDeadline())
 }
 
 // set sets a deadline, unless it is set already. The mutex is held.
-func (c *connection) set(deadline time.Time) error {
-	if deadline.Equal(c.deadline) {
+func (c *connection) applyDeadline(deadline time.Time) error {
+	if deadline.Equal(c.currentDeadline) {
 		return nil
 	}
-	c.deadline = deadline
+	c.currentDeadline = deadline
 	return c.Conn.SetReadDeadline(deadline)
 }
 
 // prolonged tells whether the bound was raised since it began to run, so that the connection goes on. One that was lowered holds for
 // connections that begin to rest from then on.
-func (c *connection) prolonged() bool {
+func (c *connection) extendDeadline() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.bound = max(c.bound, c.server.boundOf(c.phase))
-	until := c.until()
-	return (until.IsZero() || time.Now().Before(until)) && c.set(until) == nil
+	c.timeout = max(c.timeout, c.server.timeoutFor(c.phase))
+	deadline := c.readDeadline()
+	return (deadline.IsZero() || time.Now().Before(deadline)) && c.applyDeadline(deadline) == nil
 }
 
 // look reads what has come, without waiting and whatever the deadline is: a reading whose deadline has passed does not try, though bytes
 // may have come before, as after a standstill of the process; and a stop may set one at any moment. Only the goroutine that reads the
 // connection may call it. It returns os.ErrDeadlineExceeded when there is nothing.
-func (c *connection) look(buffer []byte) (int, error) {
-	conn, isRaw := c.Conn.(syscall.Conn)
-	if !isRaw {
+func (c *connection) tryRead(buffer []byte) (int, error) {
+	conn, ok := c.Conn.(syscall.Conn)
+	if !ok {
 		return 0, os.ErrDeadlineExceeded
 	}
 	raw, err := conn.SyscallConn()
@@ -106,14 +106,14 @@
 		return 0, err
 	}
 	n, readErr := 0, error(nil)
-	if err := raw.Control(func(descriptor uintptr) { n, readErr = readNow(int(descriptor), buffer) }); err != nil {
+	if err := raw.Control(func(descriptor uintptr) { n, readErr = readNonblocking(int(descriptor), buffer) }); err != nil {
 		return 0, err
 	}
 	return n, readErr
 }
 
 // readNow reads from a descriptor that does not block.
-func readNow(descriptor int, buffer []byte) (int, error) {
+func readNonblocking(descriptor int, buffer []byte) (int, error) {
 	for {
 		n, err := syscall.Read(descriptor, buffer)
 		switch {
--- a/internal/callers/leaving.go
+++ b/internal/callers/disconnect.go
@@ -12,39 +12,39 @@
 // lookInterval is how often the connection of a request in hand is looked at. Workers have to stop within half a second of the end of a
 // caller's connection; requests that are served sooner are never looked at, and others take a call to the system only once the next one
 // has come.
-const lookInterval = 200 * time.Millisecond
+const disconnectPollInterval = 200 * time.Millisecond
 
 // UntilCallerLeaves returns a handler whose requests end once their caller has closed its connection. The server sees that by itself only
 // until the first byte of the next request has come: it reads no further before the first one is answered.
 func UntilCallerLeaves(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		conn, known := r.Context().Value(connKey{}).(*connection)
-		if !known {
+		conn, ok := r.Context().Value(connKey{}).(*connection)
+		if !ok {
 			handler.ServeHTTP(w, r)
 			return
 		}
 		ctx, cancel := context.WithCancel(r.Context())
 		defer cancel()
-		var look *time.Timer
-		begin := make(chan struct{})
-		look = time.AfterFunc(lookInterval, func() {
-			<-begin
-			if conn.leftWhileAhead() {
+		var timer *time.Timer
+		timerSet := make(chan struct{})
+		timer = time.AfterFunc(disconnectPollInterval, func() {
+			<-timerSet
+			if conn.peerClosedWhilePipelined() {
 				cancel()
 				return
 			}
 			if ctx.Err() == nil {
-				look.Reset(lookInterval)
+				timer.Reset(disconnectPollInterval)
 			}
 		})
-		close(begin)
-		defer look.Stop()
+		close(timerSet)
+		defer timer.Stop()
 		handler.ServeHTTP(w, r.WithContext(ctx))
 	})
 }
 
 // hasEnded tells whether the other side has closed or reset a connection, whatever has come before and was not read.
-func hasEnded(conn syscall.Conn) bool {
+func peerHasClosed(conn syscall.Conn) bool {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return false
@@ -52,9 +52,9 @@
 	ended := false
 	// An error is that of a connection that this side has closed.
 	_ = raw.Control(func(descriptor uintptr) {
-		look := []unix.PollFd{{Fd: int32(descriptor), Events: unix.POLLRDHUP}}
-		_, err := unix.Poll(look, 0)
-		ended = err == nil && look[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+		fds := []unix.PollFd{{Fd: int32(descriptor), Events: unix.POLLRDHUP}}
+		_, err := unix.Poll(fds, 0)
+		ended = err == nil && fds[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 	})
 	return ended
 }
--- a/internal/callers/server.go
+++ b/internal/callers/server.go
@@ -26,7 +26,7 @@
 	RestedOut()
 	// HeadUnanswered tells that a connection ended before the head of a request was there, or was handed on, by whom, and for how long the
 	// request had been coming.
-	HeadUnanswered(closedBy forward.Closer, peer string, inHand time.Duration)
+	HeadUnanswered(closedBy forward.Closer, peer string, elapsed time.Duration)
 }
 
 // Traffic is what connections have used: bytes received and sent, and how many are open.
@@ -40,24 +40,24 @@
 	observer Observer
 
 	// between bounds the rest between two requests, and first the time until a head is there, in nanoseconds.
-	between, first atomic.Int64
+	idleTimeout, headerTimeout atomic.Int64
 	// stopping is since when connections rest no more; nil before.
-	stopping atomic.Pointer[time.Time]
+	shutdownStart atomic.Pointer[time.Time]
 	// endWaits ends the contexts of requests that may wait for news at a stop; nil where none do.
-	endWaits context.CancelFunc
+	cancelLongPolls context.CancelFunc
 
 	mu       sync.Mutex
 	listener net.Listener
 	conns    map[*connection]struct{}
 	// accepting is how many loops accept connections. One that is about to begin a connection has not added it yet.
-	accepting int
+	acceptLoops int
 	// ended is closed once there are no connections any more, and none can come, after stopping; nil before.
-	ended chan struct{}
+	drained chan struct{}
 }
 
 // NewServer returns a server of callers that does not serve yet.
 func NewServer(handler http.Handler, traffic *Traffic, observer Observer, logger *logrus.Entry) *Server {
-	return serverOf(newHTTPServer(handler, logger), traffic, observer, defaultIdleTimeout)
+	return wrapServer(newHTTPServer(handler, logger), traffic, observer, defaultIdleTimeout)
 }
 
 // defaultIdleTimeout bounds resting connections before a configuration is known.
@@ -70,12 +70,12 @@
 )
 
 // serverOf returns a server that has bounds of its own beside those of net/http.
-func serverOf(server *http.Server, traffic *Traffic, observer Observer, between time.Duration) *Server {
+func wrapServer(server *http.Server, traffic *Traffic, observer Observer, idleTimeout time.Duration) *Server {
 	s := &Server{server: server, traffic: traffic, observer: observer, conns: map[*connection]struct{}{}}
-	server.Handler = handing(server.Handler)
-	server.ConnState, server.ConnContext = stateChanged, withConn
-	s.between.Store(int64(between))
-	s.first.Store(int64(readHeaderTimeout))
+	server.Handler = trackHandler(server.Handler)
+	server.ConnState, server.ConnContext = onConnState, connContext
+	s.idleTimeout.Store(int64(idleTimeout))
+	s.headerTimeout.Store(int64(readHeaderTimeout))
 	return s
 }
 
@@ -83,7 +83,7 @@
 func newHTTPServer(handler http.Handler, logger *logrus.Entry) *http.Server {
 	return &http.Server{
 		Handler: handler, MaxHeaderBytes: maxHeaderBytes, ReadHeaderTimeout: readHeaderTimeout,
-		ErrorLog: log.New(errorLines{logger}, "", 0),
+		ErrorLog: log.New(errorLogWriter{logger}, "", 0),
 	}
 }
 
@@ -93,82 +93,82 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	server := newHTTPServer(handler, logger)
 	server.BaseContext = func(net.Listener) context.Context { return ctx }
-	side := serverOf(server, &Traffic{}, observer, unbounded)
-	side.endWaits = cancel
+	side := wrapServer(server, &Traffic{}, observer, noTimeout)
+	side.cancelLongPolls = cancel
 	return side
 }
 
 // errorLines takes the lines that servers of net/http write, of panics among others, into the log.
-type errorLines struct{ logger *logrus.Entry }
+type errorLogWriter struct{ logger *logrus.Entry }
 
 // Write is part of io.Writer.
-func (e errorLines) Write(line []byte) (int, error) {
+func (e errorLogWriter) Write(line []byte) (int, error) {
 	e.logger.Error(strings.TrimSpace(string(line)))
 	return len(line), nil
 }
 
 // unbounded is the bound of what may last.
-const unbounded = 0
+const noTimeout = 0
 
 // SetTimeouts changes the bounds of the rest between two requests and of the time until the head of one is there: from the opening for
 // the first of a connection, and from their first bytes for others. Bounds of zero stay as they were. A raised bound holds for all
 // connections, a lowered one for those that it begins to bound from now on.
-func (s *Server) SetTimeouts(between, first time.Duration) {
-	if between > 0 {
-		s.between.Store(int64(between))
+func (s *Server) SetTimeouts(idleTimeout, headerTimeout time.Duration) {
+	if idleTimeout > 0 {
+		s.idleTimeout.Store(int64(idleTimeout))
 	}
-	if first > 0 {
-		s.first.Store(int64(first))
+	if headerTimeout > 0 {
+		s.headerTimeout.Store(int64(headerTimeout))
 	}
 }
 
 // boundOf returns the bound of a phase.
-func (s *Server) boundOf(of phase) time.Duration {
-	if of == phaseResting {
-		return time.Duration(s.between.Load())
+func (s *Server) timeoutFor(of phase) time.Duration {
+	if of == phaseIdle {
+		return time.Duration(s.idleTimeout.Load())
 	}
-	return time.Duration(s.first.Load())
+	return time.Duration(s.headerTimeout.Load())
 }
 
 // Serve serves the connections of a listener until that is closed.
 func (s *Server) Serve(listener net.Listener) error {
 	s.mu.Lock()
 	s.listener = listener
-	s.accepting++
+	s.acceptLoops++
 	s.mu.Unlock()
-	defer s.acceptedLast()
-	if s.stopping.Load() != nil {
+	defer s.acceptLoopDone()
+	if s.shutdownStart.Load() != nil {
 		_ = listener.Close()
 	}
-	return s.server.Serve(&acceptor{listener, s})
+	return s.server.Serve(&trackingListener{listener, s})
 }
 
 // acceptedLast notes that a loop that accepted connections has ended.
-func (s *Server) acceptedLast() {
+func (s *Server) acceptLoopDone() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.accepting--
-	s.endIfNone()
+	s.acceptLoops--
+	s.signalIfDrained()
 }
 
 // silenceWhileStopping is how long a new connection on which nothing has come may stay open after a stop began to close connections: its
 // first request may be on its way. Nothing else in a stop waits for silent callers.
-const silenceWhileStopping = 300 * time.Millisecond
+const newConnGrace = 300 * time.Millisecond
 
 // ShutDown closes the listeners of servers and the connections that rest, and waits until a time for those on which a request or a head has
 // begun to come; when that has passed, for as long as for new connections. Before this moment no connection is closed from this side: a
 // request may be on its way on any of them.
-func ShutDown(end time.Time, servers ...*Server) {
-	if least := time.Now().Add(silenceWhileStopping); end.Before(least) {
-		end = least
+func ShutDown(deadline time.Time, servers ...*Server) {
+	if earliest := time.Now().Add(newConnGrace); deadline.Before(earliest) {
+		deadline = earliest
 	}
-	ctx, cancel := context.WithDeadline(context.Background(), end)
+	ctx, cancel := context.WithDeadline(context.Background(), deadline)
 	defer cancel()
-	var stopping sync.WaitGroup
+	var group sync.WaitGroup
 	for _, server := range servers {
-		stopping.Go(func() { server.shutDown(ctx) })
+		group.Go(func() { server.shutDown(ctx) })
 	}
-	stopping.Wait()
+	group.Wait()
 }
 
 // shutDown closes the listener and the connections that rest, and waits for those on which a request has begun to come. Those that were
@@ -176,15 +176,15 @@
 // whose request was just read.
 func (s *Server) shutDown(ctx context.Context) {
 	now := time.Now()
-	s.stopping.Store(&now)
-	if s.endWaits != nil {
-		s.endWaits()
+	s.shutdownStart.Store(&now)
+	if s.cancelLongPolls != nil {
+		s.cancelLongPolls()
 	}
-	for _, each := range s.stopAccepting() {
-		each.renew()
+	for _, conn := range s.stopAccepting() {
+		conn.refreshDeadline()
 	}
 	select {
-	case <-s.ended:
+	case <-s.drained:
 	case <-ctx.Done():
 	}
 }
@@ -196,24 +196,24 @@
 	if s.listener != nil {
 		_ = s.listener.Close()
 	}
-	s.ended = make(chan struct{})
+	s.drained = make(chan struct{})
 	conns := make([]*connection, 0, len(s.conns))
-	for each := range s.conns {
-		conns = append(conns, each)
+	for conn := range s.conns {
+		conns = append(conns, conn)
 	}
-	s.endIfNone()
+	s.signalIfDrained()
 	return conns
 }
 
 // endIfNone notes the end of a stop when there are no connections and none can come. The mutex is held.
-func (s *Server) endIfNone() {
-	if s.ended == nil || len(s.conns) > 0 || s.accepting > 0 {
+func (s *Server) signalIfDrained() {
+	if s.drained == nil || len(s.conns) > 0 || s.acceptLoops > 0 {
 		return
 	}
 	select {
-	case <-s.ended:
+	case <-s.drained:
 	default:
-		close(s.ended)
+		close(s.drained)
 	}
 }
 
@@ -234,17 +234,17 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, conn)
-	s.endIfNone()
+	s.signalIfDrained()
 }
 
 // acceptor accepts connections of callers.
-type acceptor struct {
+type trackingListener struct {
 	net.Listener
 	server *Server
 }
 
 // Accept is part of net.Listener.
-func (l *acceptor) Accept() (net.Conn, error) {
+func (l *trackingListener) Accept() (net.Conn, error) {
 	accepted, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
--- a/internal/callers/server_test.go
+++ b/internal/callers/server_test.go
@@ -29,100 +29,100 @@
 //
 // Proof: the reading goroutine is held here where a standstill would hold it, before or after the bytes are read; each case ended with a
 // closed connection.
-func TestNoConnectionIsClosedWithARequestOnIt(t *testing.T) {
-	for _, stalled := range []string{"unread", "read"} {
-		t.Run("kept, the bound passes with the request "+stalled, func(t *testing.T) {
-			b := newCallerBench(t, testBound, time.Hour)
+func TestConnectionWithPendingRequestIsNotClosed(t *testing.T) {
+	for _, stallPoint := range []string{"unread", "read"} {
+		t.Run("kept, the bound passes with the request "+stallPoint, func(t *testing.T) {
+			b := newTestServer(t, testDelay, time.Hour)
 			caller := b.dial(t)
-			caller.ask(t, "/1")
-			b.askThroughStall(t, caller, stalled, func() { time.Sleep(testStall) })
+			caller.request(t, "/1")
+			b.requestDuringStall(t, caller, stallPoint, func() { time.Sleep(testStall) })
 		})
-		t.Run("new, the bound passes with the request "+stalled, func(t *testing.T) {
-			b := newCallerBench(t, time.Hour, testBound)
-			b.askThroughStall(t, nil, stalled, func() { time.Sleep(testStall) })
+		t.Run("new, the bound passes with the request "+stallPoint, func(t *testing.T) {
+			b := newTestServer(t, time.Hour, testDelay)
+			b.requestDuringStall(t, nil, stallPoint, func() { time.Sleep(testStall) })
 		})
-		t.Run("stop with the request "+stalled, func(t *testing.T) {
-			b := newCallerBench(t, time.Hour, time.Hour)
+		t.Run("stop with the request "+stallPoint, func(t *testing.T) {
+			b := newTestServer(t, time.Hour, time.Hour)
 			caller := b.dial(t)
-			caller.ask(t, "/1")
-			b.askThroughStall(t, caller, stalled, func() {
+			caller.request(t, "/1")
+			b.requestDuringStall(t, caller, stallPoint, func() {
 				b.stop()
-				time.Sleep(silenceWhileStopping / 3)
+				time.Sleep(newConnGrace / 3)
 			})
 		})
 	}
 	t.Run("stop just before the first request of a new connection", func(t *testing.T) {
-		b := newCallerBench(t, time.Hour, time.Hour)
-		b.dial(t).ask(t, "/1")
+		b := newTestServer(t, time.Hour, time.Hour)
+		b.dial(t).request(t, "/1")
 		caller := b.dial(t)
-		b.dial(t).ask(t, "/2") // the connection before it was accepted, too
+		b.dial(t).request(t, "/2") // the connection before it was accepted, too
 		b.stop()
-		time.Sleep(silenceWhileStopping / 3)
-		caller.ask(t, "/3")
+		time.Sleep(newConnGrace / 3)
+		caller.request(t, "/3")
 	})
 	t.Run("stop when the first byte of the next request has come", func(t *testing.T) {
-		b := newCallerBench(t, time.Hour, time.Hour)
+		b := newTestServer(t, time.Hour, time.Hour)
 		caller := b.dial(t)
-		next := headOf("/2")
-		b.turn = func() {
-			_ = caller.send(next[:1])
-			time.Sleep(testBound) // The byte is read while the request is in hand.
+		nextRequest := requestFor("/2")
+		b.onHook = func() {
+			_ = caller.send(nextRequest[:1])
+			time.Sleep(testDelay) // The byte is read while the request is in hand.
 			b.stop()
 		}
-		caller.ask(t, pathTurn)
-		time.Sleep(silenceWhileStopping / 6)
-		caller.askRest(t, next[1:])
+		caller.request(t, pathHook)
+		time.Sleep(newConnGrace / 6)
+		caller.finishRequest(t, nextRequest[1:])
 	})
 	t.Run("the bound is raised while connections rest", func(t *testing.T) {
-		b := newCallerBench(t, testBound, testBound)
-		kept, fresh := b.dial(t), b.dial(t)
-		kept.ask(t, "/1")
+		b := newTestServer(t, testDelay, testDelay)
+		idle, fresh := b.dial(t), b.dial(t)
+		idle.request(t, "/1")
 		b.SetTimeouts(time.Hour, time.Hour)
 		time.Sleep(testStall)
-		kept.ask(t, "/2")
-		fresh.ask(t, "/3")
+		idle.request(t, "/2")
+		fresh.request(t, "/3")
 	})
 	t.Run("callers send about when the bound passes", func(t *testing.T) {
-		b := newCallerBench(t, testBound, time.Hour)
-		b.sendAboutTheBound(t)
+		b := newTestServer(t, testDelay, time.Hour)
+		b.requestAroundTimeout(t)
 	})
 }
 
 // TestConnectionsRestAsLongAsTheBoundOfTheMomentAllows changes the bounds while connections rest and while heads come.
-func TestConnectionsRestAsLongAsTheBoundOfTheMomentAllows(t *testing.T) {
-	b := newCallerBench(t, time.Hour, time.Hour)
-	earlier, earlierNew := b.dial(t), b.dial(t)
-	earlier.ask(t, "/1")
-	if earlier.closedWithin(2 * testBound) {
+func TestTimeoutChangesApplyToOpenConnections(t *testing.T) {
+	b := newTestServer(t, time.Hour, time.Hour)
+	idleBefore, newBefore := b.dial(t), b.dial(t)
+	idleBefore.request(t, "/1")
+	if idleBefore.closedWithin(2 * testDelay) {
 		t.Error("a connection was closed within its bound")
 	}
-	b.SetTimeouts(testBound, 0)
-	lowered, fresh, atWork := b.dial(t), b.dial(t), b.dial(t)
-	lowered.ask(t, "/2")
-	b.turn = func() { time.Sleep(testStall) }
-	atWork.ask(t, pathTurn)
-	if !lowered.closedWithin(testStall) {
+	b.SetTimeouts(testDelay, 0)
+	idle, fresh, active := b.dial(t), b.dial(t), b.dial(t)
+	idle.request(t, "/2")
+	b.onHook = func() { time.Sleep(testStall) }
+	active.request(t, pathHook)
+	if !idle.closedWithin(testStall) {
 		t.Error("the bound between requests was not lowered")
 	}
-	if fresh.closedWithin(testStall) || earlierNew.closedWithin(time.Millisecond) {
+	if fresh.closedWithin(testStall) || newBefore.closedWithin(time.Millisecond) {
 		t.Error("the bound between requests was taken for that of the first head")
 	}
-	if earlier.closedWithin(time.Millisecond) {
+	if idleBefore.closedWithin(time.Millisecond) {
 		t.Error("a lowered bound closed a connection that rested before")
 	}
-	b.SetTimeouts(0, testBound)
+	b.SetTimeouts(0, testDelay)
 	if !b.dial(t).closedWithin(testStall) {
 		t.Error("the bound of the first head was not changed")
 	}
-	for name, prepare := range map[string]func(*testCaller){"first": func(*testCaller) {}, "second": func(c *testCaller) { c.ask(t, "/3") }} {
-		dripping := b.dial(t)
-		prepare(dripping)
-		begun := time.Now()
-		for range 2 * testStall / testBound {
-			_ = dripping.send("G")
-			time.Sleep(testBound / 2)
+	for name, prepare := range map[string]func(*testCaller){"first": func(*testCaller) {}, "second": func(c *testCaller) { c.request(t, "/3") }} {
+		slow := b.dial(t)
+		prepare(slow)
+		start := time.Now()
+		for range 2 * testStall / testDelay {
+			_ = slow.send("G")
+			time.Sleep(testDelay / 2)
 		}
-		if !dripping.closedWithin(time.Millisecond) || time.Since(begun) > testPatience {
+		if !slow.closedWithin(time.Millisecond) || time.Since(start) > testTimeout {
 			t.Errorf("a %s head that comes slowly is not bounded", name)
 		}
 	}
@@ -130,7 +130,7 @@
 
 // TestNothingIsSentOnAConnectionThatIsGivenUp has heads come too slowly, and a stop come upon a part of one: net/http takes the part of a
 // request line for a bad request and would say so.
-func TestNothingIsSentOnAConnectionThatIsGivenUp(t *testing.T) {
+func TestAbandonedConnectionGetsNoResponse(t *testing.T) {
 	const line, header = "GET / HT", "GET / HTTP/1.1\r\nHost: a\r\n"
 	for _, c := range []struct {
 		desc, before, after string
@@ -138,19 +138,19 @@
 	}{
 		{"a first line", "", line, false},
 		{"a first header", "", header, false},
-		{"a line on a kept connection", headOf("/1"), line, false},
-		{"a header on a kept connection", headOf("/1"), header, false},
-		{"a line sent with the request before", headOf("/1") + line, "", false},
-		{"a line sent with the request before, and a stop", headOf("/1") + line, "", true},
+		{"a line on a kept connection", requestFor("/1"), line, false},
+		{"a header on a kept connection", requestFor("/1"), header, false},
+		{"a line sent with the request before", requestFor("/1") + line, "", false},
+		{"a line sent with the request before, and a stop", requestFor("/1") + line, "", true},
 	} {
 		t.Run(c.desc, func(t *testing.T) {
-			b := newCallerBench(t, testBound, testBound)
+			b := newTestServer(t, testDelay, testDelay)
 			caller := b.dial(t)
 			if err := caller.send(c.before); err != nil {
 				t.Fatal(err)
 			}
 			if c.before != "" {
-				if err := caller.answer(); err != nil {
+				if err := caller.readResponse(); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -160,7 +160,7 @@
 			if c.stop {
 				b.stop()
 			}
-			_ = caller.SetReadDeadline(time.Now().Add(testPatience))
+			_ = caller.SetReadDeadline(time.Now().Add(testTimeout))
 			got, err := io.ReadAll(caller.reader)
 			if len(got) > 0 || errors.Is(err, os.ErrDeadlineExceeded) {
 				t.Errorf("got %q, %v", got, err)
@@ -170,30 +170,30 @@
 }
 
 // brokenConn is a connection that TCP has given up.
-type brokenConn struct{ net.Conn }
+type timedOutConn struct{ net.Conn }
 
 // Read is part of net.Conn.
-func (brokenConn) Read([]byte) (int, error) {
+func (timedOutConn) Read([]byte) (int, error) {
 	return 0, &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", syscall.ETIMEDOUT)}
 }
 
 // TestAConnectionThatTCPGaveUpIsNotClosedByThisSide: the error of the system is a timeout, too, but not that of a deadline.
-func TestAConnectionThatTCPGaveUpIsNotClosedByThisSide(t *testing.T) {
-	for _, stops := range []bool{false, true} {
-		b := newCallerBench(t, testBound, testBound)
-		if stops {
+func TestTCPTimeoutIsAttributedToCaller(t *testing.T) {
+	for _, shuttingDown := range []bool{false, true} {
+		b := newTestServer(t, testDelay, testDelay)
+		if shuttingDown {
 			<-b.stop()
 		}
 		own, other := net.Pipe()
 		defer other.Close()
-		conn := newConnection(brokenConn{own}, b.Server)
+		conn := newConnection(timedOutConn{own}, b.Server)
 		b.add(conn)
 		if _, err := conn.Read(make([]byte, 10)); !errors.Is(err, syscall.ETIMEDOUT) {
 			t.Errorf("got %v", err)
 		}
 		_ = conn.Close()
 		if closer := conn.closedBy(); closer != forward.CloserCaller {
-			t.Errorf("closed by %v, stops %t", closer, stops)
+			t.Errorf("closed by %v, stops %t", closer, shuttingDown)
 		}
 	}
 }
@@ -202,37 +202,37 @@
 const pathAbort = "/abort"
 
 // TestWhoClosedAConnectionIsCounted has connections end in each way while a head comes or a request is in hand.
-func TestWhoClosedAConnectionIsCounted(t *testing.T) {
-	half := headOf("/1")[:10]
+func TestCloserIsReported(t *testing.T) {
+	partial := requestFor("/1")[:10]
 	for _, c := range []struct {
 		desc string
 		sent string
-		end  func(b *callerBench, caller *testCaller)
+		end  func(b *testServer, caller *testCaller)
 		want string
 	}{
-		{"the caller, with a head under way", half, func(_ *callerBench, caller *testCaller) {
+		{"the caller, with a head under way", partial, func(_ *testServer, caller *testCaller) {
 			_ = caller.Conn.(*net.TCPConn).SetLinger(0) // The connection is reset.
 			_ = caller.Close()
 		}, "closed by caller"},
-		{"the bound on heads", half, func(*callerBench, *testCaller) {}, "closed by bound on heads"},
-		{"the end of a stop", half, func(b *callerBench, _ *testCaller) { b.Close() }, "closed by stop"},
-		{"the bound on rest", headOf("/1"), func(*callerBench, *testCaller) {}, "rested out"},
-		{"the handler, which reports by itself", headOf(pathAbort), func(*callerBench, *testCaller) {}, ""},
+		{"the bound on heads", partial, func(*testServer, *testCaller) {}, "closed by bound on heads"},
+		{"the end of a stop", partial, func(b *testServer, _ *testCaller) { b.Close() }, "closed by stop"},
+		{"the bound on rest", requestFor("/1"), func(*testServer, *testCaller) {}, "rested out"},
+		{"the handler, which reports by itself", requestFor(pathAbort), func(*testServer, *testCaller) {}, ""},
 	} {
 		t.Run(c.desc, func(t *testing.T) {
-			b := newCallerBench(t, testStall, testStall)
+			b := newTestServer(t, testStall, testStall)
 			caller := b.dial(t)
 			if err := caller.send(c.sent); err != nil {
 				t.Fatal(err)
 			}
-			time.Sleep(testBound / 2) // The head is read.
+			time.Sleep(testDelay / 2) // The head is read.
 			c.end(b, caller)
-			_ = caller.closedWithin(testPatience)
-			for begun := time.Now(); b.traffic.Open.Load() > 0 && time.Since(begun) < testPatience; {
-				time.Sleep(testBound / 10)
+			_ = caller.closedWithin(testTimeout)
+			for start := time.Now(); b.traffic.Open.Load() > 0 && time.Since(start) < testTimeout; {
+				time.Sleep(testDelay / 10)
 			}
-			time.Sleep(testBound / 2) // What is counted is counted after that.
-			if got := b.counted.String(); got != c.want {
+			time.Sleep(testDelay / 2) // What is counted is counted after that.
+			if got := b.recorder.String(); got != c.want {
 				t.Errorf("counted %q, want %q", got, c.want)
 			}
 		})
@@ -240,21 +240,21 @@
 }
 
 // TestADeadlineOfTheServerHoldsWithinTheBounds sets deadlines that end before the bounds of the connection do.
-func TestADeadlineOfTheServerHoldsWithinTheBounds(t *testing.T) {
-	for _, between := range []time.Duration{time.Hour, unbounded} {
-		b := newCallerBench(t, time.Hour, time.Hour)
-		b.between.Store(int64(between))
-		for _, phase := range []phase{phaseNew, phaseResting, phaseHead, phaseInHand} {
+func TestServerDeadlineAppliesWithinTimeouts(t *testing.T) {
+	for _, idleTimeout := range []time.Duration{time.Hour, noTimeout} {
+		b := newTestServer(t, time.Hour, time.Hour)
+		b.idleTimeout.Store(int64(idleTimeout))
+		for _, phase := range []phase{phaseNew, phaseIdle, phaseReadingHeader, phaseActive} {
 			own, other := net.Pipe()
 			defer other.Close()
 			conn := newConnection(own, b.Server)
 			b.add(conn)
-			conn.enter(phase)
-			if phase == phaseHead {
-				conn.begin(phaseHead)
+			conn.enterPhase(phase)
+			if phase == phaseReadingHeader {
+				conn.startPhase(phaseReadingHeader)
 			}
-			guard := time.AfterFunc(testPatience, func() { _ = other.Close() })
-			_ = conn.SetReadDeadline(time.Now().Add(testBound))
+			guard := time.AfterFunc(testTimeout, func() { _ = other.Close() })
+			_ = conn.SetReadDeadline(time.Now().Add(testDelay))
 			if _, err := conn.Read(make([]byte, 10)); !errors.Is(err, os.ErrDeadlineExceeded) {
 				t.Errorf("phase %d: got %v", phase, err)
 			}
@@ -266,76 +266,76 @@
 
 // TestABodyIsNotTakenForTheNextHead has a body come while its request is in hand: the connection rests after the answer, and a stop ends it
 // at once.
-func TestABodyIsNotTakenForTheNextHead(t *testing.T) {
-	b := newCallerBench(t, time.Hour, time.Hour)
+func TestBodyIsNotMistakenForPipelinedRequest(t *testing.T) {
+	b := newTestServer(t, time.Hour, time.Hour)
 	caller := b.dial(t)
 	if err := caller.send("POST /1 HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(testBound) // The head is read.
-	caller.askRest(t, "body")
-	begun := time.Now()
+	time.Sleep(testDelay) // The head is read.
+	caller.finishRequest(t, "body")
+	start := time.Now()
 	<-b.stop()
-	if took := time.Since(begun); took > silenceWhileStopping {
+	if took := time.Since(start); took > newConnGrace {
 		t.Errorf("the stop took %v", took)
 	}
 }
 
 // askThroughStall sends a request while the reading goroutine of its connection stands still, which it does until the end of a time. A
 // nil caller opens a connection.
-func (b *callerBench) askThroughStall(t *testing.T, caller *testCaller, stalled string, meanwhile func()) {
+func (b *testServer) requestDuringStall(t *testing.T, caller *testCaller, stallPoint string, meanwhile func()) {
 	t.Helper()
-	where := &b.listener.before
-	if stalled == "read" {
-		where = &b.listener.after
+	stallGate := &b.listener.beforeRead
+	if stallPoint == "read" {
+		stallGate = &b.listener.afterRead
 	}
-	var waiting <-chan struct{}
-	b.turn = func() { waiting = where.close() }
+	var stalled <-chan struct{}
+	b.onHook = func() { stalled = stallGate.close() }
 	if caller == nil {
-		b.turn()
+		b.onHook()
 		caller = b.dial(t)
 	} else {
 		// The gate is shut before the goroutine of the connection begins to wait for the next request.
-		caller.ask(t, pathTurn)
+		caller.request(t, pathHook)
 	}
-	if err := caller.send(headOf("/stalled")); err != nil {
+	if err := caller.send(requestFor("/stalled")); err != nil {
 		t.Fatal(err)
 	}
-	<-waiting
+	<-stalled
 	meanwhile()
-	where.open()
-	if err := caller.answer(); err != nil {
-		time.Sleep(testBound) // A request that was read is on its way to the handler.
-		_, ran := b.ran.Load("/stalled")
+	stallGate.open()
+	if err := caller.readResponse(); err != nil {
+		time.Sleep(testDelay) // A request that was read is on its way to the handler.
+		_, ran := b.handled.Load("/stalled")
 		t.Errorf("the connection was closed with a request on it, which had been passed on: %t (%v)", ran, err)
 	}
 }
 
 // Callers that send about when the bound passes, how often each does, and by how much they miss it.
 const (
-	edgeCallers = 100
-	edgeRounds  = 10
-	edgeSpread  = time.Millisecond
+	timeoutRaceCallers = 100
+	timeoutRaceRounds  = 10
+	timeoutRaceSpread  = time.Millisecond
 )
 
 // sendAboutTheBound sends requests from just before to just after the end of the bound. One that comes after it finds its connection
 // closed, and has not run; one that has run is answered.
-func (b *callerBench) sendAboutTheBound(t *testing.T) {
+func (b *testServer) requestAroundTimeout(t *testing.T) {
 	var callers sync.WaitGroup
 	var lost atomic.Int64
-	for i := range edgeCallers {
+	for i := range timeoutRaceCallers {
 		callers.Go(func() {
-			for round := range edgeRounds {
+			for round := range timeoutRaceRounds {
 				caller := b.dial(t)
-				caller.ask(t, "/first")
-				offset := edgeSpread * time.Duration(2*i-edgeCallers) / edgeCallers
-				time.Sleep(testBound + offset)
+				caller.request(t, "/first")
+				offset := timeoutRaceSpread * time.Duration(2*i-timeoutRaceCallers) / timeoutRaceCallers
+				time.Sleep(testDelay + offset)
 				path := fmt.Sprintf("/%d/%d", i, round)
-				if err := caller.send(headOf(path)); err != nil {
+				if err := caller.send(requestFor(path)); err != nil {
 					continue
 				}
-				err := caller.answer()
-				if _, ran := b.ran.Load(path); ran && err != nil {
+				err := caller.readResponse()
+				if _, ran := b.handled.Load(path); ran && err != nil {
 					lost.Add(1)
 				}
 				_ = caller.Close()
--- /dev/null
+++ b/internal/callers/shutdown_test.go
@@ -0,0 +1,201 @@
+package callers
+
+import (
+	"context"
+	"io"
+	"net"
+	"net/http"
+	"testing"
+	"time"
+
+	"github.com/sirupsen/logrus"
+)
+
+// TestAStopEndsRestingConnectionsAtOnce stops beside connections that rest and one with a request in hand.
+func TestShutdownClosesIdleConnectionsImmediately(t *testing.T) {
+	b := newTestServer(t, time.Hour, time.Hour)
+	idle := b.dial(t)
+	idle.request(t, "/1")
+	start := time.Now()
+	active := b.dial(t)
+	var done <-chan struct{}
+	b.onHook = func() {
+		done = b.stop()
+		if !idle.closedWithin(testTimeout) {
+			t.Error("a resting connection was not closed")
+		}
+		select {
+		case <-done:
+			t.Error("the stop did not wait for the request in hand")
+		default:
+		}
+	}
+	active.request(t, pathHook)
+	<-done
+	if took := time.Since(start); took > newConnGrace {
+		t.Errorf("the stop took %v", took)
+	}
+	if _, err := net.Dial("tcp4", b.listener.Addr().String()); err == nil {
+		t.Error("a stopped server takes connections")
+	}
+	if open := b.traffic.Open.Load(); open != 0 {
+		t.Errorf("%d connections are open", open)
+	}
+}
+
+// TestALastLookIsMadeBesideAStop has a stop begin, and a request come, just before the last look of a connection whose bound has passed: the
+// stop hurries the reading of connections that rest, and may not end the look before it was made.
+func TestFinalReadSurvivesShutdown(t *testing.T) {
+	b := newTestServer(t, testDelay, time.Hour)
+	caller := b.dial(t)
+	var blocked <-chan struct{}
+	b.onHook = func() { blocked = b.listener.beforeFinalRead.close() }
+	caller.request(t, pathHook)
+	<-blocked
+	if err := caller.send(requestFor("/2")); err != nil {
+		t.Fatal(err)
+	}
+	b.stop()
+	time.Sleep(newConnGrace / 3)
+	b.listener.beforeFinalRead.open()
+	if err := caller.readResponse(); err != nil {
+		t.Errorf("a request that had come before the last look got no answer: %v", err)
+	}
+}
+
+// TestAStopWaitsForWhatHasCome stops beside requests and heads that take longer than connections that rest, and beside one that was
+// accepted just then.
+func TestShutdownWaitsForStartedRequests(t *testing.T) {
+	const longRequest = 2 * newConnGrace
+	t.Run("a request in hand", func(t *testing.T) {
+		b := newTestServer(t, time.Hour, time.Hour)
+		b.onHook = func() {
+			b.stop()
+			time.Sleep(longRequest)
+		}
+		b.dial(t).request(t, pathHook)
+	})
+	t.Run("a head under way", func(t *testing.T) {
+		b := newTestServer(t, time.Hour, time.Hour)
+		caller := b.dial(t)
+		head := requestFor("/1")
+		if err := caller.send(head[:5]); err != nil {
+			t.Fatal(err)
+		}
+		time.Sleep(testDelay) // The bytes are read.
+		b.stop()
+		time.Sleep(longRequest)
+		caller.finishRequest(t, head[5:])
+	})
+	t.Run("a connection accepted as the stop begins", func(t *testing.T) {
+		b := newTestServer(t, time.Hour, time.Hour)
+		blocked := b.listener.afterAccept.close()
+		caller := b.dial(t)
+		if err := caller.send(requestFor("/1")); err != nil {
+			t.Fatal(err)
+		}
+		<-blocked
+		b.stop()
+		time.Sleep(newConnGrace / 3)
+		b.listener.afterAccept.open()
+		if err := caller.readResponse(); err != nil {
+			t.Error(err)
+		}
+	})
+	t.Run("a question that waits for news is answered at once", func(t *testing.T) {
+		logger := logrus.New()
+		logger.SetOutput(io.Discard)
+		listener, err := net.Listen("tcp4", "127.0.0.1:0")
+		if err != nil {
+			t.Fatal(err)
+		}
+		side := NewSideServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			<-r.Context().Done()
+			_, _ = io.WriteString(w, "nothing new")
+		}), &recordingObserver{}, logrus.NewEntry(logger))
+		b := &testServer{Server: side, listener: &gatedListener{Listener: listener}}
+		go func() { _ = side.Serve(b.listener) }()
+		caller := b.dial(t)
+		if err := caller.send(requestFor("/1")); err != nil {
+			t.Fatal(err)
+		}
+		time.Sleep(testDelay) // The question is in hand.
+		start := time.Now()
+		done := b.stop()
+		if err := caller.readResponse(); err != nil {
+			t.Error(err)
+		}
+		<-done
+		if took := time.Since(start); took > newConnGrace {
+			t.Errorf("the stop took %v", took)
+		}
+	})
+	t.Run("but not beyond the grace", func(t *testing.T) {
+		b := newTestServer(t, time.Hour, time.Hour)
+		handled, release := make(chan struct{}), make(chan struct{})
+		b.onHook = func() {
+			close(handled)
+			<-release
+		}
+		defer close(release)
+		if err := b.dial(t).send(requestFor(pathHook)); err != nil {
+			t.Fatal(err)
+		}
+		<-handled
+		for _, grace := range []time.Duration{longRequest, -longRequest} {
+			start := time.Now()
+			ShutDown(start.Add(grace), b.Server)
+			earliest := max(grace, newConnGrace)
+			if took := time.Since(start); took < earliest || took > earliest+newConnGrace {
+				t.Errorf("with %v of the grace the stop took %v", grace, took)
+			}
+		}
+	})
+	t.Run("but not for callers that send nothing", func(t *testing.T) {
+		b := newTestServer(t, time.Hour, time.Hour)
+		silent, idle := b.dial(t), b.dial(t)
+		idle.request(t, "/1")
+		start := time.Now()
+		<-b.stop()
+		if took := time.Since(start); took > longRequest {
+			t.Errorf("the stop took %v", took)
+		}
+		if !silent.closedWithin(testDelay) || !idle.closedWithin(testDelay) {
+			t.Error("a connection is open after a stop")
+		}
+	})
+}
+
+// TestAStopAnswersQuestionsThatHaveCome holds, while the gateway stops, a question that was read at one of the ports that are not for
+// callers: where to connect, what changed in the store, whether the gateway is ready.
+func TestShutdownAnswersReceivedInternalRequests(t *testing.T) {
+	logger := logrus.New()
+	logger.SetOutput(io.Discard)
+	side := NewSideServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "told") }),
+		&recordingObserver{}, logrus.NewEntry(logger))
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	held := &gatedListener{Listener: listener}
+	go func() { _ = side.Serve(held) }()
+	t.Cleanup(side.Close)
+	caller := (&testServer{listener: held}).dial(t)
+	caller.request(t, "/1")
+	time.Sleep(testDelay) // The connection rests.
+	blocked := held.afterRead.close()
+	if err := caller.send(requestFor("/2")); err != nil {
+		t.Fatal(err)
+	}
+	<-blocked
+	go func() {
+		ctx, cancel := context.WithTimeout(context.Background(), newConnGrace)
+		defer cancel()
+		side.shutDown(ctx)
+	}()
+	time.Sleep(newConnGrace / 3)
+	held.afterRead.open()
+	if err := caller.readResponse(); err != nil {
+		t.Errorf("a question that had come got no answer: %v", err)
+	}
+}
--- a/internal/callers/harness_test.go
+++ b/internal/callers/testserver_test.go
@@ -23,15 +23,15 @@
 	mu   sync.Mutex
 	shut chan struct{}
 	// held is closed once somebody waits.
-	held chan struct{}
+	blocked chan struct{}
 }
 
 // close shuts the gate and returns a channel that is closed once somebody waits at it.
 func (g *gate) close() <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.shut, g.held = make(chan struct{}), make(chan struct{})
-	return g.held
+	g.shut, g.blocked = make(chan struct{}), make(chan struct{})
+	return g.blocked
 }
 
 // open lets all pass.
@@ -43,14 +43,14 @@
 }
 
 // pass waits while the gate is shut.
-func (g *gate) pass() {
+func (g *gate) wait() {
 	g.mu.Lock()
 	shut := g.shut
 	if shut != nil {
 		select {
-		case <-g.held:
+		case <-g.blocked:
 		default:
-			close(g.held)
+			close(g.blocked)
 		}
 	}
 	g.mu.Unlock()
@@ -61,90 +61,90 @@
 
 // heldConn is a connection whose reading goroutine can be held: before it reads, with the bytes in the kernel, or once it has read, and
 // before its last look.
-type heldConn struct {
+type gatedConn struct {
 	*net.TCPConn
-	before, after, look *gate
+	beforeRead, afterRead, beforeFinalRead *gate
 }
 
 // SyscallConn is part of syscall.Conn. It is asked for when the last look begins.
-func (c *heldConn) SyscallConn() (syscall.RawConn, error) {
-	c.look.pass()
+func (c *gatedConn) SyscallConn() (syscall.RawConn, error) {
+	c.beforeFinalRead.wait()
 	return c.TCPConn.SyscallConn()
 }
 
 // Read is part of net.Conn. The watch of a connection whose request is in hand, which reads a single byte, is not held.
-func (c *heldConn) Read(buffer []byte) (int, error) {
+func (c *gatedConn) Read(buffer []byte) (int, error) {
 	if len(buffer) > 1 {
-		c.before.pass()
+		c.beforeRead.wait()
 	}
 	n, err := c.TCPConn.Read(buffer)
 	if n > 1 {
-		c.after.pass()
+		c.afterRead.wait()
 	}
 	return n, err
 }
 
 // heldListener accepts connections that can be held.
-type heldListener struct {
+type gatedListener struct {
 	net.Listener
-	before, after, look gate
+	beforeRead, afterRead, beforeFinalRead gate
 	// accepted holds connections that were accepted.
-	accepted gate
+	afterAccept gate
 }
 
 // Accept is part of net.Listener.
-func (l *heldListener) Accept() (net.Conn, error) {
+func (l *gatedListener) Accept() (net.Conn, error) {
 	accepted, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	l.accepted.pass()
-	return &heldConn{accepted.(*net.TCPConn), &l.before, &l.after, &l.look}, nil
+	l.afterAccept.wait()
+	return &gatedConn{accepted.(*net.TCPConn), &l.beforeRead, &l.afterRead, &l.beforeFinalRead}, nil
 }
 
 // counted keeps what an observer was told.
-type counted struct {
-	mu   sync.Mutex
-	told []string
+type recordingObserver struct {
+	mu     sync.Mutex
+	events []string
 }
 
 // RestedOut is part of Observer.
-func (c *counted) RestedOut() { c.add("rested out") }
+func (c *recordingObserver) RestedOut() { c.add("rested out") }
 
 // HeadUnanswered is part of Observer.
-func (c *counted) HeadUnanswered(closedBy forward.Closer, _ string, _ time.Duration) {
+func (c *recordingObserver) HeadUnanswered(closedBy forward.Closer, _ string, _ time.Duration) {
 	c.add("closed by " + closedBy.String())
 }
 
-func (c *counted) add(told string) {
+func (c *recordingObserver) add(told string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.told = append(c.told, told)
+	c.events = append(c.events, told)
 }
 
 // String returns all that was told.
-func (c *counted) String() string {
+func (c *recordingObserver) String() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return strings.Join(c.told, ", ")
+	return strings.Join(c.events, ", ")
 }
 
 // callerBench is a server of callers whose connections can be held. Its handler stands for one that passes requests on to workers.
-type callerBench struct {
+type testServer struct {
 	*Server
-	listener *heldListener
-	counted  *counted
+	listener *gatedListener
+	recorder *recordingObserver
 	// ran holds the paths of the requests that reached the handler.
-	ran sync.Map
+	handled sync.Map
 	// turn is what comes before the answer to pathTurn.
-	turn func()
+	onHook func()
 }
 
 // pathTurn is the path of a request during which a test sets up what comes after it.
-const pathTurn = "/turn"
+const pathHook = "/turn"
 
 // newCallerBench returns a server with its bounds.
-func newCallerBench(t testing.TB, between, first time.Duration) *callerBench {
+func newTestServer(t testing.TB, idleTimeout, headerTimeout time.Duration) *testServer {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -152,33 +152,33 @@
 	}
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
-	b := &callerBench{listener: &heldListener{Listener: listener}, counted: &counted{}}
+	b := &testServer{listener: &gatedListener{Listener: listener}, recorder: &recordingObserver{}}
 	b.Server = NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		b.ran.Store(r.URL.Path, true)
+		b.handled.Store(r.URL.Path, true)
 		switch r.URL.Path {
-		case pathTurn:
-			b.turn()
+		case pathHook:
+			b.onHook()
 		case pathAbort:
 			panic(http.ErrAbortHandler)
 		}
 		_, _ = io.Copy(io.Discard, r.Body)
 		_, _ = io.WriteString(w, "served")
-	}), &Traffic{}, b.counted, logrus.NewEntry(logger))
-	b.SetTimeouts(between, first)
+	}), &Traffic{}, b.recorder, logrus.NewEntry(logger))
+	b.SetTimeouts(idleTimeout, headerTimeout)
 	go func() { _ = b.Serve(b.listener) }()
 	t.Cleanup(b.Close)
 	return b
 }
 
 // stop stops the server as a planned stop does. The channel is closed at its end.
-func (b *callerBench) stop() <-chan struct{} {
-	ended := make(chan struct{})
+func (b *testServer) stop() <-chan struct{} {
+	done := make(chan struct{})
 	go func() {
-		defer close(ended)
-		ShutDown(time.Now().Add(testPatience), b.Server)
+		defer close(done)
+		ShutDown(time.Now().Add(testTimeout), b.Server)
 		b.Close()
 	}()
-	return ended
+	return done
 }
 
 // testCaller is a caller with one connection.
@@ -188,10 +188,10 @@
 }
 
 // testPatience bounds waits of which a test expects an end.
-const testPatience = 5 * time.Second
+const testTimeout = 5 * time.Second
 
 // dial opens a connection.
-func (b *callerBench) dial(t testing.TB) *testCaller {
+func (b *testServer) dial(t testing.TB) *testCaller {
 	t.Helper()
 	conn, err := net.Dial("tcp4", b.listener.Addr().String())
 	if err != nil {
@@ -208,11 +208,11 @@
 }
 
 // headOf returns the request for a path.
-func headOf(path string) string { return "GET " + path + " HTTP/1.1\r\nHost: a\r\n\r\n" }
+func requestFor(path string) string { return "GET " + path + " HTTP/1.1\r\nHost: a\r\n\r\n" }
 
 // answer waits for an answer.
-func (c *testCaller) answer() error {
-	_ = c.SetReadDeadline(time.Now().Add(testPatience))
+func (c *testCaller) readResponse() error {
+	_ = c.SetReadDeadline(time.Now().Add(testTimeout))
 	response, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		return err
@@ -222,31 +222,31 @@
 }
 
 // ask sends a request and waits for its answer.
-func (c *testCaller) ask(t testing.TB, path string) {
+func (c *testCaller) request(t testing.TB, path string) {
 	t.Helper()
-	c.askRest(t, headOf(path))
+	c.finishRequest(t, requestFor(path))
 }
 
 // askRest sends the rest of a request and waits for its answer.
-func (c *testCaller) askRest(t testing.TB, text string) {
+func (c *testCaller) finishRequest(t testing.TB, text string) {
 	t.Helper()
 	if err := c.send(text); err != nil {
 		t.Fatal(err)
 	}
-	if err := c.answer(); err != nil {
+	if err := c.readResponse(); err != nil {
 		t.Fatalf("%q: %v", text, err)
 	}
 }
 
 // closedWithin tells whether the server closes the connection within a time, after whatever it may answer.
-func (c *testCaller) closedWithin(patience time.Duration) bool {
-	_ = c.SetReadDeadline(time.Now().Add(patience))
+func (c *testCaller) closedWithin(timeout time.Duration) bool {
+	_ = c.SetReadDeadline(time.Now().Add(timeout))
 	_, err := io.Copy(io.Discard, c.reader)
 	return !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
 // testBound is a bound that passes in a test, and testStall how long a process is held that stands still beyond it.
 const (
-	testBound = 100 * time.Millisecond
-	testStall = 3 * testBound
+	testDelay = 100 * time.Millisecond
+	testStall = 3 * testDelay
 )
