--- a/internal/callers/bench_test.go
+++ b/internal/callers/bench_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// plainCallerBench returns a server whose listener accepts connections that nothing holds.
+// newPlainTestServer returns a server whose listener does not use gates.
 func newPlainTestServer(b *testing.B) *testServer {
 	bench := newTestServer(b, time.Hour, time.Hour)
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -19,7 +19,7 @@
 	return bench
 }
 
-// BenchmarkRequestOfACaller measures a request on a kept connection.
+// BenchmarkRequest measures a request on a keep-alive connection.
 func BenchmarkRequest(b *testing.B) {
 	bench := newPlainTestServer(b)
 	caller := bench.dial(b)
@@ -30,7 +30,7 @@
 	}
 }
 
-// BenchmarkRestingConnection measures the memory of a connection that rests, with both of its ends in this process.
+// BenchmarkIdleConnection measures the heap used by an idle connection, including its client end.
 func BenchmarkIdleConnection(b *testing.B) {
 	const resting = 2000
 	for range b.N {
@@ -43,7 +43,7 @@
 	}
 }
 
-// liveBytes returns the bytes of the heap that are in use.
+// heapInUse returns the bytes of live heap objects.
 func heapInUse() int64 {
 	runtime.GC()
 	runtime.GC()
--- a/internal/callers/conn.go
+++ b/internal/callers/conn.go
@@ -15,55 +15,57 @@
 	"github.com/granitebay/granitebay/internal/forward"
 )
 
-// phase is what a connection of a caller is doing.
+// phase is the state of a caller's connection in its request cycle.
 type phase uint8
 
 const (
-	// phaseNew waits for the first bytes of the first head.
+	// phaseNew waits for the first byte of the first request.
 	phaseNew phase = iota
-	// phaseResting waits for the first bytes of the next head.
+	// phaseIdle waits for the first byte of the next request.
 	phaseIdle
-	// phaseHead has some bytes of a head.
+	// phaseReadingHeader has received part of a request header.
 	phaseReadingHeader
-	// phaseInHand has a whole head.
+	// phaseActive has received a complete request header.
 	phaseActive
 )
 
-// connection is a connection of a caller. It counts its bytes, bounds its own rest and the coming of heads, and knows who of this side
-// ended it.
+// connection is the server side of a caller's connection. It counts bytes, enforces the idle and header timeouts, and
+// records which side closed it.
 //
-// Invariant: only the goroutine that reads the connection ends it for its bounds or because the gateway stops, after a last look that
-// found no byte. A timer or another goroutine would close a connection whose next request has just come.
+// Invariant: only the goroutine that reads the connection closes it on a timeout or at shutdown, and only after a final
+// non-blocking read that found no data. If a timer or another goroutine closed it, a request that has just arrived would
+// be lost.
 type connection struct {
 	net.Conn
 	server *Server
 
-	// mu guards what bounds the reading.
+	// mu guards the fields that determine the read deadline.
 	mu    sync.Mutex
 	phase phase
-	// ahead is set when the first byte of the next head came while a request was in hand.
+	// pipelined is set when the first byte of the next request arrived while a request was active.
 	pipelined bool
-	// since is when the bound began to run: at the opening, at the end of an answer or at the first byte of a head after one.
+	// timeoutStart is when the current timeout started: when the connection was accepted, when a response ended, or at
+	// the first byte of a later request.
 	timeoutStart time.Time
 	timeout      time.Duration
-	// given is the deadline that net/http asks for, and deadline the one that is set; zero is none.
+	// requestedDeadline is the deadline set by net/http, currentDeadline the one set on the socket; zero means none.
 	requestedDeadline, currentDeadline time.Time
 
 	closed atomic.Bool
-	// failed is set when the connection broke or was ended from the other side.
+	// failed is set when a read failed or the peer closed the connection.
 	failed atomic.Bool
-	// closer is who of this side ended the connection, a forward.Closer; forward.CloserCaller until then.
+	// closer is the forward.Closer that closed the connection; forward.CloserCaller if this side did not close it.
 	closer atomic.Int32
-	// handed is set while a request is in the hands of the handler, and answered once bytes were sent since the last request began.
+	// inHandler is set while the handler runs; responseStarted is set once bytes were written for the current request.
 	inHandler, responseStarted atomic.Bool
 }
 
-// newConnection returns a connection that was just accepted.
+// newConnection wraps a connection that was just accepted.
 func newConnection(accepted net.Conn, server *Server) *connection {
 	return &connection{Conn: accepted, server: server, timeoutStart: time.Now(), timeout: server.timeoutFor(phaseNew)}
 }
 
-// Read is part of net.Conn. It reports a timeout only when a bound has passed and nothing had come then.
+// Read implements net.Conn. It returns a timeout error only if a final read after the deadline found no data.
 func (c *connection) Read(buffer []byte) (int, error) {
 	c.refreshDeadline()
 	for {
@@ -78,8 +80,8 @@
 	}
 }
 
-// isTimeout tells whether a reading ended at its deadline; the system calls a connection that TCP gave up a timeout as well. It is asked
-// for each request, whose watch ends so, and looks at the two forms of the error that there are.
+// isDeadlineExceeded reports whether a read ended at its deadline. TCP timeouts reported by the kernel also satisfy
+// net.Error.Timeout, so the error is compared directly. It runs for each request and therefore avoids errors.Is.
 func isDeadlineExceeded(err error) bool {
 	if opErr, ok := err.(*net.OpError); ok {
 		err = opErr.Err
@@ -87,7 +89,7 @@
 	return err == os.ErrDeadlineExceeded
 }
 
-// took notes what a reading into so many bytes brought.
+// recordRead updates the state after a read of n bytes into a buffer of bufferSize bytes.
 func (c *connection) recordRead(n, bufferSize int, err error) {
 	c.server.traffic.Received.Add(int64(n))
 	if n > 0 {
@@ -98,16 +100,19 @@
 	case !isDeadlineExceeded(err):
 		c.failed.Store(true)
 	case c.abandonOnTimeout():
-		// Without this net/http would answer the part of a request line that it has. An error is that of a connection that is closed.
+		// Without this, net/http would answer a partial request line with 400. Close fails only if the connection is
+		// already closed.
 		_ = c.Close()
 	}
 }
 
-// watchBytes is the room that net/http reads into while a request is in hand, to see the connection end. What it reads is the beginning
-// of the next head; bodies are read into more.
+// backgroundReadBytes is the buffer size with which net/http reads in the background while a request is active, to
+// detect that the peer closes the connection. Such a read returns the beginning of the next request; request bodies are
+// read into larger buffers.
 const backgroundReadBytes = 1
 
-// heard notes that bytes have come. The bound of a first head goes on from the opening.
+// bytesReceived updates the phase after data arrived. The header timeout of the first request keeps running from the
+// accept.
 func (c *connection) bytesReceived(bufferSize int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -122,7 +127,7 @@
 	}
 }
 
-// Write is part of net.Conn.
+// Write implements net.Conn.
 func (c *connection) Write(buffer []byte) (int, error) {
 	n, err := c.Conn.Write(buffer)
 	c.server.traffic.Sent.Add(int64(n))
@@ -132,7 +137,7 @@
 	return n, err
 }
 
-// SetReadDeadline is part of net.Conn. Bounds of the connection that end earlier go on.
+// SetReadDeadline implements net.Conn. An earlier deadline from the connection's own timeouts stays in effect.
 func (c *connection) SetReadDeadline(deadline time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -140,12 +145,13 @@
 	return c.applyDeadline(c.readDeadline())
 }
 
-// SetDeadline is part of net.Conn.
+// SetDeadline implements net.Conn.
 func (c *connection) SetDeadline(deadline time.Time) error {
 	return errors.CombineErrors(c.SetReadDeadline(deadline), c.SetWriteDeadline(deadline))
 }
 
-// CloseWrite ends what is sent, so that net/http can have an answer arrive before it closes a connection with unread bytes.
+// CloseWrite closes the sending side, so that net/http can deliver a response before it closes a connection with unread
+// data.
 func (c *connection) CloseWrite() error {
 	if closer, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return closer.CloseWrite()
@@ -153,8 +159,8 @@
 	return nil
 }
 
-// Close is part of net.Conn. A request that has begun to come and was not handed to the handler is told to the figures: nobody else
-// knows of it.
+// Close implements net.Conn. It reports a request that was partly received but never reached the handler to the
+// observer, because nothing else records it.
 func (c *connection) Close() error {
 	if !c.closed.Swap(true) {
 		c.server.remove(c)
@@ -165,15 +171,15 @@
 	return c.Conn.Close()
 }
 
-// unanswered returns for how long a request has been coming, and whether none has begun to.
+// requestProgress returns how long the current request has been arriving, and whether none of it has arrived.
 func (c *connection) requestProgress() (elapsed time.Duration, notStarted bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return time.Since(c.timeoutStart), c.phase == phaseNew || c.phase == phaseIdle
 }
 
-// leftWhileAhead tells whether the other side has ended the connection after it had sent the first byte of the next head: net/http reads
-// no further while a request is in hand, and does not see it.
+// peerClosedWhilePipelined reports whether the peer closed the connection after it sent the first byte of the next
+// request. net/http reads no further while a request is active and does not notice.
 func (c *connection) peerClosedWhilePipelined() bool {
 	c.mu.Lock()
 	pipelined := c.pipelined
@@ -182,7 +188,7 @@
 	return pipelined && ok && peerHasClosed(raw)
 }
 
-// closedBy returns who ended the connection. What this side closes without a name is closed by its end.
+// closedBy returns who closed the connection. If this side closed it without recording a closer, that was shutdown.
 func (c *connection) closedBy() forward.Closer {
 	closer := forward.Closer(c.closer.Load())
 	if closer == forward.CloserCaller && c.closed.Load() && !c.failed.Load() {
@@ -191,8 +197,8 @@
 	return closer
 }
 
-// stateChanged is the ConnState hook of the server of callers. net/http calls it from the goroutine that reads the connection, while no
-// other reads.
+// onConnState is the ConnState hook of the server. net/http calls it from the goroutine that reads the connection, while
+// no other goroutine reads.
 func onConnState(conn net.Conn, state http.ConnState) {
 	c, ok := conn.(*connection)
 	if !ok {
@@ -200,8 +206,8 @@
 	}
 	switch state {
 	case http.StateIdle:
-		// The time of the last request bounds no answer to the next one, also not one that net/http gives by itself. An error is that of a
-		// connection that is closed.
+		// The write deadline of the last request must not apply to the next response, including those that net/http
+		// sends itself. The call fails only if the connection is closed.
 		_ = c.SetWriteDeadline(time.Time{})
 		c.inHandler.Store(false)
 		c.responseStarted.Store(false)
@@ -212,7 +218,7 @@
 	}
 }
 
-// enter begins a phase.
+// enterPhase switches to a phase and updates the read deadline.
 func (c *connection) enterPhase(next phase) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -225,24 +231,24 @@
 		c.startPhase(phaseIdle)
 	}
 	c.pipelined = false
-	// It fails only for a connection that is closed, as the next reading will.
+	// This fails only if the connection is closed, and then the next read fails too.
 	_ = c.applyDeadline(c.readDeadline())
 }
 
-// begin begins a phase with a bound of its own. The mutex is held.
+// startPhase switches to a phase that has its own timeout. mu must be held.
 func (c *connection) startPhase(next phase) {
 	c.phase, c.timeoutStart, c.timeout = next, time.Now(), c.server.timeoutFor(next)
 }
 
-// connKey is the key of the connection in the contexts of its requests.
+// connKey is the context key of the connection.
 type connKey struct{}
 
-// withConn is the ConnContext of a server of callers.
+// connContext is the ConnContext hook of the server.
 func connContext(ctx context.Context, conn net.Conn) context.Context {
 	return context.WithValue(ctx, connKey{}, conn)
 }
 
-// CloserOf returns who ended the connection on which the request of a context came.
+// CloserOf returns who closed the connection of the request that ctx belongs to.
 func CloserOf(ctx context.Context) forward.Closer {
 	if conn, ok := ctx.Value(connKey{}).(*connection); ok {
 		return conn.closedBy()
@@ -250,7 +256,7 @@
 	return forward.CloserCaller
 }
 
-// handing returns a handler that notes on the connections of callers that a request is in hand.
+// trackHandler returns a handler that marks the connection while a request is being handled.
 func trackHandler(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if conn, ok := r.Context().Value(connKey{}).(*connection); ok {
--- a/internal/callers/deadlines.go
+++ b/internal/callers/deadlines.go
@@ -12,7 +12,7 @@
 	"github.com/granitebay/granitebay/internal/forward"
 )
 
-// timedOut tells whether a reading that timed out gives the connection up, and notes who does.
+// abandonOnTimeout reports whether a read that timed out means the connection is to be closed, and records the closer.
 func (c *connection) abandonOnTimeout() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -30,14 +30,14 @@
 	return true
 }
 
-// bounded tells whether the connection is under a bound of its own.
+// hasOwnTimeout reports whether the connection's own timeouts apply in the current phase.
 func (c *connection) hasOwnTimeout() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.phase != phaseActive
 }
 
-// until returns when a reading is given up; zero is never. The mutex is held.
+// readDeadline returns the deadline of the next read; zero means none. mu must be held.
 func (c *connection) readDeadline() time.Time {
 	if c.phase == phaseActive {
 		return c.requestedDeadline
@@ -66,15 +66,15 @@
 	return b
 }
 
-// renew sets the deadline that holds now, also for a reading that waits.
+// refreshDeadline recomputes the read deadline. It also affects a read in progress.
 func (c *connection) refreshDeadline() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	// It fails only for a connection that is closed, as the next reading will.
+	// This fails only if the connection is closed, and then the next read fails too.
 	_ = c.applyDeadline(c.readDeadline())
 }
 
-// set sets a deadline, unless it is set already. The mutex is held.
+// applyDeadline sets the read deadline if it has changed. mu must be held.
 func (c *connection) applyDeadline(deadline time.Time) error {
 	if deadline.Equal(c.currentDeadline) {
 		return nil
@@ -83,8 +83,8 @@
 	return c.Conn.SetReadDeadline(deadline)
 }
 
-// prolonged tells whether the bound was raised since it began to run, so that the connection goes on. One that was lowered holds for
-// connections that begin to rest from then on.
+// extendDeadline reports whether the timeout was increased since it started, so that reading continues. A decrease does
+// not shorten a timeout that is running.
 func (c *connection) extendDeadline() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -93,9 +93,10 @@
 	return (deadline.IsZero() || time.Now().Before(deadline)) && c.applyDeadline(deadline) == nil
 }
 
-// look reads what has come, without waiting and whatever the deadline is: a reading whose deadline has passed does not try, though bytes
-// may have come before, as after a standstill of the process; and a stop may set one at any moment. Only the goroutine that reads the
-// connection may call it. It returns os.ErrDeadlineExceeded when there is nothing.
+// tryRead reads available data without blocking, whatever the deadline is. A read after its deadline returns without
+// trying, although data may have arrived before, for example while the process was stalled; and shutdown may set a past
+// deadline at any moment. Only the goroutine that reads the connection may call it. It returns os.ErrDeadlineExceeded if
+// there is no data.
 func (c *connection) tryRead(buffer []byte) (int, error) {
 	conn, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -112,7 +113,7 @@
 	return n, readErr
 }
 
-// readNow reads from a descriptor that does not block.
+// readNonblocking reads from a non-blocking file descriptor.
 func readNonblocking(descriptor int, buffer []byte) (int, error) {
 	for {
 		n, err := syscall.Read(descriptor, buffer)
--- a/internal/callers/disconnect.go
+++ b/internal/callers/disconnect.go
@@ -9,13 +9,14 @@
 	"golang.org/x/sys/unix"
 )
 
-// lookInterval is how often the connection of a request in hand is looked at. Workers have to stop within half a second of the end of a
-// caller's connection; requests that are served sooner are never looked at, and others take a call to the system only once the next one
-// has come.
+// disconnectPollInterval is how often the connection of an active request is polled for a disconnect. Workers must stop
+// within half a second after the caller closes its connection. Faster requests are never polled, and the system call is
+// made only once data of the next request has arrived.
 const disconnectPollInterval = 200 * time.Millisecond
 
-// UntilCallerLeaves returns a handler whose requests end once their caller has closed its connection. The server sees that by itself only
-// until the first byte of the next request has come: it reads no further before the first one is answered.
+// UntilCallerLeaves returns a handler that cancels the context of a request when its caller closes the connection.
+// net/http detects that only until the first byte of the next request arrives, because it then stops reading until the
+// first request is answered.
 func UntilCallerLeaves(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		conn, ok := r.Context().Value(connKey{}).(*connection)
@@ -43,14 +44,14 @@
 	})
 }
 
-// hasEnded tells whether the other side has closed or reset a connection, whatever has come before and was not read.
+// peerHasClosed reports whether the peer has closed or reset a connection, even if unread data precedes the end.
 func peerHasClosed(conn syscall.Conn) bool {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return false
 	}
 	ended := false
-	// An error is that of a connection that this side has closed.
+	// Control fails only if this side has closed the connection.
 	_ = raw.Control(func(descriptor uintptr) {
 		fds := []unix.PollFd{{Fd: int32(descriptor), Events: unix.POLLRDHUP}}
 		_, err := unix.Poll(fds, 0)
--- a/internal/callers/server.go
+++ b/internal/callers/server.go
@@ -1,8 +1,9 @@
-// Package callers serves the connections of callers: it bounds their rest and the coming of heads, ends them at a stop, and sees callers
-// leave.
+// Package callers serves the connections of callers: it enforces idle and header timeouts, closes connections at
+// shutdown, and detects callers that disconnect.
 //
-// Invariants: no connection on which a request has begun to come is closed for the bounds of its rest or because the process stops; a
-// connection ends only by the goroutine that reads it, after a last look that found no byte; and who of both sides ended it is known.
+// Invariants: a connection on which a request has started to arrive is not closed by the idle timeout or by shutdown; a
+// connection is closed only by the goroutine that reads it, after a final read that found no data; and it is known which
+// side closed it.
 package callers
 
 import (
@@ -20,56 +21,57 @@
 	"github.com/granitebay/granitebay/internal/forward"
 )
 
-// Observer is told what becomes of connections.
+// Observer receives events about connections.
 type Observer interface {
-	// RestedOut tells that the bound on rest ended a connection.
+	// RestedOut reports a connection closed by the idle timeout.
 	RestedOut()
-	// HeadUnanswered tells that a connection ended before the head of a request was there, or was handed on, by whom, and for how long the
-	// request had been coming.
+	// HeadUnanswered reports a connection that was closed before a request header was complete or reached the handler,
+	// with the side that closed it and how long the request had been arriving.
 	HeadUnanswered(closedBy forward.Closer, peer string, elapsed time.Duration)
 }
 
-// Traffic is what connections have used: bytes received and sent, and how many are open.
+// Traffic counts bytes received and sent, and open connections.
 type Traffic struct{ Received, Sent, Open atomic.Int64 }
 
-// Server serves connections, of callers above all. Unlike those of http.Server its bounds may change while it runs, and neither they
-// nor a stop closes a connection on which a request has come.
+// Server serves connections, mainly those of callers. Unlike http.Server it lets timeouts change at run time, and
+// neither a timeout nor shutdown closes a connection on which a request has arrived.
 type Server struct {
 	server   *http.Server
 	traffic  *Traffic
 	observer Observer
 
-	// between bounds the rest between two requests, and first the time until a head is there, in nanoseconds.
+	// idleTimeout limits the time between two requests, headerTimeout the time to receive a header, both in nanoseconds.
 	idleTimeout, headerTimeout atomic.Int64
-	// stopping is since when connections rest no more; nil before.
+	// shutdownStart is when shutdown began; nil before that.
 	shutdownStart atomic.Pointer[time.Time]
-	// endWaits ends the contexts of requests that may wait for news at a stop; nil where none do.
+	// cancelLongPolls cancels the contexts of requests that may be waiting for changes; nil if the server has none.
 	cancelLongPolls context.CancelFunc
 
 	mu       sync.Mutex
 	listener net.Listener
 	conns    map[*connection]struct{}
-	// accepting is how many loops accept connections. One that is about to begin a connection has not added it yet.
+	// acceptLoops counts running accept loops. Such a loop may hold an accepted connection that is not in conns yet.
 	acceptLoops int
-	// ended is closed once there are no connections any more, and none can come, after stopping; nil before.
+	// drained is closed once shutdown has begun, no connections are left and no more can be accepted; nil before
+	// shutdown.
 	drained chan struct{}
 }
 
-// NewServer returns a server of callers that does not serve yet.
+// NewServer returns a server for callers. Call Serve to start it.
 func NewServer(handler http.Handler, traffic *Traffic, observer Observer, logger *logrus.Entry) *Server {
 	return wrapServer(newHTTPServer(handler, logger), traffic, observer, defaultIdleTimeout)
 }
 
-// defaultIdleTimeout bounds resting connections before a configuration is known.
+// defaultIdleTimeout applies until a configuration is loaded.
 const defaultIdleTimeout = 15 * time.Second
 
-// Limits that no configuration changes.
+// Limits that are not configurable.
 const (
 	maxHeaderBytes    = 64 << 10
 	readHeaderTimeout = 10 * time.Second
 )
 
-// serverOf returns a server that has bounds of its own beside those of net/http.
+// wrapServer returns a Server that adds its own timeouts to those of an http.Server.
 func wrapServer(server *http.Server, traffic *Traffic, observer Observer, idleTimeout time.Duration) *Server {
 	s := &Server{server: server, traffic: traffic, observer: observer, conns: map[*connection]struct{}{}}
 	server.Handler = trackHandler(server.Handler)
@@ -79,7 +81,7 @@
 	return s
 }
 
-// newHTTPServer returns a server with the limits that no configuration changes.
+// newHTTPServer returns an http.Server with the limits that are not configurable.
 func newHTTPServer(handler http.Handler, logger *logrus.Entry) *http.Server {
 	return &http.Server{
 		Handler: handler, MaxHeaderBytes: maxHeaderBytes, ReadHeaderTimeout: readHeaderTimeout,
@@ -87,8 +89,9 @@
 	}
 }
 
-// NewSideServer returns a server for other gateways, operators and those who ask where to connect. Their connections may rest for as long
-// as they like, and use nothing of what callers do. Questions that wait for news are answered when the gateway stops: their contexts end.
+// NewSideServer returns a server for other gateways, operators and endpoint discovery. Its connections have no idle
+// timeout and are not counted as caller traffic. At shutdown the contexts of its requests are cancelled, so that long
+// polls are answered.
 func NewSideServer(handler http.Handler, observer Observer, logger *logrus.Entry) *Server {
 	ctx, cancel := context.WithCancel(context.Background())
 	server := newHTTPServer(handler, logger)
@@ -98,21 +101,21 @@
 	return side
 }
 
-// errorLines takes the lines that servers of net/http write, of panics among others, into the log.
+// errorLogWriter forwards the error log of net/http, which includes panics of handlers, to the logger.
 type errorLogWriter struct{ logger *logrus.Entry }
 
-// Write is part of io.Writer.
+// Write implements io.Writer.
 func (e errorLogWriter) Write(line []byte) (int, error) {
 	e.logger.Error(strings.TrimSpace(string(line)))
 	return len(line), nil
 }
 
-// unbounded is the bound of what may last.
+// noTimeout disables a timeout.
 const noTimeout = 0
 
-// SetTimeouts changes the bounds of the rest between two requests and of the time until the head of one is there: from the opening for
-// the first of a connection, and from their first bytes for others. Bounds of zero stay as they were. A raised bound holds for all
-// connections, a lowered one for those that it begins to bound from now on.
+// SetTimeouts changes the idle timeout and the header timeout. The header timeout runs from the accept for the first
+// request of a connection, and from the first byte for later ones. A zero value leaves a timeout unchanged. An increase
+// applies to all connections, a decrease only to timeouts that start afterwards.
 func (s *Server) SetTimeouts(idleTimeout, headerTimeout time.Duration) {
 	if idleTimeout > 0 {
 		s.idleTimeout.Store(int64(idleTimeout))
@@ -122,7 +125,7 @@
 	}
 }
 
-// boundOf returns the bound of a phase.
+// timeoutFor returns the timeout of a phase.
 func (s *Server) timeoutFor(of phase) time.Duration {
 	if of == phaseIdle {
 		return time.Duration(s.idleTimeout.Load())
@@ -130,7 +133,7 @@
 	return time.Duration(s.headerTimeout.Load())
 }
 
-// Serve serves the connections of a listener until that is closed.
+// Serve serves the connections of a listener until it is closed.
 func (s *Server) Serve(listener net.Listener) error {
 	s.mu.Lock()
 	s.listener = listener
@@ -143,7 +146,7 @@
 	return s.server.Serve(&trackingListener{listener, s})
 }
 
-// acceptedLast notes that a loop that accepted connections has ended.
+// acceptLoopDone records that an accept loop has ended.
 func (s *Server) acceptLoopDone() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -151,13 +154,13 @@
 	s.signalIfDrained()
 }
 
-// silenceWhileStopping is how long a new connection on which nothing has come may stay open after a stop began to close connections: its
-// first request may be on its way. Nothing else in a stop waits for silent callers.
+// newConnGrace is how long a new connection without data stays open during shutdown, because its first request may be in
+// transit. Shutdown does not wait for any other idle connection.
 const newConnGrace = 300 * time.Millisecond
 
-// ShutDown closes the listeners of servers and the connections that rest, and waits until a time for those on which a request or a head has
-// begun to come; when that has passed, for as long as for new connections. Before this moment no connection is closed from this side: a
-// request may be on its way on any of them.
+// ShutDown closes the listeners and idle connections of the servers, and waits until a deadline for connections on which
+// a request has started to arrive. It waits at least newConnGrace. No connection is closed from this side before the
+// call, because a request may be in transit on any of them.
 func ShutDown(deadline time.Time, servers ...*Server) {
 	if earliest := time.Now().Add(newConnGrace); deadline.Before(earliest) {
 		deadline = earliest
@@ -171,9 +174,9 @@
 	group.Wait()
 }
 
-// shutDown closes the listener and the connections that rest, and waits for those on which a request has begun to come. Those that were
-// just opened have a moment for their first request. Each is closed by the goroutine that reads it; http.Server.Shutdown would close those
-// whose request was just read.
+// shutDown closes the listener and idle connections, and waits for those on which a request has started to arrive. New
+// connections have newConnGrace to send their first request. Each connection is closed by the goroutine that reads it;
+// http.Server.Shutdown could close one whose request was just read.
 func (s *Server) shutDown(ctx context.Context) {
 	now := time.Now()
 	s.shutdownStart.Store(&now)
@@ -189,7 +192,7 @@
 	}
 }
 
-// stopAccepting closes the listener and returns the connections that there are.
+// stopAccepting closes the listener and returns the open connections.
 func (s *Server) stopAccepting() []*connection {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -205,7 +208,7 @@
 	return conns
 }
 
-// endIfNone notes the end of a stop when there are no connections and none can come. The mutex is held.
+// signalIfDrained closes s.drained if no connections are left and no more can be accepted. mu must be held.
 func (s *Server) signalIfDrained() {
 	if s.drained == nil || len(s.conns) > 0 || s.acceptLoops > 0 {
 		return
@@ -217,10 +220,10 @@
 	}
 }
 
-// Close closes everything at once.
+// Close closes the listener and all connections immediately.
 func (s *Server) Close() { _ = s.server.Close() }
 
-// add takes a connection in.
+// add registers a connection.
 func (s *Server) add(conn *connection) {
 	s.traffic.Open.Add(1)
 	s.mu.Lock()
@@ -228,7 +231,7 @@
 	s.conns[conn] = struct{}{}
 }
 
-// remove forgets a connection.
+// remove unregisters a connection.
 func (s *Server) remove(conn *connection) {
 	s.traffic.Open.Add(-1)
 	s.mu.Lock()
@@ -237,13 +240,13 @@
 	s.signalIfDrained()
 }
 
-// acceptor accepts connections of callers.
+// trackingListener wraps accepted connections and registers them with the server.
 type trackingListener struct {
 	net.Listener
 	server *Server
 }
 
-// Accept is part of net.Listener.
+// Accept implements net.Listener.
 func (l *trackingListener) Accept() (net.Conn, error) {
 	accepted, err := l.Listener.Accept()
 	if err != nil {
--- a/internal/callers/server_test.go
+++ b/internal/callers/server_test.go
@@ -15,33 +15,22 @@
 	"github.com/granitebay/granitebay/internal/forward"
 )
 
-// TestNoConnectionIsClosedWithARequestOnIt.
-//
-// Seen: a caller's connection was closed without an answer within a millisecond of its request reaching a worker, and the exchange with
-// the worker was closed with it; the worker did not run the request.
-//
-// How: the bound on connections that rest was a timer that closed the connection by itself. It was stopped only once the whole head of
-// the next request had been read. Where the process stood still for some milliseconds while the bytes of a request arrived, both were
-// due when it went on, and the request was read and passed on while the timer closed its connection.
-//
-// Cause: whoever closed did not know whether the connection was in use. The same held for the bound on a first head, for a bound that had
-// been raised since, and for a stop of the gateway, which closes what it takes to be resting.
-//
-// Proof: the reading goroutine is held here where a standstill would hold it, before or after the bytes are read; each case ended with a
-// closed connection.
+// TestConnectionWithPendingRequestIsNotClosed guards against a race in which a timeout or shutdown closes a connection
+// whose next request has just arrived or been read. Each case blocks the reading goroutine where a stalled process would
+// stop, before or after the data is read.
 func TestConnectionWithPendingRequestIsNotClosed(t *testing.T) {
 	for _, stallPoint := range []string{"unread", "read"} {
-		t.Run("kept, the bound passes with the request "+stallPoint, func(t *testing.T) {
+		t.Run("idle timeout expires with the request "+stallPoint, func(t *testing.T) {
 			b := newTestServer(t, testDelay, time.Hour)
 			caller := b.dial(t)
 			caller.request(t, "/1")
 			b.requestDuringStall(t, caller, stallPoint, func() { time.Sleep(testStall) })
 		})
-		t.Run("new, the bound passes with the request "+stallPoint, func(t *testing.T) {
+		t.Run("header timeout expires with the request "+stallPoint, func(t *testing.T) {
 			b := newTestServer(t, time.Hour, testDelay)
 			b.requestDuringStall(t, nil, stallPoint, func() { time.Sleep(testStall) })
 		})
-		t.Run("stop with the request "+stallPoint, func(t *testing.T) {
+		t.Run("shutdown with the request "+stallPoint, func(t *testing.T) {
 			b := newTestServer(t, time.Hour, time.Hour)
 			caller := b.dial(t)
 			caller.request(t, "/1")
@@ -51,29 +40,29 @@
 			})
 		})
 	}
-	t.Run("stop just before the first request of a new connection", func(t *testing.T) {
+	t.Run("shutdown just before the first request of a new connection", func(t *testing.T) {
 		b := newTestServer(t, time.Hour, time.Hour)
 		b.dial(t).request(t, "/1")
 		caller := b.dial(t)
-		b.dial(t).request(t, "/2") // the connection before it was accepted, too
+		b.dial(t).request(t, "/2") // implies that the previous connection was accepted
 		b.stop()
 		time.Sleep(newConnGrace / 3)
 		caller.request(t, "/3")
 	})
-	t.Run("stop when the first byte of the next request has come", func(t *testing.T) {
+	t.Run("shutdown after the first byte of the next request", func(t *testing.T) {
 		b := newTestServer(t, time.Hour, time.Hour)
 		caller := b.dial(t)
 		nextRequest := requestFor("/2")
 		b.onHook = func() {
 			_ = caller.send(nextRequest[:1])
-			time.Sleep(testDelay) // The byte is read while the request is in hand.
+			time.Sleep(testDelay) // The byte is read while the request is active.
 			b.stop()
 		}
 		caller.request(t, pathHook)
 		time.Sleep(newConnGrace / 6)
 		caller.finishRequest(t, nextRequest[1:])
 	})
-	t.Run("the bound is raised while connections rest", func(t *testing.T) {
+	t.Run("timeout increased while connections are idle", func(t *testing.T) {
 		b := newTestServer(t, testDelay, testDelay)
 		idle, fresh := b.dial(t), b.dial(t)
 		idle.request(t, "/1")
@@ -82,19 +71,19 @@
 		idle.request(t, "/2")
 		fresh.request(t, "/3")
 	})
-	t.Run("callers send about when the bound passes", func(t *testing.T) {
+	t.Run("requests sent around the idle timeout", func(t *testing.T) {
 		b := newTestServer(t, testDelay, time.Hour)
 		b.requestAroundTimeout(t)
 	})
 }
 
-// TestConnectionsRestAsLongAsTheBoundOfTheMomentAllows changes the bounds while connections rest and while heads come.
+// TestTimeoutChangesApplyToOpenConnections changes timeouts while connections are idle or receive headers.
 func TestTimeoutChangesApplyToOpenConnections(t *testing.T) {
 	b := newTestServer(t, time.Hour, time.Hour)
 	idleBefore, newBefore := b.dial(t), b.dial(t)
 	idleBefore.request(t, "/1")
 	if idleBefore.closedWithin(2 * testDelay) {
-		t.Error("a connection was closed within its bound")
+		t.Error("a connection was closed before its timeout")
 	}
 	b.SetTimeouts(testDelay, 0)
 	idle, fresh, active := b.dial(t), b.dial(t), b.dial(t)
@@ -102,17 +91,17 @@
 	b.onHook = func() { time.Sleep(testStall) }
 	active.request(t, pathHook)
 	if !idle.closedWithin(testStall) {
-		t.Error("the bound between requests was not lowered")
+		t.Error("the idle timeout was not reduced")
 	}
 	if fresh.closedWithin(testStall) || newBefore.closedWithin(time.Millisecond) {
-		t.Error("the bound between requests was taken for that of the first head")
+		t.Error("the idle timeout was applied to the first header")
 	}
 	if idleBefore.closedWithin(time.Millisecond) {
-		t.Error("a lowered bound closed a connection that rested before")
+		t.Error("a reduced timeout closed a connection that was already idle")
 	}
 	b.SetTimeouts(0, testDelay)
 	if !b.dial(t).closedWithin(testStall) {
-		t.Error("the bound of the first head was not changed")
+		t.Error("the header timeout was not changed")
 	}
 	for name, prepare := range map[string]func(*testCaller){"first": func(*testCaller) {}, "second": func(c *testCaller) { c.request(t, "/3") }} {
 		slow := b.dial(t)
@@ -123,13 +112,13 @@
 			time.Sleep(testDelay / 2)
 		}
 		if !slow.closedWithin(time.Millisecond) || time.Since(start) > testTimeout {
-			t.Errorf("a %s head that comes slowly is not bounded", name)
+			t.Errorf("a %s header that arrives slowly is not limited", name)
 		}
 	}
 }
 
-// TestNothingIsSentOnAConnectionThatIsGivenUp has heads come too slowly, and a stop come upon a part of one: net/http takes the part of a
-// request line for a bad request and would say so.
+// TestAbandonedConnectionGetsNoResponse lets headers time out or be cut off by shutdown: net/http would treat a partial
+// request line as a bad request and answer it.
 func TestAbandonedConnectionGetsNoResponse(t *testing.T) {
 	const line, header = "GET / HT", "GET / HTTP/1.1\r\nHost: a\r\n"
 	for _, c := range []struct {
@@ -138,10 +127,10 @@
 	}{
 		{"a first line", "", line, false},
 		{"a first header", "", header, false},
-		{"a line on a kept connection", requestFor("/1"), line, false},
-		{"a header on a kept connection", requestFor("/1"), header, false},
-		{"a line sent with the request before", requestFor("/1") + line, "", false},
-		{"a line sent with the request before, and a stop", requestFor("/1") + line, "", true},
+		{"a line on a keep-alive connection", requestFor("/1"), line, false},
+		{"a header on a keep-alive connection", requestFor("/1"), header, false},
+		{"a line pipelined after a request", requestFor("/1") + line, "", false},
+		{"a line pipelined after a request, and shutdown", requestFor("/1") + line, "", true},
 	} {
 		t.Run(c.desc, func(t *testing.T) {
 			b := newTestServer(t, testDelay, testDelay)
@@ -169,15 +158,16 @@
 	}
 }
 
-// brokenConn is a connection that TCP has given up.
+// timedOutConn is a connection that the kernel has timed out.
 type timedOutConn struct{ net.Conn }
 
-// Read is part of net.Conn.
+// Read implements net.Conn.
 func (timedOutConn) Read([]byte) (int, error) {
 	return 0, &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", syscall.ETIMEDOUT)}
 }
 
-// TestAConnectionThatTCPGaveUpIsNotClosedByThisSide: the error of the system is a timeout, too, but not that of a deadline.
+// TestTCPTimeoutIsAttributedToCaller checks that ETIMEDOUT, which is also a timeout error, is not taken for an expired
+// deadline.
 func TestTCPTimeoutIsAttributedToCaller(t *testing.T) {
 	for _, shuttingDown := range []bool{false, true} {
 		b := newTestServer(t, testDelay, testDelay)
@@ -193,15 +183,15 @@
 		}
 		_ = conn.Close()
 		if closer := conn.closedBy(); closer != forward.CloserCaller {
-			t.Errorf("closed by %v, stops %t", closer, shuttingDown)
+			t.Errorf("closed by %v, shutting down: %t", closer, shuttingDown)
 		}
 	}
 }
 
-// pathAbort is the path of a request that ends without an answer.
+// pathAbort is the path of a request whose handler aborts.
 const pathAbort = "/abort"
 
-// TestWhoClosedAConnectionIsCounted has connections end in each way while a head comes or a request is in hand.
+// TestCloserIsReported closes connections in each possible way while a header arrives or a request is active.
 func TestCloserIsReported(t *testing.T) {
 	partial := requestFor("/1")[:10]
 	for _, c := range []struct {
@@ -210,14 +200,14 @@
 		end  func(b *testServer, caller *testCaller)
 		want string
 	}{
-		{"the caller, with a head under way", partial, func(_ *testServer, caller *testCaller) {
+		{"the caller, with a partial header", partial, func(_ *testServer, caller *testCaller) {
 			_ = caller.Conn.(*net.TCPConn).SetLinger(0) // The connection is reset.
 			_ = caller.Close()
 		}, "closed by caller"},
-		{"the bound on heads", partial, func(*testServer, *testCaller) {}, "closed by bound on heads"},
-		{"the end of a stop", partial, func(b *testServer, _ *testCaller) { b.Close() }, "closed by stop"},
-		{"the bound on rest", requestFor("/1"), func(*testServer, *testCaller) {}, "rested out"},
-		{"the handler, which reports by itself", requestFor(pathAbort), func(*testServer, *testCaller) {}, ""},
+		{"the header timeout", partial, func(*testServer, *testCaller) {}, "closed by bound on heads"},
+		{"the end of shutdown", partial, func(b *testServer, _ *testCaller) { b.Close() }, "closed by stop"},
+		{"the idle timeout", requestFor("/1"), func(*testServer, *testCaller) {}, "idle timeout"},
+		{"the handler, which reports the failure itself", requestFor(pathAbort), func(*testServer, *testCaller) {}, ""},
 	} {
 		t.Run(c.desc, func(t *testing.T) {
 			b := newTestServer(t, testStall, testStall)
@@ -225,21 +215,21 @@
 			if err := caller.send(c.sent); err != nil {
 				t.Fatal(err)
 			}
-			time.Sleep(testDelay / 2) // The head is read.
+			time.Sleep(testDelay / 2) // The header is read.
 			c.end(b, caller)
 			_ = caller.closedWithin(testTimeout)
 			for start := time.Now(); b.traffic.Open.Load() > 0 && time.Since(start) < testTimeout; {
 				time.Sleep(testDelay / 10)
 			}
-			time.Sleep(testDelay / 2) // What is counted is counted after that.
+			time.Sleep(testDelay / 2) // Events are recorded after the connection closes.
 			if got := b.recorder.String(); got != c.want {
-				t.Errorf("counted %q, want %q", got, c.want)
+				t.Errorf("recorded %q, want %q", got, c.want)
 			}
 		})
 	}
 }
 
-// TestADeadlineOfTheServerHoldsWithinTheBounds sets deadlines that end before the bounds of the connection do.
+// TestServerDeadlineAppliesWithinTimeouts sets deadlines that end before the timeouts of the connection.
 func TestServerDeadlineAppliesWithinTimeouts(t *testing.T) {
 	for _, idleTimeout := range []time.Duration{time.Hour, noTimeout} {
 		b := newTestServer(t, time.Hour, time.Hour)
@@ -264,25 +254,25 @@
 	}
 }
 
-// TestABodyIsNotTakenForTheNextHead has a body come while its request is in hand: the connection rests after the answer, and a stop ends it
-// at once.
+// TestBodyIsNotMistakenForPipelinedRequest sends a body while its request is active: the connection is idle after the
+// response, and shutdown closes it immediately.
 func TestBodyIsNotMistakenForPipelinedRequest(t *testing.T) {
 	b := newTestServer(t, time.Hour, time.Hour)
 	caller := b.dial(t)
 	if err := caller.send("POST /1 HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
-	time.Sleep(testDelay) // The head is read.
+	time.Sleep(testDelay) // The header is read.
 	caller.finishRequest(t, "body")
 	start := time.Now()
 	<-b.stop()
 	if took := time.Since(start); took > newConnGrace {
-		t.Errorf("the stop took %v", took)
+		t.Errorf("shutdown took %v", took)
 	}
 }
 
-// askThroughStall sends a request while the reading goroutine of its connection stands still, which it does until the end of a time. A
-// nil caller opens a connection.
+// requestDuringStall sends a request while the reading goroutine of its connection is blocked, and unblocks it after
+// meanwhile returns. A nil caller opens a new connection.
 func (b *testServer) requestDuringStall(t *testing.T, caller *testCaller, stallPoint string, meanwhile func()) {
 	t.Helper()
 	stallGate := &b.listener.beforeRead
@@ -295,7 +285,7 @@
 		b.onHook()
 		caller = b.dial(t)
 	} else {
-		// The gate is shut before the goroutine of the connection begins to wait for the next request.
+		// The gate is closed before the goroutine of the connection begins to wait for the next request.
 		caller.request(t, pathHook)
 	}
 	if err := caller.send(requestFor("/stalled")); err != nil {
@@ -305,21 +295,21 @@
 	meanwhile()
 	stallGate.open()
 	if err := caller.readResponse(); err != nil {
-		time.Sleep(testDelay) // A request that was read is on its way to the handler.
+		time.Sleep(testDelay) // A request that was read may not have reached the handler yet.
 		_, ran := b.handled.Load("/stalled")
-		t.Errorf("the connection was closed with a request on it, which had been passed on: %t (%v)", ran, err)
+		t.Errorf("the connection was closed with a pending request; handler ran: %t (%v)", ran, err)
 	}
 }
 
-// Callers that send about when the bound passes, how often each does, and by how much they miss it.
+// Parameters of requests sent around the idle timeout: callers, requests of each, and the largest offset.
 const (
 	timeoutRaceCallers = 100
 	timeoutRaceRounds  = 10
 	timeoutRaceSpread  = time.Millisecond
 )
 
-// sendAboutTheBound sends requests from just before to just after the end of the bound. One that comes after it finds its connection
-// closed, and has not run; one that has run is answered.
+// requestAroundTimeout sends requests from just before to just after the idle timeout. A request may find its connection
+// closed only if the handler did not run for it.
 func (b *testServer) requestAroundTimeout(t *testing.T) {
 	var callers sync.WaitGroup
 	var lost atomic.Int64
@@ -344,6 +334,6 @@
 	}
 	callers.Wait()
 	if lost.Load() > 0 {
-		t.Errorf("%d requests ran, and their connections were closed", lost.Load())
+		t.Errorf("%d requests were handled, but their connections were closed", lost.Load())
 	}
 }
--- a/internal/callers/shutdown_test.go
+++ b/internal/callers/shutdown_test.go
@@ -11,7 +11,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// TestAStopEndsRestingConnectionsAtOnce stops beside connections that rest and one with a request in hand.
+// TestShutdownClosesIdleConnectionsImmediately shuts down with idle connections and one active request.
 func TestShutdownClosesIdleConnectionsImmediately(t *testing.T) {
 	b := newTestServer(t, time.Hour, time.Hour)
 	idle := b.dial(t)
@@ -22,29 +22,29 @@
 	b.onHook = func() {
 		done = b.stop()
 		if !idle.closedWithin(testTimeout) {
-			t.Error("a resting connection was not closed")
+			t.Error("an idle connection was not closed")
 		}
 		select {
 		case <-done:
-			t.Error("the stop did not wait for the request in hand")
+			t.Error("shutdown did not wait for the active request")
 		default:
 		}
 	}
 	active.request(t, pathHook)
 	<-done
 	if took := time.Since(start); took > newConnGrace {
-		t.Errorf("the stop took %v", took)
+		t.Errorf("shutdown took %v", took)
 	}
 	if _, err := net.Dial("tcp4", b.listener.Addr().String()); err == nil {
-		t.Error("a stopped server takes connections")
+		t.Error("a stopped server accepts connections")
 	}
 	if open := b.traffic.Open.Load(); open != 0 {
 		t.Errorf("%d connections are open", open)
 	}
 }
 
-// TestALastLookIsMadeBesideAStop has a stop begin, and a request come, just before the last look of a connection whose bound has passed: the
-// stop hurries the reading of connections that rest, and may not end the look before it was made.
+// TestFinalReadSurvivesShutdown begins a shutdown, and sends a request, just before the final read of a connection whose
+// timeout has expired. Shutdown sets a past deadline on idle connections, which must not prevent that read.
 func TestFinalReadSurvivesShutdown(t *testing.T) {
 	b := newTestServer(t, testDelay, time.Hour)
 	caller := b.dial(t)
@@ -59,15 +59,15 @@
 	time.Sleep(newConnGrace / 3)
 	b.listener.beforeFinalRead.open()
 	if err := caller.readResponse(); err != nil {
-		t.Errorf("a request that had come before the last look got no answer: %v", err)
+		t.Errorf("a request that arrived before the final read got no response: %v", err)
 	}
 }
 
-// TestAStopWaitsForWhatHasCome stops beside requests and heads that take longer than connections that rest, and beside one that was
-// accepted just then.
+// TestShutdownWaitsForStartedRequests shuts down with requests and headers in progress, and with a connection that is
+// just being accepted.
 func TestShutdownWaitsForStartedRequests(t *testing.T) {
 	const longRequest = 2 * newConnGrace
-	t.Run("a request in hand", func(t *testing.T) {
+	t.Run("an active request", func(t *testing.T) {
 		b := newTestServer(t, time.Hour, time.Hour)
 		b.onHook = func() {
 			b.stop()
@@ -75,7 +75,7 @@
 		}
 		b.dial(t).request(t, pathHook)
 	})
-	t.Run("a head under way", func(t *testing.T) {
+	t.Run("a partial header", func(t *testing.T) {
 		b := newTestServer(t, time.Hour, time.Hour)
 		caller := b.dial(t)
 		head := requestFor("/1")
@@ -87,7 +87,7 @@
 		time.Sleep(longRequest)
 		caller.finishRequest(t, head[5:])
 	})
-	t.Run("a connection accepted as the stop begins", func(t *testing.T) {
+	t.Run("a connection accepted as shutdown begins", func(t *testing.T) {
 		b := newTestServer(t, time.Hour, time.Hour)
 		blocked := b.listener.afterAccept.close()
 		caller := b.dial(t)
@@ -102,7 +102,7 @@
 			t.Error(err)
 		}
 	})
-	t.Run("a question that waits for news is answered at once", func(t *testing.T) {
+	t.Run("a long poll is answered immediately", func(t *testing.T) {
 		logger := logrus.New()
 		logger.SetOutput(io.Discard)
 		listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -111,7 +111,7 @@
 		}
 		side := NewSideServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			<-r.Context().Done()
-			_, _ = io.WriteString(w, "nothing new")
+			_, _ = io.WriteString(w, "no changes")
 		}), &recordingObserver{}, logrus.NewEntry(logger))
 		b := &testServer{Server: side, listener: &gatedListener{Listener: listener}}
 		go func() { _ = side.Serve(b.listener) }()
@@ -119,7 +119,7 @@
 		if err := caller.send(requestFor("/1")); err != nil {
 			t.Fatal(err)
 		}
-		time.Sleep(testDelay) // The question is in hand.
+		time.Sleep(testDelay) // The request is active.
 		start := time.Now()
 		done := b.stop()
 		if err := caller.readResponse(); err != nil {
@@ -127,10 +127,10 @@
 		}
 		<-done
 		if took := time.Since(start); took > newConnGrace {
-			t.Errorf("the stop took %v", took)
+			t.Errorf("shutdown took %v", took)
 		}
 	})
-	t.Run("but not beyond the grace", func(t *testing.T) {
+	t.Run("not beyond the deadline", func(t *testing.T) {
 		b := newTestServer(t, time.Hour, time.Hour)
 		handled, release := make(chan struct{}), make(chan struct{})
 		b.onHook = func() {
@@ -147,31 +147,31 @@
 			ShutDown(start.Add(grace), b.Server)
 			earliest := max(grace, newConnGrace)
 			if took := time.Since(start); took < earliest || took > earliest+newConnGrace {
-				t.Errorf("with %v of the grace the stop took %v", grace, took)
+				t.Errorf("with %v until the deadline, shutdown took %v", grace, took)
 			}
 		}
 	})
-	t.Run("but not for callers that send nothing", func(t *testing.T) {
+	t.Run("not for callers that send nothing", func(t *testing.T) {
 		b := newTestServer(t, time.Hour, time.Hour)
 		silent, idle := b.dial(t), b.dial(t)
 		idle.request(t, "/1")
 		start := time.Now()
 		<-b.stop()
 		if took := time.Since(start); took > longRequest {
-			t.Errorf("the stop took %v", took)
+			t.Errorf("shutdown took %v", took)
 		}
 		if !silent.closedWithin(testDelay) || !idle.closedWithin(testDelay) {
-			t.Error("a connection is open after a stop")
+			t.Error("a connection is open after shutdown")
 		}
 	})
 }
 
-// TestAStopAnswersQuestionsThatHaveCome holds, while the gateway stops, a question that was read at one of the ports that are not for
-// callers: where to connect, what changed in the store, whether the gateway is ready.
+// TestShutdownAnswersReceivedInternalRequests blocks, during shutdown, a request that was read by a server that is not
+// for callers, such as endpoint discovery, changes of the store or readiness.
 func TestShutdownAnswersReceivedInternalRequests(t *testing.T) {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
-	side := NewSideServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "told") }),
+	side := NewSideServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "answered") }),
 		&recordingObserver{}, logrus.NewEntry(logger))
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -182,7 +182,7 @@
 	t.Cleanup(side.Close)
 	caller := (&testServer{listener: held}).dial(t)
 	caller.request(t, "/1")
-	time.Sleep(testDelay) // The connection rests.
+	time.Sleep(testDelay) // The connection is idle.
 	blocked := held.afterRead.close()
 	if err := caller.send(requestFor("/2")); err != nil {
 		t.Fatal(err)
@@ -196,6 +196,6 @@
 	time.Sleep(newConnGrace / 3)
 	held.afterRead.open()
 	if err := caller.readResponse(); err != nil {
-		t.Errorf("a question that had come got no answer: %v", err)
+		t.Errorf("a received request got no response: %v", err)
 	}
 }
--- a/internal/callers/testserver_test.go
+++ b/internal/callers/testserver_test.go
@@ -18,15 +18,15 @@
 	"github.com/granitebay/granitebay/internal/forward"
 )
 
-// gate holds those who pass it while it is shut.
+// gate blocks goroutines that call wait while it is closed.
 type gate struct {
 	mu   sync.Mutex
 	shut chan struct{}
-	// held is closed once somebody waits.
+	// blocked is closed once a goroutine waits.
 	blocked chan struct{}
 }
 
-// close shuts the gate and returns a channel that is closed once somebody waits at it.
+// close closes the gate and returns a channel that is closed once a goroutine waits at it.
 func (g *gate) close() <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -34,7 +34,7 @@
 	return g.blocked
 }
 
-// open lets all pass.
+// open releases all waiting goroutines.
 func (g *gate) open() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -42,7 +42,7 @@
 	g.shut = nil
 }
 
-// pass waits while the gate is shut.
+// wait blocks while the gate is closed.
 func (g *gate) wait() {
 	g.mu.Lock()
 	shut := g.shut
@@ -59,20 +59,20 @@
 	}
 }
 
-// heldConn is a connection whose reading goroutine can be held: before it reads, with the bytes in the kernel, or once it has read, and
-// before its last look.
+// gatedConn is a connection whose reading goroutine can be blocked: before a read while the data is in the kernel, after
+// a read, or before the final read.
 type gatedConn struct {
 	*net.TCPConn
 	beforeRead, afterRead, beforeFinalRead *gate
 }
 
-// SyscallConn is part of syscall.Conn. It is asked for when the last look begins.
+// SyscallConn implements syscall.Conn. It is called when the final read begins.
 func (c *gatedConn) SyscallConn() (syscall.RawConn, error) {
 	c.beforeFinalRead.wait()
 	return c.TCPConn.SyscallConn()
 }
 
-// Read is part of net.Conn. The watch of a connection whose request is in hand, which reads a single byte, is not held.
+// Read implements net.Conn. Background reads of net/http, which read a single byte, are not blocked.
 func (c *gatedConn) Read(buffer []byte) (int, error) {
 	if len(buffer) > 1 {
 		c.beforeRead.wait()
@@ -84,15 +84,15 @@
 	return n, err
 }
 
-// heldListener accepts connections that can be held.
+// gatedListener accepts connections that can be blocked.
 type gatedListener struct {
 	net.Listener
 	beforeRead, afterRead, beforeFinalRead gate
-	// accepted holds connections that were accepted.
+	// afterAccept blocks connections that were just accepted.
 	afterAccept gate
 }
 
-// Accept is part of net.Listener.
+// Accept implements net.Listener.
 func (l *gatedListener) Accept() (net.Conn, error) {
 	accepted, err := l.Listener.Accept()
 	if err != nil {
@@ -102,16 +102,16 @@
 	return &gatedConn{accepted.(*net.TCPConn), &l.beforeRead, &l.afterRead, &l.beforeFinalRead}, nil
 }
 
-// counted keeps what an observer was told.
+// recordingObserver records events.
 type recordingObserver struct {
 	mu     sync.Mutex
 	events []string
 }
 
-// RestedOut is part of Observer.
-func (c *recordingObserver) RestedOut() { c.add("rested out") }
+// RestedOut implements Observer.
+func (c *recordingObserver) RestedOut() { c.add("idle timeout") }
 
-// HeadUnanswered is part of Observer.
+// HeadUnanswered implements Observer.
 func (c *recordingObserver) HeadUnanswered(closedBy forward.Closer, _ string, _ time.Duration) {
 	c.add("closed by " + closedBy.String())
 }
@@ -122,28 +122,28 @@
 	c.events = append(c.events, told)
 }
 
-// String returns all that was told.
+// String returns the recorded events.
 func (c *recordingObserver) String() string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return strings.Join(c.events, ", ")
 }
 
-// callerBench is a server of callers whose connections can be held. Its handler stands for one that passes requests on to workers.
+// testServer is a server whose connections can be blocked. Its handler stands in for the one that forwards to workers.
 type testServer struct {
 	*Server
 	listener *gatedListener
 	recorder *recordingObserver
-	// ran holds the paths of the requests that reached the handler.
+	// handled holds the paths of requests that reached the handler.
 	handled sync.Map
-	// turn is what comes before the answer to pathTurn.
+	// onHook runs before the response to pathHook.
 	onHook func()
 }
 
-// pathTurn is the path of a request during which a test sets up what comes after it.
+// pathHook is the path of a request whose handler runs onHook.
 const pathHook = "/turn"
 
-// newCallerBench returns a server with its bounds.
+// newTestServer returns a running server with the given timeouts.
 func newTestServer(t testing.TB, idleTimeout, headerTimeout time.Duration) *testServer {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -170,7 +170,7 @@
 	return b
 }
 
-// stop stops the server as a planned stop does. The channel is closed at its end.
+// stop shuts the server down gracefully. The returned channel is closed when it has ended.
 func (b *testServer) stop() <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
@@ -187,7 +187,7 @@
 	reader *bufio.Reader
 }
 
-// testPatience bounds waits of which a test expects an end.
+// testTimeout limits waits that should end earlier.
 const testTimeout = 5 * time.Second
 
 // dial opens a connection.
@@ -201,16 +201,16 @@
 	return &testCaller{conn, bufio.NewReader(conn)}
 }
 
-// send sends a request, or a part of it.
+// send sends a request or part of one.
 func (c *testCaller) send(text string) error {
 	_, err := io.WriteString(c, text)
 	return err
 }
 
-// headOf returns the request for a path.
+// requestFor returns a GET request for a path.
 func requestFor(path string) string { return "GET " + path + " HTTP/1.1\r\nHost: a\r\n\r\n" }
 
-// answer waits for an answer.
+// readResponse waits for a response.
 func (c *testCaller) readResponse() error {
 	_ = c.SetReadDeadline(time.Now().Add(testTimeout))
 	response, err := http.ReadResponse(c.reader, nil)
@@ -221,13 +221,13 @@
 	return err
 }
 
-// ask sends a request and waits for its answer.
+// request sends a request and waits for the response.
 func (c *testCaller) request(t testing.TB, path string) {
 	t.Helper()
 	c.finishRequest(t, requestFor(path))
 }
 
-// askRest sends the rest of a request and waits for its answer.
+// finishRequest sends the rest of a request and waits for the response.
 func (c *testCaller) finishRequest(t testing.TB, text string) {
 	t.Helper()
 	if err := c.send(text); err != nil {
@@ -238,14 +238,14 @@
 	}
 }
 
-// closedWithin tells whether the server closes the connection within a time, after whatever it may answer.
+// closedWithin reports whether the server closes the connection within a timeout, possibly after a response.
 func (c *testCaller) closedWithin(timeout time.Duration) bool {
 	_ = c.SetReadDeadline(time.Now().Add(timeout))
 	_, err := io.Copy(io.Discard, c.reader)
 	return !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// testBound is a bound that passes in a test, and testStall how long a process is held that stands still beyond it.
+// testDelay is a connection timeout for tests, testStall a stall of the process that outlasts it.
 const (
 	testDelay = 100 * time.Millisecond
 	testStall = 3 * testDelay
