--- a/internal/callers/shutdown_test.go
+++ b/internal/callers/shutdown_test.go
@@ -171,7 +171,7 @@
 func TestShutdownAnswersReceivedInternalRequests(t *testing.T) {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
-	side := NewSideServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "answered") }),
+	side := NewSideServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "told") }),
 		&recordingObserver{}, logrus.NewEntry(logger))
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
