--- a/internal/accepting/accepting.go
+++ b/internal/accepting/accepting.go
@@ -19,31 +19,31 @@
 
 	mu sync.Mutex
 	// raw is the socket that listens; nil before.
-	raw syscall.RawConn
+	socket syscall.RawConn
 	// waits is set while the loop waits for a connection, and since is when it began to, or last did.
-	waits bool
-	since time.Time
+	waiting    bool
+	stateSince time.Time
 	// failed is the error of the last acceptance; nil after one that went well.
-	failed error
+	acceptErr error
 	// unable is why connections were not accepted when that was last asked; nil if they were.
-	unable error
+	lastCheck error
 }
 
 // Bounds of what counts as accepting.
 const (
 	// acceptPause is how long the loop may do something else than wait for a connection: it begins to serve one within microseconds.
 	// After a failure the server pauses for longer than this, and its callers for as long.
-	acceptPause = 300 * time.Millisecond
+	stallTimeout = 300 * time.Millisecond
 	// descriptorReserve is how many descriptors have to be left: a request takes two, and a call to the store may come between.
-	descriptorReserve = 8
+	fdReserve = 8
 )
 
 // Reasons for which no connections are accepted.
 var (
-	errNotListening  = errors.New("nothing listens")
-	errStalled       = errors.New("the loop that accepts connections stands")
-	errNoDescriptors = errors.New("no descriptors are left")
-	errBacklog       = errors.New("the queue of new connections is full")
+	errNotListening = errors.New("nothing listens")
+	errStalled      = errors.New("the loop that accepts connections stands")
+	errNoFDs        = errors.New("no descriptors are left")
+	errBacklogFull  = errors.New("the queue of new connections is full")
 )
 
 // New returns the loop of a process that does not listen yet.
@@ -53,11 +53,11 @@
 func (l *Loop) Watch(listener net.Listener) net.Listener {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.since = time.Now()
-	if conn, isRaw := listener.(syscall.Conn); isRaw {
+	l.stateSince = time.Now()
+	if conn, ok := listener.(syscall.Conn); ok {
 		raw, err := conn.SyscallConn()
 		if err == nil {
-			l.raw = raw
+			l.socket = raw
 		}
 	}
 	return &watchedListener{listener, l}
@@ -71,19 +71,19 @@
 
 // Accept is part of net.Listener.
 func (l *watchedListener) Accept() (net.Conn, error) {
-	l.loop.turn(true, nil)
+	l.loop.setWaiting(true, nil)
 	conn, err := l.Listener.Accept()
-	l.loop.turn(false, err)
+	l.loop.setWaiting(false, err)
 	return conn, err
 }
 
 // turn notes that the loop begins or ends to wait for a connection.
-func (l *Loop) turn(waits bool, failed error) {
+func (l *Loop) setWaiting(waiting bool, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.waits, l.since = waits, time.Now()
-	if !waits {
-		l.failed = failed
+	l.waiting, l.stateSince = waiting, time.Now()
+	if !waiting {
+		l.acceptErr = err
 	}
 }
 
@@ -91,66 +91,66 @@
 func (l *Loop) Able(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	unable := l.check(now)
+	err := l.check(now)
 	switch {
-	case unable != nil && l.unable == nil:
-		l.logger.WithError(unable).Warn("New connections of callers are not accepted; the gateway is not ready.")
-	case unable == nil && l.unable != nil:
+	case err != nil && l.lastCheck == nil:
+		l.logger.WithError(err).Warn("New connections of callers are not accepted; the gateway is not ready.")
+	case err == nil && l.lastCheck != nil:
 		l.logger.Info("New connections of callers are accepted again.")
 	}
-	l.unable = unable
-	return unable == nil
+	l.lastCheck = err
+	return err == nil
 }
 
 // check returns why no connections are accepted, or nil. The mutex is held.
 func (l *Loop) check(now time.Time) error {
 	switch {
-	case l.raw == nil:
+	case l.socket == nil:
 		return errNotListening
-	case l.waits:
-	case l.failed != nil:
-		return errors.Wrap(l.failed, "step accept")
-	case now.Sub(l.since) > acceptPause:
+	case l.waiting:
+	case l.acceptErr != nil:
+		return errors.Wrap(l.acceptErr, "step accept")
+	case now.Sub(l.stateSince) > stallTimeout:
 		return errStalled
 	}
-	found := errNotListening
+	err := errNotListening
 	// It fails only for a socket that is closed.
-	_ = l.raw.Control(func(descriptor uintptr) {
-		found = errors.CombineErrors(descriptorsLeft(int(descriptor)), roomInBacklog(int(descriptor)))
+	_ = l.socket.Control(func(descriptor uintptr) {
+		err = errors.CombineErrors(checkFDs(int(descriptor)), checkBacklog(int(descriptor)))
 	})
-	return found
+	return err
 }
 
 // descriptorsLeft returns an error when fewer descriptors are left than the reserve. The lowest free one is as many as are in use, at the
 // least.
-func descriptorsLeft(any int) error {
+func checkFDs(fd int) error {
 	var limit unix.Rlimit
 	if unix.Getrlimit(unix.RLIMIT_NOFILE, &limit) != nil {
 		return nil
 	}
-	lowest, err := unix.FcntlInt(uintptr(any), unix.F_DUPFD_CLOEXEC, 0)
+	lowest, err := unix.FcntlInt(uintptr(fd), unix.F_DUPFD_CLOEXEC, 0)
 	if errors.Is(err, unix.EMFILE) || errors.Is(err, unix.ENFILE) {
-		return errNoDescriptors
+		return errNoFDs
 	}
 	if err != nil {
 		// A platform without the call tells nothing.
 		return nil
 	}
 	_ = unix.Close(lowest)
-	if uint64(lowest)+descriptorReserve > limit.Cur {
-		return errNoDescriptors
+	if uint64(lowest)+fdReserve > limit.Cur {
+		return errNoFDs
 	}
 	return nil
 }
 
 // roomInBacklog returns an error when the queue of connections that wait to be accepted is full.
-func roomInBacklog(listening int) error {
-	info, err := unix.GetsockoptTCPInfo(listening, unix.IPPROTO_TCP, unix.TCP_INFO)
+func checkBacklog(fd int) error {
+	info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
 	// Of a socket that listens these are the length of the queue and its bound.
 	if err != nil || info.State != tcpListen || info.Sacked == 0 || info.Unacked < info.Sacked {
 		return nil
 	}
-	return errBacklog
+	return errBacklogFull
 }
 
 // tcpListen is the state of a socket that listens, as Linux numbers it.
