--- a/internal/httpclient/client.go
+++ b/internal/httpclient/client.go
@@ -117,17 +117,17 @@
 
 // settleTime is how long a connection that was opened to a process which is just ending stays open at the most: the listener of a process
 // may outlive its connections by some milliseconds.
-const settleTime = 50 * time.Millisecond
+const closeDetectionDelay = 50 * time.Millisecond
 
 // errClosed is returned for an address that takes connections and closes them at once.
-var errClosed = errors.New("connections open and are closed at once")
+var errClosedImmediately = errors.New("connections open and are closed at once")
 
 // Refuses tells whether nothing listens at an address: it refuses connections. A connection that opens rests for a later request. One
 // that is closed at once is tried again once, since the process may just end. The error is that of a connection that neither opens nor is
 // refused, or is closed at once again: the process may have too many, or something else may listen in its place.
 func (c *Client) Refuses(ctx context.Context, address string) (bool, error) {
-	for tries := 0; ; tries++ {
-		opened, err := c.pool.open(ctx, address)
+	for attempt := 0; ; attempt++ {
+		conn, err := c.pool.open(ctx, address)
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			return true, nil
 		}
@@ -136,15 +136,15 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-time.After(settleTime):
+		case <-time.After(closeDetectionDelay):
 		}
-		if quiet(opened.Conn) {
-			c.pool.put(opened, c.settings.IdleTimeout)
+		if nothingReceived(conn.Conn) {
+			c.pool.put(conn, c.settings.IdleTimeout)
 			return false, nil
 		}
-		_ = opened.Close()
-		if tries > 0 {
-			return false, &Error{Step: StepConnect, Peer: address, Cause: errClosed}
+		_ = conn.Close()
+		if attempt > 0 {
+			return false, &Error{Step: StepConnect, Peer: address, Cause: errClosedImmediately}
 		}
 	}
 }
--- a/internal/httpclient/client_test.go
+++ b/internal/httpclient/client_test.go
@@ -13,7 +13,7 @@
 )
 
 // serve runs a worker that handles each connection by a function, and returns its address.
-func serve(t *testing.T, handle func(connection net.Conn, reader *bufio.Reader, number int)) string {
+func startWorker(t *testing.T, handle func(connection net.Conn, reader *bufio.Reader, number int)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -46,7 +46,7 @@
 }
 
 // ask sends a request with an id and returns the body of the answer.
-func ask(client *Client, address, id, body string) (string, error) {
+func send(client *Client, address, id, body string) (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
 	response, err := client.Do(ctx, address, &Request{
@@ -61,8 +61,8 @@
 	return string(content), err
 }
 
-func TestRequestsArriveAsTheyAreAndShareAConnection(t *testing.T) {
-	address := serve(t, func(connection net.Conn, reader *bufio.Reader, _ int) {
+func TestRequestsAreSentUnchangedOverOneConnection(t *testing.T) {
+	address := startWorker(t, func(connection net.Conn, reader *bufio.Reader, _ int) {
 		for {
 			request, body, err := readRequest(reader)
 			if err != nil {
@@ -77,7 +77,7 @@
 	})
 	client := New(DefaultSettings())
 	for _, body := range []string{"short", strings.Repeat("long", 10000)} {
-		got, err := ask(client, address, "1", body)
+		got, err := send(client, address, "1", body)
 		if want := "/a//b?c=%20d host.example " + body; err != nil || got != want {
 			t.Fatalf("got %.60q, %v", got, err)
 		}
@@ -87,20 +87,20 @@
 	}
 }
 
-func TestAnswersOfOtherRequestsAreSkipped(t *testing.T) {
-	address := serve(t, func(connection net.Conn, reader *bufio.Reader, _ int) {
+func TestUnmatchedResponsesAreSkipped(t *testing.T) {
+	address := startWorker(t, func(connection net.Conn, reader *bufio.Reader, _ int) {
 		_, _, _ = readRequest(reader)
 		_, _ = io.WriteString(connection, "HTTP/1.1 200 OK\r\nId: old\r\nContent-Length: 3\r\n\r\nold")
 		_, _ = io.WriteString(connection, "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 3\r\n\r\nnew")
 		_, _, _ = readRequest(reader)
 	})
-	if got, err := ask(New(DefaultSettings()), address, "1", ""); err != nil || got != "new" {
+	if got, err := send(New(DefaultSettings()), address, "1", ""); err != nil || got != "new" {
 		t.Fatalf("got %q, %v", got, err)
 	}
 }
 
-func TestBytesOnARestingConnectionBelongToNoRequest(t *testing.T) {
-	address := serve(t, func(connection net.Conn, reader *bufio.Reader, number int) {
+func TestUnsolicitedBytesCloseIdleConnection(t *testing.T) {
+	address := startWorker(t, func(connection net.Conn, reader *bufio.Reader, number int) {
 		_, _, _ = readRequest(reader)
 		if number == 1 {
 			_, _ = io.WriteString(connection, "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 1\r\n\r\na")
@@ -112,17 +112,17 @@
 		_, _ = io.WriteString(connection, "HTTP/1.1 200 OK\r\nId: 2\r\nContent-Length: 5\r\n\r\nright")
 	})
 	client := New(DefaultSettings())
-	if _, err := ask(client, address, "1", ""); err != nil {
+	if _, err := send(client, address, "1", ""); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(60 * time.Millisecond)
-	if got, err := ask(client, address, "2", ""); err != nil || got != "right" {
+	if got, err := send(client, address, "2", ""); err != nil || got != "right" {
 		t.Fatalf("got %q, %v", got, err)
 	}
 }
 
-func TestAnEarlyAnswerEndsTheConnection(t *testing.T) {
-	address := serve(t, func(connection net.Conn, reader *bufio.Reader, number int) {
+func TestEarlyResponseClosesConnection(t *testing.T) {
+	address := startWorker(t, func(connection net.Conn, reader *bufio.Reader, number int) {
 		if number == 1 {
 			_, _ = http.ReadRequest(reader)
 			_, _ = io.WriteString(connection, "HTTP/1.1 503 Service Unavailable\r\nId: 1\r\nContent-Length: 0\r\n\r\n")
@@ -134,56 +134,56 @@
 	})
 	client := New(DefaultSettings())
 	long := strings.Repeat("x", 8<<20)
-	if _, err := ask(client, address, "1", long); err != nil {
+	if _, err := send(client, address, "1", long); err != nil {
 		t.Fatal(err)
 	}
-	if got, err := ask(client, address, "1", "x"); err != nil || got != "ok" {
+	if got, err := send(client, address, "1", "x"); err != nil || got != "ok" {
 		t.Fatalf("got %q, %v", got, err)
 	}
 }
 
-func TestFailuresTellHowFarTheRequestCame(t *testing.T) {
-	dead, err := net.Listen("tcp4", "127.0.0.1:0")
+func TestErrorsReportFailedStep(t *testing.T) {
+	closedListener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	_ = dead.Close()
-	cases := []struct {
+	_ = closedListener.Close()
+	tests := []struct {
 		desc    string
 		address string
 		want    Step
 	}{
-		{"no listener", dead.Addr().String(), StepConnect},
-		{"closed without an answer", serve(t, func(_ net.Conn, reader *bufio.Reader, _ int) { _, _, _ = readRequest(reader) }), StepAwait},
-		{"no HTTP", serve(t, func(connection net.Conn, reader *bufio.Reader, _ int) {
+		{"no listener", closedListener.Addr().String(), StepConnect},
+		{"closed without an answer", startWorker(t, func(_ net.Conn, reader *bufio.Reader, _ int) { _, _, _ = readRequest(reader) }), StepAwait},
+		{"no HTTP", startWorker(t, func(connection net.Conn, reader *bufio.Reader, _ int) {
 			_, _, _ = readRequest(reader)
 			_, _ = io.WriteString(connection, "garbage\r\n\r\n")
 		}), StepAwait},
-		{"broken off", serve(t, func(connection net.Conn, reader *bufio.Reader, _ int) {
+		{"broken off", startWorker(t, func(connection net.Conn, reader *bufio.Reader, _ int) {
 			_, _, _ = readRequest(reader)
 			_, _ = io.WriteString(connection, "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 9\r\n\r\nabc")
 		}), StepReceive},
-		{"reset without a length", serve(t, func(connection net.Conn, reader *bufio.Reader, _ int) {
+		{"reset without a length", startWorker(t, func(connection net.Conn, reader *bufio.Reader, _ int) {
 			_, _, _ = readRequest(reader)
 			_, _ = io.WriteString(connection, "HTTP/1.1 200 OK\r\nId: 1\r\nConnection: close\r\n\r\nabc")
 			time.Sleep(20 * time.Millisecond)
 			_ = connection.(*net.TCPConn).SetLinger(0)
 		}), StepReceive},
 	}
-	for _, c := range cases {
-		t.Run(c.desc, func(t *testing.T) {
-			_, err := ask(New(DefaultSettings()), c.address, "1", "body")
+	for _, test := range tests {
+		t.Run(test.desc, func(t *testing.T) {
+			_, err := send(New(DefaultSettings()), test.address, "1", "body")
 			var failed *Error
-			if !errors.As(err, &failed) || failed.Step != c.want || failed.Peer != c.address {
-				t.Fatalf("got %v, want step %q", err, c.want)
+			if !errors.As(err, &failed) || failed.Step != test.want || failed.Peer != test.address {
+				t.Fatalf("got %v, want step %q", err, test.want)
 			}
 		})
 	}
 }
 
-func TestTheEndOfTheContextClosesTheConnection(t *testing.T) {
+func TestCancelClosesConnection(t *testing.T) {
 	closed := make(chan struct{})
-	address := serve(t, func(_ net.Conn, reader *bufio.Reader, _ int) {
+	address := startWorker(t, func(_ net.Conn, reader *bufio.Reader, _ int) {
 		_, _, _ = readRequest(reader)
 		_, _ = reader.ReadByte()
 		close(closed)
@@ -203,9 +203,9 @@
 
 // TestRestsGetShorterThanTheWorkerAllows checks that a connection which a worker closed while it rested is a lesson: later
 // ones are given up before the worker closes them.
-func TestRestsGetShorterThanTheWorkerAllows(t *testing.T) {
+func TestIdleLimitIsLearnedFromWorker(t *testing.T) {
 	const closesAfter = 200 * time.Millisecond
-	address := serve(t, func(connection net.Conn, reader *bufio.Reader, _ int) {
+	address := startWorker(t, func(connection net.Conn, reader *bufio.Reader, _ int) {
 		for {
 			_ = connection.SetReadDeadline(time.Now().Add(closesAfter))
 			if _, _, err := readRequest(reader); err != nil {
@@ -217,7 +217,7 @@
 	client := New(DefaultSettings())
 	for _, pause := range []time.Duration{0, closesAfter + 50*time.Millisecond, closesAfter * 9 / 10, closesAfter / 4} {
 		time.Sleep(pause)
-		if _, err := ask(client, address, "1", ""); err != nil {
+		if _, err := send(client, address, "1", ""); err != nil {
 			t.Fatalf("after %s: %v", pause, err)
 		}
 	}
--- a/internal/httpclient/exchange.go
+++ b/internal/httpclient/exchange.go
@@ -14,13 +14,13 @@
 
 // inlineBodyBytes is the size of bodies up to which a request fits the buffers of a link, so that sending it can't wait for
 // the peer. Larger requests are sent while the answer is awaited.
-const inlineBodyBytes = 8 << 10
+const maxSyncBodyBytes = 8 << 10
 
 // maxSkippedAnswers bounds the answers of other requests that are dropped on one connection.
-const maxSkippedAnswers = 3
+const maxSkippedResponses = 3
 
 // errForeignAnswers is returned when nothing but answers to other requests came.
-var errForeignAnswers = errors.New("only answers to other requests came")
+var errUnmatchedResponses = errors.New("only answers to other requests came")
 
 // Response is the head of an answer and its body.
 type Response struct {
@@ -38,17 +38,17 @@
 	pool       *pool
 	connection *connection
 	request    *Request
-	begun      time.Time
+	start      time.Time
 	// release stops the watch of the context.
-	release func() bool
+	stopWatch func() bool
 	// sent gets the outcome of sending; only the sender writes to it, once.
 	sent chan error
 }
 
 // newExchange prepares a request on a connection. From here on the end of the context closes the connection.
 func newExchange(ctx context.Context, pool *pool, connection *connection, request *Request) *exchange {
-	release := context.AfterFunc(ctx, func() { _ = connection.Close() })
-	return &exchange{ctx: ctx, pool: pool, connection: connection, request: request, begun: time.Now(), release: release}
+	stopWatch := context.AfterFunc(ctx, func() { _ = connection.Close() })
+	return &exchange{ctx: ctx, pool: pool, connection: connection, request: request, start: time.Now(), stopWatch: stopWatch}
 }
 
 // run sends the request and reads the head of the answer.
@@ -56,7 +56,7 @@
 	if err := e.send(); err != nil {
 		return nil, e.fail(StepSend, err)
 	}
-	for range maxSkippedAnswers {
+	for range maxSkippedResponses {
 		head, err := e.readHead()
 		if err != nil {
 			return nil, e.fail(StepAwait, err)
@@ -71,12 +71,12 @@
 			return nil, e.fail(StepAwait, io.ErrUnexpectedEOF)
 		}
 	}
-	return nil, e.fail(StepAwait, errForeignAnswers)
+	return nil, e.fail(StepAwait, errUnmatchedResponses)
 }
 
 // send writes the request, a large one beside the awaiting of the answer.
 func (e *exchange) send() error {
-	if len(e.request.Body) <= inlineBodyBytes {
+	if len(e.request.Body) <= maxSyncBodyBytes {
 		return e.write()
 	}
 	e.sent = make(chan error, 1)
@@ -124,11 +124,11 @@
 
 // fail closes the connection and wraps the cause.
 func (e *exchange) fail(step Step, cause error) error {
-	e.release()
+	e.stopWatch()
 	_ = e.connection.Close()
 	if ctxErr := context.Cause(e.ctx); ctxErr != nil {
 		cause = ctxErr
-		e.doubtOthers(step, ctxErr)
+		e.dropSuspectConnections(step, ctxErr)
 	}
 	return &Error{Step: step, Peer: e.connection.address, Cause: cause}
 }
@@ -136,25 +136,25 @@
 // doubtOthers gives up the connections that rested beside one on which nothing came until the request was given up: whatever lost the one,
 // for example a machine on the way that has forgotten its connections, may have lost them all, and each would cost a request its time.
 // A caller that has left shows nothing, and nor does a connection that was new: then it is the worker that is silent.
-func (e *exchange) doubtOthers(step Step, cause error) {
-	if step != StepAwait || e.connection.restsSince.IsZero() || errors.Is(cause, context.Canceled) {
+func (e *exchange) dropSuspectConnections(step Step, cause error) {
+	if step != StepAwait || e.connection.idleSince.IsZero() || errors.Is(cause, context.Canceled) {
 		return
 	}
-	e.pool.drop(e.connection.address, e.begun)
+	e.pool.closeIdleBefore(e.connection.address, e.start)
 }
 
 // finish ends an exchange whose answer was read whole and keeps the connection if it may be used again.
 func (e *exchange) finish(head *http.Response) {
-	if !e.release() || head.Close || !e.sentWhole() {
+	if !e.stopWatch() || head.Close || !e.fullySent() {
 		_ = e.connection.Close()
 		return
 	}
-	e.pool.put(e.connection, e.rest(head.Header))
+	e.pool.put(e.connection, e.idleTimeout(head.Header))
 }
 
 // sentWhole tells whether the request has left. An answer may come before; what the worker would read later must be the rest
 // of this request, so that the connection can't serve another one.
-func (e *exchange) sentWhole() bool {
+func (e *exchange) fullySent() bool {
 	if e.sent == nil {
 		return true
 	}
@@ -167,10 +167,10 @@
 }
 
 // rest returns how long the connection may rest.
-func (e *exchange) rest(header http.Header) time.Duration {
+func (e *exchange) idleTimeout(header http.Header) time.Duration {
 	settings := e.pool.settings
-	for _, parameter := range strings.Split(header.Get("Keep-Alive"), ",") {
-		value, found := strings.CutPrefix(strings.TrimSpace(parameter), "timeout=")
+	for _, param := range strings.Split(header.Get("Keep-Alive"), ",") {
+		value, found := strings.CutPrefix(strings.TrimSpace(param), "timeout=")
 		if !found {
 			continue
 		}
@@ -189,8 +189,8 @@
 }
 
 // Read is part of io.Reader.
-func (b *body) Read(into []byte) (int, error) {
-	count, err := b.head.Body.Read(into)
+func (b *body) Read(buffer []byte) (int, error) {
+	count, err := b.head.Body.Read(buffer)
 	if err == nil || b.ended {
 		return count, err
 	}
@@ -208,6 +208,6 @@
 		return nil
 	}
 	b.ended = true
-	b.exchange.release()
+	b.exchange.stopWatch()
 	return b.exchange.connection.Close()
 }
--- a/internal/httpclient/pool.go
+++ b/internal/httpclient/pool.go
@@ -20,12 +20,12 @@
 	address string
 	reader  *bufio.Reader
 	// restsSince is when the connection began to rest, and usableUntil bounds how long it may.
-	restsSince  time.Time
-	usableUntil time.Time
+	idleSince    time.Time
+	idleDeadline time.Time
 }
 
 // readerBytes is the buffer of a connection; heads and events are small.
-const readerBytes = 2048
+const readBufferSize = 2048
 
 // pool keeps connections that rest.
 type pool struct {
@@ -36,7 +36,7 @@
 	mutex sync.Mutex
 	idle  map[string][]*connection
 	// restLimits holds how long connections to a worker may rest, where the worker was seen to close one earlier than told.
-	restLimits map[string]time.Duration
+	idleLimits map[string]time.Duration
 }
 
 // newPool returns an empty pool.
@@ -46,41 +46,41 @@
 		dialer:   netdial.New(settings.ConnectTimeout, settings.UnansweredTimeout),
 		idle:     map[string][]*connection{},
 
-		restLimits: map[string]time.Duration{},
+		idleLimits: map[string]time.Duration{},
 	}
 }
 
 // take returns a connection that rests, the one used last first, or opens one.
 func (p *pool) take(ctx context.Context, address string) (*connection, error) {
 	for {
-		kept := p.pop(address)
-		if kept == nil {
+		conn := p.pop(address)
+		if conn == nil {
 			return p.open(ctx, address)
 		}
 		now := time.Now()
-		if now.After(kept.usableUntil) {
-			_ = kept.Close()
+		if now.After(conn.idleDeadline) {
+			_ = conn.Close()
 			continue
 		}
-		if quiet(kept.Conn) {
-			return kept, nil
+		if nothingReceived(conn.Conn) {
+			return conn, nil
 		}
-		_ = kept.Close()
-		p.learn(address, now.Sub(kept.restsSince))
+		_ = conn.Close()
+		p.learnIdleLimit(address, now.Sub(conn.idleSince))
 	}
 }
 
 // restShare is the part of the time after which a worker closed a connection for which later ones rest.
-const restShare = 0.7
+const idleLimitFactor = 0.7
 
 // learn notes that a worker closed a connection that rested for so long. A request that is sent just as the worker closes
 // can't be told from one that has run.
-func (p *pool) learn(address string, rested time.Duration) {
+func (p *pool) learnIdleLimit(address string, idle time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	limit := time.Duration(restShare * float64(rested))
-	if known, found := p.restLimits[address]; !found || limit < known {
-		p.restLimits[address] = limit
+	limit := time.Duration(idleLimitFactor * float64(idle))
+	if known, found := p.idleLimits[address]; !found || limit < known {
+		p.idleLimits[address] = limit
 	}
 }
 
@@ -88,57 +88,57 @@
 func (p *pool) pop(address string) *connection {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	kept := p.idle[address]
-	if len(kept) == 0 {
+	idle := p.idle[address]
+	if len(idle) == 0 {
 		return nil
 	}
-	last := kept[len(kept)-1]
-	p.idle[address] = kept[:len(kept)-1]
+	last := idle[len(idle)-1]
+	p.idle[address] = idle[:len(idle)-1]
 	return last
 }
 
 // open dials a worker.
 func (p *pool) open(ctx context.Context, address string) (*connection, error) {
-	opened, err := p.dialer.DialContext(ctx, "tcp4", address)
+	conn, err := p.dialer.DialContext(ctx, "tcp4", address)
 	if err != nil {
 		return nil, errors.Wrap(err, "open a connection")
 	}
 	p.opened.Add(1)
-	return &connection{Conn: opened, address: address, reader: bufio.NewReaderSize(opened, readerBytes)}, nil
+	return &connection{Conn: conn, address: address, reader: bufio.NewReaderSize(conn, readBufferSize)}, nil
 }
 
 // put keeps a connection for so long.
-func (p *pool) put(kept *connection, rest time.Duration) {
-	if rest <= 0 || kept.reader.Buffered() > 0 {
-		_ = kept.Close()
+func (p *pool) put(conn *connection, idleTimeout time.Duration) {
+	if idleTimeout <= 0 || conn.reader.Buffered() > 0 {
+		_ = conn.Close()
 		return
 	}
 	now := time.Now()
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	if limit, found := p.restLimits[kept.address]; found {
-		rest = min(rest, limit)
+	if limit, found := p.idleLimits[conn.address]; found {
+		idleTimeout = min(idleTimeout, limit)
 	}
-	kept.restsSince, kept.usableUntil = now, now.Add(rest)
+	conn.idleSince, conn.idleDeadline = now, now.Add(idleTimeout)
 	// Connections that rested too long are closed here: the oldest stand first.
-	resting := p.idle[kept.address]
-	for len(resting) > 0 && (len(resting) >= p.settings.MaxIdlePerAddress || now.After(resting[0].usableUntil)) {
-		_ = resting[0].Close()
-		resting = resting[1:]
+	idle := p.idle[conn.address]
+	for len(idle) > 0 && (len(idle) >= p.settings.MaxIdlePerAddress || now.After(idle[0].idleDeadline)) {
+		_ = idle[0].Close()
+		idle = idle[1:]
 	}
-	p.idle[kept.address] = append(resting, kept)
+	p.idle[conn.address] = append(idle, conn)
 }
 
 // drop closes the connections to an address that rest since before a moment.
-func (p *pool) drop(address string, before time.Time) {
+func (p *pool) closeIdleBefore(address string, before time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	var kept []*connection
-	for _, each := range p.idle[address] {
-		if each.restsSince.Before(before) {
-			_ = each.Close()
+	for _, conn := range p.idle[address] {
+		if conn.idleSince.Before(before) {
+			_ = conn.Close()
 		} else {
-			kept = append(kept, each)
+			kept = append(kept, conn)
 		}
 	}
 	p.idle[address] = kept
@@ -148,25 +148,25 @@
 func (p *pool) forget(address string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
-	for _, each := range p.idle[address] {
-		_ = each.Close()
+	for _, conn := range p.idle[address] {
+		_ = conn.Close()
 	}
 	delete(p.idle, address)
-	delete(p.restLimits, address)
+	delete(p.idleLimits, address)
 }
 
 // quiet tells whether nothing has arrived on a connection that rests: neither its end nor bytes that belong to no request.
-func quiet(resting net.Conn) bool {
-	raw, err := resting.(syscall.Conn).SyscallConn()
+func nothingReceived(conn net.Conn) bool {
+	raw, err := conn.(syscall.Conn).SyscallConn()
 	if err != nil {
 		return false
 	}
-	nothing := false
+	empty := false
 	err = raw.Read(func(descriptor uintptr) bool {
-		var one [1]byte
-		_, _, receiveErr := syscall.Recvfrom(int(descriptor), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		nothing = errors.Is(receiveErr, syscall.EAGAIN)
+		var buffer [1]byte
+		_, _, receiveErr := syscall.Recvfrom(int(descriptor), buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		empty = errors.Is(receiveErr, syscall.EAGAIN)
 		return true
 	})
-	return err == nil && nothing
+	return err == nil && empty
 }
