--- a/internal/netdial/netdial.go
+++ b/internal/netdial/netdial.go
@@ -13,7 +13,7 @@
 
 // Keep-alive probes of resting connections.
 const (
-	probeAfter    = time.Second
+	probeIdle     = time.Second
 	probeInterval = time.Second
 	probeCount    = 2
 )
@@ -25,16 +25,16 @@
 		Timeout: connectTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable:   true,
-			Idle:     probeAfter,
+			Idle:     probeIdle,
 			Interval: probeInterval,
 			Count:    probeCount,
 		},
-		Control: unacknowledged(unacknowledgedTimeout),
+		Control: userTimeoutControl(unacknowledgedTimeout),
 	}
 }
 
 // unacknowledged returns what sets how long sent bytes may stay unacknowledged on a socket.
-func unacknowledged(timeout time.Duration) func(network, address string, raw syscall.RawConn) error {
+func userTimeoutControl(timeout time.Duration) func(network, address string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
 		var optionErr error
 		err := raw.Control(func(descriptor uintptr) {
@@ -51,10 +51,10 @@
 // Times after which a connection that was accepted is given up. They are longer than those of connections that were opened: a caller that
 // is cut off for some seconds finds its connection again, and what is on it ends with its deadline.
 const (
-	acceptedProbeAfter    = 5 * time.Second
-	acceptedProbeInterval = 2 * time.Second
-	acceptedProbeCount    = 3
-	acceptedTimeout       = 10 * time.Second
+	acceptedProbeIdle             = 5 * time.Second
+	acceptedProbeInterval         = 2 * time.Second
+	acceptedProbeCount            = 3
+	acceptedUnacknowledgedTimeout = 10 * time.Second
 )
 
 // Listen listens at an address, host:port. Connections that it accepts close when bytes that were sent on them stay unacknowledged, or when
@@ -62,10 +62,10 @@
 func Listen(address string) (net.Listener, error) {
 	config := net.ListenConfig{
 		KeepAliveConfig: net.KeepAliveConfig{
-			Enable: true, Idle: acceptedProbeAfter, Interval: acceptedProbeInterval, Count: acceptedProbeCount,
+			Enable: true, Idle: acceptedProbeIdle, Interval: acceptedProbeInterval, Count: acceptedProbeCount,
 		},
 		// Sockets that are accepted have this option of the one that listens.
-		Control: unacknowledged(acceptedTimeout),
+		Control: userTimeoutControl(acceptedUnacknowledgedTimeout),
 	}
 	return config.Listen(context.Background(), "tcp4", address)
 }
--- a/internal/netdial/netdial_test.go
+++ b/internal/netdial/netdial_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestConnectionsNoticeThatTheirPeerIsGone reads the options of both ends of a connection.
-func TestConnectionsNoticeThatTheirPeerIsGone(t *testing.T) {
+func TestKeepAliveOptions(t *testing.T) {
 	listener, err := Listen("127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -44,7 +44,7 @@
 			{"TCP_KEEPCNT", unix.IPPROTO_TCP, unix.TCP_KEEPCNT, test.count},
 			{"TCP_USER_TIMEOUT", unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, test.limit},
 		} {
-			if got := optionOf(t, test.conn, option.level, option.key); got != option.want {
+			if got := socketOption(t, test.conn, option.level, option.key); got != option.want {
 				t.Errorf("%s: %s is %d, want %d", test.end, option.name, got, option.want)
 			}
 		}
@@ -52,7 +52,7 @@
 }
 
 // optionOf reads an option of a socket.
-func optionOf(t *testing.T, conn net.Conn, level, key int) int {
+func socketOption(t *testing.T, conn net.Conn, level, key int) int {
 	t.Helper()
 	raw, err := conn.(syscall.Conn).SyscallConn()
 	if err != nil {
