--- a/internal/eventstream/eventstream.go
+++ b/internal/eventstream/eventstream.go
@@ -33,11 +33,11 @@
 
 // NewReader reads events of at most limit bytes.
 func NewReader(source io.Reader, limit int) *Reader {
-	return &Reader{source: bufio.NewReaderSize(source, bufferBytes), limit: limit}
+	return &Reader{source: bufio.NewReaderSize(source, bufferSize), limit: limit}
 }
 
 // bufferBytes holds some events of the usual size.
-const bufferBytes = 2048
+const bufferSize = 2048
 
 // Buffered tells whether more bytes have arrived already.
 func (r *Reader) Buffered() bool { return r.source.Buffered() > 0 }
@@ -51,7 +51,7 @@
 	for {
 		lineStart := len(r.event)
 		if err := r.readLine(); err != nil {
-			return Event{}, r.endError(err)
+			return Event{}, r.classifyEnd(err)
 		}
 		line := bytes.TrimRight(r.event[lineStart:], "\r\n")
 		if len(line) == 0 {
@@ -62,7 +62,7 @@
 			event.Raw = r.event
 			return event, nil
 		}
-		if value, isID := bytes.CutPrefix(line, idField); isID {
+		if value, ok := bytes.CutPrefix(line, idField); ok {
 			event.ID = string(bytes.TrimPrefix(value, []byte(" ")))
 		}
 	}
@@ -71,8 +71,8 @@
 // readLine adds one line with its end to the event.
 func (r *Reader) readLine() error {
 	for {
-		piece, err := r.source.ReadSlice('\n')
-		r.event = append(r.event, piece...)
+		chunk, err := r.source.ReadSlice('\n')
+		r.event = append(r.event, chunk...)
 		if len(r.event) > r.limit {
 			return ErrTooLong
 		}
@@ -83,7 +83,7 @@
 }
 
 // endError tells a clean end from one in the middle of an event.
-func (r *Reader) endError(err error) error {
+func (r *Reader) classifyEnd(err error) error {
 	if errors.Is(err, io.EOF) && len(bytes.TrimSpace(r.event)) > 0 {
 		return ErrPartial
 	}
--- a/internal/eventstream/eventstream_test.go
+++ b/internal/eventstream/eventstream_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestEventsAreSplit(t *testing.T) {
+func TestNext(t *testing.T) {
 	cases := []struct {
 		desc, stream string
 		raw, ids     []string
@@ -42,7 +42,7 @@
 	}
 }
 
-func TestLongEventsAreRefused(t *testing.T) {
+func TestEventAboveLimit(t *testing.T) {
 	reader := NewReader(strings.NewReader("data: "+strings.Repeat("x", 10000)+"\n\n"), 5000)
 	if _, err := reader.Next(); !errors.Is(err, ErrTooLong) {
 		t.Fatalf("got %v", err)
@@ -50,7 +50,7 @@
 }
 
 // TestBytesStayAsTheyAre checks that whole events put together are a prefix of the stream, whatever the stream is.
-func TestBytesStayAsTheyAre(t *testing.T) {
+func TestBytesAreUnchanged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		lines := rapid.SliceOf(rapid.SampledFrom([]string{"id: 1\n", "data: abc\n", "\n", "\r\n", ": note\n", "x"})).Draw(t, "lines")
 		stream := strings.Join(lines, "")
