--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -7,11 +7,11 @@
 )
 
 // For waits for a time, or until a context ends, and tells whether the context goes on. A time of zero or less does not wait.
-func For(ctx context.Context, lasting time.Duration) bool {
-	if lasting <= 0 {
+func For(ctx context.Context, duration time.Duration) bool {
+	if duration <= 0 {
 		return ctx.Err() == nil
 	}
-	timer := time.NewTimer(lasting)
+	timer := time.NewTimer(duration)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
