--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -11,14 +11,14 @@
 
 // reading is what both clocks show at one moment.
 type reading struct {
-	boot   time.Duration
-	steady time.Time
+	boot      time.Duration
+	monotonic time.Time
 }
 
 // origin is what the clocks showed when the process started.
 var (
-	origin   = read()
-	counting = origin.boot > 0
+	origin    = read()
+	available = origin.boot > 0
 )
 
 // read reads both clocks. Where the machine has no clock that counts sleep, boot is zero.
@@ -27,25 +27,25 @@
 	var boot unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot); err != nil {
 		// Linux has it since 2.6.39; CountsSleep tells of an older one.
-		return reading{steady: now}
+		return reading{monotonic: now}
 	}
-	return reading{boot: time.Duration(boot.Nano()), steady: now}
+	return reading{boot: time.Duration(boot.Nano()), monotonic: now}
 }
 
 // CountsSleep tells whether the machine has a clock that goes on while it is suspended. Without one Now is steady.
-func CountsSleep() bool { return counting }
+func CountsSuspendedTime() bool { return available }
 
 // Now returns the moment: the time of day at which the process started, and what has passed since, with the time in which the machine
 // was suspended. Its values are compared with each other only, not with those of time.Now.
-func Now() time.Time { return origin.to(read()) }
+func Now() time.Time { return origin.timeAt(read()) }
 
 // to returns the moment of a later reading.
-func (r reading) to(later reading) time.Time {
-	passed := later.steady.Sub(r.steady)
+func (r reading) timeAt(later reading) time.Time {
+	elapsed := later.monotonic.Sub(r.monotonic)
 	if r.boot > 0 && later.boot > 0 {
-		passed = later.boot - r.boot
+		elapsed = later.boot - r.boot
 	}
-	return r.steady.Round(0).Add(passed)
+	return r.monotonic.Round(0).Add(elapsed)
 }
 
 // Watch notices that the machine was suspended. It is not safe for concurrent use.
@@ -61,5 +61,5 @@
 func (w *Watch) Slept() time.Duration {
 	now := w.read()
 	defer func() { w.last = now }()
-	return max(w.last.to(now).Sub(w.last.steady.Round(0))-now.steady.Sub(w.last.steady), 0)
+	return max(w.last.timeAt(now).Sub(w.last.monotonic.Round(0))-now.monotonic.Sub(w.last.monotonic), 0)
 }
--- a/internal/boottime/boottime_test.go
+++ b/internal/boottime/boottime_test.go
@@ -5,30 +5,30 @@
 	"time"
 )
 
-func TestNowGoesOnAsTimeDoes(t *testing.T) {
-	if !CountsSleep() {
+func TestNowAdvancesWithMonotonicClock(t *testing.T) {
+	if !CountsSuspendedTime() {
 		t.Fatal("the machine has no clock that counts sleep")
 	}
-	before, steady := Now(), time.Now()
+	before, monotonic := Now(), time.Now()
 	time.Sleep(20 * time.Millisecond)
-	passed, really := Now().Sub(before), time.Since(steady)
-	if difference := (passed - really).Abs(); difference > 5*time.Millisecond {
-		t.Errorf("%s passed, of really %s", passed, really)
+	elapsed, want := Now().Sub(before), time.Since(monotonic)
+	if difference := (elapsed - want).Abs(); difference > 5*time.Millisecond {
+		t.Errorf("%s passed, of really %s", elapsed, want)
 	}
-	if off := time.Until(Now()).Abs(); off > time.Minute {
-		t.Errorf("the moment is %s off the time of day", off)
+	if offset := time.Until(Now()).Abs(); offset > time.Minute {
+		t.Errorf("the moment is %s off the time of day", offset)
 	}
 }
 
 // TestAWatchNoticesSleep has two clocks part.
-func TestAWatchNoticesSleep(t *testing.T) {
-	clocks := reading{boot: time.Hour, steady: time.Now()}
+func TestSlept(t *testing.T) {
+	clocks := reading{boot: time.Hour, monotonic: time.Now()}
 	w := &Watch{read: func() reading { return clocks }, last: clocks}
-	pass := func(awake, asleep time.Duration) {
-		clocks = reading{boot: clocks.boot + awake + asleep, steady: clocks.steady.Add(awake)}
+	advance := func(awake, asleep time.Duration) {
+		clocks = reading{boot: clocks.boot + awake + asleep, monotonic: clocks.monotonic.Add(awake)}
 	}
 	for _, test := range []struct{ awake, asleep time.Duration }{{time.Second, 0}, {time.Second, 4 * time.Second}, {0, time.Minute}, {time.Hour, 0}} {
-		pass(test.awake, test.asleep)
+		advance(test.awake, test.asleep)
 		if got := w.Slept(); got != test.asleep {
 			t.Errorf("after %s awake and %s asleep it tells %s", test.awake, test.asleep, got)
 		}
