--- a/internal/logging/async.go
+++ b/internal/logging/async.go
@@ -47,11 +47,11 @@
 // run writes lines, and a line about those that were dropped.
 func (w *AsyncWriter) run() {
 	defer close(w.done)
-	var told int64
+	var reported int64
 	for line := range w.lines {
-		if dropped := w.dropped.Load(); dropped > told {
-			_, _ = fmt.Fprintf(w.output, "logging: %d lines were dropped, because the output did not keep up.\n", dropped-told)
-			told = dropped
+		if dropped := w.dropped.Load(); dropped > reported {
+			_, _ = fmt.Fprintf(w.output, "logging: %d lines were dropped, because the output did not keep up.\n", dropped-reported)
+			reported = dropped
 		}
 		_, _ = w.output.Write(line)
 	}
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -86,13 +86,13 @@
 	var line strings.Builder
 	line.WriteString(entry.Time.Format(timeFormat))
 	fmt.Fprintf(&line, " %-5s ", strings.ToUpper(levelName(entry.Level)))
-	if part, found := entry.Data[fieldPart]; found {
+	if part, ok := entry.Data[fieldPart]; ok {
 		fmt.Fprintf(&line, "%v: ", part)
 	}
 	line.WriteString(strings.ReplaceAll(entry.Message, "\n", `\n`))
 	for _, name := range slices.Sorted(maps.Keys(entry.Data)) {
 		if name != fieldPart {
-			fmt.Fprintf(&line, " %s=%s", name, quoted(fmt.Sprint(entry.Data[name])))
+			fmt.Fprintf(&line, " %s=%s", name, quoteIfNeeded(fmt.Sprint(entry.Data[name])))
 		}
 	}
 	line.WriteByte('\n')
@@ -108,7 +108,7 @@
 }
 
 // quoted puts quotes around a value that would not read as one word.
-func quoted(value string) string {
+func quoteIfNeeded(value string) string {
 	if value == "" || strings.ContainsAny(value, " =\"\n\t") {
 		return strconv.Quote(value)
 	}
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -8,8 +8,8 @@
 	"testing"
 )
 
-func TestLines(t *testing.T) {
-	cases := []struct {
+func TestFormats(t *testing.T) {
+	tests := []struct {
 		desc, format, level string
 		want                string
 	}{
@@ -17,18 +17,18 @@
 		{"json", FormatJSON, "info", `"part":"transport"`},
 		{"below the level", FormatText, "warn", ""},
 	}
-	for _, c := range cases {
-		t.Run(c.desc, func(t *testing.T) {
+	for _, test := range tests {
+		t.Run(test.desc, func(t *testing.T) {
 			var output bytes.Buffer
-			logger, err := New(Options{Level: c.level, Format: c.format, Process: "agent-1", Output: &output})
+			logger, err := New(Options{Level: test.level, Format: test.format, Process: "agent-1", Output: &output})
 			if err != nil {
 				t.Fatal(err)
 			}
 			Part(logger, "transport").WithError(errors.New("step send: x")).WithField("peer", "router-a-1").Info("Lost the stream to a peer.")
-			if !strings.Contains(output.String(), c.want) || (c.want == "") != (output.Len() == 0) {
-				t.Fatalf("got %q, want %q", output.String(), c.want)
+			if !strings.Contains(output.String(), test.want) || (test.want == "") != (output.Len() == 0) {
+				t.Fatalf("got %q, want %q", output.String(), test.want)
 			}
-			if c.format == FormatJSON {
+			if test.format == FormatJSON {
 				var fields map[string]any
 				if err := json.Unmarshal(output.Bytes(), &fields); err != nil || fields["process"] != "agent-1" {
 					t.Fatalf("got %v, %v", fields, err)
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestBadOptions(t *testing.T) {
+func TestInvalidOptions(t *testing.T) {
 	for _, options := range []Options{{Level: "loud", Format: FormatText}, {Level: "info", Format: "xml"}} {
 		if _, err := New(options); err == nil {
 			t.Errorf("%+v passes", options)
