--- a/internal/accepting/accepting.go
+++ b/internal/accepting/accepting.go
@@ -1,5 +1,6 @@
-// Package accepting tells whether new connections of callers are accepted, by what accepts them: a process may be said to be ready while
-// its loop stands still, has no descriptors left or can't keep up with the queue.
+// Package accepting checks whether the process accepts new connections from callers. It watches the accept loop itself,
+// because a process can otherwise seem ready while its accept loop is stalled, it has run out of file descriptors, or
+// the accept backlog is full.
 package accepting
 
 import (
@@ -13,43 +14,44 @@
 	"golang.org/x/sys/unix"
 )
 
-// Loop is the loop that accepts the connections of a listener. It is safe for concurrent use.
+// Loop tracks the accept loop of a listener. It is safe for concurrent use.
 type Loop struct {
 	logger *logrus.Entry
 
 	mu sync.Mutex
-	// raw is the socket that listens; nil before.
+	// socket is the listening socket; nil before Watch.
 	socket syscall.RawConn
-	// waits is set while the loop waits for a connection, and since is when it began to, or last did.
+	// waiting is set while the loop waits in Accept, and stateSince is when that last changed.
 	waiting    bool
 	stateSince time.Time
-	// failed is the error of the last acceptance; nil after one that went well.
+	// acceptErr is the error of the last Accept; nil if it succeeded.
 	acceptErr error
-	// unable is why connections were not accepted when that was last asked; nil if they were.
+	// lastCheck is the result of the last call of Able; nil if connections were accepted.
 	lastCheck error
 }
 
-// Bounds of what counts as accepting.
+// Limits of the readiness check.
 const (
-	// acceptPause is how long the loop may do something else than wait for a connection: it begins to serve one within microseconds.
-	// After a failure the server pauses for longer than this, and its callers for as long.
+	// stallTimeout is how long the loop may be outside Accept. Starting to serve a connection takes microseconds; after
+	// an error net/http backs off for longer than this.
 	stallTimeout = 300 * time.Millisecond
-	// descriptorReserve is how many descriptors have to be left: a request takes two, and a call to the store may come between.
+	// fdReserve is how many file descriptors must be free: a request takes two, and a call to the store may need
+	// another.
 	fdReserve = 8
 )
 
-// Reasons for which no connections are accepted.
+// Reasons why connections are not accepted.
 var (
-	errNotListening = errors.New("nothing listens")
-	errStalled      = errors.New("the loop that accepts connections stands")
-	errNoFDs        = errors.New("no descriptors are left")
-	errBacklogFull  = errors.New("the queue of new connections is full")
+	errNotListening = errors.New("not listening")
+	errStalled      = errors.New("the accept loop is stalled")
+	errNoFDs        = errors.New("no file descriptors left")
+	errBacklogFull  = errors.New("the accept backlog is full")
 )
 
-// New returns the loop of a process that does not listen yet.
+// New returns the tracker of a process that does not listen yet.
 func New(logger *logrus.Entry) *Loop { return &Loop{logger: logger} }
 
-// Watch returns a listener whose acceptances are seen.
+// Watch returns a listener whose Accept calls are tracked.
 func (l *Loop) Watch(listener net.Listener) net.Listener {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -63,13 +65,13 @@
 	return &watchedListener{listener, l}
 }
 
-// watchedListener tells when it is asked for connections.
+// watchedListener reports its Accept calls to a Loop.
 type watchedListener struct {
 	net.Listener
 	loop *Loop
 }
 
-// Accept is part of net.Listener.
+// Accept implements net.Listener.
 func (l *watchedListener) Accept() (net.Conn, error) {
 	l.loop.setWaiting(true, nil)
 	conn, err := l.Listener.Accept()
@@ -77,7 +79,7 @@
 	return conn, err
 }
 
-// turn notes that the loop begins or ends to wait for a connection.
+// setWaiting records the start or the end of an Accept call.
 func (l *Loop) setWaiting(waiting bool, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -87,7 +89,7 @@
 	}
 }
 
-// Able tells whether connections are accepted at the moment, and logs when that changes.
+// Able reports whether connections are accepted at the moment, and logs changes.
 func (l *Loop) Able(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -102,7 +104,7 @@
 	return err == nil
 }
 
-// check returns why no connections are accepted, or nil. The mutex is held.
+// check returns why no connections are accepted, or nil. mu must be held.
 func (l *Loop) check(now time.Time) error {
 	switch {
 	case l.socket == nil:
@@ -114,15 +116,15 @@
 		return errStalled
 	}
 	err := errNotListening
-	// It fails only for a socket that is closed.
+	// Control fails only if the socket is closed.
 	_ = l.socket.Control(func(descriptor uintptr) {
 		err = errors.CombineErrors(checkFDs(int(descriptor)), checkBacklog(int(descriptor)))
 	})
 	return err
 }
 
-// descriptorsLeft returns an error when fewer descriptors are left than the reserve. The lowest free one is as many as are in use, at the
-// least.
+// checkFDs returns an error if fewer file descriptors than fdReserve are free. The lowest free descriptor is at most the
+// number of descriptors in use.
 func checkFDs(fd int) error {
 	var limit unix.Rlimit
 	if unix.Getrlimit(unix.RLIMIT_NOFILE, &limit) != nil {
@@ -133,7 +135,7 @@
 		return errNoFDs
 	}
 	if err != nil {
-		// A platform without the call tells nothing.
+		// The platform does not support the call.
 		return nil
 	}
 	_ = unix.Close(lowest)
@@ -143,15 +145,15 @@
 	return nil
 }
 
-// roomInBacklog returns an error when the queue of connections that wait to be accepted is full.
+// checkBacklog returns an error if the queue of connections waiting for Accept is full.
 func checkBacklog(fd int) error {
 	info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
-	// Of a socket that listens these are the length of the queue and its bound.
+	// For a listening socket, Unacked is the length of the accept queue and Sacked its limit.
 	if err != nil || info.State != tcpListen || info.Sacked == 0 || info.Unacked < info.Sacked {
 		return nil
 	}
 	return errBacklogFull
 }
 
-// tcpListen is the state of a socket that listens, as Linux numbers it.
+// tcpListen is TCP_LISTEN, the state of a listening socket on Linux.
 const tcpListen = 10
--- a/internal/accepting/accepting_test.go
+++ b/internal/accepting/accepting_test.go
@@ -12,7 +12,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// listenFor returns a listener that is watched, and what watches it.
+// newWatchedListener returns a Loop, the listener that it watches, and the underlying TCP listener.
 func newWatchedListener(t *testing.T) (*Loop, net.Listener, *net.TCPListener) {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -27,7 +27,7 @@
 	return loop, loop.Watch(listener), listener.(*net.TCPListener)
 }
 
-// becomes waits until connections are accepted, or are not.
+// waitFor waits until Able returns the wanted value.
 func (l *Loop) waitFor(t *testing.T, want bool, within time.Duration) {
 	t.Helper()
 	for start := time.Now(); time.Since(start) < within; time.Sleep(5 * time.Millisecond) {
@@ -35,10 +35,10 @@
 			return
 		}
 	}
-	t.Errorf("not within %s: accepted is %t; %v", within, want, l.lastCheck)
+	t.Errorf("within %s Able did not return %t; last check: %v", within, want, l.lastCheck)
 }
 
-// TestAStalledLoopAcceptsNothing holds the loop of a server up after it took a connection.
+// TestStalledAcceptLoopIsReported blocks the accept loop of a server after it accepted a connection.
 func TestStalledAcceptLoopIsReported(t *testing.T) {
 	loop, listener, _ := newWatchedListener(t)
 	held, release := make(chan struct{}), make(chan struct{})
@@ -64,7 +64,7 @@
 	loop.waitFor(t, false, time.Second)
 }
 
-// TestALoopThatFailsAcceptsNothing has acceptances fail as without descriptors.
+// TestFailingAcceptIsReported lets Accept fail as it does without free file descriptors.
 func TestFailingAcceptIsReported(t *testing.T) {
 	loop, _, _ := newWatchedListener(t)
 	failing := &watchedListener{failingListener{}, loop}
@@ -73,21 +73,21 @@
 			t.Fatalf("got %v", err)
 		}
 		if loop.Able(time.Now()) {
-			t.Error("connections count as accepted right after a failure")
+			t.Error("Able returned true right after a failed Accept")
 		}
 	}
 	loop.setWaiting(true, nil)
 	if !loop.Able(time.Now()) {
-		t.Error("a loop that waits for connections does not count as accepting")
+		t.Error("Able returned false for a loop that waits in Accept")
 	}
 }
 
-// failingListener has no descriptor left.
+// failingListener fails as if no file descriptor were free.
 type failingListener struct{ net.Listener }
 
 func (failingListener) Accept() (net.Conn, error) { return nil, syscall.EMFILE }
 
-// TestAFullBacklogAcceptsNothing opens connections that nobody takes.
+// TestFullBacklogIsReported opens connections that are not accepted.
 func TestFullBacklogIsReported(t *testing.T) {
 	loop, _, listener := newWatchedListener(t)
 	raw, err := listener.SyscallConn()
@@ -98,10 +98,10 @@
 	if err := raw.Control(func(descriptor uintptr) { _ = unix.Listen(int(descriptor), backlog) }); err != nil {
 		t.Fatal(err)
 	}
-	// The loop counts as one that waits; that it takes nothing shows in the queue alone.
+	// The loop is marked as waiting, so that only the queue shows that nothing is accepted.
 	loop.setWaiting(true, nil)
 	if !loop.Able(time.Now()) {
-		t.Error("nothing waits, and connections do not count as accepted")
+		t.Error("Able returned false with an empty backlog")
 	}
 	for range backlog + 1 {
 		conn, err := net.Dial("tcp4", listener.Addr().String())
