--- a/internal/httpclient/client.go
+++ b/internal/httpclient/client.go
@@ -1,5 +1,6 @@
-// Package httpclient sends HTTP/1.1 requests to workers over kept connections. Unlike the client of net/http it tells
-// whether a request may have reached the worker, skips answers that belong to other requests, and never sends twice.
+// Package httpclient sends HTTP/1.1 requests to workers over keep-alive connections. Unlike the client of net/http it
+// reports whether a request may have reached the worker, skips responses that belong to other requests, and never
+// retries.
 package httpclient
 
 import (
@@ -12,22 +13,22 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Step names how far a request came before it failed.
+// Step is the step of a request that failed.
 type Step string
 
 // The steps of a request.
 const (
 	// StepConnect failed: nothing was sent.
 	StepConnect Step = "connect"
-	// StepSend failed: a part of the request may have arrived.
+	// StepSend failed: part of the request may have arrived.
 	StepSend Step = "send"
-	// StepAwait failed: the request was sent and no whole head of an answer came.
+	// StepAwait failed: the request was sent, and no complete response header was received.
 	StepAwait Step = "await the answer"
-	// StepReceive failed: the answer broke off.
+	// StepReceive failed: the response body was cut off.
 	StepReceive Step = "receive the answer"
 )
 
-// Error is a request that failed.
+// Error is the error of a failed request.
 type Error struct {
 	Step Step
 	// Peer is the address of the worker.
@@ -35,47 +36,48 @@
 	Cause error
 }
 
-// Error is part of error.
+// Error implements error.
 func (e *Error) Error() string { return fmt.Sprintf("step %s, peer %s: %v", e.Step, e.Peer, e.Cause) }
 
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// NothingSent tells whether the worker can't have seen any of the request.
+// NothingSent reports whether no part of the request can have reached the worker.
 func (e *Error) NothingSent() bool { return e.Step == StepConnect }
 
-// Refused tells whether nobody listens at the address of the worker: its process has ended.
+// Refused reports whether the connection was refused: no process listens at the address of the worker.
 func (e *Error) Refused() bool {
 	return e.Step == StepConnect && errors.Is(e.Cause, syscall.ECONNREFUSED)
 }
 
-// Request is what is sent.
+// Request is a request to a worker.
 type Request struct {
 	Method string
-	// Target is the path with the query, byte for byte as the caller wrote it.
+	// Target is the path with the query, exactly as the caller sent it.
 	Target string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Belongs tells whether an answer is that of this request. Answers that are not are read and dropped. Nil takes any.
+	// Belongs reports whether a response belongs to this request. Others are read and discarded. Nil accepts any
+	// response.
 	Belongs func(status int, header http.Header) bool
 }
 
-// Settings of a client.
+// Settings configures a Client.
 type Settings struct {
-	// ConnectTimeout bounds the opening of a connection.
+	// ConnectTimeout limits the time to open a connection.
 	ConnectTimeout time.Duration
-	// UnansweredTimeout closes connections on which sent bytes are not acknowledged by the peer's machine.
+	// UnansweredTimeout limits how long sent data may stay unacknowledged before the connection is closed.
 	UnansweredTimeout time.Duration
-	// IdleTimeout is how long a connection rests when the worker does not tell how long it may.
+	// IdleTimeout limits the idle time of a connection if the worker sends no Keep-Alive header.
 	IdleTimeout time.Duration
-	// IdleMargin is how much earlier than the worker the client gives up a resting connection.
+	// IdleMargin is subtracted from the idle timeout that the worker announces.
 	IdleMargin time.Duration
-	// MaxIdlePerAddress bounds the resting connections to one worker.
+	// MaxIdlePerAddress limits the idle connections to one worker.
 	MaxIdlePerAddress int
 }
 
-// DefaultSettings suit workers in the same region.
+// DefaultSettings returns settings for workers in the same region.
 func DefaultSettings() Settings {
 	return Settings{
 		ConnectTimeout:    300 * time.Millisecond,
@@ -92,20 +94,20 @@
 	pool     *pool
 }
 
-// New returns a client without connections.
+// New returns a client without open connections.
 func New(settings Settings) *Client {
 	return &Client{settings: settings, pool: newPool(settings)}
 }
 
-// Forget closes the resting connections to an address.
+// Forget closes the idle connections to an address.
 func (c *Client) Forget(address string) { c.pool.forget(address) }
 
-// Opened returns how many connections were opened so far.
+// Opened returns the number of connections opened so far.
 func (c *Client) Opened() int64 { return c.pool.opened.Load() }
 
-// Do sends a request and returns the head of its answer. The body must be closed; the connection is kept only if the body
-// was read to its end. When the context ends, the connection is closed at once, also while the body is read. Errors are
-// of type *Error.
+// Do sends a request and returns the response header. The body must be closed; the connection is kept only if the body
+// was read to its end. If ctx ends, the connection is closed immediately, also while the body is read. Errors are of
+// type *Error.
 func (c *Client) Do(ctx context.Context, address string, request *Request) (*Response, error) {
 	connection, err := c.pool.take(ctx, address)
 	if err != nil {
@@ -115,16 +117,17 @@
 	return exchange.run()
 }
 
-// settleTime is how long a connection that was opened to a process which is just ending stays open at the most: the listener of a process
-// may outlive its connections by some milliseconds.
+// closeDetectionDelay is how long Refuses waits for the peer to close a new connection. The listener of a process that
+// is exiting may accept connections for some milliseconds.
 const closeDetectionDelay = 50 * time.Millisecond
 
-// errClosed is returned for an address that takes connections and closes them at once.
-var errClosedImmediately = errors.New("connections open and are closed at once")
+// errClosedImmediately is returned for an address that accepts connections and closes them immediately.
+var errClosedImmediately = errors.New("connections are accepted and closed immediately")
 
-// Refuses tells whether nothing listens at an address: it refuses connections. A connection that opens rests for a later request. One
-// that is closed at once is tried again once, since the process may just end. The error is that of a connection that neither opens nor is
-// refused, or is closed at once again: the process may have too many, or something else may listen in its place.
+// Refuses reports whether an address refuses connections, that is, nothing listens there. A connection that is accepted
+// is kept for a later request. If it is closed immediately, a second attempt is made, because the process may be
+// exiting. An error means neither: the connection could not be opened for another reason, or was closed immediately
+// twice, for example because the process has too many connections or something else listens at the address.
 func (c *Client) Refuses(ctx context.Context, address string) (bool, error) {
 	for attempt := 0; ; attempt++ {
 		conn, err := c.pool.open(ctx, address)
--- a/internal/httpclient/client_test.go
+++ b/internal/httpclient/client_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// serve runs a worker that handles each connection by a function, and returns its address.
+// startWorker runs a server that handles each connection with a function, and returns its address.
 func startWorker(t *testing.T, handle func(connection net.Conn, reader *bufio.Reader, number int)) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -45,7 +45,7 @@
 	return request, string(body), err
 }
 
-// ask sends a request with an id and returns the body of the answer.
+// send sends a request with an id and returns the response body.
 func send(client *Client, address, id, body string) (string, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 	defer cancel()
@@ -83,7 +83,7 @@
 		}
 	}
 	if client.Opened() != 1 {
-		t.Errorf("%d connections were opened", client.Opened())
+		t.Errorf("opened %d connections, want 1", client.Opened())
 	}
 }
 
@@ -154,16 +154,16 @@
 		want    Step
 	}{
 		{"no listener", closedListener.Addr().String(), StepConnect},
-		{"closed without an answer", startWorker(t, func(_ net.Conn, reader *bufio.Reader, _ int) { _, _, _ = readRequest(reader) }), StepAwait},
-		{"no HTTP", startWorker(t, func(connection net.Conn, reader *bufio.Reader, _ int) {
+		{"closed without a response", startWorker(t, func(_ net.Conn, reader *bufio.Reader, _ int) { _, _, _ = readRequest(reader) }), StepAwait},
+		{"not HTTP", startWorker(t, func(connection net.Conn, reader *bufio.Reader, _ int) {
 			_, _, _ = readRequest(reader)
 			_, _ = io.WriteString(connection, "garbage\r\n\r\n")
 		}), StepAwait},
-		{"broken off", startWorker(t, func(connection net.Conn, reader *bufio.Reader, _ int) {
+		{"body cut off", startWorker(t, func(connection net.Conn, reader *bufio.Reader, _ int) {
 			_, _, _ = readRequest(reader)
 			_, _ = io.WriteString(connection, "HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 9\r\n\r\nabc")
 		}), StepReceive},
-		{"reset without a length", startWorker(t, func(connection net.Conn, reader *bufio.Reader, _ int) {
+		{"connection reset, no content length", startWorker(t, func(connection net.Conn, reader *bufio.Reader, _ int) {
 			_, _, _ = readRequest(reader)
 			_, _ = io.WriteString(connection, "HTTP/1.1 200 OK\r\nId: 1\r\nConnection: close\r\n\r\nabc")
 			time.Sleep(20 * time.Millisecond)
@@ -197,12 +197,12 @@
 	select {
 	case <-closed:
 	case <-time.After(2 * time.Second):
-		t.Fatal("the worker was not told")
+		t.Fatal("the connection was not closed")
 	}
 }
 
-// TestRestsGetShorterThanTheWorkerAllows checks that a connection which a worker closed while it rested is a lesson: later
-// ones are given up before the worker closes them.
+// TestIdleLimitIsLearnedFromWorker checks that after a worker closed an idle connection, later ones are given up before
+// the worker closes them.
 func TestIdleLimitIsLearnedFromWorker(t *testing.T) {
 	const closesAfter = 200 * time.Millisecond
 	address := startWorker(t, func(connection net.Conn, reader *bufio.Reader, _ int) {
@@ -221,8 +221,9 @@
 			t.Fatalf("after %s: %v", pause, err)
 		}
 	}
-	// The first, one after the worker closed it, one given up in time; the last was used again.
+	// One initial connection, one after the worker closed it, one after the limit; the last request reused its
+	// connection.
 	if client.Opened() != 3 {
-		t.Errorf("%d connections were opened", client.Opened())
+		t.Errorf("opened %d connections, want 3", client.Opened())
 	}
 }
--- a/internal/httpclient/exchange.go
+++ b/internal/httpclient/exchange.go
@@ -12,46 +12,46 @@
 	"github.com/cockroachdb/errors"
 )
 
-// inlineBodyBytes is the size of bodies up to which a request fits the buffers of a link, so that sending it can't wait for
-// the peer. Larger requests are sent while the answer is awaited.
+// maxSyncBodyBytes is the largest body that fits into socket buffers, so that writing it does not block on the peer.
+// Larger requests are written concurrently with reading the response.
 const maxSyncBodyBytes = 8 << 10
 
-// maxSkippedAnswers bounds the answers of other requests that are dropped on one connection.
+// maxSkippedResponses limits how many responses to other requests are discarded on one connection.
 const maxSkippedResponses = 3
 
-// errForeignAnswers is returned when nothing but answers to other requests came.
-var errUnmatchedResponses = errors.New("only answers to other requests came")
+// errUnmatchedResponses is returned if every response received belongs to another request.
+var errUnmatchedResponses = errors.New("received only responses to other requests")
 
-// Response is the head of an answer and its body.
+// Response is the header of a response and its body.
 type Response struct {
 	Status int
 	Header http.Header
-	// ContentLength is -1 when the length is not told beforehand.
+	// ContentLength is -1 if unknown.
 	ContentLength int64
-	// Body returns an error of type *Error when the answer breaks off.
+	// Body returns an error of type *Error if the response is cut off.
 	Body io.ReadCloser
 }
 
-// exchange is one request on one connection.
+// exchange is one request and its response on one connection.
 type exchange struct {
 	ctx        context.Context
 	pool       *pool
 	connection *connection
 	request    *Request
 	start      time.Time
-	// release stops the watch of the context.
+	// stopWatch stops watching the context.
 	stopWatch func() bool
-	// sent gets the outcome of sending; only the sender writes to it, once.
+	// sent receives the result of a concurrent write, once; nil if the request was written synchronously.
 	sent chan error
 }
 
-// newExchange prepares a request on a connection. From here on the end of the context closes the connection.
+// newExchange prepares a request on a connection. From now on, the connection is closed when ctx ends.
 func newExchange(ctx context.Context, pool *pool, connection *connection, request *Request) *exchange {
 	stopWatch := context.AfterFunc(ctx, func() { _ = connection.Close() })
 	return &exchange{ctx: ctx, pool: pool, connection: connection, request: request, start: time.Now(), stopWatch: stopWatch}
 }
 
-// run sends the request and reads the head of the answer.
+// run sends the request and reads the response header.
 func (e *exchange) run() (*Response, error) {
 	if err := e.send(); err != nil {
 		return nil, e.fail(StepSend, err)
@@ -74,7 +74,7 @@
 	return nil, e.fail(StepAwait, errUnmatchedResponses)
 }
 
-// send writes the request, a large one beside the awaiting of the answer.
+// send writes the request. Large requests are written concurrently with reading the response.
 func (e *exchange) send() error {
 	if len(e.request.Body) <= maxSyncBodyBytes {
 		return e.write()
@@ -84,7 +84,7 @@
 	return nil
 }
 
-// write writes head and body.
+// write writes the header and the body.
 func (e *exchange) write() error {
 	writer := bufio.NewWriterSize(e.connection, 4096)
 	writer.WriteString(e.request.Method + " " + e.request.Target + " HTTP/1.1\r\nHost: " + e.request.Host + "\r\n")
@@ -99,7 +99,7 @@
 	return writer.Flush()
 }
 
-// readHead reads the next head that is not an interim one.
+// readHead reads the next response header that is not informational (1xx).
 func (e *exchange) readHead() (*http.Response, error) {
 	for {
 		head, err := http.ReadResponse(e.connection.reader, &http.Request{Method: e.request.Method})
@@ -112,7 +112,7 @@
 	}
 }
 
-// response wraps a head.
+// response returns the Response for a header.
 func (e *exchange) response(head *http.Response) *Response {
 	return &Response{
 		Status:        head.StatusCode,
@@ -133,9 +133,10 @@
 	return &Error{Step: step, Peer: e.connection.address, Cause: cause}
 }
 
-// doubtOthers gives up the connections that rested beside one on which nothing came until the request was given up: whatever lost the one,
-// for example a machine on the way that has forgotten its connections, may have lost them all, and each would cost a request its time.
-// A caller that has left shows nothing, and nor does a connection that was new: then it is the worker that is silent.
+// dropSuspectConnections closes the connections that were idle at the same time as one that got no response before the
+// request was given up. Whatever lost that connection, such as a middlebox that lost its state, may have lost all of
+// them, and each would delay a request. A cancelled request shows nothing, nor does a new connection: then it is the
+// worker that does not respond.
 func (e *exchange) dropSuspectConnections(step Step, cause error) {
 	if step != StepAwait || e.connection.idleSince.IsZero() || errors.Is(cause, context.Canceled) {
 		return
@@ -143,7 +144,7 @@
 	e.pool.closeIdleBefore(e.connection.address, e.start)
 }
 
-// finish ends an exchange whose answer was read whole and keeps the connection if it may be used again.
+// finish ends an exchange whose response was read completely, and keeps the connection if it can be reused.
 func (e *exchange) finish(head *http.Response) {
 	if !e.stopWatch() || head.Close || !e.fullySent() {
 		_ = e.connection.Close()
@@ -152,8 +153,8 @@
 	e.pool.put(e.connection, e.idleTimeout(head.Header))
 }
 
-// sentWhole tells whether the request has left. An answer may come before; what the worker would read later must be the rest
-// of this request, so that the connection can't serve another one.
+// fullySent reports whether the request was written completely. If the response came before that, the rest of the
+// request is still to be written, and the connection can't carry another one.
 func (e *exchange) fullySent() bool {
 	if e.sent == nil {
 		return true
@@ -166,7 +167,7 @@
 	}
 }
 
-// rest returns how long the connection may rest.
+// idleTimeout returns how long the connection may be idle, from the Keep-Alive header if there is one.
 func (e *exchange) idleTimeout(header http.Header) time.Duration {
 	settings := e.pool.settings
 	for _, param := range strings.Split(header.Get("Keep-Alive"), ",") {
@@ -181,14 +182,14 @@
 	return settings.IdleTimeout
 }
 
-// body is the body of an answer.
+// body is a response body.
 type body struct {
 	exchange *exchange
 	head     *http.Response
 	ended    bool
 }
 
-// Read is part of io.Reader.
+// Read implements io.Reader.
 func (b *body) Read(buffer []byte) (int, error) {
 	count, err := b.head.Body.Read(buffer)
 	if err == nil || b.ended {
@@ -202,7 +203,7 @@
 	return count, b.exchange.fail(StepReceive, err)
 }
 
-// Close gives up what was not read.
+// Close closes the connection if the body was not read to its end.
 func (b *body) Close() error {
 	if b.ended {
 		return nil
--- a/internal/httpclient/pool.go
+++ b/internal/httpclient/pool.go
@@ -14,20 +14,20 @@
 	"github.com/granitebay/granitebay/internal/netdial"
 )
 
-// connection is one connection to a worker, used for one request at a time.
+// connection is a connection to a worker. It carries one request at a time.
 type connection struct {
 	net.Conn
 	address string
 	reader  *bufio.Reader
-	// restsSince is when the connection began to rest, and usableUntil bounds how long it may.
+	// idleSince is when the connection became idle, and idleDeadline until when it may be reused.
 	idleSince    time.Time
 	idleDeadline time.Time
 }
 
-// readerBytes is the buffer of a connection; heads and events are small.
+// readBufferSize is the read buffer of a connection. Headers and events are small.
 const readBufferSize = 2048
 
-// pool keeps connections that rest.
+// pool keeps idle connections.
 type pool struct {
 	settings Settings
 	dialer   *net.Dialer
@@ -35,7 +35,8 @@
 
 	mutex sync.Mutex
 	idle  map[string][]*connection
-	// restLimits holds how long connections to a worker may rest, where the worker was seen to close one earlier than told.
+	// idleLimits holds, by address, how long connections may be idle, where a worker closed one earlier than its
+	// Keep-Alive header allowed.
 	idleLimits map[string]time.Duration
 }
 
@@ -50,7 +51,7 @@
 	}
 }
 
-// take returns a connection that rests, the one used last first, or opens one.
+// take returns the idle connection that was used last, or opens one.
 func (p *pool) take(ctx context.Context, address string) (*connection, error) {
 	for {
 		conn := p.pop(address)
@@ -70,11 +71,11 @@
 	}
 }
 
-// restShare is the part of the time after which a worker closed a connection for which later ones rest.
+// idleLimitFactor is applied to the idle time after which a worker closed a connection, to get the limit for later ones.
 const idleLimitFactor = 0.7
 
-// learn notes that a worker closed a connection that rested for so long. A request that is sent just as the worker closes
-// can't be told from one that has run.
+// learnIdleLimit records that a worker closed a connection after an idle time. A request sent while the worker closes
+// the connection can't be distinguished from one that was executed, so later connections are given up earlier.
 func (p *pool) learnIdleLimit(address string, idle time.Duration) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -84,7 +85,7 @@
 	}
 }
 
-// pop takes the connection that was used last, or nil.
+// pop removes and returns the connection that was used last, or nil.
 func (p *pool) pop(address string) *connection {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -101,13 +102,13 @@
 func (p *pool) open(ctx context.Context, address string) (*connection, error) {
 	conn, err := p.dialer.DialContext(ctx, "tcp4", address)
 	if err != nil {
-		return nil, errors.Wrap(err, "open a connection")
+		return nil, errors.Wrap(err, "open connection")
 	}
 	p.opened.Add(1)
 	return &connection{Conn: conn, address: address, reader: bufio.NewReaderSize(conn, readBufferSize)}, nil
 }
 
-// put keeps a connection for so long.
+// put keeps a connection for reuse for at most idleTimeout.
 func (p *pool) put(conn *connection, idleTimeout time.Duration) {
 	if idleTimeout <= 0 || conn.reader.Buffered() > 0 {
 		_ = conn.Close()
@@ -120,7 +121,7 @@
 		idleTimeout = min(idleTimeout, limit)
 	}
 	conn.idleSince, conn.idleDeadline = now, now.Add(idleTimeout)
-	// Connections that rested too long are closed here: the oldest stand first.
+	// Close expired connections and those above the limit. The oldest come first.
 	idle := p.idle[conn.address]
 	for len(idle) > 0 && (len(idle) >= p.settings.MaxIdlePerAddress || now.After(idle[0].idleDeadline)) {
 		_ = idle[0].Close()
@@ -129,7 +130,7 @@
 	p.idle[conn.address] = append(idle, conn)
 }
 
-// drop closes the connections to an address that rest since before a moment.
+// closeIdleBefore closes the connections to an address that have been idle since before a time.
 func (p *pool) closeIdleBefore(address string, before time.Time) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -144,7 +145,7 @@
 	p.idle[address] = kept
 }
 
-// forget closes the connections to an address that rest.
+// forget closes the idle connections to an address and forgets its idle limit.
 func (p *pool) forget(address string) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -155,7 +156,7 @@
 	delete(p.idleLimits, address)
 }
 
-// quiet tells whether nothing has arrived on a connection that rests: neither its end nor bytes that belong to no request.
+// nothingReceived reports whether an idle connection is open and has no unread data.
 func nothingReceived(conn net.Conn) bool {
 	raw, err := conn.(syscall.Conn).SyscallConn()
 	if err != nil {
