--- a/internal/netdial/netdial.go
+++ b/internal/netdial/netdial.go
@@ -1,5 +1,5 @@
-// Package netdial opens and accepts TCP connections that notice when the machine at the other end is gone. Without it a connection
-// behind a network cut hangs for minutes.
+// Package netdial opens and accepts TCP connections that detect an unreachable peer. Without keep-alive probes and a
+// user timeout, a connection across a network partition would hang for minutes.
 package netdial
 
 import (
@@ -11,15 +11,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// Keep-alive probes of resting connections.
+// Keep-alive probes of opened connections.
 const (
 	probeIdle     = time.Second
 	probeInterval = time.Second
 	probeCount    = 2
 )
 
-// New returns a dialer. A connection closes when bytes that were sent on it stay unacknowledged for so long, or when probes
-// of a resting connection are not answered.
+// New returns a dialer. Its connections fail if sent data stays unacknowledged for unacknowledgedTimeout, or if
+// keep-alive probes are not answered.
 func New(connectTimeout, unacknowledgedTimeout time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout: connectTimeout,
@@ -33,7 +33,7 @@
 	}
 }
 
-// unacknowledged returns what sets how long sent bytes may stay unacknowledged on a socket.
+// userTimeoutControl returns a Control function that sets TCP_USER_TIMEOUT.
 func userTimeoutControl(timeout time.Duration) func(network, address string, raw syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
 		var optionErr error
@@ -48,8 +48,8 @@
 	}
 }
 
-// Times after which a connection that was accepted is given up. They are longer than those of connections that were opened: a caller that
-// is cut off for some seconds finds its connection again, and what is on it ends with its deadline.
+// Settings of accepted connections. They are more lenient than those of opened connections, so that a caller that is
+// unreachable for a few seconds keeps its connection. Its requests still end at their deadline.
 const (
 	acceptedProbeIdle             = 5 * time.Second
 	acceptedProbeInterval         = 2 * time.Second
@@ -57,14 +57,14 @@
 	acceptedUnacknowledgedTimeout = 10 * time.Second
 )
 
-// Listen listens at an address, host:port. Connections that it accepts close when bytes that were sent on them stay unacknowledged, or when
-// probes of a resting one are not answered; the defaults of the language hold them for two and a half minutes.
+// Listen listens at an address, host:port. Accepted connections fail if sent data stays unacknowledged, or if keep-alive
+// probes are not answered. With the defaults of package net that would take two and a half minutes.
 func Listen(address string) (net.Listener, error) {
 	config := net.ListenConfig{
 		KeepAliveConfig: net.KeepAliveConfig{
 			Enable: true, Idle: acceptedProbeIdle, Interval: acceptedProbeInterval, Count: acceptedProbeCount,
 		},
-		// Sockets that are accepted have this option of the one that listens.
+		// Accepted sockets inherit this option from the listening socket.
 		Control: userTimeoutControl(acceptedUnacknowledgedTimeout),
 	}
 	return config.Listen(context.Background(), "tcp4", address)
--- a/internal/netdial/netdial_test.go
+++ b/internal/netdial/netdial_test.go
@@ -9,7 +9,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestConnectionsNoticeThatTheirPeerIsGone reads the options of both ends of a connection.
+// TestKeepAliveOptions checks the socket options of both ends of a connection.
 func TestKeepAliveOptions(t *testing.T) {
 	listener, err := Listen("127.0.0.1:0")
 	if err != nil {
@@ -51,7 +51,7 @@
 	}
 }
 
-// optionOf reads an option of a socket.
+// socketOption reads an option of a socket.
 func socketOption(t *testing.T, conn net.Conn, level, key int) int {
 	t.Helper()
 	raw, err := conn.(syscall.Conn).SyscallConn()
