--- a/internal/eventstream/eventstream.go
+++ b/internal/eventstream/eventstream.go
@@ -1,5 +1,5 @@
-// Package eventstream splits a stream of server-sent events into whole events, so that a stream which breaks off in the
-// middle of an event can be taken up after the last whole one. The bytes of events stay as they are.
+// Package eventstream splits a stream of server-sent events into complete events without changing their bytes, so that a
+// stream that is cut off within an event can be resumed after the last complete one.
 package eventstream
 
 import (
@@ -10,41 +10,41 @@
 	"github.com/cockroachdb/errors"
 )
 
-// ErrTooLong is returned for an event above the limit of the reader.
-var ErrTooLong = errors.New("an event of a stream is too long")
+// ErrTooLong is returned for an event that exceeds the limit of the reader.
+var ErrTooLong = errors.New("event exceeds the size limit")
 
-// ErrPartial is returned when a stream ends in the middle of an event.
-var ErrPartial = errors.New("the stream ended in the middle of an event")
+// ErrPartial is returned if a stream ends within an event.
+var ErrPartial = errors.New("stream ended within an event")
 
-// Event is one whole event.
+// Event is one complete event.
 type Event struct {
-	// Raw are the bytes of the event with the empty line at its end. They are valid until the next call of Next.
+	// Raw is the event including the empty line that ends it. It is valid until the next call of Next.
 	Raw []byte
 	// ID is the value of the id field, or empty.
 	ID string
 }
 
-// Reader reads events one after another.
+// Reader reads events from a stream.
 type Reader struct {
 	source *bufio.Reader
 	limit  int
 	event  []byte
 }
 
-// NewReader reads events of at most limit bytes.
+// NewReader returns a Reader for events of at most limit bytes.
 func NewReader(source io.Reader, limit int) *Reader {
 	return &Reader{source: bufio.NewReaderSize(source, bufferSize), limit: limit}
 }
 
-// bufferBytes holds some events of the usual size.
+// bufferSize holds several events of typical size.
 const bufferSize = 2048
 
-// Buffered tells whether more bytes have arrived already.
+// Buffered reports whether more data has already been received.
 func (r *Reader) Buffered() bool { return r.source.Buffered() > 0 }
 
 var idField = []byte("id:")
 
-// Next returns the next event. At the end of a stream that ends after a whole event the error is io.EOF.
+// Next returns the next event. The error is io.EOF if the stream ends after a complete event.
 func (r *Reader) Next() (Event, error) {
 	r.event = r.event[:0]
 	var event Event
@@ -56,7 +56,7 @@
 		line := bytes.TrimRight(r.event[lineStart:], "\r\n")
 		if len(line) == 0 {
 			if lineStart == 0 {
-				// An empty line before any field belongs to no event and is passed on with the next one.
+				// An empty line before any field belongs to no event and is prepended to the next one.
 				continue
 			}
 			event.Raw = r.event
@@ -68,7 +68,7 @@
 	}
 }
 
-// readLine adds one line with its end to the event.
+// readLine appends one line with its line ending to the event.
 func (r *Reader) readLine() error {
 	for {
 		chunk, err := r.source.ReadSlice('\n')
@@ -82,7 +82,7 @@
 	}
 }
 
-// endError tells a clean end from one in the middle of an event.
+// classifyEnd returns ErrPartial for a stream that ended within an event, and err otherwise.
 func (r *Reader) classifyEnd(err error) error {
 	if errors.Is(err, io.EOF) && len(bytes.TrimSpace(r.event)) > 0 {
 		return ErrPartial
--- a/internal/eventstream/eventstream_test.go
+++ b/internal/eventstream/eventstream_test.go
@@ -19,8 +19,8 @@
 		{"two", "id: 1\ndata: a\n\nid: 2\ndata: b\n\n", []string{"id: 1\ndata: a\n\n", "id: 2\ndata: b\n\n"}, []string{"1", "2"}, io.EOF},
 		{"no id", "data: a\n\n", []string{"data: a\n\n"}, []string{""}, io.EOF},
 		{"carriage returns", "id:7\r\ndata: a\r\n\r\n", []string{"id:7\r\ndata: a\r\n\r\n"}, []string{"7"}, io.EOF},
-		{"broken off in a line", "id: 1\ndata: a\n\nid: 2\nda", []string{"id: 1\ndata: a\n\n"}, []string{"1"}, ErrPartial},
-		{"broken off between lines", "id: 2\n", nil, nil, ErrPartial},
+		{"cut off within a line", "id: 1\ndata: a\n\nid: 2\nda", []string{"id: 1\ndata: a\n\n"}, []string{"1"}, ErrPartial},
+		{"cut off between lines", "id: 2\n", nil, nil, ErrPartial},
 		{"empty", "", nil, nil, io.EOF},
 	}
 	for _, c := range cases {
@@ -49,7 +49,7 @@
 	}
 }
 
-// TestBytesStayAsTheyAre checks that whole events put together are a prefix of the stream, whatever the stream is.
+// TestBytesAreUnchanged checks that the concatenated events are a prefix of the stream.
 func TestBytesAreUnchanged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		lines := rapid.SliceOf(rapid.SampledFrom([]string{"id: 1\n", "data: abc\n", "\n", "\r\n", ": note\n", "x"})).Draw(t, "lines")
