--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,4 +1,4 @@
-// Package pause waits for a time that a context may cut short.
+// Package pause provides a sleep that a context can end early.
 package pause
 
 import (
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// For waits for a time, or until a context ends, and tells whether the context goes on. A time of zero or less does not wait.
+// For sleeps for a duration or until ctx ends, and reports whether ctx is still valid. It does not sleep if duration is
+// zero or negative.
 func For(ctx context.Context, duration time.Duration) bool {
 	if duration <= 0 {
 		return ctx.Err() == nil
