--- a/internal/boottime/boottime_test.go
+++ b/internal/boottime/boottime_test.go
@@ -7,20 +7,20 @@
 
 func TestNowAdvancesWithMonotonicClock(t *testing.T) {
 	if !CountsSuspendedTime() {
-		t.Fatal("the machine has no clock that counts sleep")
+		t.Fatal("CLOCK_BOOTTIME is not available")
 	}
 	before, monotonic := Now(), time.Now()
 	time.Sleep(20 * time.Millisecond)
 	elapsed, want := Now().Sub(before), time.Since(monotonic)
 	if difference := (elapsed - want).Abs(); difference > 5*time.Millisecond {
-		t.Errorf("%s passed, of really %s", elapsed, want)
+		t.Errorf("Now advanced by %s, the monotonic clock by %s", elapsed, want)
 	}
 	if offset := time.Until(Now()).Abs(); offset > time.Minute {
-		t.Errorf("the moment is %s off the time of day", offset)
+		t.Errorf("Now differs from the wall clock by %s", offset)
 	}
 }
 
-// TestAWatchNoticesSleep has two clocks part.
+// TestSlept lets the two clocks diverge.
 func TestSlept(t *testing.T) {
 	clocks := reading{boot: time.Hour, monotonic: time.Now()}
 	w := &Watch{read: func() reading { return clocks }, last: clocks}
@@ -30,11 +30,11 @@
 	for _, test := range []struct{ awake, asleep time.Duration }{{time.Second, 0}, {time.Second, 4 * time.Second}, {0, time.Minute}, {time.Hour, 0}} {
 		advance(test.awake, test.asleep)
 		if got := w.Slept(); got != test.asleep {
-			t.Errorf("after %s awake and %s asleep it tells %s", test.awake, test.asleep, got)
+			t.Errorf("after %s awake and %s asleep got %s", test.awake, test.asleep, got)
 		}
 	}
 	clocks.boot = 0
 	if got := w.Slept(); got != 0 {
-		t.Errorf("without a clock that counts sleep it tells %s", got)
+		t.Errorf("without CLOCK_BOOTTIME got %s", got)
 	}
 }
