--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -1,4 +1,4 @@
-// Package logging sets up the logs of every program: short sentences, each with the fixed prefix of the part that says it.
+// Package logging sets up the loggers of all programs. Each line begins with the prefix of the component that wrote it.
 package logging
 
 import (
@@ -14,7 +14,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// Formats of logs.
+// Log formats.
 const (
 	FormatText = "text"
 	FormatJSON = "json"
@@ -26,13 +26,13 @@
 	fieldProcess = "process"
 )
 
-// Options of a logger.
+// Options configures a logger.
 type Options struct {
 	// Level is debug, info, warn or error.
 	Level string
 	// Format is FormatText or FormatJSON.
 	Format string
-	// Process is the name of the process; lines in JSON carry it.
+	// Process is the name of the process. JSON lines include it.
 	Process string
 	Output  io.Writer
 }
@@ -41,7 +41,7 @@
 func New(options Options) (*logrus.Logger, error) {
 	level, err := logrus.ParseLevel(options.Level)
 	if err != nil {
-		return nil, errors.Wrap(err, "step set up logs")
+		return nil, errors.Wrap(err, "set up logging")
 	}
 	logger := logrus.New()
 	logger.SetLevel(level)
@@ -53,12 +53,12 @@
 		logger.SetFormatter(&logrus.JSONFormatter{TimestampFormat: time.RFC3339Nano})
 		logger.AddHook(processHook{process: options.Process})
 	default:
-		return nil, errors.Newf("step set up logs: format %q must be %s or %s", options.Format, FormatText, FormatJSON)
+		return nil, errors.Newf("set up logging: format %q must be %s or %s", options.Format, FormatText, FormatJSON)
 	}
 	return logger, nil
 }
 
-// Part returns the logger of one part of a program. Its lines begin with the name of the part.
+// Part returns the logger of a component. Its lines begin with the name of the component.
 func Part(logger logrus.FieldLogger, part string) *logrus.Entry {
 	return logger.WithField(fieldPart, part)
 }
@@ -66,22 +66,22 @@
 // processHook adds the name of the process to each line.
 type processHook struct{ process string }
 
-// Levels is part of logrus.Hook.
+// Levels implements logrus.Hook.
 func (processHook) Levels() []logrus.Level { return logrus.AllLevels }
 
-// Fire is part of logrus.Hook.
+// Fire implements logrus.Hook.
 func (h processHook) Fire(entry *logrus.Entry) error {
 	entry.Data[fieldProcess] = h.process
 	return nil
 }
 
-// textFormatter writes "time LEVEL part: Sentence. key=value".
+// textFormatter formats lines as "time LEVEL part: Sentence. key=value".
 type textFormatter struct{}
 
 // timeFormat is RFC 3339 with milliseconds.
 const timeFormat = "2006-01-02T15:04:05.000Z07:00"
 
-// Format is part of logrus.Formatter.
+// Format implements logrus.Formatter.
 func (textFormatter) Format(entry *logrus.Entry) ([]byte, error) {
 	var line strings.Builder
 	line.WriteString(entry.Time.Format(timeFormat))
@@ -99,7 +99,7 @@
 	return []byte(line.String()), nil
 }
 
-// levelName shortens "warning".
+// levelName shortens "warning" to "warn".
 func levelName(level logrus.Level) string {
 	if level == logrus.WarnLevel {
 		return "warn"
@@ -107,7 +107,7 @@
 	return level.String()
 }
 
-// quoted puts quotes around a value that would not read as one word.
+// quoteIfNeeded quotes a value that is empty or contains spaces, quotes or equals signs.
 func quoteIfNeeded(value string) string {
 	if value == "" || strings.ContainsAny(value, " =\"\n\t") {
 		return strconv.Quote(value)
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -41,7 +41,7 @@
 func TestInvalidOptions(t *testing.T) {
 	for _, options := range []Options{{Level: "loud", Format: FormatText}, {Level: "info", Format: "xml"}} {
 		if _, err := New(options); err == nil {
-			t.Errorf("%+v passes", options)
+			t.Errorf("%+v is accepted", options)
 		}
 	}
 }
