--- a/internal/adminapi/api_test.go
+++ b/internal/adminapi/api_test.go
@@ -21,7 +21,7 @@
 	document configuration.Document
 	proposed configuration.ProposeResult
 	kept     []decision.Record
-	news     chan decision.Record
+	stream   chan decision.Record
 }
 
 // startedAt is when the fake gateway started.
@@ -45,10 +45,10 @@
 func (b *fakeBackend) Decisions(since uint64) []decision.Record {
 	return DecisionFilter{Since: since}.Select(b.kept)
 }
-func (b *fakeBackend) FollowDecisions() (<-chan decision.Record, func()) { return b.news, func() {} }
+func (b *fakeBackend) FollowDecisions() (<-chan decision.Record, func()) { return b.stream, func() {} }
 
 // serve starts the API on loopback and returns its address.
-func serve(t *testing.T, backend Backend) string {
+func startServer(t *testing.T, backend Backend) string {
 	t.Helper()
 	mux := http.NewServeMux()
 	Register(humago.New(mux, huma.DefaultConfig("granitebay", "1")), backend)
@@ -58,7 +58,7 @@
 }
 
 // fesDocument returns the example of Fès at a revision.
-func fesDocument(t *testing.T, revision uint64) configuration.Document {
+func exampleDocument(t *testing.T, revision uint64) configuration.Document {
 	t.Helper()
 	document, err := configuration.Example(configuration.ExampleFes)
 	if err != nil {
@@ -95,8 +95,8 @@
 	}
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
-			backend := &fakeBackend{document: fesDocument(t, 3), proposed: test.proposed}
-			client := NewClient([]string{"127.0.0.1:1", serve(t, backend)}, http.DefaultClient)
+			backend := &fakeBackend{document: exampleDocument(t, 3), proposed: test.proposed}
+			client := NewClient([]string{"127.0.0.1:1", startServer(t, backend)}, http.DefaultClient)
 			request := test.request
 			request.ChangeID = "mine"
 			result, err := client.Edit(t.Context(), request, test.dryRun)
@@ -111,19 +111,19 @@
 }
 
 // serveBroken starts a server that closes each connection without a response.
-func serveBroken(t *testing.T) string {
+func startBrokenServer(t *testing.T) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
 	t.Cleanup(server.Close)
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-func TestEditOverSeveralGateways(t *testing.T) {
+func TestEditWithSeveralGateways(t *testing.T) {
 	unavailable := configuration.ProposeResult{Err: configuration.ErrStoreUnavailable}
 	unknown := configuration.ProposeResult{Err: configuration.ErrOutcomeUnknown}
 	accepted := configuration.ProposeResult{Accepted: true, Revision: 4}
 	answering := func(result configuration.ProposeResult) func(*testing.T) string {
-		return func(t *testing.T) string { return serve(t, &fakeBackend{proposed: result}) }
+		return func(t *testing.T) string { return startServer(t, &fakeBackend{proposed: result}) }
 	}
 	unreachable := func(*testing.T) string { return "127.0.0.1:1" }
 	tests := []struct {
@@ -135,8 +135,8 @@
 		{"unavailable, then accepted", []func(*testing.T) string{answering(unavailable), answering(accepted)}, EditAccepted},
 		{"unknown, then accepted", []func(*testing.T) string{answering(unknown), answering(accepted)}, EditAccepted},
 		{"unknown, then unavailable", []func(*testing.T) string{answering(unknown), answering(unavailable)}, EditUnknown},
-		{"broken connection, then unavailable", []func(*testing.T) string{serveBroken, answering(unavailable)}, EditUnknown},
-		{"broken connection, then unreachable", []func(*testing.T) string{serveBroken, unreachable}, EditUnknown},
+		{"broken connection, then unavailable", []func(*testing.T) string{startBrokenServer, answering(unavailable)}, EditUnknown},
+		{"broken connection, then unreachable", []func(*testing.T) string{startBrokenServer, unreachable}, EditUnknown},
 		{"unreachable, then unavailable", []func(*testing.T) string{unreachable, answering(unavailable)}, EditUnavailable},
 		{"unreachable", []func(*testing.T) string{unreachable}, ""},
 		{"no gateways", nil, ""},
@@ -155,8 +155,8 @@
 	}
 }
 
-func TestEditOfUnknownForm(t *testing.T) {
-	address := serve(t, &fakeBackend{document: fesDocument(t, 3)})
+func TestEditWithUnknownFields(t *testing.T) {
+	address := startServer(t, &fakeBackend{document: exampleDocument(t, 3)})
 	body := `{"changeID": "mine", "edits": [{"kind": "put", "rule": {"name": "x", "urgent": true, "priority": "high"}}]}`
 	response, err := http.Post("http://"+address+PathConfigEdits, "application/json", strings.NewReader(body))
 	if err != nil {
@@ -168,13 +168,13 @@
 	}
 }
 
-func TestClientReadsAndReportsErrors(t *testing.T) {
-	client := NewClient([]string{"127.0.0.1:1", serve(t, &fakeBackend{document: fesDocument(t, 3)})}, http.DefaultClient)
+func TestClientReadsConfiguration(t *testing.T) {
+	client := NewClient([]string{"127.0.0.1:1", startServer(t, &fakeBackend{document: exampleDocument(t, 3)})}, http.DefaultClient)
 	document, err := client.Configuration(t.Context())
 	if err != nil || document.Revision != 3 || len(document.Rules) != 4 {
 		t.Errorf("configuration %d with %d rules, %v", document.Revision, len(document.Rules), err)
 	}
-	broken := NewClient([]string{serveBroken(t)}, http.DefaultClient)
+	broken := NewClient([]string{startBrokenServer(t)}, http.DefaultClient)
 	if _, err = broken.Configuration(t.Context()); err == nil || !strings.Contains(err.Error(), "ask gateway") {
 		t.Errorf("error %v, want one that names the step and the peer", err)
 	}
@@ -203,12 +203,12 @@
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
 			// Two records are kept, and all four come on the channel: the first two twice.
-			backend := &fakeBackend{kept: records[:2], news: make(chan decision.Record, len(records))}
+			backend := &fakeBackend{kept: records[:2], stream: make(chan decision.Record, len(records))}
 			for _, record := range records {
-				backend.news <- record
+				backend.stream <- record
 			}
-			close(backend.news)
-			client := NewClient([]string{"127.0.0.1:1", serve(t, backend)}, http.DefaultClient)
+			close(backend.stream)
+			client := NewClient([]string{"127.0.0.1:1", startServer(t, backend)}, http.DefaultClient)
 			var got []uint64
 			_ = client.FollowDecisions(t.Context(), test.filter, func(record decision.Record) error {
 				got = append(got, record.Sequence)
@@ -242,8 +242,8 @@
 	}
 }
 
-func TestClientTakesAddressesAndURLs(t *testing.T) {
-	address := serve(t, &fakeBackend{})
+func TestClientAcceptsAddressesAndURLs(t *testing.T) {
+	address := startServer(t, &fakeBackend{})
 	for _, given := range []string{address, "http://" + address, "http://" + address + "/"} {
 		client := NewClient([]string{given}, http.DefaultClient)
 		if _, err := client.Status(t.Context()); err != nil {
@@ -255,7 +255,7 @@
 	}
 }
 
-func TestStartOfAStream(t *testing.T) {
+func TestInitialStreamRecords(t *testing.T) {
 	records := []decision.Record{
 		{Sequence: 1, Kind: decision.KindRole}, {Sequence: 2, Kind: decision.KindRequest}, {Sequence: 3, Kind: decision.KindRequest},
 		{Sequence: 4, Kind: decision.KindRequest},
@@ -272,7 +272,7 @@
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
 			var got []uint64
-			for _, record := range test.filter.Kept(records) {
+			for _, record := range test.filter.Initial(records) {
 				got = append(got, record.Sequence)
 			}
 			checkSequences(t, "kept", got, test.want)
@@ -292,7 +292,7 @@
 		{"older ones dropped", []decision.Record{{Sequence: 9, Time: later}}, later},
 	}
 	for _, test := range tests {
-		client := NewClient([]string{serve(t, &fakeBackend{kept: test.kept})}, http.DefaultClient)
+		client := NewClient([]string{startServer(t, &fakeBackend{kept: test.kept})}, http.DefaultClient)
 		explanation, err := client.Explain(t.Context(), "req-1")
 		if err != nil || !explanation.KeptSince.Equal(test.want) {
 			t.Errorf("%s: got %s, %v, want %s", test.desc, explanation.KeptSince, err, test.want)
--- a/internal/adminapi/client.go
+++ b/internal/adminapi/client.go
@@ -89,7 +89,7 @@
 func (c *Client) Release(ctx context.Context, asked string) (ReleaseResult, error) {
 	var result ReleaseResult
 	path := PathBarred + "/" + asked
-	data, err := c.try(ctx, call{method: http.MethodDelete, path: path})
+	data, err := c.tryAll(ctx, apiCall{method: http.MethodDelete, path: path})
 	if err != nil {
 		return result, err
 	}
@@ -127,7 +127,7 @@
 }
 
 // call is one request to whichever gateway answers it.
-type call struct {
+type apiCall struct {
 	method, path string
 	query        url.Values
 	body         []byte
@@ -136,7 +136,7 @@
 // get reads a value.
 func get[T any](ctx context.Context, c *Client, path string, query url.Values) (T, error) {
 	var value T
-	data, err := c.try(ctx, call{method: http.MethodGet, path: path, query: query})
+	data, err := c.tryAll(ctx, apiCall{method: http.MethodGet, path: path, query: query})
 	if err != nil {
 		return value, err
 	}
@@ -147,20 +147,20 @@
 var errNoAddress = errors.New("no address of a gateway was given")
 
 // try asks one gateway after the other until one answers that is ready. It returns the errors of all when none does.
-func (c *Client) try(ctx context.Context, request call) ([]byte, error) {
-	failures := errNoAddress
+func (c *Client) tryAll(ctx context.Context, request apiCall) ([]byte, error) {
+	errs := errNoAddress
 	for i, address := range c.addresses {
-		status, data, err := c.once(ctx, address, request)
+		status, data, err := c.tryOne(ctx, address, request)
 		if err == nil || (status != 0 && status != http.StatusServiceUnavailable) {
 			return data, err
 		}
-		failures = lo.Ternary(i == 0, err, errors.Join(failures, err))
+		errs = lo.Ternary(i == 0, err, errors.Join(errs, err))
 	}
-	return nil, failures
+	return nil, errs
 }
 
 // once asks one gateway and returns the status and the body of its response.
-func (c *Client) once(ctx context.Context, address string, request call) (int, []byte, error) {
+func (c *Client) tryOne(ctx context.Context, address string, request apiCall) (int, []byte, error) {
 	response, err := c.send(ctx, address, request)
 	if err != nil {
 		return 0, nil, err
@@ -176,7 +176,7 @@
 	return response.StatusCode, data, err
 }
 
-func (c *Client) send(ctx context.Context, address string, request call) (*http.Response, error) {
+func (c *Client) send(ctx context.Context, address string, request apiCall) (*http.Response, error) {
 	target := url.URL{Scheme: "http", Host: address, Path: request.path, RawQuery: request.query.Encode()}
 	outgoing, err := http.NewRequestWithContext(ctx, request.method, target.String(), bytes.NewReader(request.body))
 	if err != nil {
--- a/internal/adminapi/client_edit.go
+++ b/internal/adminapi/client_edit.go
@@ -24,15 +24,15 @@
 	if dryRun {
 		query.Set("dryRun", "true")
 	}
-	outgoing := call{method: http.MethodPost, path: PathConfigEdits, query: query, body: body}
+	apiRequest := apiCall{method: http.MethodPost, path: PathConfigEdits, query: query, body: body}
 	attempts := editAttempts{dryRun: dryRun, changeID: request.ChangeID}
 	for _, address := range c.addresses {
-		_, data, err := c.once(ctx, address, outgoing)
-		if attempts.note(data, err) {
+		_, data, err := c.tryOne(ctx, address, apiRequest)
+		if attempts.record(data, err) {
 			return attempts.result, nil
 		}
 	}
-	return attempts.end()
+	return attempts.finalResult()
 }
 
 // editAttempts collects what several gateways said of one edit.
@@ -42,22 +42,22 @@
 	// result is the latest one.
 	result EditResult
 	// inDoubt is set when a gateway may have accepted the edit.
-	inDoubt  bool
-	failures error
+	maybeAccepted bool
+	errs          error
 }
 
 // note takes the response of one gateway and tells whether it settles the edit.
-func (a *editAttempts) note(data []byte, err error) (settled bool) {
+func (a *editAttempts) record(data []byte, err error) (settled bool) {
 	var result EditResult
 	if json.Unmarshal(data, &result) != nil || result.Outcome == "" {
-		a.inDoubt = a.inDoubt || (!a.dryRun && !neverSent(err))
-		a.failures = errors.Join(a.failures, err)
+		a.maybeAccepted = a.maybeAccepted || (!a.dryRun && !neverSent(err))
+		a.errs = errors.Join(a.errs, err)
 		return false
 	}
 	a.result = result
 	switch result.Outcome {
 	case EditUnknown:
-		a.inDoubt = true
+		a.maybeAccepted = true
 		return false
 	case EditUnavailable:
 		return false
@@ -67,25 +67,25 @@
 }
 
 // end returns what is known when no gateway settled the edit.
-func (a *editAttempts) end() (EditResult, error) {
+func (a *editAttempts) finalResult() (EditResult, error) {
 	switch {
-	case a.inDoubt && a.result.Outcome != EditUnknown:
+	case a.maybeAccepted && a.result.Outcome != EditUnknown:
 		return EditResult{
 			Outcome: EditUnknown, ChangeID: a.changeID,
-			Error: errors.Wrap(a.failureOrResult(), "a gateway may have accepted the edit").Error(),
+			Error: errors.Wrap(a.failure(), "a gateway may have accepted the edit").Error(),
 		}, nil
 	case a.result.Outcome != "":
 		return a.result, nil
 	default:
-		return EditResult{}, a.failureOrResult()
+		return EditResult{}, a.failure()
 	}
 }
 
 // failureOrResult returns why the edit is not settled.
-func (a *editAttempts) failureOrResult() error {
+func (a *editAttempts) failure() error {
 	switch {
-	case a.failures != nil:
-		return a.failures
+	case a.errs != nil:
+		return a.errs
 	case a.result.Error != "":
 		return errors.New(a.result.Error)
 	default:
@@ -95,6 +95,6 @@
 
 // neverSent tells whether a call failed before anything was sent.
 func neverSent(err error) bool {
-	var operation *net.OpError
-	return errors.As(err, &operation) && operation.Op == "dial"
+	var opErr *net.OpError
+	return errors.As(err, &opErr) && opErr.Op == "dial"
 }
--- a/internal/adminapi/edits.go
+++ b/internal/adminapi/edits.go
@@ -11,13 +11,13 @@
 )
 
 // edit runs or previews an edit and returns the HTTP status with the result.
-func edit(ctx context.Context, backend Backend, input *editInput) (int, EditResult) {
+func handleEdit(ctx context.Context, backend Backend, input *editInput) (int, EditResult) {
 	request, err := configuration.ParseEditRequest(input.RawBody)
 	if err == nil && request.ChangeID == "" {
 		err = configuration.ErrNoChangeID
 	}
 	if err != nil {
-		return failedEdit(EditResult{ChangeID: request.ChangeID}, err)
+		return errorResult(EditResult{ChangeID: request.ChangeID}, err)
 	}
 	if input.DryRun {
 		return previewEdit(backend, request)
@@ -40,9 +40,9 @@
 		}
 		return http.StatusOK, result
 	case len(proposed.Conflicts) > 0:
-		return conflictingEdit(result, proposed.Conflicts)
+		return conflictResult(result, proposed.Conflicts)
 	default:
-		return failedEdit(result, proposed.Err)
+		return errorResult(result, proposed.Err)
 	}
 }
 
@@ -55,32 +55,32 @@
 	current := backend.Document()
 	next, conflicts, err := configuration.Preview(current, request, time.Now())
 	if len(conflicts) > 0 {
-		return conflictingEdit(result, conflicts)
+		return conflictResult(result, conflicts)
 	}
 	if err != nil {
-		return failedEdit(result, err)
+		return errorResult(result, err)
 	}
 	consequences, err := configuration.WhatIf(current, next, backend.KnownWorkers(), backend.KnownRequests())
 	if err != nil {
-		return failedEdit(result, err)
+		return errorResult(result, err)
 	}
 	result.Outcome, result.Revision, result.Consequences = EditPreview, next.Revision, &consequences
 	return http.StatusOK, result
 }
 
-func conflictingEdit(result EditResult, conflicts []configuration.Conflict) (int, EditResult) {
+func conflictResult(result EditResult, conflicts []configuration.Conflict) (int, EditResult) {
 	result.Outcome, result.Conflicts = EditConflict, conflicts
 	result.Error = "another edit changed the same fields"
 	return http.StatusConflict, result
 }
 
 // failedEdit sorts an error into an outcome.
-func failedEdit(result EditResult, err error) (int, EditResult) {
+func errorResult(result EditResult, err error) (int, EditResult) {
 	result.Error = err.Error()
-	var faults configuration.FieldErrors
+	var fieldErrors configuration.FieldErrors
 	switch {
-	case errors.As(err, &faults):
-		result.Outcome, result.Faults = EditInvalid, faults
+	case errors.As(err, &fieldErrors):
+		result.Outcome, result.Faults = EditInvalid, fieldErrors
 		return http.StatusUnprocessableEntity, result
 	case errors.IsAny(err, configuration.ErrNoChangeID, configuration.ErrTooLarge):
 		result.Outcome = EditInvalid
--- a/internal/adminapi/filter.go
+++ b/internal/adminapi/filter.go
@@ -38,15 +38,15 @@
 }
 
 // Kept returns the kept decisions with which a stream starts.
-func (f StreamFilter) Kept(records []decision.Record) []decision.Record {
+func (f StreamFilter) Initial(records []decision.Record) []decision.Record {
 	selected := f.Select(records)
 	if f.Latest == 0 {
 		return selected
 	}
-	ofKind := lo.CountValuesBy(selected, func(record decision.Record) decision.Kind { return record.Kind })
+	remaining := lo.CountValuesBy(selected, func(record decision.Record) decision.Kind { return record.Kind })
 	return lo.Filter(selected, func(record decision.Record, _ int) bool {
-		ofKind[record.Kind]--
-		return ofKind[record.Kind] < f.Latest
+		remaining[record.Kind]--
+		return remaining[record.Kind] < f.Latest
 	})
 }
 
@@ -64,13 +64,13 @@
 	return record.Sequence > f.Since &&
 		(f.Kind == "" || f.Kind == string(record.Kind)) &&
 		(f.Subject == "" || f.Subject == record.Subject) &&
-		names(record, InputWorker, f.Worker) &&
-		names(record, InputGroup, f.Group) &&
-		names(record, InputRequest, f.Request)
+		mentions(record, InputWorker, f.Worker) &&
+		mentions(record, InputGroup, f.Group) &&
+		mentions(record, InputRequest, f.Request)
 }
 
 // names tells whether a decision names a value as subject, outcome or input.
-func names(record decision.Record, input, value string) bool {
+func mentions(record decision.Record, input, value string) bool {
 	return value == "" || record.Subject == value || record.Outcome == value || record.Inputs[input] == value
 }
 
--- a/internal/adminapi/follow.go
+++ b/internal/adminapi/follow.go
@@ -14,7 +14,7 @@
 )
 
 // maximumEventBytes bounds one event on a stream.
-const maximumEventBytes = 1 << 20
+const maxEventBytes = 1 << 20
 
 // StreamHandler takes the events of a stream. An error of it ends the stream.
 type StreamHandler struct {
@@ -32,11 +32,11 @@
 // Follow hands the events of the stream of the first gateway that answers to a handler, until the context ends, the
 // handler returns an error or the stream breaks.
 func (c *Client) Follow(ctx context.Context, filter StreamFilter, handler StreamHandler) error {
-	var failures error
+	var errs error
 	for _, address := range c.addresses {
-		response, err := c.send(ctx, address, call{method: http.MethodGet, path: PathDecisionsStream, query: filter.Query()})
+		response, err := c.send(ctx, address, apiCall{method: http.MethodGet, path: PathDecisionsStream, query: filter.Query()})
 		if err != nil {
-			failures = errors.Join(failures, err)
+			errs = errors.Join(errs, err)
 			continue
 		}
 		defer func() { _ = response.Body.Close() }()
@@ -46,21 +46,21 @@
 		}
 		return errors.Wrapf(readEvents(response.Body, handler), "follow the decisions of gateway %s", address)
 	}
-	return failures
+	return errs
 }
 
 // readEvents reads server-sent events.
 func readEvents(stream io.Reader, handler StreamHandler) error {
 	scanner := bufio.NewScanner(stream)
-	scanner.Buffer(nil, maximumEventBytes)
+	scanner.Buffer(nil, maxEventBytes)
 	event := ""
 	for scanner.Scan() {
 		line := scanner.Text()
-		if name, isName := strings.CutPrefix(line, "event: "); isName {
+		if name, ok := strings.CutPrefix(line, "event: "); ok {
 			event = name
 		}
-		data, isData := strings.CutPrefix(line, "data: ")
-		if !isData {
+		data, ok := strings.CutPrefix(line, "data: ")
+		if !ok {
 			continue
 		}
 		if err := handler.handle(event, []byte(data)); err != nil {
--- a/internal/adminapi/register.go
+++ b/internal/adminapi/register.go
@@ -54,7 +54,7 @@
 		Summary: "Propose an edit of the configuration, or see what it would do", MaxBodyBytes: 2 * configuration.MaximumDocumentBytes,
 	}
 	huma.Register(api, operation, func(ctx context.Context, input *editInput) (*jsonBody, error) {
-		status, result := edit(ctx, backend, input)
+		status, result := handleEdit(ctx, backend, input)
 		return encodeBody(status, result)
 	})
 }
@@ -72,7 +72,7 @@
 	})
 	explain := huma.Operation{OperationID: "explain", Method: http.MethodGet, Path: PathExplain, Summary: "What this gateway decided about one request"}
 	huma.Register(api, explain, func(_ context.Context, input *explainInput) (*typedBody[Explanation], error) {
-		return &typedBody[Explanation]{Body: explanationOf(backend, input.Request)}, nil
+		return &typedBody[Explanation]{Body: newExplanation(backend, input.Request)}, nil
 	})
 	stream := huma.Operation{OperationID: "decisions-stream", Method: http.MethodGet, Path: PathDecisionsStream, Summary: "Decisions as they fall"}
 	events := map[string]any{eventDecision: decision.Record{}, eventHeartbeat: Heartbeat{}}
@@ -105,7 +105,7 @@
 }
 
 // explanationOf returns what a gateway knows of one request.
-func explanationOf(backend Backend, request string) Explanation {
+func newExplanation(backend Backend, request string) Explanation {
 	status := backend.Status()
 	kept := backend.Decisions(0)
 	since := status.StartedAt
--- a/internal/adminapi/stream.go
+++ b/internal/adminapi/stream.go
@@ -24,7 +24,7 @@
 	filter  StreamFilter
 	send    sse.Sender
 	// sent is the last sequence that was looked at.
-	sent uint64
+	lastSequence uint64
 }
 
 // streamDecisions sends the kept decisions that a filter selects and then the new ones, until the client goes away.
@@ -36,33 +36,33 @@
 	if stream.heartbeat(time.Now()) != nil {
 		return
 	}
-	if stream.kept() != nil {
+	if stream.sendKept() != nil {
 		return
 	}
 	stream.follow(ctx, records)
 }
 
 // kept sends the decisions with which the stream starts.
-func (s *decisionStream) kept() error {
+func (s *decisionStream) sendKept() error {
 	kept := s.backend.Decisions(s.filter.Since)
-	for _, record := range s.filter.Kept(kept) {
+	for _, record := range s.filter.Initial(kept) {
 		if err := s.send.Data(record); err != nil {
 			return err
 		}
 	}
-	s.sent = s.filter.Since
+	s.lastSequence = s.filter.Since
 	if len(kept) > 0 {
-		s.sent = kept[len(kept)-1].Sequence
+		s.lastSequence = kept[len(kept)-1].Sequence
 	}
 	return nil
 }
 
 // forward sends a new decision, unless it was among the kept ones.
-func (s *decisionStream) forward(record decision.Record) error {
-	if record.Sequence <= s.sent {
+func (s *decisionStream) sendNew(record decision.Record) error {
+	if record.Sequence <= s.lastSequence {
 		return nil
 	}
-	s.sent = record.Sequence
+	s.lastSequence = record.Sequence
 	if !s.filter.Matches(record) {
 		return nil
 	}
@@ -86,7 +86,7 @@
 			if !open {
 				return
 			}
-			err = s.forward(record)
+			err = s.sendNew(record)
 		case now := <-ticker.C:
 			err = s.heartbeat(now)
 		}
