--- a/internal/adminpage/page.go
+++ b/internal/adminpage/page.go
@@ -9,7 +9,7 @@
 )
 
 //go:embed assets
-var embedded embed.FS
+var assets embed.FS
 
 // securityPolicy lets the page load and ask only the gateway that served it.
 const securityPolicy = "default-src 'none'; script-src 'self'; style-src 'self'; connect-src 'self'; img-src data:; " +
@@ -17,17 +17,17 @@
 
 // Register adds the page at "/" and its files under "/page/".
 func Register(mux *http.ServeMux) {
-	files, err := fs.Sub(embedded, "assets")
+	files, err := fs.Sub(assets, "assets")
 	if err != nil {
 		panic(err) // the folder is embedded
 	}
-	serve := secured(http.FileServerFS(files))
+	serve := withSecurityHeaders(http.FileServerFS(files))
 	mux.Handle("GET /{$}", serve)
 	mux.Handle("GET /page/", http.StripPrefix("/page", serve))
 }
 
 // secured adds the headers that keep the page apart from other sites.
-func secured(next http.Handler) http.Handler {
+func withSecurityHeaders(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		header := writer.Header()
 		header.Set("Content-Security-Policy", securityPolicy)
--- a/internal/adminpage/page_test.go
+++ b/internal/adminpage/page_test.go
@@ -20,7 +20,7 @@
 	return recorder
 }
 
-func TestServed(t *testing.T) {
+func TestRegister(t *testing.T) {
 	tests := []struct {
 		desc, path  string
 		status      int
@@ -46,31 +46,31 @@
 }
 
 // TestFilesAreClosed checks that the files name only files that are embedded, and use nothing that reads text as markup.
-func TestFilesAreClosed(t *testing.T) {
+func TestAssetsAreSelfContained(t *testing.T) {
 	reference := regexp.MustCompile(`(?:src="|href="|from "\./)([^"#][^"]*)"`)
 	unsafe := regexp.MustCompile(`innerHTML|outerHTML|insertAdjacentHTML|document\.write|\beval\(|new Function|setAttribute\("on|\son[a-z]+="|\sstyle="|https?://|@import|url\(`)
-	entries, err := fs.ReadDir(embedded, "assets")
+	entries, err := fs.ReadDir(assets, "assets")
 	if err != nil {
 		t.Fatal(err)
 	}
 	for _, entry := range entries {
-		data, _ := fs.ReadFile(embedded, "assets/"+entry.Name())
+		data, _ := fs.ReadFile(assets, "assets/"+entry.Name())
 		if found := unsafe.Find(data); found != nil {
 			t.Errorf("%s holds %q", entry.Name(), found)
 		}
 		for _, match := range reference.FindAllSubmatch(data, -1) {
 			name := strings.TrimPrefix(string(match[1]), "page/")
-			if _, err := fs.Stat(embedded, "assets/"+name); err != nil && name != "data:," {
+			if _, err := fs.Stat(assets, "assets/"+name); err != nil && name != "data:," {
 				t.Errorf("%s names %s: %v", entry.Name(), name, err)
 			}
 		}
 	}
 }
 
-func TestAllKindsHaveWords(t *testing.T) {
-	words := get(t, "/page/words.js").Body.String()
+func TestAllDecisionKindsHaveLabels(t *testing.T) {
+	labels := get(t, "/page/words.js").Body.String()
 	for _, kind := range decision.Kinds {
-		if !strings.Contains(words, "  "+string(kind)+": { words:") {
+		if !strings.Contains(labels, "  "+string(kind)+": { words:") {
 			t.Errorf("kind %s has no words", kind)
 		}
 	}
