--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -25,7 +25,7 @@
 type configStatusCommand struct{}
 
 // spread is how far the configuration got around.
-type spread struct {
+type rolloutStatus struct {
 	// Newest revision that a gateway has in force, and Everywhere the one that all have that answered.
 	Newest     uint64 `json:"newest"`
 	Everywhere uint64 `json:"everywhere"`
@@ -34,25 +34,25 @@
 	Behind []string `json:"behind,omitempty"`
 	Silent []string `json:"silent,omitempty"`
 	// unknown is set when a gateway that another one lists did not answer.
-	unknown bool
+	incomplete bool
 }
 
 // spreadOf asks all gateways which revision they have in force.
-func spreadOf(ctx context.Context, s *session) spread {
-	processes, gaps := gatewayProcesses(ctx, s)
-	answers := askAll(ctx, processes, func(ctx context.Context, client *adminapi.Client) (adminapi.GatewayStatus, error) {
+func queryRollout(ctx context.Context, s *session) rolloutStatus {
+	targets, gaps := gatewayTargets(ctx, s)
+	responses := queryAll(ctx, targets, func(ctx context.Context, client *adminapi.Client) (adminapi.GatewayStatus, error) {
 		return client.Status(ctx)
 	})
-	result := spread{Silent: gaps}
+	result := rolloutStatus{Silent: gaps}
 	statuses := map[string]adminapi.GatewayStatus{}
-	for _, each := range answers {
-		if each.err != nil {
-			result.Silent = append(result.Silent, each.process.gap(each.err))
-			result.unknown = result.unknown || each.process.name != ""
+	for _, response := range responses {
+		if response.err != nil {
+			result.Silent = append(result.Silent, response.target.describeFailure(response.err))
+			result.incomplete = result.incomplete || response.target.name != ""
 			continue
 		}
-		statuses[each.value.Gateway] = each.value
-		result.Newest = max(result.Newest, each.value.Revision)
+		statuses[response.value.Gateway] = response.value
+		result.Newest = max(result.Newest, response.value.Revision)
 	}
 	result.Gateways, result.Everywhere = len(statuses), result.Newest
 	for name, status := range statuses {
@@ -67,18 +67,18 @@
 
 // Run shows how far the configuration got around.
 func (configStatusCommand) Run(s *session) error {
-	read := func(ctx context.Context) (spread, error) {
-		found := spreadOf(ctx, s)
-		if found.Gateways == 0 {
-			return found, errors.Newf("no gateway answered: %s", strings.Join(found.Silent, "; "))
+	read := func(ctx context.Context) (rolloutStatus, error) {
+		status := queryRollout(ctx, s)
+		if status.Gateways == 0 {
+			return status, errors.Newf("no gateway answered: %s", strings.Join(status.Silent, "; "))
 		}
-		return found, nil
+		return status, nil
 	}
-	return show(s, read, func(writer io.Writer, found spread) error {
-		fmt.Fprintf(writer, "newest in force      revision %d\n", found.Newest)
-		fmt.Fprintf(writer, "in force everywhere  revision %d (%d gateways)\n", found.Everywhere, found.Gateways)
-		printList(writer, "behind", found.Behind)
-		printList(writer, "did not answer", found.Silent)
+	return show(s, read, func(writer io.Writer, status rolloutStatus) error {
+		fmt.Fprintf(writer, "newest in force      revision %d\n", status.Newest)
+		fmt.Fprintf(writer, "in force everywhere  revision %d (%d gateways)\n", status.Everywhere, status.Gateways)
+		printList(writer, "behind", status.Behind)
+		printList(writer, "did not answer", status.Silent)
 		return nil
 	})
 }
@@ -95,19 +95,19 @@
 		}
 		return printTable(writer, header, lo.Map(history.Changes, func(change configuration.Change, _ int) table.Row {
 			when := time.UnixMilli(change.UnixMillis).UTC().Format(time.RFC3339)
-			return table.Row{change.Revision, when, orNone(change.Author), change.ChangeID, fieldSummary(change.Fields)}
+			return table.Row{change.Revision, when, orDash(change.Author), change.ChangeID, fieldSummary(change.Fields)}
 		}))
 	})
 }
 
 // shownFields is the most fields of one edit that are named.
-const shownFields = 3
+const maxShownFields = 3
 
 // fieldSummary names the first fields of an edit and counts the rest.
 func fieldSummary(fields []configuration.FieldChange) string {
 	names := lo.Map(fields, func(changed configuration.FieldChange, _ int) string { return changed.Field.String() })
-	if len(names) <= shownFields {
+	if len(names) <= maxShownFields {
 		return strings.Join(names, "; ")
 	}
-	return fmt.Sprintf("%s; and %d more", strings.Join(names[:shownFields], "; "), len(names)-shownFields)
+	return fmt.Sprintf("%s; and %d more", strings.Join(names[:maxShownFields], "; "), len(names)-maxShownFields)
 }
--- a/internal/operator/decisions.go
+++ b/internal/operator/decisions.go
@@ -21,9 +21,9 @@
 	// timeLayout of decisions.
 	timeLayout = "15:04:05.000"
 	// followedAtStart is how many earlier decisions --follow shows by default.
-	followedAtStart = 20
+	defaultFollowHistory = 20
 	// overlap bounds the decisions of each gateway that may fall between the list and the stream.
-	overlap = 1000
+	streamOverlap = 1000
 	// streamBuffer bounds the decisions that wait to be printed.
 	streamBuffer = 1024
 )
@@ -88,39 +88,39 @@
 
 // list returns the kept decisions, in order of time. Gateways that did not answer are named on the standard error.
 func (d decisionsCommand) list(s *session) ([]decision.Record, error) {
-	ctx, cancel := s.limited()
+	ctx, cancel := s.withTimeout()
 	defer cancel()
 	if d.ThisGateway {
 		list, err := s.client.Decisions(ctx, d.filter())
 		return list.Decisions, err
 	}
-	processes, gaps := gatewayProcesses(ctx, s)
-	answers := askAll(ctx, processes, func(ctx context.Context, client *adminapi.Client) (adminapi.DecisionList, error) {
+	targets, gaps := gatewayTargets(ctx, s)
+	responses := queryAll(ctx, targets, func(ctx context.Context, client *adminapi.Client) (adminapi.DecisionList, error) {
 		return client.Decisions(ctx, d.filter())
 	})
 	var records []decision.Record
 	failures := 0
-	for _, answer := range answers {
-		if answer.err != nil {
+	for _, response := range responses {
+		if response.err != nil {
 			failures++
-			gaps = append(gaps, answer.process.gap(answer.err))
+			gaps = append(gaps, response.target.describeFailure(response.err))
 		}
-		records = append(records, answer.value.Decisions...)
+		records = append(records, response.value.Decisions...)
 	}
-	if failures == len(answers) {
+	if failures == len(responses) {
 		return nil, errors.Newf("no gateway answered: %s", strings.Join(gaps, "; "))
 	}
 	printList(s.stderr, "missing", gaps)
-	return inOrder(records), nil
+	return sortUnique(records), nil
 }
 
 // follow shows the latest decisions and then new ones, until the operator interrupts.
-func (d decisionsCommand) follow(s *session, earlier []decision.Record) error {
+func (d decisionsCommand) follow(s *session, initial []decision.Record) error {
 	seen := make(map[string]decision.Record)
-	for _, record := range earlier {
+	for _, record := range initial {
 		seen[record.Process] = record
 	}
-	for _, record := range d.latest(earlier, lo.CoalesceOrEmpty(d.Last, followedAtStart)) {
+	for _, record := range d.latest(initial, lo.CoalesceOrEmpty(d.Last, defaultFollowHistory)) {
 		if err := s.printStreamed(record); err != nil {
 			return err
 		}
@@ -150,19 +150,19 @@
 // streams follows each gateway. The second channel gets an error once no gateway is followed any more.
 func (d decisionsCommand) streams(s *session) (<-chan decision.Record, <-chan error) {
 	records, ended := make(chan decision.Record, streamBuffer), make(chan error, 1)
-	processes := []process{}
+	targets := []target{}
 	if !d.ThisGateway {
-		processes, _ = gatewayProcesses(s.context, s)
+		targets, _ = gatewayTargets(s.context, s)
 	}
-	clients := lo.Map(processes, func(each process, _ int) *adminapi.Client {
+	clients := lo.Map(targets, func(each target, _ int) *adminapi.Client {
 		return adminapi.NewClient([]string{each.address}, http.DefaultClient)
 	})
 	if len(clients) == 0 {
 		clients = append(clients, s.client)
 	}
-	var following sync.WaitGroup
+	var group sync.WaitGroup
 	for _, client := range clients {
-		following.Go(func() {
+		group.Go(func() {
 			err := d.stream(s, client, records)
 			if s.context.Err() == nil {
 				fmt.Fprintf(s.stderr, "missing are the decisions of %s from now on: %v\n", strings.Join(client.Addresses(), ", "), err)
@@ -170,7 +170,7 @@
 		})
 	}
 	go func() {
-		following.Wait()
+		group.Wait()
 		ended <- errors.New("no gateway is followed any more")
 	}()
 	return records, ended
@@ -178,7 +178,7 @@
 
 // stream hands on the decisions of one gateway.
 func (d decisionsCommand) stream(s *session, client *adminapi.Client, records chan<- decision.Record) error {
-	filter := adminapi.StreamFilter{DecisionFilter: d.filter(), Latest: overlap}
+	filter := adminapi.StreamFilter{DecisionFilter: d.filter(), Latest: streamOverlap}
 	return client.Follow(s.context, filter, adminapi.StreamHandler{Decision: func(record decision.Record) error {
 		select {
 		case records <- record:
--- a/internal/operator/edit.go
+++ b/internal/operator/edit.go
@@ -16,7 +16,7 @@
 )
 
 // waitInterval is the time between two looks at whether a revision is in force everywhere.
-const waitInterval = 200 * time.Millisecond
+const rolloutPollInterval = 200 * time.Millisecond
 
 // editFlags are the flags of all commands that edit the configuration.
 type editFlags struct {
@@ -45,7 +45,7 @@
 	if f.DryRun || f.Wait <= 0 {
 		return nil
 	}
-	return waitInForce(s, result.Revision, f.Wait)
+	return waitForRollout(s, result.Revision, f.Wait)
 }
 
 // printResult writes the result of an edit for people.
@@ -109,19 +109,19 @@
 }
 
 // waitInForce waits until a revision is in force everywhere.
-func waitInForce(s *session, revision uint64, wait time.Duration) error {
+func waitForRollout(s *session, revision uint64, wait time.Duration) error {
 	ctx, cancel := context.WithTimeout(s.context, wait)
 	defer cancel()
 	for {
-		found := spreadOf(ctx, s)
-		if found.Gateways > 0 && !found.unknown && found.Everywhere >= revision {
+		status := queryRollout(ctx, s)
+		if status.Gateways > 0 && !status.incomplete && status.Everywhere >= revision {
 			fmt.Fprintf(s.stderr, "revision %d is in force everywhere\n", revision)
 			return nil
 		}
 		select {
 		case <-ctx.Done():
 			return errors.Newf("revision %d is accepted and not yet known to be in force everywhere after %s; see %s config status", revision, wait, Name)
-		case <-time.After(waitInterval):
+		case <-time.After(rolloutPollInterval):
 		}
 	}
 }
@@ -143,7 +143,7 @@
 	if err != nil {
 		return badInput(err)
 	}
-	ctx, cancel := s.limited()
+	ctx, cancel := s.withTimeout()
 	defer cancel()
 	document, err := s.client.Configuration(ctx)
 	if err != nil {
@@ -159,13 +159,13 @@
 func labelEdits(workerName string, arguments []string) ([]configuration.Edit, error) {
 	var edits []configuration.Edit
 	for _, argument := range arguments {
-		key, value, sets := strings.Cut(argument, "=")
-		removed, removes := strings.CutSuffix(argument, "-")
+		key, value, isSet := strings.Cut(argument, "=")
+		removedKey, isRemoval := strings.CutSuffix(argument, "-")
 		switch {
-		case sets && key != "":
+		case isSet && key != "":
 			edits = append(edits, configuration.SetLabel(workerName, key, value))
-		case !sets && removes && removed != "":
-			edits = append(edits, configuration.RemoveLabel(workerName, removed))
+		case !isSet && isRemoval && removedKey != "":
+			edits = append(edits, configuration.RemoveLabel(workerName, removedKey))
 		default:
 			return nil, errors.Newf("%q is neither KEY=VALUE nor KEY-", argument)
 		}
--- a/internal/operator/explain.go
+++ b/internal/operator/explain.go
@@ -20,7 +20,7 @@
 )
 
 // processTimeout bounds the time in which one of several processes answers.
-const processTimeout = 5 * time.Second
+const gatewayTimeout = 5 * time.Second
 
 // explainCommand shows all decisions about one request, from all gateways.
 type explainCommand struct {
@@ -28,7 +28,7 @@
 }
 
 // explained is what all processes know of a request.
-type explained struct {
+type explainResult struct {
 	Request   string            `json:"request"`
 	Decisions []decision.Record `json:"decisions"`
 	// Gaps name what may be missing, one in a sentence.
@@ -37,43 +37,43 @@
 
 // Run shows the decisions about the request.
 func (e explainCommand) Run(s *session) error {
-	ctx, cancel := s.limited()
+	ctx, cancel := s.withTimeout()
 	defer cancel()
 	result := e.collect(ctx, s)
 	if len(result.Decisions) == 0 {
 		return errors.Newf("no gateway that was asked has a decision about request %s%s", e.Request,
 			strings.Join(lo.Map(result.Gaps, func(gap string, _ int) string { return "\n  " + gap }), ""))
 	}
-	return s.print(result, func(writer io.Writer) error { return printExplained(writer, result) })
+	return s.print(result, func(writer io.Writer) error { return printExplainResult(writer, result) })
 }
 
 // collect asks all processes and puts their decisions in order of time.
-func (e explainCommand) collect(ctx context.Context, s *session) explained {
-	processes, gaps := gatewayProcesses(ctx, s)
-	answers := askAll(ctx, processes, func(ctx context.Context, client *adminapi.Client) (adminapi.Explanation, error) {
+func (e explainCommand) collect(ctx context.Context, s *session) explainResult {
+	targets, gaps := gatewayTargets(ctx, s)
+	responses := queryAll(ctx, targets, func(ctx context.Context, client *adminapi.Client) (adminapi.Explanation, error) {
 		return client.Explain(ctx, e.Request)
 	})
-	result := explained{Request: e.Request, Gaps: gaps}
+	result := explainResult{Request: e.Request, Gaps: gaps}
 	var records []decision.Record
 	answered := make(map[string]bool)
-	for _, answer := range answers {
-		if answer.err == nil {
-			answered[answer.value.Gateway] = true
-			records = append(records, answer.value.Decisions...)
-			result.Gaps = append(result.Gaps, forgotten(e.Request, answer.value)...)
+	for _, response := range responses {
+		if response.err == nil {
+			answered[response.value.Gateway] = true
+			records = append(records, response.value.Decisions...)
+			result.Gaps = append(result.Gaps, retentionGap(e.Request, response.value)...)
 		}
 	}
-	for _, answer := range answers {
-		if answer.err != nil && !answered[answer.process.name] {
-			result.Gaps = append(result.Gaps, answer.process.gap(answer.err))
+	for _, response := range responses {
+		if response.err != nil && !answered[response.target.name] {
+			result.Gaps = append(result.Gaps, response.target.describeFailure(response.err))
 		}
 	}
-	result.Decisions = inOrder(records)
+	result.Decisions = sortUnique(records)
 	return result
 }
 
 // forgotten names a process that may have dropped decisions about a request, because it has none from that time.
-func forgotten(request string, explanation adminapi.Explanation) []string {
+func retentionGap(request string, explanation adminapi.Explanation) []string {
 	_, unique, _ := strings.Cut(request, "/")
 	id, err := ulid.ParseStrict(unique)
 	if err != nil || !explanation.KeptSince.After(ulid.Time(id.Time())) {
@@ -84,14 +84,14 @@
 }
 
 // process is a gateway to ask.
-type process struct {
+type target struct {
 	// name is empty for a given address whose gateway is not known yet.
 	name    string
 	address string
 }
 
 // gap tells why a process did not answer.
-func (p process) gap(err error) string {
+func (p target) describeFailure(err error) string {
 	if p.address == "" {
 		return fmt.Sprintf("%s was not asked: its admin address is not known", p.name)
 	}
@@ -99,54 +99,54 @@
 }
 
 // gatewayProcesses returns the given addresses and all gateways that a gateway knows, and what is missing.
-func gatewayProcesses(ctx context.Context, s *session) (processes []process, gaps []string) {
+func gatewayTargets(ctx context.Context, s *session) (targets []target, gaps []string) {
 	gateways, err := s.client.Gateways(ctx)
 	if err != nil {
 		gaps = append(gaps, fmt.Sprintf("only the given gateways were asked, because none listed the others: %v", err))
 	}
-	processes = lo.Map(gateways, func(gateway adminapi.PeerStatus, _ int) process {
-		return process{name: gateway.Name, address: gateway.AdminAddress}
+	targets = lo.Map(gateways, func(gateway adminapi.PeerStatus, _ int) target {
+		return target{name: gateway.Name, address: gateway.AdminAddress}
 	})
-	listed := lo.Map(processes, func(each process, _ int) string { return each.address })
+	listed := lo.Map(targets, func(each target, _ int) string { return each.address })
 	for _, address := range s.client.Addresses() {
 		if !lo.Contains(listed, address) {
-			processes = append(processes, process{address: address})
+			targets = append(targets, target{address: address})
 		}
 	}
-	return processes, gaps
+	return targets, gaps
 }
 
 // answer of one process.
-type answer[T any] struct {
-	process process
-	value   T
-	err     error
+type response[T any] struct {
+	target target
+	value  T
+	err    error
 }
 
 // errNoAdminAddress is the error of a process whose address is not known.
 var errNoAdminAddress = errors.New("its admin address is not known")
 
 // askAll asks all processes at once, so that one that hangs costs its own time only.
-func askAll[T any](ctx context.Context, processes []process, ask func(context.Context, *adminapi.Client) (T, error)) []answer[T] {
-	answers := make([]answer[T], len(processes))
-	var waiting sync.WaitGroup
-	for index, each := range processes {
-		answers[index] = answer[T]{process: each, err: errNoAdminAddress}
-		if each.address == "" {
+func queryAll[T any](ctx context.Context, targets []target, query func(context.Context, *adminapi.Client) (T, error)) []response[T] {
+	responses := make([]response[T], len(targets))
+	var group sync.WaitGroup
+	for index, target := range targets {
+		responses[index] = response[T]{target: target, err: errNoAdminAddress}
+		if target.address == "" {
 			continue
 		}
-		waiting.Go(func() {
-			ctx, cancel := context.WithTimeout(ctx, processTimeout)
+		group.Go(func() {
+			ctx, cancel := context.WithTimeout(ctx, gatewayTimeout)
 			defer cancel()
-			answers[index].value, answers[index].err = ask(ctx, adminapi.NewClient([]string{each.address}, http.DefaultClient))
+			responses[index].value, responses[index].err = query(ctx, adminapi.NewClient([]string{target.address}, http.DefaultClient))
 		})
 	}
-	waiting.Wait()
-	return answers
+	group.Wait()
+	return responses
 }
 
 // inOrder returns each record once, in order of time.
-func inOrder(records []decision.Record) []decision.Record {
+func sortUnique(records []decision.Record) []decision.Record {
 	records = lo.UniqBy(records, func(record decision.Record) string {
 		return fmt.Sprintf("%s/%d/%d", record.Process, record.Sequence, record.Time.UnixNano())
 	})
@@ -156,14 +156,14 @@
 	return records
 }
 
-func printExplained(writer io.Writer, result explained) error {
+func printExplainResult(writer io.Writer, result explainResult) error {
 	fmt.Fprintf(writer, "request %s: %d decisions\n", result.Request, len(result.Decisions))
 	for _, record := range result.Decisions {
 		if err := printDecision(writer, record); err != nil {
 			return err
 		}
 		if len(record.Inputs) > 0 {
-			fmt.Fprintf(writer, "    inputs %s\n", pairs(record.Inputs))
+			fmt.Fprintf(writer, "    inputs %s\n", formatLabels(record.Inputs))
 		}
 	}
 	printList(writer, "gaps", result.Gaps)
--- a/internal/operator/explain_test.go
+++ b/internal/operator/explain_test.go
@@ -12,7 +12,7 @@
 )
 
 // checkOrder checks that a text holds others, in this order.
-func checkOrder(t *testing.T, text string, order ...string) {
+func assertOrder(t *testing.T, text string, order ...string) {
 	t.Helper()
 	rest := text
 	for _, want := range order {
@@ -25,23 +25,23 @@
 }
 
 // TestExplainFindsAllGateways asks one gateway, which knows the others.
-func TestExplainFindsAllGateways(t *testing.T) {
-	came := time.Unix(1_700_000_000, 0).UTC()
-	request := "cafe-1/" + ulid.MustNew(ulid.Timestamp(came), strings.NewReader("0123456789")).String()
+func TestExplainQueriesListedGateways(t *testing.T) {
+	arrival := time.Unix(1_700_000_000, 0).UTC()
+	request := "cafe-1/" + ulid.MustNew(ulid.Timestamp(arrival), strings.NewReader("0123456789")).String()
 	record := func(process string, after time.Duration, reason string) decision.Record {
-		return decision.Record{Sequence: 8, Time: came.Add(after), Process: process, Kind: decision.KindRequest, Subject: request, Reason: reason}
+		return decision.Record{Sequence: 8, Time: arrival.Add(after), Process: process, Kind: decision.KindRequest, Subject: request, Reason: reason}
 	}
-	earlier := decision.Record{Sequence: 7, Time: came.Add(-time.Minute), Process: "gateway-b-1", Kind: decision.KindRole, Subject: "counter"}
+	earlier := decision.Record{Sequence: 7, Time: arrival.Add(-time.Minute), Process: "gateway-b-1", Kind: decision.KindRole, Subject: "counter"}
 	other := &fakeGateway{name: "gateway-b-1", decisions: []decision.Record{earlier, record("gateway-b-1", 2*time.Millisecond, "Second.")}}
-	asked := &fakeGateway{name: "gateway-a-1", decisions: []decision.Record{record("gateway-a-1", time.Millisecond, "First.")}}
-	asked.gateways = []adminapi.PeerStatus{
-		{Name: "gateway-b-1", AdminAddress: serve(t, other)}, {Name: "gateway-c-1", AdminAddress: unreachable}, {Name: "gateway-d-1"},
+	queried := &fakeGateway{name: "gateway-a-1", decisions: []decision.Record{record("gateway-a-1", time.Millisecond, "First.")}}
+	queried.gateways = []adminapi.PeerStatus{
+		{Name: "gateway-b-1", AdminAddress: startGateway(t, other)}, {Name: "gateway-c-1", AdminAddress: unreachable}, {Name: "gateway-d-1"},
 	}
-	code, stdout, stderr := runLine(t, serve(t, asked), "explain", request)
+	code, stdout, stderr := runCommand(t, startGateway(t, queried), "explain", request)
 	if code != 0 {
 		t.Fatalf("exit code %d, %q", code, stderr)
 	}
-	checkOrder(t, stdout, "2 decisions", "First.", "Second.", "gaps",
+	assertOrder(t, stdout, "2 decisions", "First.", "Second.", "gaps",
 		"gateway-a-1 has decisions only since 2023-11-14T22:13:20Z, which is after the request came",
 		"gateway-c-1 at "+unreachable+" did not answer", "gateway-d-1 was not asked: its admin address is not known")
 	if strings.Contains(stdout, "gateway-b-1 has decisions only since") {
@@ -49,23 +49,23 @@
 	}
 }
 
-func TestDecisionsOfAllGateways(t *testing.T) {
+func TestDecisionsFromAllGateways(t *testing.T) {
 	start := time.Unix(1_700_000_000, 0)
 	record := func(process string, sequence uint64) decision.Record {
 		return decision.Record{Sequence: sequence, Time: start.Add(time.Duration(sequence) * time.Second), Process: process, Kind: decision.KindRole, Subject: "counter", Reason: "Of " + process + "."}
 	}
 	other := &fakeGateway{name: "gateway-b-1", decisions: []decision.Record{record("gateway-b-1", 2)}}
-	asked := &fakeGateway{name: "gateway-a-1", decisions: []decision.Record{record("gateway-a-1", 1), record("gateway-a-1", 3)}}
-	asked.gateways = []adminapi.PeerStatus{{Name: "gateway-b-1", AdminAddress: serve(t, other)}, {Name: "gateway-c-1", AdminAddress: unreachable}}
-	address := serve(t, asked)
+	queried := &fakeGateway{name: "gateway-a-1", decisions: []decision.Record{record("gateway-a-1", 1), record("gateway-a-1", 3)}}
+	queried.gateways = []adminapi.PeerStatus{{Name: "gateway-b-1", AdminAddress: startGateway(t, other)}, {Name: "gateway-c-1", AdminAddress: unreachable}}
+	address := startGateway(t, queried)
 
-	_, stdout, stderr := runLine(t, address, "decisions")
-	checkOrder(t, stdout, "Of gateway-a-1", "Of gateway-b-1", "Of gateway-a-1")
-	checkOrder(t, stderr, "missing", "gateway-c-1 at "+unreachable)
-	if _, stdout, _ = runLine(t, address, "decisions", "--last", "2"); strings.Count(stdout, "\n") != 2 {
+	_, stdout, stderr := runCommand(t, address, "decisions")
+	assertOrder(t, stdout, "Of gateway-a-1", "Of gateway-b-1", "Of gateway-a-1")
+	assertOrder(t, stderr, "missing", "gateway-c-1 at "+unreachable)
+	if _, stdout, _ = runCommand(t, address, "decisions", "--last", "2"); strings.Count(stdout, "\n") != 2 {
 		t.Errorf("--last 2 printed %q", stdout)
 	}
-	if _, stdout, _ = runLine(t, address, "decisions", "--this-gateway"); strings.Contains(stdout, "gateway-b-1") {
+	if _, stdout, _ = runCommand(t, address, "decisions", "--this-gateway"); strings.Contains(stdout, "gateway-b-1") {
 		t.Errorf("--this-gateway printed %q", stdout)
 	}
 }
--- a/internal/operator/files.go
+++ b/internal/operator/files.go
@@ -37,7 +37,7 @@
 }
 
 // base returns the revision that a file was made from: the one in its status, or the one in force when it has none.
-func base(s *session, ctx context.Context, document configuration.Document) (uint64, error) {
+func baseRevision(s *session, ctx context.Context, document configuration.Document) (uint64, error) {
 	if document.Revision > 0 {
 		return document.Revision, nil
 	}
@@ -58,9 +58,9 @@
 	if err != nil {
 		return err
 	}
-	ctx, cancel := s.limited()
+	ctx, cancel := s.withTimeout()
 	defer cancel()
-	revision, err := base(s, ctx, document)
+	revision, err := baseRevision(s, ctx, document)
 	if err != nil {
 		return err
 	}
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -23,7 +23,7 @@
 const description = "Shows the fleet and changes its labels, groups and rules."
 
 // grammar is the whole command line.
-type grammar struct {
+type cli struct {
 	Gateway []string      `help:"Gateways to ask, host:port of their admin API; the next one is asked when one cannot be reached." default:"127.0.0.1:9464" env:"GRANITEBAY_GATEWAY" sep:"," placeholder:"HOST:PORT"`
 	Output  string        `help:"Output format: table, json or yaml." short:"o" enum:"table,json,yaml" default:"table"`
 	Timeout time.Duration `help:"How long to wait for one command." default:"30s"`
@@ -40,12 +40,12 @@
 	Release   releaseCommand   `cmd:"" help:"Let a barred request go to workers again."`
 	Version   versionCommand   `cmd:"" help:"Print the version."`
 
-	Order    refusedCommand `cmd:"" hidden:""`
-	Drain    refusedCommand `cmd:"" hidden:""`
-	Restart  refusedCommand `cmd:"" hidden:""`
-	Cordon   refusedCommand `cmd:"" hidden:""`
-	Uncordon refusedCommand `cmd:"" hidden:""`
-	Stop     refusedCommand `cmd:"" hidden:""`
+	Order    unsupportedCommand `cmd:"" hidden:""`
+	Drain    unsupportedCommand `cmd:"" hidden:""`
+	Restart  unsupportedCommand `cmd:"" hidden:""`
+	Cordon   unsupportedCommand `cmd:"" hidden:""`
+	Uncordon unsupportedCommand `cmd:"" hidden:""`
+	Stop     unsupportedCommand `cmd:"" hidden:""`
 }
 
 // session is what a command works with.
@@ -59,7 +59,7 @@
 }
 
 // limited returns a context that ends with the time for one command.
-func (s *session) limited() (context.Context, context.CancelFunc) {
+func (s *session) withTimeout() (context.Context, context.CancelFunc) {
 	return context.WithTimeout(s.context, s.timeout)
 }
 
@@ -81,20 +81,20 @@
 // Run runs one command line, without the name of the program, and returns the exit code.
 func Run(ctx context.Context, arguments []string, stdout, stderr io.Writer) (code int) {
 	defer func() {
-		if raised := recover(); raised != nil {
-			request, isExit := raised.(exitRequest)
-			if !isExit {
-				panic(raised)
+		if value := recover(); value != nil {
+			request, ok := value.(exitRequest)
+			if !ok {
+				panic(value)
 			}
 			code = request.code
 		}
 	}()
-	var parsed grammar
+	var parsed cli
 	parser, err := newParser(&parsed, stdout, stderr)
 	if err != nil {
 		return report(stderr, err)
 	}
-	chosen, err := parser.Parse(arguments)
+	kctx, err := parser.Parse(arguments)
 	if err != nil {
 		return report(stderr, badInput(errors.Newf("%s (try %s --help)", err, Name)))
 	}
@@ -102,10 +102,10 @@
 		context: ctx, client: adminapi.NewClient(parsed.Gateway, http.DefaultClient),
 		stdout: stdout, stderr: stderr, output: outputFormat(parsed.Output), timeout: parsed.Timeout,
 	}
-	return report(stderr, chosen.Run(current))
+	return report(stderr, kctx.Run(current))
 }
 
-func newParser(parsed *grammar, stdout, stderr io.Writer) (*kong.Kong, error) {
+func newParser(parsed *cli, stdout, stderr io.Writer) (*kong.Kong, error) {
 	return kong.New(parsed,
 		kong.Name(Name),
 		kong.Description(description+"\n\n"+command.ExitCodes),
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -73,7 +73,7 @@
 }
 
 // serve starts a gateway on loopback with the example of Fès as its first edit, and returns its address.
-func serve(t *testing.T, gateway *fakeGateway) string {
+func startGateway(t *testing.T, gateway *fakeGateway) string {
 	t.Helper()
 	example, err := configuration.Example(configuration.ExampleFes)
 	if err != nil {
@@ -92,7 +92,7 @@
 }
 
 // runLine runs a command line against gateways and returns the exit code and what it printed.
-func runLine(t *testing.T, gateways string, arguments ...string) (code int, stdout, stderr string) {
+func runCommand(t *testing.T, gateways string, arguments ...string) (code int, stdout, stderr string) {
 	t.Helper()
 	var out, errs bytes.Buffer
 	code = Run(t.Context(), append([]string{"--gateway", gateways}, arguments...), &out, &errs)
@@ -156,8 +156,8 @@
 	}
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
-			address := serve(t, &fakeGateway{name: "gateway-a-1"})
-			code, stdout, stderr := runLine(t, unreachable+","+address, test.arguments...)
+			address := startGateway(t, &fakeGateway{name: "gateway-a-1"})
+			code, stdout, stderr := runCommand(t, unreachable+","+address, test.arguments...)
 			if code != test.code {
 				t.Errorf("exit code %d, want %d", code, test.code)
 			}
@@ -177,24 +177,24 @@
 
 // TestAddressAsURL takes an address as the demo and browsers show it.
 func TestAddressAsURL(t *testing.T) {
-	code, stdout, stderr := runLine(t, "http://"+serve(t, &fakeGateway{name: "gateway-a-1"})+"/", "status")
+	code, stdout, stderr := runCommand(t, "http://"+startGateway(t, &fakeGateway{name: "gateway-a-1"})+"/", "status")
 	if code != 0 || !strings.Contains(stdout, "gateway-a-1") {
 		t.Errorf("exit code %d, %q, %q", code, stdout, stderr)
 	}
 }
 
-func TestNoGatewayAnswers(t *testing.T) {
-	code, _, stderr := runLine(t, unreachable, "status")
+func TestNoReachableGateway(t *testing.T) {
+	code, _, stderr := runCommand(t, unreachable, "status")
 	if code != 1 || !strings.Contains(stderr, "ask gateway "+unreachable) {
 		t.Errorf("exit code %d, %q", code, stderr)
 	}
 }
 
 // TestFileOfAnOlderRevision edits a file that was read before another operator's edit.
-func TestFileOfAnOlderRevision(t *testing.T) {
-	address := serve(t, &fakeGateway{name: "gateway-a-1"})
-	_, text, _ := runLine(t, address, "get", "config")
-	runLine(t, address, "label", "worker", "w1", "pool=spare", "--change-id", "theirs")
+func TestApplyFileOfOlderRevision(t *testing.T) {
+	address := startGateway(t, &fakeGateway{name: "gateway-a-1"})
+	_, text, _ := runCommand(t, address, "get", "config")
+	runCommand(t, address, "label", "worker", "w1", "pool=spare", "--change-id", "theirs")
 	file := filepath.Join(t.TempDir(), "edited.yaml")
 	write := func(old, new string) {
 		if !strings.Contains(text, old) {
@@ -206,25 +206,25 @@
 	}
 
 	write("tenantInFlight: 16", "tenantInFlight: 17")
-	code, stdout, stderr := runLine(t, address, "diff", "-f", file)
+	code, stdout, stderr := runCommand(t, address, "diff", "-f", file)
 	if code != 0 || !strings.Contains(stdout, "rule history: tenantInFlight 16 -> 17") || strings.Contains(stdout, "label pool of") {
 		t.Errorf("diff: exit code %d, %q, %q", code, stdout, stderr)
 	}
-	if code, _, stderr = runLine(t, address, "apply", "-f", file); code != 0 {
+	if code, _, stderr = runCommand(t, address, "apply", "-f", file); code != 0 {
 		t.Errorf("apply: exit code %d, %q", code, stderr)
 	}
-	if _, now, _ := runLine(t, address, "get", "config"); !strings.Contains(now, "pool: spare") || !strings.Contains(now, "tenantInFlight: 17") {
+	if _, now, _ := runCommand(t, address, "get", "config"); !strings.Contains(now, "pool: spare") || !strings.Contains(now, "tenantInFlight: 17") {
 		t.Errorf("one of two disjoint edits was lost: %s", now)
 	}
 
 	write("w1:\n      pool: counter", "w1:\n      pool: billing")
-	code, _, stderr = runLine(t, address, "apply", "-f", file)
+	code, _, stderr = runCommand(t, address, "apply", "-f", file)
 	if code != 1 || !strings.Contains(stderr, "label pool of worker w1 was also changed by edit theirs") {
 		t.Errorf("conflict: exit code %d, %q", code, stderr)
 	}
 }
 
-func TestExplainAsksAllGateways(t *testing.T) {
+func TestExplainQueriesGivenGateways(t *testing.T) {
 	start := time.Unix(1_700_000_000, 0)
 	first := &fakeGateway{name: "gateway-a-1", decisions: []decision.Record{
 		{Sequence: 1, Time: start, Process: "gateway-a-1", Kind: decision.KindRefusal, Subject: "req-1", Reason: "The gateway is stopping."},
@@ -233,8 +233,8 @@
 		Sequence: 7, Time: start.Add(time.Millisecond), Process: "gateway-b-1", Kind: decision.KindRequest, Subject: "req-1", Reason: "Served.",
 		Inputs: map[string]string{"try1": "w1 in 20 ms"},
 	}}}
-	gateways := strings.Join([]string{serve(t, first), serve(t, second), unreachable}, ",")
-	code, stdout, _ := runLine(t, gateways, "explain", "req-1")
+	gateways := strings.Join([]string{startGateway(t, first), startGateway(t, second), unreachable}, ",")
+	code, stdout, _ := runCommand(t, gateways, "explain", "req-1")
 	order := []string{"2 decisions", "The gateway is stopping.", "Served.", "try1=w1 in 20 ms", unreachable}
 	for _, want := range order {
 		_, rest, found := strings.Cut(stdout, want)
--- a/internal/operator/output.go
+++ b/internal/operator/output.go
@@ -24,14 +24,14 @@
 )
 
 // print writes a value as JSON or YAML, or calls the function that prints it for people.
-func (s *session) print(value any, forPeople func(io.Writer) error) error {
+func (s *session) print(value any, printText func(io.Writer) error) error {
 	switch s.output {
 	case outputJSON:
 		return printJSON(s.stdout, value)
 	case outputYAML:
 		return printYAML(s.stdout, value)
 	default:
-		return forPeople(s.stdout)
+		return printText(s.stdout)
 	}
 }
 
@@ -79,14 +79,14 @@
 }
 
 // counts writes numbers by name, in order of name, as in "decode 8, prefill 4".
-func counts(numbers map[string]int) string {
+func formatCounts(numbers map[string]int) string {
 	return joinSorted(numbers, ", ", func(name string, number int) string {
 		return fmt.Sprintf("%s %d", lo.CoalesceOrEmpty(name, "none"), number)
 	})
 }
 
 // pairs writes labels in order of key, as in "pool=counter,zone=zone-a".
-func pairs(labels map[string]string) string {
+func formatLabels(labels map[string]string) string {
 	return joinSorted(labels, ",", func(key, value string) string { return key + "=" + value })
 }
 
@@ -97,4 +97,4 @@
 }
 
 // orNone writes a dash for nothing.
-func orNone(value string) string { return lo.CoalesceOrEmpty(value, "-") }
+func orDash(value string) string { return lo.CoalesceOrEmpty(value, "-") }
--- a/internal/operator/show.go
+++ b/internal/operator/show.go
@@ -26,7 +26,7 @@
 			status.RouteVersion, status.Revision, status.StoreAgeMillis)
 		fmt.Fprintf(writer, "gateways        %d, callers are sent to %d%s\n", status.Gateways, status.Entries,
 			lo.Ternary(status.Entry, ", this one among them", ""))
-		fmt.Fprintf(writer, "workers         %s\n", counts(status.Workers))
+		fmt.Fprintf(writer, "workers         %s\n", formatCounts(status.Workers))
 		fmt.Fprintf(writer, "orders          %s\n", lo.Ternary(status.GivesOrders, "given by this gateway", "given by another gateway"))
 		fmt.Fprintf(writer, "requests        %d in hand here\n", status.InHand)
 		printList(writer, "warnings", status.Warnings)
@@ -48,14 +48,14 @@
 }
 
 // show reads a value and prints it.
-func show[T any](s *session, read func(context.Context) (T, error), forPeople func(io.Writer, T) error) error {
-	ctx, cancel := s.limited()
+func show[T any](s *session, read func(context.Context) (T, error), printText func(io.Writer, T) error) error {
+	ctx, cancel := s.withTimeout()
 	defer cancel()
 	value, err := read(ctx)
 	if err != nil {
 		return err
 	}
-	return s.print(value, func(writer io.Writer) error { return forPeople(writer, value) })
+	return s.print(value, func(writer io.Writer) error { return printText(writer, value) })
 }
 
 // showTable reads a list and prints one row for each entry.
@@ -77,20 +77,20 @@
 	}
 	return showTable(s, s.client.Workers, header, func(worker adminapi.WorkerStatus) table.Row {
 		row := table.Row{
-			worker.Address, worker.Service, orNone(strings.Join(worker.Groups, ",")), worker.Zone, worker.State, orNone(worker.Role),
-			worker.Running, worker.ReadingTokens, worker.Slots, limit(worker.Limit), worker.ID,
+			worker.Address, worker.Service, orDash(strings.Join(worker.Groups, ",")), worker.Zone, worker.State, orDash(worker.Role),
+			worker.Running, worker.ReadingTokens, worker.Slots, formatLimit(worker.Limit), worker.ID,
 		}
 		if g.ShowLabels {
-			row = append(row, pairs(worker.Labels))
+			row = append(row, formatLabels(worker.Labels))
 		}
 		return row
 	})
 }
 
 // limit is how many requests a second a worker takes, how many of them this gateway may send, and how old that is.
-func limit(status *adminapi.LimitStatus) string {
+func formatLimit(status *adminapi.LimitStatus) string {
 	if status == nil {
-		return orNone("")
+		return orDash("")
 	}
 	age := time.Duration(status.HeardAgoMs) * time.Millisecond
 	return fmt.Sprintf("%.3g/s, %.3g here, %s ago", status.PerSecond, status.PerSecond*status.Part, age.Round(100*time.Millisecond))
@@ -102,7 +102,7 @@
 func (getGroups) Run(s *session) error {
 	header := table.Row{"Name", "Of", "Workers", "Roles", "Running", "Reading"}
 	return showTable(s, s.client.Groups, header, func(group adminapi.GroupStatus) table.Row {
-		return table.Row{group.Name, orNone(group.Of), group.Workers, counts(group.Roles), group.Running, group.ReadingTokens}
+		return table.Row{group.Name, orDash(group.Of), group.Workers, formatCounts(group.Roles), group.Running, group.ReadingTokens}
 	})
 }
 
@@ -126,7 +126,7 @@
 	header := table.Row{"Name", "Zone", "Entry", "Reachable", "Cores", "Address", "Admin"}
 	return showTable(s, s.client.Gateways, header, func(gateway adminapi.PeerStatus) table.Row {
 		return table.Row{
-			gateway.Name, gateway.Zone, gateway.Entry, gateway.Reachable, gateway.Cores, gateway.Address, orNone(gateway.AdminAddress),
+			gateway.Name, gateway.Zone, gateway.Entry, gateway.Reachable, gateway.Cores, gateway.Address, orDash(gateway.AdminAddress),
 		}
 	})
 }
--- a/internal/operator/refused.go
+++ b/internal/operator/unsupported.go
@@ -9,24 +9,24 @@
 )
 
 // refusedCommand stands for commands to a single worker, which do not exist.
-type refusedCommand struct {
+type unsupportedCommand struct {
 	Arguments []string `arg:"" optional:"" passthrough:""`
 }
 
 // Run says which label or field to set instead.
-func (r refusedCommand) Run(chosen *kong.Context) error {
+func (r unsupportedCommand) Run(kctx *kong.Context) error {
 	name, found := lo.Find(r.Arguments, func(argument string) bool { return !strings.HasPrefix(argument, "-") })
 	if !found {
 		name = "WORKER"
 	}
-	verb := chosen.Command()
+	verb := kctx.Command()
 	verb, _, _ = strings.Cut(verb, " ")
 	return badInput(errors.Newf("there is no command %q: workers take no commands, only labels and selectors move them.\n%s",
-		verb, strings.ReplaceAll(instead(verb), "WORKER", name)))
+		verb, strings.ReplaceAll(alternative(verb), "WORKER", name)))
 }
 
 // instead names the edit that has the effect of a command.
-func instead(verb string) string {
+func alternative(verb string) string {
 	switch verb {
 	case "order":
 		return "To change roles, edit roleFloors of the worker's group: granitebay apply -f FILE.\n" +
