--- a/cmd/granitebay-gateway/main.go
+++ b/cmd/granitebay-gateway/main.go
@@ -21,7 +21,7 @@
 const name = "granitebay-gateway"
 
 // logLines is how many lines wait for a slow output.
-const logLines = 512
+const logBufferLines = 512
 
 // flags are the flags of the program.
 type flags struct {
@@ -37,20 +37,20 @@
 }
 
 func run(parsed flags) error {
-	hangups := command.Hangups()
-	given, err := settings.Load(parsed.Settings)
+	hangups := command.NotifyHangup()
+	config, err := settings.Load(parsed.Settings)
 	if err != nil || parsed.Check {
 		return command.BadInput(err)
 	}
-	output := logging.NewAsyncWriter(os.Stdout, logLines)
+	output := logging.NewAsyncWriter(os.Stdout, logBufferLines)
 	defer output.Close()
 	logger, err := logging.New(logging.Options{
-		Level: given.LogLevel, Format: logging.FormatText, Process: given.Name, Output: output,
+		Level: config.LogLevel, Format: logging.FormatText, Process: config.Name, Output: output,
 	})
 	if err != nil {
 		return err
 	}
-	program := platform.NewGateway(*given, logger)
+	program := platform.NewGateway(*config, logger)
 	if err := program.Start(); err != nil {
 		return err
 	}
@@ -63,10 +63,10 @@
 
 // reload reads the settings anew. Bad ones are logged and change nothing.
 func reload(path string, program *gateway.Gateway, logger *logrus.Logger) {
-	given, err := settings.Load(path)
+	config, err := settings.Load(path)
 	if err != nil {
 		logging.Part(logger, "gateway").WithError(err).Error("The settings can't be read; the old ones stay in force.")
 		return
 	}
-	program.Reload(*given)
+	program.Reload(*config)
 }
--- a/cmd/granitebay-lab/main_test.go
+++ b/cmd/granitebay-lab/main_test.go
@@ -17,16 +17,16 @@
 )
 
 // TestDemoKeepsEveryPromise runs the demo of each deployment for a moment.
-func TestDemoKeepsEveryPromise(t *testing.T) {
+func TestDemoAccountsForEveryRequest(t *testing.T) {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
-	around := demo.Surroundings{
+	surroundings := demo.Surroundings{
 		NewGateway: platform.NewGateway, NewStore: func(address string) store.Store { return platform.NewStore(address) },
 	}
 	for _, deployment := range []string{"fes", "magnolia"} {
 		var out bytes.Buffer
 		command := demo.Command{Deployment: deployment, For: 2 * time.Second, Seed: 1, Rate: 1, EngineSpeed: 1.5}
-		if err := command.Run(t.Context(), &out, around, logger); err != nil {
+		if err := command.Run(t.Context(), &out, surroundings, logger); err != nil {
 			t.Fatalf("%s: %v\n%s", deployment, err, out.String())
 		}
 		lines := strings.Split(strings.TrimSpace(out.String()), "\n")
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestFlagErrorsNameEverythingThatIsWrong(t *testing.T) {
+func TestFlagErrorsNameEachInvalidFlag(t *testing.T) {
 	parser, err := kong.New(&commandLine{}, kong.Vars{"version": "test"})
 	if err != nil {
 		t.Fatal(err)
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -72,7 +72,7 @@
 		os.Exit(ExitOK)
 	}
 	fmt.Fprintf(os.Stderr, "%s: %v\n", name, err)
-	os.Exit(codeOf(err))
+	os.Exit(exitCode(err))
 }
 
 // BadInput marks an error as one of the input.
@@ -93,7 +93,7 @@
 func (e *badInputError) Unwrap() error { return e.cause }
 
 // codeOf returns the exit code of an error.
-func codeOf(err error) int {
+func exitCode(err error) int {
 	var badInput *badInputError
 	if errors.As(err, &badInput) || errors.Is(err, os.ErrNotExist) {
 		return ExitBadInput
--- a/internal/command/reload.go
+++ b/internal/command/reload.go
@@ -9,41 +9,41 @@
 )
 
 // reloadPoll is how often a file is looked at that may change without a signal.
-const reloadPoll = 2 * time.Second
+const reloadPollInterval = 2 * time.Second
 
 // Hangups returns a channel that gets each SIGHUP from now on. The signal never ends the process after that, neither before
 // it is ready nor while it stops.
-func Hangups() <-chan os.Signal {
+func NotifyHangup() <-chan os.Signal {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	return signals
 }
 
 // OnChange calls a function when a hangup comes or a file has changed, until the context ends.
-func OnChange(ctx context.Context, hangups <-chan os.Signal, path string, changed func()) {
-	ticker := time.NewTicker(reloadPoll)
+func OnChange(ctx context.Context, hangups <-chan os.Signal, path string, onChange func()) {
+	ticker := time.NewTicker(reloadPollInterval)
 	defer ticker.Stop()
-	known := modified(path)
+	lastModTime := modTime(path)
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-hangups:
 		case <-ticker.C:
-			if modified(path).Equal(known) {
+			if modTime(path).Equal(lastModTime) {
 				continue
 			}
 		}
-		known = modified(path)
-		changed()
+		lastModTime = modTime(path)
+		onChange()
 	}
 }
 
 // modified returns when a file was changed last, or the zero time.
-func modified(path string) time.Time {
-	information, err := os.Stat(path)
+func modTime(path string) time.Time {
+	info, err := os.Stat(path)
 	if err != nil {
 		return time.Time{}
 	}
-	return information.ModTime()
+	return info.ModTime()
 }
