--- a/internal/docscheck/command_test.go
+++ b/internal/docscheck/command_test.go
@@ -12,7 +12,7 @@
 const fakeGo = "#!/bin/sh\necho \"$@\"\n"
 
 // TestTestCommand runs the test command of the README with a go command that only prints its arguments.
-func TestTestCommand(t *testing.T) {
+func TestTestScriptSkipsKnownRed(t *testing.T) {
 	tests := []struct {
 		desc     string
 		listed   bool
--- a/internal/docscheck/operating_test.go
+++ b/internal/docscheck/operating_test.go
@@ -10,7 +10,7 @@
 	"github.com/granitebay/granitebay/internal/settings"
 )
 
-const operating = "docs/OPERATIONS.md"
+const operationsPage = "docs/OPERATIONS.md"
 
 // Defaults as the tables write them when there is no value.
 const (
@@ -23,7 +23,7 @@
 	t.Helper()
 	_, after, found := strings.Cut(content, "\n"+title+"\n")
 	if !found {
-		t.Fatalf("%s has no heading %q", operating, title)
+		t.Fatalf("%s has no heading %q", operationsPage, title)
 	}
 	part, _, _ := strings.Cut(after, "\n#")
 	return part
@@ -44,7 +44,7 @@
 		}
 		key := strings.Trim(cells[0], "`")
 		if rows[key] != nil {
-			t.Errorf("%s has two rows for %s", operating, key)
+			t.Errorf("%s has two rows for %s", operationsPage, key)
 		}
 		rows[key] = cells
 	}
@@ -52,7 +52,7 @@
 }
 
 func TestSettingsTable(t *testing.T) {
-	rows := tableRows(t, section(t, read(t, operating), "## Settings"))
+	rows := tableRows(t, section(t, read(t, operationsPage), "## Settings"))
 	known := make(map[string]bool)
 	for _, field := range settings.Fields() {
 		known[field.Path] = true
@@ -65,16 +65,16 @@
 		}
 		switch cells := rows[field.Path]; {
 		case cells == nil:
-			t.Errorf("%s has no row for the field %s", operating, field.Path)
+			t.Errorf("%s has no row for the field %s", operationsPage, field.Path)
 		case len(cells) != 4 || cells[3] == "":
 			t.Errorf("the row of %s has not four cells: %q", field.Path, cells)
 		case cells[1] != want:
-			t.Errorf("the default of %s is %s in %s, want %s", field.Path, cells[1], operating, want)
+			t.Errorf("the default of %s is %s in %s, want %s", field.Path, cells[1], operationsPage, want)
 		}
 	}
 	for path := range rows {
 		if !known[path] {
-			t.Errorf("%s has a row for %s, which is no field", operating, path)
+			t.Errorf("%s has a row for %s, which is no field", operationsPage, path)
 		}
 	}
 }
@@ -92,15 +92,15 @@
 	if len(registered) == 0 {
 		t.Fatal("no metric was found in the code")
 	}
-	rows := tableRows(t, section(t, read(t, operating), "## Metrics"))
+	rows := tableRows(t, section(t, read(t, operationsPage), "## Metrics"))
 	for _, each := range registered {
 		if rows[each] == nil {
-			t.Errorf("%s has no row for the metric %s", operating, each)
+			t.Errorf("%s has no row for the metric %s", operationsPage, each)
 		}
 	}
 	for each := range rows {
 		if !slices.Contains(registered, each) {
-			t.Errorf("%s has a row for %s, which is no metric", operating, each)
+			t.Errorf("%s has a row for %s, which is no metric", operationsPage, each)
 		}
 	}
 }
@@ -115,23 +115,23 @@
 	if len(used) == 0 {
 		t.Fatal("no log prefix was found in the code")
 	}
-	rows := tableRows(t, section(t, read(t, operating), "## Logs"))
+	rows := tableRows(t, section(t, read(t, operationsPage), "## Logs"))
 	for prefix, directory := range used {
 		if rows[prefix] == nil {
-			t.Errorf("%s has no row for the log prefix %q of %s", operating, prefix, directory)
+			t.Errorf("%s has no row for the log prefix %q of %s", operationsPage, prefix, directory)
 		}
 	}
 	for prefix := range rows {
 		if used[prefix] == "" {
-			t.Errorf("%s has a row for the log prefix %q, which nothing uses", operating, prefix)
+			t.Errorf("%s has a row for the log prefix %q, which nothing uses", operationsPage, prefix)
 		}
 	}
 }
 
 // logCalls are the methods of loggers, and literalPrefix a message that begins with a prefix.
 var (
-	logCalls      = []string{"Debug", "Info", "Warn", "Error", "Log", "Debugf", "Infof", "Warnf", "Errorf"}
-	literalPrefix = regexp.MustCompile(`^([a-z][a-z -]*:) `)
+	logMethods    = []string{"Debug", "Info", "Warn", "Error", "Log", "Debugf", "Infof", "Warnf", "Errorf"}
+	messagePrefix = regexp.MustCompile(`^([a-z][a-z -]*:) `)
 )
 
 // logPrefixes returns the prefixes, with their colon, that a package gives to its log lines: the arguments of logging.Part
@@ -164,14 +164,14 @@
 			prefixes = append(prefixes, text(last)+":")
 			return
 		}
-		if !slices.Contains(logCalls, selector.Sel.Name) {
+		if !slices.Contains(logMethods, selector.Sel.Name) {
 			return
 		}
 		message := text(last)
 		if sum, ok := last.(*ast.BinaryExpr); ok {
 			message = text(sum.X)
 		}
-		if match := literalPrefix.FindStringSubmatch(message); match != nil {
+		if match := messagePrefix.FindStringSubmatch(message); match != nil {
 			prefixes = append(prefixes, match[1])
 		}
 	})
@@ -181,7 +181,7 @@
 // TestAlertsAndDashboardNameMetrics checks that the example files name metrics of the table, and that the dashboard shows each of them.
 func TestAlertsAndDashboardNameMetrics(t *testing.T) {
 	metric := regexp.MustCompile(`granitebay_[a-z_]+`)
-	rows := tableRows(t, section(t, read(t, operating), "## Metrics"))
+	rows := tableRows(t, section(t, read(t, operationsPage), "## Metrics"))
 	for _, file := range []string{"examples/alerts.yaml", "examples/dashboard.json"} {
 		for _, name := range metric.FindAllString(read(t, file), -1) {
 			if rows[strings.TrimSuffix(name, "_bucket")] == nil {
--- a/internal/docscheck/pages_test.go
+++ b/internal/docscheck/pages_test.go
@@ -11,20 +11,20 @@
 )
 
 var (
-	fence     = regexp.MustCompile("(?ms)^```.*?^```$")
+	codeBlock = regexp.MustCompile("(?ms)^```.*?^```$")
 	link      = regexp.MustCompile(`\]\(([^)\s]+)\)`)
 	heading   = regexp.MustCompile(`(?m)^#+ +(.*)$`)
 	notInSlug = regexp.MustCompile(`[^\p{L}\p{N} _-]`)
 	// machinePath is written in parts, so that this file has none.
-	machinePath = regexp.MustCompile("(?:^|[\\s\"'`=(:@])/(?:" + strings.Join([]string{"work", "tmp", "home", "root", "Users"}, "|") + `)/`)
-	entry       = regexp.MustCompile("`([a-z][a-z0-9/]*)`(?: \\(([^)]*)\\))?")
-	name        = regexp.MustCompile("`(?:[A-Za-z]+\\.)?([A-Z][A-Za-z0-9]*)`")
+	machinePath  = regexp.MustCompile("(?:^|[\\s\"'`=(:@])/(?:" + strings.Join([]string{"work", "tmp", "home", "root", "Users"}, "|") + `)/`)
+	packageEntry = regexp.MustCompile("`([a-z][a-z0-9/]*)`(?: \\(([^)]*)\\))?")
+	exportedName = regexp.MustCompile("`(?:[A-Za-z]+\\.)?([A-Z][A-Za-z0-9]*)`")
 )
 
 // links returns the targets of the links of a page, code blocks left out.
 func links(content string) []string {
 	var targets []string
-	for _, match := range link.FindAllStringSubmatch(fence.ReplaceAllString(content, ""), -1) {
+	for _, match := range link.FindAllStringSubmatch(codeBlock.ReplaceAllString(content, ""), -1) {
 		targets = append(targets, match[1])
 	}
 	return targets
@@ -33,7 +33,7 @@
 // anchors returns the anchors of the headings of a page, as web views of repositories make them.
 func anchors(content string) []string {
 	var found []string
-	for _, match := range heading.FindAllStringSubmatch(fence.ReplaceAllString(content, ""), -1) {
+	for _, match := range heading.FindAllStringSubmatch(codeBlock.ReplaceAllString(content, ""), -1) {
 		slug := notInSlug.ReplaceAllString(strings.ToLower(match[1]), "")
 		found = append(found, strings.ReplaceAll(slug, " ", "-"))
 	}
@@ -90,17 +90,17 @@
 		if len(cells) != 5 || !strings.Contains(cells[3], "`") {
 			continue
 		}
-		for _, match := range entry.FindAllStringSubmatch(cells[3], -1) {
+		for _, match := range packageEntry.FindAllStringSubmatch(cells[3], -1) {
 			directory := match[1]
 			if !strings.HasPrefix(directory, "cmd/") {
 				directory = "internal/" + directory
 			}
-			if absent(directory) {
+			if isMissing(directory) {
 				t.Errorf("the glossary names package %s, which does not exist: %s", directory, line)
 				continue
 			}
 			content := packageText(t, directory)
-			for _, identifier := range name.FindAllStringSubmatch(match[2], -1) {
+			for _, identifier := range exportedName.FindAllStringSubmatch(match[2], -1) {
 				declared := regexp.MustCompile(`(?m)^(?:type|func|func \([^)]*\)) ` + identifier[1] + `\b|^\s+` + identifier[1] + `\b`)
 				if !declared.MatchString(content) {
 					t.Errorf("the glossary names %s in %s, which does not declare it", identifier[1], directory)
--- a/internal/docscheck/repository_test.go
+++ b/internal/docscheck/repository_test.go
@@ -23,7 +23,7 @@
 	command := exec.Command("git", "ls-files", "--cached", "--others", "--exclude-standard", "--deduplicate")
 	command.Dir = root
 	if output, err := command.Output(); err == nil {
-		return slices.DeleteFunc(strings.Split(strings.TrimSpace(string(output)), "\n"), absent)
+		return slices.DeleteFunc(strings.Split(strings.TrimSpace(string(output)), "\n"), isMissing)
 	}
 	var files []string
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
@@ -41,7 +41,7 @@
 }
 
 // absent tells whether a tracked file was removed from the working tree.
-func absent(path string) bool {
+func isMissing(path string) bool {
 	_, err := os.Stat(filepath.Join(root, path))
 	return err != nil
 }
