--- a/internal/adminapi/api_test.go
+++ b/internal/adminapi/api_test.go
@@ -15,7 +15,7 @@
 	"github.com/granitebay/granitebay/internal/decision"
 )
 
-// fakeBackend gives fixed answers.
+// fakeBackend returns fixed values.
 type fakeBackend struct {
 	Backend
 	document configuration.Document
@@ -24,7 +24,7 @@
 	stream   chan decision.Record
 }
 
-// startedAt is when the fake gateway started.
+// startedAt is the start time of the fake gateway.
 var startedAt = time.Unix(1_700_000_000, 0).UTC()
 
 func (b *fakeBackend) Status() GatewayStatus {
@@ -47,7 +47,7 @@
 }
 func (b *fakeBackend) FollowDecisions() (<-chan decision.Record, func()) { return b.stream, func() {} }
 
-// serve starts the API on loopback and returns its address.
+// startServer starts the API on loopback and returns its address.
 func startServer(t *testing.T, backend Backend) string {
 	t.Helper()
 	mux := http.NewServeMux()
@@ -57,7 +57,7 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// fesDocument returns the example of Fès at a revision.
+// exampleDocument returns the Fès example at a revision.
 func exampleDocument(t *testing.T, revision uint64) configuration.Document {
 	t.Helper()
 	document, err := configuration.Example(configuration.ExampleFes)
@@ -85,7 +85,7 @@
 		{desc: "old base", proposed: configuration.ProposeResult{Err: configuration.ErrUnknownBase}, want: EditConflict},
 		{desc: "invalid", proposed: configuration.ProposeResult{Err: configuration.FieldErrors{{Field: "spec"}}}, want: EditInvalid},
 		{desc: "store down", proposed: configuration.ProposeResult{Err: configuration.ErrStoreUnavailable}, want: EditUnavailable},
-		{desc: "answer lost", proposed: configuration.ProposeResult{Err: configuration.ErrOutcomeUnknown}, want: EditUnknown},
+		{desc: "outcome unknown", proposed: configuration.ProposeResult{Err: configuration.ErrOutcomeUnknown}, want: EditUnknown},
 		{desc: "dry run", dryRun: true, request: configuration.EditRequest{BaseRevision: 3, Edits: label}, want: EditPreview},
 		{
 			desc: "dry run of an invalid edit", dryRun: true, want: EditInvalid,
@@ -110,7 +110,7 @@
 	}
 }
 
-// serveBroken starts a server that closes each connection without a response.
+// startBrokenServer starts a server that closes each connection without a response.
 func startBrokenServer(t *testing.T) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
@@ -129,7 +129,7 @@
 	tests := []struct {
 		desc     string
 		gateways []func(*testing.T) string
-		// want is empty when an error is wanted.
+		// want is empty if an error is expected.
 		want EditOutcome
 	}{
 		{"unavailable, then accepted", []func(*testing.T) string{answering(unavailable), answering(accepted)}, EditAccepted},
@@ -176,7 +176,7 @@
 	}
 	broken := NewClient([]string{startBrokenServer(t)}, http.DefaultClient)
 	if _, err = broken.Configuration(t.Context()); err == nil || !strings.Contains(err.Error(), "ask gateway") {
-		t.Errorf("error %v, want one that names the step and the peer", err)
+		t.Errorf("error %v, want one that names the gateway", err)
 	}
 }
 
@@ -202,7 +202,7 @@
 	}
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
-			// Two records are kept, and all four come on the channel: the first two twice.
+			// Two records are retained and all four arrive on the channel, so that the first two arrive twice.
 			backend := &fakeBackend{kept: records[:2], stream: make(chan decision.Record, len(records))}
 			for _, record := range records {
 				backend.stream <- record
@@ -265,8 +265,8 @@
 		filter StreamFilter
 		want   []uint64
 	}{
-		{"no bound", StreamFilter{}, []uint64{1, 2, 3, 4}},
-		{"routine decisions leave room for rare ones", StreamFilter{Latest: 2}, []uint64{1, 3, 4}},
+		{"no limit", StreamFilter{}, []uint64{1, 2, 3, 4}},
+		{"frequent kinds do not displace rare ones", StreamFilter{Latest: 2}, []uint64{1, 3, 4}},
 		{"with a filter", StreamFilter{Latest: 1, DecisionFilter: DecisionFilter{Kind: "request"}}, []uint64{4}},
 	}
 	for _, test := range tests {
@@ -288,7 +288,7 @@
 		want time.Time
 	}{
 		{"no decision yet", nil, startedAt},
-		{"all since the start", []decision.Record{{Sequence: 1, Time: later}}, startedAt},
+		{"all retained since the start", []decision.Record{{Sequence: 1, Time: later}}, startedAt},
 		{"older ones dropped", []decision.Record{{Sequence: 9, Time: later}}, later},
 	}
 	for _, test := range tests {
--- a/internal/adminapi/backend.go
+++ b/internal/adminapi/backend.go
@@ -8,32 +8,33 @@
 	"github.com/granitebay/granitebay/internal/poison"
 )
 
-// Backend is what a gateway gives to the API.
+// Backend provides the state of a gateway to the API.
 type Backend interface {
-	// Status, Workers, Groups, Rules and Gateways show the system as this gateway sees it.
+	// Status, Workers, Groups, Rules and Gateways return the system as this gateway sees it.
 	Status() GatewayStatus
 	Workers() []WorkerStatus
 	Groups() []GroupStatus
 	Rules() []RuleStatus
 	Gateways() []PeerStatus
-	// Tenants, Capacity and Usage show whose requests are served, the workers that can be ordered, and what was reported.
+	// Tenants returns the configured tenants, Capacity the workers that can be ordered, and Usage the state of usage
+	// reports.
 	Tenants() []TenantStatus
 	Capacity() []CapacityStatus
 	Usage() UsageStatus
-	// Barred shows the requests that go to no worker, because workers ended under them.
+	// Barred returns the requests that are not sent to workers, because workers exited while serving them.
 	Barred() []BarredStatus
-	// Release forgets what speaks against a request, everywhere. It tells whether the request was barred.
+	// Release clears the failures recorded for a request at all gateways. It reports whether the request was barred.
 	Release(ctx context.Context, asked poison.Digest) (bool, error)
-	// Document returns the configuration by labels in force; the zero document before the first.
+	// Document returns the current label configuration, or the zero document if there is none yet.
 	Document() configuration.Document
-	// Propose brings an edit into the store and waits for its result.
+	// Propose writes an edit to the store and waits for the result.
 	Propose(ctx context.Context, request configuration.EditRequest) configuration.ProposeResult
-	// KnownWorkers lists the workers with their own labels, and KnownRequests the label sets of recent requests, each once.
-	// Previews of edits use them.
+	// KnownWorkers returns the workers with the labels they report themselves, and KnownRequests the distinct label sets
+	// of recent requests. Previews of edits use them.
 	KnownWorkers() []configuration.WorkerInfo
 	KnownRequests() []map[string]string
-	// Decisions returns the kept decisions with a sequence above since, oldest first.
+	// Decisions returns the retained decisions with a sequence above since, oldest first.
 	Decisions(since uint64) []decision.Record
-	// FollowDecisions returns a channel of new decisions and a function that ends it.
+	// FollowDecisions returns a channel of new decisions and a function that ends the subscription.
 	FollowDecisions() (<-chan decision.Record, func())
 }
--- a/internal/adminapi/client.go
+++ b/internal/adminapi/client.go
@@ -16,8 +16,7 @@
 	"github.com/granitebay/granitebay/internal/configuration"
 )
 
-// Client asks gateways. It tries the addresses in order and goes to the next one when a gateway cannot be reached or is
-// not ready.
+// Client calls gateways. It tries the addresses in order and moves on when a gateway can't be reached or is not ready.
 type Client struct {
 	addresses []string
 	http      *http.Client
@@ -28,7 +27,7 @@
 	return &Client{addresses: lo.Map(addresses, func(address string, _ int) string { return hostPort(address) }), http: httpClient}
 }
 
-// hostPort reduces a URL to its host:port.
+// hostPort strips the scheme and the trailing slash of a URL.
 func hostPort(address string) string {
 	return strings.TrimSuffix(strings.TrimPrefix(address, "http://"), "/")
 }
@@ -36,21 +35,21 @@
 // Addresses returns the addresses of the gateways.
 func (c *Client) Addresses() []string { return c.addresses }
 
-// StatusError is a response that reports an error.
+// StatusError is an error response of a gateway.
 type StatusError struct {
-	// Gateway is the address of the gateway that answered.
+	// Gateway is the address of the gateway.
 	Gateway string
-	// Status is the HTTP status.
+	// Status is the HTTP status code.
 	Status int
 	Detail string
 }
 
-// Error tells which gateway answered what.
+// Error implements error.
 func (e *StatusError) Error() string {
-	return fmt.Sprintf("gateway %s answered %d %s: %s", e.Gateway, e.Status, http.StatusText(e.Status), e.Detail)
+	return fmt.Sprintf("gateway %s returned %d %s: %s", e.Gateway, e.Status, http.StatusText(e.Status), e.Detail)
 }
 
-// Status returns the status of the gateway that answers.
+// Status returns the status of the gateway that responds.
 func (c *Client) Status(ctx context.Context) (GatewayStatus, error) {
 	return get[GatewayStatus](ctx, c, PathStatus, nil)
 }
@@ -80,12 +79,12 @@
 	return get[[]TenantStatus](ctx, c, PathTenants, nil)
 }
 
-// Barred returns the requests that go to no worker.
+// Barred returns the requests that are not sent to workers.
 func (c *Client) Barred(ctx context.Context) ([]BarredStatus, error) {
 	return get[[]BarredStatus](ctx, c, PathBarred, nil)
 }
 
-// Release lets a barred request go to workers again. Releasing it twice is the same.
+// Release lets a barred request be sent to workers again. It is idempotent.
 func (c *Client) Release(ctx context.Context, asked string) (ReleaseResult, error) {
 	var result ReleaseResult
 	path := PathBarred + "/" + asked
@@ -101,12 +100,12 @@
 	return get[[]CapacityStatus](ctx, c, PathCapacity, nil)
 }
 
-// Usage returns what became of windows of usage.
+// Usage returns the state of usage reports.
 func (c *Client) Usage(ctx context.Context) (UsageStatus, error) {
 	return get[UsageStatus](ctx, c, PathUsage, nil)
 }
 
-// Configuration returns the document in force.
+// Configuration returns the current configuration document.
 func (c *Client) Configuration(ctx context.Context) (configuration.Document, error) {
 	return get[configuration.Document](ctx, c, PathConfig, nil)
 }
@@ -116,24 +115,24 @@
 	return get[ConfigHistory](ctx, c, PathConfigHistory, nil)
 }
 
-// Decisions returns the kept decisions that a filter selects.
+// Decisions returns the retained decisions that a filter selects.
 func (c *Client) Decisions(ctx context.Context, filter DecisionFilter) (DecisionList, error) {
 	return get[DecisionList](ctx, c, PathDecisions, filter.Query())
 }
 
-// Explain returns what the gateway knows of a request.
+// Explain returns what the gateway knows about a request.
 func (c *Client) Explain(ctx context.Context, request string) (Explanation, error) {
 	return get[Explanation](ctx, c, PathExplain, url.Values{"request": {request}})
 }
 
-// call is one request to whichever gateway answers it.
+// apiCall is a request that any gateway can answer.
 type apiCall struct {
 	method, path string
 	query        url.Values
 	body         []byte
 }
 
-// get reads a value.
+// get sends a GET request and decodes the response.
 func get[T any](ctx context.Context, c *Client, path string, query url.Values) (T, error) {
 	var value T
 	data, err := c.tryAll(ctx, apiCall{method: http.MethodGet, path: path, query: query})
@@ -143,10 +142,10 @@
 	return value, errors.Wrapf(json.Unmarshal(data, &value), "decode the response to %s", path)
 }
 
-// errNoAddress is the error of a client without addresses.
-var errNoAddress = errors.New("no address of a gateway was given")
+// errNoAddress is returned by a client without addresses.
+var errNoAddress = errors.New("no gateway address given")
 
-// try asks one gateway after the other until one answers that is ready. It returns the errors of all when none does.
+// tryAll calls one gateway after another until one is ready. If none is, it returns all errors.
 func (c *Client) tryAll(ctx context.Context, request apiCall) ([]byte, error) {
 	errs := errNoAddress
 	for i, address := range c.addresses {
@@ -159,7 +158,7 @@
 	return nil, errs
 }
 
-// once asks one gateway and returns the status and the body of its response.
+// tryOne calls one gateway and returns the status and the body of its response.
 func (c *Client) tryOne(ctx context.Context, address string, request apiCall) (int, []byte, error) {
 	response, err := c.send(ctx, address, request)
 	if err != nil {
@@ -189,7 +188,7 @@
 	return response, errors.Wrapf(err, "ask gateway %s", address)
 }
 
-// statusError reads the detail of an error response.
+// statusError returns the StatusError for an error response.
 func statusError(address string, status int, data []byte) error {
 	var problem struct {
 		Detail string `json:"detail"`
--- a/internal/adminapi/client_edit.go
+++ b/internal/adminapi/client_edit.go
@@ -12,9 +12,10 @@
 	"github.com/granitebay/granitebay/internal/configuration"
 )
 
-// Edit proposes an edit, or previews it in a dry run. It goes on to the next gateway as long as the outcome is open, which
-// is safe because the change id makes a second proposal the same edit. If one gateway may have accepted the edit and no
-// other settles it, the outcome is EditUnknown. The error is set when no gateway gave a result and none can have accepted.
+// Edit proposes an edit, or previews it in a dry run. It tries the next gateway while the outcome is open; this is safe
+// because the change id makes repeated proposals idempotent. If one gateway may have accepted the edit and no other
+// gateway settles it, the outcome is EditUnknown. The error is set if no gateway returned a result and none can have
+// accepted the edit.
 func (c *Client) Edit(ctx context.Context, request configuration.EditRequest, dryRun bool) (EditResult, error) {
 	body, err := json.Marshal(request)
 	if err != nil {
@@ -35,18 +36,18 @@
 	return attempts.finalResult()
 }
 
-// editAttempts collects what several gateways said of one edit.
+// editAttempts collects the responses of several gateways to one edit.
 type editAttempts struct {
 	dryRun   bool
 	changeID string
-	// result is the latest one.
+	// result is the latest result.
 	result EditResult
-	// inDoubt is set when a gateway may have accepted the edit.
+	// maybeAccepted is set if a gateway may have accepted the edit.
 	maybeAccepted bool
 	errs          error
 }
 
-// note takes the response of one gateway and tells whether it settles the edit.
+// record adds the response of one gateway and reports whether it settles the edit.
 func (a *editAttempts) record(data []byte, err error) (settled bool) {
 	var result EditResult
 	if json.Unmarshal(data, &result) != nil || result.Outcome == "" {
@@ -66,7 +67,7 @@
 	}
 }
 
-// end returns what is known when no gateway settled the edit.
+// finalResult returns the result if no gateway settled the edit.
 func (a *editAttempts) finalResult() (EditResult, error) {
 	switch {
 	case a.maybeAccepted && a.result.Outcome != EditUnknown:
@@ -81,7 +82,7 @@
 	}
 }
 
-// failureOrResult returns why the edit is not settled.
+// failure returns why the edit is not settled.
 func (a *editAttempts) failure() error {
 	switch {
 	case a.errs != nil:
@@ -93,7 +94,7 @@
 	}
 }
 
-// neverSent tells whether a call failed before anything was sent.
+// neverSent reports whether a call failed before anything was sent.
 func neverSent(err error) bool {
 	var opErr *net.OpError
 	return errors.As(err, &opErr) && opErr.Op == "dial"
--- a/internal/adminapi/doc.go
+++ b/internal/adminapi/doc.go
@@ -1,8 +1,8 @@
-// Package adminapi is the HTTP API that operators use: its types and paths, its handlers on top of a Backend, and its
-// client. Every gateway serves it.
+// Package adminapi implements the HTTP API for operators, which every gateway serves: its types and paths, the handlers
+// on top of a Backend, and the client.
 package adminapi
 
-// The paths of the API.
+// Paths of the API.
 const (
 	PathStatus          = "/admin/v1/status"
 	PathWorkers         = "/admin/v1/workers"
--- a/internal/adminapi/edits.go
+++ b/internal/adminapi/edits.go
@@ -10,7 +10,7 @@
 	"github.com/granitebay/granitebay/internal/configuration"
 )
 
-// edit runs or previews an edit and returns the HTTP status with the result.
+// handleEdit executes or previews an edit and returns the HTTP status and the result.
 func handleEdit(ctx context.Context, backend Backend, input *editInput) (int, EditResult) {
 	request, err := configuration.ParseEditRequest(input.RawBody)
 	if err == nil && request.ChangeID == "" {
@@ -25,7 +25,7 @@
 	return proposeEdit(ctx, backend, request)
 }
 
-// proposeEdit brings an edit into the store.
+// proposeEdit writes an edit to the store.
 func proposeEdit(ctx context.Context, backend Backend, request configuration.EditRequest) (int, EditResult) {
 	result := EditResult{ChangeID: request.ChangeID}
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
@@ -46,10 +46,10 @@
 	}
 }
 
-// proposeTimeout is how long an edit is tried.
+// proposeTimeout limits the time to propose an edit.
 const proposeTimeout = 20 * time.Second
 
-// previewEdit tells what an edit would do.
+// previewEdit returns the consequences of an edit without making it.
 func previewEdit(backend Backend, request configuration.EditRequest) (int, EditResult) {
 	result := EditResult{ChangeID: request.ChangeID}
 	current := backend.Document()
@@ -74,7 +74,7 @@
 	return http.StatusConflict, result
 }
 
-// failedEdit sorts an error into an outcome.
+// errorResult maps an error to an outcome and an HTTP status.
 func errorResult(result EditResult, err error) (int, EditResult) {
 	result.Error = err.Error()
 	var fieldErrors configuration.FieldErrors
--- a/internal/adminapi/filter.go
+++ b/internal/adminapi/filter.go
@@ -9,19 +9,19 @@
 	"github.com/granitebay/granitebay/internal/decision"
 )
 
-// Names of the inputs of a decision that filters look at.
+// Names of decision inputs that filters use.
 const (
 	InputRequest = "request"
 	InputWorker  = "worker"
 	InputGroup   = "group"
 )
 
-// DecisionFilter selects decisions. Empty fields select all.
+// DecisionFilter selects decisions. An empty field matches all.
 type DecisionFilter struct {
 	Kind string `query:"kind" doc:"Kind of decisions, for example request."`
 	// Subject is the exact subject.
 	Subject string `query:"subject" doc:"Exact subject of the decisions."`
-	// Worker, Group and Request select decisions that name them as subject, outcome or input.
+	// Worker, Group and Request select decisions that have them as subject, outcome or input.
 	Worker  string `query:"worker" doc:"Decisions about this worker."`
 	Group   string `query:"group" doc:"Decisions about this group."`
 	Request string `query:"request" doc:"Decisions about this request id."`
@@ -29,15 +29,15 @@
 	Since uint64 `query:"since" doc:"Only decisions with a higher sequence."`
 }
 
-// StreamFilter selects what a stream of decisions carries.
+// StreamFilter selects the decisions of a stream.
 type StreamFilter struct {
 	DecisionFilter
-	// Latest bounds the kept decisions of each kind at the start, so that the decisions that come with
-	// every request do not push out rare ones; zero is no bound.
+	// Latest limits the retained decisions of each kind that are sent at the start, so that frequent kinds do not
+	// displace rare ones; zero means no limit.
 	Latest int `query:"latest" minimum:"0" doc:"At the start, only so many of the latest kept decisions of each kind."`
 }
 
-// Kept returns the kept decisions with which a stream starts.
+// Initial returns the retained decisions that are sent at the start of a stream.
 func (f StreamFilter) Initial(records []decision.Record) []decision.Record {
 	selected := f.Select(records)
 	if f.Latest == 0 {
@@ -50,7 +50,7 @@
 	})
 }
 
-// Query returns the filter as the query of a URL.
+// Query returns the filter as URL query parameters.
 func (f StreamFilter) Query() url.Values {
 	query := f.DecisionFilter.Query()
 	if f.Latest > 0 {
@@ -59,7 +59,7 @@
 	return query
 }
 
-// Matches tells whether the filter selects a decision.
+// Matches reports whether the filter selects a decision.
 func (f DecisionFilter) Matches(record decision.Record) bool {
 	return record.Sequence > f.Since &&
 		(f.Kind == "" || f.Kind == string(record.Kind)) &&
@@ -69,12 +69,12 @@
 		mentions(record, InputRequest, f.Request)
 }
 
-// names tells whether a decision names a value as subject, outcome or input.
+// mentions reports whether a decision has a value as subject, outcome or the given input. An empty value matches.
 func mentions(record decision.Record, input, value string) bool {
 	return value == "" || record.Subject == value || record.Outcome == value || record.Inputs[input] == value
 }
 
-// Query returns the filter as the query of a URL.
+// Query returns the filter as URL query parameters.
 func (f DecisionFilter) Query() url.Values {
 	query := url.Values{}
 	fields := map[string]string{
@@ -89,7 +89,7 @@
 	return query
 }
 
-// Select returns the decisions that a filter selects.
+// Select returns the decisions that the filter selects.
 func (f DecisionFilter) Select(records []decision.Record) []decision.Record {
 	return lo.Filter(records, func(record decision.Record, _ int) bool { return f.Matches(record) })
 }
--- a/internal/adminapi/follow.go
+++ b/internal/adminapi/follow.go
@@ -13,24 +13,24 @@
 	"github.com/granitebay/granitebay/internal/decision"
 )
 
-// maximumEventBytes bounds one event on a stream.
+// maxEventBytes limits the size of one event on a stream.
 const maxEventBytes = 1 << 20
 
-// StreamHandler takes the events of a stream. An error of it ends the stream.
+// StreamHandler receives the events of a stream. The stream ends if a handler returns an error.
 type StreamHandler struct {
 	Decision func(decision.Record) error
 	// Heartbeat may be nil.
 	Heartbeat func(Heartbeat) error
 }
 
-// FollowDecisions hands decisions of the first gateway that answers to a function as they fall, until the context ends,
-// the function returns an error or the stream breaks.
+// FollowDecisions calls handle for each new decision of the first gateway that responds, until ctx ends, handle returns
+// an error or the stream breaks.
 func (c *Client) FollowDecisions(ctx context.Context, filter DecisionFilter, handle func(decision.Record) error) error {
 	return c.Follow(ctx, StreamFilter{DecisionFilter: filter}, StreamHandler{Decision: handle})
 }
 
-// Follow hands the events of the stream of the first gateway that answers to a handler, until the context ends, the
-// handler returns an error or the stream breaks.
+// Follow passes the events of the first gateway that responds to a handler, until ctx ends, the handler returns an error
+// or the stream breaks.
 func (c *Client) Follow(ctx context.Context, filter StreamFilter, handler StreamHandler) error {
 	var errs error
 	for _, address := range c.addresses {
@@ -44,12 +44,12 @@
 			data, _ := io.ReadAll(response.Body)
 			return statusError(address, response.StatusCode, data)
 		}
-		return errors.Wrapf(readEvents(response.Body, handler), "follow the decisions of gateway %s", address)
+		return errors.Wrapf(readEvents(response.Body, handler), "read the decision stream of gateway %s", address)
 	}
 	return errs
 }
 
-// readEvents reads server-sent events.
+// readEvents reads server-sent events and passes them to the handler.
 func readEvents(stream io.Reader, handler StreamHandler) error {
 	scanner := bufio.NewScanner(stream)
 	scanner.Buffer(nil, maxEventBytes)
@@ -73,7 +73,7 @@
 	return io.ErrUnexpectedEOF
 }
 
-// handle decodes one event and hands it on. Events of unknown names are left out.
+// handle decodes one event and passes it to the handler. Unknown events are ignored.
 func (h StreamHandler) handle(event string, data []byte) error {
 	switch {
 	case event == eventDecision:
--- a/internal/adminapi/register.go
+++ b/internal/adminapi/register.go
@@ -13,7 +13,7 @@
 	"github.com/granitebay/granitebay/internal/poison"
 )
 
-// jsonBody is a body that is already JSON. The types of the configuration write themselves, so a schema made by
+// jsonBody is a body that is already encoded. Configuration types have custom JSON encodings, so that a schema made by
 // reflection would be wrong.
 type jsonBody struct {
 	ContentType string `header:"Content-Type"`
@@ -38,20 +38,20 @@
 	registerGet(api, PathRules, "rules", "All rules in force", backend.Rules)
 	registerGet(api, PathGateways, "gateways", "All gateways", backend.Gateways)
 	registerGet(api, PathTenants, "tenants", "All tenants, without their keys", backend.Tenants)
-	registerGet(api, PathBarred, "barred", "The requests that go to no worker, because workers ended under them", backend.Barred)
+	registerGet(api, PathBarred, "barred", "Requests that are not sent to workers, because workers exited while serving them", backend.Barred)
 	registerRelease(api, backend)
-	registerGet(api, PathCapacity, "capacity", "The workers that can be ordered, by zone", backend.Capacity)
-	registerGet(api, PathUsage, "usage", "What became of windows of usage at this gateway", backend.Usage)
+	registerGet(api, PathCapacity, "capacity", "Workers that can be ordered, by zone", backend.Capacity)
+	registerGet(api, PathUsage, "usage", "State of usage reports at this gateway", backend.Usage)
 }
 
 func registerConfiguration(api huma.API, backend Backend) {
-	registerJSON(api, PathConfig, "config", "The configuration by labels in force", func() any { return backend.Document() })
+	registerJSON(api, PathConfig, "config", "The current label configuration", func() any { return backend.Document() })
 	registerJSON(api, PathConfigHistory, "config-history", "The latest edits, newest first", func() any {
 		return ConfigHistory{Changes: backend.Document().History}
 	})
 	operation := huma.Operation{
 		OperationID: "config-edits", Method: http.MethodPost, Path: PathConfigEdits,
-		Summary: "Propose an edit of the configuration, or see what it would do", MaxBodyBytes: 2 * configuration.MaximumDocumentBytes,
+		Summary: "Propose or preview an edit of the configuration", MaxBodyBytes: 2 * configuration.MaximumDocumentBytes,
 	}
 	huma.Register(api, operation, func(ctx context.Context, input *editInput) (*jsonBody, error) {
 		status, result := handleEdit(ctx, backend, input)
@@ -59,29 +59,29 @@
 	})
 }
 
-// editInput is a proposed edit. The body is an EditRequest of package configuration, read by its own strict parser.
+// editInput is a proposed edit. The body is a configuration.EditRequest, decoded by the strict parser of that package.
 type editInput struct {
 	DryRun  bool `query:"dryRun" doc:"Only tell what the edit would do."`
 	RawBody []byte
 }
 
 func registerDecisions(api huma.API, backend Backend) {
-	list := huma.Operation{OperationID: "decisions", Method: http.MethodGet, Path: PathDecisions, Summary: "The kept decisions, oldest first"}
+	list := huma.Operation{OperationID: "decisions", Method: http.MethodGet, Path: PathDecisions, Summary: "Retained decisions, oldest first"}
 	huma.Register(api, list, func(_ context.Context, filter *DecisionFilter) (*typedBody[DecisionList], error) {
 		return &typedBody[DecisionList]{Body: DecisionList{Decisions: filter.Select(backend.Decisions(filter.Since))}}, nil
 	})
-	explain := huma.Operation{OperationID: "explain", Method: http.MethodGet, Path: PathExplain, Summary: "What this gateway decided about one request"}
+	explain := huma.Operation{OperationID: "explain", Method: http.MethodGet, Path: PathExplain, Summary: "Decisions of this gateway about one request"}
 	huma.Register(api, explain, func(_ context.Context, input *explainInput) (*typedBody[Explanation], error) {
 		return &typedBody[Explanation]{Body: newExplanation(backend, input.Request)}, nil
 	})
-	stream := huma.Operation{OperationID: "decisions-stream", Method: http.MethodGet, Path: PathDecisionsStream, Summary: "Decisions as they fall"}
+	stream := huma.Operation{OperationID: "decisions-stream", Method: http.MethodGet, Path: PathDecisionsStream, Summary: "Stream of decisions"}
 	events := map[string]any{eventDecision: decision.Record{}, eventHeartbeat: Heartbeat{}}
 	sse.Register(api, stream, events, func(ctx context.Context, filter *StreamFilter, send sse.Sender) {
 		streamDecisions(ctx, backend, *filter, send)
 	})
 }
 
-// releaseInput names a request by its digest.
+// releaseInput identifies a request by its digest.
 type releaseInput struct {
 	Asked string `path:"asked" doc:"Digest of the request, as the list of barred ones has it."`
 }
@@ -89,7 +89,7 @@
 // registerRelease adds the handler that releases a barred request.
 func registerRelease(api huma.API, backend Backend) {
 	operation := huma.Operation{
-		OperationID: "release", Method: http.MethodDelete, Path: PathBarred + "/{asked}", Summary: "Let a barred request go to workers again",
+		OperationID: "release", Method: http.MethodDelete, Path: PathBarred + "/{asked}", Summary: "Release a barred request",
 	}
 	huma.Register(api, operation, func(ctx context.Context, input *releaseInput) (*typedBody[ReleaseResult], error) {
 		asked, err := poison.ParseDigest(input.Asked)
@@ -104,7 +104,7 @@
 	})
 }
 
-// explanationOf returns what a gateway knows of one request.
+// newExplanation returns what a gateway knows about one request.
 func newExplanation(backend Backend, request string) Explanation {
 	status := backend.Status()
 	kept := backend.Decisions(0)
@@ -117,7 +117,7 @@
 	}
 }
 
-// explainInput names a request.
+// explainInput identifies a request.
 type explainInput struct {
 	Request string `query:"request" required:"true" doc:"Id of the request."`
 }
@@ -130,7 +130,7 @@
 	})
 }
 
-// registerJSON adds a handler for a value that writes itself as JSON.
+// registerJSON adds a handler for a value with a custom JSON encoding.
 func registerJSON(api huma.API, path, name, summary string, read func() any) {
 	operation := huma.Operation{OperationID: name, Method: http.MethodGet, Path: path, Summary: summary}
 	huma.Register(api, operation, func(context.Context, *struct{}) (*jsonBody, error) {
@@ -141,7 +141,7 @@
 func encodeBody(status int, value any) (*jsonBody, error) {
 	data, err := json.Marshal(value)
 	if err != nil {
-		return nil, huma.Error500InternalServerError("step encode the response", err)
+		return nil, huma.Error500InternalServerError("encode the response", err)
 	}
 	return &jsonBody{ContentType: "application/json", Status: status, Body: data}, nil
 }
--- a/internal/adminapi/stream.go
+++ b/internal/adminapi/stream.go
@@ -9,30 +9,30 @@
 	"github.com/granitebay/granitebay/internal/decision"
 )
 
-// The names of the events on the stream of decisions.
+// Names of the events on the decision stream.
 const (
 	eventDecision  = "decision"
 	eventHeartbeat = "heartbeat"
 )
 
-// heartbeatInterval is the time between two heartbeats on a stream.
+// heartbeatInterval is the interval of heartbeats on a stream.
 const heartbeatInterval = 5 * time.Second
 
-// decisionStream is one client that follows decisions.
+// decisionStream is the decision stream of one client.
 type decisionStream struct {
 	backend Backend
 	filter  StreamFilter
 	send    sse.Sender
-	// sent is the last sequence that was looked at.
+	// lastSequence is the sequence of the last decision that was processed.
 	lastSequence uint64
 }
 
-// streamDecisions sends the kept decisions that a filter selects and then the new ones, until the client goes away.
+// streamDecisions sends the retained decisions that the filter selects, and then new ones, until the client disconnects.
 func streamDecisions(ctx context.Context, backend Backend, filter StreamFilter, send sse.Sender) {
 	records, stop := backend.FollowDecisions()
 	defer stop()
 	stream := &decisionStream{backend: backend, filter: filter, send: send}
-	// The heartbeat at the start lets the client see that the stream is open.
+	// The initial heartbeat lets the client see that the stream is open.
 	if stream.heartbeat(time.Now()) != nil {
 		return
 	}
@@ -42,7 +42,7 @@
 	stream.follow(ctx, records)
 }
 
-// kept sends the decisions with which the stream starts.
+// sendKept sends the retained decisions.
 func (s *decisionStream) sendKept() error {
 	kept := s.backend.Decisions(s.filter.Since)
 	for _, record := range s.filter.Initial(kept) {
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// forward sends a new decision, unless it was among the kept ones.
+// sendNew sends a new decision, unless it was among the retained ones.
 func (s *decisionStream) sendNew(record decision.Record) error {
 	if record.Sequence <= s.lastSequence {
 		return nil
@@ -73,7 +73,7 @@
 	return s.send.Data(Heartbeat{Time: now})
 }
 
-// follow forwards new decisions.
+// follow sends new decisions and heartbeats.
 func (s *decisionStream) follow(ctx context.Context, records <-chan decision.Record) {
 	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
--- a/internal/adminapi/types.go
+++ b/internal/adminapi/types.go
@@ -7,7 +7,7 @@
 	"github.com/granitebay/granitebay/internal/decision"
 )
 
-// GatewayStatus is one gateway, by its own word.
+// GatewayStatus is the status that a gateway reports about itself.
 type GatewayStatus struct {
 	Gateway string `json:"gateway"`
 	Zone    string `json:"zone"`
@@ -15,85 +15,87 @@
 	Version   string    `json:"version"`
 	StartedAt time.Time `json:"startedAt"`
 	Time      time.Time `json:"time"`
-	// Ready is set when the gateway takes requests; Stopping when it is on its way out.
+	// Ready is set if the gateway accepts requests, Stopping if it is shutting down.
 	Ready    bool `json:"ready"`
 	Stopping bool `json:"stopping"`
-	// RouteVersion and Revision of the routes and of the rules by labels in force at this gateway.
+	// RouteVersion and Revision are the versions of the routes and of the label configuration in use.
 	RouteVersion int64  `json:"routeVersion"`
 	Revision     uint64 `json:"revision"`
-	// StoreAgeMillis is how long ago the store was known to be followed.
+	// StoreAgeMillis is the time since the gateway last confirmed that it is up to date with the store.
 	StoreAgeMillis int64 `json:"storeAgeMillis"`
-	// Gateways that serve, Entries to which callers are sent, and whether this one is among them.
+	// Gateways is the number of running gateways, Entries the number of those that callers are directed to, and Entry
+	// whether this gateway is one of them.
 	Gateways int  `json:"gateways"`
 	Entries  int  `json:"entries"`
 	Entry    bool `json:"entry"`
-	// Workers by state.
+	// Workers is the number of workers by state.
 	Workers map[string]int `json:"workers"`
-	// GivesOrders is set at the gateway that may order workers to change their roles.
+	// GivesOrders is set at the gateway that currently may order workers to change roles.
 	GivesOrders bool `json:"givesOrders"`
-	// InHand counts the requests at this gateway.
+	// InHand is the number of requests in progress at this gateway.
 	InHand int64 `json:"inHand"`
-	// Warnings about the configuration in plain sentences.
+	// Warnings about the configuration.
 	Warnings []string `json:"warnings"`
 }
 
-// The states of workers.
+// States of workers.
 const (
 	StateReady    = "ready"
 	StateDraining = "draining"
-	// StateSetAside workers failed lately; StateChanging ones change their role.
+	// StateSetAside: excluded after recent failures. StateChanging: changing its role.
 	StateSetAside = "set-aside"
-	// StateBackOff workers asked this gateway for no requests for a time.
+	// StateBackOff: the worker asked this gateway to send no requests for some time.
 	StateBackOff  = "back-off"
 	StateChanging = "changing"
 )
 
-// WorkerStatus is one worker as a gateway sees it.
+// WorkerStatus is a worker as a gateway sees it.
 type WorkerStatus struct {
 	Address string `json:"address"`
-	// ID of the incarnation.
+	// ID of the worker process; it changes with each restart.
 	ID      string `json:"id"`
 	Service string `json:"service"`
-	// Groups that select the worker by its labels.
+	// Groups whose selectors match the worker.
 	Groups []string `json:"groups"`
 	Zone   string   `json:"zone"`
-	// Labels of the worker and of the operators together.
+	// Labels set by the worker and by operators, merged.
 	Labels map[string]string `json:"labels"`
 	Role   string            `json:"role"`
 	State  string            `json:"state"`
-	// Running requests of all gateways, and the prompt tokens that are still to be read for them.
+	// Running is the number of running requests of all gateways, ReadingTokens their prompt tokens still to be
+	// processed.
 	Running       int `json:"running"`
 	ReadingTokens int `json:"readingTokens"`
 	Slots         int `json:"slots"`
-	// Limit is how many requests the worker says that it takes; nil if it does not say.
+	// Limit is the request limit that the worker announced; nil if none.
 	Limit *LimitStatus `json:"limit,omitempty"`
 }
 
-// LimitStatus is how many requests a worker takes, as it named it in answers.
+// LimitStatus is the request limit that a worker announced in responses.
 type LimitStatus struct {
-	// PerSecond is what it takes of all gateways together, and Part which part of that this gateway may send, from 0 to 1.
+	// PerSecond is the limit for all gateways together, and Part the share of it that this gateway may use, from 0 to 1.
 	PerSecond float64 `json:"perSecond"`
 	Part      float64 `json:"part"`
-	// HeardAgoMs is how long ago the worker said so last, to this gateway or another, in milliseconds.
+	// HeardAgoMs is the time since the worker last announced it, to this gateway or another, in milliseconds.
 	HeardAgoMs int64 `json:"heardAgoMs"`
 }
 
-// GroupStatus is one group of workers as a gateway sees it.
+// GroupStatus is a group of workers as a gateway sees it.
 type GroupStatus struct {
 	Name string `json:"name"`
-	// Of is the service whose workers the group selects, empty for a service itself.
+	// Of is the service whose workers the group selects; empty for a service itself.
 	Of string `json:"of"`
-	// Workers of the group, and how many have each role.
+	// Workers is the number of workers in the group, Roles the number by role.
 	Workers       int            `json:"workers"`
 	Roles         map[string]int `json:"roles"`
 	Running       int            `json:"running"`
 	ReadingTokens int            `json:"readingTokens"`
 }
 
-// RuleStatus is one rule in force.
+// RuleStatus is a rule of the current configuration.
 type RuleStatus struct {
 	Name string `json:"name"`
-	// Match says which requests the rule is for.
+	// Match describes the requests that the rule applies to.
 	Match       string   `json:"match"`
 	Groups      []string `json:"groups"`
 	Priority    int      `json:"priority"`
@@ -101,59 +103,60 @@
 	ObjectiveMs int64    `json:"objectiveMs"`
 }
 
-// PeerStatus is one gateway as another sees it.
+// PeerStatus is a gateway as another one sees it.
 type PeerStatus struct {
 	Name string `json:"name"`
 	Zone string `json:"zone"`
-	// Address for callers, and AdminAddress of this API.
+	// Address is for callers, AdminAddress for this API.
 	Address      string  `json:"address"`
 	AdminAddress string  `json:"adminAddress"`
 	Cores        float64 `json:"cores"`
-	// Entry is set for gateways to which callers are sent, and Reachable for those that were not silent of late.
+	// Entry is set if callers are directed to the gateway, Reachable if it was heard from recently.
 	Entry     bool `json:"entry"`
 	Reachable bool `json:"reachable"`
 }
 
-// TenantStatus is one tenant of the configuration in force. Keys are counted and never shown.
+// TenantStatus is a tenant of the current configuration. Keys are counted, but never shown.
 type TenantStatus struct {
 	Name string `json:"name"`
 	Keys int    `json:"keys"`
-	// Priority of its requests, 0 the most urgent; nil where that of their rule holds.
+	// Priority of its requests, 0 being the most urgent; nil if the priority of the rule applies.
 	Priority *int `json:"priority,omitempty"`
-	// RouteVersion of the configuration in which the tenant stands so.
+	// RouteVersion of the configuration that contains the tenant.
 	RouteVersion int64 `json:"routeVersion"`
 }
 
-// CapacityStatus is what one gateway knows of the workers of a zone that can be ordered.
+// CapacityStatus is what a gateway knows about the workers of a zone that can be ordered.
 type CapacityStatus struct {
 	Group string `json:"group"`
 	Zone  string `json:"zone"`
-	// Kept and Spot workers that are there, and that are wanted.
+	// Kept and Spot count the existing on-demand and spot workers, WantedKept and WantedSpot the wanted ones.
 	Kept       int `json:"kept"`
 	Spot       int `json:"spot"`
 	WantedKept int `json:"wantedKept"`
 	WantedSpot int `json:"wantedSpot"`
-	// Price of a kept worker of the zone for a second.
+	// Price of a kept worker in this zone for one second.
 	Price float64 `json:"price"`
-	// Busy workers of the whole group, by the demand of the moment, and how many it needs.
+	// Busy is the number of workers of the whole group that current demand uses, Needed the number it requires.
 	Busy   float64 `json:"busy"`
 	Needed int     `json:"needed"`
 }
 
-// UsageStatus is what one gateway has done about windows of usage, and the requests that it knows of those which are not agreed on.
+// UsageStatus is the state of usage reports at one gateway. Usage is reported in time windows.
 type UsageStatus struct {
 	Gateway string `json:"gateway"`
-	// Agreed and Sent windows, those of them that were Late, calls that Failed, and times when another gateway had taken over.
+	// Agreed and Sent count windows, Late those sent late, Failed counts failed calls, and Superseded how often another
+	// gateway had taken over.
 	Agreed     int `json:"agreed"`
 	Sent       int `json:"sent"`
 	Late       int `json:"late"`
 	Failed     int `json:"failed"`
 	Superseded int `json:"superseded"`
-	// Open windows with their requests of all tenants, the oldest first.
+	// Open windows with the requests of all tenants, oldest first.
 	Open []OpenWindow `json:"open"`
 }
 
-// OpenWindow is a window that is not agreed on.
+// OpenWindow is a window that is not agreed on yet.
 type OpenWindow struct {
 	Window   int64 `json:"window"`
 	Requests int64 `json:"requests"`
@@ -165,29 +168,29 @@
 	Changes []configuration.Change `json:"changes"`
 }
 
-// EditOutcome is how an edit ended.
+// EditOutcome is the outcome of an edit.
 type EditOutcome string
 
-// The outcomes of an edit.
+// Outcomes of an edit.
 const (
-	EditAccepted    EditOutcome = "accepted"    // in the store
-	EditUnchanged   EditOutcome = "unchanged"   // there was nothing to change
-	EditPreview     EditOutcome = "preview"     // a dry run
+	EditAccepted    EditOutcome = "accepted"    // written to the store
+	EditUnchanged   EditOutcome = "unchanged"   // nothing to change
+	EditPreview     EditOutcome = "preview"     // dry run
 	EditConflict    EditOutcome = "conflict"    // another edit changed the same field
-	EditInvalid     EditOutcome = "invalid"     // the edit or the document after it is not valid
-	EditUnavailable EditOutcome = "unavailable" // not accepted now; try again
-	EditUnknown     EditOutcome = "unknown"     // perhaps accepted; propose it again with the same change id
+	EditInvalid     EditOutcome = "invalid"     // the edit or the resulting document is invalid
+	EditUnavailable EditOutcome = "unavailable" // not accepted; can be retried
+	EditUnknown     EditOutcome = "unknown"     // possibly accepted; retry with the same change id
 )
 
-// EditResult answers a proposed edit. A dry run carries the consequences as well.
+// EditResult is the response to a proposed edit.
 type EditResult struct {
 	Outcome  EditOutcome `json:"outcome"`
 	ChangeID string      `json:"changeID"`
-	// Revision that the edit made, or would make.
+	// Revision that the edit created, or would create.
 	Revision  uint64                    `json:"revision"`
 	Conflicts []configuration.Conflict  `json:"conflicts,omitempty"`
 	Faults    configuration.FieldErrors `json:"faults,omitempty"`
-	// Error in one sentence when the edit was not accepted.
+	// Error is set if the edit was not accepted.
 	Error string `json:"error,omitempty"`
 	// Consequences of a dry run.
 	Consequences *configuration.Consequences `json:"consequences,omitempty"`
@@ -198,38 +201,38 @@
 	Decisions []decision.Record `json:"decisions"`
 }
 
-// Explanation is what one gateway knows of one request.
+// Explanation is what one gateway knows about one request.
 type Explanation struct {
 	Request string `json:"request"`
 	Gateway string `json:"gateway"`
-	// KeptSince is the time from which the gateway has all its decisions.
+	// KeptSince is the time since which the gateway has retained all its decisions.
 	KeptSince time.Time `json:"keptSince,omitzero"`
 	// Decisions about the request, oldest first.
 	Decisions []decision.Record `json:"decisions"`
 }
 
-// Heartbeat shows on a quiet stream that the gateway is there.
+// Heartbeat is sent regularly, so that clients can detect a broken stream.
 type Heartbeat struct {
 	Time time.Time `json:"time"`
 }
 
-// BarredStatus is a request that goes to no worker.
+// BarredStatus is a request that is not sent to workers.
 type BarredStatus struct {
-	// Asked is the digest of the request, by which it is released.
+	// Asked is the digest of the request. Release takes it.
 	Asked string `json:"asked"`
 	Rule  string `json:"rule"`
-	// Tenant of the caller; empty where the configuration has none.
+	// Tenant of the caller; empty if no tenants are configured.
 	Tenant string `json:"tenant"`
-	// Workers that ended under it, by their ids.
+	// Workers that exited while serving it, by ID.
 	Workers []string `json:"workers"`
-	// Times it was barred, this one included.
+	// Times is how often it was barred, including the current time.
 	Times int       `json:"times"`
 	Until time.Time `json:"until"`
 }
 
-// ReleaseResult is what became of a release.
+// ReleaseResult is the result of a release.
 type ReleaseResult struct {
 	Asked string `json:"asked"`
-	// WasBarred is false when the gateway knew of no bar in the store.
+	// WasBarred is false if the gateway found no bar in the store.
 	WasBarred bool `json:"wasBarred"`
 }
