--- a/internal/adminpage/page_test.go
+++ b/internal/adminpage/page_test.go
@@ -39,13 +39,14 @@
 				t.Fatalf("status %d, headers %v", response.Code, response.Header())
 			}
 			if test.status == http.StatusOK && !strings.Contains(response.Header().Get("Content-Security-Policy"), "default-src 'none'") {
-				t.Error("the page may load from elsewhere")
+				t.Error("the security policy allows other hosts")
 			}
 		})
 	}
 }
 
-// TestFilesAreClosed checks that the files name only files that are embedded, and use nothing that reads text as markup.
+// TestAssetsAreSelfContained checks that assets refer only to embedded files, and that nothing interprets text as
+// markup.
 func TestAssetsAreSelfContained(t *testing.T) {
 	reference := regexp.MustCompile(`(?:src="|href="|from "\./)([^"#][^"]*)"`)
 	unsafe := regexp.MustCompile(`innerHTML|outerHTML|insertAdjacentHTML|document\.write|\beval\(|new Function|setAttribute\("on|\son[a-z]+="|\sstyle="|https?://|@import|url\(`)
@@ -56,12 +57,12 @@
 	for _, entry := range entries {
 		data, _ := fs.ReadFile(assets, "assets/"+entry.Name())
 		if found := unsafe.Find(data); found != nil {
-			t.Errorf("%s holds %q", entry.Name(), found)
+			t.Errorf("%s contains %q", entry.Name(), found)
 		}
 		for _, match := range reference.FindAllSubmatch(data, -1) {
 			name := strings.TrimPrefix(string(match[1]), "page/")
 			if _, err := fs.Stat(assets, "assets/"+name); err != nil && name != "data:," {
-				t.Errorf("%s names %s: %v", entry.Name(), name, err)
+				t.Errorf("%s refers to %s: %v", entry.Name(), name, err)
 			}
 		}
 	}
