--- a/cmd/granitebay-gateway/main.go
+++ b/cmd/granitebay-gateway/main.go
@@ -1,5 +1,4 @@
-// Command granitebay-gateway is the one program of a machine: it tells callers where to connect and takes their requests to
-// workers.
+// Command granitebay-gateway runs a gateway: it directs callers to gateways and forwards their requests to workers.
 package main
 
 import (
@@ -20,10 +19,10 @@
 
 const name = "granitebay-gateway"
 
-// logLines is how many lines wait for a slow output.
+// logBufferLines is how many log lines are buffered for a slow output.
 const logBufferLines = 512
 
-// flags are the flags of the program.
+// flags are the command-line flags.
 type flags struct {
 	Settings string           `help:"Settings file (YAML)." env:"${settings_variable}" required:"" type:"path"`
 	Check    bool             `help:"Check the settings and exit."`
@@ -32,7 +31,7 @@
 
 func main() {
 	var parsed flags
-	command.Parse(name, "Serves callers and takes their requests to workers.", &parsed, kong.Vars{"settings_variable": settings.PathVariable})
+	command.Parse(name, "Forwards requests of callers to workers.", &parsed, kong.Vars{"settings_variable": settings.PathVariable})
 	command.Exit(name, run(parsed))
 }
 
@@ -61,11 +60,11 @@
 	return nil
 }
 
-// reload reads the settings anew. Bad ones are logged and change nothing.
+// reload applies the settings file again. Invalid settings are logged and ignored.
 func reload(path string, program *gateway.Gateway, logger *logrus.Logger) {
 	config, err := settings.Load(path)
 	if err != nil {
-		logging.Part(logger, "gateway").WithError(err).Error("The settings can't be read; the old ones stay in force.")
+		logging.Part(logger, "gateway").WithError(err).Error("The settings can't be loaded; the previous settings stay in use.")
 		return
 	}
 	program.Reload(*config)
--- a/cmd/granitebay-lab/main.go
+++ b/cmd/granitebay-lab/main.go
@@ -1,4 +1,4 @@
-// Command granitebay-lab holds what developers and newcomers need: the demo, and stand-ins of the store and the workers.
+// Command granitebay-lab contains development tools: the demo, and simulators of the store and the workers.
 package main
 
 import (
@@ -19,20 +19,20 @@
 
 const name = "granitebay-lab"
 
-// commandLine is the command line of the lab.
+// commandLine is the command line of the program.
 type commandLine struct {
-	LogLevel  string           `default:"info" enum:"debug,info,warn,error" help:"Least level that is logged."`
-	LogFormat string           `default:"text" enum:"text,json" help:"Format of logs."`
+	LogLevel  string           `default:"info" enum:"debug,info,warn,error" help:"Lowest level that is logged."`
+	LogFormat string           `default:"text" enum:"text,json" help:"Log format."`
 	Version   kong.VersionFlag `help:"Print the version and exit."`
 
-	Demo  demo.Command     `cmd:"" help:"Run a whole deployment in this process, with live load and a shifting mix."`
-	Fleet labfleet.Command `cmd:"" help:"Run stand-ins of the store and the workers of a deployment."`
-	Soak  soak.Command     `cmd:"" help:"Run gateways as processes under faults and check the rules."`
+	Demo  demo.Command     `cmd:"" help:"Run a complete deployment in this process under a changing load."`
+	Fleet labfleet.Command `cmd:"" help:"Run simulators of the store and the workers of a deployment."`
+	Soak  soak.Command     `cmd:"" help:"Run gateways as processes, inject faults and check invariants."`
 }
 
 func main() {
 	var parsed commandLine
-	selected := command.Parse(name, "Stand-ins, live load and tests under failure for granitebay.", &parsed)
+	selected := command.Parse(name, "Simulators, load generation and fault-injection tests for granitebay.", &parsed)
 	command.Exit(name, run(selected, parsed))
 }
 
--- a/cmd/granitebay-lab/main_test.go
+++ b/cmd/granitebay-lab/main_test.go
@@ -16,7 +16,7 @@
 	"github.com/granitebay/granitebay/platform"
 )
 
-// TestDemoKeepsEveryPromise runs the demo of each deployment for a moment.
+// TestDemoAccountsForEveryRequest runs the demo of each deployment briefly and checks that each request has one outcome.
 func TestDemoAccountsForEveryRequest(t *testing.T) {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
@@ -41,7 +41,7 @@
 			t.Fatalf("last line %q: %v", lines[len(lines)-1], err)
 		}
 		if total.Answered == 0 || total.Sent != total.Answered+total.NotRun+total.Unknown+total.Failed {
-			t.Errorf("%s: a request has no outcome or two: %+v", deployment, total)
+			t.Errorf("%s: the outcomes do not add up to the requests sent: %+v", deployment, total)
 		}
 	}
 }
--- a/cmd/granitebay/main.go
+++ b/cmd/granitebay/main.go
@@ -1,4 +1,4 @@
-// Command granitebay is the command line of operators.
+// Command granitebay is the command-line tool for operators.
 package main
 
 import (
--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -1,4 +1,4 @@
-// Package command holds what the mains of all programs share: the parser of flags, exit codes, signals and the version.
+// Package command contains what all programs share: flag parsing, exit codes, signals and the version.
 package command
 
 import (
@@ -15,18 +15,18 @@
 
 // Exit codes of all programs.
 const (
-	// ExitOK: the program did what it was asked.
+	// ExitOK: success.
 	ExitOK = 0
-	// ExitFailed: the program could not do it.
+	// ExitFailed: the command failed.
 	ExitFailed = 1
-	// ExitBadInput: flags, settings or a file were wrong; nothing was done.
+	// ExitBadInput: invalid flags, settings or files; nothing was done.
 	ExitBadInput = 2
 )
 
-// ExitCodes documents the exit codes in the help of a program.
+// ExitCodes describes the exit codes in the help of a program.
 const ExitCodes = "Exit codes: 0 done, 1 failed, 2 bad flags, settings or files (nothing was done)."
 
-// Version returns the version that the build recorded.
+// Version returns the version recorded by the build.
 func Version() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
@@ -40,7 +40,7 @@
 	return info.Main.Version
 }
 
-// Parse parses the arguments of a program into a kong command line. On bad input it prints the error and exits.
+// Parse parses the command line. On invalid input it prints the error and exits.
 func Parse(name, description string, target any, options ...kong.Option) *kong.Context {
 	options = append(options,
 		kong.Name(name),
@@ -61,12 +61,12 @@
 	return parsed
 }
 
-// Context returns a context that ends at SIGINT or SIGTERM.
+// Context returns a context that is cancelled by SIGINT or SIGTERM.
 func Context() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 }
 
-// Exit ends a program with the code that fits an error.
+// Exit ends the program with the exit code for an error.
 func Exit(name string, err error) {
 	if err == nil {
 		os.Exit(ExitOK)
@@ -75,7 +75,7 @@
 	os.Exit(exitCode(err))
 }
 
-// BadInput marks an error as one of the input.
+// BadInput marks an error as caused by invalid input.
 func BadInput(err error) error {
 	if err == nil {
 		return nil
@@ -83,16 +83,16 @@
 	return &badInputError{cause: err}
 }
 
-// badInputError is an error of the input.
+// badInputError is an error caused by invalid input.
 type badInputError struct{ cause error }
 
-// Error returns the text of the cause.
+// Error implements error.
 func (e *badInputError) Error() string { return e.cause.Error() }
 
 // Unwrap returns the cause.
 func (e *badInputError) Unwrap() error { return e.cause }
 
-// codeOf returns the exit code of an error.
+// exitCode returns the exit code for an error.
 func exitCode(err error) int {
 	var badInput *badInputError
 	if errors.As(err, &badInput) || errors.Is(err, os.ErrNotExist) {
--- a/internal/command/reload.go
+++ b/internal/command/reload.go
@@ -8,18 +8,18 @@
 	"time"
 )
 
-// reloadPoll is how often a file is looked at that may change without a signal.
+// reloadPollInterval is how often a file is checked for changes.
 const reloadPollInterval = 2 * time.Second
 
-// Hangups returns a channel that gets each SIGHUP from now on. The signal never ends the process after that, neither before
-// it is ready nor while it stops.
+// NotifyHangup returns a channel that receives each SIGHUP. From then on the signal does not end the process, neither
+// during startup nor during shutdown.
 func NotifyHangup() <-chan os.Signal {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP)
 	return signals
 }
 
-// OnChange calls a function when a hangup comes or a file has changed, until the context ends.
+// OnChange calls onChange after each hangup and after each change of a file, until ctx ends.
 func OnChange(ctx context.Context, hangups <-chan os.Signal, path string, onChange func()) {
 	ticker := time.NewTicker(reloadPollInterval)
 	defer ticker.Stop()
@@ -39,7 +39,7 @@
 	}
 }
 
-// modified returns when a file was changed last, or the zero time.
+// modTime returns the modification time of a file, or the zero time.
 func modTime(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
