--- a/internal/docscheck/command_test.go
+++ b/internal/docscheck/command_test.go
@@ -8,10 +8,10 @@
 	"testing"
 )
 
-// fakeGo stands in for the go command and prints its arguments.
+// fakeGo replaces the go command and prints its arguments.
 const fakeGo = "#!/bin/sh\necho \"$@\"\n"
 
-// TestTestCommand runs the test command of the README with a go command that only prints its arguments.
+// TestTestScriptSkipsKnownRed runs test.sh with a go command that only prints its arguments.
 func TestTestScriptSkipsKnownRed(t *testing.T) {
 	tests := []struct {
 		desc     string
@@ -19,8 +19,8 @@
 		knownRed string
 		wantSkip string
 	}{
-		{desc: "no list of known red tests"},
-		{desc: "two known red tests", listed: true, knownRed: "TestOne: cause, issue 3\nTestTwo: cause, issue 4\n", wantSkip: "-skip ^(TestOne|TestTwo)$"},
+		{desc: "no list of known failing tests"},
+		{desc: "two known failing tests", listed: true, knownRed: "TestOne: cause, issue 3\nTestTwo: cause, issue 4\n", wantSkip: "-skip ^(TestOne|TestTwo)$"},
 		{desc: "an empty list", listed: true},
 	}
 	for _, test := range tests {
--- a/internal/docscheck/doc.go
+++ b/internal/docscheck/doc.go
@@ -1,3 +1,3 @@
-// Package docscheck has tests only: they compare the pages of the documentation with the code, so that tables of settings,
-// metrics and log prefixes, links and names of types cannot fall behind.
+// Package docscheck contains only tests. They compare the documentation with the code: tables of settings, metrics and
+// log prefixes, links, and names of types.
 package docscheck
--- a/internal/docscheck/operating_test.go
+++ b/internal/docscheck/operating_test.go
@@ -12,13 +12,13 @@
 
 const operationsPage = "docs/OPERATIONS.md"
 
-// Defaults as the tables write them when there is no value.
+// Values of the default column if there is no default.
 const (
 	required = "required"
 	none     = "none"
 )
 
-// section returns the part of a page below a heading, up to the next heading.
+// section returns the text below a heading, up to the next heading.
 func section(t *testing.T, content, title string) string {
 	t.Helper()
 	_, after, found := strings.Cut(content, "\n"+title+"\n")
@@ -29,7 +29,7 @@
 	return part
 }
 
-// tableRows returns the cells of the rows of a table whose first cell is code, by that cell without its backticks.
+// tableRows returns the cells of the table rows whose first cell is code, by that cell without backticks.
 func tableRows(t *testing.T, text string) map[string][]string {
 	t.Helper()
 	rows := make(map[string][]string)
@@ -67,14 +67,14 @@
 		case cells == nil:
 			t.Errorf("%s has no row for the field %s", operationsPage, field.Path)
 		case len(cells) != 4 || cells[3] == "":
-			t.Errorf("the row of %s has not four cells: %q", field.Path, cells)
+			t.Errorf("the row of %s does not have four cells: %q", field.Path, cells)
 		case cells[1] != want:
 			t.Errorf("the default of %s is %s in %s, want %s", field.Path, cells[1], operationsPage, want)
 		}
 	}
 	for path := range rows {
 		if !known[path] {
-			t.Errorf("%s has a row for %s, which is no field", operationsPage, path)
+			t.Errorf("%s has a row for %s, which is not a field", operationsPage, path)
 		}
 	}
 }
@@ -90,7 +90,7 @@
 		}
 	}
 	if len(registered) == 0 {
-		t.Fatal("no metric was found in the code")
+		t.Fatal("found no metric in the code")
 	}
 	rows := tableRows(t, section(t, read(t, operationsPage), "## Metrics"))
 	for _, each := range registered {
@@ -100,7 +100,7 @@
 	}
 	for each := range rows {
 		if !slices.Contains(registered, each) {
-			t.Errorf("%s has a row for %s, which is no metric", operationsPage, each)
+			t.Errorf("%s has a row for %s, which is not a metric", operationsPage, each)
 		}
 	}
 }
@@ -113,7 +113,7 @@
 		}
 	}
 	if len(used) == 0 {
-		t.Fatal("no log prefix was found in the code")
+		t.Fatal("found no log prefix in the code")
 	}
 	rows := tableRows(t, section(t, read(t, operationsPage), "## Logs"))
 	for prefix, directory := range used {
@@ -123,19 +123,19 @@
 	}
 	for prefix := range rows {
 		if used[prefix] == "" {
-			t.Errorf("%s has a row for the log prefix %q, which nothing uses", operationsPage, prefix)
+			t.Errorf("%s has a row for the log prefix %q, which is not used", operationsPage, prefix)
 		}
 	}
 }
 
-// logCalls are the methods of loggers, and literalPrefix a message that begins with a prefix.
+// logMethods are the methods of loggers, messagePrefix matches a message that begins with a prefix.
 var (
 	logMethods    = []string{"Debug", "Info", "Warn", "Error", "Log", "Debugf", "Infof", "Warnf", "Errorf"}
 	messagePrefix = regexp.MustCompile(`^([a-z][a-z -]*:) `)
 )
 
-// logPrefixes returns the prefixes, with their colon, that a package gives to its log lines: the arguments of logging.Part
-// and messages that begin with a prefix.
+// logPrefixes returns the log prefixes of a package, with the colon: the arguments of logging.Part and the prefixes of
+// messages.
 func logPrefixes(t *testing.T, directory string) []string {
 	files := parsePackage(t, directory)
 	named := constants(files)
@@ -178,14 +178,15 @@
 	return prefixes
 }
 
-// TestAlertsAndDashboardNameMetrics checks that the example files name metrics of the table, and that the dashboard shows each of them.
+// TestAlertsAndDashboardNameMetrics checks that the example files use metrics of the table, and that the dashboard shows
+// each of them.
 func TestAlertsAndDashboardNameMetrics(t *testing.T) {
 	metric := regexp.MustCompile(`granitebay_[a-z_]+`)
 	rows := tableRows(t, section(t, read(t, operationsPage), "## Metrics"))
 	for _, file := range []string{"examples/alerts.yaml", "examples/dashboard.json"} {
 		for _, name := range metric.FindAllString(read(t, file), -1) {
 			if rows[strings.TrimSuffix(name, "_bucket")] == nil {
-				t.Errorf("%s names %s, which is no metric", file, name)
+				t.Errorf("%s names %s, which is not a metric", file, name)
 			}
 		}
 	}
--- a/internal/docscheck/pages_test.go
+++ b/internal/docscheck/pages_test.go
@@ -15,13 +15,13 @@
 	link      = regexp.MustCompile(`\]\(([^)\s]+)\)`)
 	heading   = regexp.MustCompile(`(?m)^#+ +(.*)$`)
 	notInSlug = regexp.MustCompile(`[^\p{L}\p{N} _-]`)
-	// machinePath is written in parts, so that this file has none.
+	// machinePath is assembled from parts, so that this file does not match it.
 	machinePath  = regexp.MustCompile("(?:^|[\\s\"'`=(:@])/(?:" + strings.Join([]string{"work", "tmp", "home", "root", "Users"}, "|") + `)/`)
 	packageEntry = regexp.MustCompile("`([a-z][a-z0-9/]*)`(?: \\(([^)]*)\\))?")
 	exportedName = regexp.MustCompile("`(?:[A-Za-z]+\\.)?([A-Z][A-Za-z0-9]*)`")
 )
 
-// links returns the targets of the links of a page, code blocks left out.
+// links returns the link targets of a page, except in code blocks.
 func links(content string) []string {
 	var targets []string
 	for _, match := range link.FindAllStringSubmatch(codeBlock.ReplaceAllString(content, ""), -1) {
@@ -30,7 +30,7 @@
 	return targets
 }
 
-// anchors returns the anchors of the headings of a page, as web views of repositories make them.
+// anchors returns the anchors of the headings of a page, as repository hosts generate them.
 func anchors(content string) []string {
 	var found []string
 	for _, match := range heading.FindAllStringSubmatch(codeBlock.ReplaceAllString(content, ""), -1) {
@@ -77,13 +77,13 @@
 	for _, file := range trackedFiles(t) {
 		for number, line := range strings.Split(read(t, file), "\n") {
 			if machinePath.MatchString(line) {
-				t.Errorf("%s:%d has a path of one machine: %s", file, number+1, line)
+				t.Errorf("%s:%d contains a machine-specific path: %s", file, number+1, line)
 			}
 		}
 	}
 }
 
-// TestGlossaryNamesExist checks the last column of the glossary: packages, and types or functions in them.
+// TestGlossaryNamesExist checks the last column of the glossary, which names packages and their types or functions.
 func TestGlossaryNamesExist(t *testing.T) {
 	for line := range strings.Lines(read(t, "docs/GLOSSARY.md")) {
 		cells := strings.Split(strings.TrimSpace(line), "|")
@@ -110,7 +110,7 @@
 	}
 }
 
-// packageText returns the Go files of a directory, one after another.
+// packageText returns the concatenated Go files of a directory.
 func packageText(t *testing.T, directory string) string {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join(root, directory, "*.go"))
--- a/internal/docscheck/repository_test.go
+++ b/internal/docscheck/repository_test.go
@@ -14,10 +14,11 @@
 	"testing"
 )
 
-// root is the directory of the module, seen from this package.
+// root is the module directory, relative to this package.
 const root = "../.."
 
-// trackedFiles returns the files that git tracks or would track, relative to the root; without git, all files.
+// trackedFiles returns the files that git tracks or would track, relative to the root. Without git, it returns all
+// files.
 func trackedFiles(t *testing.T) []string {
 	t.Helper()
 	command := exec.Command("git", "ls-files", "--cached", "--others", "--exclude-standard", "--deduplicate")
@@ -40,7 +41,7 @@
 	return files
 }
 
-// absent tells whether a tracked file was removed from the working tree.
+// isMissing reports whether a tracked file is missing in the working tree.
 func isMissing(path string) bool {
 	_, err := os.Stat(filepath.Join(root, path))
 	return err != nil
@@ -62,7 +63,7 @@
 	return string(content)
 }
 
-// parsePackage parses the Go files of a directory without its tests.
+// parsePackage parses the Go files of a directory except tests.
 func parsePackage(t *testing.T, directory string) []*ast.File {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join(root, directory, "*.go"))
@@ -83,7 +84,7 @@
 	return files
 }
 
-// goDirectories returns the directories with Go files that are not tests, below cmd and internal.
+// goDirectories returns the directories below cmd and internal that contain Go files other than tests.
 func goDirectories(t *testing.T) []string {
 	t.Helper()
 	var directories []string
@@ -97,7 +98,7 @@
 	return slices.Compact(directories)
 }
 
-// literals returns every string literal of files.
+// literals returns all string literals of files.
 func literals(files []*ast.File) []string {
 	var found []string
 	inspect(files, func(node ast.Node) {
@@ -108,7 +109,7 @@
 	return found
 }
 
-// literal returns the text of a string literal.
+// literal returns the value of a string literal.
 func literal(node ast.Node) (string, bool) {
 	basic, ok := node.(*ast.BasicLit)
 	if !ok || basic.Kind != token.STRING {
@@ -118,7 +119,7 @@
 	return text, err == nil
 }
 
-// constants returns the string constants and variables of files that are given as literals, by name.
+// constants returns the string constants and variables that are initialized with literals, by name.
 func constants(files []*ast.File) map[string]string {
 	found := make(map[string]string)
 	inspect(files, func(node ast.Node) {
@@ -135,7 +136,7 @@
 	return found
 }
 
-// inspect visits every node of files.
+// inspect visits all nodes of files.
 func inspect(files []*ast.File, visit func(ast.Node)) {
 	for _, file := range files {
 		ast.Inspect(file, func(node ast.Node) bool {
