--- a/internal/adminapi/types.go
+++ b/internal/adminapi/types.go
@@ -130,7 +130,7 @@
 type CapacityStatus struct {
 	Group string `json:"group"`
 	Zone  string `json:"zone"`
-	// Kept and Spot count the existing on-demand and spot workers, WantedKept and WantedSpot the wanted ones.
+	// Kept and Spot count the existing non-spot and spot workers, WantedKept and WantedSpot the wanted ones.
 	Kept       int `json:"kept"`
 	Spot       int `json:"spot"`
 	WantedKept int `json:"wantedKept"`
