--- a/internal/operator/barred.go
+++ b/internal/operator/barred.go
@@ -17,7 +17,7 @@
 
 // Run shows the barred requests.
 func (getBarred) Run(s *session) error {
-	header := table.Row{"Request", "Rule", "Of", "Workers that ended", "Times", "Until"}
+	header := table.Row{"Request", "Rule", "Tenant", "Exited workers", "Times", "Until"}
 	return showTable(s, s.client.Barred, header, func(bar adminapi.BarredStatus) table.Row {
 		return table.Row{
 			bar.Asked, orDash(bar.Rule), orDash(bar.Tenant), strings.Join(bar.Workers, ","), bar.Times, bar.Until.UTC().Format(time.RFC3339),
@@ -25,9 +25,9 @@
 	})
 }
 
-// releaseCommand lets a barred request go to workers again.
+// releaseCommand releases a barred request.
 type releaseCommand struct {
-	Asked string `arg:"" name:"request" help:"Digest of the request, from granitebay get barred."`
+	Asked string `arg:"" name:"request" help:"Digest of the request, as shown by granitebay get barred."`
 }
 
 // Run releases the request.
@@ -37,7 +37,7 @@
 	}
 	release := func(ctx context.Context) (adminapi.ReleaseResult, error) { return s.client.Release(ctx, r.Asked) }
 	return show(s, release, func(w io.Writer, result adminapi.ReleaseResult) error {
-		outcome := "is released; it is barred again at the next three ends of workers under it"
+		outcome := "is released; it is barred again if three more workers exit while serving it"
 		if !result.WasBarred {
 			outcome = "was not barred"
 		}
--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -18,26 +18,26 @@
 
 // configCommand shows the state of the configuration.
 type configCommand struct {
-	Status  configStatusCommand  `cmd:"" help:"Show which revision is accepted and where it is in force."`
+	Status  configStatusCommand  `cmd:"" help:"Show which revision the gateways use."`
 	History configHistoryCommand `cmd:"" help:"Show the latest edits, newest first."`
 }
 
 type configStatusCommand struct{}
 
-// spread is how far the configuration got around.
+// rolloutStatus tells which gateways use the newest revision of the configuration.
 type rolloutStatus struct {
-	// Newest revision that a gateway has in force, and Everywhere the one that all have that answered.
+	// Newest is the newest revision that a gateway uses, Everywhere the oldest one among the gateways that responded.
 	Newest     uint64 `json:"newest"`
 	Everywhere uint64 `json:"everywhere"`
 	Gateways   int    `json:"gateways"`
-	// Behind names the gateways that have an older one, and Silent those that did not answer.
+	// Behind names the gateways that use an older revision, Silent those that did not respond.
 	Behind []string `json:"behind,omitempty"`
 	Silent []string `json:"silent,omitempty"`
-	// unknown is set when a gateway that another one lists did not answer.
+	// incomplete is set if a gateway that is listed by another one did not respond.
 	incomplete bool
 }
 
-// spreadOf asks all gateways which revision they have in force.
+// queryRollout queries the revision of all gateways.
 func queryRollout(ctx context.Context, s *session) rolloutStatus {
 	targets, gaps := gatewayTargets(ctx, s)
 	responses := queryAll(ctx, targets, func(ctx context.Context, client *adminapi.Client) (adminapi.GatewayStatus, error) {
@@ -65,20 +65,20 @@
 	return result
 }
 
-// Run shows how far the configuration got around.
+// Run shows the rollout status.
 func (configStatusCommand) Run(s *session) error {
 	read := func(ctx context.Context) (rolloutStatus, error) {
 		status := queryRollout(ctx, s)
 		if status.Gateways == 0 {
-			return status, errors.Newf("no gateway answered: %s", strings.Join(status.Silent, "; "))
+			return status, errors.Newf("no gateway responded: %s", strings.Join(status.Silent, "; "))
 		}
 		return status, nil
 	}
 	return show(s, read, func(writer io.Writer, status rolloutStatus) error {
-		fmt.Fprintf(writer, "newest in force      revision %d\n", status.Newest)
-		fmt.Fprintf(writer, "in force everywhere  revision %d (%d gateways)\n", status.Everywhere, status.Gateways)
-		printList(writer, "behind", status.Behind)
-		printList(writer, "did not answer", status.Silent)
+		fmt.Fprintf(writer, "newest revision      %d\n", status.Newest)
+		fmt.Fprintf(writer, "in use everywhere    %d (%d gateways)\n", status.Everywhere, status.Gateways)
+		printList(writer, "older revision", status.Behind)
+		printList(writer, "did not respond", status.Silent)
 		return nil
 	})
 }
@@ -90,7 +90,7 @@
 	header := table.Row{"Revision", "Time", "Author", "Change", "Fields"}
 	return show(s, s.client.ConfigHistory, func(writer io.Writer, history adminapi.ConfigHistory) error {
 		if len(history.Changes) == 0 {
-			fmt.Fprintln(writer, "no edit is recorded")
+			fmt.Fprintln(writer, "no edits")
 			return nil
 		}
 		return printTable(writer, header, lo.Map(history.Changes, func(change configuration.Change, _ int) table.Row {
@@ -100,10 +100,10 @@
 	})
 }
 
-// shownFields is the most fields of one edit that are named.
+// maxShownFields limits how many fields of an edit are listed.
 const maxShownFields = 3
 
-// fieldSummary names the first fields of an edit and counts the rest.
+// fieldSummary lists the first fields of an edit and counts the rest.
 func fieldSummary(fields []configuration.FieldChange) string {
 	names := lo.Map(fields, func(changed configuration.FieldChange, _ int) string { return changed.Field.String() })
 	if len(names) <= maxShownFields {
--- a/internal/operator/decisions.go
+++ b/internal/operator/decisions.go
@@ -18,21 +18,22 @@
 )
 
 const (
-	// timeLayout of decisions.
+	// timeLayout is the time format of decisions.
 	timeLayout = "15:04:05.000"
-	// followedAtStart is how many earlier decisions --follow shows by default.
+	// defaultFollowHistory is how many earlier decisions --follow shows by default.
 	defaultFollowHistory = 20
-	// overlap bounds the decisions of each gateway that may fall between the list and the stream.
+	// streamOverlap limits the decisions per gateway and kind that are sent again at the start of a stream, to cover
+	// those made between the list and the stream.
 	streamOverlap = 1000
-	// streamBuffer bounds the decisions that wait to be printed.
+	// streamBuffer limits the decisions that wait to be printed.
 	streamBuffer = 1024
 )
 
 // decisionsCommand shows the decisions of all gateways.
 type decisionsCommand struct {
-	Follow      bool   `help:"Go on showing decisions as they fall." short:"f"`
-	Last        int    `help:"Only so many of the latest; by default all that are kept, or 20 with --follow."`
-	ThisGateway bool   `help:"Only decisions of the gateway that is asked, not of all."`
+	Follow      bool   `help:"Show new decisions continuously." short:"f"`
+	Last        int    `help:"Show only this many of the latest; by default all retained ones, or 20 with --follow."`
+	ThisGateway bool   `help:"Only decisions of the gateway that responds, not of all gateways."`
 	Kind        string `help:"Only this kind, for example request, refusal or role."`
 	Worker      string `help:"Only decisions about this worker."`
 	Group       string `help:"Only decisions about this group."`
@@ -40,14 +41,14 @@
 	Subject     string `help:"Only decisions with exactly this subject."`
 }
 
-// Validate checks what the types of the flags cannot say.
+// Validate implements the validation hook of kong.
 func (d decisionsCommand) Validate() error {
 	if d.Last < 0 {
-		return errors.Newf("--last is %d, allowed is 0 or more", d.Last)
+		return errors.Newf("--last is %d, must be 0 or more", d.Last)
 	}
 	if d.Kind != "" && !slices.Contains(decision.Kinds, decision.Kind(d.Kind)) {
 		names := lo.Map(decision.Kinds, func(kind decision.Kind, _ int) string { return string(kind) })
-		return errors.Newf("--kind: there is no kind %q; the kinds are %s", d.Kind, strings.Join(names, ", "))
+		return errors.Newf("--kind: no kind %q; the kinds are %s", d.Kind, strings.Join(names, ", "))
 	}
 	return nil
 }
@@ -66,7 +67,7 @@
 		return d.follow(s, records)
 	}
 	if len(records) == 0 {
-		fmt.Fprintln(s.stderr, "no decision that is kept fits")
+		fmt.Fprintln(s.stderr, "no matching decisions")
 	}
 	return s.print(adminapi.DecisionList{Decisions: d.latest(records, d.Last)}, func(writer io.Writer) error {
 		for _, record := range d.latest(records, d.Last) {
@@ -78,7 +79,7 @@
 	})
 }
 
-// latest returns the last of the records; all when last is zero.
+// latest returns the last records, or all if last is zero.
 func (d decisionsCommand) latest(records []decision.Record, last int) []decision.Record {
 	if last == 0 || len(records) <= last {
 		return records
@@ -86,7 +87,7 @@
 	return records[len(records)-last:]
 }
 
-// list returns the kept decisions, in order of time. Gateways that did not answer are named on the standard error.
+// list returns the retained decisions in time order. Gateways that did not respond are listed on standard error.
 func (d decisionsCommand) list(s *session) ([]decision.Record, error) {
 	ctx, cancel := s.withTimeout()
 	defer cancel()
@@ -108,13 +109,13 @@
 		records = append(records, response.value.Decisions...)
 	}
 	if failures == len(responses) {
-		return nil, errors.Newf("no gateway answered: %s", strings.Join(gaps, "; "))
+		return nil, errors.Newf("no gateway responded: %s", strings.Join(gaps, "; "))
 	}
 	printList(s.stderr, "missing", gaps)
 	return sortUnique(records), nil
 }
 
-// follow shows the latest decisions and then new ones, until the operator interrupts.
+// follow shows the latest decisions and then new ones, until the command is interrupted.
 func (d decisionsCommand) follow(s *session, initial []decision.Record) error {
 	seen := make(map[string]decision.Record)
 	for _, record := range initial {
@@ -135,7 +136,7 @@
 				return err
 			}
 		case record := <-records:
-			// A process that started again counts from 1, later.
+			// A process that was restarted numbers its decisions from 1 again, with later times.
 			if last, found := seen[record.Process]; found && record.Sequence <= last.Sequence && !record.Time.After(last.Time) {
 				continue
 			}
@@ -147,7 +148,7 @@
 	}
 }
 
-// streams follows each gateway. The second channel gets an error once no gateway is followed any more.
+// streams follows all gateways. The second channel receives an error once no stream is left.
 func (d decisionsCommand) streams(s *session) (<-chan decision.Record, <-chan error) {
 	records, ended := make(chan decision.Record, streamBuffer), make(chan error, 1)
 	targets := []target{}
@@ -165,18 +166,18 @@
 		group.Go(func() {
 			err := d.stream(s, client, records)
 			if s.context.Err() == nil {
-				fmt.Fprintf(s.stderr, "missing are the decisions of %s from now on: %v\n", strings.Join(client.Addresses(), ", "), err)
+				fmt.Fprintf(s.stderr, "decisions of %s are missing from now on: %v\n", strings.Join(client.Addresses(), ", "), err)
 			}
 		})
 	}
 	go func() {
 		group.Wait()
-		ended <- errors.New("no gateway is followed any more")
+		ended <- errors.New("all decision streams have ended")
 	}()
 	return records, ended
 }
 
-// stream hands on the decisions of one gateway.
+// stream sends the decisions of one gateway to a channel.
 func (d decisionsCommand) stream(s *session, client *adminapi.Client, records chan<- decision.Record) error {
 	filter := adminapi.StreamFilter{DecisionFilter: d.filter(), Latest: streamOverlap}
 	return client.Follow(s.context, filter, adminapi.StreamHandler{Decision: func(record decision.Record) error {
@@ -189,7 +190,7 @@
 	}})
 }
 
-// printStreamed writes one decision of a stream: a line of JSON, a YAML document, or a line for people.
+// printStreamed writes one decision of a stream: a line of JSON, a YAML document, or a line of text.
 func (s *session) printStreamed(record decision.Record) error {
 	switch s.output {
 	case outputJSON:
@@ -202,7 +203,7 @@
 	}
 }
 
-// printDecision writes one decision in a line.
+// printDecision writes one decision as a line of text.
 func printDecision(writer io.Writer, record decision.Record) error {
 	outcome := lo.Ternary(record.Outcome == "", "", " -> "+record.Outcome)
 	_, err := fmt.Fprintf(writer, "%s %s %-13s %s%s: %s\n",
--- a/internal/operator/edit.go
+++ b/internal/operator/edit.go
@@ -15,18 +15,18 @@
 	"github.com/granitebay/granitebay/internal/configuration"
 )
 
-// waitInterval is the time between two looks at whether a revision is in force everywhere.
+// rolloutPollInterval is how often the rollout of a revision is checked.
 const rolloutPollInterval = 200 * time.Millisecond
 
 // editFlags are the flags of all commands that edit the configuration.
 type editFlags struct {
-	Author   string        `help:"Who makes the edit, for the history." env:"USER"`
-	ChangeID string        `help:"Change id of an earlier try whose outcome is unknown; by default a new one."`
+	Author   string        `help:"Author of the edit, recorded in the history." env:"USER"`
+	ChangeID string        `help:"Change id of an earlier attempt whose outcome is unknown; by default a new one."`
 	DryRun   bool          `help:"Only show what the edit would do."`
-	Wait     time.Duration `help:"Wait so long until the edit is in force everywhere."`
+	Wait     time.Duration `help:"Wait up to this long until all gateways use the edit."`
 }
 
-// propose proposes an edit and prints what became of it.
+// propose proposes an edit and prints the result.
 func (f editFlags) propose(s *session, ctx context.Context, base uint64, edits []configuration.Edit) error {
 	request := configuration.EditRequest{ChangeID: f.ChangeID, Author: f.Author, BaseRevision: base, Edits: edits}
 	if request.ChangeID == "" {
@@ -48,13 +48,13 @@
 	return waitForRollout(s, result.Revision, f.Wait)
 }
 
-// printResult writes the result of an edit for people.
+// printResult writes the result of an edit as text.
 func printResult(writer io.Writer, result adminapi.EditResult) error {
 	switch result.Outcome {
 	case adminapi.EditAccepted:
 		fmt.Fprintf(writer, "accepted as revision %d (change %s)\n", result.Revision, result.ChangeID)
 	case adminapi.EditUnchanged:
-		fmt.Fprintf(writer, "nothing to change; revision %d stays\n", result.Revision)
+		fmt.Fprintf(writer, "nothing to change; the revision is still %d\n", result.Revision)
 	case adminapi.EditPreview:
 		printConsequences(writer, *result.Consequences)
 	}
@@ -66,8 +66,8 @@
 		fmt.Fprintln(writer, "nothing would change")
 	}
 	printList(writer, "changes", consequences.Differences)
-	printList(writer, "workers that change their group", consequences.WorkerMoves)
-	printList(writer, "requests that change their rule", consequences.RequestMoves)
+	printList(writer, "workers that change groups", consequences.WorkerMoves)
+	printList(writer, "requests that change rules", consequences.RequestMoves)
 	printList(writer, "warnings", consequences.Warnings)
 }
 
@@ -90,7 +90,7 @@
 	}
 }
 
-// conflictError names each field and the other edit.
+// conflictError returns an error that lists each conflicting field and the other edit.
 func conflictError(result adminapi.EditResult) error {
 	lines := []string{result.Error}
 	for _, conflict := range result.Conflicts {
@@ -99,7 +99,7 @@
 	return errors.New(strings.Join(lines, "\n"))
 }
 
-// faultsError lists faults, one in a line.
+// faultsError returns an error that lists validation errors, one per line.
 func faultsError(heading string, faults configuration.FieldErrors) error {
 	lines := []string{fmt.Sprintf("%s: %d faults", heading, len(faults))}
 	for _, fault := range faults {
@@ -108,19 +108,19 @@
 	return badInput(errors.New(strings.Join(lines, "\n")))
 }
 
-// waitInForce waits until a revision is in force everywhere.
+// waitForRollout waits until all gateways use a revision.
 func waitForRollout(s *session, revision uint64, wait time.Duration) error {
 	ctx, cancel := context.WithTimeout(s.context, wait)
 	defer cancel()
 	for {
 		status := queryRollout(ctx, s)
 		if status.Gateways > 0 && !status.incomplete && status.Everywhere >= revision {
-			fmt.Fprintf(s.stderr, "revision %d is in force everywhere\n", revision)
+			fmt.Fprintf(s.stderr, "revision %d is in use by all gateways\n", revision)
 			return nil
 		}
 		select {
 		case <-ctx.Done():
-			return errors.Newf("revision %d is accepted and not yet known to be in force everywhere after %s; see %s config status", revision, wait, Name)
+			return errors.Newf("revision %d was accepted, but after %s not all gateways are known to use it; see %s config status", revision, wait, Name)
 		case <-time.After(rolloutPollInterval):
 		}
 	}
@@ -150,12 +150,12 @@
 		return err
 	}
 	if workers, err := s.client.Workers(ctx); err == nil && !lo.ContainsBy(workers, func(each adminapi.WorkerStatus) bool { return each.Address == l.Name }) {
-		fmt.Fprintf(s.stderr, "note: no worker at %s is known now; the labels count once one is there\n", l.Name)
+		fmt.Fprintf(s.stderr, "note: no worker at %s is known; the labels take effect when it appears\n", l.Name)
 	}
 	return l.propose(s, ctx, document.Revision, edits)
 }
 
-// labelEdits turns KEY=VALUE and KEY- into edits.
+// labelEdits parses KEY=VALUE and KEY- arguments.
 func labelEdits(workerName string, arguments []string) ([]configuration.Edit, error) {
 	var edits []configuration.Edit
 	for _, argument := range arguments {
--- a/internal/operator/explain.go
+++ b/internal/operator/explain.go
@@ -19,7 +19,7 @@
 	"github.com/granitebay/granitebay/internal/decision"
 )
 
-// processTimeout bounds the time in which one of several processes answers.
+// gatewayTimeout limits how long one of several gateways may take to respond.
 const gatewayTimeout = 5 * time.Second
 
 // explainCommand shows all decisions about one request, from all gateways.
@@ -27,11 +27,11 @@
 	Request string `arg:"" help:"Id of the request."`
 }
 
-// explained is what all processes know of a request.
+// explainResult is what all gateways know about a request.
 type explainResult struct {
 	Request   string            `json:"request"`
 	Decisions []decision.Record `json:"decisions"`
-	// Gaps name what may be missing, one in a sentence.
+	// Gaps describe what may be missing, one sentence each.
 	Gaps []string `json:"gaps,omitempty"`
 }
 
@@ -41,13 +41,13 @@
 	defer cancel()
 	result := e.collect(ctx, s)
 	if len(result.Decisions) == 0 {
-		return errors.Newf("no gateway that was asked has a decision about request %s%s", e.Request,
+		return errors.Newf("no gateway has a decision about request %s%s", e.Request,
 			strings.Join(lo.Map(result.Gaps, func(gap string, _ int) string { return "\n  " + gap }), ""))
 	}
 	return s.print(result, func(writer io.Writer) error { return printExplainResult(writer, result) })
 }
 
-// collect asks all processes and puts their decisions in order of time.
+// collect queries all gateways and merges their decisions in time order.
 func (e explainCommand) collect(ctx context.Context, s *session) explainResult {
 	targets, gaps := gatewayTargets(ctx, s)
 	responses := queryAll(ctx, targets, func(ctx context.Context, client *adminapi.Client) (adminapi.Explanation, error) {
@@ -72,37 +72,39 @@
 	return result
 }
 
-// forgotten names a process that may have dropped decisions about a request, because it has none from that time.
+// retentionGap returns a gap if a gateway may have dropped decisions about a request, because the retained ones are
+// newer.
 func retentionGap(request string, explanation adminapi.Explanation) []string {
 	_, unique, _ := strings.Cut(request, "/")
 	id, err := ulid.ParseStrict(unique)
 	if err != nil || !explanation.KeptSince.After(ulid.Time(id.Time())) {
 		return nil
 	}
-	return []string{fmt.Sprintf("%s has decisions only since %s, which is after the request came",
+	return []string{fmt.Sprintf("%s has decisions only since %s, which is after the request arrived",
 		explanation.Gateway, explanation.KeptSince.UTC().Format(time.RFC3339))}
 }
 
-// process is a gateway to ask.
+// target is a gateway to query.
 type target struct {
-	// name is empty for a given address whose gateway is not known yet.
+	// name is empty for a given address whose gateway is not known.
 	name    string
 	address string
 }
 
-// gap tells why a process did not answer.
+// describeFailure describes why a gateway did not respond.
 func (p target) describeFailure(err error) string {
 	if p.address == "" {
-		return fmt.Sprintf("%s was not asked: its admin address is not known", p.name)
+		return fmt.Sprintf("%s was not queried: its admin address is not known", p.name)
 	}
-	return fmt.Sprintf("%s at %s did not answer: %v", lo.CoalesceOrEmpty(p.name, "gateway"), p.address, err)
+	return fmt.Sprintf("%s at %s did not respond: %v", lo.CoalesceOrEmpty(p.name, "gateway"), p.address, err)
 }
 
-// gatewayProcesses returns the given addresses and all gateways that a gateway knows, and what is missing.
+// gatewayTargets returns the gateways that are listed by a gateway and the given addresses, and describes what is
+// missing.
 func gatewayTargets(ctx context.Context, s *session) (targets []target, gaps []string) {
 	gateways, err := s.client.Gateways(ctx)
 	if err != nil {
-		gaps = append(gaps, fmt.Sprintf("only the given gateways were asked, because none listed the others: %v", err))
+		gaps = append(gaps, fmt.Sprintf("only the given gateways were queried, because listing the others failed: %v", err))
 	}
 	targets = lo.Map(gateways, func(gateway adminapi.PeerStatus, _ int) target {
 		return target{name: gateway.Name, address: gateway.AdminAddress}
@@ -116,17 +118,17 @@
 	return targets, gaps
 }
 
-// answer of one process.
+// response is the response of one gateway.
 type response[T any] struct {
 	target target
 	value  T
 	err    error
 }
 
-// errNoAdminAddress is the error of a process whose address is not known.
-var errNoAdminAddress = errors.New("its admin address is not known")
+// errNoAdminAddress is the error for a gateway without a known admin address.
+var errNoAdminAddress = errors.New("admin address is not known")
 
-// askAll asks all processes at once, so that one that hangs costs its own time only.
+// queryAll queries all gateways in parallel, so that a slow one does not delay the others.
 func queryAll[T any](ctx context.Context, targets []target, query func(context.Context, *adminapi.Client) (T, error)) []response[T] {
 	responses := make([]response[T], len(targets))
 	var group sync.WaitGroup
@@ -145,7 +147,7 @@
 	return responses
 }
 
-// inOrder returns each record once, in order of time.
+// sortUnique returns the records in time order without duplicates.
 func sortUnique(records []decision.Record) []decision.Record {
 	records = lo.UniqBy(records, func(record decision.Record) string {
 		return fmt.Sprintf("%s/%d/%d", record.Process, record.Sequence, record.Time.UnixNano())
--- a/internal/operator/explain_test.go
+++ b/internal/operator/explain_test.go
@@ -11,7 +11,7 @@
 	"github.com/granitebay/granitebay/internal/decision"
 )
 
-// checkOrder checks that a text holds others, in this order.
+// assertOrder checks that a text contains strings in the given order.
 func assertOrder(t *testing.T, text string, order ...string) {
 	t.Helper()
 	rest := text
@@ -24,7 +24,7 @@
 	}
 }
 
-// TestExplainFindsAllGateways asks one gateway, which knows the others.
+// TestExplainQueriesListedGateways queries one gateway, which lists the others.
 func TestExplainQueriesListedGateways(t *testing.T) {
 	arrival := time.Unix(1_700_000_000, 0).UTC()
 	request := "cafe-1/" + ulid.MustNew(ulid.Timestamp(arrival), strings.NewReader("0123456789")).String()
@@ -42,10 +42,10 @@
 		t.Fatalf("exit code %d, %q", code, stderr)
 	}
 	assertOrder(t, stdout, "2 decisions", "First.", "Second.", "gaps",
-		"gateway-a-1 has decisions only since 2023-11-14T22:13:20Z, which is after the request came",
-		"gateway-c-1 at "+unreachable+" did not answer", "gateway-d-1 was not asked: its admin address is not known")
+		"gateway-a-1 has decisions only since 2023-11-14T22:13:20Z, which is after the request arrived",
+		"gateway-c-1 at "+unreachable+" did not respond", "gateway-d-1 was not queried: its admin address is not known")
 	if strings.Contains(stdout, "gateway-b-1 has decisions only since") {
-		t.Errorf("a gap is named that is none: %q", stdout)
+		t.Errorf("unexpected gap: %q", stdout)
 	}
 }
 
--- a/internal/operator/files.go
+++ b/internal/operator/files.go
@@ -11,16 +11,16 @@
 	"github.com/granitebay/granitebay/internal/configuration"
 )
 
-// fileFlag names a file with a configuration.
+// fileFlag is the flag for a configuration file.
 type fileFlag struct {
-	File string `help:"File with the configuration, YAML or JSON; - for the standard input." short:"f" required:"" placeholder:"FILE"`
+	File string `help:"Configuration file, YAML or JSON; - for standard input." short:"f" required:"" placeholder:"FILE"`
 }
 
-// read reads and checks the file. All faults are in the one error.
+// read reads and validates the file. The error lists all problems.
 func (f fileFlag) read() (configuration.Document, error) {
 	data, err := f.data()
 	if err != nil {
-		return configuration.Document{}, badInput(errors.Wrap(err, "read the configuration"))
+		return configuration.Document{}, badInput(errors.Wrap(err, "read the configuration file"))
 	}
 	document, faults := configuration.ParseAndValidate(data)
 	if len(faults) > 0 {
@@ -36,7 +36,7 @@
 	return os.ReadFile(f.File)
 }
 
-// base returns the revision that a file was made from: the one in its status, or the one in force when it has none.
+// baseRevision returns the revision that a file is based on: the one in its status, or the current one if it has none.
 func baseRevision(s *session, ctx context.Context, document configuration.Document) (uint64, error) {
 	if document.Revision > 0 {
 		return document.Revision, nil
@@ -45,8 +45,8 @@
 	return current.Revision, err
 }
 
-// applyCommand puts the configuration of a file in force. Edits of others since the revision in the file's status are
-// kept, as long as they touch other fields.
+// applyCommand applies the configuration in a file. Edits made by others since the revision in the file's status are
+// kept if they touch other fields.
 type applyCommand struct {
 	fileFlag
 	editFlags
@@ -67,7 +67,7 @@
 	return a.propose(s, ctx, revision, []configuration.Edit{configuration.Apply(document.Spec)})
 }
 
-// diffCommand shows what applying a file would do.
+// diffCommand shows what applying a file would change.
 type diffCommand struct{ fileFlag }
 
 // Run previews the file.
@@ -75,10 +75,10 @@
 	return applyCommand{fileFlag: d.fileFlag, editFlags: editFlags{DryRun: true}}.Run(s)
 }
 
-// validateCommand checks a file.
+// validateCommand validates a file.
 type validateCommand struct{ fileFlag }
 
-// Run checks the file.
+// Run validates the file.
 func (v validateCommand) Run(s *session) error {
 	document, err := v.read()
 	if err != nil {
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,5 +1,5 @@
-// Package operator is the command line of operators. It talks to any gateway and changes the fleet only by changing
-// labels, selectors and the rest of the configuration.
+// Package operator implements the command-line tool for operators. It talks to any gateway, and changes the fleet only
+// by editing labels, selectors and other parts of the configuration.
 package operator
 
 import (
@@ -16,28 +16,28 @@
 	"github.com/granitebay/granitebay/internal/command"
 )
 
-// Name of the program.
+// Name is the name of the program.
 const Name = "granitebay"
 
-// description is the first part of the help.
+// description is the first paragraph of the help.
 const description = "Shows the fleet and changes its labels, groups and rules."
 
-// grammar is the whole command line.
+// cli defines the command line.
 type cli struct {
-	Gateway []string      `help:"Gateways to ask, host:port of their admin API; the next one is asked when one cannot be reached." default:"127.0.0.1:9464" env:"GRANITEBAY_GATEWAY" sep:"," placeholder:"HOST:PORT"`
+	Gateway []string      `help:"Addresses (host:port) of the admin API of gateways; they are tried in order until one can be reached." default:"127.0.0.1:9464" env:"GRANITEBAY_GATEWAY" sep:"," placeholder:"HOST:PORT"`
 	Output  string        `help:"Output format: table, json or yaml." short:"o" enum:"table,json,yaml" default:"table"`
-	Timeout time.Duration `help:"How long to wait for one command." default:"30s"`
+	Timeout time.Duration `help:"Time limit for one command." default:"30s"`
 
 	Status    statusCommand    `cmd:"" help:"Show the status of the fleet."`
 	Get       getCommand       `cmd:"" help:"Show workers, groups, rules, gateways, tenants, barred requests, capacity, usage or the configuration."`
 	Label     labelCommand     `cmd:"" help:"Set or remove labels."`
-	Apply     applyCommand     `cmd:"" help:"Put the configuration of a file in force."`
-	Diff      diffCommand      `cmd:"" help:"Show what applying a file would do."`
-	Validate  validateCommand  `cmd:"" help:"Check a file, without a gateway."`
-	Config    configCommand    `cmd:"" help:"Show how far the configuration got around, and its edits."`
-	Decisions decisionsCommand `cmd:"" help:"Show what the system decided and why."`
-	Explain   explainCommand   `cmd:"" help:"Show all decisions about one request, from the gateway that served it."`
-	Release   releaseCommand   `cmd:"" help:"Let a barred request go to workers again."`
+	Apply     applyCommand     `cmd:"" help:"Apply the configuration in a file."`
+	Diff      diffCommand      `cmd:"" help:"Show what applying a file would change."`
+	Validate  validateCommand  `cmd:"" help:"Validate a file without contacting a gateway."`
+	Config    configCommand    `cmd:"" help:"Show the rollout of the configuration, or its edits."`
+	Decisions decisionsCommand `cmd:"" help:"Show decisions of the system and their reasons."`
+	Explain   explainCommand   `cmd:"" help:"Show all decisions about one request, from all gateways."`
+	Release   releaseCommand   `cmd:"" help:"Allow a barred request to be sent to workers again."`
 	Version   versionCommand   `cmd:"" help:"Print the version."`
 
 	Order    unsupportedCommand `cmd:"" hidden:""`
@@ -48,7 +48,7 @@
 	Stop     unsupportedCommand `cmd:"" hidden:""`
 }
 
-// session is what a command works with.
+// session holds what commands need.
 type session struct {
 	context context.Context
 	client  *adminapi.Client
@@ -58,27 +58,27 @@
 	timeout time.Duration
 }
 
-// limited returns a context that ends with the time for one command.
+// withTimeout returns a context with the time limit of one command.
 func (s *session) withTimeout() (context.Context, context.CancelFunc) {
 	return context.WithTimeout(s.context, s.timeout)
 }
 
-// inputError is an error of what the operator gave. Nothing was done.
+// inputError is an error caused by invalid input. Nothing was done.
 type inputError struct{ cause error }
 
-// Error returns the text of the cause.
+// Error implements error.
 func (e *inputError) Error() string { return e.cause.Error() }
 
 // Unwrap returns the cause.
 func (e *inputError) Unwrap() error { return e.cause }
 
-// badInput marks an error as one of the input.
+// badInput marks an error as caused by invalid input.
 func badInput(cause error) error { return &inputError{cause: cause} }
 
-// exitRequest is raised when the parser wants to end the program, for example after printing the help.
+// exitRequest is the panic value with which the parser ends the program, for example after printing the help.
 type exitRequest struct{ code int }
 
-// Run runs one command line, without the name of the program, and returns the exit code.
+// Run runs a command line, given without the program name, and returns the exit code.
 func Run(ctx context.Context, arguments []string, stdout, stderr io.Writer) (code int) {
 	defer func() {
 		if value := recover(); value != nil {
@@ -114,7 +114,7 @@
 	)
 }
 
-// report prints an error and returns the exit code that fits.
+// report prints an error and returns its exit code.
 func report(stderr io.Writer, err error) int {
 	if err == nil {
 		return command.ExitOK
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -28,7 +28,7 @@
 	mutex     sync.Mutex
 	document  configuration.Document
 	decisions []decision.Record
-	// gateways that it knows, itself included or not.
+	// gateways that it lists; may include itself.
 	gateways []adminapi.PeerStatus
 }
 
@@ -72,7 +72,7 @@
 	return adminapi.DecisionFilter{Since: since}.Select(g.decisions)
 }
 
-// serve starts a gateway on loopback with the example of Fès as its first edit, and returns its address.
+// startGateway starts a gateway on loopback with the Fès example as its first edit, and returns its address.
 func startGateway(t *testing.T, gateway *fakeGateway) string {
 	t.Helper()
 	example, err := configuration.Example(configuration.ExampleFes)
@@ -91,7 +91,7 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// runLine runs a command line against gateways and returns the exit code and what it printed.
+// runCommand runs a command line against gateways and returns the exit code and the output.
 func runCommand(t *testing.T, gateways string, arguments ...string) (code int, stdout, stderr string) {
 	t.Helper()
 	var out, errs bytes.Buffer
@@ -99,7 +99,7 @@
 	return code, out.String(), errs.String()
 }
 
-// barredRequest is the digest of the request that the fake gateway has barred.
+// barredRequest is the digest of the request that the fake gateway bars.
 const barredRequest = "00112233445566778899aabbccddeeff"
 
 // unreachable is an address on which nothing listens.
@@ -110,7 +110,7 @@
 		desc      string
 		arguments []string
 		code      int
-		// stdout and stderr that the command must print, among others.
+		// stdout and stderr are strings that the output must contain.
 		stdout, stderr []string
 	}{
 		{desc: "help", arguments: []string{"--help"}, stdout: []string{"Exit codes: 0 done, 1 failed, 2 bad"}},
@@ -122,7 +122,7 @@
 		{desc: "configuration", arguments: []string{"get", "config"}, stdout: []string{"revision: 1", "tenantInFlight: 16"}},
 		{desc: "label", arguments: []string{"label", "worker", "w1", "pool=x", "rack=7"}, stdout: []string{"accepted as revision 2"}},
 		{desc: "label already there", arguments: []string{"label", "worker", "w1", "pool=counter"}, stdout: []string{"nothing to change"}},
-		{desc: "label removed", arguments: []string{"label", "worker", "w1", "pool-", "--wait", "5s"}, stderr: []string{"in force everywhere"}},
+		{desc: "label removed", arguments: []string{"label", "worker", "w1", "pool-", "--wait", "5s"}, stderr: []string{"in use by all gateways"}},
 		{
 			desc: "dry run", arguments: []string{"label", "worker", "w1", "pool-", "--dry-run"},
 			stdout: []string{"label pool of worker w1: removed", "worker w1: counter -> none"},
@@ -132,7 +132,7 @@
 		{desc: "one kind of object in the singular", arguments: []string{"get", "worker"}, stdout: []string{"w1"}},
 		{desc: "label of an unknown worker", arguments: []string{"label", "worker", "w9", "pool=x"}, stdout: []string{"accepted"}, stderr: []string{"no worker at w9 is known"}},
 		{desc: "unknown kind of decisions", arguments: []string{"decisions", "--kind", "reboot"}, code: 2, stderr: []string{`no kind "reboot"`, "role"}},
-		{desc: "no decision", arguments: []string{"decisions", "--kind", "role"}, stderr: []string{"no decision that is kept fits"}},
+		{desc: "no decision", arguments: []string{"decisions", "--kind", "role"}, stderr: []string{"no matching decisions"}},
 		{desc: "missing file", arguments: []string{"apply", "-f", "testdata/none.yaml"}, code: 2, stderr: []string{"none.yaml"}},
 		{desc: "barred requests", arguments: []string{"get", "barred"}, stdout: []string{barredRequest, "quick", "i-1,i-2,i-3", "2023-11-14T22:13:20Z"}},
 		{desc: "release", arguments: []string{"release", barredRequest}, stdout: []string{"request " + barredRequest + " is released"}},
@@ -175,7 +175,7 @@
 	}
 }
 
-// TestAddressAsURL takes an address as the demo and browsers show it.
+// TestAddressAsURL passes the address as a URL.
 func TestAddressAsURL(t *testing.T) {
 	code, stdout, stderr := runCommand(t, "http://"+startGateway(t, &fakeGateway{name: "gateway-a-1"})+"/", "status")
 	if code != 0 || !strings.Contains(stdout, "gateway-a-1") {
@@ -190,7 +190,7 @@
 	}
 }
 
-// TestFileOfAnOlderRevision edits a file that was read before another operator's edit.
+// TestApplyFileOfOlderRevision applies a file that was read before another operator's edit.
 func TestApplyFileOfOlderRevision(t *testing.T) {
 	address := startGateway(t, &fakeGateway{name: "gateway-a-1"})
 	_, text, _ := runCommand(t, address, "get", "config")
@@ -239,7 +239,7 @@
 	for _, want := range order {
 		_, rest, found := strings.Cut(stdout, want)
 		if code != 0 || !found {
-			t.Fatalf("exit code %d, %q, want %q in this place", code, stdout, want)
+			t.Fatalf("exit code %d, %q, want %q at this point", code, stdout, want)
 		}
 		stdout = rest
 	}
--- a/internal/operator/output.go
+++ b/internal/operator/output.go
@@ -13,17 +13,17 @@
 	"sigs.k8s.io/yaml"
 )
 
-// outputFormat is how values are printed.
+// outputFormat is the format in which values are printed.
 type outputFormat string
 
-// The output formats.
+// Output formats.
 const (
 	outputTable outputFormat = "table"
 	outputJSON  outputFormat = "json"
 	outputYAML  outputFormat = "yaml"
 )
 
-// print writes a value as JSON or YAML, or calls the function that prints it for people.
+// print writes a value as JSON or YAML, or calls printText for the table format.
 func (s *session) print(value any, printText func(io.Writer) error) error {
 	switch s.output {
 	case outputJSON:
@@ -50,7 +50,7 @@
 	return err
 }
 
-// printTable writes rows under a header, without lines between them.
+// printTable writes a header and rows without separators.
 func printTable(writer io.Writer, header table.Row, rows []table.Row) error {
 	output := table.NewWriter()
 	style := table.StyleDefault
@@ -67,7 +67,7 @@
 	return err
 }
 
-// printList writes a heading and one line for each entry, or nothing when there are none.
+// printList writes a heading and one line per entry. It writes nothing if there are no entries.
 func printList[T any](writer io.Writer, heading string, entries []T) {
 	if len(entries) == 0 {
 		return
@@ -78,14 +78,14 @@
 	}
 }
 
-// counts writes numbers by name, in order of name, as in "decode 8, prefill 4".
+// formatCounts formats numbers by name, sorted by name, as in "decode 8, prefill 4".
 func formatCounts(numbers map[string]int) string {
 	return joinSorted(numbers, ", ", func(name string, number int) string {
 		return fmt.Sprintf("%s %d", lo.CoalesceOrEmpty(name, "none"), number)
 	})
 }
 
-// pairs writes labels in order of key, as in "pool=counter,zone=zone-a".
+// formatLabels formats labels sorted by key, as in "pool=counter,zone=zone-a".
 func formatLabels(labels map[string]string) string {
 	return joinSorted(labels, ",", func(key, value string) string { return key + "=" + value })
 }
@@ -96,5 +96,5 @@
 	return strings.Join(lo.Map(keys, func(key string, _ int) string { return write(key, values[key]) }), separator)
 }
 
-// orNone writes a dash for nothing.
+// orDash returns a dash for an empty value.
 func orDash(value string) string { return lo.CoalesceOrEmpty(value, "-") }
--- a/internal/operator/resources.go
+++ b/internal/operator/resources.go
@@ -16,7 +16,7 @@
 func (getTenants) Run(s *session) error {
 	header := table.Row{"Name", "Keys", "Priority", "Version"}
 	return showTable(s, s.client.Tenants, header, func(tenant adminapi.TenantStatus) table.Row {
-		priority := "of the rule"
+		priority := "from rule"
 		if tenant.Priority != nil {
 			priority = fmt.Sprint(*tenant.Priority)
 		}
@@ -38,7 +38,7 @@
 
 type getUsage struct{}
 
-// Run shows what became of windows of usage.
+// Run shows the state of usage reports.
 func (getUsage) Run(s *session) error {
 	return show(s, s.client.Usage, func(w io.Writer, usage adminapi.UsageStatus) error {
 		fmt.Fprintf(w, "gateway %s: %d windows agreed on, %d sent, %d of them late, %d calls failed, superseded %d times\n",
--- a/internal/operator/show.go
+++ b/internal/operator/show.go
@@ -14,7 +14,7 @@
 	"github.com/granitebay/granitebay/internal/configuration"
 )
 
-// statusCommand shows the status of the gateway that answers.
+// statusCommand shows the status of the gateway that responds.
 type statusCommand struct{}
 
 // Run shows the status.
@@ -22,13 +22,13 @@
 	return show(s, s.client.Status, func(writer io.Writer, status adminapi.GatewayStatus) error {
 		fmt.Fprintf(writer, "gateway         %s (%s), version %s\n", status.Gateway, status.Zone, status.Version)
 		fmt.Fprintf(writer, "ready           %t%s\n", status.Ready, lo.Ternary(status.Stopping, ", stopping", ""))
-		fmt.Fprintf(writer, "configuration   routes version %d, rules by labels revision %d; the store was followed %d ms ago\n",
+		fmt.Fprintf(writer, "configuration   routes version %d, label configuration revision %d, in sync with the store %d ms ago\n",
 			status.RouteVersion, status.Revision, status.StoreAgeMillis)
-		fmt.Fprintf(writer, "gateways        %d, callers are sent to %d%s\n", status.Gateways, status.Entries,
-			lo.Ternary(status.Entry, ", this one among them", ""))
+		fmt.Fprintf(writer, "gateways        %d, callers are directed to %d%s\n", status.Gateways, status.Entries,
+			lo.Ternary(status.Entry, ", including this one", ""))
 		fmt.Fprintf(writer, "workers         %s\n", formatCounts(status.Workers))
-		fmt.Fprintf(writer, "orders          %s\n", lo.Ternary(status.GivesOrders, "given by this gateway", "given by another gateway"))
-		fmt.Fprintf(writer, "requests        %d in hand here\n", status.InHand)
+		fmt.Fprintf(writer, "orders          %s\n", lo.Ternary(status.GivesOrders, "sent by this gateway", "sent by another gateway"))
+		fmt.Fprintf(writer, "requests        %d in progress at this gateway\n", status.InHand)
 		printList(writer, "warnings", status.Warnings)
 		return nil
 	})
@@ -38,16 +38,16 @@
 type getCommand struct {
 	Workers  getWorkers  `cmd:"" aliases:"worker" help:"Show all workers."`
 	Groups   getGroups   `cmd:"" aliases:"group" help:"Show all groups."`
-	Rules    getRules    `cmd:"" aliases:"rule" help:"Show all rules, in the order in which they are tried."`
+	Rules    getRules    `cmd:"" aliases:"rule" help:"Show all rules, in the order in which they are matched."`
 	Gateways getGateways `cmd:"" aliases:"gateway" help:"Show all gateways."`
 	Tenants  getTenants  `cmd:"" aliases:"tenant" help:"Show all tenants, without their keys."`
-	Barred   getBarred   `cmd:"" help:"Show the requests that go to no worker, because workers ended under them."`
-	Capacity getCapacity `cmd:"" help:"Show the workers that can be ordered: there, wanted, and why."`
-	Usage    getUsage    `cmd:"" help:"Show what became of windows of usage at the gateway that answers."`
-	Config   getConfig   `cmd:"" help:"Show the configuration in force, as a file for apply."`
+	Barred   getBarred   `cmd:"" help:"Show requests that are not sent to workers, because workers exited while serving them."`
+	Capacity getCapacity `cmd:"" help:"Show existing and wanted workers by zone, with price and demand."`
+	Usage    getUsage    `cmd:"" help:"Show the state of usage reports at the gateway that responds."`
+	Config   getConfig   `cmd:"" help:"Show the current configuration, in the format that apply reads."`
 }
 
-// show reads a value and prints it.
+// show fetches a value and prints it.
 func show[T any](s *session, read func(context.Context) (T, error), printText func(io.Writer, T) error) error {
 	ctx, cancel := s.withTimeout()
 	defer cancel()
@@ -58,7 +58,7 @@
 	return s.print(value, func(writer io.Writer) error { return printText(writer, value) })
 }
 
-// showTable reads a list and prints one row for each entry.
+// showTable fetches a list and prints it as a table.
 func showTable[T any](s *session, read func(context.Context) ([]T, error), header table.Row, row func(T) table.Row) error {
 	return show(s, read, func(writer io.Writer, list []T) error {
 		return printTable(writer, header, lo.Map(list, func(entry T, _ int) table.Row { return row(entry) }))
@@ -87,7 +87,7 @@
 	})
 }
 
-// limit is how many requests a second a worker takes, how many of them this gateway may send, and how old that is.
+// formatLimit formats the request rate of a worker, the share of this gateway, and how long ago it was announced.
 func formatLimit(status *adminapi.LimitStatus) string {
 	if status == nil {
 		return orDash("")
@@ -100,7 +100,7 @@
 
 // Run shows the groups.
 func (getGroups) Run(s *session) error {
-	header := table.Row{"Name", "Of", "Workers", "Roles", "Running", "Reading"}
+	header := table.Row{"Name", "Service", "Workers", "Roles", "Running", "Reading"}
 	return showTable(s, s.client.Groups, header, func(group adminapi.GroupStatus) table.Row {
 		return table.Row{group.Name, orDash(group.Of), group.Workers, formatCounts(group.Roles), group.Running, group.ReadingTokens}
 	})
@@ -133,7 +133,7 @@
 
 type getConfig struct{}
 
-// Run shows the configuration without its history, which has a command of its own.
+// Run shows the configuration without its history, which config history shows.
 func (getConfig) Run(s *session) error {
 	read := func(ctx context.Context) (configuration.Document, error) {
 		document, err := s.client.Configuration(ctx)
--- a/internal/operator/unsupported.go
+++ b/internal/operator/unsupported.go
@@ -8,12 +8,12 @@
 	"github.com/samber/lo"
 )
 
-// refusedCommand stands for commands to a single worker, which do not exist.
+// unsupportedCommand handles commands to a single worker, which are not supported.
 type unsupportedCommand struct {
 	Arguments []string `arg:"" optional:"" passthrough:""`
 }
 
-// Run says which label or field to set instead.
+// Run returns an error that names the label or field to edit instead.
 func (r unsupportedCommand) Run(kctx *kong.Context) error {
 	name, found := lo.Find(r.Arguments, func(argument string) bool { return !strings.HasPrefix(argument, "-") })
 	if !found {
@@ -21,23 +21,23 @@
 	}
 	verb := kctx.Command()
 	verb, _, _ = strings.Cut(verb, " ")
-	return badInput(errors.Newf("there is no command %q: workers take no commands, only labels and selectors move them.\n%s",
+	return badInput(errors.Newf("there is no command %q: workers are not controlled directly, only with labels and selectors.\n%s",
 		verb, strings.ReplaceAll(alternative(verb), "WORKER", name)))
 }
 
-// instead names the edit that has the effect of a command.
+// alternative returns the edit that has the effect of a command.
 func alternative(verb string) string {
 	switch verb {
 	case "order":
 		return "To change roles, edit roleFloors of the worker's group: granitebay apply -f FILE.\n" +
 			"To move one worker, change its labels: granitebay label worker WORKER pool=GROUP"
 	case "restart":
-		return "Workers are restarted by the platform. To let one run empty first, take it out of its group, as far as its\n" +
-			"group selects the label pool: granitebay label worker WORKER pool-"
+		return "Workers are restarted by the platform. To drain one first, remove it from its group. If the selector of its\n" +
+			"group uses the label pool: granitebay label worker WORKER pool-"
 	case "uncordon":
-		return "To give a worker new work, set the label that its group selects: granitebay label worker WORKER pool=GROUP"
+		return "To send requests to a worker again, set the label that the selector of its group uses: granitebay label worker WORKER pool=GROUP"
 	default:
-		return "To let a worker run empty, take it out of its group by removing the label that the group selects:\n" +
-			"granitebay label worker WORKER pool-\nSee the selectors with: granitebay get groups"
+		return "To drain a worker, remove it from its group by removing the label that the selector of the group uses:\n" +
+			"granitebay label worker WORKER pool-\nTo see the selectors, run: granitebay get config"
 	}
 }
