--- a/internal/adminpage/assets/decisions.js
+++ b/internal/adminpage/assets/decisions.js
@@ -1,21 +1,21 @@
-// Follows the decisions of this gateway and shows them, newest first.
+// Shows the decisions of this gateway live, newest first.
 import { element, find } from "./dom.js";
-import { clock, kinds, kindWords } from "./words.js";
+import { clock, kinds, kindLabel } from "./words.js";
 
-const keptPerKind = 300; // so that routine decisions do not push out rare ones
-const askedPerKind = 50; // at the start
-const shown = 60;
+const maxKeptPerKind = 300; // per kind, so that frequent kinds do not displace rare ones
+const initialPerKind = 50; // requested when the stream opens
+const maxShown = 60;
 const drawInterval = 500;
-const silence = 12000; // heartbeats come each 5 s
-const fleetChanges = "!fleet";
-const everything = "!all";
+const heartbeatTimeout = 12000; // heartbeats are sent every 5 s
+const fleetKinds = "!fleet";
+const allKinds = "!all";
 
 const kept = new Map(); // kind -> records, newest first
-const known = new Set(); // keys of kept records
+const keptKeys = new Set(); // keys of kept records
 const items = new Map(); // key -> list item
 let paused = false;
 let changed = false;
-let arrived = 0; // since the pause began
+let arrivedWhilePaused = 0;
 let lastEvent = 0; // zero while the stream is broken
 
 const key = (record) => `${record.process}/${record.sequence}/${record.time}`;
@@ -34,21 +34,21 @@
 }
 
 function fillKinds() {
-  const option = (value, words) => {
-    const made = element("option", "", words);
-    made.value = value;
-    return made;
+  const option = (value, label) => {
+    const created = element("option", "", label);
+    created.value = value;
+    return created;
   };
-  find("kind").append(option(fleetChanges, "Changes and trouble"), option(everything, "Everything, each request too"),
-    ...Object.keys(kinds).map((kind) => option(kind, kinds[kind].words)));
+  find("kind").append(option(fleetKinds, "Changes and failures"), option(allKinds, "All, including each request"),
+    ...Object.keys(kinds).map((kind) => option(kind, kinds[kind].label)));
 }
 
-// connect opens the stream. The browser opens it again when it breaks; records that come twice are known by their keys.
+// connect opens the stream. The browser reconnects after errors; addRecord ignores records that are received twice.
 function connect() {
-  const source = new EventSource(`admin/v1/decisions/stream?latest=${askedPerKind}`);
+  const source = new EventSource(`admin/v1/decisions/stream?latest=${initialPerKind}`);
   source.addEventListener("decision", (event) => {
     lastEvent = Date.now();
-    take(JSON.parse(event.data));
+    addRecord(JSON.parse(event.data));
   });
   source.addEventListener("heartbeat", () => {
     lastEvent = Date.now();
@@ -59,46 +59,46 @@
   });
 }
 
-function take(record) {
-  if (known.has(key(record))) return;
-  known.add(key(record));
+function addRecord(record) {
+  if (keptKeys.has(key(record))) return;
+  keptKeys.add(key(record));
   const list = kept.get(record.kind) ?? [];
   kept.set(record.kind, list);
-  let place = 0;
-  while (place < list.length && list[place].time > record.time) place += 1;
-  list.splice(place, 0, record);
-  if (list.length > keptPerKind) known.delete(key(list.pop()));
+  let index = 0;
+  while (index < list.length && list[index].time > record.time) index += 1;
+  list.splice(index, 0, record);
+  if (list.length > maxKeptPerKind) keptKeys.delete(key(list.pop()));
   changed = true;
-  if (paused) arrived += 1;
+  if (paused) arrivedWhilePaused += 1;
 }
 
 function setPaused(value) {
   paused = value;
-  arrived = 0;
+  arrivedWhilePaused = 0;
   find("pause").setAttribute("aria-pressed", String(value));
-  find("pause").textContent = value ? "Go on" : "Pause";
+  find("pause").textContent = value ? "Resume" : "Pause";
   if (!value) draw();
   showState();
 }
 
 function showState() {
   const parts = [];
-  const connected = Date.now() - lastEvent < silence;
+  const connected = Date.now() - lastEvent < heartbeatTimeout;
   if (!connected) parts.push("Not connected: new decisions are not shown.");
-  else if (paused) parts.push(`Paused; ${arrived} new ones wait.`);
-  else parts.push("Live, newest first. Choose one to see what was weighed.");
+  else if (paused) parts.push(`Paused; ${arrivedWhilePaused} new decisions.`);
+  else parts.push("Live, newest first. Select one to see its inputs.");
   const text = parts.join(" ");
-  // Only real changes, so that screen readers are not told each half second.
+  // Only set changed text, so that screen readers do not repeat it twice a second.
   if (find("stream-state").textContent !== text) find("stream-state").textContent = text;
 }
 
 function selected() {
   const kind = find("kind").value;
   const wanted = find("search").value.trim().toLowerCase();
-  const chosen = [...kept.keys()].filter((each) =>
-    kind === everything || kind === each || (kind === fleetChanges && !kinds[each]?.routine));
-  return chosen.flatMap((each) => kept.get(each)).filter((record) => !wanted || mentions(record, wanted))
-    .sort((a, b) => (a.time < b.time ? 1 : a.time > b.time ? -1 : b.sequence - a.sequence)).slice(0, shown);
+  const selectedKinds = [...kept.keys()].filter((name) =>
+    kind === allKinds || kind === name || (kind === fleetKinds && !kinds[name]?.routine));
+  return selectedKinds.flatMap((name) => kept.get(name)).filter((record) => !wanted || mentions(record, wanted))
+    .sort((a, b) => (a.time < b.time ? 1 : a.time > b.time ? -1 : b.sequence - a.sequence)).slice(0, maxShown);
 }
 
 function mentions(record, wanted) {
@@ -110,10 +110,10 @@
   changed = false;
   const records = selected();
   const wanted = new Set(records.map(key));
-  for (const [each, item] of items) {
-    if (!wanted.has(each)) {
+  for (const [itemKey, item] of items) {
+    if (!wanted.has(itemKey)) {
       item.remove();
-      items.delete(each);
+      items.delete(itemKey);
     }
   }
   find("nothing").hidden = records.length > 0;
@@ -133,13 +133,13 @@
 function decisionItem(record) {
   const time = element("time", "", clock(record.time, true));
   time.dateTime = record.time;
-  const summary = element("summary", "", time, " ", element("span", "what", kindWords(record.kind)), ": ",
+  const summary = element("summary", "", time, " ", element("span", "what", kindLabel(record.kind)), ": ",
     element("span", "", record.subject), record.outcome ? ` → ${record.outcome}` : "", element("span", "reason", record.reason));
   const details = element("details", "", summary);
   details.addEventListener("toggle", () => {
     if (!details.open) return;
     if (details.children.length === 1) details.append(detail(record));
-    if (!paused) setPaused(true); // so that what is read does not move away
+    if (!paused) setPaused(true); // so that the opened item does not move
   });
   return element("li", "", details);
 }
@@ -149,10 +149,10 @@
   if (record.version) facts.push(["routes", `version ${record.version}`]);
   if (record.fence) facts.push(["authority", `fence ${record.fence}`]);
   const inputs = Object.keys(record.inputs ?? {}).sort().map((name) => [name, record.inputs[name]]);
-  return element("div", "detail", ...part("What counted", inputs), ...part("Where", facts));
+  return element("div", "detail", ...section("Inputs", inputs), ...section("Source", facts));
 }
 
-function part(title, rows) {
+function section(title, rows) {
   if (rows.length === 0) return [];
   const list = element("dl");
   for (const [name, value] of rows) list.append(element("dt", "", name), element("dd", "", value));
--- a/internal/adminpage/assets/dom.js
+++ b/internal/adminpage/assets/dom.js
@@ -1,15 +1,14 @@
-// Helpers that build elements. Text is always set as text, never as markup, because request ids and labels come from
-// callers.
+// Helpers that create elements. Text is never interpreted as markup, because request ids and labels come from callers.
 
-// element makes an element with a class and children; strings and numbers become text.
+// element creates an element with a class and children. Strings and numbers become text nodes.
 export function element(tag, className, ...children) {
-  const made = document.createElement(tag);
-  if (className) made.className = className;
-  made.append(...children.filter((child) => child !== null && child !== "").map((child) => (child instanceof Node ? child : String(child))));
-  return made;
+  const created = document.createElement(tag);
+  if (className) created.className = className;
+  created.append(...children.filter((child) => child !== null && child !== "").map((child) => (child instanceof Node ? child : String(child))));
+  return created;
 }
 
-// table makes a table. Columns are {title, number, cell}, where cell gives the content for a row.
+// table creates a table. Columns are {title, number, cell}; cell returns the content for a row.
 export function table(columns, rows, className = "wide") {
   const head = element("tr", "", ...columns.map((column) => {
     const cell = element("th", column.number ? "number" : "", column.title);
--- a/internal/adminpage/assets/fleet.js
+++ b/internal/adminpage/assets/fleet.js
@@ -2,12 +2,12 @@
 import { element, find, table } from "./dom.js";
 import { count, counts, workerState } from "./words.js";
 
-// workersShown bounds the workers of one zone on the page.
-const workersShown = 24;
+// maxWorkersPerZone limits the workers that are shown for one zone.
+const maxWorkersPerZone = 24;
 
 export function showFleet({ status, workers, groups, rules, gateways }) {
-  find("seen-from").textContent = `as ${status.gateway} in ${status.zone} sees it, version ${status.version}` +
-    (status.stopping ? "; this gateway is stopping" : status.ready ? "" : "; this gateway takes no requests yet");
+  find("seen-from").textContent = `seen from ${status.gateway} in ${status.zone}, version ${status.version}` +
+    (status.stopping ? "; this gateway is shutting down" : status.ready ? "" : "; this gateway is not ready");
   find("summary").textContent = summary(status);
   find("warnings").replaceChildren(...(status.warnings ?? []).map((warning) => element("li", "", warning)));
   find("groups").replaceChildren(...groups.map(group));
@@ -17,51 +17,51 @@
 }
 
 function summary(status) {
-  return `Workers: ${counts(status.workers) || "none"}. ${count(status.gateways, "gateway")}, of which ${status.entries} take callers. ` +
-    `${count(status.inHand, "request")} in hand here. Routes version ${status.routeVersion} and rules by labels revision ${status.revision} ` +
-    `are in force here; the store was followed ${status.storeAgeMillis} ms ago.` +
-    (status.givesOrders ? " This gateway gives the orders to change roles." : "");
+  return `Workers: ${counts(status.workers) || "none"}. ${count(status.gateways, "gateway")}, ${status.entries} of them accept callers. ` +
+    `${count(status.inHand, "request")} in progress here. Routes version ${status.routeVersion} and label configuration revision ${status.revision} ` +
+    `are in use here; in sync with the store ${status.storeAgeMillis} ms ago.` +
+    (status.givesOrders ? " This gateway orders role changes." : "");
 }
 
-function group(each) {
-  const workers = element("p", "", `${count(each.workers, "worker")}: ${counts(each.roles) || "none"}`);
-  const work = element("p", "quiet", `${each.running} running, ${each.readingTokens} prompt tokens to read` + (each.of ? `; selected from ${each.of}` : ""));
-  return element("div", "group", element("h3", "", each.name), workers, work);
+function group(item) {
+  const workers = element("p", "", `${count(item.workers, "worker")}: ${counts(item.roles) || "none"}`);
+  const work = element("p", "quiet", `${item.running} running, ${item.readingTokens} prompt tokens to process` + (item.of ? `; selected from ${item.of}` : ""));
+  return element("div", "group", element("h3", "", item.name), workers, work);
 }
 
 function zones(workers) {
   const byZone = new Map();
-  for (const each of workers) byZone.set(each.zone, [...(byZone.get(each.zone) ?? []), each]);
+  for (const item of workers) byZone.set(item.zone, [...(byZone.get(item.zone) ?? []), item]);
   return [...byZone.keys()].sort().map((name) => zone(name, byZone.get(name)));
 }
 
 function zone(name, workers) {
-  const running = workers.reduce((sum, each) => sum + each.running, 0);
-  const hidden = workers.length - workersShown;
+  const running = workers.reduce((sum, item) => sum + item.running, 0);
+  const hidden = workers.length - maxWorkersPerZone;
   return element("div", "zone",
     element("h3", "", `${name}: ${count(workers.length, "worker")}, ${count(running, "request")} running`),
-    element("ul", "workers", ...workers.slice(0, workersShown).map(worker)),
-    hidden > 0 ? element("p", "quiet", `and ${hidden} more; granitebay get workers lists all`) : null);
+    element("ul", "workers", ...workers.slice(0, maxWorkersPerZone).map(worker)),
+    hidden > 0 ? element("p", "quiet", `and ${hidden} more; run granitebay get workers to list all`) : null);
 }
 
-function worker(each) {
-  const [words, sign, className] = workerState(each.state);
-  const used = each.slots > 0 ? Math.min(100, Math.round((100 * each.running) / each.slots)) : 0;
+function worker(item) {
+  const [label, symbol, className] = workerState(item.state);
+  const used = item.slots > 0 ? Math.min(100, Math.round((100 * item.running) / item.slots)) : 0;
   const fill = element("span");
   fill.style.width = `${used}%`;
   const bar = element("div", "bar", fill);
   bar.setAttribute("aria-hidden", "true");
-  return element("li", `worker ${each.role === "prefill" || each.role === "decode" ? each.role : ""}`,
-    element("div", "first", element("b", "", each.address), element("span", "role", each.role || each.service)),
-    element("div", className, `${sign} ${words}`),
-    element("div", "", `${each.running} running, ${each.readingTokens} tokens to read`),
+  return element("li", `worker ${item.role === "prefill" || item.role === "decode" ? item.role : ""}`,
+    element("div", "first", element("b", "", item.address), element("span", "role", item.role || item.service)),
+    element("div", className, `${symbol} ${label}`),
+    element("div", "", `${item.running} running, ${item.readingTokens} tokens to process`),
     bar,
-    element("div", "quiet", `${used}% of ${count(each.slots, "slot")} in use; ${(each.groups ?? []).join(", ") || "no group by labels"}`));
+    element("div", "quiet", `${used}% of ${count(item.slots, "slot")} in use; ${(item.groups ?? []).join(", ") || "no matching group"}`));
 }
 
 const ruleColumns = [
   { title: "Rule", cell: (rule) => rule.name },
-  { title: "Takes", cell: (rule) => rule.match },
+  { title: "Matches", cell: (rule) => rule.match },
   { title: "Groups", cell: (rule) => (rule.groups ?? []).join(", ") },
   { title: "Priority", number: true, cell: (rule) => rule.priority },
   { title: "Objective", number: true, cell: (rule) => `${rule.objectiveMs} ms` },
@@ -72,7 +72,7 @@
   { title: "Zone", cell: (gateway) => gateway.zone },
   {
     title: "State",
-    cell: (gateway) => element("span", gateway.reachable ? "good" : "bad", gateway.reachable ? "● heard" : "✕ silent"),
+    cell: (gateway) => element("span", gateway.reachable ? "good" : "bad", gateway.reachable ? "● reachable" : "✕ unreachable"),
   },
-  { title: "Callers", cell: (gateway) => (gateway.entry ? "are sent here" : "stands by") },
+  { title: "Callers", cell: (gateway) => (gateway.entry ? "accepted" : "standby") },
 ];
--- a/internal/adminpage/assets/main.js
+++ b/internal/adminpage/assets/main.js
@@ -1,4 +1,4 @@
-// Asks the gateway each second and says so when it does not answer.
+// Polls the gateway every second and shows a banner while it does not respond.
 import { followDecisions } from "./decisions.js";
 import { find } from "./dom.js";
 import { showFleet } from "./fleet.js";
@@ -10,19 +10,19 @@
   status: "status", workers: "workers", groups: "groups", rules: "rules", gateways: "gateways",
 };
 
-let lastAnswer = null;
+let lastUpdate = null;
 
-async function ask(path) {
+async function fetchStatus(path) {
   const response = await fetch(`admin/v1/${path}`, { signal: AbortSignal.timeout(pollTimeout), cache: "no-store" });
-  if (!response.ok) throw new Error(`${path}: the gateway answered ${response.status} ${response.statusText}`);
+  if (!response.ok) throw new Error(`${path}: the gateway returned ${response.status} ${response.statusText}`);
   return response.json();
 }
 
 async function poll() {
   const names = Object.keys(paths);
-  const answers = await Promise.all(names.map((name) => ask(paths[name])));
-  showFleet(Object.fromEntries(names.map((name, index) => [name, answers[index]])));
-  lastAnswer = new Date();
+  const responses = await Promise.all(names.map((name) => fetchStatus(paths[name])));
+  showFleet(Object.fromEntries(names.map((name, index) => [name, responses[index]])));
+  lastUpdate = new Date();
 }
 
 function showConnection(error) {
@@ -32,8 +32,8 @@
     banner.hidden = true;
     return;
   }
-  const since = lastAnswer ? `What you see is from ${clock(lastAnswer)}.` : "Nothing is known of the fleet yet.";
-  const text = `The gateway does not answer. ${since} Trying again each second.`;
+  const since = lastUpdate ? `The data shown is from ${clock(lastUpdate)}.` : "No data has been received yet.";
+  const text = `The gateway does not respond. ${since} Retrying every second.`;
   if (banner.textContent !== text) banner.textContent = text;
   banner.hidden = false;
   console.warn(error);
--- a/internal/adminpage/assets/words.js
+++ b/internal/adminpage/assets/words.js
@@ -1,41 +1,41 @@
-// The words of the page for the terms of the API.
+// Display texts for terms of the API.
 
-// kinds of decisions. Routine ones come with every request.
+// Kinds of decisions. Routine kinds are recorded for every request.
 export const kinds = {
-  role: { words: "Change of a role" },
-  authority: { words: "Right to give orders" },
-  configuration: { words: "Configuration in force" },
-  health: { words: "Worker set aside" },
-  entry: { words: "Takes requests, or stands by" },
-  usage: { words: "Usage of a window reported" },
-  capacity: { words: "Workers ordered" },
-  bar: { words: "Requests that end workers" },
-  store: { words: "The store came back older" },
-  refusal: { words: "Request given up before it ran" },
-  request: { words: "Request ended", routine: true },
+  role: { label: "Role change" },
+  authority: { label: "Authority to order role changes" },
+  configuration: { label: "Configuration change" },
+  health: { label: "Worker excluded after failures" },
+  entry: { label: "Gateway active or on standby" },
+  usage: { label: "Usage report" },
+  capacity: { label: "Workers ordered" },
+  bar: { label: "Barred requests" },
+  store: { label: "Store restored to an older state" },
+  refusal: { label: "Request refused" },
+  request: { label: "Request completed", routine: true },
 };
 
-export const kindWords = (kind) => kinds[kind]?.words ?? kind;
+export const kindLabel = (kind) => kinds[kind]?.label ?? kind;
 
-// workerStates are a word, a sign that tells it without colour, and a class.
+// States of workers: label, symbol (so that colour is not the only cue) and CSS class.
 const workerStates = {
   ready: ["ready", "●", "good"],
-  draining: ["on its way out", "◐", "busy"],
-  changing: ["changes its role", "◌", "busy"],
-  "set-aside": ["set aside after failures", "✕", "bad"],
-  "back-off": ["asked for no requests for a time", "◌", "busy"],
+  draining: ["draining", "◐", "busy"],
+  changing: ["changing role", "◌", "busy"],
+  "set-aside": ["excluded after failures", "✕", "bad"],
+  "back-off": ["requested back-off", "◌", "busy"],
 };
 
-const words = (states, state) => states[state] ?? [state, "?", "busy"];
-export const workerState = (state) => words(workerStates, state);
+const lookUp = (states, state) => states[state] ?? [state, "?", "busy"];
+export const workerState = (state) => lookUp(workerStates, state);
 
-// count writes a number with its noun, as in "1 worker", "2 workers".
+// count formats a number with its noun, as in "1 worker", "2 workers".
 export const count = (number, noun) => `${number} ${noun}${number === 1 ? "" : "s"}`;
 
-// counts writes numbers by name, as in "4 ready, 1 draining".
-export const counts = (byName) => Object.keys(byName ?? {}).sort().map((name) => `${byName[name]} ${name || "without a role"}`).join(", ");
+// counts formats numbers by name, as in "4 ready, 1 draining".
+export const counts = (byName) => Object.keys(byName ?? {}).sort().map((name) => `${byName[name]} ${name || "without role"}`).join(", ");
 
-// clock writes the time of day.
+// clock formats the time of day.
 export function clock(time, millis = false) {
   const date = new Date(time);
   const text = date.toLocaleTimeString("en-GB");
--- a/internal/adminpage/page_test.go
+++ b/internal/adminpage/page_test.go
@@ -71,8 +71,8 @@
 func TestAllDecisionKindsHaveLabels(t *testing.T) {
 	labels := get(t, "/page/words.js").Body.String()
 	for _, kind := range decision.Kinds {
-		if !strings.Contains(labels, "  "+string(kind)+": { words:") {
-			t.Errorf("kind %s has no words", kind)
+		if !strings.Contains(labels, "  "+string(kind)+": { label:") {
+			t.Errorf("kind %s has no label", kind)
 		}
 	}
 }
