--- a/internal/callers/server_test.go
+++ b/internal/callers/server_test.go
@@ -21,74 +21,74 @@
 func TestConnectionWithPendingRequestIsNotClosed(t *testing.T) {
 	for _, stallPoint := range []string{"unread", "read"} {
 		t.Run("idle timeout expires with the request "+stallPoint, func(t *testing.T) {
-			b := newTestServer(t, testDelay, time.Hour)
-			caller := b.dial(t)
+			s := newTestServer(t, testDelay, time.Hour)
+			caller := s.dial(t)
 			caller.request(t, "/1")
-			b.requestDuringStall(t, caller, stallPoint, func() { time.Sleep(testStall) })
+			s.requestDuringStall(t, caller, stallPoint, func() { time.Sleep(testStall) })
 		})
 		t.Run("header timeout expires with the request "+stallPoint, func(t *testing.T) {
-			b := newTestServer(t, time.Hour, testDelay)
-			b.requestDuringStall(t, nil, stallPoint, func() { time.Sleep(testStall) })
+			s := newTestServer(t, time.Hour, testDelay)
+			s.requestDuringStall(t, nil, stallPoint, func() { time.Sleep(testStall) })
 		})
 		t.Run("shutdown with the request "+stallPoint, func(t *testing.T) {
-			b := newTestServer(t, time.Hour, time.Hour)
-			caller := b.dial(t)
+			s := newTestServer(t, time.Hour, time.Hour)
+			caller := s.dial(t)
 			caller.request(t, "/1")
-			b.requestDuringStall(t, caller, stallPoint, func() {
-				b.stop()
+			s.requestDuringStall(t, caller, stallPoint, func() {
+				s.stop()
 				time.Sleep(newConnGrace / 3)
 			})
 		})
 	}
 	t.Run("shutdown just before the first request of a new connection", func(t *testing.T) {
-		b := newTestServer(t, time.Hour, time.Hour)
-		b.dial(t).request(t, "/1")
-		caller := b.dial(t)
-		b.dial(t).request(t, "/2") // implies that the previous connection was accepted
-		b.stop()
+		s := newTestServer(t, time.Hour, time.Hour)
+		s.dial(t).request(t, "/1")
+		caller := s.dial(t)
+		s.dial(t).request(t, "/2") // implies that the previous connection was accepted
+		s.stop()
 		time.Sleep(newConnGrace / 3)
 		caller.request(t, "/3")
 	})
 	t.Run("shutdown after the first byte of the next request", func(t *testing.T) {
-		b := newTestServer(t, time.Hour, time.Hour)
-		caller := b.dial(t)
+		s := newTestServer(t, time.Hour, time.Hour)
+		caller := s.dial(t)
 		nextRequest := requestFor("/2")
-		b.onHook = func() {
+		s.onHook = func() {
 			_ = caller.send(nextRequest[:1])
 			time.Sleep(testDelay) // The byte is read while the request is active.
-			b.stop()
+			s.stop()
 		}
 		caller.request(t, pathHook)
 		time.Sleep(newConnGrace / 6)
 		caller.finishRequest(t, nextRequest[1:])
 	})
 	t.Run("timeout increased while connections are idle", func(t *testing.T) {
-		b := newTestServer(t, testDelay, testDelay)
-		idle, fresh := b.dial(t), b.dial(t)
+		s := newTestServer(t, testDelay, testDelay)
+		idle, fresh := s.dial(t), s.dial(t)
 		idle.request(t, "/1")
-		b.SetTimeouts(time.Hour, time.Hour)
+		s.SetTimeouts(time.Hour, time.Hour)
 		time.Sleep(testStall)
 		idle.request(t, "/2")
 		fresh.request(t, "/3")
 	})
 	t.Run("requests sent around the idle timeout", func(t *testing.T) {
-		b := newTestServer(t, testDelay, time.Hour)
-		b.requestAroundTimeout(t)
+		s := newTestServer(t, testDelay, time.Hour)
+		s.requestAroundTimeout(t)
 	})
 }
 
 // TestTimeoutChangesApplyToOpenConnections changes timeouts while connections are idle or receive headers.
 func TestTimeoutChangesApplyToOpenConnections(t *testing.T) {
-	b := newTestServer(t, time.Hour, time.Hour)
-	idleBefore, newBefore := b.dial(t), b.dial(t)
+	s := newTestServer(t, time.Hour, time.Hour)
+	idleBefore, newBefore := s.dial(t), s.dial(t)
 	idleBefore.request(t, "/1")
 	if idleBefore.closedWithin(2 * testDelay) {
 		t.Error("a connection was closed before its timeout")
 	}
-	b.SetTimeouts(testDelay, 0)
-	idle, fresh, active := b.dial(t), b.dial(t), b.dial(t)
+	s.SetTimeouts(testDelay, 0)
+	idle, fresh, active := s.dial(t), s.dial(t), s.dial(t)
 	idle.request(t, "/2")
-	b.onHook = func() { time.Sleep(testStall) }
+	s.onHook = func() { time.Sleep(testStall) }
 	active.request(t, pathHook)
 	if !idle.closedWithin(testStall) {
 		t.Error("the idle timeout was not reduced")
@@ -99,12 +99,12 @@
 	if idleBefore.closedWithin(time.Millisecond) {
 		t.Error("a reduced timeout closed a connection that was already idle")
 	}
-	b.SetTimeouts(0, testDelay)
-	if !b.dial(t).closedWithin(testStall) {
+	s.SetTimeouts(0, testDelay)
+	if !s.dial(t).closedWithin(testStall) {
 		t.Error("the header timeout was not changed")
 	}
 	for name, prepare := range map[string]func(*testCaller){"first": func(*testCaller) {}, "second": func(c *testCaller) { c.request(t, "/3") }} {
-		slow := b.dial(t)
+		slow := s.dial(t)
 		prepare(slow)
 		start := time.Now()
 		for range 2 * testStall / testDelay {
@@ -133,8 +133,8 @@
 		{"a line pipelined after a request, and shutdown", requestFor("/1") + line, "", true},
 	} {
 		t.Run(c.desc, func(t *testing.T) {
-			b := newTestServer(t, testDelay, testDelay)
-			caller := b.dial(t)
+			s := newTestServer(t, testDelay, testDelay)
+			caller := s.dial(t)
 			if err := caller.send(c.before); err != nil {
 				t.Fatal(err)
 			}
@@ -147,7 +147,7 @@
 				t.Fatal(err)
 			}
 			if c.stop {
-				b.stop()
+				s.stop()
 			}
 			_ = caller.SetReadDeadline(time.Now().Add(testTimeout))
 			got, err := io.ReadAll(caller.reader)
@@ -170,14 +170,14 @@
 // deadline.
 func TestTCPTimeoutIsAttributedToCaller(t *testing.T) {
 	for _, shuttingDown := range []bool{false, true} {
-		b := newTestServer(t, testDelay, testDelay)
+		s := newTestServer(t, testDelay, testDelay)
 		if shuttingDown {
-			<-b.stop()
+			<-s.stop()
 		}
 		own, other := net.Pipe()
 		defer other.Close()
-		conn := newConnection(timedOutConn{own}, b.Server)
-		b.add(conn)
+		conn := newConnection(timedOutConn{own}, s.Server)
+		s.add(conn)
 		if _, err := conn.Read(make([]byte, 10)); !errors.Is(err, syscall.ETIMEDOUT) {
 			t.Errorf("got %v", err)
 		}
@@ -197,7 +197,7 @@
 	for _, c := range []struct {
 		desc string
 		sent string
-		end  func(b *testServer, caller *testCaller)
+		end  func(s *testServer, caller *testCaller)
 		want string
 	}{
 		{"the caller, with a partial header", partial, func(_ *testServer, caller *testCaller) {
@@ -205,24 +205,24 @@
 			_ = caller.Close()
 		}, "closed by caller"},
 		{"the header timeout", partial, func(*testServer, *testCaller) {}, "closed by bound on heads"},
-		{"the end of shutdown", partial, func(b *testServer, _ *testCaller) { b.Close() }, "closed by stop"},
+		{"the end of shutdown", partial, func(s *testServer, _ *testCaller) { s.Close() }, "closed by stop"},
 		{"the idle timeout", requestFor("/1"), func(*testServer, *testCaller) {}, "idle timeout"},
 		{"the handler, which reports the failure itself", requestFor(pathAbort), func(*testServer, *testCaller) {}, ""},
 	} {
 		t.Run(c.desc, func(t *testing.T) {
-			b := newTestServer(t, testStall, testStall)
-			caller := b.dial(t)
+			s := newTestServer(t, testStall, testStall)
+			caller := s.dial(t)
 			if err := caller.send(c.sent); err != nil {
 				t.Fatal(err)
 			}
 			time.Sleep(testDelay / 2) // The header is read.
-			c.end(b, caller)
+			c.end(s, caller)
 			_ = caller.closedWithin(testTimeout)
-			for start := time.Now(); b.traffic.Open.Load() > 0 && time.Since(start) < testTimeout; {
+			for start := time.Now(); s.traffic.Open.Load() > 0 && time.Since(start) < testTimeout; {
 				time.Sleep(testDelay / 10)
 			}
 			time.Sleep(testDelay / 2) // Events are recorded after the connection closes.
-			if got := b.recorder.String(); got != c.want {
+			if got := s.recorder.String(); got != c.want {
 				t.Errorf("recorded %q, want %q", got, c.want)
 			}
 		})
@@ -232,13 +232,13 @@
 // TestServerDeadlineAppliesWithinTimeouts sets deadlines that end before the timeouts of the connection.
 func TestServerDeadlineAppliesWithinTimeouts(t *testing.T) {
 	for _, idleTimeout := range []time.Duration{time.Hour, noTimeout} {
-		b := newTestServer(t, time.Hour, time.Hour)
-		b.idleTimeout.Store(int64(idleTimeout))
+		s := newTestServer(t, time.Hour, time.Hour)
+		s.idleTimeout.Store(int64(idleTimeout))
 		for _, phase := range []phase{phaseNew, phaseIdle, phaseReadingHeader, phaseActive} {
 			own, other := net.Pipe()
 			defer other.Close()
-			conn := newConnection(own, b.Server)
-			b.add(conn)
+			conn := newConnection(own, s.Server)
+			s.add(conn)
 			conn.enterPhase(phase)
 			if phase == phaseReadingHeader {
 				conn.startPhase(phaseReadingHeader)
@@ -257,15 +257,15 @@
 // TestBodyIsNotMistakenForPipelinedRequest sends a body while its request is active: the connection is idle after the
 // response, and shutdown closes it immediately.
 func TestBodyIsNotMistakenForPipelinedRequest(t *testing.T) {
-	b := newTestServer(t, time.Hour, time.Hour)
-	caller := b.dial(t)
+	s := newTestServer(t, time.Hour, time.Hour)
+	caller := s.dial(t)
 	if err := caller.send("POST /1 HTTP/1.1\r\nHost: a\r\nContent-Length: 4\r\n\r\n"); err != nil {
 		t.Fatal(err)
 	}
 	time.Sleep(testDelay) // The header is read.
 	caller.finishRequest(t, "body")
 	start := time.Now()
-	<-b.stop()
+	<-s.stop()
 	if took := time.Since(start); took > newConnGrace {
 		t.Errorf("shutdown took %v", took)
 	}
@@ -273,17 +273,17 @@
 
 // requestDuringStall sends a request while the reading goroutine of its connection is blocked, and unblocks it after
 // meanwhile returns. A nil caller opens a new connection.
-func (b *testServer) requestDuringStall(t *testing.T, caller *testCaller, stallPoint string, meanwhile func()) {
+func (s *testServer) requestDuringStall(t *testing.T, caller *testCaller, stallPoint string, meanwhile func()) {
 	t.Helper()
-	stallGate := &b.listener.beforeRead
+	stallGate := &s.listener.beforeRead
 	if stallPoint == "read" {
-		stallGate = &b.listener.afterRead
+		stallGate = &s.listener.afterRead
 	}
 	var stalled <-chan struct{}
-	b.onHook = func() { stalled = stallGate.close() }
+	s.onHook = func() { stalled = stallGate.close() }
 	if caller == nil {
-		b.onHook()
-		caller = b.dial(t)
+		s.onHook()
+		caller = s.dial(t)
 	} else {
 		// The gate is closed before the goroutine of the connection begins to wait for the next request.
 		caller.request(t, pathHook)
@@ -296,7 +296,7 @@
 	stallGate.open()
 	if err := caller.readResponse(); err != nil {
 		time.Sleep(testDelay) // A request that was read may not have reached the handler yet.
-		_, ran := b.handled.Load("/stalled")
+		_, ran := s.handled.Load("/stalled")
 		t.Errorf("the connection was closed with a pending request; handler ran: %t (%v)", ran, err)
 	}
 }
@@ -310,13 +310,13 @@
 
 // requestAroundTimeout sends requests from just before to just after the idle timeout. A request may find its connection
 // closed only if the handler did not run for it.
-func (b *testServer) requestAroundTimeout(t *testing.T) {
+func (s *testServer) requestAroundTimeout(t *testing.T) {
 	var callers sync.WaitGroup
 	var lost atomic.Int64
 	for i := range timeoutRaceCallers {
 		callers.Go(func() {
 			for round := range timeoutRaceRounds {
-				caller := b.dial(t)
+				caller := s.dial(t)
 				caller.request(t, "/first")
 				offset := timeoutRaceSpread * time.Duration(2*i-timeoutRaceCallers) / timeoutRaceCallers
 				time.Sleep(testDelay + offset)
@@ -325,7 +325,7 @@
 					continue
 				}
 				err := caller.readResponse()
-				if _, ran := b.handled.Load(path); ran && err != nil {
+				if _, ran := s.handled.Load(path); ran && err != nil {
 					lost.Add(1)
 				}
 				_ = caller.Close()
--- a/internal/callers/shutdown_test.go
+++ b/internal/callers/shutdown_test.go
@@ -13,14 +13,14 @@
 
 // TestShutdownClosesIdleConnectionsImmediately shuts down with idle connections and one active request.
 func TestShutdownClosesIdleConnectionsImmediately(t *testing.T) {
-	b := newTestServer(t, time.Hour, time.Hour)
-	idle := b.dial(t)
+	s := newTestServer(t, time.Hour, time.Hour)
+	idle := s.dial(t)
 	idle.request(t, "/1")
 	start := time.Now()
-	active := b.dial(t)
+	active := s.dial(t)
 	var done <-chan struct{}
-	b.onHook = func() {
-		done = b.stop()
+	s.onHook = func() {
+		done = s.stop()
 		if !idle.closedWithin(testTimeout) {
 			t.Error("an idle connection was not closed")
 		}
@@ -35,10 +35,10 @@
 	if took := time.Since(start); took > newConnGrace {
 		t.Errorf("shutdown took %v", took)
 	}
-	if _, err := net.Dial("tcp4", b.listener.Addr().String()); err == nil {
+	if _, err := net.Dial("tcp4", s.listener.Addr().String()); err == nil {
 		t.Error("a stopped server accepts connections")
 	}
-	if open := b.traffic.Open.Load(); open != 0 {
+	if open := s.traffic.Open.Load(); open != 0 {
 		t.Errorf("%d connections are open", open)
 	}
 }
@@ -46,18 +46,18 @@
 // TestFinalReadSurvivesShutdown begins a shutdown, and sends a request, just before the final read of a connection whose
 // timeout has expired. Shutdown sets a past deadline on idle connections, which must not prevent that read.
 func TestFinalReadSurvivesShutdown(t *testing.T) {
-	b := newTestServer(t, testDelay, time.Hour)
-	caller := b.dial(t)
+	s := newTestServer(t, testDelay, time.Hour)
+	caller := s.dial(t)
 	var blocked <-chan struct{}
-	b.onHook = func() { blocked = b.listener.beforeFinalRead.close() }
+	s.onHook = func() { blocked = s.listener.beforeFinalRead.close() }
 	caller.request(t, pathHook)
 	<-blocked
 	if err := caller.send(requestFor("/2")); err != nil {
 		t.Fatal(err)
 	}
-	b.stop()
+	s.stop()
 	time.Sleep(newConnGrace / 3)
-	b.listener.beforeFinalRead.open()
+	s.listener.beforeFinalRead.open()
 	if err := caller.readResponse(); err != nil {
 		t.Errorf("a request that arrived before the final read got no response: %v", err)
 	}
@@ -68,36 +68,36 @@
 func TestShutdownWaitsForStartedRequests(t *testing.T) {
 	const longRequest = 2 * newConnGrace
 	t.Run("an active request", func(t *testing.T) {
-		b := newTestServer(t, time.Hour, time.Hour)
-		b.onHook = func() {
-			b.stop()
+		s := newTestServer(t, time.Hour, time.Hour)
+		s.onHook = func() {
+			s.stop()
 			time.Sleep(longRequest)
 		}
-		b.dial(t).request(t, pathHook)
+		s.dial(t).request(t, pathHook)
 	})
 	t.Run("a partial header", func(t *testing.T) {
-		b := newTestServer(t, time.Hour, time.Hour)
-		caller := b.dial(t)
+		s := newTestServer(t, time.Hour, time.Hour)
+		caller := s.dial(t)
 		head := requestFor("/1")
 		if err := caller.send(head[:5]); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(testDelay) // The bytes are read.
-		b.stop()
+		s.stop()
 		time.Sleep(longRequest)
 		caller.finishRequest(t, head[5:])
 	})
 	t.Run("a connection accepted as shutdown begins", func(t *testing.T) {
-		b := newTestServer(t, time.Hour, time.Hour)
-		blocked := b.listener.afterAccept.close()
-		caller := b.dial(t)
+		s := newTestServer(t, time.Hour, time.Hour)
+		blocked := s.listener.afterAccept.close()
+		caller := s.dial(t)
 		if err := caller.send(requestFor("/1")); err != nil {
 			t.Fatal(err)
 		}
 		<-blocked
-		b.stop()
+		s.stop()
 		time.Sleep(newConnGrace / 3)
-		b.listener.afterAccept.open()
+		s.listener.afterAccept.open()
 		if err := caller.readResponse(); err != nil {
 			t.Error(err)
 		}
@@ -113,15 +113,15 @@
 			<-r.Context().Done()
 			_, _ = io.WriteString(w, "no changes")
 		}), &recordingObserver{}, logrus.NewEntry(logger))
-		b := &testServer{Server: side, listener: &gatedListener{Listener: listener}}
-		go func() { _ = side.Serve(b.listener) }()
-		caller := b.dial(t)
+		s := &testServer{Server: side, listener: &gatedListener{Listener: listener}}
+		go func() { _ = side.Serve(s.listener) }()
+		caller := s.dial(t)
 		if err := caller.send(requestFor("/1")); err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(testDelay) // The request is active.
 		start := time.Now()
-		done := b.stop()
+		done := s.stop()
 		if err := caller.readResponse(); err != nil {
 			t.Error(err)
 		}
@@ -131,20 +131,20 @@
 		}
 	})
 	t.Run("not beyond the deadline", func(t *testing.T) {
-		b := newTestServer(t, time.Hour, time.Hour)
+		s := newTestServer(t, time.Hour, time.Hour)
 		handled, release := make(chan struct{}), make(chan struct{})
-		b.onHook = func() {
+		s.onHook = func() {
 			close(handled)
 			<-release
 		}
 		defer close(release)
-		if err := b.dial(t).send(requestFor(pathHook)); err != nil {
+		if err := s.dial(t).send(requestFor(pathHook)); err != nil {
 			t.Fatal(err)
 		}
 		<-handled
 		for _, grace := range []time.Duration{longRequest, -longRequest} {
 			start := time.Now()
-			ShutDown(start.Add(grace), b.Server)
+			ShutDown(start.Add(grace), s.Server)
 			earliest := max(grace, newConnGrace)
 			if took := time.Since(start); took < earliest || took > earliest+newConnGrace {
 				t.Errorf("with %v until the deadline, shutdown took %v", grace, took)
@@ -152,11 +152,11 @@
 		}
 	})
 	t.Run("not for callers that send nothing", func(t *testing.T) {
-		b := newTestServer(t, time.Hour, time.Hour)
-		silent, idle := b.dial(t), b.dial(t)
+		s := newTestServer(t, time.Hour, time.Hour)
+		silent, idle := s.dial(t), s.dial(t)
 		idle.request(t, "/1")
 		start := time.Now()
-		<-b.stop()
+		<-s.stop()
 		if took := time.Since(start); took > longRequest {
 			t.Errorf("shutdown took %v", took)
 		}
--- a/internal/callers/testserver_test.go
+++ b/internal/callers/testserver_test.go
@@ -152,31 +152,31 @@
 	}
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
-	b := &testServer{listener: &gatedListener{Listener: listener}, recorder: &recordingObserver{}}
-	b.Server = NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		b.handled.Store(r.URL.Path, true)
+	s := &testServer{listener: &gatedListener{Listener: listener}, recorder: &recordingObserver{}}
+	s.Server = NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		s.handled.Store(r.URL.Path, true)
 		switch r.URL.Path {
 		case pathHook:
-			b.onHook()
+			s.onHook()
 		case pathAbort:
 			panic(http.ErrAbortHandler)
 		}
 		_, _ = io.Copy(io.Discard, r.Body)
 		_, _ = io.WriteString(w, "served")
-	}), &Traffic{}, b.recorder, logrus.NewEntry(logger))
-	b.SetTimeouts(idleTimeout, headerTimeout)
-	go func() { _ = b.Serve(b.listener) }()
-	t.Cleanup(b.Close)
-	return b
+	}), &Traffic{}, s.recorder, logrus.NewEntry(logger))
+	s.SetTimeouts(idleTimeout, headerTimeout)
+	go func() { _ = s.Serve(s.listener) }()
+	t.Cleanup(s.Close)
+	return s
 }
 
 // stop shuts the server down gracefully. The returned channel is closed when it has ended.
-func (b *testServer) stop() <-chan struct{} {
+func (s *testServer) stop() <-chan struct{} {
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		ShutDown(time.Now().Add(testTimeout), b.Server)
-		b.Close()
+		ShutDown(time.Now().Add(testTimeout), s.Server)
+		s.Close()
 	}()
 	return done
 }
@@ -191,9 +191,9 @@
 const testTimeout = 5 * time.Second
 
 // dial opens a connection.
-func (b *testServer) dial(t testing.TB) *testCaller {
+func (s *testServer) dial(t testing.TB) *testCaller {
 	t.Helper()
-	conn, err := net.Dial("tcp4", b.listener.Addr().String())
+	conn, err := net.Dial("tcp4", s.listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/operator/explain.go
+++ b/internal/operator/explain.go
@@ -92,11 +92,11 @@
 }
 
 // describeFailure describes why a gateway did not respond.
-func (p target) describeFailure(err error) string {
-	if p.address == "" {
-		return fmt.Sprintf("%s was not queried: its admin address is not known", p.name)
+func (t target) describeFailure(err error) string {
+	if t.address == "" {
+		return fmt.Sprintf("%s was not queried: its admin address is not known", t.name)
 	}
-	return fmt.Sprintf("%s at %s did not respond: %v", lo.CoalesceOrEmpty(p.name, "gateway"), p.address, err)
+	return fmt.Sprintf("%s at %s did not respond: %v", lo.CoalesceOrEmpty(t.name, "gateway"), t.address, err)
 }
 
 // gatewayTargets returns the gateways that are listed by a gateway and the given addresses, and describes what is
