--- a/internal/callers/testserver_test.go
+++ b/internal/callers/testserver_test.go
@@ -116,10 +116,10 @@
 	c.add("closed by " + closedBy.String())
 }
 
-func (c *recordingObserver) add(told string) {
+func (c *recordingObserver) add(event string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.events = append(c.events, told)
+	c.events = append(c.events, event)
 }
 
 // String returns the recorded events.
