--- a/internal/adminapi/api_test.go
+++ b/internal/adminapi/api_test.go
@@ -15,16 +15,16 @@
 	"github.com/granitebay/granitebay/internal/decision"
 )
 
-// fakeBackend gives fixed answers.
+// fakeBackend returns fixed values.
 type fakeBackend struct {
 	Backend
 	document configuration.Document
 	proposed configuration.ProposeResult
 	kept     []decision.Record
-	news     chan decision.Record
+	stream   chan decision.Record
 }
 
-// startedAt is when the fake gateway started.
+// startedAt is the start time of the fake gateway.
 var startedAt = time.Unix(1_700_000_000, 0).UTC()
 
 func (b *fakeBackend) Status() GatewayStatus {
@@ -45,10 +45,10 @@
 func (b *fakeBackend) Decisions(since uint64) []decision.Record {
 	return DecisionFilter{Since: since}.Select(b.kept)
 }
-func (b *fakeBackend) FollowDecisions() (<-chan decision.Record, func()) { return b.news, func() {} }
+func (b *fakeBackend) FollowDecisions() (<-chan decision.Record, func()) { return b.stream, func() {} }
 
-// serve starts the API on loopback and returns its address.
-func serve(t *testing.T, backend Backend) string {
+// startServer starts the API on loopback and returns its address.
+func startServer(t *testing.T, backend Backend) string {
 	t.Helper()
 	mux := http.NewServeMux()
 	Register(humago.New(mux, huma.DefaultConfig("granitebay", "1")), backend)
@@ -57,8 +57,8 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// fesDocument returns the example of Fès at a revision.
-func fesDocument(t *testing.T, revision uint64) configuration.Document {
+// exampleDocument returns the Fès example at a revision.
+func exampleDocument(t *testing.T, revision uint64) configuration.Document {
 	t.Helper()
 	document, err := configuration.Example(configuration.ExampleFes)
 	if err != nil {
@@ -85,7 +85,7 @@
 		{desc: "old base", proposed: configuration.ProposeResult{Err: configuration.ErrUnknownBase}, want: EditConflict},
 		{desc: "invalid", proposed: configuration.ProposeResult{Err: configuration.FieldErrors{{Field: "spec"}}}, want: EditInvalid},
 		{desc: "store down", proposed: configuration.ProposeResult{Err: configuration.ErrStoreUnavailable}, want: EditUnavailable},
-		{desc: "answer lost", proposed: configuration.ProposeResult{Err: configuration.ErrOutcomeUnknown}, want: EditUnknown},
+		{desc: "outcome unknown", proposed: configuration.ProposeResult{Err: configuration.ErrOutcomeUnknown}, want: EditUnknown},
 		{desc: "dry run", dryRun: true, request: configuration.EditRequest{BaseRevision: 3, Edits: label}, want: EditPreview},
 		{
 			desc: "dry run of an invalid edit", dryRun: true, want: EditInvalid,
@@ -95,8 +95,8 @@
 	}
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
-			backend := &fakeBackend{document: fesDocument(t, 3), proposed: test.proposed}
-			client := NewClient([]string{"127.0.0.1:1", serve(t, backend)}, http.DefaultClient)
+			backend := &fakeBackend{document: exampleDocument(t, 3), proposed: test.proposed}
+			client := NewClient([]string{"127.0.0.1:1", startServer(t, backend)}, http.DefaultClient)
 			request := test.request
 			request.ChangeID = "mine"
 			result, err := client.Edit(t.Context(), request, test.dryRun)
@@ -110,33 +110,33 @@
 	}
 }
 
-// serveBroken starts a server that closes each connection without a response.
-func serveBroken(t *testing.T) string {
+// startBrokenServer starts a server that closes each connection without a response.
+func startBrokenServer(t *testing.T) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
 	t.Cleanup(server.Close)
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-func TestEditOverSeveralGateways(t *testing.T) {
+func TestEditWithSeveralGateways(t *testing.T) {
 	unavailable := configuration.ProposeResult{Err: configuration.ErrStoreUnavailable}
 	unknown := configuration.ProposeResult{Err: configuration.ErrOutcomeUnknown}
 	accepted := configuration.ProposeResult{Accepted: true, Revision: 4}
 	answering := func(result configuration.ProposeResult) func(*testing.T) string {
-		return func(t *testing.T) string { return serve(t, &fakeBackend{proposed: result}) }
+		return func(t *testing.T) string { return startServer(t, &fakeBackend{proposed: result}) }
 	}
 	unreachable := func(*testing.T) string { return "127.0.0.1:1" }
 	tests := []struct {
 		desc     string
 		gateways []func(*testing.T) string
-		// want is empty when an error is wanted.
+		// want is empty if an error is expected.
 		want EditOutcome
 	}{
 		{"unavailable, then accepted", []func(*testing.T) string{answering(unavailable), answering(accepted)}, EditAccepted},
 		{"unknown, then accepted", []func(*testing.T) string{answering(unknown), answering(accepted)}, EditAccepted},
 		{"unknown, then unavailable", []func(*testing.T) string{answering(unknown), answering(unavailable)}, EditUnknown},
-		{"broken connection, then unavailable", []func(*testing.T) string{serveBroken, answering(unavailable)}, EditUnknown},
-		{"broken connection, then unreachable", []func(*testing.T) string{serveBroken, unreachable}, EditUnknown},
+		{"broken connection, then unavailable", []func(*testing.T) string{startBrokenServer, answering(unavailable)}, EditUnknown},
+		{"broken connection, then unreachable", []func(*testing.T) string{startBrokenServer, unreachable}, EditUnknown},
 		{"unreachable, then unavailable", []func(*testing.T) string{unreachable, answering(unavailable)}, EditUnavailable},
 		{"unreachable", []func(*testing.T) string{unreachable}, ""},
 		{"no gateways", nil, ""},
@@ -155,8 +155,8 @@
 	}
 }
 
-func TestEditOfUnknownForm(t *testing.T) {
-	address := serve(t, &fakeBackend{document: fesDocument(t, 3)})
+func TestEditWithUnknownFields(t *testing.T) {
+	address := startServer(t, &fakeBackend{document: exampleDocument(t, 3)})
 	body := `{"changeID": "mine", "edits": [{"kind": "put", "rule": {"name": "x", "urgent": true, "priority": "high"}}]}`
 	response, err := http.Post("http://"+address+PathConfigEdits, "application/json", strings.NewReader(body))
 	if err != nil {
@@ -168,15 +168,15 @@
 	}
 }
 
-func TestClientReadsAndReportsErrors(t *testing.T) {
-	client := NewClient([]string{"127.0.0.1:1", serve(t, &fakeBackend{document: fesDocument(t, 3)})}, http.DefaultClient)
+func TestClientReadsConfiguration(t *testing.T) {
+	client := NewClient([]string{"127.0.0.1:1", startServer(t, &fakeBackend{document: exampleDocument(t, 3)})}, http.DefaultClient)
 	document, err := client.Configuration(t.Context())
 	if err != nil || document.Revision != 3 || len(document.Rules) != 4 {
 		t.Errorf("configuration %d with %d rules, %v", document.Revision, len(document.Rules), err)
 	}
-	broken := NewClient([]string{serveBroken(t)}, http.DefaultClient)
+	broken := NewClient([]string{startBrokenServer(t)}, http.DefaultClient)
 	if _, err = broken.Configuration(t.Context()); err == nil || !strings.Contains(err.Error(), "ask gateway") {
-		t.Errorf("error %v, want one that names the step and the peer", err)
+		t.Errorf("error %v, want one that names the gateway", err)
 	}
 }
 
@@ -202,13 +202,13 @@
 	}
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
-			// Two records are kept, and all four come on the channel: the first two twice.
-			backend := &fakeBackend{kept: records[:2], news: make(chan decision.Record, len(records))}
+			// Two records are retained and all four arrive on the channel, so that the first two arrive twice.
+			backend := &fakeBackend{kept: records[:2], stream: make(chan decision.Record, len(records))}
 			for _, record := range records {
-				backend.news <- record
+				backend.stream <- record
 			}
-			close(backend.news)
-			client := NewClient([]string{"127.0.0.1:1", serve(t, backend)}, http.DefaultClient)
+			close(backend.stream)
+			client := NewClient([]string{"127.0.0.1:1", startServer(t, backend)}, http.DefaultClient)
 			var got []uint64
 			_ = client.FollowDecisions(t.Context(), test.filter, func(record decision.Record) error {
 				got = append(got, record.Sequence)
@@ -242,8 +242,8 @@
 	}
 }
 
-func TestClientTakesAddressesAndURLs(t *testing.T) {
-	address := serve(t, &fakeBackend{})
+func TestClientAcceptsAddressesAndURLs(t *testing.T) {
+	address := startServer(t, &fakeBackend{})
 	for _, given := range []string{address, "http://" + address, "http://" + address + "/"} {
 		client := NewClient([]string{given}, http.DefaultClient)
 		if _, err := client.Status(t.Context()); err != nil {
@@ -255,7 +255,7 @@
 	}
 }
 
-func TestStartOfAStream(t *testing.T) {
+func TestInitialStreamRecords(t *testing.T) {
 	records := []decision.Record{
 		{Sequence: 1, Kind: decision.KindRole}, {Sequence: 2, Kind: decision.KindRequest}, {Sequence: 3, Kind: decision.KindRequest},
 		{Sequence: 4, Kind: decision.KindRequest},
@@ -265,14 +265,14 @@
 		filter StreamFilter
 		want   []uint64
 	}{
-		{"no bound", StreamFilter{}, []uint64{1, 2, 3, 4}},
-		{"routine decisions leave room for rare ones", StreamFilter{Latest: 2}, []uint64{1, 3, 4}},
+		{"no limit", StreamFilter{}, []uint64{1, 2, 3, 4}},
+		{"frequent kinds do not displace rare ones", StreamFilter{Latest: 2}, []uint64{1, 3, 4}},
 		{"with a filter", StreamFilter{Latest: 1, DecisionFilter: DecisionFilter{Kind: "request"}}, []uint64{4}},
 	}
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
 			var got []uint64
-			for _, record := range test.filter.Kept(records) {
+			for _, record := range test.filter.Initial(records) {
 				got = append(got, record.Sequence)
 			}
 			checkSequences(t, "kept", got, test.want)
@@ -288,11 +288,11 @@
 		want time.Time
 	}{
 		{"no decision yet", nil, startedAt},
-		{"all since the start", []decision.Record{{Sequence: 1, Time: later}}, startedAt},
+		{"all retained since the start", []decision.Record{{Sequence: 1, Time: later}}, startedAt},
 		{"older ones dropped", []decision.Record{{Sequence: 9, Time: later}}, later},
 	}
 	for _, test := range tests {
-		client := NewClient([]string{serve(t, &fakeBackend{kept: test.kept})}, http.DefaultClient)
+		client := NewClient([]string{startServer(t, &fakeBackend{kept: test.kept})}, http.DefaultClient)
 		explanation, err := client.Explain(t.Context(), "req-1")
 		if err != nil || !explanation.KeptSince.Equal(test.want) {
 			t.Errorf("%s: got %s, %v, want %s", test.desc, explanation.KeptSince, err, test.want)
--- a/internal/boottime/boottime_test.go
+++ b/internal/boottime/boottime_test.go
@@ -5,36 +5,36 @@
 	"time"
 )
 
-func TestNowGoesOnAsTimeDoes(t *testing.T) {
-	if !CountsSleep() {
-		t.Fatal("the machine has no clock that counts sleep")
+func TestNowAdvancesWithMonotonicClock(t *testing.T) {
+	if !CountsSuspendedTime() {
+		t.Fatal("CLOCK_BOOTTIME is not available")
 	}
-	before, steady := Now(), time.Now()
+	before, monotonic := Now(), time.Now()
 	time.Sleep(20 * time.Millisecond)
-	passed, really := Now().Sub(before), time.Since(steady)
-	if difference := (passed - really).Abs(); difference > 5*time.Millisecond {
-		t.Errorf("%s passed, of really %s", passed, really)
+	elapsed, want := Now().Sub(before), time.Since(monotonic)
+	if difference := (elapsed - want).Abs(); difference > 5*time.Millisecond {
+		t.Errorf("Now advanced by %s, the monotonic clock by %s", elapsed, want)
 	}
-	if off := time.Until(Now()).Abs(); off > time.Minute {
-		t.Errorf("the moment is %s off the time of day", off)
+	if offset := time.Until(Now()).Abs(); offset > time.Minute {
+		t.Errorf("Now differs from the wall clock by %s", offset)
 	}
 }
 
-// TestAWatchNoticesSleep has two clocks part.
-func TestAWatchNoticesSleep(t *testing.T) {
-	clocks := reading{boot: time.Hour, steady: time.Now()}
+// TestSlept lets the two clocks diverge.
+func TestSlept(t *testing.T) {
+	clocks := reading{boot: time.Hour, monotonic: time.Now()}
 	w := &Watch{read: func() reading { return clocks }, last: clocks}
-	pass := func(awake, asleep time.Duration) {
-		clocks = reading{boot: clocks.boot + awake + asleep, steady: clocks.steady.Add(awake)}
+	advance := func(awake, asleep time.Duration) {
+		clocks = reading{boot: clocks.boot + awake + asleep, monotonic: clocks.monotonic.Add(awake)}
 	}
 	for _, test := range []struct{ awake, asleep time.Duration }{{time.Second, 0}, {time.Second, 4 * time.Second}, {0, time.Minute}, {time.Hour, 0}} {
-		pass(test.awake, test.asleep)
+		advance(test.awake, test.asleep)
 		if got := w.Slept(); got != test.asleep {
-			t.Errorf("after %s awake and %s asleep it tells %s", test.awake, test.asleep, got)
+			t.Errorf("after %s awake and %s asleep got %s", test.awake, test.asleep, got)
 		}
 	}
 	clocks.boot = 0
 	if got := w.Slept(); got != 0 {
-		t.Errorf("without a clock that counts sleep it tells %s", got)
+		t.Errorf("without CLOCK_BOOTTIME got %s", got)
 	}
 }
--- a/internal/callers/bench_test.go
+++ b/internal/callers/bench_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// plainCallerBench returns a server whose listener accepts connections that nothing holds.
-func plainCallerBench(b *testing.B) *callerBench {
-	bench := newCallerBench(b, time.Hour, time.Hour)
+// newPlainTestServer returns a server whose listener does not use gates.
+func newPlainTestServer(b *testing.B) *testServer {
+	bench := newTestServer(b, time.Hour, time.Hour)
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		b.Fatal(err)
@@ -19,32 +19,32 @@
 	return bench
 }
 
-// BenchmarkRequestOfACaller measures a request on a kept connection.
-func BenchmarkRequestOfACaller(b *testing.B) {
-	bench := plainCallerBench(b)
+// BenchmarkRequest measures a request on a keep-alive connection.
+func BenchmarkRequest(b *testing.B) {
+	bench := newPlainTestServer(b)
 	caller := bench.dial(b)
-	caller.ask(b, "/1")
+	caller.request(b, "/1")
 	b.ReportAllocs()
 	for b.Loop() {
-		caller.ask(b, "/1")
+		caller.request(b, "/1")
 	}
 }
 
-// BenchmarkRestingConnection measures the memory of a connection that rests, with both of its ends in this process.
-func BenchmarkRestingConnection(b *testing.B) {
+// BenchmarkIdleConnection measures the heap used by an idle connection, including its client end.
+func BenchmarkIdleConnection(b *testing.B) {
 	const resting = 2000
 	for range b.N {
-		bench := plainCallerBench(b)
-		before := liveBytes()
+		bench := newPlainTestServer(b)
+		before := heapInUse()
 		for range resting {
-			bench.dial(b).ask(b, "/1")
+			bench.dial(b).request(b, "/1")
 		}
-		b.ReportMetric(float64(liveBytes()-before)/resting, "B/connection")
+		b.ReportMetric(float64(heapInUse()-before)/resting, "B/connection")
 	}
 }
 
-// liveBytes returns the bytes of the heap that are in use.
-func liveBytes() int64 {
+// heapInUse returns the bytes of live heap objects.
+func heapInUse() int64 {
 	runtime.GC()
 	runtime.GC()
 	var stats runtime.MemStats
--- /dev/null
+++ b/internal/callers/shutdown_test.go
@@ -0,0 +1,201 @@
+package callers
+
+import (
+	"context"
+	"io"
+	"net"
+	"net/http"
+	"testing"
+	"time"
+
+	"github.com/sirupsen/logrus"
+)
+
+// TestShutdownClosesIdleConnectionsImmediately shuts down with idle connections and one active request.
+func TestShutdownClosesIdleConnectionsImmediately(t *testing.T) {
+	s := newTestServer(t, time.Hour, time.Hour)
+	idle := s.dial(t)
+	idle.request(t, "/1")
+	start := time.Now()
+	active := s.dial(t)
+	var done <-chan struct{}
+	s.onHook = func() {
+		done = s.stop()
+		if !idle.closedWithin(testTimeout) {
+			t.Error("an idle connection was not closed")
+		}
+		select {
+		case <-done:
+			t.Error("shutdown did not wait for the active request")
+		default:
+		}
+	}
+	active.request(t, pathHook)
+	<-done
+	if took := time.Since(start); took > newConnGrace {
+		t.Errorf("shutdown took %v", took)
+	}
+	if _, err := net.Dial("tcp4", s.listener.Addr().String()); err == nil {
+		t.Error("a stopped server accepts connections")
+	}
+	if open := s.traffic.Open.Load(); open != 0 {
+		t.Errorf("%d connections are open", open)
+	}
+}
+
+// TestFinalReadSurvivesShutdown begins a shutdown, and sends a request, just before the final read of a connection whose
+// timeout has expired. Shutdown sets a past deadline on idle connections, which must not prevent that read.
+func TestFinalReadSurvivesShutdown(t *testing.T) {
+	s := newTestServer(t, testDelay, time.Hour)
+	caller := s.dial(t)
+	var blocked <-chan struct{}
+	s.onHook = func() { blocked = s.listener.beforeFinalRead.close() }
+	caller.request(t, pathHook)
+	<-blocked
+	if err := caller.send(requestFor("/2")); err != nil {
+		t.Fatal(err)
+	}
+	s.stop()
+	time.Sleep(newConnGrace / 3)
+	s.listener.beforeFinalRead.open()
+	if err := caller.readResponse(); err != nil {
+		t.Errorf("a request that arrived before the final read got no response: %v", err)
+	}
+}
+
+// TestShutdownWaitsForStartedRequests shuts down with requests and headers in progress, and with a connection that is
+// just being accepted.
+func TestShutdownWaitsForStartedRequests(t *testing.T) {
+	const longRequest = 2 * newConnGrace
+	t.Run("an active request", func(t *testing.T) {
+		s := newTestServer(t, time.Hour, time.Hour)
+		s.onHook = func() {
+			s.stop()
+			time.Sleep(longRequest)
+		}
+		s.dial(t).request(t, pathHook)
+	})
+	t.Run("a partial header", func(t *testing.T) {
+		s := newTestServer(t, time.Hour, time.Hour)
+		caller := s.dial(t)
+		head := requestFor("/1")
+		if err := caller.send(head[:5]); err != nil {
+			t.Fatal(err)
+		}
+		time.Sleep(testDelay) // The bytes are read.
+		s.stop()
+		time.Sleep(longRequest)
+		caller.finishRequest(t, head[5:])
+	})
+	t.Run("a connection accepted as shutdown begins", func(t *testing.T) {
+		s := newTestServer(t, time.Hour, time.Hour)
+		blocked := s.listener.afterAccept.close()
+		caller := s.dial(t)
+		if err := caller.send(requestFor("/1")); err != nil {
+			t.Fatal(err)
+		}
+		<-blocked
+		s.stop()
+		time.Sleep(newConnGrace / 3)
+		s.listener.afterAccept.open()
+		if err := caller.readResponse(); err != nil {
+			t.Error(err)
+		}
+	})
+	t.Run("a long poll is answered immediately", func(t *testing.T) {
+		logger := logrus.New()
+		logger.SetOutput(io.Discard)
+		listener, err := net.Listen("tcp4", "127.0.0.1:0")
+		if err != nil {
+			t.Fatal(err)
+		}
+		side := NewSideServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+			<-r.Context().Done()
+			_, _ = io.WriteString(w, "no changes")
+		}), &recordingObserver{}, logrus.NewEntry(logger))
+		s := &testServer{Server: side, listener: &gatedListener{Listener: listener}}
+		go func() { _ = side.Serve(s.listener) }()
+		caller := s.dial(t)
+		if err := caller.send(requestFor("/1")); err != nil {
+			t.Fatal(err)
+		}
+		time.Sleep(testDelay) // The request is active.
+		start := time.Now()
+		done := s.stop()
+		if err := caller.readResponse(); err != nil {
+			t.Error(err)
+		}
+		<-done
+		if took := time.Since(start); took > newConnGrace {
+			t.Errorf("shutdown took %v", took)
+		}
+	})
+	t.Run("not beyond the deadline", func(t *testing.T) {
+		s := newTestServer(t, time.Hour, time.Hour)
+		handled, release := make(chan struct{}), make(chan struct{})
+		s.onHook = func() {
+			close(handled)
+			<-release
+		}
+		defer close(release)
+		if err := s.dial(t).send(requestFor(pathHook)); err != nil {
+			t.Fatal(err)
+		}
+		<-handled
+		for _, grace := range []time.Duration{longRequest, -longRequest} {
+			start := time.Now()
+			ShutDown(start.Add(grace), s.Server)
+			earliest := max(grace, newConnGrace)
+			if took := time.Since(start); took < earliest || took > earliest+newConnGrace {
+				t.Errorf("with %v until the deadline, shutdown took %v", grace, took)
+			}
+		}
+	})
+	t.Run("not for callers that send nothing", func(t *testing.T) {
+		s := newTestServer(t, time.Hour, time.Hour)
+		silent, idle := s.dial(t), s.dial(t)
+		idle.request(t, "/1")
+		start := time.Now()
+		<-s.stop()
+		if took := time.Since(start); took > longRequest {
+			t.Errorf("shutdown took %v", took)
+		}
+		if !silent.closedWithin(testDelay) || !idle.closedWithin(testDelay) {
+			t.Error("a connection is open after shutdown")
+		}
+	})
+}
+
+// TestShutdownAnswersReceivedInternalRequests blocks, during shutdown, a request that was read by a server that is not
+// for callers, such as endpoint discovery, changes of the store or readiness.
+func TestShutdownAnswersReceivedInternalRequests(t *testing.T) {
+	logger := logrus.New()
+	logger.SetOutput(io.Discard)
+	side := NewSideServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "told") }),
+		&recordingObserver{}, logrus.NewEntry(logger))
+	listener, err := net.Listen("tcp4", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	held := &gatedListener{Listener: listener}
+	go func() { _ = side.Serve(held) }()
+	t.Cleanup(side.Close)
+	caller := (&testServer{listener: held}).dial(t)
+	caller.request(t, "/1")
+	time.Sleep(testDelay) // The connection is idle.
+	blocked := held.afterRead.close()
+	if err := caller.send(requestFor("/2")); err != nil {
+		t.Fatal(err)
+	}
+	<-blocked
+	go func() {
+		ctx, cancel := context.WithTimeout(context.Background(), newConnGrace)
+		defer cancel()
+		side.shutDown(ctx)
+	}()
+	time.Sleep(newConnGrace / 3)
+	held.afterRead.open()
+	if err := caller.readResponse(); err != nil {
+		t.Errorf("a received request got no response: %v", err)
+	}
+}
--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -18,41 +18,41 @@
 
 // configCommand shows the state of the configuration.
 type configCommand struct {
-	Status  configStatusCommand  `cmd:"" help:"Show which revision is accepted and where it is in force."`
+	Status  configStatusCommand  `cmd:"" help:"Show which revision the gateways use."`
 	History configHistoryCommand `cmd:"" help:"Show the latest edits, newest first."`
 }
 
 type configStatusCommand struct{}
 
-// spread is how far the configuration got around.
-type spread struct {
-	// Newest revision that a gateway has in force, and Everywhere the one that all have that answered.
+// rolloutStatus tells which gateways use the newest revision of the configuration.
+type rolloutStatus struct {
+	// Newest is the newest revision that a gateway uses, Everywhere the oldest one among the gateways that responded.
 	Newest     uint64 `json:"newest"`
 	Everywhere uint64 `json:"everywhere"`
 	Gateways   int    `json:"gateways"`
-	// Behind names the gateways that have an older one, and Silent those that did not answer.
+	// Behind names the gateways that use an older revision, Silent those that did not respond.
 	Behind []string `json:"behind,omitempty"`
 	Silent []string `json:"silent,omitempty"`
-	// unknown is set when a gateway that another one lists did not answer.
-	unknown bool
+	// incomplete is set if a gateway that is listed by another one did not respond.
+	incomplete bool
 }
 
-// spreadOf asks all gateways which revision they have in force.
-func spreadOf(ctx context.Context, s *session) spread {
-	processes, gaps := gatewayProcesses(ctx, s)
-	answers := askAll(ctx, processes, func(ctx context.Context, client *adminapi.Client) (adminapi.GatewayStatus, error) {
+// queryRollout queries the revision of all gateways.
+func queryRollout(ctx context.Context, s *session) rolloutStatus {
+	targets, gaps := gatewayTargets(ctx, s)
+	responses := queryAll(ctx, targets, func(ctx context.Context, client *adminapi.Client) (adminapi.GatewayStatus, error) {
 		return client.Status(ctx)
 	})
-	result := spread{Silent: gaps}
+	result := rolloutStatus{Silent: gaps}
 	statuses := map[string]adminapi.GatewayStatus{}
-	for _, each := range answers {
-		if each.err != nil {
-			result.Silent = append(result.Silent, each.process.gap(each.err))
-			result.unknown = result.unknown || each.process.name != ""
+	for _, response := range responses {
+		if response.err != nil {
+			result.Silent = append(result.Silent, response.target.describeFailure(response.err))
+			result.incomplete = result.incomplete || response.target.name != ""
 			continue
 		}
-		statuses[each.value.Gateway] = each.value
-		result.Newest = max(result.Newest, each.value.Revision)
+		statuses[response.value.Gateway] = response.value
+		result.Newest = max(result.Newest, response.value.Revision)
 	}
 	result.Gateways, result.Everywhere = len(statuses), result.Newest
 	for name, status := range statuses {
@@ -65,20 +65,20 @@
 	return result
 }
 
-// Run shows how far the configuration got around.
+// Run shows the rollout status.
 func (configStatusCommand) Run(s *session) error {
-	read := func(ctx context.Context) (spread, error) {
-		found := spreadOf(ctx, s)
-		if found.Gateways == 0 {
-			return found, errors.Newf("no gateway answered: %s", strings.Join(found.Silent, "; "))
+	read := func(ctx context.Context) (rolloutStatus, error) {
+		status := queryRollout(ctx, s)
+		if status.Gateways == 0 {
+			return status, errors.Newf("no gateway responded: %s", strings.Join(status.Silent, "; "))
 		}
-		return found, nil
+		return status, nil
 	}
-	return show(s, read, func(writer io.Writer, found spread) error {
-		fmt.Fprintf(writer, "newest in force      revision %d\n", found.Newest)
-		fmt.Fprintf(writer, "in force everywhere  revision %d (%d gateways)\n", found.Everywhere, found.Gateways)
-		printList(writer, "behind", found.Behind)
-		printList(writer, "did not answer", found.Silent)
+	return show(s, read, func(writer io.Writer, status rolloutStatus) error {
+		fmt.Fprintf(writer, "newest revision      %d\n", status.Newest)
+		fmt.Fprintf(writer, "in use everywhere    %d (%d gateways)\n", status.Everywhere, status.Gateways)
+		printList(writer, "older revision", status.Behind)
+		printList(writer, "did not respond", status.Silent)
 		return nil
 	})
 }
@@ -90,24 +90,24 @@
 	header := table.Row{"Revision", "Time", "Author", "Change", "Fields"}
 	return show(s, s.client.ConfigHistory, func(writer io.Writer, history adminapi.ConfigHistory) error {
 		if len(history.Changes) == 0 {
-			fmt.Fprintln(writer, "no edit is recorded")
+			fmt.Fprintln(writer, "no edits")
 			return nil
 		}
 		return printTable(writer, header, lo.Map(history.Changes, func(change configuration.Change, _ int) table.Row {
 			when := time.UnixMilli(change.UnixMillis).UTC().Format(time.RFC3339)
-			return table.Row{change.Revision, when, orNone(change.Author), change.ChangeID, fieldSummary(change.Fields)}
+			return table.Row{change.Revision, when, orDash(change.Author), change.ChangeID, fieldSummary(change.Fields)}
 		}))
 	})
 }
 
-// shownFields is the most fields of one edit that are named.
-const shownFields = 3
+// maxShownFields limits how many fields of an edit are listed.
+const maxShownFields = 3
 
-// fieldSummary names the first fields of an edit and counts the rest.
+// fieldSummary lists the first fields of an edit and counts the rest.
 func fieldSummary(fields []configuration.FieldChange) string {
 	names := lo.Map(fields, func(changed configuration.FieldChange, _ int) string { return changed.Field.String() })
-	if len(names) <= shownFields {
+	if len(names) <= maxShownFields {
 		return strings.Join(names, "; ")
 	}
-	return fmt.Sprintf("%s; and %d more", strings.Join(names[:shownFields], "; "), len(names)-shownFields)
+	return fmt.Sprintf("%s; and %d more", strings.Join(names[:maxShownFields], "; "), len(names)-maxShownFields)
 }
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -28,7 +28,7 @@
 	mutex     sync.Mutex
 	document  configuration.Document
 	decisions []decision.Record
-	// gateways that it knows, itself included or not.
+	// gateways that it lists; may include itself.
 	gateways []adminapi.PeerStatus
 }
 
@@ -72,8 +72,8 @@
 	return adminapi.DecisionFilter{Since: since}.Select(g.decisions)
 }
 
-// serve starts a gateway on loopback with the example of Fès as its first edit, and returns its address.
-func serve(t *testing.T, gateway *fakeGateway) string {
+// startGateway starts a gateway on loopback with the Fès example as its first edit, and returns its address.
+func startGateway(t *testing.T, gateway *fakeGateway) string {
 	t.Helper()
 	example, err := configuration.Example(configuration.ExampleFes)
 	if err != nil {
@@ -91,15 +91,15 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// runLine runs a command line against gateways and returns the exit code and what it printed.
-func runLine(t *testing.T, gateways string, arguments ...string) (code int, stdout, stderr string) {
+// runCommand runs a command line against gateways and returns the exit code and the output.
+func runCommand(t *testing.T, gateways string, arguments ...string) (code int, stdout, stderr string) {
 	t.Helper()
 	var out, errs bytes.Buffer
 	code = Run(t.Context(), append([]string{"--gateway", gateways}, arguments...), &out, &errs)
 	return code, out.String(), errs.String()
 }
 
-// barredRequest is the digest of the request that the fake gateway has barred.
+// barredRequest is the digest of the request that the fake gateway bars.
 const barredRequest = "00112233445566778899aabbccddeeff"
 
 // unreachable is an address on which nothing listens.
@@ -110,7 +110,7 @@
 		desc      string
 		arguments []string
 		code      int
-		// stdout and stderr that the command must print, among others.
+		// stdout and stderr are strings that the output must contain.
 		stdout, stderr []string
 	}{
 		{desc: "help", arguments: []string{"--help"}, stdout: []string{"Exit codes: 0 done, 1 failed, 2 bad"}},
@@ -122,7 +122,7 @@
 		{desc: "configuration", arguments: []string{"get", "config"}, stdout: []string{"revision: 1", "tenantInFlight: 16"}},
 		{desc: "label", arguments: []string{"label", "worker", "w1", "pool=x", "rack=7"}, stdout: []string{"accepted as revision 2"}},
 		{desc: "label already there", arguments: []string{"label", "worker", "w1", "pool=counter"}, stdout: []string{"nothing to change"}},
-		{desc: "label removed", arguments: []string{"label", "worker", "w1", "pool-", "--wait", "5s"}, stderr: []string{"in force everywhere"}},
+		{desc: "label removed", arguments: []string{"label", "worker", "w1", "pool-", "--wait", "5s"}, stderr: []string{"in use by all gateways"}},
 		{
 			desc: "dry run", arguments: []string{"label", "worker", "w1", "pool-", "--dry-run"},
 			stdout: []string{"label pool of worker w1: removed", "worker w1: counter -> none"},
@@ -132,7 +132,7 @@
 		{desc: "one kind of object in the singular", arguments: []string{"get", "worker"}, stdout: []string{"w1"}},
 		{desc: "label of an unknown worker", arguments: []string{"label", "worker", "w9", "pool=x"}, stdout: []string{"accepted"}, stderr: []string{"no worker at w9 is known"}},
 		{desc: "unknown kind of decisions", arguments: []string{"decisions", "--kind", "reboot"}, code: 2, stderr: []string{`no kind "reboot"`, "role"}},
-		{desc: "no decision", arguments: []string{"decisions", "--kind", "role"}, stderr: []string{"no decision that is kept fits"}},
+		{desc: "no decision", arguments: []string{"decisions", "--kind", "role"}, stderr: []string{"no matching decisions"}},
 		{desc: "missing file", arguments: []string{"apply", "-f", "testdata/none.yaml"}, code: 2, stderr: []string{"none.yaml"}},
 		{desc: "barred requests", arguments: []string{"get", "barred"}, stdout: []string{barredRequest, "quick", "i-1,i-2,i-3", "2023-11-14T22:13:20Z"}},
 		{desc: "release", arguments: []string{"release", barredRequest}, stdout: []string{"request " + barredRequest + " is released"}},
@@ -156,8 +156,8 @@
 	}
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
-			address := serve(t, &fakeGateway{name: "gateway-a-1"})
-			code, stdout, stderr := runLine(t, unreachable+","+address, test.arguments...)
+			address := startGateway(t, &fakeGateway{name: "gateway-a-1"})
+			code, stdout, stderr := runCommand(t, unreachable+","+address, test.arguments...)
 			if code != test.code {
 				t.Errorf("exit code %d, want %d", code, test.code)
 			}
@@ -175,26 +175,26 @@
 	}
 }
 
-// TestAddressAsURL takes an address as the demo and browsers show it.
+// TestAddressAsURL passes the address as a URL.
 func TestAddressAsURL(t *testing.T) {
-	code, stdout, stderr := runLine(t, "http://"+serve(t, &fakeGateway{name: "gateway-a-1"})+"/", "status")
+	code, stdout, stderr := runCommand(t, "http://"+startGateway(t, &fakeGateway{name: "gateway-a-1"})+"/", "status")
 	if code != 0 || !strings.Contains(stdout, "gateway-a-1") {
 		t.Errorf("exit code %d, %q, %q", code, stdout, stderr)
 	}
 }
 
-func TestNoGatewayAnswers(t *testing.T) {
-	code, _, stderr := runLine(t, unreachable, "status")
+func TestNoReachableGateway(t *testing.T) {
+	code, _, stderr := runCommand(t, unreachable, "status")
 	if code != 1 || !strings.Contains(stderr, "ask gateway "+unreachable) {
 		t.Errorf("exit code %d, %q", code, stderr)
 	}
 }
 
-// TestFileOfAnOlderRevision edits a file that was read before another operator's edit.
-func TestFileOfAnOlderRevision(t *testing.T) {
-	address := serve(t, &fakeGateway{name: "gateway-a-1"})
-	_, text, _ := runLine(t, address, "get", "config")
-	runLine(t, address, "label", "worker", "w1", "pool=spare", "--change-id", "theirs")
+// TestApplyFileOfOlderRevision applies a file that was read before another operator's edit.
+func TestApplyFileOfOlderRevision(t *testing.T) {
+	address := startGateway(t, &fakeGateway{name: "gateway-a-1"})
+	_, text, _ := runCommand(t, address, "get", "config")
+	runCommand(t, address, "label", "worker", "w1", "pool=spare", "--change-id", "theirs")
 	file := filepath.Join(t.TempDir(), "edited.yaml")
 	write := func(old, new string) {
 		if !strings.Contains(text, old) {
@@ -206,25 +206,25 @@
 	}
 
 	write("tenantInFlight: 16", "tenantInFlight: 17")
-	code, stdout, stderr := runLine(t, address, "diff", "-f", file)
+	code, stdout, stderr := runCommand(t, address, "diff", "-f", file)
 	if code != 0 || !strings.Contains(stdout, "rule history: tenantInFlight 16 -> 17") || strings.Contains(stdout, "label pool of") {
 		t.Errorf("diff: exit code %d, %q, %q", code, stdout, stderr)
 	}
-	if code, _, stderr = runLine(t, address, "apply", "-f", file); code != 0 {
+	if code, _, stderr = runCommand(t, address, "apply", "-f", file); code != 0 {
 		t.Errorf("apply: exit code %d, %q", code, stderr)
 	}
-	if _, now, _ := runLine(t, address, "get", "config"); !strings.Contains(now, "pool: spare") || !strings.Contains(now, "tenantInFlight: 17") {
+	if _, now, _ := runCommand(t, address, "get", "config"); !strings.Contains(now, "pool: spare") || !strings.Contains(now, "tenantInFlight: 17") {
 		t.Errorf("one of two disjoint edits was lost: %s", now)
 	}
 
 	write("w1:\n      pool: counter", "w1:\n      pool: billing")
-	code, _, stderr = runLine(t, address, "apply", "-f", file)
+	code, _, stderr = runCommand(t, address, "apply", "-f", file)
 	if code != 1 || !strings.Contains(stderr, "label pool of worker w1 was also changed by edit theirs") {
 		t.Errorf("conflict: exit code %d, %q", code, stderr)
 	}
 }
 
-func TestExplainAsksAllGateways(t *testing.T) {
+func TestExplainQueriesGivenGateways(t *testing.T) {
 	start := time.Unix(1_700_000_000, 0)
 	first := &fakeGateway{name: "gateway-a-1", decisions: []decision.Record{
 		{Sequence: 1, Time: start, Process: "gateway-a-1", Kind: decision.KindRefusal, Subject: "req-1", Reason: "The gateway is stopping."},
@@ -233,13 +233,13 @@
 		Sequence: 7, Time: start.Add(time.Millisecond), Process: "gateway-b-1", Kind: decision.KindRequest, Subject: "req-1", Reason: "Served.",
 		Inputs: map[string]string{"try1": "w1 in 20 ms"},
 	}}}
-	gateways := strings.Join([]string{serve(t, first), serve(t, second), unreachable}, ",")
-	code, stdout, _ := runLine(t, gateways, "explain", "req-1")
+	gateways := strings.Join([]string{startGateway(t, first), startGateway(t, second), unreachable}, ",")
+	code, stdout, _ := runCommand(t, gateways, "explain", "req-1")
 	order := []string{"2 decisions", "The gateway is stopping.", "Served.", "try1=w1 in 20 ms", unreachable}
 	for _, want := range order {
 		_, rest, found := strings.Cut(stdout, want)
 		if code != 0 || !found {
-			t.Fatalf("exit code %d, %q, want %q in this place", code, stdout, want)
+			t.Fatalf("exit code %d, %q, want %q at this point", code, stdout, want)
 		}
 		stdout = rest
 	}
