--- a/internal/demo/call.go
+++ b/internal/demo/call.go
@@ -130,5 +130,5 @@
 
 // expectedAnswer is the text that belongs to an order.
 func expectedAnswer(asked order) []string {
-	return answers.AnswerTokens(answers.PromptDigest(asked.model, asked.prompt), 0, asked.answerTokens)
+	return answers.Tokens(answers.PromptDigest(asked.model, asked.prompt), 0, asked.answerTokens)
 }
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -233,7 +233,7 @@
 	var found []Violation
 	holders := map[int64]string{}
 	orders := slices.Clone(h.Orders)
-	slices.SortStableFunc(orders, func(a, b fleet.Taken) int { return a.At.Compare(b.At) })
+	slices.SortStableFunc(orders, func(a, b fleet.AcceptedOrder) int { return a.At.Compare(b.At) })
 	for i, order := range orders {
 		if other, known := holders[order.Fence]; known && other != order.Holder {
 			found = append(found, Violation{"ONE", order.Worker, fmt.Sprintf("%s and %s share fence %d", other, order.Holder, order.Fence)})
@@ -250,7 +250,7 @@
 }
 
 // checkTurn looks at two orders in a row by two holders.
-func checkTurn(before, order fleet.Taken) []Violation {
+func checkTurn(before, order fleet.AcceptedOrder) []Violation {
 	var found []Violation
 	if order.Fence < before.Fence {
 		found = append(found, Violation{"ONE", order.Worker, fmt.Sprintf("fence %d after %d", order.Fence, before.Fence)})
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -25,15 +25,15 @@
 		want = fleet.StreamAnswer(id, 3)
 	}
 	return Request{
-		Asked: fleet.Asked{ID: id}, Kind: kind, Sent: at(sent), Ended: at(sent + 100*time.Millisecond), Want: want,
-		Answer: fleet.Answered{Status: http.StatusOK, Signature: "s", Body: want},
+		Asked: fleet.Request{ID: id}, Kind: kind, Sent: at(sent), Ended: at(sent + 100*time.Millisecond), Want: want,
+		Answer: fleet.Response{Status: http.StatusOK, Signature: "s", Body: want},
 	}
 }
 
 // left returns a request whose caller left soon after a moment.
 func left(id string, sent time.Duration) Request {
 	r := answered(id, KindStream, sent)
-	r.Answer = fleet.Answered{Err: context.Canceled}
+	r.Answer = fleet.Response{Err: context.Canceled}
 	r.Left = r.Ended
 	return r
 }
@@ -58,7 +58,7 @@
 			func(h *History) { h.Requests[0].Kind = KindAgain }},
 		{"REFUSED", "what was refused ran",
 			func(h *History) {
-				h.Requests[0].Answer = fleet.Answered{Status: http.StatusServiceUnavailable}
+				h.Requests[0].Answer = fleet.Response{Status: http.StatusServiceUnavailable}
 				h.Runs["r1"] = []fleet.Run{run("w1", 0)}
 			},
 			func(h *History) { h.Runs["r1"] = nil }},
@@ -76,19 +76,19 @@
 			}},
 		{"ORDER", "a stream with an event twice",
 			func(h *History) {
-				h.Requests[1].Answer = fleet.Answered{Status: http.StatusOK, Body: fleet.Event("r2", 1) + fleet.Event("r2", 1), Err: broken}
+				h.Requests[1].Answer = fleet.Response{Status: http.StatusOK, Body: fleet.Event("r2", 1) + fleet.Event("r2", 1), Err: broken}
 				h.Spans = []Span{{Fault: GatewayKill{}, Begun: at(0)}}
 			},
 			func(h *History) { h.Requests[1].Answer.Body = fleet.Event("r2", 1) + fleet.Event("r2", 2) }},
 		{"LOST", "a connection closed around planned work",
 			func(h *History) {
-				h.Requests[0].Answer = fleet.Answered{Err: broken}
+				h.Requests[0].Answer = fleet.Response{Err: broken}
 				h.Spans = []Span{{Fault: GatewayStop{}, Begun: at(0)}}
 			},
 			func(h *History) { h.Spans = append(h.Spans, Span{Fault: GatewayPause{}, Begun: at(0)}) }},
 		{"LOST", "a connection closed under a request that a worker has got, in the midst of faults",
 			func(h *History) {
-				h.Requests[0].Answer = fleet.Answered{Err: broken}
+				h.Requests[0].Answer = fleet.Response{Err: broken}
 				h.Requests[0].Gateway = "g1"
 				h.Arrivals = []fleet.Arrival{{ID: "r1", At: at(10 * time.Millisecond)}}
 				h.Spans = []Span{{Fault: GatewayPause{}, Begun: at(0)}}
@@ -98,21 +98,21 @@
 			}},
 		{"LOST", "a connection closed under a request that only a reading has reached",
 			func(h *History) {
-				h.Requests[1].Answer = fleet.Answered{Err: broken}
+				h.Requests[1].Answer = fleet.Response{Err: broken}
 				h.Arrivals = []fleet.Arrival{{ID: "r2", Reading: true, At: at(10 * time.Millisecond)}}
 				h.Spans = []Span{{Fault: GatewayKill{}, Begun: at(0)}}
 			},
 			func(h *History) { h.Requests[1].Answer.Err = context.DeadlineExceeded }},
 		{"LOST", "a connection closed under a request, and not by its caller, who has dropped a silent one",
 			func(h *History) {
-				h.Requests[1].Answer = fleet.Answered{Err: broken}
+				h.Requests[1].Answer = fleet.Response{Err: broken}
 				h.Arrivals = []fleet.Arrival{{ID: "r2", At: at(10 * time.Millisecond)}}
 				h.Spans = []Span{{Fault: GoneSilent{}, Begun: at(0)}}
 			},
 			func(h *History) { h.Requests[1].Answer.Err = errClosed }},
 		{"LOST", "a stream that breaks off around planned work",
 			func(h *History) {
-				h.Requests[1].Answer = fleet.Answered{Status: http.StatusOK, Body: fleet.Event("r2", 1), Err: broken}
+				h.Requests[1].Answer = fleet.Response{Status: http.StatusOK, Body: fleet.Event("r2", 1), Err: broken}
 				h.Requests[1].Asked.Deadline = time.Second
 				h.Spans = []Span{{Fault: GatewayStop{}, Begun: at(0)}}
 			},
@@ -212,7 +212,7 @@
 			func(h *History) {
 				h.Gateways = []string{"g"}
 				h.Requests[0].Gateway = "g"
-				h.Limits = []fleet.Limited{{Worker: "w1", PerSecond: 0.4, At: at(0)}}
+				h.Limits = []fleet.LimitChange{{Worker: "w1", PerSecond: 0.4, At: at(0)}}
 				h.Notices = []fleet.Notice{{ID: "r1", Worker: "w1", Limit: 0.4, At: at(0)}}
 				for i := range 8 {
 					more := answered(fmt.Sprint("limit-", i), KindAgain, 4*time.Second)
@@ -225,17 +225,17 @@
 			func(h *History) { h.Limits[0].PerSecond, h.Notices[0].Limit = 2, 2 }},
 		{"ONE", "two holders share a fence",
 			func(h *History) {
-				h.Orders = []fleet.Taken{{Holder: "a", Fence: 7}, {Holder: "b", Fence: 7, At: at(time.Hour)}}
+				h.Orders = []fleet.AcceptedOrder{{Holder: "a", Fence: 7}, {Holder: "b", Fence: 7, At: at(time.Hour)}}
 			},
 			func(h *History) { h.Orders[1].Fence = 8 }},
 		{"ONE", "a lower fence after a higher one",
 			func(h *History) {
-				h.Orders = []fleet.Taken{{Holder: "a", Fence: 7}, {Holder: "b", Fence: 6, At: at(time.Hour)}}
+				h.Orders = []fleet.AcceptedOrder{{Holder: "a", Fence: 7}, {Holder: "b", Fence: 6, At: at(time.Hour)}}
 			},
 			func(h *History) { h.Orders[1].Fence = 8 }},
 		{"ONE", "two holders within a lease",
 			func(h *History) {
-				h.Orders = []fleet.Taken{{Holder: "a", Fence: 7, At: at(0)}, {Holder: "b", Fence: 8, At: at(leaseTime - 1)}}
+				h.Orders = []fleet.AcceptedOrder{{Holder: "a", Fence: 7, At: at(0)}, {Holder: "b", Fence: 8, At: at(leaseTime - 1)}}
 			},
 			func(h *History) { h.Orders[1].At = at(leaseTime) }},
 		{"BUDGET", "more repeats than allowed",
@@ -257,7 +257,7 @@
 				h.Quiet = []Span{{Begun: at(0), Ended: at(time.Second)}}
 				for i := range 40 {
 					r := answered(fmt.Sprint("more-", i), KindAgain, time.Millisecond)
-					r.Answer = fleet.Answered{Status: http.StatusServiceUnavailable}
+					r.Answer = fleet.Response{Status: http.StatusServiceUnavailable}
 					h.Requests = append(h.Requests, r)
 				}
 			},
@@ -266,7 +266,7 @@
 			func(h *History) {
 				for i := range 4 + crashRetries {
 					r := answered(fmt.Sprint("crash-", i), KindStream, time.Duration(i)*10*time.Second)
-					r.Crashing, r.Answer = 1, fleet.Answered{Status: http.StatusBadGateway}
+					r.Crashing, r.Answer = 1, fleet.Response{Status: http.StatusBadGateway}
 					h.Requests = append(h.Requests, r)
 					h.Heads = append(h.Heads, fleet.Head{ID: r.Asked.ID})
 					h.Crashes = append(h.Crashes, fleet.Crash{ID: r.Asked.ID, At: r.Sent})
--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -18,7 +18,7 @@
 
 // Request is one request with what became of it.
 type Request struct {
-	Asked fleet.Asked
+	Asked fleet.Request
 	Kind  Kind
 	// Crashing is which of the requests that end workers it repeats, from 1; 0 for one that does no harm.
 	Crashing int
@@ -26,7 +26,7 @@
 	Gateway string
 	Sent    time.Time
 	Ended   time.Time
-	Answer  fleet.Answered
+	Answer  fleet.Response
 	// Left is when the caller left before it had the answer; zero when it did not. Long is set when a worker works on it for long.
 	Left time.Time
 	Long bool
@@ -64,11 +64,11 @@
 	Requests []Request
 	Runs     map[string][]fleet.Run
 	Arrivals []fleet.Arrival
-	Orders   []fleet.Taken
+	Orders   []fleet.AcceptedOrder
 	// Notices are what workers said of themselves, and Gateways the addresses of gateways by their numbers.
 	Notices []fleet.Notice
 	// Limits are when workers began to name limits, and others or none, in their order.
-	Limits   []fleet.Limited
+	Limits   []fleet.LimitChange
 	Gateways []string
 	// Crashes are the ends of workers under requests, and Heads all calls at workers.
 	Crashes    []fleet.Crash
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -13,11 +13,11 @@
 var (
 	storeFaults = map[StoreKind]fleet.StoreFault{
 		StoreRefuses: fleet.FaultRefuse, StoreSilent: fleet.FaultSilent, StoreBusy: fleet.FaultBusy,
-		StoreLosesAnswer: fleet.FaultLoseAnswers, StoreSlow: fleet.FaultNone,
+		StoreLosesAnswer: fleet.FaultDropResponses, StoreSlow: fleet.FaultNone,
 	}
 	workerFaults = map[WorkerKind]fleet.WorkerFault{
 		WorkerErrors: fleet.WorkerErrors, WorkerResets: fleet.WorkerResets, WorkerMute: fleet.WorkerMute,
-		WorkerCuts: fleet.WorkerCuts, WorkerLapses: fleet.WorkerLapses, WorkerLate: fleet.WorkerLateOrders,
+		WorkerCuts: fleet.WorkerCuts, WorkerLapses: fleet.WorkerExpiresHandles, WorkerLate: fleet.WorkerLateOrders,
 	}
 )
 
--- a/internal/soak/traffic.go
+++ b/internal/soak/traffic.go
@@ -19,7 +19,7 @@
 	random := rand.New(rand.NewPCG(seed, 99))
 	crashing := rand.New(rand.NewPCG(seed, crashingStream))
 	habits := rand.New(rand.NewPCG(seed, seriesStream))
-	fresh, keeper := fleet.NewCaller(false), fleet.NewKeeper(s.front.dial)
+	fresh, keeper := fleet.NewCaller(false), fleet.NewPoolingCaller(s.front.dial)
 	defer keeper.Close()
 	addresses := &directory{system: s, caller: fleet.NewCaller(true)}
 	ticker := time.NewTicker(time.Second / time.Duration(perSecond))
@@ -46,15 +46,15 @@
 		request.Gateway = known[random.IntN(len(known))]
 		habit := drawHabit(habits, &request)
 		if closes {
-			s.calling.Go(func() { s.call(request, habit.leave, fresh.Ask) })
+			s.calling.Go(func() { s.call(request, habit.leave, fresh.Do) })
 			continue
 		}
-		if old := keeper.Known(); habit.stays && len(old) > 0 {
+		if old := keeper.IdleGateways(); habit.stays && len(old) > 0 {
 			request.Gateway = old[habits.IntN(len(old))]
 		}
 		s.calling.Go(func() {
-			s.call(request, habit.leave, func(ctx context.Context, gateway string, asked fleet.Asked) fleet.Answered {
-				return keeper.Ask(ctx, gateway, asked, habit.pick, s.mayRest)
+			s.call(request, habit.leave, func(ctx context.Context, gateway string, asked fleet.Request) fleet.Response {
+				return keeper.Do(ctx, gateway, asked, habit.pick, s.mayRest)
 			})
 		})
 	}
@@ -63,7 +63,7 @@
 // habit is what a caller does besides asking.
 type habit struct {
 	// pick says which connection it takes, and stays whether it goes to a gateway to which it has one, whatever the directory tells.
-	pick  fleet.Pick
+	pick  fleet.ConnChoice
 	stays bool
 	// leave is after what time it leaves; zero when it waits for the answer.
 	leave time.Duration
@@ -81,7 +81,7 @@
 // drawHabit draws what a caller does, and makes some of the streams long; half of the callers of these leave.
 func drawHabit(random *rand.Rand, request *Request) habit {
 	drawn := habit{
-		pick:  []fleet.Pick{fleet.PickNew, fleet.PickLatest, fleet.PickLongest, fleet.PickLongest}[random.IntN(4)],
+		pick:  []fleet.ConnChoice{fleet.ConnNew, fleet.ConnMostRecent, fleet.ConnLeastRecent, fleet.ConnLeastRecent}[random.IntN(4)],
 		stays: random.IntN(staysEvery) == 0,
 	}
 	leaves, long, late := random.IntN(leaveEvery) == 0, random.IntN(longEvery) == 0, random.IntN(2) == 0
@@ -111,19 +111,19 @@
 func drawRequest(random *rand.Rand, number int, long bool) Request {
 	id := fmt.Sprintf("r%d", number)
 	kind := []Kind{KindOnce, KindAgain, KindStream, KindStream}[random.IntN(4)]
-	asked := fleet.Asked{
+	asked := fleet.Request{
 		ID: id, Path: "/" + string(kind) + "/x", Body: "body of " + id, Deadline: time.Duration(1500+random.IntN(1500)) * time.Millisecond,
 	}
 	want := fleet.PlainAnswer(id, []byte(asked.Body))
 	if kind == KindStream {
 		want = fleet.StreamAnswer(id, streamEvents)
-		asked.Subject = fmt.Sprintf("a%x", random.IntN(8))
-		asked.Shared, asked.Tokens = shortShared, shortTokens
+		asked.SharedPrefix = fmt.Sprintf("a%x", random.IntN(8))
+		asked.SharedTokens, asked.PromptTokens = shortShared, shortTokens
 		if random.IntN(4) == 0 {
-			asked.Shared, asked.Tokens = middleShared, middleTokens
+			asked.SharedTokens, asked.PromptTokens = middleShared, middleTokens
 		}
 		if long {
-			asked.Shared, asked.Tokens = longShared, longTokens
+			asked.SharedTokens, asked.PromptTokens = longShared, longTokens
 		}
 	}
 	return Request{Asked: asked, Kind: kind, Want: want}
@@ -164,9 +164,9 @@
 	request.Kind, request.Want = kind, ""
 	request.Asked.Path, request.Asked.Body = path, body
 	if kind == KindAgain {
-		request.Asked.Tokens = 0
-	} else if request.Asked.Tokens == 0 {
-		request.Asked.Subject, request.Asked.Shared, request.Asked.Tokens = "a0", shortShared, shortTokens
+		request.Asked.PromptTokens = 0
+	} else if request.Asked.PromptTokens == 0 {
+		request.Asked.SharedPrefix, request.Asked.SharedTokens, request.Asked.PromptTokens = "a0", shortShared, shortTokens
 	}
 }
 
@@ -183,7 +183,7 @@
 const callSlack = 2 * time.Second
 
 // call sends one request and notes what became of it. The caller leaves after a time, or waits for the answer if that is zero.
-func (s *system) call(request Request, leave time.Duration, ask func(ctx context.Context, gateway string, asked fleet.Asked) fleet.Answered) {
+func (s *system) call(request Request, leave time.Duration, ask func(ctx context.Context, gateway string, asked fleet.Request) fleet.Response) {
 	ctx, cancel := context.WithTimeout(context.Background(), request.Asked.Deadline+callSlack)
 	defer cancel()
 	request.Sent = time.Now()
--- a/internal/standin/answers/answers.go
+++ b/internal/standin/answers/answers.go
@@ -10,7 +10,7 @@
 )
 
 // tokenVocabulary is the number of different tokens in the answers of stand-in engines.
-const tokenVocabulary = 1 << 12
+const vocabularySize = 1 << 12
 
 // The syllables from which the tokens of answers are made.
 const (
@@ -21,7 +21,7 @@
 // firstTokens and laterTokens hold the vocabulary; a later token has the space before it.
 var firstTokens, laterTokens = buildVocabulary()
 
-func buildVocabulary() (first, later [tokenVocabulary]string) {
+func buildVocabulary() (first, later [vocabularySize]string) {
 	consonants, vowels := uint(len(tokenConsonants)), uint(len(tokenVowels))
 	for i := range first {
 		rest := uint(i)
@@ -41,11 +41,11 @@
 // AnswerToken returns the token at an index of the answer that stand-in engines give to a prompt. It depends on
 // nothing else, so that any two runs of a prompt give the same answer and a checker can tell a wrong one. The text of
 // an answer is its tokens joined without a separator.
-func AnswerToken(promptDigest uint64, index int) string {
+func Token(promptDigest uint64, index int) string {
 	var key [12]byte
 	binary.LittleEndian.PutUint64(key[:8], promptDigest)
 	binary.LittleEndian.PutUint32(key[8:], uint32(index))
-	word := xxhash.Sum64(key[:]) % tokenVocabulary
+	word := xxhash.Sum64(key[:]) % vocabularySize
 	if index == 0 {
 		return firstTokens[word]
 	}
@@ -53,13 +53,13 @@
 }
 
 // AnswerTokens returns the tokens of an answer from one index up to another, which is not included.
-func AnswerTokens(promptDigest uint64, from, to int) []string {
+func Tokens(promptDigest uint64, from, to int) []string {
 	if to <= from {
 		return nil
 	}
 	tokens := make([]string, 0, to-from)
 	for index := from; index < to; index++ {
-		tokens = append(tokens, AnswerToken(promptDigest, index))
+		tokens = append(tokens, Token(promptDigest, index))
 	}
 	return tokens
 }
@@ -67,7 +67,7 @@
 // PromptDigest returns the hash of all that an answer depends on.
 func PromptDigest(model, prompt string) uint64 {
 	digest := xxhash.New()
-	writeSeparated(digest, model)
+	writeWithSeparator(digest, model)
 	_, _ = digest.WriteString(prompt)
 	return digest.Sum64()
 }
@@ -82,7 +82,7 @@
 }
 
 // writeSeparated writes a part and a byte that no UTF-8 text contains.
-func writeSeparated(digest *xxhash.Digest, part string) {
+func writeWithSeparator(digest *xxhash.Digest, part string) {
 	_, _ = digest.WriteString(part)
 	_, _ = digest.Write([]byte{0xff})
 }
--- a/internal/standin/fleet/caller.go
+++ b/internal/standin/fleet/caller.go
@@ -12,20 +12,20 @@
 )
 
 // Asked is a request as a stand-in caller sends it.
-type Asked struct {
+type Request struct {
 	ID   string
 	Path string
 	Body string
 	// Tokens of the prompt, zero for requests to plain workers; Shared of them begin other prompts too.
-	Tokens int
-	Shared int
+	PromptTokens int
+	SharedTokens int
 	// Subject names the shared part.
-	Subject  string
-	Deadline time.Duration
+	SharedPrefix string
+	Deadline     time.Duration
 }
 
 // Answered is what a caller got.
-type Answered struct {
+type Response struct {
 	Status    int
 	Signature string
 	Body      string
@@ -39,9 +39,9 @@
 type Caller struct{ client *http.Client }
 
 // NewCaller returns a caller that keeps connections, or opens a new one for each request.
-func NewCaller(keep bool) *Caller {
+func NewCaller(keepAlive bool) *Caller {
 	return &Caller{client: &http.Client{Transport: &http.Transport{
-		DisableCompression: true, DisableKeepAlives: !keep, MaxIdleConnsPerHost: 8, ResponseHeaderTimeout: 10 * time.Second,
+		DisableCompression: true, DisableKeepAlives: !keepAlive, MaxIdleConnsPerHost: 8, ResponseHeaderTimeout: 10 * time.Second,
 	}}}
 }
 
@@ -81,30 +81,30 @@
 }
 
 // Ask sends a request to a gateway and reads the answer to its end.
-func (c *Caller) Ask(ctx context.Context, gateway string, asked Asked) Answered {
-	request, err := asked.request(ctx, gateway)
+func (c *Caller) Do(ctx context.Context, gateway string, call Request) Response {
+	request, err := call.httpRequest(ctx, gateway)
 	if err != nil {
-		return Answered{Err: err}
+		return Response{Err: err}
 	}
 	response, err := c.client.Do(request)
 	if err != nil {
-		return Answered{Err: err}
+		return Response{Err: err}
 	}
 	defer response.Body.Close()
-	return answered(response)
+	return readResponse(response)
 }
 
 // answered reads an answer to its end.
-func answered(response *http.Response) Answered {
+func readResponse(response *http.Response) Response {
 	content, err := io.ReadAll(response.Body)
-	return Answered{
+	return Response{
 		Status: response.StatusCode, Signature: response.Header.Get("Response-Signature"), Body: string(content),
 		RetryAfter: response.Header.Get("Retry-After"), Err: err,
 	}
 }
 
 // request returns the request as it is sent to a gateway.
-func (a Asked) request(ctx context.Context, gateway string) (*http.Request, error) {
+func (a Request) httpRequest(ctx context.Context, gateway string) (*http.Request, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+gateway+a.Path, strings.NewReader(a.Body))
 	if err != nil {
 		return nil, err
@@ -112,19 +112,19 @@
 	request.Host = Host
 	request.Header.Set("Request-Id", a.ID)
 	request.Header.Set("Deadline-Ms", strconv.FormatInt(a.Deadline.Milliseconds(), 10))
-	if a.Tokens > 0 {
+	if a.PromptTokens > 0 {
 		request.Header.Set("Model", "m")
-		request.Header.Set("Token-Count", fmt.Sprintf("%d,30", a.Tokens))
-		request.Header.Set("Prompt-Prefix", fmt.Sprintf("%s:%d,%s:%d", a.Subject, a.Shared, a.ID, a.Tokens-a.Shared))
+		request.Header.Set("Token-Count", fmt.Sprintf("%d,30", a.PromptTokens))
+		request.Header.Set("Prompt-Prefix", fmt.Sprintf("%s:%d,%s:%d", a.SharedPrefix, a.SharedTokens, a.ID, a.PromptTokens-a.SharedTokens))
 	}
 	return request, nil
 }
 
 // StreamAnswer is the whole answer of an engine that sends so many events.
 func StreamAnswer(id string, events int) string {
-	var all strings.Builder
+	var stream strings.Builder
 	for number := 1; number <= events; number++ {
-		all.WriteString(Event(id, number))
+		stream.WriteString(Event(id, number))
 	}
-	return all.String()
+	return stream.String()
 }
--- a/internal/standin/fleet/completion.go
+++ b/internal/standin/fleet/completion.go
@@ -15,7 +15,7 @@
 const completionsPath = "/v1/completions"
 
 // completion is a request for a completion.
-type completion struct {
+type completionRequest struct {
 	Model     string `json:"model"`
 	Prompt    string `json:"prompt"`
 	MaxTokens *int   `json:"max_tokens"`
@@ -40,36 +40,36 @@
 }
 
 // chunk returns an answer, or a part of one.
-func (c *completion) chunk(id, text string) completionChunk {
+func (c *completionRequest) chunk(id, text string) completionChunk {
 	return completionChunk{ID: id, Object: "text_completion", Model: c.Model, Choices: []completionChoice{{Text: text}}}
 }
 
 // tokens returns the words of the answer.
-func (c *completion) tokens() []string {
+func (c *completionRequest) tokens() []string {
 	count := defaultMaxTokens
 	if c.MaxTokens != nil {
 		count = *c.MaxTokens
 	}
-	return answers.AnswerTokens(answers.PromptDigest(c.Model, c.Prompt), 0, count)
+	return answers.Tokens(answers.PromptDigest(c.Model, c.Prompt), 0, count)
 }
 
 // complete answers a completion request. Events are numbered from one, and the last one says that the answer is whole.
-func (w *Worker) complete(writer http.ResponseWriter, request *http.Request, id string, body []byte, fault WorkerFault) {
-	var wanted completion
-	if err := json.Unmarshal(body, &wanted); err != nil {
+func (w *Worker) serveCompletion(writer http.ResponseWriter, request *http.Request, id string, body []byte, fault WorkerFault) {
+	var req completionRequest
+	if err := json.Unmarshal(body, &req); err != nil {
 		writer.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	if !wanted.Stream {
-		w.completeWhole(writer, request, id, &wanted)
+	if !req.Stream {
+		w.writeWholeCompletion(writer, request, id, &req)
 		return
 	}
 	writer.Header().Set("Content-Type", "text/event-stream")
 	controller := http.NewResponseController(writer)
 	after, _ := strconv.Atoi(request.Header.Get("Last-Event-Id"))
-	tokens := wanted.tokens()
+	tokens := req.tokens()
 	for number := after + 1; number <= len(tokens)+1; number++ {
-		if !w.model.step(request.Context().Done()) {
+		if !w.model.decodeStep(request.Context().Done()) {
 			return
 		}
 		if fault == WorkerCuts && number > after+2 {
@@ -79,7 +79,7 @@
 		}
 		data := []byte("[DONE]")
 		if number <= len(tokens) {
-			data, _ = json.Marshal(wanted.chunk(id, tokens[number-1]))
+			data, _ = json.Marshal(req.chunk(id, tokens[number-1]))
 		}
 		_, _ = fmt.Fprintf(writer, "id: %d\ndata: %s\n\n", number, data)
 		_ = controller.Flush()
@@ -87,13 +87,13 @@
 }
 
 // completeWhole answers with one object.
-func (w *Worker) completeWhole(writer http.ResponseWriter, request *http.Request, id string, wanted *completion) {
-	tokens := wanted.tokens()
+func (w *Worker) writeWholeCompletion(writer http.ResponseWriter, request *http.Request, id string, req *completionRequest) {
+	tokens := req.tokens()
 	for range tokens {
-		if !w.model.step(request.Context().Done()) {
+		if !w.model.decodeStep(request.Context().Done()) {
 			return
 		}
 	}
 	writer.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(writer).Encode(wanted.chunk(id, strings.Join(tokens, "")))
+	_ = json.NewEncoder(writer).Encode(req.chunk(id, strings.Join(tokens, "")))
 }
--- a/internal/standin/fleet/crash.go
+++ b/internal/standin/fleet/crash.go
@@ -15,9 +15,9 @@
 	// crashDelay is between the beginning of the run and the end of the worker.
 	crashDelay = 30 * time.Millisecond
 	// crashLapse is how long the record of a worker that has crashed stays: some heartbeats.
-	crashLapse = 800 * time.Millisecond
+	recordExpiry = 800 * time.Millisecond
 	// crashPause is how long a worker is away before it is back at its address, with another id.
-	crashPause = 600 * time.Millisecond
+	restartDelay = 600 * time.Millisecond
 )
 
 // Crash is the end of a worker under a request.
@@ -36,11 +36,11 @@
 }
 
 // endsWorker tells whether a request ends the worker that runs it.
-func endsWorker(body []byte) bool { return bytes.Contains(body, []byte(CrashingBody)) }
+func crashesWorker(body []byte) bool { return bytes.Contains(body, []byte(CrashingBody)) }
 
 // crashUnder ends the worker under a request: everything that it runs breaks off, its address refuses connections, and its record
 // lapses. It is back at its address after a while.
-func (w *Worker) crashUnder(id string) {
+func (w *Worker) crashOn(id string) {
 	time.Sleep(crashDelay)
 	w.mutex.Lock()
 	crashed := w.crashed
@@ -49,23 +49,23 @@
 	if crashed {
 		return
 	}
-	w.fleet.crashed(Crash{Worker: w.options.ID, ID: id, At: time.Now()})
+	w.fleet.recordCrash(Crash{Worker: w.options.ID, ID: id, At: time.Now()})
 	_ = w.server.Close()
-	time.AfterFunc(crashLapse, func() { w.fleet.Store.Delete("servers/" + w.options.ID) })
-	time.AfterFunc(crashPause, w.comeBack)
+	time.AfterFunc(recordExpiry, func() { w.fleet.Store.Delete("servers/" + w.options.ID) })
+	time.AfterFunc(restartDelay, w.restart)
 }
 
 // Crash ends the worker as a request does that ends workers, and returns once it has.
-func (w *Worker) Crash() { w.crashUnder("") }
+func (w *Worker) Crash() { w.crashOn("") }
 
 // comeBack starts the worker again with another id, unless the stand-in was stopped.
-func (w *Worker) comeBack() {
+func (w *Worker) restart() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if w.stopped {
 		return
 	}
-	listener, err := net.Listen("tcp4", w.listens)
+	listener, err := net.Listen("tcp4", w.listenAddress)
 	if err != nil {
 		// Somebody else has the port: the worker stays away.
 		return
@@ -73,13 +73,13 @@
 	options := w.options
 	options.ID += "'"
 	options.Stage = w.stage
-	w.next = w.fleet.serve(options, listener, w.address)
+	w.successor = w.fleet.startOn(options, listener, w.address)
 }
 
 // Latest returns the life of the worker of the moment: itself, or the last one in which it came back.
 func (w *Worker) Latest() *Worker {
 	w.mutex.Lock()
-	next := w.next
+	next := w.successor
 	w.mutex.Unlock()
 	if next == nil {
 		return w
@@ -88,30 +88,30 @@
 }
 
 // crashed notes the end of a worker under a request.
-func (f *Fleet) crashed(crash Crash) {
+func (f *Fleet) recordCrash(crash Crash) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.crashes = append(f.crashes, crash)
 }
 
 // serve adds a worker that listens already, and records it.
-func (f *Fleet) serve(options WorkerOptions, listener net.Listener, address string) *Worker {
+func (f *Fleet) startOn(options WorkerOptions, listener net.Listener, address string) *Worker {
 	worker := &Worker{
-		options: options, fleet: f, address: address, listens: listener.Addr().String(), stage: options.Stage, handles: map[string]bool{},
+		options: options, fleet: f, address: address, listenAddress: listener.Addr().String(), stage: options.Stage, handles: map[string]bool{},
 	}
 	if options.Model != nil {
-		worker.model = newModel(*options.Model)
+		worker.model = newEngineModel(*options.Model)
 	}
 	worker.server = &http.Server{Handler: worker}
 	go func() { _ = worker.server.Serve(listener) }()
 	f.mutex.Lock()
-	_, before := f.workers[worker.address]
+	_, replaced := f.workers[worker.address]
 	f.workers[worker.address] = worker
 	f.mutex.Unlock()
-	if before {
-		worker.recordLater()
+	if replaced {
+		worker.writeRecordDelayed()
 	} else {
-		worker.record()
+		worker.writeRecord()
 	}
 	return worker
 }
--- a/internal/standin/fleet/duties.go
+++ b/internal/standin/fleet/duties.go
@@ -14,8 +14,8 @@
 	fence   int64
 	reports map[int64]map[string]int64
 	// differing are the windows of which two different counts came.
-	differing []int64
-	holders   []string
+	conflicting []int64
+	holders     []string
 }
 
 // NewDuties returns a stand-in that has taken nothing.
@@ -32,7 +32,7 @@
 func (d *Duties) Differing() []int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return append([]int64(nil), d.differing...)
+	return append([]int64(nil), d.conflicting...)
 }
 
 // Holders returns who has called, one after the other.
@@ -69,7 +69,7 @@
 		d.holders = append(d.holders, holder)
 	}
 	if known, taken := d.reports[body.WindowID]; taken && !maps.Equal(known, body.Counts) {
-		d.differing = append(d.differing, body.WindowID)
+		d.conflicting = append(d.conflicting, body.WindowID)
 		return
 	}
 	d.reports[body.WindowID] = body.Counts
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -15,17 +15,17 @@
 	runs    map[string][]Run
 	// arrivals are the requests that reached workers, run or not; orders those that were taken.
 	arrivals []Arrival
-	orders   []Taken
+	orders   []AcceptedOrder
 	// notices are the answers in which workers spoke of themselves.
 	notices []Notice
 	// limits are when workers began to name limits, and others or none.
-	limits []Limited
+	limits []LimitChange
 	// heads are what every call about a request has told of its caller.
 	heads []Head
 	// crashes are the ends of workers under requests.
 	crashes []Crash
 	// worked are the times in which workers worked on requests.
-	worked []Work
+	work []Work
 }
 
 // Work is the time in which a worker worked on a request, reading or running it. Its end is zero while it goes on.
@@ -40,19 +40,19 @@
 func (f *Fleet) Worked() []Work {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return append([]Work(nil), f.worked...)
+	return append([]Work(nil), f.work...)
 }
 
 // workBegun notes that work begins, and returns what notes its end.
-func (f *Fleet) workBegun(id, worker string) func() {
+func (f *Fleet) beginWork(id, worker string) func() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	number := len(f.worked)
-	f.worked = append(f.worked, Work{ID: id, Worker: worker, Begun: time.Now()})
+	index := len(f.work)
+	f.work = append(f.work, Work{ID: id, Worker: worker, Begun: time.Now()})
 	return func() {
 		f.mutex.Lock()
 		defer f.mutex.Unlock()
-		f.worked[number].Ended = time.Now()
+		f.work[index].Ended = time.Now()
 	}
 }
 
@@ -101,14 +101,14 @@
 }
 
 // gaveNotice notes what a worker said of itself.
-func (f *Fleet) gaveNotice(notice Notice) {
+func (f *Fleet) recordNotice(notice Notice) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.notices = append(f.notices, notice)
 }
 
 // Limited is that a worker names a limit from a moment on.
-type Limited struct {
+type LimitChange struct {
 	Worker string
 	// PerSecond is zero if it names none any more.
 	PerSecond float64
@@ -116,21 +116,21 @@
 }
 
 // Limits returns when workers began to name limits so far, in their order.
-func (f *Fleet) Limits() []Limited {
+func (f *Fleet) Limits() []LimitChange {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return append([]Limited(nil), f.limits...)
+	return append([]LimitChange(nil), f.limits...)
 }
 
 // namesLimit notes that a worker names a limit.
-func (f *Fleet) namesLimit(limited Limited) {
+func (f *Fleet) recordLimit(change LimitChange) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.limits = append(f.limits, limited)
+	f.limits = append(f.limits, change)
 }
 
 // Taken is an order that a worker took.
-type Taken struct {
+type AcceptedOrder struct {
 	Worker string
 	Holder string
 	Fence  int64
@@ -146,10 +146,10 @@
 }
 
 // Orders returns the orders that workers took so far.
-func (f *Fleet) Orders() []Taken {
+func (f *Fleet) Orders() []AcceptedOrder {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	return append([]Taken(nil), f.orders...)
+	return append([]AcceptedOrder(nil), f.orders...)
 }
 
 // Run is one run of a request at a worker.
@@ -177,35 +177,35 @@
 }
 
 // fetch takes a handle at its worker.
-func (f *Fleet) fetch(source string) bool {
+func (f *Fleet) consumeHandle(source string) bool {
 	address, handle, _ := strings.Cut(source, "/")
 	worker := f.worker(address)
-	return worker != nil && worker.take(handle)
+	return worker != nil && worker.consumeHandle(handle)
 }
 
 // arrived notes an arrival.
-func (f *Fleet) arrived(arrival Arrival) {
+func (f *Fleet) recordArrival(arrival Arrival) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.arrivals = append(f.arrivals, arrival)
 }
 
 // told notes what a call tells of its caller.
-func (f *Fleet) told(head Head) {
+func (f *Fleet) recordHeaders(head Head) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.heads = append(f.heads, head)
 }
 
 // tookOrder notes an order.
-func (f *Fleet) tookOrder(taken Taken) {
+func (f *Fleet) recordOrder(order AcceptedOrder) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.orders = append(f.orders, taken)
+	f.orders = append(f.orders, order)
 }
 
 // ran notes a run.
-func (f *Fleet) ran(id string, run Run) {
+func (f *Fleet) recordRun(id string, run Run) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.runs[id] = append(f.runs[id], run)
--- a/internal/standin/fleet/keeper.go
+++ b/internal/standin/fleet/keeper.go
@@ -14,101 +14,101 @@
 
 // Keeper is a caller that keeps its connections until the gateway closes them, and takes them up again after rests. It sends a request
 // once, on one connection, whatever becomes of it.
-type Keeper struct {
+type PoolingCaller struct {
 	dial func(ctx context.Context, gateway string) (net.Conn, error)
 
 	mu   sync.Mutex
-	kept map[string][]*restingConn
+	idle map[string][]*idleConn
 }
 
 // restingConn is a connection that rests.
-type restingConn struct {
+type idleConn struct {
 	net.Conn
 	reader *bufio.Reader
 	since  time.Time
 }
 
 // NewKeeper returns a caller without connections that opens them with dial.
-func NewKeeper(dial func(ctx context.Context, gateway string) (net.Conn, error)) *Keeper {
-	return &Keeper{dial: dial, kept: map[string][]*restingConn{}}
+func NewPoolingCaller(dial func(ctx context.Context, gateway string) (net.Conn, error)) *PoolingCaller {
+	return &PoolingCaller{dial: dial, idle: map[string][]*idleConn{}}
 }
 
 // mostKept bounds the connections to one gateway that rest.
-const mostKept = 48
+const maxIdleConns = 48
 
 // ErrNotOpened is the error of a request that was not sent: no connection was there.
-var ErrNotOpened = errors.New("no connection could be opened")
+var ErrNotConnected = errors.New("no connection could be opened")
 
 // Pick says on which connection a request is sent.
-type Pick int
+type ConnChoice int
 
 // The ways to pick a connection.
 const (
 	// PickNew opens one.
-	PickNew Pick = iota
+	ConnNew ConnChoice = iota
 	// PickLatest takes the one that has rested for the shortest time.
-	PickLatest
+	ConnMostRecent
 	// PickLongest takes the one that has rested for the longest time that is allowed.
-	PickLongest
+	ConnLeastRecent
 )
 
 // Ask sends a request on one connection, and reads its answer to the end. No connection is taken up of which mayRest says that it has
 // rested for too long. The end of the context closes the connection.
-func (k *Keeper) Ask(ctx context.Context, gateway string, asked Asked, pick Pick, mayRest func(since time.Time) bool) Answered {
-	request, err := asked.request(ctx, gateway)
+func (k *PoolingCaller) Do(ctx context.Context, gateway string, call Request, choice ConnChoice, reusable func(since time.Time) bool) Response {
+	request, err := call.httpRequest(ctx, gateway)
 	if err != nil {
-		return Answered{Err: err}
+		return Response{Err: err}
 	}
-	conn := k.take(gateway, pick, mayRest)
+	conn := k.takeIdle(gateway, choice, reusable)
 	if conn == nil {
 		opened, err := k.dial(ctx, gateway)
 		if err != nil {
-			return Answered{Err: errors.Mark(err, ErrNotOpened)}
+			return Response{Err: errors.Mark(err, ErrNotConnected)}
 		}
-		conn = &restingConn{Conn: opened, reader: bufio.NewReader(opened)}
+		conn = &idleConn{Conn: opened, reader: bufio.NewReader(opened)}
 	}
 	release := context.AfterFunc(ctx, func() { _ = conn.Close() })
-	got, keep := conn.exchange(request)
+	response, reuse := conn.exchange(request)
 	switch {
 	case !release():
-		got.Err = errors.CombineErrors(ctx.Err(), got.Err)
-	case keep && got.Err == nil:
-		k.put(gateway, conn)
+		response.Err = errors.CombineErrors(ctx.Err(), response.Err)
+	case reuse && response.Err == nil:
+		k.putIdle(gateway, conn)
 	default:
 		_ = conn.Close()
 	}
-	return got
+	return response
 }
 
 // exchange sends a request and reads its answer, and tells whether the connection may be used again.
-func (c *restingConn) exchange(request *http.Request) (Answered, bool) {
+func (c *idleConn) exchange(request *http.Request) (Response, bool) {
 	if err := request.Write(c); err != nil {
-		return Answered{Err: err}, false
+		return Response{Err: err}, false
 	}
 	response, err := http.ReadResponse(c.reader, request)
 	if err != nil {
-		return Answered{Err: err}, false
+		return Response{Err: err}, false
 	}
 	defer response.Body.Close()
-	return answered(response), !response.Close
+	return readResponse(response), !response.Close
 }
 
 // take returns a connection that rests, or nil. Those that have rested for too long, or were closed by their gateway, are dropped.
-func (k *Keeper) take(gateway string, pick Pick, mayRest func(since time.Time) bool) *restingConn {
-	if pick == PickNew {
+func (k *PoolingCaller) takeIdle(gateway string, choice ConnChoice, reusable func(since time.Time) bool) *idleConn {
+	if choice == ConnNew {
 		return nil
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for len(k.kept[gateway]) > 0 {
-		resting := k.kept[gateway]
-		var conn *restingConn
-		if pick == PickLongest {
-			conn, k.kept[gateway] = resting[0], resting[1:]
+	for len(k.idle[gateway]) > 0 {
+		conns := k.idle[gateway]
+		var conn *idleConn
+		if choice == ConnLeastRecent {
+			conn, k.idle[gateway] = conns[0], conns[1:]
 		} else {
-			conn, k.kept[gateway] = resting[len(resting)-1], resting[:len(resting)-1]
+			conn, k.idle[gateway] = conns[len(conns)-1], conns[:len(conns)-1]
 		}
-		if mayRest(conn.since) && conn.open() {
+		if reusable(conn.since) && conn.isOpen() {
 			return conn
 		}
 		_ = conn.Close()
@@ -117,32 +117,32 @@
 }
 
 // put keeps a connection.
-func (k *Keeper) put(gateway string, conn *restingConn) {
+func (k *PoolingCaller) putIdle(gateway string, conn *idleConn) {
 	conn.since = time.Now()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.kept[gateway] = append(k.kept[gateway], conn)
-	if resting := k.kept[gateway]; len(resting) > mostKept {
-		_ = resting[0].Close()
-		k.kept[gateway] = resting[1:]
+	k.idle[gateway] = append(k.idle[gateway], conn)
+	if conns := k.idle[gateway]; len(conns) > maxIdleConns {
+		_ = conns[0].Close()
+		k.idle[gateway] = conns[1:]
 	}
 }
 
 // Known returns the gateways to which connections rest.
-func (k *Keeper) Known() []string {
+func (k *PoolingCaller) IdleGateways() []string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	var known []string
-	for gateway, resting := range k.kept {
-		if len(resting) > 0 {
-			known = append(known, gateway)
+	var gateways []string
+	for gateway, conns := range k.idle {
+		if len(conns) > 0 {
+			gateways = append(gateways, gateway)
 		}
 	}
-	return known
+	return gateways
 }
 
 // open tells whether nothing has arrived on a connection that rests, neither its end nor bytes.
-func (c *restingConn) open() bool {
+func (c *idleConn) isOpen() bool {
 	raw, err := c.Conn.(syscall.Conn).SyscallConn()
 	if err != nil || c.reader.Buffered() > 0 {
 		return false
@@ -156,13 +156,13 @@
 }
 
 // Close closes the connections that rest.
-func (k *Keeper) Close() {
+func (k *PoolingCaller) Close() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for gateway, resting := range k.kept {
-		for _, conn := range resting {
+	for gateway, conns := range k.idle {
+		for _, conn := range conns {
 			_ = conn.Close()
 		}
-		delete(k.kept, gateway)
+		delete(k.idle, gateway)
 	}
 }
--- a/internal/standin/fleet/model.go
+++ b/internal/standin/fleet/model.go
@@ -33,122 +33,122 @@
 }
 
 // model is the state of a model engine: what it keeps, and until when it is busy reading. It is safe for concurrent use.
-type model struct {
+type engineModel struct {
 	options ModelOptions
 
 	// reading holds one item while a prompt is read; prompts are read one after the other.
-	reading chan struct{}
+	prefillSlot chan struct{}
 
-	mu         sync.Mutex
-	running    int
-	kept       map[string]*list.Element
-	recent     *list.List
-	keptTokens int
+	mu           sync.Mutex
+	running      int
+	cached       map[string]*list.Element
+	lru          *list.List
+	cachedTokens int
 	// readTokens counts the tokens of prompts that were read.
-	readTokens int
+	prefilledTokens int
 }
 
 // keptPart is a part of prompts in the memory of an engine.
-type keptPart struct {
+type promptPart struct {
 	id     string
 	tokens int
 }
 
 // newModel returns an engine that keeps nothing.
-func newModel(options ModelOptions) *model {
-	return &model{options: options, reading: make(chan struct{}, 1), kept: map[string]*list.Element{}, recent: list.New()}
+func newEngineModel(options ModelOptions) *engineModel {
+	return &engineModel{options: options, prefillSlot: make(chan struct{}, 1), cached: map[string]*list.Element{}, lru: list.New()}
 }
 
 // partsOf reads the parts of a prompt, each as ID:TOKENS.
-func partsOf(header string) []keptPart {
-	var parts []keptPart
+func parsePromptParts(header string) []promptPart {
+	var parts []promptPart
 	for _, each := range strings.Split(header, ",") {
 		id, count, found := strings.Cut(strings.TrimSpace(each), ":")
 		tokens, err := strconv.Atoi(count)
 		if found && err == nil {
-			parts = append(parts, keptPart{id: id, tokens: tokens})
+			parts = append(parts, promptPart{id: id, tokens: tokens})
 		}
 	}
 	return parts
 }
 
 // missing returns the tokens of a prompt that the engine does not keep: a part counts as kept only behind parts that are.
-func (m *model) missing(parts []keptPart) int {
+func (m *engineModel) uncachedTokens(parts []promptPart) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	tokens, broken := 0, false
+	tokens, missed := 0, false
 	for _, part := range parts {
-		element, found := m.kept[part.id]
-		if found && !broken {
-			m.recent.MoveToFront(element)
+		element, found := m.cached[part.id]
+		if found && !missed {
+			m.lru.MoveToFront(element)
 			continue
 		}
-		broken = true
+		missed = true
 		tokens += part.tokens
 	}
 	return tokens
 }
 
 // keep notes that the engine has the parts of a prompt; those used longest ago give way.
-func (m *model) keep(parts []keptPart) {
+func (m *engineModel) addToCache(parts []promptPart) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, part := range parts {
-		if _, found := m.kept[part.id]; found {
+		if _, found := m.cached[part.id]; found {
 			continue
 		}
-		m.kept[part.id] = m.recent.PushFront(part)
-		m.keptTokens += part.tokens
+		m.cached[part.id] = m.lru.PushFront(part)
+		m.cachedTokens += part.tokens
 	}
-	for m.keptTokens > m.options.MemoryTokens && m.recent.Len() > 0 {
-		dropped := m.recent.Remove(m.recent.Back()).(keptPart)
-		delete(m.kept, dropped.id)
-		m.keptTokens -= dropped.tokens
+	for m.cachedTokens > m.options.MemoryTokens && m.lru.Len() > 0 {
+		evicted := m.lru.Remove(m.lru.Back()).(promptPart)
+		delete(m.cached, evicted.id)
+		m.cachedTokens -= evicted.tokens
 	}
 }
 
 // keptParts returns what the engine keeps, the parts used last at the end.
-func (m *model) keptParts() []keptPart {
+func (m *engineModel) cachedParts() []promptPart {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	var parts []keptPart
-	for element := m.recent.Back(); element != nil; element = element.Prev() {
-		parts = append(parts, element.Value.(keptPart))
+	var parts []promptPart
+	for element := m.lru.Back(); element != nil; element = element.Prev() {
+		parts = append(parts, element.Value.(promptPart))
 	}
 	return parts
 }
 
 // read reads so many tokens once the prompts before it are read. It tells whether the caller is still there; a prompt whose
 // caller has gone is not read any further.
-func (m *model) read(tokens int, slowdown float64, gone <-chan struct{}) bool {
+func (m *engineModel) prefill(tokens int, slowdown float64, done <-chan struct{}) bool {
 	select {
-	case m.reading <- struct{}{}:
-	case <-gone:
+	case m.prefillSlot <- struct{}{}:
+	case <-done:
 		return false
 	}
-	defer func() { <-m.reading }()
+	defer func() { <-m.prefillSlot }()
 	m.mu.Lock()
-	m.readTokens += tokens
+	m.prefilledTokens += tokens
 	m.mu.Unlock()
-	took := time.Duration(slowdown * float64(tokens) / m.options.PromptTokensPerSecond * float64(time.Second))
-	return pause(took, gone)
+	duration := time.Duration(slowdown * float64(tokens) / m.options.PromptTokensPerSecond * float64(time.Second))
+	return waitFor(duration, done)
 }
 
 // move waits until the memory of so many tokens has come from another engine.
-func (m *model) move(tokens int, gone <-chan struct{}) bool {
-	return pause(time.Duration(float64(tokens)/m.options.MoveTokensPerSecond*float64(time.Second)), gone)
+func (m *engineModel) transfer(tokens int, done <-chan struct{}) bool {
+	return waitFor(time.Duration(float64(tokens)/m.options.MoveTokensPerSecond*float64(time.Second)), done)
 }
 
 // step waits for the next token.
-func (m *model) step(gone <-chan struct{}) bool {
+func (m *engineModel) decodeStep(done <-chan struct{}) bool {
 	m.mu.Lock()
 	wait := m.options.StepTime + time.Duration(m.running)*m.options.StepPerRun
 	m.mu.Unlock()
-	return pause(wait, gone)
+	return waitFor(wait, done)
 }
 
 // run counts a run until the returned function is called.
-func (m *model) run() func() {
+func (m *engineModel) beginRun() func() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.running++
@@ -160,13 +160,13 @@
 }
 
 // pause waits, and tells whether nobody left meanwhile.
-func pause(wait time.Duration, gone <-chan struct{}) bool {
+func waitFor(wait time.Duration, done <-chan struct{}) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
 		return true
-	case <-gone:
+	case <-done:
 		return false
 	}
 }
--- a/internal/standin/fleet/model_test.go
+++ b/internal/standin/fleet/model_test.go
@@ -6,22 +6,22 @@
 )
 
 // TestPromptsOfGoneCallersAreNotRead fills the queue of an engine with long prompts whose callers leave.
-func TestPromptsOfGoneCallersAreNotRead(t *testing.T) {
-	engine := newModel(ModelOptions{PromptTokensPerSecond: 1000})
-	gone := make(chan struct{})
-	answers := make(chan bool, 5)
-	for range cap(answers) {
-		go func() { answers <- engine.read(60_000, 1, gone) }()
+func TestPrefillSkipsCanceledCallers(t *testing.T) {
+	engine := newEngineModel(ModelOptions{PromptTokensPerSecond: 1000})
+	done := make(chan struct{})
+	results := make(chan bool, 5)
+	for range cap(results) {
+		go func() { results <- engine.prefill(60_000, 1, done) }()
 	}
 	time.Sleep(20 * time.Millisecond)
-	close(gone)
-	for range cap(answers) {
-		if <-answers {
+	close(done)
+	for range cap(results) {
+		if <-results {
 			t.Error("a prompt of 60 s was read at once")
 		}
 	}
 	begun := time.Now()
-	if !engine.read(10, 1, nil) {
+	if !engine.prefill(10, 1, nil) {
 		t.Error("a prompt of a caller that is there was not read")
 	}
 	if took := time.Since(begun); took > 5*time.Second {
@@ -30,15 +30,15 @@
 }
 
 // TestPromptsAreReadOneAfterTheOther reads two prompts at once.
-func TestPromptsAreReadOneAfterTheOther(t *testing.T) {
-	engine := newModel(ModelOptions{PromptTokensPerSecond: 1000})
+func TestPrefillIsSerialized(t *testing.T) {
+	engine := newEngineModel(ModelOptions{PromptTokensPerSecond: 1000})
 	begun := time.Now()
-	read := make(chan bool, 2)
-	for range cap(read) {
-		go func() { read <- engine.read(100, 1, nil) }()
+	results := make(chan bool, 2)
+	for range cap(results) {
+		go func() { results <- engine.prefill(100, 1, nil) }()
 	}
-	for range cap(read) {
-		<-read
+	for range cap(results) {
+		<-results
 	}
 	if took := time.Since(begun); took < 200*time.Millisecond {
 		t.Errorf("two prompts of 100 ms took %s", took)
--- a/internal/standin/fleet/routes.go
+++ b/internal/standin/fleet/routes.go
@@ -49,8 +49,8 @@
 
 // What the operators say of every route and engine.
 const (
-	objectiveMs     = 300
-	defaultAttempts = 2
+	targetLatencyMs = 300
+	minAttempts     = 2
 	maxConnections  = 1000
 	tokenBytes      = 163840
 	linkMbps        = 1e6
@@ -63,14 +63,14 @@
 
 // Configure writes a configuration.
 func (f *Fleet) Configure(wanted Configuration) {
-	routes := []fields{}
+	routes := []jsonObject{}
 	for _, each := range wanted.Routes {
-		routes = append(routes, fields{
+		routes = append(routes, jsonObject{
 			"name": each.Name, "host": Host, "pathPrefix": each.Prefix, "kind": each.Kind, "timeoutMs": wanted.TimeoutMs,
-			"targetLatencyMs": objectiveMs, "priority": 1, "service": each.Service, "maxAttempts": max(wanted.MaxAttempts, defaultAttempts), "resumable": each.Resumable,
+			"targetLatencyMs": targetLatencyMs, "priority": 1, "service": each.Service, "maxAttempts": max(wanted.MaxAttempts, minAttempts), "resumable": each.Resumable,
 		})
 	}
-	services := []fields{}
+	services := []jsonObject{}
 	for _, each := range wanted.Services {
 		services = append(services, each.record())
 	}
@@ -78,14 +78,14 @@
 	if wanted.IdleMs > 0 {
 		idleMs = wanted.IdleMs
 	}
-	record := fields{
+	record := jsonObject{
 		"version": wanted.Version, "routes": routes, "services": services,
-		"limits": fields{"maxHeaderBytes": 16384, "maxBodyBytes": 4 << 20, "headerTimeoutMs": 3000, "idleTimeoutMs": idleMs},
+		"limits": jsonObject{"maxHeaderBytes": 16384, "maxBodyBytes": 4 << 20, "headerTimeoutMs": 3000, "idleTimeoutMs": idleMs},
 	}
 	if wanted.Tenants != nil {
-		tenants := []fields{}
+		tenants := []jsonObject{}
 		for name, keys := range wanted.Tenants {
-			tenants = append(tenants, fields{"name": name, "apiKeys": keys})
+			tenants = append(tenants, jsonObject{"name": name, "apiKeys": keys})
 		}
 		record["tenants"] = tenants
 	}
@@ -93,10 +93,10 @@
 }
 
 // record is a service as operators write it.
-func (s Service) record() fields {
-	record := fields{"name": s.Name, "maxConns": maxConnections, "healthPath": healthPath}
+func (s Service) record() jsonObject {
+	record := jsonObject{"name": s.Name, "maxConns": maxConnections, "healthPath": healthPath}
 	if s.MemoryTokens > 0 {
-		record["engine"] = fields{
+		record["engine"] = jsonObject{
 			"kvCapacity": s.MemoryTokens, "tokenKvBytes": tokenBytes, "linkMbps": linkMbps, "stride": 1, "kvTtlS": 5, "reconfigS": 1,
 		}
 	}
--- a/internal/standin/fleet/serving.go
+++ b/internal/standin/fleet/serving.go
@@ -14,13 +14,13 @@
 
 // ServeHTTP is part of http.Handler.
 func (w *Worker) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
-	if w.says() {
+	if w.announcesLeaving() {
 		writer.Header().Set("Server-Leaving", "1")
 	}
 	switch request.URL.Path {
 	case "/v1/report":
 		// Whoever answers at the address, also where another one was meant.
-		w.report(writer)
+		w.writeReport(writer)
 		return
 	case healthPath:
 		writer.Header().Set("Instance-Id", w.options.ID)
@@ -33,59 +33,59 @@
 	}
 	switch {
 	case request.URL.Path == "/v1/kv-events":
-		w.tellKept(writer)
+		w.writeCacheEvents(writer)
 	case request.URL.Path == "/v1/order":
-		w.order(writer, request)
+		w.handleOrder(writer, request)
 	case strings.HasPrefix(request.URL.Path, "/v1/kv-handle/"):
-		w.take(strings.TrimPrefix(request.URL.Path, "/v1/kv-handle/"))
+		w.consumeHandle(strings.TrimPrefix(request.URL.Path, "/v1/kv-handle/"))
 	default:
-		w.serve(writer, request)
+		w.serveRequest(writer, request)
 	}
 }
 
 // says tells whether the answers of the worker say that it leaves.
-func (w *Worker) says() bool {
+func (w *Worker) announcesLeaving() bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.leaving
 }
 
 // limited returns the limit that the worker names now, or zero.
-func (w *Worker) limited() float64 {
+func (w *Worker) announcedLimit() float64 {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.limit
 }
 
 // rests returns the rest for which the worker asks now, or zero.
-func (w *Worker) rests() time.Duration {
+func (w *Worker) currentRetryAfter() time.Duration {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	if time.Now().After(w.restUntil) {
+	if time.Now().After(w.shedUntil) {
 		return 0
 	}
-	return w.rest
+	return w.retryAfter
 }
 
 // report tells how the worker is.
-func (w *Worker) report(writer http.ResponseWriter) {
+func (w *Worker) writeReport(writer http.ResponseWriter) {
 	w.mutex.Lock()
-	report := fields{"stage": w.stage, "busy": w.changing, "seqNo": w.orders, "running": w.busy}
+	report := jsonObject{"stage": w.stage, "busy": w.changingStage, "seqNo": w.orderCount, "running": w.busy}
 	w.mutex.Unlock()
 	_ = json.NewEncoder(writer).Encode(report)
 }
 
 // tellKept answers what the engine keeps, as events of parts that came, those used last at the end.
-func (w *Worker) tellKept(writer http.ResponseWriter) {
+func (w *Worker) writeCacheEvents(writer http.ResponseWriter) {
 	if w.model == nil {
 		writer.WriteHeader(http.StatusNotFound)
 		return
 	}
 	events := [][]any{}
-	for number, part := range w.model.keptParts() {
+	for number, part := range w.model.cachedParts() {
 		events = append(events, []any{number + 1, "+", "", part.id, part.tokens, ""})
 	}
-	answer := fields{"epoch": 1, "nextToken": len(events), "lost": false, "events": events}
+	answer := jsonObject{"epoch": 1, "nextToken": len(events), "lost": false, "events": events}
 	_ = json.NewEncoder(writer).Encode(answer)
 }
 
@@ -103,31 +103,31 @@
 }
 
 // serve reads or runs a request.
-func (w *Worker) serve(writer http.ResponseWriter, request *http.Request) {
+func (w *Worker) serveRequest(writer http.ResponseWriter, request *http.Request) {
 	body, err := io.ReadAll(request.Body)
 	if err != nil {
 		return
 	}
 	id := request.Header.Get("Request-Id")
-	w.fleet.told(Head{ID: id, Tenant: request.Header.Get("Tenant"), Key: request.Header.Get("Api-Key")})
-	w.fleet.arrived(Arrival{ID: id, Service: w.options.Service, Worker: w.options.ID, Reading: request.Header.Get("Stage") != "", At: time.Now()})
-	if limit := w.limited(); limit > 0 {
-		w.fleet.gaveNotice(Notice{ID: id, Worker: w.options.ID, Limit: limit, At: time.Now()})
+	w.fleet.recordHeaders(Head{ID: id, Tenant: request.Header.Get("Tenant"), Key: request.Header.Get("Api-Key")})
+	w.fleet.recordArrival(Arrival{ID: id, Service: w.options.Service, Worker: w.options.ID, Reading: request.Header.Get("Stage") != "", At: time.Now()})
+	if limit := w.announcedLimit(); limit > 0 {
+		w.fleet.recordNotice(Notice{ID: id, Worker: w.options.ID, Limit: limit, At: time.Now()})
 		writer.Header().Set("Server-Limit", strconv.FormatFloat(limit, 'f', -1, 64))
 	}
-	if rest := w.rests(); rest > 0 {
-		w.fleet.gaveNotice(Notice{ID: id, Worker: w.options.ID, Rest: rest, At: time.Now()})
-		writer.Header().Set("Retry-After", strconv.FormatFloat(rest.Seconds(), 'f', -1, 64))
+	if retryAfter := w.currentRetryAfter(); retryAfter > 0 {
+		w.fleet.recordNotice(Notice{ID: id, Worker: w.options.ID, Rest: retryAfter, At: time.Now()})
+		writer.Header().Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', -1, 64))
 		refuse(writer, id)
 		return
 	}
-	if w.says() {
-		w.fleet.gaveNotice(Notice{ID: id, Worker: w.options.ID, Leaving: true, At: time.Now()})
+	if w.announcesLeaving() {
+		w.fleet.recordNotice(Notice{ID: id, Worker: w.options.ID, Leaving: true, At: time.Now()})
 	}
 	w.mutex.Lock()
-	w.asked++
-	shed := w.fault == WorkerSheds && w.asked%shedTakes != 0
-	full := w.busy >= w.options.Slots || w.changing || w.fault == WorkerFull || shed
+	w.requestCount++
+	shed := w.fault == WorkerSheds && w.requestCount%shedAcceptsOneIn != 0
+	full := w.busy >= w.options.Slots || w.changingStage || w.fault == WorkerFull || shed
 	fault := w.fault
 	stage := w.stage
 	if !full {
@@ -138,70 +138,70 @@
 		refuse(writer, id)
 		return
 	}
-	ended := w.fleet.workBegun(id, w.options.ID)
+	endWork := w.fleet.beginWork(id, w.options.ID)
 	defer func() {
-		ended()
+		endWork()
 		w.mutex.Lock()
 		defer w.mutex.Unlock()
 		w.busy--
 	}()
-	wanted := request.Header.Get("Stage")
+	requestedStage := request.Header.Get("Stage")
 	switch {
 	case fault == WorkerMute:
 		<-request.Context().Done()
-	case wanted == "prefill" && stage == "prefill":
-		w.read(writer, request, id, fault)
-	case wanted == "prefill" || stage == "prefill":
+	case requestedStage == "prefill" && stage == "prefill":
+		w.servePrefill(writer, request, id, fault)
+	case requestedStage == "prefill" || stage == "prefill":
 		writer.WriteHeader(http.StatusMisdirectedRequest)
 	default:
-		w.run(writer, request, id, body, fault)
+		w.serveRun(writer, request, id, body, fault)
 	}
 }
 
 // read only reads the prompt.
-func (w *Worker) read(writer http.ResponseWriter, request *http.Request, id string, fault WorkerFault) {
+func (w *Worker) servePrefill(writer http.ResponseWriter, request *http.Request, id string, fault WorkerFault) {
 	tokens, _, _ := strings.Cut(request.Header.Get("Token-Count"), ",")
-	if w.model != nil && !w.readPrompt(request, 1) {
+	if w.model != nil && !w.prefillPrompt(request, 1) {
 		return
 	}
 	w.mutex.Lock()
 	w.nextID++
 	handle := fmt.Sprint(w.options.ID, "-h", w.nextID)
-	w.handles[handle] = fault != WorkerLapses
+	w.handles[handle] = fault != WorkerExpiresHandles
 	w.mutex.Unlock()
 	count, _ := strconv.Atoi(tokens)
 	writer.Header().Set("Request-Id", id)
 	writer.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(writer).Encode(fields{"kvHandle": handle, "tokens": count, "version": 1})
+	_ = json.NewEncoder(writer).Encode(jsonObject{"kvHandle": handle, "tokens": count, "version": 1})
 }
 
 // run runs a request.
-func (w *Worker) run(writer http.ResponseWriter, request *http.Request, id string, body []byte, fault WorkerFault) {
-	if source := request.Header.Get("Kv-Source"); source != "" && !w.fleet.fetch(source) {
+func (w *Worker) serveRun(writer http.ResponseWriter, request *http.Request, id string, body []byte, fault WorkerFault) {
+	if source := request.Header.Get("Kv-Source"); source != "" && !w.fleet.consumeHandle(source) {
 		refuse(writer, id)
 		return
 	}
 	if w.model != nil {
-		defer w.model.run()()
-		if !w.takePrompt(request) {
+		defer w.model.beginRun()()
+		if !w.obtainPrompt(request) {
 			return
 		}
 	}
 	resumed := request.Header.Get("Last-Event-Id")
-	w.fleet.ran(id, Run{Worker: w.options.ID, Resumed: resumed, Begun: time.Now()})
-	if endsWorker(body) {
-		w.crashUnder(id)
+	w.fleet.recordRun(id, Run{Worker: w.options.ID, Resumed: resumed, Begun: time.Now()})
+	if crashesWorker(body) {
+		w.crashOn(id)
 		return
 	}
 	// A stream shows its first event at once, however long it is.
-	first, step := w.options.Work, w.options.Work
+	firstDelay, stepDelay := w.options.Work, w.options.Work
 	if bytes.Contains(body, []byte(LongBody)) {
-		step = LongWork / time.Duration(max(w.options.Events, 1))
+		stepDelay = LongWork / time.Duration(max(w.options.Events, 1))
 	}
 	if w.options.Stage == "" {
-		first = step
+		firstDelay = stepDelay
 	}
-	if !pause(first, request.Context().Done()) {
+	if !waitFor(firstDelay, request.Context().Done()) {
 		return
 	}
 	controller := http.NewResponseController(writer)
@@ -219,7 +219,7 @@
 		return
 	}
 	if w.model != nil && request.URL.Path == completionsPath {
-		w.complete(writer, request, id, body, fault)
+		w.serveCompletion(writer, request, id, body, fault)
 		return
 	}
 	if w.options.Stage == "" {
@@ -231,11 +231,11 @@
 		_, _ = io.WriteString(writer, answer)
 		return
 	}
-	w.stream(writer, request, id, step, fault)
+	w.writeStream(writer, request, id, stepDelay, fault)
 }
 
 // stream writes events after the one that the caller has, one in each step of time.
-func (w *Worker) stream(writer http.ResponseWriter, request *http.Request, id string, step time.Duration, fault WorkerFault) {
+func (w *Worker) writeStream(writer http.ResponseWriter, request *http.Request, id string, step time.Duration, fault WorkerFault) {
 	controller := http.NewResponseController(writer)
 	writer.Header().Set("Content-Type", "text/event-stream")
 	after, _ := strconv.Atoi(request.Header.Get("Last-Event-Id"))
@@ -247,7 +247,7 @@
 		}
 		_, _ = io.WriteString(writer, Event(id, number))
 		_ = controller.Flush()
-		if !pause(step, request.Context().Done()) {
+		if !waitFor(step, request.Context().Done()) {
 			return
 		}
 	}
--- a/internal/standin/fleet/store.go
+++ b/internal/standin/fleet/store.go
@@ -11,19 +11,19 @@
 )
 
 // record is one item of the store.
-type record struct {
+type storeItem struct {
 	Key      string `json:"key"`
 	Value    []byte `json:"value"`
 	Revision int64  `json:"revision"`
 	Created  int64  `json:"created"`
 	Lease    int64  `json:"lease"`
-	Gone     bool   `json:"gone,omitempty"`
+	Deleted  bool   `json:"gone,omitempty"`
 }
 
 // grant is a lease.
-type grant struct {
-	ttl   time.Duration
-	until time.Time
+type lease struct {
+	ttl       time.Duration
+	expiresAt time.Time
 }
 
 // StoreFault is how the store misbehaves.
@@ -40,7 +40,7 @@
 	// FaultBusy answers 429 to all but stale reads; nothing is done.
 	FaultBusy
 	// FaultLoseAnswers carries writes out and never answers them.
-	FaultLoseAnswers
+	FaultDropResponses
 )
 
 // Store is a linearizable key-value store with leases and watches.
@@ -50,11 +50,11 @@
 	// era rises each time that the store comes back from an older copy.
 	era      int64
 	revision int64
-	items    map[string]record
-	history  []record
+	items    map[string]storeItem
+	history  []storeItem
 	// compacted is the last revision whose changes are not kept.
 	compacted int64
-	leases    map[int64]grant
+	leases    map[int64]lease
 	nextLease int64
 	fault     StoreFault
 	delay     time.Duration
@@ -71,7 +71,7 @@
 
 // NewStore returns an empty store.
 func NewStore() *Store {
-	store := &Store{era: 1, items: map[string]record{}, leases: map[int64]grant{}, calls: map[string]int{}}
+	store := &Store{era: 1, items: map[string]storeItem{}, leases: map[int64]lease{}, calls: map[string]int{}}
 	store.changed = sync.NewCond(&store.mutex)
 	return store
 }
@@ -101,7 +101,7 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.revision++
-	s.write(record{Key: key, Value: encoded})
+	s.putLocked(storeItem{Key: key, Value: encoded})
 }
 
 // Delete removes an item.
@@ -109,14 +109,14 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.revision++
-	s.remove(key)
+	s.removeLocked(key)
 }
 
 // Keys returns the keys below a prefix.
 func (s *Store) Keys(prefix string) []string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.expire()
+	s.expireLeasesLocked()
 	var keys []string
 	for key := range s.items {
 		if strings.HasPrefix(key, prefix) {
@@ -139,7 +139,7 @@
 }
 
 // write and remove change an item at the current revision. The mutex is held.
-func (s *Store) write(item record) {
+func (s *Store) putLocked(item storeItem) {
 	if s.rewrite != nil {
 		item.Value = s.rewrite(item.Key, item.Value)
 	}
@@ -152,21 +152,21 @@
 	s.changed.Broadcast()
 }
 
-func (s *Store) remove(key string) {
+func (s *Store) removeLocked(key string) {
 	if _, found := s.items[key]; !found {
 		return
 	}
 	delete(s.items, key)
-	s.history = append(s.history, record{Key: key, Revision: s.revision, Gone: true})
+	s.history = append(s.history, storeItem{Key: key, Revision: s.revision, Deleted: true})
 	s.changed.Broadcast()
 }
 
 // expire ends leases whose time is over. The mutex is held.
-func (s *Store) expire() {
+func (s *Store) expireLeasesLocked() {
 	now := time.Now()
 	for id, lease := range s.leases {
-		if now.After(lease.until) {
-			s.end(id)
+		if now.After(lease.expiresAt) {
+			s.endLeaseLocked(id)
 		}
 	}
 }
@@ -176,17 +176,17 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for id := range s.leases {
-		s.end(id)
+		s.endLeaseLocked(id)
 	}
 }
 
 // end ends one lease. The mutex is held.
-func (s *Store) end(id int64) {
+func (s *Store) endLeaseLocked(id int64) {
 	delete(s.leases, id)
 	for key, item := range s.items {
 		if item.Lease == id {
 			s.revision++
-			s.remove(key)
+			s.removeLocked(key)
 		}
 	}
 }
--- a/internal/standin/fleet/storecalls.go
+++ b/internal/standin/fleet/storecalls.go
@@ -12,7 +12,7 @@
 
 // ServeHTTP is part of http.Handler.
 func (s *Store) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
-	name, id := route(request.URL.Path)
+	name, id := splitPath(request.URL.Path)
 	s.mutex.Lock()
 	s.calls[name]++
 	fault, delay := s.fault, s.delay
@@ -28,11 +28,11 @@
 		// The end of the connection is noticed only once the body was read.
 		_, _ = io.Copy(io.Discard, request.Body)
 		<-request.Context().Done()
-	case fault == FaultLoseAnswers && writes:
-		s.answer(name, id, request)
+	case fault == FaultDropResponses && writes:
+		s.handle(name, id, request)
 		<-request.Context().Done()
 	default:
-		status, body := s.answer(name, id, request)
+		status, body := s.handle(name, id, request)
 		writer.Header().Set("Content-Type", "application/json")
 		writer.Header().Set("Store-Era", strconv.FormatInt(s.Era(), 10))
 		writer.WriteHeader(status)
@@ -41,7 +41,7 @@
 }
 
 // route splits a path into the call and the id at its end.
-func route(path string) (string, int64) {
+func splitPath(path string) (string, int64) {
 	parts := strings.Split(strings.TrimPrefix(path, "/v1/"), "/")
 	if len(parts) < 2 {
 		return parts[0], 0
@@ -51,14 +51,14 @@
 }
 
 // fields is a JSON object.
-type fields map[string]any
+type jsonObject map[string]any
 
 // answer carries a call out.
-func (s *Store) answer(name string, id int64, request *http.Request) (int, any) {
+func (s *Store) handle(name string, id int64, request *http.Request) (int, any) {
 	query := request.URL.Query()
 	switch name {
 	case "kv-range":
-		return s.list(query.Get("pathPrefix"), query.Get("after"))
+		return s.listPage(query.Get("pathPrefix"), query.Get("after"))
 	case "kv-watch":
 		after, _ := strconv.ParseInt(query.Get("after"), 10, 64)
 		wait, _ := strconv.Atoi(query.Get("waitMs"))
@@ -66,27 +66,27 @@
 	case "kv-txn":
 		return s.transact(request)
 	case "kv-lease":
-		return s.grant(request)
+		return s.grantLease(request)
 	case "kv-keep":
-		return s.renew(id)
+		return s.renewLease(id)
 	case "kv-lease-end":
 		s.mutex.Lock()
 		defer s.mutex.Unlock()
-		s.end(id)
-		return http.StatusOK, fields{}
+		s.endLeaseLocked(id)
+		return http.StatusOK, jsonObject{}
 	default:
-		return http.StatusNotFound, fields{"error": "no such call"}
+		return http.StatusNotFound, jsonObject{"error": "no such call"}
 	}
 }
 
 // pageItems is how many items one page of a list holds.
-const pageItems = 50
+const pageSize = 50
 
 // list answers one page.
-func (s *Store) list(prefix, after string) (int, any) {
+func (s *Store) listPage(prefix, after string) (int, any) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.expire()
+	s.expireLeasesLocked()
 	var keys []string
 	for key := range s.items {
 		if strings.HasPrefix(key, prefix) && key > after {
@@ -94,12 +94,12 @@
 		}
 	}
 	sort.Strings(keys)
-	more := len(keys) > pageItems
-	items := []record{}
-	for _, key := range keys[:min(len(keys), pageItems)] {
+	more := len(keys) > pageSize
+	items := []storeItem{}
+	for _, key := range keys[:min(len(keys), pageSize)] {
 		items = append(items, s.items[key])
 	}
-	return http.StatusOK, fields{"items": items, "more": more, "at": s.revision}
+	return http.StatusOK, jsonObject{"items": items, "more": more, "at": s.revision}
 }
 
 // watch waits for changes.
@@ -117,18 +117,18 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for {
-		s.expire()
+		s.expireLeasesLocked()
 		if after < s.compacted || after > s.revision {
-			return http.StatusGone, fields{"error": "history is gone"}
+			return http.StatusGone, jsonObject{"error": "history is gone"}
 		}
-		events := []record{}
+		events := []storeItem{}
 		for _, change := range s.history {
 			if change.Revision > after && strings.HasPrefix(change.Key, prefix) {
 				events = append(events, change)
 			}
 		}
 		if len(events) > 0 || !time.Now().Before(deadline) || request.Context().Err() != nil {
-			return http.StatusOK, fields{"events": events, "at": s.revision}
+			return http.StatusOK, jsonObject{"events": events, "at": s.revision}
 		}
 		ticker.Reset(200 * time.Millisecond)
 		s.changed.Wait()
@@ -142,64 +142,64 @@
 			Key      string `json:"key"`
 			Revision int64  `json:"revision"`
 		} `json:"expected"`
-		Put    []record `json:"put"`
-		Remove []string `json:"remove"`
+		Put    []storeItem `json:"put"`
+		Remove []string    `json:"remove"`
 	}
 	if err := json.NewDecoder(request.Body).Decode(&body); err != nil {
-		return http.StatusBadRequest, fields{"error": err.Error()}
+		return http.StatusBadRequest, jsonObject{"error": err.Error()}
 	}
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.expire()
+	s.expireLeasesLocked()
 	for _, condition := range body.Expected {
 		if s.items[condition.Key].Revision != condition.Revision {
-			return http.StatusPreconditionFailed, fields{"items": []record{s.items[condition.Key]}}
+			return http.StatusPreconditionFailed, jsonObject{"items": []storeItem{s.items[condition.Key]}}
 		}
 	}
 	for _, item := range body.Put {
 		if strings.HasPrefix(item.Key, "op/") || strings.HasPrefix(item.Key, "servers/") {
-			return http.StatusForbidden, fields{"error": "not for the system"}
+			return http.StatusForbidden, jsonObject{"error": "not for the system"}
 		}
 		if _, found := s.leases[item.Lease]; item.Lease != 0 && !found {
-			return http.StatusNotFound, fields{"error": "no such lease"}
+			return http.StatusNotFound, jsonObject{"error": "no such lease"}
 		}
 	}
 	s.revision++
 	for _, item := range body.Put {
-		s.write(record{Key: item.Key, Value: item.Value, Lease: item.Lease})
+		s.putLocked(storeItem{Key: item.Key, Value: item.Value, Lease: item.Lease})
 	}
 	for _, key := range body.Remove {
-		s.remove(key)
+		s.removeLocked(key)
 	}
-	return http.StatusOK, fields{"revision": s.revision}
+	return http.StatusOK, jsonObject{"revision": s.revision}
 }
 
 // grant gives a lease.
-func (s *Store) grant(request *http.Request) (int, any) {
+func (s *Store) grantLease(request *http.Request) (int, any) {
 	var body struct {
 		TTLMs int64 `json:"ttlMs"`
 	}
 	if err := json.NewDecoder(request.Body).Decode(&body); err != nil {
-		return http.StatusBadRequest, fields{"error": err.Error()}
+		return http.StatusBadRequest, jsonObject{"error": err.Error()}
 	}
 	ttl := time.Duration(body.TTLMs) * time.Millisecond
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.nextLease++
-	s.leases[s.nextLease] = grant{ttl: ttl, until: time.Now().Add(ttl)}
-	return http.StatusOK, fields{"lease": s.nextLease, "ttlMs": body.TTLMs}
+	s.leases[s.nextLease] = lease{ttl: ttl, expiresAt: time.Now().Add(ttl)}
+	return http.StatusOK, jsonObject{"lease": s.nextLease, "ttlMs": body.TTLMs}
 }
 
 // renew renews a lease.
-func (s *Store) renew(id int64) (int, any) {
+func (s *Store) renewLease(id int64) (int, any) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.expire()
+	s.expireLeasesLocked()
 	lease, found := s.leases[id]
 	if !found {
-		return http.StatusNotFound, fields{"error": "no such lease"}
+		return http.StatusNotFound, jsonObject{"error": "no such lease"}
 	}
-	lease.until = time.Now().Add(lease.ttl)
+	lease.expiresAt = time.Now().Add(lease.ttl)
 	s.leases[id] = lease
-	return http.StatusOK, fields{"ttlMs": lease.ttl.Milliseconds()}
+	return http.StatusOK, jsonObject{"ttlMs": lease.ttl.Milliseconds()}
 }
--- a/internal/standin/fleet/worker.go
+++ b/internal/standin/fleet/worker.go
@@ -47,7 +47,7 @@
 	// WorkerCuts breaks answers off in the middle.
 	WorkerCuts
 	// WorkerLapses lets the handles of prompts lapse at once.
-	WorkerLapses
+	WorkerExpiresHandles
 	// WorkerLateOrders carries orders out lateOrder after they came.
 	WorkerLateOrders
 	// WorkerFull refuses everything.
@@ -57,7 +57,7 @@
 )
 
 // shedTakes is how many requests a worker that sheds refuses together with one that it takes.
-const shedTakes = 5
+const shedAcceptsOneIn = 5
 
 // Worker is one worker.
 type Worker struct {
@@ -65,32 +65,32 @@
 	fleet   *Fleet
 	server  *http.Server
 	// address at which others reach the worker, and the one at which it listens.
-	address, listens string
+	address, listenAddress string
 
-	mutex    sync.Mutex
-	stage    string
-	orders   int64
-	fence    int64
-	busy     int
-	fault    WorkerFault
-	asked    int
-	handles  map[string]bool
-	nextID   int
-	holders  []string
-	draining bool
+	mutex        sync.Mutex
+	stage        string
+	orderCount   int64
+	fence        int64
+	busy         int
+	fault        WorkerFault
+	requestCount int
+	handles      map[string]bool
+	nextID       int
+	orderHolders []string
+	draining     bool
 	// leaving is set while all answers say that the worker leaves, be it recorded or not. restUntil is until when it refuses everything and
 	// asks for rest, each time for rest.
-	leaving   bool
-	rest      time.Duration
-	restUntil time.Time
+	leaving    bool
+	retryAfter time.Duration
+	shedUntil  time.Time
 	// limit is how many requests a second the answers say that the worker takes; zero names none.
 	limit float64
 	// changing is set while the worker is out for a change of its stage.
-	changing bool
-	model    *model
+	changingStage bool
+	model         *engineModel
 	// crashed is set once the worker has ended under a request, and stopped once it is not to come back; next is its next life.
 	crashed, stopped bool
-	next             *Worker
+	successor        *Worker
 }
 
 // Start adds a worker to the fleet and records it.
@@ -103,18 +103,18 @@
 	if options.Through != nil {
 		address = options.Through(address)
 	}
-	return f.serve(options, listener, address), nil
+	return f.startOn(options, listener, address), nil
 }
 
 // record writes the record of the worker into the store.
-func (w *Worker) record() {
+func (w *Worker) writeRecord() {
 	state := "ready"
 	if w.draining {
 		state = "draining"
 	}
-	w.fleet.Store.Put("servers/"+w.options.ID, fields{
+	w.fleet.Store.Put("servers/"+w.options.ID, jsonObject{
 		"service": w.options.Service, "address": w.address, "zone": w.options.Zone, "version": "v1", "slots": w.options.Slots,
-		"state": state, "coldLeftMs": 0, "stage": w.stage, "seqNo": w.orders,
+		"state": state, "coldLeftMs": 0, "stage": w.stage, "seqNo": w.orderCount,
 	})
 }
 
@@ -135,21 +135,21 @@
 func (w *Worker) ReadTokens() int {
 	w.model.mu.Lock()
 	defer w.model.mu.Unlock()
-	return w.model.readTokens
+	return w.model.prefilledTokens
 }
 
 // Changing tells whether the worker is out for a change of its stage.
 func (w *Worker) Changing() bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return w.changing
+	return w.changingStage
 }
 
 // Holders returns who gave the orders that the worker took.
 func (w *Worker) Holders() []string {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return append([]string(nil), w.holders...)
+	return append([]string(nil), w.orderHolders...)
 }
 
 // SetFault makes the worker misbehave from now on.
@@ -160,7 +160,7 @@
 }
 
 // faulty tells whether the worker misbehaves in a way.
-func (w *Worker) faulty(fault WorkerFault) bool {
+func (w *Worker) hasFault(fault WorkerFault) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.fault == fault
@@ -175,10 +175,10 @@
 
 // Shed makes the worker refuse everything for a time; each time it asks to be left alone for the rest that is given, with the header in
 // seconds.
-func (w *Worker) Shed(lasting, rest time.Duration) {
+func (w *Worker) Shed(duration, retryAfter time.Duration) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.rest, w.restUntil = rest, time.Now().Add(lasting)
+	w.retryAfter, w.shedUntil = retryAfter, time.Now().Add(duration)
 }
 
 // Limit makes the worker name in its answers how many requests a second it takes of all together; zero names no limit any more. It takes
@@ -187,7 +187,7 @@
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.limit = perSecond
-	w.fleet.namesLimit(Limited{Worker: w.options.ID, PerSecond: perSecond, At: time.Now()})
+	w.fleet.recordLimit(LimitChange{Worker: w.options.ID, PerSecond: perSecond, At: time.Now()})
 }
 
 // Drain records that the worker leaves, and has its answers say so.
@@ -195,14 +195,14 @@
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.draining, w.leaving = true, true
-	w.record()
+	w.writeRecord()
 }
 
 // Stop ends the worker, and its next lives; with crash its record stays.
 func (w *Worker) Stop(crash bool) {
 	w.mutex.Lock()
 	w.stopped = true
-	next := w.next
+	next := w.successor
 	w.mutex.Unlock()
 	if next != nil {
 		next.Stop(crash)
@@ -214,10 +214,10 @@
 }
 
 // lateOrder is by how much a worker with WorkerLateOrders is late; a lease may end meanwhile.
-const lateOrder = 1500 * time.Millisecond
+const lateOrderDelay = 1500 * time.Millisecond
 
 // order changes the stage.
-func (w *Worker) order(writer http.ResponseWriter, request *http.Request) {
+func (w *Worker) handleOrder(writer http.ResponseWriter, request *http.Request) {
 	var body struct {
 		Op       string `json:"op"`
 		Stage    string `json:"stage"`
@@ -229,66 +229,66 @@
 		writer.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	came := time.Now()
-	if w.faulty(WorkerLateOrders) {
-		time.Sleep(lateOrder)
+	receivedAt := time.Now()
+	if w.hasFault(WorkerLateOrders) {
+		time.Sleep(lateOrderDelay)
 	}
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	switch {
 	case body.Fence < w.fence:
 		writer.WriteHeader(http.StatusPreconditionFailed)
-	case body.Expected != nil && *body.Expected != w.orders:
+	case body.Expected != nil && *body.Expected != w.orderCount:
 		writer.WriteHeader(http.StatusConflict)
 	case body.Stage == w.stage:
 		writer.WriteHeader(http.StatusOK)
-	case w.changing:
+	case w.changingStage:
 		writer.WriteHeader(http.StatusConflict)
 	default:
 		w.fence = body.Fence
-		w.orders++
-		w.holders = append(w.holders, body.Holder)
-		w.fleet.tookOrder(Taken{Worker: w.options.ID, Holder: body.Holder, Fence: body.Fence, At: came})
-		w.change(body.Stage)
+		w.orderCount++
+		w.orderHolders = append(w.orderHolders, body.Holder)
+		w.fleet.recordOrder(AcceptedOrder{Worker: w.options.ID, Holder: body.Holder, Fence: body.Fence, At: receivedAt})
+		w.changeStage(body.Stage)
 		writer.WriteHeader(http.StatusAccepted)
 	}
 }
 
 // change takes another stage, at once or after the time that it takes a model engine. The mutex is held.
-func (w *Worker) change(stage string) {
-	takes := w.options.StageChange
+func (w *Worker) changeStage(stage string) {
+	duration := w.options.StageChange
 	if w.model != nil {
-		takes = w.model.options.StageChange
+		duration = w.model.options.StageChange
 	}
-	if takes == 0 {
+	if duration == 0 {
 		w.stage = stage
-		w.recordLater()
+		w.writeRecordDelayed()
 		return
 	}
-	w.changing = true
-	time.AfterFunc(takes, func() {
+	w.changingStage = true
+	time.AfterFunc(duration, func() {
 		w.mutex.Lock()
 		defer w.mutex.Unlock()
-		w.changing, w.stage = false, stage
-		w.recordLater()
+		w.changingStage, w.stage = false, stage
+		w.writeRecordDelayed()
 	})
 }
 
 // recordLater writes the record, at once or after its lag. The mutex is held.
-func (w *Worker) recordLater() {
+func (w *Worker) writeRecordDelayed() {
 	if w.options.RecordLag == 0 {
-		w.record()
+		w.writeRecord()
 		return
 	}
 	time.AfterFunc(w.options.RecordLag, func() {
 		w.mutex.Lock()
 		defer w.mutex.Unlock()
-		w.record()
+		w.writeRecord()
 	})
 }
 
 // take uses up a handle.
-func (w *Worker) take(handle string) bool {
+func (w *Worker) consumeHandle(handle string) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	known := w.handles[handle]
--- a/internal/standin/netproxy/netproxy.go
+++ b/internal/standin/netproxy/netproxy.go
@@ -32,8 +32,8 @@
 	// SlowDelay is the delay of ModeSlow for each piece of bytes.
 	SlowDelay = 150 * time.Millisecond
 	// holdPoll is how often bytes that are held up look whether they may go on.
-	holdPoll  = 20 * time.Millisecond
-	pieceSize = 16 << 10
+	blockedPollInterval = 20 * time.Millisecond
+	bufferSize          = 16 << 10
 )
 
 // Proxy passes TCP connections on to a target, on loopback.
@@ -45,14 +45,14 @@
 	mode  Mode
 	conns map[net.Conn]bool
 	// flows are the connections that pass.
-	flows map[*flow]bool
+	pairs map[*connPair]bool
 }
 
 // flow is one connection that passes, from its near to its far end.
-type flow struct {
-	near, far net.Conn
+type connPair struct {
+	client, server net.Conn
 	// silent is set once everything that comes on it is lost, its end too, for good.
-	silent atomic.Bool
+	blackholed atomic.Bool
 }
 
 // New starts a proxy to a target, host:port.
@@ -61,7 +61,7 @@
 	if err != nil {
 		return nil, errors.Wrapf(err, "step start a proxy, peer %s", target)
 	}
-	p := &Proxy{listener: listener, target: target, mode: ModePass, conns: map[net.Conn]bool{}, flows: map[*flow]bool{}}
+	p := &Proxy{listener: listener, target: target, mode: ModePass, conns: map[net.Conn]bool{}, pairs: map[*connPair]bool{}}
 	go p.accept()
 	return p, nil
 }
@@ -85,13 +85,13 @@
 func (p *Proxy) Silence() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for each := range p.flows {
-		each.silent.Store(true)
+	for pair := range p.pairs {
+		pair.blackholed.Store(true)
 	}
 }
 
 // current returns the mode.
-func (p *Proxy) current() Mode {
+func (p *Proxy) currentMode() Mode {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.mode
@@ -105,8 +105,8 @@
 	for conn := range p.conns {
 		_ = conn.Close()
 	}
-	for each := range p.flows {
-		_ = each.far.Close()
+	for pair := range p.pairs {
+		_ = pair.server.Close()
 	}
 }
 
@@ -117,7 +117,7 @@
 		if err != nil {
 			return
 		}
-		if p.current() == ModeReset {
+		if p.currentMode() == ModeReset {
 			reset(conn)
 			continue
 		}
@@ -126,52 +126,52 @@
 }
 
 // serve passes one connection on.
-func (p *Proxy) serve(near net.Conn) {
-	defer near.Close()
-	far, err := net.Dial("tcp4", p.target)
+func (p *Proxy) serve(client net.Conn) {
+	defer client.Close()
+	server, err := net.Dial("tcp4", p.target)
 	if err != nil {
-		reset(near)
+		reset(client)
 		return
 	}
-	defer far.Close()
-	passing := &flow{near: near, far: far}
-	p.hold(passing, true)
-	defer p.hold(passing, false)
+	defer server.Close()
+	pair := &connPair{client: client, server: server}
+	p.track(pair, true)
+	defer p.track(pair, false)
 	done := make(chan struct{}, 2)
-	go p.copy(passing, false, done)
-	go p.copy(passing, true, done)
+	go p.copyDirection(pair, false, done)
+	go p.copyDirection(pair, true, done)
 	<-done
-	if passing.silent.Load() {
+	if pair.blackholed.Load() {
 		// The end of one side is lost too: the other one has to find out by itself.
 		<-done
 	}
 }
 
 // hold notes or forgets a connection.
-func (p *Proxy) hold(passing *flow, held bool) {
+func (p *Proxy) track(pair *connPair, open bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if held {
-		p.conns[passing.near], p.flows[passing] = true, true
+	if open {
+		p.conns[pair.client], p.pairs[pair] = true, true
 	} else {
-		delete(p.conns, passing.near)
-		delete(p.flows, passing)
+		delete(p.conns, pair.client)
+		delete(p.pairs, pair)
 	}
 }
 
 // copy passes the bytes of one direction on.
-func (p *Proxy) copy(passing *flow, back bool, done chan<- struct{}) {
+func (p *Proxy) copyDirection(pair *connPair, toClient bool, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
-	from, into := passing.near, passing.far
-	if back {
-		from, into = into, from
+	src, dst := pair.client, pair.server
+	if toClient {
+		src, dst = dst, src
 	}
-	piece := make([]byte, pieceSize)
+	buffer := make([]byte, bufferSize)
 	for {
-		n, err := from.Read(piece)
-		p.delay(back)
-		if n > 0 && !passing.silent.Load() {
-			if _, err := into.Write(piece[:n]); err != nil {
+		n, err := src.Read(buffer)
+		p.applyDelay(toClient)
+		if n > 0 && !pair.blackholed.Load() {
+			if _, err := dst.Write(buffer[:n]); err != nil {
 				return
 			}
 		}
@@ -182,11 +182,11 @@
 }
 
 // delay waits as the mode wants it.
-func (p *Proxy) delay(back bool) {
+func (p *Proxy) applyDelay(toClient bool) {
 	for {
-		switch mode := p.current(); {
-		case mode == ModeSilent || (mode == ModeOneWay && back):
-			time.Sleep(holdPoll)
+		switch mode := p.currentMode(); {
+		case mode == ModeSilent || (mode == ModeOneWay && toClient):
+			time.Sleep(blockedPollInterval)
 		case mode == ModeSlow:
 			time.Sleep(SlowDelay)
 			return
