--- a/internal/standin/answers/answers.go
+++ b/internal/standin/answers/answers.go
@@ -1,5 +1,5 @@
-// Package answers makes the answers of stand-in engines: they depend on the prompt alone, so that any two runs of a prompt give the
-// same answer and a checker can tell a wrong one.
+// Package answers generates the deterministic answers of simulated engines. An answer depends only on the model and the prompt,
+// so checkers can compute the expected text.
 package answers
 
 import (
@@ -9,16 +9,16 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// tokenVocabulary is the number of different tokens in the answers of stand-in engines.
+// vocabularySize is the number of distinct tokens.
 const vocabularySize = 1 << 12
 
-// The syllables from which the tokens of answers are made.
+// Letters of the generated tokens, each of which is two consonant-vowel pairs.
 const (
 	tokenConsonants = "bdfgklmnprstvwyz"
 	tokenVowels     = "aeio"
 )
 
-// firstTokens and laterTokens hold the vocabulary; a later token has the space before it.
+// firstTokens and laterTokens hold the vocabulary; later tokens start with a space.
 var firstTokens, laterTokens = buildVocabulary()
 
 func buildVocabulary() (first, later [vocabularySize]string) {
@@ -38,9 +38,7 @@
 	return first, later
 }
 
-// AnswerToken returns the token at an index of the answer that stand-in engines give to a prompt. It depends on
-// nothing else, so that any two runs of a prompt give the same answer and a checker can tell a wrong one. The text of
-// an answer is its tokens joined without a separator.
+// Token returns the token at an index of the answer to a prompt. The text of an answer is the concatenation of its tokens.
 func Token(promptDigest uint64, index int) string {
 	var key [12]byte
 	binary.LittleEndian.PutUint64(key[:8], promptDigest)
@@ -52,7 +50,7 @@
 	return laterTokens[word]
 }
 
-// AnswerTokens returns the tokens of an answer from one index up to another, which is not included.
+// Tokens returns the tokens of an answer in the index range [from, to).
 func Tokens(promptDigest uint64, from, to int) []string {
 	if to <= from {
 		return nil
@@ -64,7 +62,7 @@
 	return tokens
 }
 
-// PromptDigest returns the hash of all that an answer depends on.
+// PromptDigest returns the hash of a model and a prompt that determines the answer.
 func PromptDigest(model, prompt string) uint64 {
 	digest := xxhash.New()
 	writeWithSeparator(digest, model)
@@ -72,7 +70,7 @@
 	return digest.Sum64()
 }
 
-// CountTokens returns the length of a prompt in tokens: one for each word between white space.
+// CountTokens returns the length of a prompt in tokens, one for each whitespace-separated word.
 func CountTokens(prompt string) int {
 	count := 0
 	for range strings.FieldsSeq(prompt) {
@@ -81,7 +79,7 @@
 	return count
 }
 
-// writeSeparated writes a part and a byte that no UTF-8 text contains.
+// writeWithSeparator writes a part followed by a byte that does not occur in UTF-8 text.
 func writeWithSeparator(digest *xxhash.Digest, part string) {
 	_, _ = digest.WriteString(part)
 	_, _ = digest.Write([]byte{0xff})
--- a/internal/standin/fleet/caller.go
+++ b/internal/standin/fleet/caller.go
@@ -11,41 +11,42 @@
 	"time"
 )
 
-// Asked is a request as a stand-in caller sends it.
+// Request is a request of a simulated client.
 type Request struct {
 	ID   string
 	Path string
 	Body string
-	// Tokens of the prompt, zero for requests to plain workers; Shared of them begin other prompts too.
+	// PromptTokens is the length of the prompt; zero for requests to plain workers. Its first SharedTokens are shared with other
+	// prompts.
 	PromptTokens int
 	SharedTokens int
-	// Subject names the shared part.
+	// SharedPrefix identifies the shared part of the prompt.
 	SharedPrefix string
 	Deadline     time.Duration
 }
 
-// Answered is what a caller got.
+// Response is the response that a client received.
 type Response struct {
 	Status    int
 	Signature string
 	Body      string
-	// RetryAfter is set with a refusal that names the time to come back.
+	// RetryAfter is the Retry-After header of a refusal.
 	RetryAfter string
-	// Err is set when the answer is not whole.
+	// Err is set if the response is incomplete.
 	Err error
 }
 
-// Caller asks gateways as the platform's callers do.
+// Caller is a simulated client of the gateways, based on the HTTP client of the standard library.
 type Caller struct{ client *http.Client }
 
-// NewCaller returns a caller that keeps connections, or opens a new one for each request.
+// NewCaller returns a client that reuses connections, or opens a new one for each request.
 func NewCaller(keepAlive bool) *Caller {
 	return &Caller{client: &http.Client{Transport: &http.Transport{
 		DisableCompression: true, DisableKeepAlives: !keepAlive, MaxIdleConnsPerHost: 8, ResponseHeaderTimeout: 10 * time.Second,
 	}}}
 }
 
-// Resolve asks a directory where to connect.
+// Resolve asks a directory for the addresses of gateways.
 func (c *Caller) Resolve(ctx context.Context, directory string) ([]string, error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
@@ -64,7 +65,7 @@
 	return answer.Addresses, json.NewDecoder(response.Body).Decode(&answer)
 }
 
-// Ready asks whether a gateway takes requests.
+// Ready reports whether a gateway is ready for requests.
 func (c *Caller) Ready(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
@@ -80,7 +81,7 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// Ask sends a request to a gateway and reads the answer to its end.
+// Do sends a request to a gateway and reads the whole response.
 func (c *Caller) Do(ctx context.Context, gateway string, call Request) Response {
 	request, err := call.httpRequest(ctx, gateway)
 	if err != nil {
@@ -94,7 +95,7 @@
 	return readResponse(response)
 }
 
-// answered reads an answer to its end.
+// readResponse reads a response to its end.
 func readResponse(response *http.Response) Response {
 	content, err := io.ReadAll(response.Body)
 	return Response{
@@ -103,7 +104,7 @@
 	}
 }
 
-// request returns the request as it is sent to a gateway.
+// httpRequest returns the HTTP request to a gateway.
 func (a Request) httpRequest(ctx context.Context, gateway string) (*http.Request, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+gateway+a.Path, strings.NewReader(a.Body))
 	if err != nil {
@@ -120,7 +121,7 @@
 	return request, nil
 }
 
-// StreamAnswer is the whole answer of an engine that sends so many events.
+// StreamAnswer returns the complete answer of an engine that sends a number of events.
 func StreamAnswer(id string, events int) string {
 	var stream strings.Builder
 	for number := 1; number <= events; number++ {
--- a/internal/standin/fleet/completion.go
+++ b/internal/standin/fleet/completion.go
@@ -14,7 +14,7 @@
 // completionsPath is the path of completion requests.
 const completionsPath = "/v1/completions"
 
-// completion is a request for a completion.
+// completionRequest is the body of a completion request.
 type completionRequest struct {
 	Model     string `json:"model"`
 	Prompt    string `json:"prompt"`
@@ -22,10 +22,10 @@
 	Stream    bool   `json:"stream"`
 }
 
-// defaultMaxTokens is the length of an answer when a request does not give one.
+// defaultMaxTokens is the answer length if a request sets none.
 const defaultMaxTokens = 16
 
-// completionChunk is one event of a streamed answer, or a whole answer.
+// completionChunk is one event of a streamed answer, or a complete answer.
 type completionChunk struct {
 	ID      string             `json:"id"`
 	Object  string             `json:"object"`
@@ -33,7 +33,7 @@
 	Choices []completionChoice `json:"choices"`
 }
 
-// completionChoice is the only choice of an answer.
+// completionChoice is the single choice of an answer.
 type completionChoice struct {
 	Text  string `json:"text"`
 	Index int    `json:"index"`
@@ -44,7 +44,7 @@
 	return completionChunk{ID: id, Object: "text_completion", Model: c.Model, Choices: []completionChoice{{Text: text}}}
 }
 
-// tokens returns the words of the answer.
+// tokens returns the tokens of the answer.
 func (c *completionRequest) tokens() []string {
 	count := defaultMaxTokens
 	if c.MaxTokens != nil {
@@ -53,7 +53,7 @@
 	return answers.Tokens(answers.PromptDigest(c.Model, c.Prompt), 0, count)
 }
 
-// complete answers a completion request. Events are numbered from one, and the last one says that the answer is whole.
+// serveCompletion answers a completion request. Stream events are numbered from one; the last one is [DONE].
 func (w *Worker) serveCompletion(writer http.ResponseWriter, request *http.Request, id string, body []byte, fault WorkerFault) {
 	var req completionRequest
 	if err := json.Unmarshal(body, &req); err != nil {
@@ -86,7 +86,7 @@
 	}
 }
 
-// completeWhole answers with one object.
+// writeWholeCompletion writes the answer as a single JSON object.
 func (w *Worker) writeWholeCompletion(writer http.ResponseWriter, request *http.Request, id string, req *completionRequest) {
 	tokens := req.tokens()
 	for range tokens {
--- a/internal/standin/fleet/crash.go
+++ b/internal/standin/fleet/crash.go
@@ -7,39 +7,39 @@
 	"time"
 )
 
-// CrashingBody ends each worker that begins to run a request whose body contains it.
+// CrashingBody is a marker: a request whose body contains it crashes each worker that runs it.
 const CrashingBody = "ends its worker"
 
-// Times of a worker that has crashed.
+// Timing of a worker crash.
 const (
-	// crashDelay is between the beginning of the run and the end of the worker.
+	// crashDelay is the time from the start of the run to the crash.
 	crashDelay = 30 * time.Millisecond
-	// crashLapse is how long the record of a worker that has crashed stays: some heartbeats.
+	// recordExpiry is how long the record of a crashed worker remains in the store: a few heartbeats.
 	recordExpiry = 800 * time.Millisecond
-	// crashPause is how long a worker is away before it is back at its address, with another id.
+	// restartDelay is the time until the worker restarts at the same address under a new ID.
 	restartDelay = 600 * time.Millisecond
 )
 
-// Crash is the end of a worker under a request.
+// Crash is a worker crash caused by a request.
 type Crash struct {
 	Worker string
-	// ID of the request that has ended it.
+	// ID is the ID of the request; empty for Worker.Crash.
 	ID string
 	At time.Time
 }
 
-// Crashes returns the ends of workers under requests so far, in their order.
+// Crashes returns the crashes recorded so far, in order.
 func (f *Fleet) Crashes() []Crash {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return append([]Crash(nil), f.crashes...)
 }
 
-// endsWorker tells whether a request ends the worker that runs it.
+// crashesWorker reports whether a request crashes the worker that runs it.
 func crashesWorker(body []byte) bool { return bytes.Contains(body, []byte(CrashingBody)) }
 
-// crashUnder ends the worker under a request: everything that it runs breaks off, its address refuses connections, and its record
-// lapses. It is back at its address after a while.
+// crashOn crashes the worker: its requests are aborted, its address refuses connections, and its record expires. The worker
+// restarts after restartDelay.
 func (w *Worker) crashOn(id string) {
 	time.Sleep(crashDelay)
 	w.mutex.Lock()
@@ -55,10 +55,10 @@
 	time.AfterFunc(restartDelay, w.restart)
 }
 
-// Crash ends the worker as a request does that ends workers, and returns once it has.
+// Crash crashes the worker as a request with CrashingBody does, and returns once it has crashed.
 func (w *Worker) Crash() { w.crashOn("") }
 
-// comeBack starts the worker again with another id, unless the stand-in was stopped.
+// restart starts the worker again under a new ID, unless it was stopped.
 func (w *Worker) restart() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -67,7 +67,7 @@
 	}
 	listener, err := net.Listen("tcp4", w.listenAddress)
 	if err != nil {
-		// Somebody else has the port: the worker stays away.
+		// Another process has taken the port: the worker stays down.
 		return
 	}
 	options := w.options
@@ -76,7 +76,7 @@
 	w.successor = w.fleet.startOn(options, listener, w.address)
 }
 
-// Latest returns the life of the worker of the moment: itself, or the last one in which it came back.
+// Latest returns the current incarnation of the worker: itself, or the last restarted one.
 func (w *Worker) Latest() *Worker {
 	w.mutex.Lock()
 	next := w.successor
@@ -87,14 +87,14 @@
 	return next.Latest()
 }
 
-// crashed notes the end of a worker under a request.
+// recordCrash records a crash.
 func (f *Fleet) recordCrash(crash Crash) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.crashes = append(f.crashes, crash)
 }
 
-// serve adds a worker that listens already, and records it.
+// startOn starts a worker on a listener and registers it.
 func (f *Fleet) startOn(options WorkerOptions, listener net.Listener, address string) *Worker {
 	worker := &Worker{
 		options: options, fleet: f, address: address, listenAddress: listener.Addr().String(), stage: options.Stage, handles: map[string]bool{},
--- a/internal/standin/fleet/duties.go
+++ b/internal/standin/fleet/duties.go
@@ -8,41 +8,42 @@
 	"sync"
 )
 
-// Duties is a stand-in of the calls that one gateway makes for all. It checks fences, as the platform may.
+// Duties simulates the endpoint that receives the reports of the gateway that holds the duty lease. It rejects calls with a stale
+// fence.
 type Duties struct {
 	mu      sync.Mutex
 	fence   int64
 	reports map[int64]map[string]int64
-	// differing are the windows of which two different counts came.
+	// conflicting are the windows for which two different reports arrived.
 	conflicting []int64
 	holders     []string
 }
 
-// NewDuties returns a stand-in that has taken nothing.
+// NewDuties returns an endpoint without reports.
 func NewDuties() *Duties { return &Duties{reports: map[int64]map[string]int64{}} }
 
-// Reports returns the counts that were taken, by window and tenant.
+// Reports returns the accepted counts by window and tenant.
 func (d *Duties) Reports() map[int64]map[string]int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return maps.Clone(d.reports)
 }
 
-// Differing returns the windows of which two different counts came.
+// Differing returns the windows for which two different reports arrived.
 func (d *Duties) Differing() []int64 {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return append([]int64(nil), d.conflicting...)
 }
 
-// Holders returns who has called, one after the other.
+// Holders returns the successive holders that have called.
 func (d *Duties) Holders() []string {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return append([]string(nil), d.holders...)
 }
 
-// ServeHTTP is part of http.Handler.
+// ServeHTTP implements http.Handler.
 func (d *Duties) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	fence, err := strconv.ParseInt(r.Header.Get("Fence-Token"), 10, 64)
 	holder := r.Header.Get("Duty-Holder")
--- a/internal/standin/fleet/fleet.go
+++ b/internal/standin/fleet/fleet.go
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// Fleet is the workers with the store in which they record themselves.
+// Fleet is a set of workers with the store in which they register. It records what the workers observe.
 type Fleet struct {
 	Store *Store
 
 	mutex   sync.Mutex
 	workers map[string]*Worker
 	runs    map[string][]Run
-	// arrivals are the requests that reached workers, run or not; orders those that were taken.
+	// arrivals are all requests that reached workers, including refused ones; orders are the accepted orders.
 	arrivals []Arrival
 	orders   []AcceptedOrder
-	// notices are the answers in which workers spoke of themselves.
+	// notices are the announcements that workers sent in response headers.
 	notices []Notice
-	// limits are when workers began to name limits, and others or none.
+	// limits are the changes of the request limits that workers announce.
 	limits []LimitChange
-	// heads are what every call about a request has told of its caller.
+	// heads are the caller headers of all calls about requests.
 	heads []Head
-	// crashes are the ends of workers under requests.
+	// crashes are the worker crashes caused by requests.
 	crashes []Crash
-	// worked are the times in which workers worked on requests.
+	// work holds the times during which workers processed requests.
 	work []Work
 }
 
-// Work is the time in which a worker worked on a request, reading or running it. Its end is zero while it goes on.
+// Work is the time during which a worker processed a request, prefill or run. Ended is zero while it is in progress.
 type Work struct {
 	ID     string
 	Worker string
@@ -36,14 +36,14 @@
 	Ended  time.Time
 }
 
-// Worked returns the work so far.
+// Worked returns the work recorded so far.
 func (f *Fleet) Worked() []Work {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return append([]Work(nil), f.work...)
 }
 
-// workBegun notes that work begins, and returns what notes its end.
+// beginWork records the start of work and returns a function that records its end.
 func (f *Fleet) beginWork(id, worker string) func() {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -56,14 +56,14 @@
 	}
 }
 
-// Head is what a call about a request, be it a run or a reading, tells of its caller.
+// Head holds the caller headers of a call about a request, either a prefill or a run.
 type Head struct {
 	ID string
-	// Tenant of the caller, and Key if it was passed on.
+	// Tenant is the caller's tenant. Key is its API key, if the gateway forwarded it.
 	Tenant, Key string
 }
 
-// Heads returns what calls have told of callers so far.
+// Heads returns the caller headers recorded so far.
 func (f *Fleet) Heads() []Head {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -75,97 +75,97 @@
 	ID      string
 	Service string
 	Worker  string
-	// Reading is set when only the prompt is to be read.
+	// Reading is set for prefill requests.
 	Reading bool
 	At      time.Time
 }
 
-// Notice is what a worker said of itself in the answer to a request.
+// Notice is an announcement that a worker sent in the headers of a response.
 type Notice struct {
 	ID     string
 	Worker string
-	// Leaving is set if it said that it leaves, and Rest is for how long it asked to be left alone.
+	// Leaving is set if the worker announced that it is leaving. Rest is the Retry-After time of a refusal.
 	Leaving bool
 	Rest    time.Duration
-	// Limit is how many requests a second it said that it takes; zero if it named no limit.
+	// Limit is the announced limit in requests per second; zero if there is none.
 	Limit float64
-	// At is when the answer began, which arrives later.
+	// At is when the worker started the response, which precedes its arrival at the gateway.
 	At time.Time
 }
 
-// Notices returns what workers said of themselves so far.
+// Notices returns the announcements recorded so far.
 func (f *Fleet) Notices() []Notice {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return append([]Notice(nil), f.notices...)
 }
 
-// gaveNotice notes what a worker said of itself.
+// recordNotice records an announcement.
 func (f *Fleet) recordNotice(notice Notice) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.notices = append(f.notices, notice)
 }
 
-// Limited is that a worker names a limit from a moment on.
+// LimitChange is a change of the request limit that a worker announces.
 type LimitChange struct {
 	Worker string
-	// PerSecond is zero if it names none any more.
+	// PerSecond is the new limit; zero if the worker no longer announces one.
 	PerSecond float64
 	At        time.Time
 }
 
-// Limits returns when workers began to name limits so far, in their order.
+// Limits returns the limit changes recorded so far, in order.
 func (f *Fleet) Limits() []LimitChange {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return append([]LimitChange(nil), f.limits...)
 }
 
-// namesLimit notes that a worker names a limit.
+// recordLimit records a limit change.
 func (f *Fleet) recordLimit(change LimitChange) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.limits = append(f.limits, change)
 }
 
-// Taken is an order that a worker took.
+// AcceptedOrder is an order that a worker accepted.
 type AcceptedOrder struct {
 	Worker string
 	Holder string
 	Fence  int64
-	// At is when the order came; it may have been carried out later.
+	// At is when the worker received the order, which may precede its execution.
 	At time.Time
 }
 
-// Arrivals returns the arrivals at workers so far.
+// Arrivals returns the arrivals recorded so far.
 func (f *Fleet) Arrivals() []Arrival {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return append([]Arrival(nil), f.arrivals...)
 }
 
-// Orders returns the orders that workers took so far.
+// Orders returns the accepted orders recorded so far.
 func (f *Fleet) Orders() []AcceptedOrder {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	return append([]AcceptedOrder(nil), f.orders...)
 }
 
-// Run is one run of a request at a worker.
+// Run is one execution of a request by a worker.
 type Run struct {
 	Worker string
-	// Resumed is the id of the last event before a resumed run, or empty.
+	// Resumed is the Last-Event-Id of a resumed run, or empty.
 	Resumed string
 	Begun   time.Time
 }
 
-// NewFleet returns a fleet without workers.
+// NewFleet returns a fleet without workers and with an empty store.
 func NewFleet() *Fleet {
 	return &Fleet{Store: NewStore(), workers: map[string]*Worker{}, runs: map[string][]Run{}}
 }
 
-// Runs returns the runs of every request so far.
+// Runs returns the runs recorded so far, by request ID.
 func (f *Fleet) Runs() map[string][]Run {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -176,35 +176,36 @@
 	return runs
 }
 
-// fetch takes a handle at its worker.
+// consumeHandle consumes a KV handle of the worker that issued it, given as ADDRESS/HANDLE. It reports whether the handle was
+// valid.
 func (f *Fleet) consumeHandle(source string) bool {
 	address, handle, _ := strings.Cut(source, "/")
 	worker := f.worker(address)
 	return worker != nil && worker.consumeHandle(handle)
 }
 
-// arrived notes an arrival.
+// recordArrival records an arrival.
 func (f *Fleet) recordArrival(arrival Arrival) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.arrivals = append(f.arrivals, arrival)
 }
 
-// told notes what a call tells of its caller.
+// recordHeaders records the caller headers of a call.
 func (f *Fleet) recordHeaders(head Head) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.heads = append(f.heads, head)
 }
 
-// tookOrder notes an order.
+// recordOrder records an accepted order.
 func (f *Fleet) recordOrder(order AcceptedOrder) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.orders = append(f.orders, order)
 }
 
-// ran notes a run.
+// recordRun records a run.
 func (f *Fleet) recordRun(id string, run Run) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
--- a/internal/standin/fleet/model.go
+++ b/internal/standin/fleet/model.go
@@ -8,23 +8,23 @@
 	"time"
 )
 
-// ModelOptions make a worker a model engine that takes its time. The figures are assumed, of the order that is commonly
-// reported for accelerators of today; none was measured.
+// ModelOptions configure the timing of a model engine. The defaults are assumed values, of the order commonly reported for
+// accelerators.
 type ModelOptions struct {
-	// PromptTokensPerSecond is the pace of reading in the prefill stage; in the decode stage it is half of that.
+	// PromptTokensPerSecond is the prefill rate in the prefill stage; the decode stage has half of it.
 	PromptTokensPerSecond float64
-	// StepTime is the time of one token, and StepPerRun what each other run adds to it.
+	// StepTime is the duration of a decode step, and StepPerRun what each concurrent run adds to it.
 	StepTime   time.Duration
 	StepPerRun time.Duration
-	// MemoryTokens bounds the parts of prompts that are kept.
+	// MemoryTokens is the capacity of the prompt cache.
 	MemoryTokens int
-	// MoveTokensPerSecond is the pace at which the memory of a prompt gets to another worker.
+	// MoveTokensPerSecond is the transfer rate of cached prompts between workers.
 	MoveTokensPerSecond float64
-	// StageChange is how long a change of the stage takes.
+	// StageChange is the duration of a stage change.
 	StageChange time.Duration
 }
 
-// DefaultModel returns an engine of the pace that gateways assume: a long prompt is read within a quarter of a second.
+// DefaultModel returns the timing that gateways assume by default: a prompt of 12,000 tokens takes about a quarter of a second.
 func DefaultModel() *ModelOptions {
 	return &ModelOptions{
 		PromptTokensPerSecond: 50_000, StepTime: 8 * time.Millisecond, StepPerRun: 300 * time.Microsecond,
@@ -32,11 +32,11 @@
 	}
 }
 
-// model is the state of a model engine: what it keeps, and until when it is busy reading. It is safe for concurrent use.
+// engineModel is the state of a model engine: its prompt cache and its load. It is safe for concurrent use.
 type engineModel struct {
 	options ModelOptions
 
-	// reading holds one item while a prompt is read; prompts are read one after the other.
+	// prefillSlot serializes prefill.
 	prefillSlot chan struct{}
 
 	mu           sync.Mutex
@@ -44,22 +44,22 @@
 	cached       map[string]*list.Element
 	lru          *list.List
 	cachedTokens int
-	// readTokens counts the tokens of prompts that were read.
+	// prefilledTokens counts the prompt tokens processed.
 	prefilledTokens int
 }
 
-// keptPart is a part of prompts in the memory of an engine.
+// promptPart is a part of a prompt.
 type promptPart struct {
 	id     string
 	tokens int
 }
 
-// newModel returns an engine that keeps nothing.
+// newEngineModel returns an engine with an empty cache.
 func newEngineModel(options ModelOptions) *engineModel {
 	return &engineModel{options: options, prefillSlot: make(chan struct{}, 1), cached: map[string]*list.Element{}, lru: list.New()}
 }
 
-// partsOf reads the parts of a prompt, each as ID:TOKENS.
+// parsePromptParts parses the parts of a prompt, a comma-separated list of ID:TOKENS.
 func parsePromptParts(header string) []promptPart {
 	var parts []promptPart
 	for _, each := range strings.Split(header, ",") {
@@ -72,7 +72,8 @@
 	return parts
 }
 
-// missing returns the tokens of a prompt that the engine does not keep: a part counts as kept only behind parts that are.
+// uncachedTokens returns the number of prompt tokens that are not cached. Only parts of a contiguous cached prefix count as
+// cached.
 func (m *engineModel) uncachedTokens(parts []promptPart) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -89,7 +90,7 @@
 	return tokens
 }
 
-// keep notes that the engine has the parts of a prompt; those used longest ago give way.
+// addToCache adds the parts of a prompt to the cache and evicts the least recently used parts beyond its capacity.
 func (m *engineModel) addToCache(parts []promptPart) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -107,7 +108,7 @@
 	}
 }
 
-// keptParts returns what the engine keeps, the parts used last at the end.
+// cachedParts returns the cached parts, the most recently used ones last.
 func (m *engineModel) cachedParts() []promptPart {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -118,8 +119,8 @@
 	return parts
 }
 
-// read reads so many tokens once the prompts before it are read. It tells whether the caller is still there; a prompt whose
-// caller has gone is not read any further.
+// prefill waits for its turn and for the time that a number of prompt tokens takes. It reports whether the client is still
+// connected; it stops early if not.
 func (m *engineModel) prefill(tokens int, slowdown float64, done <-chan struct{}) bool {
 	select {
 	case m.prefillSlot <- struct{}{}:
@@ -134,12 +135,12 @@
 	return waitFor(duration, done)
 }
 
-// move waits until the memory of so many tokens has come from another engine.
+// transfer waits for the time that cached tokens take to arrive from another engine, unless the client disconnects.
 func (m *engineModel) transfer(tokens int, done <-chan struct{}) bool {
 	return waitFor(time.Duration(float64(tokens)/m.options.MoveTokensPerSecond*float64(time.Second)), done)
 }
 
-// step waits for the next token.
+// decodeStep waits for the next token, unless the client disconnects.
 func (m *engineModel) decodeStep(done <-chan struct{}) bool {
 	m.mu.Lock()
 	wait := m.options.StepTime + time.Duration(m.running)*m.options.StepPerRun
@@ -147,7 +148,7 @@
 	return waitFor(wait, done)
 }
 
-// run counts a run until the returned function is called.
+// beginRun counts a run until the returned function is called.
 func (m *engineModel) beginRun() func() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -159,7 +160,7 @@
 	}
 }
 
-// pause waits, and tells whether nobody left meanwhile.
+// waitFor waits for a duration. It returns false if done is closed first.
 func waitFor(wait time.Duration, done <-chan struct{}) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
--- a/internal/standin/fleet/model_test.go
+++ b/internal/standin/fleet/model_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// TestPromptsOfGoneCallersAreNotRead fills the queue of an engine with long prompts whose callers leave.
+// TestPrefillSkipsCanceledCallers guards against queued prompts of disconnected clients delaying later ones.
 func TestPrefillSkipsCanceledCallers(t *testing.T) {
 	engine := newEngineModel(ModelOptions{PromptTokensPerSecond: 1000})
 	done := make(chan struct{})
@@ -17,19 +17,19 @@
 	close(done)
 	for range cap(results) {
 		if <-results {
-			t.Error("a prompt of 60 s was read at once")
+			t.Error("prefill of a 60 s prompt was completed although the client disconnected")
 		}
 	}
 	begun := time.Now()
 	if !engine.prefill(10, 1, nil) {
-		t.Error("a prompt of a caller that is there was not read")
+		t.Error("prefill was aborted although the client is connected")
 	}
 	if took := time.Since(begun); took > 5*time.Second {
-		t.Errorf("a prompt of 10 ms took %s", took)
+		t.Errorf("prefill of a 10 ms prompt took %s", took)
 	}
 }
 
-// TestPromptsAreReadOneAfterTheOther reads two prompts at once.
+// TestPrefillIsSerialized guards against concurrent prefill exceeding the configured rate.
 func TestPrefillIsSerialized(t *testing.T) {
 	engine := newEngineModel(ModelOptions{PromptTokensPerSecond: 1000})
 	begun := time.Now()
@@ -41,6 +41,6 @@
 		<-results
 	}
 	if took := time.Since(begun); took < 200*time.Millisecond {
-		t.Errorf("two prompts of 100 ms took %s", took)
+		t.Errorf("prefill of two 100 ms prompts took %s, want at least 200ms", took)
 	}
 }
--- a/internal/standin/fleet/keeper.go
+++ b/internal/standin/fleet/poolingcaller.go
@@ -12,8 +12,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Keeper is a caller that keeps its connections until the gateway closes them, and takes them up again after rests. It sends a request
-// once, on one connection, whatever becomes of it.
+// PoolingCaller is a client that reuses idle connections until the gateway closes them. It sends each request once, on one
+// connection, and never retries.
 type PoolingCaller struct {
 	dial func(ctx context.Context, gateway string) (net.Conn, error)
 
@@ -21,39 +21,39 @@
 	idle map[string][]*idleConn
 }
 
-// restingConn is a connection that rests.
+// idleConn is a pooled connection.
 type idleConn struct {
 	net.Conn
 	reader *bufio.Reader
 	since  time.Time
 }
 
-// NewKeeper returns a caller without connections that opens them with dial.
+// NewPoolingCaller returns a client that opens connections with dial.
 func NewPoolingCaller(dial func(ctx context.Context, gateway string) (net.Conn, error)) *PoolingCaller {
 	return &PoolingCaller{dial: dial, idle: map[string][]*idleConn{}}
 }
 
-// mostKept bounds the connections to one gateway that rest.
+// maxIdleConns bounds the idle connections to one gateway.
 const maxIdleConns = 48
 
-// ErrNotOpened is the error of a request that was not sent: no connection was there.
+// ErrNotConnected marks errors of requests that were not sent because no connection could be opened.
 var ErrNotConnected = errors.New("no connection could be opened")
 
-// Pick says on which connection a request is sent.
+// ConnChoice selects the connection for a request.
 type ConnChoice int
 
-// The ways to pick a connection.
+// The connection choices.
 const (
-	// PickNew opens one.
+	// ConnNew opens a new connection.
 	ConnNew ConnChoice = iota
-	// PickLatest takes the one that has rested for the shortest time.
+	// ConnMostRecent takes the connection that became idle last.
 	ConnMostRecent
-	// PickLongest takes the one that has rested for the longest time that is allowed.
+	// ConnLeastRecent takes the connection that has been idle longest and is still reusable.
 	ConnLeastRecent
 )
 
-// Ask sends a request on one connection, and reads its answer to the end. No connection is taken up of which mayRest says that it has
-// rested for too long. The end of the context closes the connection.
+// Do sends a request on one connection and reads the whole response. Idle connections that reusable rejects are closed. The
+// connection is closed if the context ends.
 func (k *PoolingCaller) Do(ctx context.Context, gateway string, call Request, choice ConnChoice, reusable func(since time.Time) bool) Response {
 	request, err := call.httpRequest(ctx, gateway)
 	if err != nil {
@@ -80,7 +80,7 @@
 	return response
 }
 
-// exchange sends a request and reads its answer, and tells whether the connection may be used again.
+// exchange sends a request, reads the response, and reports whether the connection may be reused.
 func (c *idleConn) exchange(request *http.Request) (Response, bool) {
 	if err := request.Write(c); err != nil {
 		return Response{Err: err}, false
@@ -93,7 +93,7 @@
 	return readResponse(response), !response.Close
 }
 
-// take returns a connection that rests, or nil. Those that have rested for too long, or were closed by their gateway, are dropped.
+// takeIdle returns an idle connection, or nil. It closes connections that are not reusable or were closed by the gateway.
 func (k *PoolingCaller) takeIdle(gateway string, choice ConnChoice, reusable func(since time.Time) bool) *idleConn {
 	if choice == ConnNew {
 		return nil
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// put keeps a connection.
+// putIdle returns a connection to the pool and closes the oldest one beyond the limit.
 func (k *PoolingCaller) putIdle(gateway string, conn *idleConn) {
 	conn.since = time.Now()
 	k.mu.Lock()
@@ -128,7 +128,7 @@
 	}
 }
 
-// Known returns the gateways to which connections rest.
+// IdleGateways returns the gateways with idle connections.
 func (k *PoolingCaller) IdleGateways() []string {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -141,7 +141,7 @@
 	return gateways
 }
 
-// open tells whether nothing has arrived on a connection that rests, neither its end nor bytes.
+// isOpen reports whether an idle connection has received neither data nor an end of stream.
 func (c *idleConn) isOpen() bool {
 	raw, err := c.Conn.(syscall.Conn).SyscallConn()
 	if err != nil || c.reader.Buffered() > 0 {
@@ -155,7 +155,7 @@
 	return err == nil && errors.Is(receiveErr, syscall.EAGAIN)
 }
 
-// Close closes the connections that rest.
+// Close closes all idle connections.
 func (k *PoolingCaller) Close() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/internal/standin/fleet/prompt.go
+++ b/internal/standin/fleet/prompt.go
@@ -4,11 +4,11 @@
 	"net/http"
 )
 
-// slowReading is by how much longer a worker reads between the tokens of others.
+// decodePrefillSlowdown is the factor by which prefill is slower when it is interleaved with decoding.
 const decodePrefillSlowdown = 2
 
-// readPrompt reads what the engine does not keep of a prompt, or takes it from another one, and tells whether the caller is
-// still there.
+// prefillPrompt processes the uncached part of a prompt, after transferring what another engine has cached. It reports whether
+// the client is still connected.
 func (w *Worker) prefillPrompt(request *http.Request, slowdown float64) bool {
 	parts := parsePromptParts(request.Header.Get("Prompt-Prefix"))
 	done := request.Context().Done()
@@ -28,7 +28,7 @@
 	return true
 }
 
-// takePrompt gets the memory of a prompt from the worker that has read it, or reads it.
+// obtainPrompt transfers the prompt's KV cache from the prefill worker if there is one, and otherwise processes the prompt.
 func (w *Worker) obtainPrompt(request *http.Request) bool {
 	if request.Header.Get("Kv-Source") == "" {
 		return w.prefillPrompt(request, decodePrefillSlowdown)
--- a/internal/standin/fleet/routes.go
+++ b/internal/standin/fleet/routes.go
@@ -2,66 +2,66 @@
 
 import "time"
 
-// Host is the host of the routes that the stand-in operators write.
+// Host is the host name of all routes.
 const Host = "shop.example"
 
-// Configuration is what the stand-in operators write.
+// Configuration is a routing configuration as the operators write it.
 type Configuration struct {
 	Version int
-	// TimeoutMs of every route.
+	// TimeoutMs is the timeout of every route.
 	TimeoutMs int
-	// MaxAttempts of every route; 0 is two.
+	// MaxAttempts is the number of attempts of every route; values below two mean two.
 	MaxAttempts int
-	// IdleMs bounds the rest of callers' connections; 0 is DefaultIdle.
+	// IdleMs is the idle timeout of client connections; 0 means DefaultIdle.
 	IdleMs   int
 	Routes   []Route
 	Services []Service
-	// Tenants are the keys of each tenant; nil is a configuration without tenants.
+	// Tenants maps each tenant to its API keys; nil disables tenants.
 	Tenants map[string][]string
 }
 
-// Route sends the requests below a path to a service.
+// Route sends the requests with a path prefix to a service.
 type Route struct {
 	Name string
-	// Prefix begins and ends with a slash.
+	// Prefix starts and ends with a slash.
 	Prefix    string
 	Kind      RouteKind
 	Service   string
 	Resumable bool
 }
 
-// RouteKind says how often the requests of a route may run, in the words of the platform.
+// RouteKind is the repeatability of a route's requests, as spelled in the platform's protocol.
 type RouteKind string
 
-// The kinds of routes.
+// The route kinds.
 const (
 	RouteRunsOnce   RouteKind = "non_idempotent"
 	RouteRepeatable RouteKind = "idempotent"
 	RouteStreams    RouteKind = "stream"
 )
 
-// Service is a set of workers; those with memory are model engines.
+// Service is a set of workers. Services with memory consist of model engines.
 type Service struct {
 	Name string
-	// MemoryTokens is zero for plain workers.
+	// MemoryTokens is the prompt cache capacity of the engines; zero for plain workers.
 	MemoryTokens int
 }
 
-// What the operators say of every route and engine.
+// Fixed values of the generated configuration.
 const (
 	targetLatencyMs = 300
 	minAttempts     = 2
 	maxConnections  = 1000
 	tokenBytes      = 163840
 	linkMbps        = 1e6
-	// healthPath is where a worker tells who it is.
+	// healthPath is the path at which a worker returns its instance ID.
 	healthPath = "/health"
 )
 
-// DefaultIdle is how long connections of callers may rest when a configuration does not say it.
+// DefaultIdle is the idle timeout of client connections if a configuration does not set one.
 const DefaultIdle = 15 * time.Second
 
-// Configure writes a configuration.
+// Configure writes a configuration to the store.
 func (f *Fleet) Configure(wanted Configuration) {
 	routes := []jsonObject{}
 	for _, each := range wanted.Routes {
@@ -92,7 +92,7 @@
 	f.Store.Put("op/config", record)
 }
 
-// record is a service as operators write it.
+// record returns the service as encoded in the configuration.
 func (s Service) record() jsonObject {
 	record := jsonObject{"name": s.Name, "maxConns": maxConnections, "healthPath": healthPath}
 	if s.MemoryTokens > 0 {
--- a/internal/standin/fleet/serving.go
+++ b/internal/standin/fleet/serving.go
@@ -12,14 +12,14 @@
 	"time"
 )
 
-// ServeHTTP is part of http.Handler.
+// ServeHTTP implements http.Handler.
 func (w *Worker) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	if w.announcesLeaving() {
 		writer.Header().Set("Server-Leaving", "1")
 	}
 	switch request.URL.Path {
 	case "/v1/report":
-		// Whoever answers at the address, also where another one was meant.
+		// Reports are answered regardless of the expected instance.
 		w.writeReport(writer)
 		return
 	case healthPath:
@@ -43,21 +43,21 @@
 	}
 }
 
-// says tells whether the answers of the worker say that it leaves.
+// announcesLeaving reports whether responses announce that the worker is leaving.
 func (w *Worker) announcesLeaving() bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.leaving
 }
 
-// limited returns the limit that the worker names now, or zero.
+// announcedLimit returns the announced limit, or zero.
 func (w *Worker) announcedLimit() float64 {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.limit
 }
 
-// rests returns the rest for which the worker asks now, or zero.
+// currentRetryAfter returns the Retry-After time of refusals, or zero if the worker is not shedding.
 func (w *Worker) currentRetryAfter() time.Duration {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -67,7 +67,7 @@
 	return w.retryAfter
 }
 
-// report tells how the worker is.
+// writeReport writes the state of the worker.
 func (w *Worker) writeReport(writer http.ResponseWriter) {
 	w.mutex.Lock()
 	report := jsonObject{"stage": w.stage, "busy": w.changingStage, "seqNo": w.orderCount, "running": w.busy}
@@ -75,7 +75,7 @@
 	_ = json.NewEncoder(writer).Encode(report)
 }
 
-// tellKept answers what the engine keeps, as events of parts that came, those used last at the end.
+// writeCacheEvents writes the cached prompt parts as cache events, the most recently used ones last.
 func (w *Worker) writeCacheEvents(writer http.ResponseWriter) {
 	if w.model == nil {
 		writer.WriteHeader(http.StatusNotFound)
@@ -89,20 +89,20 @@
 	_ = json.NewEncoder(writer).Encode(answer)
 }
 
-// LongBody makes a worker that runs a request whose body contains it work for LongWork altogether.
+// LongBody is a marker: a request whose body contains it takes LongWork in total.
 const (
 	LongBody = "takes long"
 	LongWork = 1200 * time.Millisecond
 )
 
-// refuse says that a request did not run.
+// refuse answers that a request was not executed.
 func refuse(writer http.ResponseWriter, id string) {
 	writer.Header().Set("Request-Id", id)
 	writer.Header().Set("Not-Executed", "1")
 	writer.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// serve reads or runs a request.
+// serveRequest handles a prefill request or a run.
 func (w *Worker) serveRequest(writer http.ResponseWriter, request *http.Request) {
 	body, err := io.ReadAll(request.Body)
 	if err != nil {
@@ -158,7 +158,7 @@
 	}
 }
 
-// read only reads the prompt.
+// servePrefill processes the prompt and returns a KV handle.
 func (w *Worker) servePrefill(writer http.ResponseWriter, request *http.Request, id string, fault WorkerFault) {
 	tokens, _, _ := strings.Cut(request.Header.Get("Token-Count"), ",")
 	if w.model != nil && !w.prefillPrompt(request, 1) {
@@ -175,7 +175,7 @@
 	_ = json.NewEncoder(writer).Encode(jsonObject{"kvHandle": handle, "tokens": count, "version": 1})
 }
 
-// run runs a request.
+// serveRun runs a request.
 func (w *Worker) serveRun(writer http.ResponseWriter, request *http.Request, id string, body []byte, fault WorkerFault) {
 	if source := request.Header.Get("Kv-Source"); source != "" && !w.fleet.consumeHandle(source) {
 		refuse(writer, id)
@@ -193,7 +193,7 @@
 		w.crashOn(id)
 		return
 	}
-	// A stream shows its first event at once, however long it is.
+	// The first event of a stream is sent without the delay of a long request.
 	firstDelay, stepDelay := w.options.Work, w.options.Work
 	if bytes.Contains(body, []byte(LongBody)) {
 		stepDelay = LongWork / time.Duration(max(w.options.Events, 1))
@@ -234,7 +234,7 @@
 	w.writeStream(writer, request, id, stepDelay, fault)
 }
 
-// stream writes events after the one that the caller has, one in each step of time.
+// writeStream writes the events after the last one that the client has received, at intervals of stepDelay.
 func (w *Worker) writeStream(writer http.ResponseWriter, request *http.Request, id string, step time.Duration, fault WorkerFault) {
 	controller := http.NewResponseController(writer)
 	writer.Header().Set("Content-Type", "text/event-stream")
@@ -253,10 +253,10 @@
 	}
 }
 
-// PlainAnswer is the answer of a plain worker to a request.
+// PlainAnswer returns the answer of a plain worker to a request.
 func PlainAnswer(id string, body []byte) string { return "answer to " + id + " of " + string(body) }
 
-// Event is one event of the answer of an engine.
+// Event returns one event of an engine's answer.
 func Event(id string, number int) string {
 	return fmt.Sprintf("id: %d\ndata: %s event %d\n\n", number, id, number)
 }
--- a/internal/standin/fleet/store.go
+++ b/internal/standin/fleet/store.go
@@ -1,5 +1,5 @@
-// Package fleet stands in for the machines' platform: its store, its workers and its callers, as the platform's pages describe
-// them. Tests and the soak run gateways against it. Names of the platform stand here for that reason only.
+// Package fleet simulates the platform around a gateway: its key-value store, workers, operators and clients. The tests and the
+// soak run gateways against it. Field and header names follow the platform's protocol.
 package fleet
 
 import (
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// record is one item of the store.
+// storeItem is an item of the store, or a change in its history.
 type storeItem struct {
 	Key      string `json:"key"`
 	Value    []byte `json:"value"`
@@ -20,39 +20,39 @@
 	Deleted  bool   `json:"gone,omitempty"`
 }
 
-// grant is a lease.
+// lease is a lease and its expiry time.
 type lease struct {
 	ttl       time.Duration
 	expiresAt time.Time
 }
 
-// StoreFault is how the store misbehaves.
+// StoreFault is a fault that the store simulates.
 type StoreFault int
 
-// The faults of a store.
+// The faults of the store.
 const (
-	// FaultNone is none.
+	// FaultNone means normal operation.
 	FaultNone StoreFault = iota
-	// FaultRefuse answers 503; nothing is done.
+	// FaultRefuse answers 503 without executing the call.
 	FaultRefuse
-	// FaultSilent accepts calls and never answers them; nothing is done.
+	// FaultSilent accepts calls and never answers or executes them.
 	FaultSilent
-	// FaultBusy answers 429 to all but stale reads; nothing is done.
+	// FaultBusy answers 429 to all calls except stale reads, without executing them.
 	FaultBusy
-	// FaultLoseAnswers carries writes out and never answers them.
+	// FaultDropResponses executes writes but never answers them.
 	FaultDropResponses
 )
 
-// Store is a linearizable key-value store with leases and watches.
+// Store is an in-memory, linearizable key-value store with leases and watches.
 type Store struct {
 	mutex   sync.Mutex
 	changed *sync.Cond
-	// era rises each time that the store comes back from an older copy.
+	// era is incremented each time the store is restored from a snapshot.
 	era      int64
 	revision int64
 	items    map[string]storeItem
 	history  []storeItem
-	// compacted is the last revision whose changes are not kept.
+	// compacted is the last revision whose history has been discarded.
 	compacted int64
 	leases    map[int64]lease
 	nextLease int64
@@ -62,7 +62,7 @@
 	rewrite   func(key string, value []byte) []byte
 }
 
-// Rewrite changes what is written from now on, as one who stands between the store and those who write.
+// Rewrite installs a function that modifies every value written from now on, as a proxy between the store and its writers would.
 func (s *Store) Rewrite(rewrite func(key string, value []byte) []byte) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -76,7 +76,7 @@
 	return store
 }
 
-// SetFault makes the store misbehave from now on.
+// SetFault sets the fault that the store simulates and a delay added to each call.
 func (s *Store) SetFault(fault StoreFault, delay time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -84,7 +84,7 @@
 	s.changed.Broadcast()
 }
 
-// Compact forgets the history.
+// Compact discards the history of changes.
 func (s *Store) Compact() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -92,7 +92,7 @@
 	s.changed.Broadcast()
 }
 
-// Put writes an item as operators and workers do.
+// Put writes an item on behalf of an operator or a worker.
 func (s *Store) Put(key string, value any) {
 	encoded, err := json.Marshal(value)
 	if err != nil {
@@ -104,7 +104,7 @@
 	s.putLocked(storeItem{Key: key, Value: encoded})
 }
 
-// Delete removes an item.
+// Delete removes an item on behalf of an operator or a worker.
 func (s *Store) Delete(key string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -112,7 +112,7 @@
 	s.removeLocked(key)
 }
 
-// Keys returns the keys below a prefix.
+// Keys returns the sorted keys with a prefix.
 func (s *Store) Keys(prefix string) []string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -127,7 +127,7 @@
 	return keys
 }
 
-// Calls returns how often each call was made.
+// Calls returns the number of calls by name.
 func (s *Store) Calls() map[string]int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -138,7 +138,7 @@
 	return calls
 }
 
-// write and remove change an item at the current revision. The mutex is held.
+// putLocked writes an item at the current revision. The caller holds the mutex.
 func (s *Store) putLocked(item storeItem) {
 	if s.rewrite != nil {
 		item.Value = s.rewrite(item.Key, item.Value)
@@ -152,6 +152,7 @@
 	s.changed.Broadcast()
 }
 
+// removeLocked removes an item at the current revision, if it exists. The caller holds the mutex.
 func (s *Store) removeLocked(key string) {
 	if _, found := s.items[key]; !found {
 		return
@@ -161,7 +162,7 @@
 	s.changed.Broadcast()
 }
 
-// expire ends leases whose time is over. The mutex is held.
+// expireLeasesLocked ends expired leases. The caller holds the mutex.
 func (s *Store) expireLeasesLocked() {
 	now := time.Now()
 	for id, lease := range s.leases {
@@ -171,7 +172,7 @@
 	}
 }
 
-// EndLeases ends all leases, as when nobody renewed them in time.
+// EndLeases ends all leases, as if none had been renewed in time.
 func (s *Store) EndLeases() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -180,7 +181,7 @@
 	}
 }
 
-// end ends one lease. The mutex is held.
+// endLeaseLocked ends a lease and removes its items. The caller holds the mutex.
 func (s *Store) endLeaseLocked(id int64) {
 	delete(s.leases, id)
 	for key, item := range s.items {
--- a/internal/standin/fleet/storecalls.go
+++ b/internal/standin/fleet/storecalls.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// ServeHTTP is part of http.Handler.
+// ServeHTTP implements http.Handler.
 func (s *Store) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	name, id := splitPath(request.URL.Path)
 	s.mutex.Lock()
@@ -25,7 +25,7 @@
 	case fault == FaultRefuse:
 		writer.WriteHeader(http.StatusServiceUnavailable)
 	case fault == FaultSilent:
-		// The end of the connection is noticed only once the body was read.
+		// The server detects a closed connection only after the body has been read.
 		_, _ = io.Copy(io.Discard, request.Body)
 		<-request.Context().Done()
 	case fault == FaultDropResponses && writes:
@@ -40,7 +40,7 @@
 	}
 }
 
-// route splits a path into the call and the id at its end.
+// splitPath splits a path into the call and the ID at its end.
 func splitPath(path string) (string, int64) {
 	parts := strings.Split(strings.TrimPrefix(path, "/v1/"), "/")
 	if len(parts) < 2 {
@@ -50,10 +50,10 @@
 	return parts[0], id
 }
 
-// fields is a JSON object.
+// jsonObject is a JSON object.
 type jsonObject map[string]any
 
-// answer carries a call out.
+// handle executes a call and returns the status and the body of the response.
 func (s *Store) handle(name string, id int64, request *http.Request) (int, any) {
 	query := request.URL.Query()
 	switch name {
@@ -79,10 +79,10 @@
 	}
 }
 
-// pageItems is how many items one page of a list holds.
+// pageSize is the number of items in a page of a listing.
 const pageSize = 50
 
-// list answers one page.
+// listPage returns the page of items that follows a key.
 func (s *Store) listPage(prefix, after string) (int, any) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -102,7 +102,7 @@
 	return http.StatusOK, jsonObject{"items": items, "more": more, "at": s.revision}
 }
 
-// watch waits for changes.
+// watch waits until there are changes after a revision, or until the wait is over.
 func (s *Store) watch(request *http.Request, prefix string, after int64, wait time.Duration) (int, any) {
 	deadline := time.Now().Add(wait)
 	wake := func() {
@@ -135,7 +135,7 @@
 	}
 }
 
-// transact does everything or nothing.
+// transact applies a transaction if all its conditions hold.
 func (s *Store) transact(request *http.Request) (int, any) {
 	var body struct {
 		Expected []struct {
@@ -174,7 +174,7 @@
 	return http.StatusOK, jsonObject{"revision": s.revision}
 }
 
-// grant gives a lease.
+// grantLease creates a lease.
 func (s *Store) grantLease(request *http.Request) (int, any) {
 	var body struct {
 		TTLMs int64 `json:"ttlMs"`
@@ -190,7 +190,7 @@
 	return http.StatusOK, jsonObject{"lease": s.nextLease, "ttlMs": body.TTLMs}
 }
 
-// renew renews a lease.
+// renewLease extends a lease by its TTL.
 func (s *Store) renewLease(id int64) (int, any) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/standin/fleet/storecopy.go
+++ b/internal/standin/fleet/storecopy.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// Copy is what a store held at a moment.
+// Copy is a snapshot of the store.
 type Copy struct {
 	revision int64
 	items    map[string]storeItem
 	leases   map[int64]lease
 }
 
-// Copy returns a copy of what the store holds.
+// Copy returns a snapshot of the store.
 func (s *Store) Copy() Copy {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -22,8 +22,8 @@
 	return Copy{revision: s.revision, items: maps.Clone(s.items), leases: maps.Clone(s.leases)}
 }
 
-// Restore has the store come back from a copy, in the next era. What was written since is gone and revisions are given out again. It returns
-// the items of operators and workers that are gone or older now, with which those write them again.
+// Restore resets the store to a snapshot and starts a new era. Later writes are lost, and their revisions are assigned again. It
+// returns the lost items of operators and workers, for WriteAgain.
 func (s *Store) Restore(snapshot Copy) []Lost {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -39,7 +39,7 @@
 	s.items, s.leases = maps.Clone(snapshot.items), maps.Clone(snapshot.leases)
 	s.history, s.compacted = nil, snapshot.revision
 	for id, lease := range s.leases {
-		// Nobody could renew it meanwhile.
+		// No lease could be renewed during the outage.
 		lease.expiresAt = time.Now().Add(lease.ttl)
 		s.leases[id] = lease
 	}
@@ -47,7 +47,7 @@
 	return lost
 }
 
-// differing returns the keys of items that are not the same in two sets.
+// changedKeys returns the keys whose revisions differ between two sets of items.
 func changedKeys(a, b map[string]storeItem) []string {
 	var keys []string
 	for key, item := range a {
@@ -63,26 +63,26 @@
 	return keys
 }
 
-// isOfOthers tells whether operators or workers write a key.
+// isExternalKey reports whether operators or workers, rather than gateways, write a key.
 func isExternalKey(key string) bool {
 	return strings.HasPrefix(key, "op/") || strings.HasPrefix(key, "servers/")
 }
 
-// Lost is an item of operators or workers as it was before the store came back.
+// Lost is an item of an operator or a worker as it was before a restore.
 type Lost struct {
 	Key     string
 	value   []byte
 	deleted bool
-	// copied is the revision of the copy.
+	// copyRevision is the revision of the snapshot.
 	copyRevision int64
 }
 
-// isNewer tells whether an item was changed since the copy came back. The mutex is held.
+// changedSince reports whether an item has changed since the restore. The caller holds the mutex.
 func (s *Store) changedSince(lost Lost) bool {
 	return slices.ContainsFunc(s.history, func(change storeItem) bool { return change.Key == lost.Key && change.Revision > lost.copyRevision })
 }
 
-// WriteAgain has operators and workers write what they had written, unless they have written something newer.
+// WriteAgain writes lost items again, as their operators and workers would, unless they have changed since the restore.
 func (s *Store) WriteAgain(lost ...Lost) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -95,7 +95,7 @@
 			s.removeLocked(each.Key)
 			continue
 		}
-		// The value went through those who stand between when it was written first.
+		// The value was already rewritten when it was first written.
 		rewrite := s.rewrite
 		s.rewrite = nil
 		s.putLocked(storeItem{Key: each.Key, Value: each.value})
@@ -103,7 +103,7 @@
 	}
 }
 
-// Era returns how often the store has come back, counted from one.
+// Era returns the era of the store: one more than the number of restores.
 func (s *Store) Era() int64 {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/internal/standin/fleet/worker.go
+++ b/internal/standin/fleet/worker.go
@@ -8,63 +8,63 @@
 	"time"
 )
 
-// WorkerOptions say what a worker is like.
+// WorkerOptions configure a worker.
 type WorkerOptions struct {
-	// ID of the incarnation.
+	// ID identifies the incarnation of the worker.
 	ID      string
 	Service string
 	Zone    string
 	// Stage is prefill or decode for engines, and empty for plain workers.
 	Stage string
-	// Slots is how many requests the worker works on at once; more are refused.
+	// Slots is the number of concurrent requests; further ones are refused.
 	Slots int
-	// Work is how long a plain request or one event takes.
+	// Work is the duration of a plain request or of one event of a stream.
 	Work time.Duration
-	// Events is how many events a stream has.
+	// Events is the number of events in a stream.
 	Events int
-	// Through returns the address at which others reach a worker that serves at another one; nil is the same.
+	// Through maps the listening address to the address under which the worker registers; nil keeps the listening address.
 	Through func(address string) string
-	// StageChange is how long a change of the stage takes an engine without a model, and RecordLag by how much its record tells
-	// it later, and tells that the worker is back after it has crashed.
+	// StageChange is the duration of a stage change of an engine without a model. RecordLag delays updates of the worker's
+	// record, both after a stage change and after a restart.
 	StageChange, RecordLag time.Duration
-	// Model makes the worker a model engine that answers completions; nil for one that takes Work for each event.
+	// Model makes the worker a model engine that answers completions; nil makes each event take Work.
 	Model *ModelOptions
 }
 
-// WorkerFault is how a worker misbehaves.
+// WorkerFault is a fault that a worker simulates.
 type WorkerFault int
 
 // The faults of a worker.
 const (
-	// WorkerGood is none.
+	// WorkerGood means normal operation.
 	WorkerGood WorkerFault = iota
-	// WorkerErrors answers 500 after it ran.
+	// WorkerErrors answers 500 after running the request.
 	WorkerErrors
-	// WorkerResets runs and resets the connection in place of an answer.
+	// WorkerResets runs the request and resets the connection instead of answering.
 	WorkerResets
-	// WorkerMute takes requests and never answers.
+	// WorkerMute accepts requests and never answers.
 	WorkerMute
-	// WorkerCuts breaks answers off in the middle.
+	// WorkerCuts aborts responses midway.
 	WorkerCuts
-	// WorkerLapses lets the handles of prompts lapse at once.
+	// WorkerExpiresHandles issues KV handles that are already expired.
 	WorkerExpiresHandles
-	// WorkerLateOrders carries orders out lateOrder after they came.
+	// WorkerLateOrders delays the execution of orders by lateOrderDelay.
 	WorkerLateOrders
-	// WorkerFull refuses everything.
+	// WorkerFull refuses all requests.
 	WorkerFull
-	// WorkerSheds refuses most requests: all but one in shedTakes.
+	// WorkerSheds accepts only one in shedAcceptsOneIn requests.
 	WorkerSheds
 )
 
-// shedTakes is how many requests a worker that sheds refuses together with one that it takes.
+// shedAcceptsOneIn is the reciprocal of the share of requests that WorkerSheds accepts.
 const shedAcceptsOneIn = 5
 
-// Worker is one worker.
+// Worker is a simulated worker: a plain one, or an engine in the prefill or decode stage.
 type Worker struct {
 	options WorkerOptions
 	fleet   *Fleet
 	server  *http.Server
-	// address at which others reach the worker, and the one at which it listens.
+	// address is the registered address, and listenAddress the one on which the worker listens.
 	address, listenAddress string
 
 	mutex        sync.Mutex
@@ -78,22 +78,22 @@
 	nextID       int
 	orderHolders []string
 	draining     bool
-	// leaving is set while all answers say that the worker leaves, be it recorded or not. restUntil is until when it refuses everything and
-	// asks for rest, each time for rest.
+	// leaving is set while all responses announce that the worker is leaving, whether or not its record says so. Until shedUntil,
+	// the worker refuses all requests with a Retry-After of retryAfter.
 	leaving    bool
 	retryAfter time.Duration
 	shedUntil  time.Time
-	// limit is how many requests a second the answers say that the worker takes; zero names none.
+	// limit is the announced limit in requests per second; zero for none.
 	limit float64
-	// changing is set while the worker is out for a change of its stage.
+	// changingStage is set while the worker is unavailable because of a stage change.
 	changingStage bool
 	model         *engineModel
-	// crashed is set once the worker has ended under a request, and stopped once it is not to come back; next is its next life.
+	// crashed is set once a request has crashed the worker. stopped prevents a restart. successor is the restarted worker.
 	crashed, stopped bool
 	successor        *Worker
 }
 
-// Start adds a worker to the fleet and records it.
+// Start starts a worker and registers it in the store.
 func (f *Fleet) Start(options WorkerOptions) (*Worker, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -106,7 +106,7 @@
 	return f.startOn(options, listener, address), nil
 }
 
-// record writes the record of the worker into the store.
+// writeRecord writes the worker's record to the store.
 func (w *Worker) writeRecord() {
 	state := "ready"
 	if w.draining {
@@ -118,71 +118,70 @@
 	})
 }
 
-// ID returns the id of the incarnation.
+// ID returns the ID of the incarnation.
 func (w *Worker) ID() string { return w.options.ID }
 
-// Address returns host:port.
+// Address returns the registered host:port.
 func (w *Worker) Address() string { return w.address }
 
-// Stage returns the part that the worker plays.
+// Stage returns the current stage.
 func (w *Worker) Stage() string {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.stage
 }
 
-// ReadTokens returns how many tokens of prompts a model engine has read.
+// ReadTokens returns the number of prompt tokens that a model engine has processed.
 func (w *Worker) ReadTokens() int {
 	w.model.mu.Lock()
 	defer w.model.mu.Unlock()
 	return w.model.prefilledTokens
 }
 
-// Changing tells whether the worker is out for a change of its stage.
+// Changing reports whether the worker is unavailable because of a stage change.
 func (w *Worker) Changing() bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.changingStage
 }
 
-// Holders returns who gave the orders that the worker took.
+// Holders returns the lease holders that issued the accepted orders.
 func (w *Worker) Holders() []string {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return append([]string(nil), w.orderHolders...)
 }
 
-// SetFault makes the worker misbehave from now on.
+// SetFault sets the fault that the worker simulates.
 func (w *Worker) SetFault(fault WorkerFault) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.fault = fault
 }
 
-// faulty tells whether the worker misbehaves in a way.
+// hasFault reports whether the worker simulates a fault.
 func (w *Worker) hasFault(fault WorkerFault) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.fault == fault
 }
 
-// SayLeaving makes the worker say in all its answers that it leaves. Its record goes on to say that it is ready.
+// SayLeaving makes the worker announce in all responses that it is leaving. Its record still says that it is ready.
 func (w *Worker) SayLeaving() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.leaving = true
 }
 
-// Shed makes the worker refuse everything for a time; each time it asks to be left alone for the rest that is given, with the header in
-// seconds.
+// Shed makes the worker refuse all requests for a duration, with a Retry-After header in seconds.
 func (w *Worker) Shed(duration, retryAfter time.Duration) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.retryAfter, w.shedUntil = retryAfter, time.Now().Add(duration)
 }
 
-// Limit makes the worker name in its answers how many requests a second it takes of all together; zero names no limit any more. It takes
-// more all the same.
+// Limit makes the worker announce a limit in requests per second in its responses; zero announces none. The worker does not
+// enforce the limit.
 func (w *Worker) Limit(perSecond float64) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -190,7 +189,7 @@
 	w.fleet.recordLimit(LimitChange{Worker: w.options.ID, PerSecond: perSecond, At: time.Now()})
 }
 
-// Drain records that the worker leaves, and has its answers say so.
+// Drain marks the worker as draining in its record and announces in its responses that it is leaving.
 func (w *Worker) Drain() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -198,7 +197,7 @@
 	w.writeRecord()
 }
 
-// Stop ends the worker, and its next lives; with crash its record stays.
+// Stop stops the worker and its successors. After a crash its record remains in the store.
 func (w *Worker) Stop(crash bool) {
 	w.mutex.Lock()
 	w.stopped = true
@@ -213,10 +212,10 @@
 	}
 }
 
-// lateOrder is by how much a worker with WorkerLateOrders is late; a lease may end meanwhile.
+// lateOrderDelay is the delay of WorkerLateOrders. The holder's lease may expire in the meantime.
 const lateOrderDelay = 1500 * time.Millisecond
 
-// order changes the stage.
+// handleOrder handles an order to change the stage.
 func (w *Worker) handleOrder(writer http.ResponseWriter, request *http.Request) {
 	var body struct {
 		Op       string `json:"op"`
@@ -254,7 +253,7 @@
 	}
 }
 
-// change takes another stage, at once or after the time that it takes a model engine. The mutex is held.
+// changeStage changes the stage, after the configured duration. The caller holds the mutex.
 func (w *Worker) changeStage(stage string) {
 	duration := w.options.StageChange
 	if w.model != nil {
@@ -274,7 +273,7 @@
 	})
 }
 
-// recordLater writes the record, at once or after its lag. The mutex is held.
+// writeRecordDelayed writes the record after RecordLag. The caller holds the mutex.
 func (w *Worker) writeRecordDelayed() {
 	if w.options.RecordLag == 0 {
 		w.writeRecord()
@@ -287,7 +286,7 @@
 	})
 }
 
-// take uses up a handle.
+// consumeHandle deletes a KV handle and reports whether it was valid.
 func (w *Worker) consumeHandle(handle string) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
--- a/internal/standin/netproxy/netproxy.go
+++ b/internal/standin/netproxy/netproxy.go
@@ -1,5 +1,4 @@
-// Package netproxy passes TCP connections on and makes their way misbehave: it holds bytes up, resets connections, or loses everything
-// that comes on those that are there.
+// Package netproxy provides a TCP proxy that injects network faults: delays, blocked traffic, connection resets and silent loss.
 package netproxy
 
 import (
@@ -12,31 +11,31 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Mode is what a proxy does to the bytes that pass through it.
+// Mode selects the fault that a proxy injects.
 type Mode string
 
 // The modes of a proxy.
 const (
 	ModePass Mode = "passes"
-	// ModeSilent holds all bytes of both directions up.
+	// ModeSilent blocks traffic in both directions.
 	ModeSilent Mode = "silent"
-	// ModeOneWay holds up what comes back.
+	// ModeOneWay blocks traffic from the server to the client.
 	ModeOneWay Mode = "cut one way"
-	// ModeReset resets connections, also new ones.
+	// ModeReset resets open connections and rejects new ones with a reset.
 	ModeReset Mode = "reset"
-	// ModeSlow delays all bytes.
+	// ModeSlow delays each read by SlowDelay.
 	ModeSlow Mode = "slow"
 )
 
 const (
-	// SlowDelay is the delay of ModeSlow for each piece of bytes.
+	// SlowDelay is the delay that ModeSlow adds to each read.
 	SlowDelay = 150 * time.Millisecond
-	// holdPoll is how often bytes that are held up look whether they may go on.
+	// blockedPollInterval is how often blocked connections check whether the mode has changed.
 	blockedPollInterval = 20 * time.Millisecond
 	bufferSize          = 16 << 10
 )
 
-// Proxy passes TCP connections on to a target, on loopback.
+// Proxy forwards TCP connections from a loopback address to a target.
 type Proxy struct {
 	listener net.Listener
 	target   string
@@ -44,32 +43,31 @@
 	mu    sync.Mutex
 	mode  Mode
 	conns map[net.Conn]bool
-	// flows are the connections that pass.
 	pairs map[*connPair]bool
 }
 
-// flow is one connection that passes, from its near to its far end.
+// connPair is a proxied connection: the client side and the server side.
 type connPair struct {
 	client, server net.Conn
-	// silent is set once everything that comes on it is lost, its end too, for good.
+	// blackholed is set once all traffic is dropped, including the end of the connection.
 	blackholed atomic.Bool
 }
 
-// New starts a proxy to a target, host:port.
+// New starts a proxy to a target, given as host:port.
 func New(target string) (*Proxy, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
-		return nil, errors.Wrapf(err, "step start a proxy, peer %s", target)
+		return nil, errors.Wrapf(err, "start a proxy to %s", target)
 	}
 	p := &Proxy{listener: listener, target: target, mode: ModePass, conns: map[net.Conn]bool{}, pairs: map[*connPair]bool{}}
 	go p.accept()
 	return p, nil
 }
 
-// Address returns where the proxy listens.
+// Address returns the host:port on which the proxy listens.
 func (p *Proxy) Address() string { return p.listener.Addr().String() }
 
-// Set changes the mode. Connections that are there are reset by ModeReset.
+// Set changes the mode. ModeReset also resets the open connections.
 func (p *Proxy) Set(mode Mode) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -81,7 +79,7 @@
 	}
 }
 
-// Silence makes the connections that are there go silent for good, in both directions. New ones pass.
+// Silence drops all further traffic on the open connections, in both directions. New connections are not affected.
 func (p *Proxy) Silence() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -90,14 +88,14 @@
 	}
 }
 
-// current returns the mode.
+// currentMode returns the mode.
 func (p *Proxy) currentMode() Mode {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.mode
 }
 
-// Close ends the proxy and its connections.
+// Close closes the listener and all connections.
 func (p *Proxy) Close() {
 	_ = p.listener.Close()
 	p.mu.Lock()
@@ -110,7 +108,7 @@
 	}
 }
 
-// accept takes connections until the proxy is closed.
+// accept accepts connections until the proxy is closed.
 func (p *Proxy) accept() {
 	for {
 		conn, err := p.listener.Accept()
@@ -125,7 +123,7 @@
 	}
 }
 
-// serve passes one connection on.
+// serve forwards one connection.
 func (p *Proxy) serve(client net.Conn) {
 	defer client.Close()
 	server, err := net.Dial("tcp4", p.target)
@@ -142,12 +140,12 @@
 	go p.copyDirection(pair, true, done)
 	<-done
 	if pair.blackholed.Load() {
-		// The end of one side is lost too: the other one has to find out by itself.
+		// The end of one side is dropped too: the other side has to detect it with a timeout.
 		<-done
 	}
 }
 
-// hold notes or forgets a connection.
+// track adds or removes an open connection.
 func (p *Proxy) track(pair *connPair, open bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -159,7 +157,7 @@
 	}
 }
 
-// copy passes the bytes of one direction on.
+// copyDirection forwards the bytes of one direction.
 func (p *Proxy) copyDirection(pair *connPair, toClient bool, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
 	src, dst := pair.client, pair.server
@@ -181,7 +179,7 @@
 	}
 }
 
-// delay waits as the mode wants it.
+// applyDelay blocks or delays a read according to the mode.
 func (p *Proxy) applyDelay(toClient bool) {
 	for {
 		switch mode := p.currentMode(); {
@@ -196,7 +194,7 @@
 	}
 }
 
-// reset closes a connection without a farewell.
+// reset closes a connection with a TCP reset.
 func reset(conn net.Conn) {
 	if tcp, isTCP := conn.(*net.TCPConn); isTCP {
 		_ = tcp.SetLinger(0)
