--- a/internal/demo/command.go
+++ b/internal/demo/command.go
@@ -77,9 +77,9 @@
 	c.serve(ctx, show, newLoad(c.Seed, c.Rate, work, chosen.Model, running, counts), running, sentences)
 	last := counts.take(time.Now())
 	show.troubles(last.troubles)
-	last.summary.DuplicateRuns = counts.duplicates(running.fleet.Runs())
-	last.summary.FalseNotRun = counts.falseNotRun(running.fleet.Runs())
-	last.summary.RoleChanges = running.fleet.Orders()
+	last.summary.DuplicateRuns = counts.duplicates(running.fleet.RunCounts())
+	last.summary.FalseNotRun = counts.falseNotRun(running.fleet.RunCounts())
+	last.summary.RoleChanges = running.fleet.OrderCount()
 	return show.end(last.summary)
 }
 
--- a/internal/demo/display.go
+++ b/internal/demo/display.go
@@ -68,7 +68,7 @@
 
 // rolesOf counts the workers of a fleet.
 func rolesOf(stand *labfleet.Fleet) roles {
-	prefill, decode, changing := stand.Stages()
+	prefill, decode, changing := stand.RoleCounts()
 	return roles{prefill, decode, changing}
 }
 
--- a/internal/labfleet/command.go
+++ b/internal/labfleet/command.go
@@ -37,14 +37,14 @@
 	if err != nil {
 		return err
 	}
-	running, err := Start(ctx, Options{Deployment: chosen, Listen: c.Listen, Speed: c.Speed, Connect: connect})
+	standins, err := Start(ctx, Options{Deployment: chosen, Listen: c.Listen, Speed: c.Speed, Connect: connect})
 	if err != nil {
 		return err
 	}
-	defer running.Stop()
-	fmt.Fprintf(out, "store %s\n", running.StoreAddress())
-	for i, each := range chosen.Workers {
-		fmt.Fprintf(out, "worker %s at %s\n", each.Name, running.workers[i].Address())
+	defer standins.Stop()
+	fmt.Fprintf(out, "store %s\n", standins.StoreAddress())
+	for i, worker := range chosen.Workers {
+		fmt.Fprintf(out, "worker %s at %s\n", worker.Name, standins.workers[i].Address())
 	}
 	<-ctx.Done()
 	return nil
--- a/internal/labfleet/labfleet.go
+++ b/internal/labfleet/labfleet.go
@@ -31,15 +31,15 @@
 
 // Fleet is a running fleet of stand-ins.
 type Fleet struct {
-	deployment deployment.Deployment
-	stand      *fleet.Fleet
-	workers    []*fleet.Worker
-	server     *http.Server
-	address    string
+	deployment   deployment.Deployment
+	standins     *fleet.Fleet
+	workers      []*fleet.Worker
+	server       *http.Server
+	storeAddress string
 }
 
 // slots is the number of requests on which an engine works at once.
-const slots = 48
+const engineSlots = 48
 
 // Start starts the stand-ins and writes the configuration of the deployment into the store.
 func Start(ctx context.Context, options Options) (*Fleet, error) {
@@ -47,23 +47,23 @@
 	if err != nil {
 		return nil, errors.Wrapf(err, "step serve the store, address %s", options.Listen)
 	}
-	f := &Fleet{deployment: options.Deployment, stand: fleet.NewFleet(), address: listener.Addr().String()}
-	f.server = &http.Server{Handler: f.stand.Store}
+	f := &Fleet{deployment: options.Deployment, standins: fleet.NewFleet(), storeAddress: listener.Addr().String()}
+	f.server = &http.Server{Handler: f.standins.Store}
 	go func() { _ = f.server.Serve(listener) }()
-	f.stand.Configure(fleet.Configuration{
+	f.standins.Configure(fleet.Configuration{
 		Version: 1, Services: []fleet.Service{{Name: options.Deployment.Service, MemoryTokens: fleet.DefaultModel().MemoryTokens}},
 	})
 	labels := map[string]map[string]string{}
-	for _, each := range options.Deployment.Workers {
-		worker, err := f.stand.Start(workerOptions(options, each))
+	for _, spec := range options.Deployment.Workers {
+		worker, err := f.standins.Start(workerOptions(options, spec))
 		if err != nil {
 			f.Stop()
-			return nil, errors.Wrapf(err, "step start worker %s", each.Name)
+			return nil, errors.Wrapf(err, "step start worker %s", spec.Name)
 		}
 		f.workers = append(f.workers, worker)
-		labels[worker.Address()] = map[string]string{"pool": each.Pool, "name": each.Name}
+		labels[worker.Address()] = map[string]string{"pool": spec.Pool, "name": spec.Name}
 	}
-	if err := f.configure(ctx, options.Connect(f.address), labels); err != nil {
+	if err := f.writeConfiguration(ctx, options.Connect(f.storeAddress), labels); err != nil {
 		f.Stop()
 		return nil, err
 	}
@@ -71,19 +71,19 @@
 }
 
 // workerOptions describes one engine.
-func workerOptions(options Options, each deployment.Worker) fleet.WorkerOptions {
+func workerOptions(options Options, spec deployment.Worker) fleet.WorkerOptions {
 	model := fleet.DefaultModel()
 	model.PromptTokensPerSecond *= options.Speed
 	model.StepTime = time.Duration(float64(model.StepTime) / options.Speed)
 	model.StepPerRun = time.Duration(float64(model.StepPerRun) / options.Speed)
 	return fleet.WorkerOptions{
-		ID: each.Name + ".1", Service: options.Deployment.Service, Zone: each.Zone, Slots: slots, Model: model,
-		Stage: string(lo.Ternary(each.Reads, backend.RolePrefill, backend.RoleDecode)),
+		ID: spec.Name + ".1", Service: options.Deployment.Service, Zone: spec.Zone, Slots: engineSlots, Model: model,
+		Stage: string(lo.Ternary(spec.Reads, backend.RolePrefill, backend.RoleDecode)),
 	}
 }
 
 // configure writes the groups and rules by labels, as the operators do.
-func (f *Fleet) configure(ctx context.Context, target store.Store, labels map[string]map[string]string) error {
+func (f *Fleet) writeConfiguration(ctx context.Context, target store.Store, labels map[string]map[string]string) error {
 	document, err := configuration.Example(f.deployment.Configuration)
 	if err != nil {
 		return err
@@ -96,10 +96,10 @@
 }
 
 // StoreAddress returns where the store serves, host:port.
-func (f *Fleet) StoreAddress() string { return f.address }
+func (f *Fleet) StoreAddress() string { return f.storeAddress }
 
 // Stages counts the workers of each role, and those that change it.
-func (f *Fleet) Stages() (prefill, decode, changing int) {
+func (f *Fleet) RoleCounts() (prefill, decode, changing int) {
 	for _, worker := range f.workers {
 		switch {
 		case worker.Changing():
@@ -114,13 +114,13 @@
 }
 
 // Orders returns how many orders the workers took.
-func (f *Fleet) Orders() int {
+func (f *Fleet) OrderCount() int {
 	return lo.SumBy(f.workers, func(worker *fleet.Worker) int { return len(worker.Holders()) })
 }
 
 // Runs returns how often each request was begun by a worker, by its id.
-func (f *Fleet) Runs() map[string]int {
-	return lo.MapValues(f.stand.Runs(), func(runs []fleet.Run, _ string) int { return len(runs) })
+func (f *Fleet) RunCounts() map[string]int {
+	return lo.MapValues(f.standins.Runs(), func(runs []fleet.Run, _ string) int { return len(runs) })
 }
 
 // Stop ends all stand-ins at once.
