--- a/internal/labfleet/command.go
+++ b/internal/labfleet/command.go
@@ -14,24 +14,24 @@
 // Connect returns a client of the store at an address.
 type Connect func(address string) store.Store
 
-// Command is the command line of the stand-ins.
+// Command is the command line of the simulated fleet.
 type Command struct {
-	Deployment string  `default:"fes" help:"Deployment to stand in for: fes or magnolia."`
-	Listen     string  `default:"127.0.0.1:7000" help:"Address at which the store serves."`
-	Speed      float64 `default:"1" help:"Factor on the speed of the engines."`
+	Deployment string  `default:"fes" help:"Deployment to simulate: fes or magnolia."`
+	Listen     string  `default:"127.0.0.1:7000" help:"Address on which the store listens."`
+	Speed      float64 `default:"1" help:"Factor applied to the speed of the engines."`
 }
 
-// Validate checks what the types of the flags cannot say. The error names everything that is wrong.
+// Validate checks the flag values and returns all problems at once.
 func (c *Command) Validate() error {
 	_, err := deployment.Find(c.Deployment)
 	problems := errors.Wrap(err, "--deployment")
 	if c.Speed <= 0 {
-		problems = errors.Join(problems, errors.Newf("--speed is %g, allowed is more than 0", c.Speed))
+		problems = errors.Join(problems, errors.Newf("--speed is %g, must be greater than 0", c.Speed))
 	}
 	return problems
 }
 
-// Run runs the stand-ins until the context ends.
+// Run runs the simulated fleet until the context ends.
 func (c *Command) Run(ctx context.Context, out io.Writer, connect Connect) error {
 	chosen, err := deployment.Find(c.Deployment)
 	if err != nil {
--- a/internal/labfleet/labfleet.go
+++ b/internal/labfleet/labfleet.go
@@ -1,5 +1,5 @@
-// Package labfleet runs the stand-ins of a deployment on loopback: the store, the workers, and the operators who write the
-// routes and labels. Gateways run against it as they do against the users' platform.
+// Package labfleet runs a simulated deployment on loopback: the store, the workers, and the operators who write the
+// configuration. Gateways use it as they would the real platform.
 package labfleet
 
 import (
@@ -18,18 +18,18 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// Options of a fleet of stand-ins.
+// Options configure a fleet.
 type Options struct {
 	Deployment deployment.Deployment
-	// Listen is where the store serves, host:port.
+	// Listen is the host:port on which the store listens.
 	Listen string
-	// Speed is a factor on the speed of the engines.
+	// Speed is a factor applied to the speed of the engines.
 	Speed float64
-	// Connect returns the client of the store by which the operators write.
+	// Connect returns a client of the store, for writing the configuration.
 	Connect Connect
 }
 
-// Fleet is a running fleet of stand-ins.
+// Fleet is a running simulated deployment.
 type Fleet struct {
 	deployment   deployment.Deployment
 	standins     *fleet.Fleet
@@ -38,14 +38,14 @@
 	storeAddress string
 }
 
-// slots is the number of requests on which an engine works at once.
+// engineSlots is the number of concurrent requests of an engine.
 const engineSlots = 48
 
-// Start starts the stand-ins and writes the configuration of the deployment into the store.
+// Start starts the store and the workers and writes the configuration of the deployment to the store.
 func Start(ctx context.Context, options Options) (*Fleet, error) {
 	listener, err := net.Listen("tcp4", options.Listen)
 	if err != nil {
-		return nil, errors.Wrapf(err, "step serve the store, address %s", options.Listen)
+		return nil, errors.Wrapf(err, "listen for the store on %s", options.Listen)
 	}
 	f := &Fleet{deployment: options.Deployment, standins: fleet.NewFleet(), storeAddress: listener.Addr().String()}
 	f.server = &http.Server{Handler: f.standins.Store}
@@ -58,7 +58,7 @@
 		worker, err := f.standins.Start(workerOptions(options, spec))
 		if err != nil {
 			f.Stop()
-			return nil, errors.Wrapf(err, "step start worker %s", spec.Name)
+			return nil, errors.Wrapf(err, "start worker %s", spec.Name)
 		}
 		f.workers = append(f.workers, worker)
 		labels[worker.Address()] = map[string]string{"pool": spec.Pool, "name": spec.Name}
@@ -70,7 +70,7 @@
 	return f, nil
 }
 
-// workerOptions describes one engine.
+// workerOptions returns the options of an engine.
 func workerOptions(options Options, spec deployment.Worker) fleet.WorkerOptions {
 	model := fleet.DefaultModel()
 	model.PromptTokensPerSecond *= options.Speed
@@ -82,7 +82,7 @@
 	}
 }
 
-// configure writes the groups and rules by labels, as the operators do.
+// writeConfiguration writes the deployment's example configuration, with labels by worker address.
 func (f *Fleet) writeConfiguration(ctx context.Context, target store.Store, labels map[string]map[string]string) error {
 	document, err := configuration.Example(f.deployment.Configuration)
 	if err != nil {
@@ -92,13 +92,13 @@
 	result := configuration.Propose(ctx, target, configuration.EditRequest{
 		ChangeID: "first", Author: "lab", Edits: []configuration.Edit{configuration.Apply(document.Spec)},
 	})
-	return errors.Wrap(result.Err, "step write the groups and rules")
+	return errors.Wrap(result.Err, "write the configuration")
 }
 
-// StoreAddress returns where the store serves, host:port.
+// StoreAddress returns the host:port on which the store listens.
 func (f *Fleet) StoreAddress() string { return f.storeAddress }
 
-// Stages counts the workers of each role, and those that change it.
+// RoleCounts returns the number of workers in each role, and of those changing their role.
 func (f *Fleet) RoleCounts() (prefill, decode, changing int) {
 	for _, worker := range f.workers {
 		switch {
@@ -113,17 +113,17 @@
 	return prefill, decode, changing
 }
 
-// Orders returns how many orders the workers took.
+// OrderCount returns the number of orders that the workers accepted.
 func (f *Fleet) OrderCount() int {
 	return lo.SumBy(f.workers, func(worker *fleet.Worker) int { return len(worker.Holders()) })
 }
 
-// Runs returns how often each request was begun by a worker, by its id.
+// RunCounts returns the number of runs of each request, by request ID.
 func (f *Fleet) RunCounts() map[string]int {
 	return lo.MapValues(f.standins.Runs(), func(runs []fleet.Run, _ string) int { return len(runs) })
 }
 
-// Stop ends all stand-ins at once.
+// Stop stops the workers and the store immediately.
 func (f *Fleet) Stop() {
 	for _, worker := range f.workers {
 		worker.Stop(true)
