--- a/internal/demo/call.go
+++ b/internal/demo/call.go
@@ -17,8 +17,8 @@
 )
 
 // order is one request as a caller makes it.
-type order struct {
-	kind         class
+type request struct {
+	class        requestClass
 	tenant       string
 	id           string
 	model        string
@@ -41,23 +41,25 @@
 
 // result is what a caller got.
 type result struct {
-	order   order
+	request request
 	outcome outcome
 	// told is set when the gateway itself said how the request ended. If not, the outcome is unknown to the caller.
-	told bool
+	outcomeReported bool
 	// wrong is set when a token was not the one that belongs at its place, or the end came too early or too late.
 	wrong bool
 	// whole is the time from the call to the end of the answer; zero when it never came.
-	whole time.Duration
+	latency time.Duration
 	// detail says why the request was not answered, or what was wrong.
 	detail string
 }
 
 // late tells whether a whole answer came after it was wanted.
-func (r result) late() bool { return r.outcome == outcomeAnswered && r.whole > r.order.kind.wanted }
+func (r result) late() bool {
+	return r.outcome == outcomeAnswered && r.latency > r.request.class.latencyTarget
+}
 
 // answerGrace is how long after the deadline a caller still waits for the outcome.
-const answerGrace = 5 * time.Second
+const deadlineGrace = 5 * time.Second
 
 // maxErrorBytes bounds what is read of the body of an error.
 const maxErrorBytes = 1 << 16
@@ -70,45 +72,45 @@
 }
 
 // call makes one request and checks the answer word for word.
-func (c caller) call(ctx context.Context, asked order) result {
-	ctx, cancel := context.WithTimeout(ctx, asked.kind.deadline+answerGrace)
+func (c caller) call(ctx context.Context, req request) result {
+	ctx, cancel := context.WithTimeout(ctx, req.class.deadline+deadlineGrace)
 	defer cancel()
 	started := time.Now()
-	got := result{order: asked, outcome: outcomeUnknown}
-	response, err := c.send(ctx, asked)
+	res := result{request: req, outcome: outcomeUnknown}
+	response, err := c.send(ctx, req)
 	if err != nil {
-		got.detail = err.Error()
-		return got
+		res.detail = err.Error()
+		return res
 	}
 	defer func() { _ = response.Body.Close() }()
 	if response.StatusCode != http.StatusOK {
-		got.readError(response.StatusCode, response.Body)
-		return got
+		res.readError(response.StatusCode, response.Body)
+		return res
 	}
-	got.readStream(response.Body, started, c.onFirstToken)
-	return got
+	res.readStream(response.Body, started, c.onFirstToken)
+	return res
 }
 
 // send sends the request and returns the response.
-func (c caller) send(ctx context.Context, asked order) (*http.Response, error) {
+func (c caller) send(ctx context.Context, req request) (*http.Response, error) {
 	body, err := json.Marshal(completions.Body{
-		Model: asked.model, Prompt: asked.prompt, MaxTokens: &asked.answerTokens, Stream: true, SharedPrefixTokens: asked.kind.sharedTokens,
+		Model: req.model, Prompt: req.prompt, MaxTokens: &req.answerTokens, Stream: true, SharedPrefixTokens: req.class.sharedTokens,
 	})
 	if err != nil {
 		return nil, errors.Wrap(err, "encode the request")
 	}
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+asked.gateway+completions.Path, bytes.NewReader(body))
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+req.gateway+completions.Path, bytes.NewReader(body))
 	if err != nil {
 		return nil, errors.Wrap(err, "make the request")
 	}
 	request.Header.Set("Content-Type", "application/json")
-	request.Header.Set(completions.HeaderTenant, asked.tenant)
-	request.Header.Set(completions.HeaderLabels, "class="+asked.kind.name)
-	request.Header.Set(completions.HeaderDeadline, asked.kind.deadline.String())
-	request.Header.Set(completions.HeaderRepeatable, strconv.FormatBool(!asked.kind.once))
-	request.Header.Set(completions.HeaderRequestID, asked.id)
+	request.Header.Set(completions.HeaderTenant, req.tenant)
+	request.Header.Set(completions.HeaderLabels, "class="+req.class.name)
+	request.Header.Set(completions.HeaderDeadline, req.class.deadline.String())
+	request.Header.Set(completions.HeaderRepeatable, strconv.FormatBool(!req.class.nonIdempotent))
+	request.Header.Set(completions.HeaderRequestID, req.id)
 	response, err := c.client.Do(request)
-	return response, errors.Wrapf(err, "step ask, peer %s", asked.gateway)
+	return response, errors.Wrapf(err, "step ask, peer %s", req.gateway)
 }
 
 // readError reads a response that is no answer. A refusal promises that the request did not run.
@@ -118,7 +120,7 @@
 		r.detail = err.Error()
 		return
 	}
-	r.told = true
+	r.outcomeReported = true
 	r.detail = fmt.Sprintf("The gateway answered %d: %s", status, data)
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusBadRequest, http.StatusNotFound:
@@ -129,6 +131,6 @@
 }
 
 // expectedAnswer is the text that belongs to an order.
-func expectedAnswer(asked order) []string {
-	return answers.Tokens(answers.PromptDigest(asked.model, asked.prompt), 0, asked.answerTokens)
+func expectedAnswer(req request) []string {
+	return answers.Tokens(answers.PromptDigest(req.model, req.prompt), 0, req.answerTokens)
 }
--- a/internal/demo/command.go
+++ b/internal/demo/command.go
@@ -20,7 +20,7 @@
 	// startTimeout bounds the start of the deployment.
 	startTimeout = 30 * time.Second
 	// noMix stands for the mix when no more requests are sent.
-	noMix = "no new requests, waiting for answers"
+	drainingMix = "no new requests, waiting for answers"
 )
 
 // Command is the command line of the demo.
@@ -53,38 +53,38 @@
 }
 
 // Run runs the demo until the time is over or the context ends. The last line is the summary as JSON.
-func (c *Command) Run(ctx context.Context, out io.Writer, around Surroundings, logger *logrus.Logger) error {
-	chosen, err := deployment.Find(c.Deployment)
+func (c *Command) Run(ctx context.Context, out io.Writer, factories Surroundings, logger *logrus.Logger) error {
+	spec, err := deployment.Find(c.Deployment)
 	if err != nil {
 		return err
 	}
-	work, err := workloadOf(chosen.Name)
+	workload, err := workloadFor(spec.Name)
 	if err != nil {
 		return err
 	}
-	show := display{out: out, workload: work}
-	show.introduction(chosen)
+	screen := display{out: out, workload: workload}
+	screen.introduction(spec)
 	starting, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	running, err := startSystem(starting, chosen, c.EngineSpeed, around, quieter(logger))
+	sys, err := startSystem(starting, spec, c.EngineSpeed, factories, warningsOnly(logger))
 	if err != nil {
 		return err
 	}
-	defer running.stop()
-	counts, sentences := newTally(), &changes{}
-	running.follow(sentences.note)
-	show.ready(chosen, running)
-	c.serve(ctx, show, newLoad(c.Seed, c.Rate, work, chosen.Model, running, counts), running, sentences)
-	last := counts.take(time.Now())
-	show.troubles(last.troubles)
-	last.summary.DuplicateRuns = counts.duplicates(running.fleet.RunCounts())
-	last.summary.FalseNotRun = counts.falseNotRun(running.fleet.RunCounts())
-	last.summary.RoleChanges = running.fleet.OrderCount()
-	return show.end(last.summary)
+	defer sys.stop()
+	stats, roleChanges := newStats(), &roleChangeLog{}
+	sys.followDecisions(roleChanges.record)
+	screen.ready(spec, sys)
+	c.serve(ctx, screen, newLoadGenerator(c.Seed, c.Rate, workload, spec.Model, sys, stats), sys, roleChanges)
+	final := stats.nextSnapshot(time.Now())
+	screen.failures(final.failures)
+	final.summary.DuplicateRuns = stats.duplicateRuns(sys.fleet.RunCounts())
+	final.summary.FalseNotRun = stats.falseNotRun(sys.fleet.RunCounts())
+	final.summary.RoleChanges = sys.fleet.OrderCount()
+	return screen.finish(final.summary)
 }
 
 // serve sends the load and prints a line a second, until the time is over and the answers are here.
-func (c *Command) serve(ctx context.Context, show display, sending *load, running *system, sentences *changes) {
+func (c *Command) serve(ctx context.Context, screen display, generator *loadGenerator, sys *system, roleChanges *roleChangeLog) {
 	started := time.Now()
 	if c.For > 0 {
 		var cancel context.CancelFunc
@@ -94,20 +94,20 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		sending.run(ctx, started)
-		sending.wait()
+		generator.run(ctx, started)
+		generator.wait()
 	}()
 	ticker := time.NewTicker(lineInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case now := <-ticker.C:
-			mix := noMix
+			mix := drainingMix
 			if ctx.Err() == nil {
-				mix = show.mix(now.Sub(started))
+				mix = screen.mix(now.Sub(started))
 			}
-			show.line(now.Sub(started), mix, sending.tally.take(now), rolesOf(running.fleet))
-			show.sentences(sentences.take())
+			screen.line(now.Sub(started), mix, generator.stats.nextSnapshot(now), countRoles(sys.fleet))
+			screen.roleChanges(roleChanges.drain())
 		case <-done:
 			return
 		}
@@ -115,7 +115,7 @@
 }
 
 // quieter returns a logger without the messages that every start gives, unless details were asked for.
-func quieter(logger *logrus.Logger) *logrus.Logger {
+func warningsOnly(logger *logrus.Logger) *logrus.Logger {
 	quiet := logrus.New()
 	quiet.SetOutput(logger.Out)
 	quiet.SetFormatter(logger.Formatter)
@@ -127,16 +127,16 @@
 }
 
 // end prints the summary, as JSON on the last line, and tells whether all is well.
-func (d display) end(total summary) error {
+func (d display) finish(total summary) error {
 	d.totals(total)
 	text, err := json.Marshal(total)
 	if err != nil {
 		return errors.Wrap(err, "encode the summary")
 	}
 	d.printf("%s", text)
-	if !total.well() {
+	if !total.allKept() {
 		return errors.Wrapf(ErrPromiseBroken, "demo: %d wrong answers, %d duplicate runs, %d requests without an outcome, %d run although not run",
-			total.WrongAnswers, total.DuplicateRuns, total.Untold, total.FalseNotRun)
+			total.WrongAnswers, total.DuplicateRuns, total.Unreported, total.FalseNotRun)
 	}
 	return nil
 }
--- a/internal/demo/display.go
+++ b/internal/demo/display.go
@@ -25,17 +25,17 @@
 }
 
 // line writes the state of one second. The mix is what is asked for.
-func (d display) line(elapsed time.Duration, mix string, state snapshot, roles roles) {
+func (d display) line(elapsed time.Duration, mix string, current snapshot, roles roleCounts) {
 	d.printf("%4.0fs | %s | sent %d answered %d waiting %d late %d%s | %s | %s",
 		elapsed.Seconds(), mix,
-		state.summary.Sent, state.summary.Answered, state.waiting, state.summary.Late, unanswered(state.summary),
-		seconds(state.p95), roles)
-	d.troubles(state.troubles)
+		current.summary.Sent, current.summary.Answered, current.inFlight, current.summary.Late, unanswered(current.summary),
+		seconds(current.p95), roles)
+	d.failures(current.failures)
 }
 
 // troubles writes what did not go well.
-func (d display) troubles(sentences []string) {
-	for _, sentence := range sentences {
+func (d display) failures(lines []string) {
+	for _, sentence := range lines {
 		d.printf("      ! %s", sentence)
 	}
 }
@@ -44,7 +44,7 @@
 func (d display) mix(elapsed time.Duration) string {
 	rates := d.workload.rates(elapsed)
 	total := lo.Sum(rates)
-	return strings.Join(lo.Map(d.workload.classes, func(each class, index int) string {
+	return strings.Join(lo.Map(d.workload.classes, func(each requestClass, index int) string {
 		return fmt.Sprintf("%s %.0f%%", each.title, 100*rates[index]/total)
 	}), " ")
 }
@@ -64,16 +64,16 @@
 }
 
 // roles counts the workers of each role.
-type roles struct{ prefill, decode, changing int }
+type roleCounts struct{ prefill, decode, changing int }
 
 // rolesOf counts the workers of a fleet.
-func rolesOf(stand *labfleet.Fleet) roles {
-	prefill, decode, changing := stand.RoleCounts()
-	return roles{prefill, decode, changing}
+func countRoles(standins *labfleet.Fleet) roleCounts {
+	prefill, decode, changing := standins.RoleCounts()
+	return roleCounts{prefill, decode, changing}
 }
 
 // String names the roles.
-func (r roles) String() string {
+func (r roleCounts) String() string {
 	text := fmt.Sprintf("%d prefill, %d decode", r.prefill, r.decode)
 	if r.changing > 0 {
 		text += fmt.Sprintf(", %d changing", r.changing)
@@ -90,15 +90,15 @@
 }
 
 // trouble says in one sentence what became of a request that did not go well.
-func (r result) trouble() string {
-	what := lo.Ternary(r.wrong, "wrong answer", strings.ReplaceAll(string(r.outcome), "_", " "))
-	return fmt.Sprintf("%s request %s: %s: %s", r.order.kind.name, r.order.id, what, r.detail)
+func (r result) describeFailure() string {
+	outcome := lo.Ternary(r.wrong, "wrong answer", strings.ReplaceAll(string(r.outcome), "_", " "))
+	return fmt.Sprintf("%s request %s: %s: %s", r.request.class.name, r.request.id, outcome, r.detail)
 }
 
 // introduction says what is about to run.
-func (d display) introduction(chosen deployment.Deployment) {
+func (d display) introduction(spec deployment.Deployment) {
 	d.printf("%s, all in this one process: %d zones, %d gateways, %d engines, which talk over loopback.",
-		chosen.Title, len(chosen.Zones), len(chosen.Zones)*chosen.GatewaysPerZone, len(chosen.Workers))
+		spec.Title, len(spec.Zones), len(spec.Zones)*spec.GatewaysPerZone, len(spec.Workers))
 	d.printf("The engines and the store are stand-ins.")
 	d.printf("An engine in the prefill role reads long prompts fast; one in the decode role writes many answers at once.")
 	d.printf("Starting ...")
@@ -106,11 +106,11 @@
 }
 
 // ready says what a newcomer can try, and how to read the lines.
-func (d display) ready(chosen deployment.Deployment, running *system) {
-	first := running.settings[0]
+func (d display) ready(spec deployment.Deployment, sys *system) {
+	first := sys.settings[0]
 	d.printf("Ready. Ask a gateway yourself:")
 	d.printf("  curl -s http://%s%s -H 'Content-Type: application/json' -H '%s: visitor' -d '{\"model\": \"%s\", \"prompt\": \"Which roast suits this blend?\", \"max_tokens\": 12}'",
-		first.ListenCallers, completions.Path, completions.HeaderTenant, chosen.Model)
+		first.ListenCallers, completions.Path, completions.HeaderTenant, spec.Model)
 	d.printf("Watch every decision as it is made, in a terminal or on a page:")
 	d.printf("  go run ./cmd/granitebay decisions --follow --gateway %s", first.ListenAdmin)
 	d.printf("  http://%s/", first.ListenAdmin)
@@ -121,9 +121,9 @@
 }
 
 // sentences writes what was decided on roles.
-func (d display) sentences(sentences []string) {
-	for _, sentence := range sentences {
-		d.printf("      > %s", sentence)
+func (d display) roleChanges(lines []string) {
+	for _, line := range lines {
+		d.printf("      > %s", line)
 	}
 }
 
--- a/internal/demo/load.go
+++ b/internal/demo/load.go
@@ -14,62 +14,62 @@
 )
 
 // load sends requests to the gateways in open loop: it sends the next one whether or not the earlier ones were answered.
-type load struct {
+type loadGenerator struct {
 	workload workload
 	model    string
 	// gateways are the addresses for callers.
 	gateways []string
-	tally    *tally
+	stats    *stats
 	random   *rand.Rand
 	// factor scales the requests a second.
-	factor  float64
-	caller  caller
-	calling sync.WaitGroup
+	rateFactor float64
+	caller     caller
+	pending    sync.WaitGroup
 }
 
 // idleConnections is how many idle connections to one gateway are kept.
-const idleConnections = 256
+const maxIdleConnsPerGateway = 256
 
-func newLoad(seed uint64, factor float64, work workload, model string, running *system, counts *tally) *load {
-	return &load{
-		workload: work,
-		model:    model,
-		gateways: lo.Map(running.settings, func(each gateway.Settings, _ int) string { return each.ListenCallers }),
-		tally:    counts,
-		random:   rand.New(rand.NewPCG(seed, seed)),
-		factor:   factor,
+func newLoadGenerator(seed uint64, rateFactor float64, workload workload, model string, sys *system, stats *stats) *loadGenerator {
+	return &loadGenerator{
+		workload:   workload,
+		model:      model,
+		gateways:   lo.Map(sys.settings, func(each gateway.Settings, _ int) string { return each.ListenCallers }),
+		stats:      stats,
+		random:     rand.New(rand.NewPCG(seed, seed)),
+		rateFactor: rateFactor,
 		caller: caller{
-			client:       &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: idleConnections}},
-			onFirstToken: func(wait time.Duration) { counts.began(time.Now(), wait) },
+			client:       &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdleConnsPerGateway}},
+			onFirstToken: func(wait time.Duration) { stats.recordFirstToken(time.Now(), wait) },
 		},
 	}
 }
 
 // run sends until the context ends. The calls outlive it.
-func (l *load) run(ctx context.Context, started time.Time) {
+func (l *loadGenerator) run(ctx context.Context, started time.Time) {
 	next := started
 	for {
-		kind, total := l.workload.draw(next.Sub(started), l.random)
-		next = next.Add(time.Duration(l.random.ExpFloat64() / (total * l.factor) * float64(time.Second)))
+		class, total := l.workload.pickClass(next.Sub(started), l.random)
+		next = next.Add(time.Duration(l.random.ExpFloat64() / (total * l.rateFactor) * float64(time.Second)))
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(time.Until(next)):
-			l.send(l.newOrder(time.Now(), kind))
+			l.send(l.newRequest(time.Now(), class))
 		}
 	}
 }
 
 // newOrder makes a request of a class. Callers choose a gateway at random, as those do that ask the directory.
-func (l *load) newOrder(now time.Time, kind class) order {
+func (l *loadGenerator) newRequest(now time.Time, class requestClass) request {
 	tenant := l.workload.tenants[l.random.IntN(len(l.workload.tenants))]
-	return order{
-		kind:         kind,
+	return request{
+		class:        class,
 		tenant:       tenant,
 		id:           newID(now, l.random),
 		model:        l.model,
-		prompt:       prompt(kind, tenant, l.random),
-		answerTokens: max(1, spread(kind.answerTokens, l.random)),
+		prompt:       randomPrompt(class, tenant, l.random),
+		answerTokens: max(1, randomLength(class.answerTokens, l.random)),
 		gateway:      l.gateways[l.random.IntN(len(l.gateways))],
 	}
 }
@@ -86,16 +86,16 @@
 }
 
 // send makes a call in the background.
-func (l *load) send(asked order) {
-	l.tally.sent(asked)
-	l.calling.Go(func() {
-		got := l.caller.call(context.Background(), asked)
-		l.tally.ended(got)
+func (l *loadGenerator) send(req request) {
+	l.stats.recordSent(req)
+	l.pending.Go(func() {
+		got := l.caller.call(context.Background(), req)
+		l.stats.recordResult(got)
 	})
 }
 
 // wait waits for the calls that are under way. Each ends by itself soon after its deadline.
-func (l *load) wait() {
-	l.calling.Wait()
+func (l *loadGenerator) wait() {
+	l.pending.Wait()
 	l.caller.client.CloseIdleConnections()
 }
--- a/internal/demo/prompt.go
+++ b/internal/demo/prompt.go
@@ -13,7 +13,7 @@
 station stock street subscription tare taste temperature ticket truck variety washed weight week yield`)
 
 // words returns a text of a number of words.
-func words(count int, random *rand.Rand) string {
+func randomWords(count int, random *rand.Rand) string {
 	var text strings.Builder
 	for index := range count {
 		if index > 0 {
@@ -25,17 +25,17 @@
 }
 
 // prompt returns the text of a request: first what all requests of the tenant share, then words of its own.
-func prompt(kind class, tenant string, random *rand.Rand) string {
-	length := max(1, spread(kind.promptTokens, random))
-	if kind.sharedTokens == 0 || length <= kind.sharedTokens {
-		return words(length, random)
+func randomPrompt(class requestClass, tenant string, random *rand.Rand) string {
+	length := max(1, randomLength(class.promptTokens, random))
+	if class.sharedTokens == 0 || length <= class.sharedTokens {
+		return randomWords(length, random)
 	}
-	return tenantText(kind, tenant) + " " + words(length-kind.sharedTokens, random)
+	return tenantPrefix(class, tenant) + " " + randomWords(length-class.sharedTokens, random)
 }
 
 // tenantText is the start of all prompts of a tenant in a class.
-func tenantText(kind class, tenant string) string {
+func tenantPrefix(class requestClass, tenant string) string {
 	digest := fnv.New64a()
-	_, _ = digest.Write([]byte(kind.name + "/" + tenant))
-	return words(kind.sharedTokens, rand.New(rand.NewPCG(digest.Sum64(), 0)))
+	_, _ = digest.Write([]byte(class.name + "/" + tenant))
+	return randomWords(class.sharedTokens, rand.New(rand.NewPCG(digest.Sum64(), 0)))
 }
--- a/internal/demo/changes.go
+++ b/internal/demo/rolechanges.go
@@ -8,14 +8,14 @@
 )
 
 // changes turns the decisions on roles into sentences.
-type changes struct {
+type roleChangeLog struct {
 	mu        sync.Mutex
 	sentences []string
 }
 
 // note takes a decision of any kind.
-func (c *changes) note(record decision.Record) {
-	sentence := sentenceOf(record)
+func (c *roleChangeLog) record(record decision.Record) {
+	sentence := describeRoleDecision(record)
 	if sentence == "" {
 		return
 	}
@@ -25,7 +25,7 @@
 }
 
 // take returns the sentences since the last call.
-func (c *changes) take() []string {
+func (c *roleChangeLog) drain() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	sentences := c.sentences
@@ -34,7 +34,7 @@
 }
 
 // sentenceOf says what a decision means for the roles; empty if it means nothing.
-func sentenceOf(record decision.Record) string {
+func describeRoleDecision(record decision.Record) string {
 	switch record.Kind {
 	case decision.KindRole:
 		return fmt.Sprintf("%s orders worker %s of group %s to become %s. %s",
--- a/internal/demo/tally.go
+++ b/internal/demo/stats.go
@@ -12,7 +12,7 @@
 const firstTokenWindow = 5 * time.Second
 
 // maxTroubles bounds the troubles that wait to be printed.
-const maxTroubles = 5
+const maxFailures = 5
 
 // summary counts requests by how they ended. Each sent request is in exactly one of Answered, NotRun, Unknown and Failed.
 type summary struct {
@@ -29,29 +29,29 @@
 	// Late answers were whole and right, but came after they were wanted.
 	Late int `json:"late"`
 	// Untold counts those Unknown of which not even the gateway said how they ended.
-	Untold int `json:"untold"`
+	Unreported int `json:"untold"`
 	// FalseNotRun counts those NotRun that a worker had begun to run.
 	FalseNotRun int `json:"false_not_run"`
 }
 
 // well tells whether every promise was kept.
-func (s summary) well() bool {
-	return s.WrongAnswers == 0 && s.DuplicateRuns == 0 && s.Untold == 0 && s.FalseNotRun == 0
+func (s summary) allKept() bool {
+	return s.WrongAnswers == 0 && s.DuplicateRuns == 0 && s.Unreported == 0 && s.FalseNotRun == 0
 }
 
 // tally collects what happens. It is safe for use by many goroutines.
-type tally struct {
+type stats struct {
 	mutex   sync.Mutex
 	summary summary
 	// live counts the requests that are under way.
-	live int
+	inFlight int
 	// once holds the ids of work that may not be repeated, and notRun those of requests that were told not to have run.
-	once   map[string]bool
-	notRun map[string]bool
+	nonIdempotent map[string]bool
+	notRun        map[string]bool
 	// firstTokens are the latest times to the first token.
 	firstTokens []firstToken
 	// troubles are sentences about requests that did not go well, since the last line.
-	troubles []string
+	failures []string
 }
 
 type firstToken struct {
@@ -59,61 +59,61 @@
 	wait time.Duration
 }
 
-func newTally() *tally {
-	return &tally{once: make(map[string]bool), notRun: make(map[string]bool)}
+func newStats() *stats {
+	return &stats{nonIdempotent: make(map[string]bool), notRun: make(map[string]bool)}
 }
 
 // sent notes a request that goes out.
-func (t *tally) sent(asked order) {
+func (t *stats) recordSent(req request) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.summary.Sent++
-	t.live++
-	if asked.kind.once {
-		t.once[asked.id] = true
+	t.inFlight++
+	if req.class.nonIdempotent {
+		t.nonIdempotent[req.id] = true
 	}
 }
 
 // began takes the time that a first token took.
-func (t *tally) began(now time.Time, wait time.Duration) {
+func (t *stats) recordFirstToken(now time.Time, wait time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.firstTokens = append(t.firstTokens, firstToken{at: now, wait: wait})
 }
 
 // ended takes how a request ended for its caller.
-func (t *tally) ended(got result) {
+func (t *stats) recordResult(res result) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	t.live--
-	switch got.outcome {
+	t.inFlight--
+	switch res.outcome {
 	case outcomeAnswered:
 		t.summary.Answered++
 	case outcomeNotRun:
 		t.summary.NotRun++
-		t.notRun[got.order.id] = true
+		t.notRun[res.request.id] = true
 	case outcomeFailed:
 		t.summary.Failed++
 	default:
 		t.summary.Unknown++
 	}
-	t.summary.WrongAnswers += lo.Ternary(got.wrong, 1, 0)
-	t.summary.Late += lo.Ternary(got.late(), 1, 0)
-	t.summary.Untold += lo.Ternary(got.told, 0, 1)
-	if got.detail != "" && len(t.troubles) < maxTroubles {
-		t.troubles = append(t.troubles, got.trouble())
+	t.summary.WrongAnswers += lo.Ternary(res.wrong, 1, 0)
+	t.summary.Late += lo.Ternary(res.late(), 1, 0)
+	t.summary.Unreported += lo.Ternary(res.outcomeReported, 0, 1)
+	if res.detail != "" && len(t.failures) < maxFailures {
+		t.failures = append(t.failures, res.describeFailure())
 	}
 }
 
 // duplicates counts the runs beyond the first of work that may not be repeated, by the runs of each request.
-func (t *tally) duplicates(runs map[string]int) int {
+func (t *stats) duplicateRuns(runs map[string]int) int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	return lo.SumBy(lo.Keys(t.once), func(id string) int { return max(runs[id]-1, 0) })
+	return lo.SumBy(lo.Keys(t.nonIdempotent), func(id string) int { return max(runs[id]-1, 0) })
 }
 
 // falseNotRun counts the requests that were told not to have run, and have.
-func (t *tally) falseNotRun(runs map[string]int) int {
+func (t *stats) falseNotRun(runs map[string]int) int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return lo.CountBy(lo.Keys(t.notRun), func(id string) bool { return runs[id] > 0 })
@@ -122,24 +122,24 @@
 // snapshot is what one line shows.
 type snapshot struct {
 	summary  summary
-	waiting  int
+	inFlight int
 	p95      time.Duration
-	troubles []string
+	failures []string
 }
 
 // take returns the state and begins the next line.
-func (t *tally) take(now time.Time) snapshot {
+func (t *stats) nextSnapshot(now time.Time) snapshot {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.firstTokens = lo.DropWhile(t.firstTokens, func(each firstToken) bool { return now.Sub(each.at) > firstTokenWindow })
-	state := snapshot{
+	current := snapshot{
 		summary:  t.summary,
-		waiting:  t.live,
+		inFlight: t.inFlight,
 		p95:      percentile95(t.firstTokens),
-		troubles: t.troubles,
+		failures: t.failures,
 	}
-	t.troubles = nil
-	return state
+	t.failures = nil
+	return current
 }
 
 // percentile95 returns the time that 95 of 100 first tokens kept; zero without any.
--- a/internal/demo/tally_test.go
+++ b/internal/demo/stats_test.go
@@ -11,48 +11,48 @@
 
 var testNow = time.Date(2026, 3, 1, 8, 0, 0, 0, time.UTC)
 
-func TestTallyCountsEachRequestOnce(t *testing.T) {
-	counts := newTally()
+func TestStatsCountEachRequestOnce(t *testing.T) {
+	stats := newStats()
 	results := []result{
-		{outcome: outcomeAnswered, told: true, whole: time.Second},
-		{outcome: outcomeAnswered, told: true, whole: time.Minute},
-		{outcome: outcomeAnswered, told: true, wrong: true},
-		{outcome: outcomeNotRun, told: true},
-		{outcome: outcomeNotRun, told: true},
-		{outcome: outcomeUnknown, told: true},
+		{outcome: outcomeAnswered, outcomeReported: true, latency: time.Second},
+		{outcome: outcomeAnswered, outcomeReported: true, latency: time.Minute},
+		{outcome: outcomeAnswered, outcomeReported: true, wrong: true},
+		{outcome: outcomeNotRun, outcomeReported: true},
+		{outcome: outcomeNotRun, outcomeReported: true},
+		{outcome: outcomeUnknown, outcomeReported: true},
 		{outcome: outcomeUnknown},
-		{outcome: outcomeFailed, told: true},
+		{outcome: outcomeFailed, outcomeReported: true},
 	}
 	runs := map[string]int{}
 	for i, got := range results {
-		got.order = testOrder
-		got.order.id = fmt.Sprint("request-", i)
-		got.order.kind.once = i < 4
-		counts.sent(got.order)
-		counts.ended(got)
-		runs[got.order.id] = 1
+		got.request = testRequest
+		got.request.id = fmt.Sprint("request-", i)
+		got.request.class.nonIdempotent = i < 4
+		stats.recordSent(got.request)
+		stats.recordResult(got)
+		runs[got.request.id] = 1
 	}
 	runs["request-0"], runs["request-3"] = 3, 0
 	for wait := range 100 {
-		counts.began(testNow, time.Duration(wait+1)*time.Millisecond)
+		stats.recordFirstToken(testNow, time.Duration(wait+1)*time.Millisecond)
 	}
-	state := counts.take(testNow)
-	want := summary{Sent: 8, Answered: 3, NotRun: 2, Unknown: 2, Failed: 1, WrongAnswers: 1, Late: 1, Untold: 1}
-	if state.summary != want || state.waiting != 0 {
-		t.Errorf("summary %+v with %d waiting, want %+v", state.summary, state.waiting, want)
+	state := stats.nextSnapshot(testNow)
+	want := summary{Sent: 8, Answered: 3, NotRun: 2, Unknown: 2, Failed: 1, WrongAnswers: 1, Late: 1, Unreported: 1}
+	if state.summary != want || state.inFlight != 0 {
+		t.Errorf("summary %+v with %d waiting, want %+v", state.summary, state.inFlight, want)
 	}
-	if duplicates, falsely := counts.duplicates(runs), counts.falseNotRun(runs); duplicates != 2 || falsely != 1 {
+	if duplicates, falsely := stats.duplicateRuns(runs), stats.falseNotRun(runs); duplicates != 2 || falsely != 1 {
 		t.Errorf("%d duplicate runs and %d that ran although not run, want 2 and 1", duplicates, falsely)
 	}
 	if state.p95 != 95*time.Millisecond {
 		t.Errorf("p95 is %s", state.p95)
 	}
-	if again := counts.take(testNow.Add(firstTokenWindow + 1)); again.p95 != 0 {
+	if again := stats.nextSnapshot(testNow.Add(firstTokenWindow + 1)); again.p95 != 0 {
 		t.Error("a line shows what an earlier one has shown")
 	}
 }
 
-func TestSummaryIsWellOnlyIfEveryPromiseHolds(t *testing.T) {
+func TestSummaryAllKept(t *testing.T) {
 	tests := []struct {
 		desc  string
 		total summary
@@ -62,35 +62,35 @@
 		{desc: "true outcomes without an answer", total: summary{Sent: 3, NotRun: 1, Unknown: 1, Failed: 1}, want: true},
 		{desc: "a wrong answer", total: summary{Sent: 1, Answered: 1, WrongAnswers: 1}},
 		{desc: "a duplicate run", total: summary{Sent: 1, Answered: 1, DuplicateRuns: 1}},
-		{desc: "no outcome", total: summary{Sent: 1, Unknown: 1, Untold: 1}},
+		{desc: "no outcome", total: summary{Sent: 1, Unknown: 1, Unreported: 1}},
 		{desc: "run although not run", total: summary{Sent: 1, NotRun: 1, FalseNotRun: 1}},
 	}
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
-			if got := test.total.well(); got != test.want {
+			if got := test.total.allKept(); got != test.want {
 				t.Errorf("well is %t", got)
 			}
 		})
 	}
 }
 
-func TestChangesAreToldOnceAndInOrder(t *testing.T) {
-	told := &changes{}
+func TestRoleChangesAreDrainedOnceInOrder(t *testing.T) {
+	changes := &roleChangeLog{}
 	for _, record := range []decision.Record{
 		{Kind: decision.KindRequest, Subject: "request-1", Outcome: "200"},
 		{Kind: decision.KindAuthority, Process: "gateway-a", Reason: "Nobody held the key."},
 		{Kind: decision.KindRole, Process: "gateway-a", Subject: "w1", Inputs: map[string]string{"group": "counter", "role": "prefill"}, Reason: "Prompts wait."},
 	} {
-		told.note(record)
+		changes.record(record)
 	}
 	want := []string{
 		"gateway-a gives the orders from now on. Nobody held the key.",
 		"gateway-a orders worker w1 of group counter to become prefill. Prompts wait.",
 	}
-	if got := told.take(); !slices.Equal(got, want) {
+	if got := changes.drain(); !slices.Equal(got, want) {
 		t.Errorf("got  %q\nwant %q", got, want)
 	}
-	if again := told.take(); len(again) != 0 {
+	if again := changes.drain(); len(again) != 0 {
 		t.Errorf("told again: %q", again)
 	}
 }
--- a/internal/demo/stream.go
+++ b/internal/demo/stream.go
@@ -27,7 +27,7 @@
 
 // readStream reads an answer and compares it with the one that belongs to the request.
 func (r *result) readStream(body io.Reader, started time.Time, onFirstToken func(time.Duration)) {
-	check := &answerCheck{expected: expectedAnswer(r.order)}
+	checker := &answerChecker{expected: expectedAnswer(r.request)}
 	lines := bufio.NewScanner(body)
 	lines.Buffer(nil, maxEventBytes)
 	number, event := 0, ""
@@ -40,18 +40,18 @@
 		case string(name) == "event":
 			event = string(data)
 		case string(name) == "data" && event == completions.EventError:
-			r.told = true
+			r.outcomeReported = true
 			r.detail = "The stream broke off: " + string(data)
 			return
 		case string(name) != "data":
 		case string(data) == streamDone:
-			r.whole = time.Since(started)
-			r.finish(check)
+			r.latency = time.Since(started)
+			r.finishAnswer(checker)
 			return
 		default:
-			before := check.held
-			r.take(check, number, data)
-			if before == 0 && check.held > 0 && onFirstToken != nil {
+			before := checker.verified
+			r.verifyEvent(checker, number, data)
+			if before == 0 && checker.verified > 0 && onFirstToken != nil {
 				onFirstToken(time.Since(started))
 			}
 		}
@@ -63,46 +63,46 @@
 }
 
 // take checks one piece of the answer.
-func (r *result) take(check *answerCheck, number int, data []byte) {
-	if !check.take(number, data) {
+func (r *result) verifyEvent(checker *answerChecker, number int, data []byte) {
+	if !checker.verify(number, data) {
 		r.wrong = true
-		r.detail = check.problem
+		r.detail = checker.problem
 	}
 }
 
 // finish takes the end of a whole answer.
-func (r *result) finish(check *answerCheck) {
+func (r *result) finishAnswer(checker *answerChecker) {
 	r.outcome = outcomeAnswered
-	r.told = true
-	if !r.wrong && check.held != len(check.expected) {
+	r.outcomeReported = true
+	if !r.wrong && checker.verified != len(checker.expected) {
 		r.wrong = true
 		r.detail = "The answer ended before it was whole."
 	}
 }
 
 // answerCheck compares the pieces of an answer with what they must be.
-type answerCheck struct {
+type answerChecker struct {
 	expected []string
 	// held is the number of tokens that came, all right so far.
-	held    int
-	problem string
+	verified int
+	problem  string
 }
 
 // take checks one event, by its number in the stream, and tells whether it is right.
-func (a *answerCheck) take(number int, data []byte) bool {
+func (a *answerChecker) verify(number int, data []byte) bool {
 	var event completionEvent
 	if err := json.Unmarshal(data, &event); err != nil {
 		a.problem = "An event of the stream cannot be read: " + err.Error()
 		return false
 	}
-	if number != a.held+1 || a.held >= len(a.expected) || len(event.Choices) != 1 {
+	if number != a.verified+1 || a.verified >= len(a.expected) || len(event.Choices) != 1 {
 		a.problem = "A piece of the answer came out of order or after its end."
 		return false
 	}
-	if event.Choices[0].Text != a.expected[a.held] {
+	if event.Choices[0].Text != a.expected[a.verified] {
 		a.problem = "A word of the answer is not the one that belongs there."
 		return false
 	}
-	a.held++
+	a.verified++
 	return true
 }
--- a/internal/demo/system.go
+++ b/internal/demo/system.go
@@ -26,23 +26,23 @@
 
 // system is a deployment in one process: stand-ins and gateways, which talk over loopback.
 type system struct {
-	fleet    *labfleet.Fleet
-	gateways []*gateway.Gateway
-	settings []gateway.Settings
-	stops    []func()
+	fleet         *labfleet.Fleet
+	gateways      []*gateway.Gateway
+	settings      []gateway.Settings
+	stopFollowing []func()
 }
 
 // startSystem starts a deployment and waits until each gateway takes requests.
-func startSystem(ctx context.Context, chosen deployment.Deployment, speed float64, around Surroundings, logger *logrus.Logger) (*system, error) {
-	stand, err := labfleet.Start(ctx, labfleet.Options{Deployment: chosen, Listen: "127.0.0.1:0", Speed: speed, Connect: around.NewStore})
+func startSystem(ctx context.Context, spec deployment.Deployment, speed float64, factories Surroundings, logger *logrus.Logger) (*system, error) {
+	standins, err := labfleet.Start(ctx, labfleet.Options{Deployment: spec, Listen: "127.0.0.1:0", Speed: speed, Connect: factories.NewStore})
 	if err != nil {
 		return nil, err
 	}
-	s := &system{fleet: stand}
-	for _, zone := range chosen.Zones {
-		for number := range chosen.GatewaysPerZone {
+	s := &system{fleet: standins}
+	for _, zone := range spec.Zones {
+		for number := range spec.GatewaysPerZone {
 			name := fmt.Sprintf("gateway-%s-%d", strings.TrimPrefix(zone, "zone-"), number+1)
-			if err := s.startGateway(name, zone, around, logger); err != nil {
+			if err := s.startGateway(name, zone, factories, logger); err != nil {
 				s.stop()
 				return nil, err
 			}
@@ -52,7 +52,7 @@
 }
 
 // startGateway starts one gateway on free ports.
-func (s *system) startGateway(name, zone string, around Surroundings, logger *logrus.Logger) error {
+func (s *system) startGateway(name, zone string, factories Surroundings, logger *logrus.Logger) error {
 	addresses, err := freeAddresses(5)
 	if err != nil {
 		return err
@@ -63,11 +63,11 @@
 	settings.ListenPeers, settings.ListenAdmin = addresses[3], addresses[4]
 	settings.FirstStart = true
 	settings.StoreAddress = s.fleet.StoreAddress()
-	started := around.NewGateway(settings, logger)
-	if err := started.Start(); err != nil {
+	gw := factories.NewGateway(settings, logger)
+	if err := gw.Start(); err != nil {
 		return errors.Wrapf(err, "step start gateway %s", name)
 	}
-	s.gateways, s.settings = append(s.gateways, started), append(s.settings, settings)
+	s.gateways, s.settings = append(s.gateways, gw), append(s.settings, settings)
 	return nil
 }
 
@@ -102,16 +102,16 @@
 }
 
 // follow hands each new decision of every gateway to a function, which is called from many goroutines.
-func (s *system) follow(take func(decision.Record)) {
+func (s *system) followDecisions(handle func(decision.Record)) {
 	for _, each := range s.gateways {
 		records, stop := each.Decisions().Follow()
 		done := make(chan struct{})
-		s.stops = append(s.stops, func() { stop(); close(done) })
+		s.stopFollowing = append(s.stopFollowing, func() { stop(); close(done) })
 		go func() {
 			for {
 				select {
 				case record := <-records:
-					take(record)
+					handle(record)
 				case <-done:
 					return
 				}
@@ -122,7 +122,7 @@
 
 // stop ends everything at once.
 func (s *system) stop() {
-	for _, stop := range s.stops {
+	for _, stop := range s.stopFollowing {
 		stop()
 	}
 	for _, each := range s.gateways {
--- a/internal/demo/workload_test.go
+++ b/internal/demo/workload_test.go
@@ -14,14 +14,14 @@
 	"github.com/granitebay/granitebay/internal/standin/answers"
 )
 
-func TestWorkloadsFitTheirConfiguration(t *testing.T) {
-	for _, chosen := range deployment.All() {
-		t.Run(chosen.Name, func(t *testing.T) {
-			work, err := workloadOf(chosen.Name)
+func TestWorkloadsMatchConfiguration(t *testing.T) {
+	for _, spec := range deployment.All() {
+		t.Run(spec.Name, func(t *testing.T) {
+			work, err := workloadFor(spec.Name)
 			if err != nil {
 				t.Fatal(err)
 			}
-			document, err := configuration.Example(chosen.Configuration)
+			document, err := configuration.Example(spec.Configuration)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -30,7 +30,7 @@
 				t.Fatal(err)
 			}
 			for _, each := range work.classes {
-				labels := map[string]string{"class": each.name, configuration.LabelRepeatable: lo.Ternary(each.once, "false", "true")}
+				labels := map[string]string{"class": each.name, configuration.LabelRepeatable: lo.Ternary(each.nonIdempotent, "false", "true")}
 				rule, ok := snapshot.RuleFor(labels)
 				if !ok {
 					t.Errorf("no rule selects class %s", each.name)
@@ -38,7 +38,7 @@
 				if longest := rule.Timeout.Std(); each.deadline > longest {
 					t.Errorf("class %s has deadline %s, rule %s allows %s", each.name, each.deadline, rule.Name, longest)
 				}
-				if each.wanted > each.deadline {
+				if each.latencyTarget > each.deadline {
 					t.Errorf("class %s is wanted after its deadline", each.name)
 				}
 			}
@@ -48,7 +48,7 @@
 
 func TestMixShiftsWithinTenSeconds(t *testing.T) {
 	for _, name := range deployment.Names() {
-		work, err := workloadOf(name)
+		work, err := workloadFor(name)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -68,14 +68,14 @@
 	}
 }
 
-func TestDrawFollowsTheRates(t *testing.T) {
+func TestPickClassFollowsRates(t *testing.T) {
 	work := fesWorkload()
 	random := rand.New(rand.NewPCG(1, 1))
 	drawn := map[string]int{}
 	const draws = 10000
 	for range draws {
-		kind, _ := work.draw(0, random)
-		drawn[kind.name]++
+		class, _ := work.pickClass(0, random)
+		drawn[class.name]++
 	}
 	rates := work.rates(0)
 	for index, each := range work.classes {
@@ -86,15 +86,15 @@
 	}
 }
 
-func TestPromptsOfATenantBeginAlike(t *testing.T) {
+func TestTenantPromptsShareAPrefix(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
-	kind := class{name: "history", promptTokens: 3000, sharedTokens: 600}
-	first, second := prompt(kind, "cafe", random), prompt(kind, "cafe", random)
-	shared := tenantText(kind, "cafe")
+	class := requestClass{name: "history", promptTokens: 3000, sharedTokens: 600}
+	first, second := randomPrompt(class, "cafe", random), randomPrompt(class, "cafe", random)
+	shared := tenantPrefix(class, "cafe")
 	if first == second || !strings.HasPrefix(first, shared+" ") || !strings.HasPrefix(second, shared+" ") {
 		t.Error("prompts of one tenant do not share their beginning alone")
 	}
-	if strings.HasPrefix(prompt(kind, "mill", random), shared) {
+	if strings.HasPrefix(randomPrompt(class, "mill", random), shared) {
 		t.Error("another tenant has the same beginning")
 	}
 	if got := answers.CountTokens(first); got < 2400 || got > 3600 {
