--- a/internal/demo/call.go
+++ b/internal/demo/call.go
@@ -16,7 +16,7 @@
 	"github.com/granitebay/granitebay/internal/standin/answers"
 )
 
-// order is one request as a caller makes it.
+// request is a request of a simulated client.
 type request struct {
 	class        requestClass
 	tenant       string
@@ -24,11 +24,11 @@
 	model        string
 	prompt       string
 	answerTokens int
-	// gateway is the host:port at which the caller connects.
+	// gateway is the host:port of the gateway to which the client connects.
 	gateway string
 }
 
-// outcome is how a request ended for its caller.
+// outcome is the result of a request as seen by its client.
 type outcome string
 
 // The outcomes. Each request has exactly one.
@@ -39,39 +39,39 @@
 	outcomeFailed   outcome = "failed"
 )
 
-// result is what a caller got.
+// result is what the client observed of a request.
 type result struct {
 	request request
 	outcome outcome
-	// told is set when the gateway itself said how the request ended. If not, the outcome is unknown to the caller.
+	// outcomeReported is set if the gateway reported how the request ended. Otherwise the outcome is unknown.
 	outcomeReported bool
-	// wrong is set when a token was not the one that belongs at its place, or the end came too early or too late.
+	// wrong is set if the answer differs from the expected one, or ended too early or too late.
 	wrong bool
-	// whole is the time from the call to the end of the answer; zero when it never came.
+	// latency is the time from the call to the end of the answer; zero if the answer is incomplete.
 	latency time.Duration
-	// detail says why the request was not answered, or what was wrong.
+	// detail describes why the request was not answered, or what was wrong with the answer.
 	detail string
 }
 
-// late tells whether a whole answer came after it was wanted.
+// late reports whether a complete answer exceeded the latency target of its class.
 func (r result) late() bool {
 	return r.outcome == outcomeAnswered && r.latency > r.request.class.latencyTarget
 }
 
-// answerGrace is how long after the deadline a caller still waits for the outcome.
+// deadlineGrace is how long after its deadline a client still waits for the outcome.
 const deadlineGrace = 5 * time.Second
 
-// maxErrorBytes bounds what is read of the body of an error.
+// maxErrorBytes bounds the part of an error body that is read.
 const maxErrorBytes = 1 << 16
 
 // caller sends requests to gateways.
 type caller struct {
 	client *http.Client
-	// onFirstToken takes the time from each call to its first token; nil for none.
+	// onFirstToken is called with the time to first token of each request; it may be nil.
 	onFirstToken func(wait time.Duration)
 }
 
-// call makes one request and checks the answer word for word.
+// call sends a request and verifies every token of the answer.
 func (c caller) call(ctx context.Context, req request) result {
 	ctx, cancel := context.WithTimeout(ctx, req.class.deadline+deadlineGrace)
 	defer cancel()
@@ -91,7 +91,7 @@
 	return res
 }
 
-// send sends the request and returns the response.
+// send sends the HTTP request and returns the response.
 func (c caller) send(ctx context.Context, req request) (*http.Response, error) {
 	body, err := json.Marshal(completions.Body{
 		Model: req.model, Prompt: req.prompt, MaxTokens: &req.answerTokens, Stream: true, SharedPrefixTokens: req.class.sharedTokens,
@@ -101,7 +101,7 @@
 	}
 	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+req.gateway+completions.Path, bytes.NewReader(body))
 	if err != nil {
-		return nil, errors.Wrap(err, "make the request")
+		return nil, errors.Wrap(err, "create the request")
 	}
 	request.Header.Set("Content-Type", "application/json")
 	request.Header.Set(completions.HeaderTenant, req.tenant)
@@ -110,10 +110,10 @@
 	request.Header.Set(completions.HeaderRepeatable, strconv.FormatBool(!req.class.nonIdempotent))
 	request.Header.Set(completions.HeaderRequestID, req.id)
 	response, err := c.client.Do(request)
-	return response, errors.Wrapf(err, "step ask, peer %s", req.gateway)
+	return response, errors.Wrapf(err, "send the request to %s", req.gateway)
 }
 
-// readError reads a response that is no answer. A refusal promises that the request did not run.
+// readError evaluates an error response. A refusal guarantees that the request was not executed.
 func (r *result) readError(status int, body io.Reader) {
 	data, err := io.ReadAll(io.LimitReader(body, maxErrorBytes))
 	if err != nil {
@@ -121,7 +121,7 @@
 		return
 	}
 	r.outcomeReported = true
-	r.detail = fmt.Sprintf("The gateway answered %d: %s", status, data)
+	r.detail = fmt.Sprintf("the gateway answered %d: %s", status, data)
 	switch status {
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusBadRequest, http.StatusNotFound:
 		r.outcome = outcomeNotRun
@@ -130,7 +130,7 @@
 	}
 }
 
-// expectedAnswer is the text that belongs to an order.
+// expectedAnswer returns the tokens of the correct answer.
 func expectedAnswer(req request) []string {
 	return answers.Tokens(answers.PromptDigest(req.model, req.prompt), 0, req.answerTokens)
 }
--- a/internal/demo/call_test.go
+++ b/internal/demo/call_test.go
@@ -18,10 +18,10 @@
 	tenant: "cafe", id: "01M8TV82FSD4KWQPSGE56P4G3K", model: "model", prompt: "grind size", answerTokens: 4,
 }
 
-// piece is the events of some tokens of the answer to testOrder.
+// answerEvents returns the events of the tokens [from, to) of the answer to testRequest.
 func answerEvents(from, to int) string { return eventsFrom(from, expectedAnswer(testRequest)[from:to]) }
 
-// pieceOf is the events of tokens from a place on.
+// eventsFrom returns the events of tokens, numbered from an index on.
 func eventsFrom(from int, tokens []string) string {
 	var text strings.Builder
 	for i, token := range tokens {
@@ -34,27 +34,27 @@
 
 func TestCallReportsOutcome(t *testing.T) {
 	tests := []struct {
-		desc   string
-		status int
-		body   string
-		want   outcome
-		wrong  bool
-		untold bool
+		desc       string
+		status     int
+		body       string
+		want       outcome
+		wrong      bool
+		unreported bool
 	}{
-		{desc: "whole and right", body: answerEvents(0, 1) + answerEvents(1, 4) + doneEvent, want: outcomeAnswered},
-		{desc: "a wrong word", body: answerEvents(0, 2) + eventsFrom(2, []string{" no", " way"}) + doneEvent, want: outcomeAnswered, wrong: true},
-		{desc: "a piece is missing", body: answerEvents(0, 1) + answerEvents(2, 4) + doneEvent, want: outcomeAnswered, wrong: true},
-		{desc: "a piece came twice", body: answerEvents(0, 2) + answerEvents(0, 2) + answerEvents(2, 4) + doneEvent, want: outcomeAnswered, wrong: true},
-		{desc: "it ends too early", body: answerEvents(0, 3) + doneEvent, want: outcomeAnswered, wrong: true},
-		{desc: "it ends too late", body: answerEvents(0, 4) + eventsFrom(4, []string{" more"}) + doneEvent, want: outcomeAnswered, wrong: true},
-		{desc: "an event cannot be read", body: "data: {\n\n" + doneEvent, want: outcomeAnswered, wrong: true},
-		{desc: "the stream breaks off", body: answerEvents(0, 2), want: outcomeUnknown, untold: true},
-		{desc: "wrong before it breaks off", body: answerEvents(1, 2), want: outcomeUnknown, wrong: true, untold: true},
-		{desc: "the stream says that it broke off", body: answerEvents(0, 2) + "event: error\ndata: {\"error\":\"the time is over\"}\n\n", want: outcomeUnknown},
+		{desc: "complete and correct", body: answerEvents(0, 1) + answerEvents(1, 4) + doneEvent, want: outcomeAnswered},
+		{desc: "wrong token", body: answerEvents(0, 2) + eventsFrom(2, []string{" no", " way"}) + doneEvent, want: outcomeAnswered, wrong: true},
+		{desc: "missing event", body: answerEvents(0, 1) + answerEvents(2, 4) + doneEvent, want: outcomeAnswered, wrong: true},
+		{desc: "duplicate event", body: answerEvents(0, 2) + answerEvents(0, 2) + answerEvents(2, 4) + doneEvent, want: outcomeAnswered, wrong: true},
+		{desc: "ends too early", body: answerEvents(0, 3) + doneEvent, want: outcomeAnswered, wrong: true},
+		{desc: "ends too late", body: answerEvents(0, 4) + eventsFrom(4, []string{" more"}) + doneEvent, want: outcomeAnswered, wrong: true},
+		{desc: "invalid event", body: "data: {\n\n" + doneEvent, want: outcomeAnswered, wrong: true},
+		{desc: "stream aborted", body: answerEvents(0, 2), want: outcomeUnknown, unreported: true},
+		{desc: "wrong event before the stream is aborted", body: answerEvents(1, 2), want: outcomeUnknown, wrong: true, unreported: true},
+		{desc: "error event", body: answerEvents(0, 2) + "event: error\ndata: {\"error\":\"the time is over\"}\n\n", want: outcomeUnknown},
 		{desc: "not run", status: 503, want: outcomeNotRun},
-		{desc: "time over", status: 504, want: outcomeUnknown},
+		{desc: "timeout", status: 504, want: outcomeUnknown},
 		{desc: "failed", status: 502, want: outcomeFailed},
-		{desc: "not valid", status: 400, want: outcomeNotRun},
+		{desc: "invalid request", status: 400, want: outcomeNotRun},
 	}
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
@@ -66,8 +66,8 @@
 			req := testRequest
 			req.gateway = server.Listener.Addr().String()
 			res := caller{client: server.Client()}.call(t.Context(), req)
-			if res.outcome != test.want || res.wrong != test.wrong || res.outcomeReported == test.untold {
-				t.Errorf("outcome %s, wrong %t, told %t: %s", res.outcome, res.wrong, res.outcomeReported, res.detail)
+			if res.outcome != test.want || res.wrong != test.wrong || res.outcomeReported == test.unreported {
+				t.Errorf("outcome %s, wrong %t, outcome reported %t: %s", res.outcome, res.wrong, res.outcomeReported, res.detail)
 			}
 		})
 	}
--- a/internal/demo/command.go
+++ b/internal/demo/command.go
@@ -1,5 +1,5 @@
-// Package demo is the main job of a newcomer: a whole deployment in one process with live load whose mix shifts, and a
-// line a second that says who served what, which engines change their role, and why.
+// Package demo runs a whole deployment in one process under a generated load with a shifting mix. It prints one line per second
+// with the request counts and latencies, the worker roles and the reasons for role changes.
 package demo
 
 import (
@@ -15,44 +15,44 @@
 )
 
 const (
-	// lineInterval is the time between two lines.
+	// lineInterval is the time between status lines.
 	lineInterval = time.Second
 	// startTimeout bounds the start of the deployment.
 	startTimeout = 30 * time.Second
-	// noMix stands for the mix when no more requests are sent.
+	// drainingMix replaces the mix once no more requests are sent.
 	drainingMix = "no new requests, waiting for answers"
 )
 
 // Command is the command line of the demo.
 type Command struct {
 	Deployment string        `default:"fes" help:"Deployment to run: fes or magnolia."`
-	For        time.Duration `help:"Time to send requests, for example 10s; then wait for the answers and print a summary. By default until Ctrl-C."`
-	Seed       uint64        `default:"1" help:"Decides the requests and the faults of the stand-ins."`
-	Rate       float64       `default:"1" help:"Factor on the requests a second."`
-	// EngineSpeed above 1 leaves room to watch a rush without many late answers.
-	EngineSpeed float64 `default:"1.5" help:"Factor on the speed of the engines."`
+	For        time.Duration `help:"How long to send requests, for example 10s. The demo then waits for the answers and prints a summary. By default it runs until Ctrl-C."`
+	Seed       uint64        `default:"1" help:"Seed of the generated requests."`
+	Rate       float64       `default:"1" help:"Factor applied to the request rate."`
+	// A speed above 1 leaves enough headroom that a rush causes few late answers.
+	EngineSpeed float64 `default:"1.5" help:"Factor applied to the speed of the engines."`
 }
 
-// ErrPromiseBroken is the error of a demo in which a promise was broken.
-var ErrPromiseBroken = errors.New("a promise was broken")
+// ErrGuaranteeViolated is returned if a guarantee was violated.
+var ErrGuaranteeViolated = errors.New("a guarantee was violated")
 
-// Validate checks what the types of the flags cannot say. The error names everything that is wrong.
+// Validate checks the flag values and returns all problems at once.
 func (c *Command) Validate() error {
 	_, err := deployment.Find(c.Deployment)
 	problems := errors.Wrap(err, "--deployment")
 	if c.For < 0 {
-		problems = errors.Join(problems, errors.Newf("--for is %s, allowed is 0 or more", c.For))
+		problems = errors.Join(problems, errors.Newf("--for is %s, must not be negative", c.For))
 	}
 	if c.Rate <= 0 {
-		problems = errors.Join(problems, errors.Newf("--rate is %g, allowed is more than 0", c.Rate))
+		problems = errors.Join(problems, errors.Newf("--rate is %g, must be greater than 0", c.Rate))
 	}
 	if c.EngineSpeed <= 0 {
-		problems = errors.Join(problems, errors.Newf("--engine-speed is %g, allowed is more than 0", c.EngineSpeed))
+		problems = errors.Join(problems, errors.Newf("--engine-speed is %g, must be greater than 0", c.EngineSpeed))
 	}
 	return problems
 }
 
-// Run runs the demo until the time is over or the context ends. The last line is the summary as JSON.
+// Run runs the demo until the configured time is over or the context ends. The last line of output is the summary in JSON.
 func (c *Command) Run(ctx context.Context, out io.Writer, factories Surroundings, logger *logrus.Logger) error {
 	spec, err := deployment.Find(c.Deployment)
 	if err != nil {
@@ -83,7 +83,7 @@
 	return screen.finish(final.summary)
 }
 
-// serve sends the load and prints a line a second, until the time is over and the answers are here.
+// serve sends requests and prints status lines until the time is over and all requests have ended.
 func (c *Command) serve(ctx context.Context, screen display, generator *loadGenerator, sys *system, roleChanges *roleChangeLog) {
 	started := time.Now()
 	if c.For > 0 {
@@ -114,7 +114,7 @@
 	}
 }
 
-// quieter returns a logger without the messages that every start gives, unless details were asked for.
+// warningsOnly returns a logger that suppresses info messages, unless a more detailed level is set.
 func warningsOnly(logger *logrus.Logger) *logrus.Logger {
 	quiet := logrus.New()
 	quiet.SetOutput(logger.Out)
@@ -126,7 +126,7 @@
 	return quiet
 }
 
-// end prints the summary, as JSON on the last line, and tells whether all is well.
+// finish prints the summary, with JSON on the last line, and returns an error if a guarantee was violated.
 func (d display) finish(total summary) error {
 	d.totals(total)
 	text, err := json.Marshal(total)
@@ -134,8 +134,8 @@
 		return errors.Wrap(err, "encode the summary")
 	}
 	d.printf("%s", text)
-	if !total.allKept() {
-		return errors.Wrapf(ErrPromiseBroken, "demo: %d wrong answers, %d duplicate runs, %d requests without an outcome, %d run although not run",
+	if !total.guaranteesKept() {
+		return errors.Wrapf(ErrGuaranteeViolated, "demo: %d wrong answers, %d duplicate runs, %d requests without a reported outcome, %d executed although reported as not run",
 			total.WrongAnswers, total.DuplicateRuns, total.Unreported, total.FalseNotRun)
 	}
 	return nil
--- a/internal/demo/display.go
+++ b/internal/demo/display.go
@@ -13,18 +13,18 @@
 	"github.com/granitebay/granitebay/internal/labfleet"
 )
 
-// display writes what a newcomer sees.
+// display prints the output of the demo.
 type display struct {
 	out      io.Writer
 	workload workload
 }
 
-// printf writes one line.
+// printf prints one line.
 func (d display) printf(format string, arguments ...any) {
 	_, _ = fmt.Fprintf(d.out, format+"\n", arguments...)
 }
 
-// line writes the state of one second. The mix is what is asked for.
+// line prints the status line of one second. The mix describes the requests being sent.
 func (d display) line(elapsed time.Duration, mix string, current snapshot, roles roleCounts) {
 	d.printf("%4.0fs | %s | sent %d answered %d waiting %d late %d%s | %s | %s",
 		elapsed.Seconds(), mix,
@@ -33,14 +33,14 @@
 	d.failures(current.failures)
 }
 
-// troubles writes what did not go well.
+// failures prints descriptions of failed requests.
 func (d display) failures(lines []string) {
 	for _, sentence := range lines {
 		d.printf("      ! %s", sentence)
 	}
 }
 
-// mix names the shares of the classes among the requests of now.
+// mix returns the current share of each class among the requests.
 func (d display) mix(elapsed time.Duration) string {
 	rates := d.workload.rates(elapsed)
 	total := lo.Sum(rates)
@@ -49,7 +49,7 @@
 	}), " ")
 }
 
-// unanswered names the requests that ended without an answer, if there are any.
+// unanswered returns the nonzero counts of requests without a correct answer.
 func unanswered(counts summary) string {
 	text := ""
 	for _, each := range []struct {
@@ -63,16 +63,15 @@
 	return text
 }
 
-// roles counts the workers of each role.
+// roleCounts is the number of workers in each role.
 type roleCounts struct{ prefill, decode, changing int }
 
-// rolesOf counts the workers of a fleet.
+// countRoles counts the workers of a fleet by role.
 func countRoles(standins *labfleet.Fleet) roleCounts {
 	prefill, decode, changing := standins.RoleCounts()
 	return roleCounts{prefill, decode, changing}
 }
 
-// String names the roles.
 func (r roleCounts) String() string {
 	text := fmt.Sprintf("%d prefill, %d decode", r.prefill, r.decode)
 	if r.changing > 0 {
@@ -81,7 +80,7 @@
 	return text
 }
 
-// seconds writes a time to hundredths of a second; a dash for none.
+// seconds formats a duration in seconds with two decimals; zero is a dash.
 func seconds(duration time.Duration) string {
 	if duration == 0 {
 		return "-"
@@ -89,45 +88,45 @@
 	return fmt.Sprintf("%.2fs", duration.Seconds())
 }
 
-// trouble says in one sentence what became of a request that did not go well.
+// describeFailure describes in one sentence how a request failed.
 func (r result) describeFailure() string {
 	outcome := lo.Ternary(r.wrong, "wrong answer", strings.ReplaceAll(string(r.outcome), "_", " "))
 	return fmt.Sprintf("%s request %s: %s: %s", r.request.class.name, r.request.id, outcome, r.detail)
 }
 
-// introduction says what is about to run.
+// introduction prints what is about to run.
 func (d display) introduction(spec deployment.Deployment) {
-	d.printf("%s, all in this one process: %d zones, %d gateways, %d engines, which talk over loopback.",
+	d.printf("%s, in a single process: %d zones, %d gateways and %d engines, connected over loopback.",
 		spec.Title, len(spec.Zones), len(spec.Zones)*spec.GatewaysPerZone, len(spec.Workers))
-	d.printf("The engines and the store are stand-ins.")
-	d.printf("An engine in the prefill role reads long prompts fast; one in the decode role writes many answers at once.")
+	d.printf("The engines and the store are simulated.")
+	d.printf("Engines in the prefill role process long prompts quickly; those in the decode role generate many answers at once.")
 	d.printf("Starting ...")
 	d.printf("")
 }
 
-// ready says what a newcomer can try, and how to read the lines.
+// ready prints commands to try and explains the status lines.
 func (d display) ready(spec deployment.Deployment, sys *system) {
 	first := sys.settings[0]
-	d.printf("Ready. Ask a gateway yourself:")
+	d.printf("Ready. Send a request to a gateway:")
 	d.printf("  curl -s http://%s%s -H 'Content-Type: application/json' -H '%s: visitor' -d '{\"model\": \"%s\", \"prompt\": \"Which roast suits this blend?\", \"max_tokens\": 12}'",
 		first.ListenCallers, completions.Path, completions.HeaderTenant, spec.Model)
-	d.printf("Watch every decision as it is made, in a terminal or on a page:")
+	d.printf("Follow the decisions of the gateways, in a terminal or in a browser:")
 	d.printf("  go run ./cmd/granitebay decisions --follow --gateway %s", first.ListenAdmin)
 	d.printf("  http://%s/", first.ListenAdmin)
 	d.printf("")
-	d.printf("A line a second: what is asked for | requests so far | time in which 95 of 100 answers began | engines by role.")
-	d.printf("Below it, after >, why engines change their role.")
+	d.printf("One line per second: request mix | requests so far | time to first token, 95th percentile | engines by role.")
+	d.printf("Lines after > explain role changes, lines after ! failed requests.")
 	d.printf("")
 }
 
-// sentences writes what was decided on roles.
+// roleChanges prints decisions on roles.
 func (d display) roleChanges(lines []string) {
 	for _, line := range lines {
 		d.printf("      > %s", line)
 	}
 }
 
-// totals sums the demo up for people.
+// totals prints the summary in words.
 func (d display) totals(total summary) {
 	d.printf("")
 	d.printf("%d requests were sent and %d answered, %d of them late. %d were not run, %d ended unknown, %d failed.",
--- a/internal/demo/load.go
+++ b/internal/demo/load.go
@@ -13,21 +13,21 @@
 	"github.com/granitebay/granitebay/internal/gateway"
 )
 
-// load sends requests to the gateways in open loop: it sends the next one whether or not the earlier ones were answered.
+// loadGenerator sends requests to the gateways in an open loop: it does not wait for earlier answers.
 type loadGenerator struct {
 	workload workload
 	model    string
-	// gateways are the addresses for callers.
+	// gateways are the addresses for client requests.
 	gateways []string
 	stats    *stats
 	random   *rand.Rand
-	// factor scales the requests a second.
+	// rateFactor scales the request rate.
 	rateFactor float64
 	caller     caller
 	pending    sync.WaitGroup
 }
 
-// idleConnections is how many idle connections to one gateway are kept.
+// maxIdleConnsPerGateway bounds the idle connections to one gateway.
 const maxIdleConnsPerGateway = 256
 
 func newLoadGenerator(seed uint64, rateFactor float64, workload workload, model string, sys *system, stats *stats) *loadGenerator {
@@ -45,7 +45,7 @@
 	}
 }
 
-// run sends until the context ends. The calls outlive it.
+// run sends requests until the context ends. Pending requests outlive it.
 func (l *loadGenerator) run(ctx context.Context, started time.Time) {
 	next := started
 	for {
@@ -60,7 +60,7 @@
 	}
 }
 
-// newOrder makes a request of a class. Callers choose a gateway at random, as those do that ask the directory.
+// newRequest generates a request of a class. The gateway is chosen at random, as by clients that use the directory.
 func (l *loadGenerator) newRequest(now time.Time, class requestClass) request {
 	tenant := l.workload.tenants[l.random.IntN(len(l.workload.tenants))]
 	return request{
@@ -74,10 +74,10 @@
 	}
 }
 
-// newID returns a request id that carries the time.
+// newID returns a request ID that encodes the time.
 func newID(now time.Time, random *rand.Rand) string {
 	var key ulid.ULID
-	// The error is for times after the year 10889.
+	// SetTime fails only for times after the year 10889.
 	_ = key.SetTime(ulid.Timestamp(now))
 	for index := 6; index < len(key); index++ {
 		key[index] = byte(random.Uint32())
@@ -85,7 +85,7 @@
 	return key.String()
 }
 
-// send makes a call in the background.
+// send sends a request in the background.
 func (l *loadGenerator) send(req request) {
 	l.stats.recordSent(req)
 	l.pending.Go(func() {
@@ -94,7 +94,7 @@
 	})
 }
 
-// wait waits for the calls that are under way. Each ends by itself soon after its deadline.
+// wait waits for the pending requests. Each ends soon after its deadline.
 func (l *loadGenerator) wait() {
 	l.pending.Wait()
 	l.caller.client.CloseIdleConnections()
--- a/internal/demo/rolechanges.go
+++ b/internal/demo/rolechanges.go
@@ -7,13 +7,13 @@
 	"github.com/granitebay/granitebay/internal/decision"
 )
 
-// changes turns the decisions on roles into sentences.
+// roleChangeLog collects descriptions of the decisions on worker roles.
 type roleChangeLog struct {
 	mu        sync.Mutex
 	sentences []string
 }
 
-// note takes a decision of any kind.
+// record adds a decision; those of other kinds are ignored.
 func (c *roleChangeLog) record(record decision.Record) {
 	sentence := describeRoleDecision(record)
 	if sentence == "" {
@@ -24,7 +24,7 @@
 	c.sentences = append(c.sentences, sentence)
 }
 
-// take returns the sentences since the last call.
+// drain returns the descriptions added since the last call.
 func (c *roleChangeLog) drain() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -33,14 +33,14 @@
 	return sentences
 }
 
-// sentenceOf says what a decision means for the roles; empty if it means nothing.
+// describeRoleDecision describes a decision on roles; it returns an empty string for other kinds.
 func describeRoleDecision(record decision.Record) string {
 	switch record.Kind {
 	case decision.KindRole:
 		return fmt.Sprintf("%s orders worker %s of group %s to become %s. %s",
 			record.Process, record.Subject, record.Inputs["group"], record.Inputs["role"], record.Reason)
 	case decision.KindAuthority:
-		return fmt.Sprintf("%s gives the orders from now on. %s", record.Process, record.Reason)
+		return fmt.Sprintf("%s now issues the orders. %s", record.Process, record.Reason)
 	default:
 		return ""
 	}
--- a/internal/demo/stats.go
+++ b/internal/demo/stats.go
@@ -8,49 +8,49 @@
 	"github.com/samber/lo"
 )
 
-// firstTokenWindow is how far back the times to the first token go that a line sums up.
+// firstTokenWindow is the period over which the time to first token is aggregated.
 const firstTokenWindow = 5 * time.Second
 
-// maxTroubles bounds the troubles that wait to be printed.
+// maxFailures bounds the failure descriptions that wait to be printed.
 const maxFailures = 5
 
-// summary counts requests by how they ended. Each sent request is in exactly one of Answered, NotRun, Unknown and Failed.
+// summary counts requests by outcome. Each ended request is counted in exactly one of Answered, NotRun, Unknown and Failed.
 type summary struct {
 	Sent     int `json:"sent"`
 	Answered int `json:"answered"`
 	NotRun   int `json:"not_run"`
 	Unknown  int `json:"unknown"`
 	Failed   int `json:"failed"`
-	// WrongAnswers counts answers with a word that does not belong there, and answers that were not whole.
+	// WrongAnswers counts incorrect and incomplete answers.
 	WrongAnswers int `json:"wrong_answers"`
-	// DuplicateRuns counts the runs beyond the first of work that may not be repeated.
+	// DuplicateRuns counts the repeated runs of non-idempotent requests.
 	DuplicateRuns int `json:"duplicate_runs"`
 	RoleChanges   int `json:"role_changes"`
-	// Late answers were whole and right, but came after they were wanted.
+	// Late counts complete answers that exceeded the latency target of their class.
 	Late int `json:"late"`
-	// Untold counts those Unknown of which not even the gateway said how they ended.
+	// Unreported counts the requests among Unknown whose outcome the gateway did not report.
 	Unreported int `json:"untold"`
-	// FalseNotRun counts those NotRun that a worker had begun to run.
+	// FalseNotRun counts the requests among NotRun that a worker did run.
 	FalseNotRun int `json:"false_not_run"`
 }
 
-// well tells whether every promise was kept.
-func (s summary) allKept() bool {
+// guaranteesKept reports whether no guarantee was violated.
+func (s summary) guaranteesKept() bool {
 	return s.WrongAnswers == 0 && s.DuplicateRuns == 0 && s.Unreported == 0 && s.FalseNotRun == 0
 }
 
-// tally collects what happens. It is safe for use by many goroutines.
+// stats collects the results of requests. It is safe for concurrent use.
 type stats struct {
 	mutex   sync.Mutex
 	summary summary
-	// live counts the requests that are under way.
+	// inFlight is the number of requests that have not ended.
 	inFlight int
-	// once holds the ids of work that may not be repeated, and notRun those of requests that were told not to have run.
+	// nonIdempotent holds the IDs of non-idempotent requests, and notRun those of requests reported as not run.
 	nonIdempotent map[string]bool
 	notRun        map[string]bool
-	// firstTokens are the latest times to the first token.
+	// firstTokens are the recent times to first token.
 	firstTokens []firstToken
-	// troubles are sentences about requests that did not go well, since the last line.
+	// failures describe the failed requests since the last snapshot.
 	failures []string
 }
 
@@ -63,7 +63,7 @@
 	return &stats{nonIdempotent: make(map[string]bool), notRun: make(map[string]bool)}
 }
 
-// sent notes a request that goes out.
+// recordSent records that a request is being sent.
 func (t *stats) recordSent(req request) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -74,14 +74,14 @@
 	}
 }
 
-// began takes the time that a first token took.
+// recordFirstToken records a time to first token.
 func (t *stats) recordFirstToken(now time.Time, wait time.Duration) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	t.firstTokens = append(t.firstTokens, firstToken{at: now, wait: wait})
 }
 
-// ended takes how a request ended for its caller.
+// recordResult records the result of a request.
 func (t *stats) recordResult(res result) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -105,21 +105,21 @@
 	}
 }
 
-// duplicates counts the runs beyond the first of work that may not be repeated, by the runs of each request.
+// duplicateRuns counts the repeated runs of non-idempotent requests, given the number of runs of each request.
 func (t *stats) duplicateRuns(runs map[string]int) int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return lo.SumBy(lo.Keys(t.nonIdempotent), func(id string) int { return max(runs[id]-1, 0) })
 }
 
-// falseNotRun counts the requests that were told not to have run, and have.
+// falseNotRun counts the requests that were reported as not run although a worker ran them.
 func (t *stats) falseNotRun(runs map[string]int) int {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
 	return lo.CountBy(lo.Keys(t.notRun), func(id string) bool { return runs[id] > 0 })
 }
 
-// snapshot is what one line shows.
+// snapshot is the content of one status line.
 type snapshot struct {
 	summary  summary
 	inFlight int
@@ -127,7 +127,7 @@
 	failures []string
 }
 
-// take returns the state and begins the next line.
+// nextSnapshot returns the current state and resets what is reported once.
 func (t *stats) nextSnapshot(now time.Time) snapshot {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
@@ -142,7 +142,7 @@
 	return current
 }
 
-// percentile95 returns the time that 95 of 100 first tokens kept; zero without any.
+// percentile95 returns the 95th percentile of the times to first token; zero if there are none.
 func percentile95(tokens []firstToken) time.Duration {
 	if len(tokens) == 0 {
 		return 0
--- a/internal/demo/stats_test.go
+++ b/internal/demo/stats_test.go
@@ -39,36 +39,36 @@
 	state := stats.nextSnapshot(testNow)
 	want := summary{Sent: 8, Answered: 3, NotRun: 2, Unknown: 2, Failed: 1, WrongAnswers: 1, Late: 1, Unreported: 1}
 	if state.summary != want || state.inFlight != 0 {
-		t.Errorf("summary %+v with %d waiting, want %+v", state.summary, state.inFlight, want)
+		t.Errorf("summary %+v with %d in flight, want %+v", state.summary, state.inFlight, want)
 	}
 	if duplicates, falsely := stats.duplicateRuns(runs), stats.falseNotRun(runs); duplicates != 2 || falsely != 1 {
-		t.Errorf("%d duplicate runs and %d that ran although not run, want 2 and 1", duplicates, falsely)
+		t.Errorf("%d duplicate runs and %d falsely reported as not run, want 2 and 1", duplicates, falsely)
 	}
 	if state.p95 != 95*time.Millisecond {
 		t.Errorf("p95 is %s", state.p95)
 	}
 	if again := stats.nextSnapshot(testNow.Add(firstTokenWindow + 1)); again.p95 != 0 {
-		t.Error("a line shows what an earlier one has shown")
+		t.Error("times to first token outside the window are included")
 	}
 }
 
-func TestSummaryAllKept(t *testing.T) {
+func TestSummaryGuaranteesKept(t *testing.T) {
 	tests := []struct {
 		desc  string
 		total summary
 		want  bool
 	}{
 		{desc: "all answered", total: summary{Sent: 2, Answered: 2}, want: true},
-		{desc: "true outcomes without an answer", total: summary{Sent: 3, NotRun: 1, Unknown: 1, Failed: 1}, want: true},
-		{desc: "a wrong answer", total: summary{Sent: 1, Answered: 1, WrongAnswers: 1}},
-		{desc: "a duplicate run", total: summary{Sent: 1, Answered: 1, DuplicateRuns: 1}},
-		{desc: "no outcome", total: summary{Sent: 1, Unknown: 1, Unreported: 1}},
-		{desc: "run although not run", total: summary{Sent: 1, NotRun: 1, FalseNotRun: 1}},
+		{desc: "correct outcomes without an answer", total: summary{Sent: 3, NotRun: 1, Unknown: 1, Failed: 1}, want: true},
+		{desc: "wrong answer", total: summary{Sent: 1, Answered: 1, WrongAnswers: 1}},
+		{desc: "duplicate run", total: summary{Sent: 1, Answered: 1, DuplicateRuns: 1}},
+		{desc: "outcome not reported", total: summary{Sent: 1, Unknown: 1, Unreported: 1}},
+		{desc: "run although reported as not run", total: summary{Sent: 1, NotRun: 1, FalseNotRun: 1}},
 	}
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
-			if got := test.total.allKept(); got != test.want {
-				t.Errorf("well is %t", got)
+			if got := test.total.guaranteesKept(); got != test.want {
+				t.Errorf("guaranteesKept is %t", got)
 			}
 		})
 	}
@@ -84,13 +84,13 @@
 		changes.record(record)
 	}
 	want := []string{
-		"gateway-a gives the orders from now on. Nobody held the key.",
+		"gateway-a now issues the orders. Nobody held the key.",
 		"gateway-a orders worker w1 of group counter to become prefill. Prompts wait.",
 	}
 	if got := changes.drain(); !slices.Equal(got, want) {
 		t.Errorf("got  %q\nwant %q", got, want)
 	}
 	if again := changes.drain(); len(again) != 0 {
-		t.Errorf("told again: %q", again)
+		t.Errorf("drained twice: %q", again)
 	}
 }
--- a/internal/demo/stream.go
+++ b/internal/demo/stream.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// streamDone is the data of the last event of a whole answer.
+	// streamDone is the data of the final event of a complete answer.
 	streamDone = "[DONE]"
 	// maxEventBytes bounds one line of a stream.
 	maxEventBytes = 1 << 20
@@ -25,7 +25,7 @@
 	} `json:"choices"`
 }
 
-// readStream reads an answer and compares it with the one that belongs to the request.
+// readStream reads a streamed answer and compares it with the expected one.
 func (r *result) readStream(body io.Reader, started time.Time, onFirstToken func(time.Duration)) {
 	checker := &answerChecker{expected: expectedAnswer(r.request)}
 	lines := bufio.NewScanner(body)
@@ -41,7 +41,7 @@
 			event = string(data)
 		case string(name) == "data" && event == completions.EventError:
 			r.outcomeReported = true
-			r.detail = "The stream broke off: " + string(data)
+			r.detail = "the stream was aborted: " + string(data)
 			return
 		case string(name) != "data":
 		case string(data) == streamDone:
@@ -56,13 +56,13 @@
 			}
 		}
 	}
-	r.detail = "The stream ended without a word on the outcome."
+	r.detail = "the stream ended without reporting an outcome"
 	if err := lines.Err(); err != nil {
-		r.detail += " " + err.Error()
+		r.detail += ": " + err.Error()
 	}
 }
 
-// take checks one piece of the answer.
+// verifyEvent checks one event and records a mismatch in the result.
 func (r *result) verifyEvent(checker *answerChecker, number int, data []byte) {
 	if !checker.verify(number, data) {
 		r.wrong = true
@@ -70,37 +70,37 @@
 	}
 }
 
-// finish takes the end of a whole answer.
+// finishAnswer records the end of a complete answer.
 func (r *result) finishAnswer(checker *answerChecker) {
 	r.outcome = outcomeAnswered
 	r.outcomeReported = true
 	if !r.wrong && checker.verified != len(checker.expected) {
 		r.wrong = true
-		r.detail = "The answer ended before it was whole."
+		r.detail = "the answer is incomplete"
 	}
 }
 
-// answerCheck compares the pieces of an answer with what they must be.
+// answerChecker compares the events of an answer with the expected tokens.
 type answerChecker struct {
 	expected []string
-	// held is the number of tokens that came, all right so far.
+	// verified is the number of correct tokens received so far.
 	verified int
 	problem  string
 }
 
-// take checks one event, by its number in the stream, and tells whether it is right.
+// verify checks one event, given its number in the stream, and reports whether it is as expected.
 func (a *answerChecker) verify(number int, data []byte) bool {
 	var event completionEvent
 	if err := json.Unmarshal(data, &event); err != nil {
-		a.problem = "An event of the stream cannot be read: " + err.Error()
+		a.problem = "invalid event: " + err.Error()
 		return false
 	}
 	if number != a.verified+1 || a.verified >= len(a.expected) || len(event.Choices) != 1 {
-		a.problem = "A piece of the answer came out of order or after its end."
+		a.problem = "an event arrived out of order or after the end of the answer"
 		return false
 	}
 	if event.Choices[0].Text != a.expected[a.verified] {
-		a.problem = "A word of the answer is not the one that belongs there."
+		a.problem = "a token differs from the expected answer"
 		return false
 	}
 	a.verified++
--- a/internal/demo/system.go
+++ b/internal/demo/system.go
@@ -18,13 +18,13 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// Surroundings say how gateways are made and how the store is reached; both speak the protocol of the stand-ins.
+// Surroundings holds the constructors of gateways and store clients, which have to use the protocol of the simulated platform.
 type Surroundings struct {
 	NewGateway func(gateway.Settings, *logrus.Logger) *gateway.Gateway
 	NewStore   func(address string) store.Store
 }
 
-// system is a deployment in one process: stand-ins and gateways, which talk over loopback.
+// system is a deployment in one process: gateways and a simulated platform, connected over loopback.
 type system struct {
 	fleet         *labfleet.Fleet
 	gateways      []*gateway.Gateway
@@ -32,7 +32,7 @@
 	stopFollowing []func()
 }
 
-// startSystem starts a deployment and waits until each gateway takes requests.
+// startSystem starts a deployment and waits until all gateways are ready.
 func startSystem(ctx context.Context, spec deployment.Deployment, speed float64, factories Surroundings, logger *logrus.Logger) (*system, error) {
 	standins, err := labfleet.Start(ctx, labfleet.Options{Deployment: spec, Listen: "127.0.0.1:0", Speed: speed, Connect: factories.NewStore})
 	if err != nil {
@@ -51,7 +51,7 @@
 	return s, s.awaitReady(ctx)
 }
 
-// startGateway starts one gateway on free ports.
+// startGateway starts a gateway on free ports.
 func (s *system) startGateway(name, zone string, factories Surroundings, logger *logrus.Logger) error {
 	addresses, err := freeAddresses(5)
 	if err != nil {
@@ -65,19 +65,19 @@
 	settings.StoreAddress = s.fleet.StoreAddress()
 	gw := factories.NewGateway(settings, logger)
 	if err := gw.Start(); err != nil {
-		return errors.Wrapf(err, "step start gateway %s", name)
+		return errors.Wrapf(err, "start gateway %s", name)
 	}
 	s.gateways, s.settings = append(s.gateways, gw), append(s.settings, settings)
 	return nil
 }
 
-// freeAddresses returns addresses on loopback that are free at the moment.
+// freeAddresses returns loopback addresses that are currently free.
 func freeAddresses(count int) ([]string, error) {
 	var addresses []string
 	for range count {
 		listener, err := net.Listen("tcp4", "127.0.0.1:0")
 		if err != nil {
-			return nil, errors.Wrap(err, "step find a free port")
+			return nil, errors.Wrap(err, "find a free port")
 		}
 		defer listener.Close()
 		addresses = append(addresses, listener.Addr().String())
@@ -85,23 +85,23 @@
 	return addresses, nil
 }
 
-// readyPoll is the time between two looks at whether the gateways are ready.
+// readyPoll is the interval of readiness checks.
 const readyPoll = 50 * time.Millisecond
 
-// awaitReady waits until each gateway knows its configuration and its workers.
+// awaitReady waits until each gateway has a configuration and workers.
 func (s *system) awaitReady(ctx context.Context) error {
 	for !lo.EveryBy(s.gateways, func(each *gateway.Gateway) bool { return each.Serves() }) {
 		select {
 		case <-ctx.Done():
 			s.stop()
-			return errors.Wrap(ctx.Err(), "step wait until the gateways serve")
+			return errors.Wrap(ctx.Err(), "wait until the gateways are ready")
 		case <-time.After(readyPoll):
 		}
 	}
 	return nil
 }
 
-// follow hands each new decision of every gateway to a function, which is called from many goroutines.
+// followDecisions passes each new decision of the gateways to handle, which is called concurrently.
 func (s *system) followDecisions(handle func(decision.Record)) {
 	for _, each := range s.gateways {
 		records, stop := each.Decisions().Follow()
@@ -120,7 +120,7 @@
 	}
 }
 
-// stop ends everything at once.
+// stop stops all components immediately.
 func (s *system) stop() {
 	for _, stop := range s.stopFollowing {
 		stop()
--- a/internal/demo/workload.go
+++ b/internal/demo/workload.go
@@ -11,60 +11,59 @@
 	"github.com/granitebay/granitebay/internal/deployment"
 )
 
-// class is one kind of requests of a deployment.
+// requestClass is a kind of requests with its rates, lengths and latency target.
 type requestClass struct {
-	// name is the label that the rules of the configuration select on, and title what people call it.
+	// name is the label that the rules of the configuration match; title is the name shown to users.
 	name  string
 	title string
-	// promptTokens and answerTokens are the mean lengths. The first sharedTokens of a prompt are the same for all
-	// requests of a tenant.
+	// promptTokens and answerTokens are mean lengths. The first sharedTokens of a prompt are the same for all requests of a
+	// tenant.
 	promptTokens int
 	sharedTokens int
 	answerTokens int
-	// wanted is the time after which an answer counts as late, and deadline the one after which nobody waits for it.
+	// latencyTarget is the time after which an answer counts as late, and deadline the time after which the request is abandoned.
 	latencyTarget time.Duration
 	deadline      time.Duration
-	// once is set for work that may not be repeated.
+	// nonIdempotent is set for requests that must not be repeated.
 	nonIdempotent bool
-	// base is the number of requests a second at any time, and rush what comes on top at the height of a rush.
+	// baseRate is the constant request rate per second; rushRate is added to it at the peak of a rush.
 	baseRate float64
 	rushRate float64
-	// season is the rush in which the class has its own.
+	// rush selects the rush during which rushRate applies.
 	rush rushKind
 }
 
-// season is one of the two rushes that take turns.
+// rushKind is one of two load peaks that alternate.
 type rushKind int
 
-// The seasons.
 const (
-	// always is the season of classes without a rush.
+	// noRush is used by classes with a constant rate.
 	noRush rushKind = iota
-	// writing is the rush of long answers, and reading that of long prompts.
+	// decodeRush is the peak of long answers, and prefillRush that of long prompts.
 	decodeRush
 	prefillRush
 )
 
-// workload is the live load of a deployment.
+// workload is the generated load of a deployment.
 type workload struct {
 	classes []requestClass
-	// tenants are the callers' organisations.
 	tenants []string
-	// period is the time in which the rushes take one turn each.
+	// period is the duration of one cycle of both rushes.
 	period time.Duration
 }
 
 const (
-	// turnPeriod is the time in which the rushes take one turn each.
+	// rushCycle is the duration of one cycle of both rushes.
 	rushCycle = 40 * time.Second
-	// rushSharpness makes a rush stay at its height for most of its time: 1 would be half of a plain sine.
+	// rushSharpness scales the sine wave of a rush before it is capped at 1, so that a rush stays at its peak for most of its
+	// time.
 	rushSharpness = 2
-	// lengthSpread is how far lengths are from their mean, at most.
+	// lengthVariation is the maximum relative deviation of lengths from their mean.
 	lengthVariation = 0.2
 )
 
-// fesWorkload is the load of Fès Roasters. Whole blend histories with a complaint get a short verdict, letters are long
-// answers to short prompts, quick questions and billing go on all day.
+// fesWorkload is the load of Fès Roasters: blend histories with short verdicts, letters with short prompts and long answers, and
+// a constant rate of quick questions and billing.
 func fesWorkload() workload {
 	return workload{
 		classes: []requestClass{
@@ -119,7 +118,7 @@
 	}
 }
 
-// workloadOf returns the load of a deployment.
+// workloadFor returns the load of a deployment.
 func workloadFor(name string) (workload, error) {
 	switch name {
 	case deployment.NameFes:
@@ -130,7 +129,7 @@
 	return workload{}, errors.Newf("deployment %q has no demo workload", name)
 }
 
-// height returns how far a rush is, from 0 (over) to 1 (at its height). The writing rush comes first.
+// rushLevel returns the intensity of a rush, from 0 to 1. The decode rush comes first.
 func (w workload) rushLevel(kind rushKind, elapsed time.Duration) float64 {
 	turn := 2 * math.Pi * elapsed.Seconds() / w.period.Seconds()
 	wave := rushSharpness * math.Sin(turn)
@@ -143,14 +142,14 @@
 	return 0
 }
 
-// rates returns the requests a second of each class.
+// rates returns the request rate per second of each class.
 func (w workload) rates(elapsed time.Duration) []float64 {
 	return lo.Map(w.classes, func(each requestClass, _ int) float64 {
 		return each.baseRate + each.rushRate*w.rushLevel(each.rush, elapsed)
 	})
 }
 
-// draw chooses a class in proportion to the rates, with the total rate of all.
+// pickClass chooses a class at random in proportion to the rates. It also returns the sum of the rates.
 func (w workload) pickClass(elapsed time.Duration, random *rand.Rand) (chosen requestClass, total float64) {
 	rates := w.rates(elapsed)
 	total = lo.Sum(rates)
@@ -164,7 +163,7 @@
 	return w.classes[0], total
 }
 
-// spread returns a length near its mean.
+// randomLength returns a random length near a mean.
 func randomLength(mean int, random *rand.Rand) int {
 	return int(float64(mean) * (1 + lengthVariation*(2*random.Float64()-1)))
 }
--- a/internal/demo/workload_test.go
+++ b/internal/demo/workload_test.go
@@ -33,13 +33,13 @@
 				labels := map[string]string{"class": each.name, configuration.LabelRepeatable: lo.Ternary(each.nonIdempotent, "false", "true")}
 				rule, ok := snapshot.RuleFor(labels)
 				if !ok {
-					t.Errorf("no rule selects class %s", each.name)
+					t.Errorf("no rule matches class %s", each.name)
 				}
 				if longest := rule.Timeout.Std(); each.deadline > longest {
 					t.Errorf("class %s has deadline %s, rule %s allows %s", each.name, each.deadline, rule.Name, longest)
 				}
 				if each.latencyTarget > each.deadline {
-					t.Errorf("class %s is wanted after its deadline", each.name)
+					t.Errorf("the latency target of class %s exceeds its deadline", each.name)
 				}
 			}
 		})
@@ -58,11 +58,11 @@
 			largest = max(largest, after[index]/lo.Sum(after)-before[index]/lo.Sum(before))
 		}
 		if largest < 0.2 {
-			t.Errorf("%s: no class gains more than %.2f of the requests", name, largest)
+			t.Errorf("%s: the largest gain in share of a class is %.2f, want at least 0.2", name, largest)
 		}
 		for elapsed := time.Duration(0); elapsed < work.period; elapsed += time.Second {
 			if slices.Min(work.rates(elapsed)) < 0 {
-				t.Errorf("%s: a negative rate after %s", name, elapsed)
+				t.Errorf("%s: negative rate after %s", name, elapsed)
 			}
 		}
 	}
@@ -92,12 +92,12 @@
 	first, second := randomPrompt(class, "cafe", random), randomPrompt(class, "cafe", random)
 	shared := tenantPrefix(class, "cafe")
 	if first == second || !strings.HasPrefix(first, shared+" ") || !strings.HasPrefix(second, shared+" ") {
-		t.Error("prompts of one tenant do not share their beginning alone")
+		t.Error("two prompts of a tenant are equal or do not share the tenant's prefix")
 	}
 	if strings.HasPrefix(randomPrompt(class, "mill", random), shared) {
-		t.Error("another tenant has the same beginning")
+		t.Error("prompts of different tenants share a prefix")
 	}
 	if got := answers.CountTokens(first); got < 2400 || got > 3600 {
-		t.Errorf("the prompt has %d tokens, want 3000 give or take a fifth", got)
+		t.Errorf("the prompt has %d tokens, want 2400 to 3600", got)
 	}
 }
