--- a/internal/demo/display.go
+++ b/internal/demo/display.go
@@ -72,6 +72,7 @@
 	return roleCounts{prefill, decode, changing}
 }
 
+// String implements fmt.Stringer.
 func (r roleCounts) String() string {
 	text := fmt.Sprintf("%d prefill, %d decode", r.prefill, r.decode)
 	if r.changing > 0 {
--- a/internal/demo/workload.go
+++ b/internal/demo/workload.go
@@ -36,6 +36,7 @@
 // rushKind is one of two load peaks that alternate.
 type rushKind int
 
+// The rush kinds.
 const (
 	// noRush is used by classes with a constant rate.
 	noRush rushKind = iota
--- a/internal/standin/fleet/store.go
+++ b/internal/standin/fleet/store.go
@@ -138,7 +138,7 @@
 	return calls
 }
 
-// putLocked writes an item at the current revision. The caller holds the mutex.
+// putLocked and removeLocked change an item at the current revision. The caller holds the mutex.
 func (s *Store) putLocked(item storeItem) {
 	if s.rewrite != nil {
 		item.Value = s.rewrite(item.Key, item.Value)
@@ -152,7 +152,6 @@
 	s.changed.Broadcast()
 }
 
-// removeLocked removes an item at the current revision, if it exists. The caller holds the mutex.
 func (s *Store) removeLocked(key string) {
 	if _, found := s.items[key]; !found {
 		return
