--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -13,145 +13,145 @@
 )
 
 // start is when the histories of the tests begin.
-var start = time.Unix(1_700_000_000, 0)
+var historyStart = time.Unix(1_700_000_000, 0)
 
 // at returns a moment of a history.
-func at(after time.Duration) time.Time { return start.Add(after) }
+func timeAt(after time.Duration) time.Time { return historyStart.Add(after) }
 
 // answered returns a request that was answered well, sent at a moment.
-func answered(id string, kind Kind, sent time.Duration) Request {
+func answered(id string, kind Kind, sent time.Duration) RequestRecord {
 	want := fleet.PlainAnswer(id, []byte("b"))
 	if kind == KindStream {
 		want = fleet.StreamAnswer(id, 3)
 	}
-	return Request{
-		Asked: fleet.Request{ID: id}, Kind: kind, Sent: at(sent), Ended: at(sent + 100*time.Millisecond), Want: want,
-		Answer: fleet.Response{Status: http.StatusOK, Signature: "s", Body: want},
+	return RequestRecord{
+		Request: fleet.Request{ID: id}, Kind: kind, Sent: timeAt(sent), Ended: timeAt(sent + 100*time.Millisecond), WantBody: want,
+		Response: fleet.Response{Status: http.StatusOK, Signature: "s", Body: want},
 	}
 }
 
 // left returns a request whose caller left soon after a moment.
-func left(id string, sent time.Duration) Request {
+func abandoned(id string, sent time.Duration) RequestRecord {
 	r := answered(id, KindStream, sent)
-	r.Answer = fleet.Response{Err: context.Canceled}
-	r.Left = r.Ended
+	r.Response = fleet.Response{Err: context.Canceled}
+	r.AbandonedAt = r.Ended
 	return r
 }
 
 // run returns one run of a request.
 func run(worker string, begun time.Duration) fleet.Run {
-	return fleet.Run{Worker: worker, Begun: at(begun)}
+	return fleet.Run{Worker: worker, Begun: timeAt(begun)}
 }
 
 // TestEachCheckFindsItsBrokenRule gives each check a history in which nothing but its rule is broken, and one in which it is not.
-func TestEachCheckFindsItsBrokenRule(t *testing.T) {
+func TestChecks(t *testing.T) {
 	broken := errors.New("EOF")
 	tests := []struct {
 		rule string
 		desc string
 		// change breaks the rule in a good history; excuse then adds what makes it allowed.
-		change func(h *History)
-		excuse func(h *History)
+		violate func(h *History)
+		allow   func(h *History)
 	}{
 		{"TWICE", "work that runs once ran twice",
 			func(h *History) { h.Runs["r1"] = []fleet.Run{run("w1", 0), run("w2", time.Second)} },
-			func(h *History) { h.Requests[0].Kind = KindAgain }},
+			func(h *History) { h.Requests[0].Kind = KindIdempotent }},
 		{"REFUSED", "what was refused ran",
 			func(h *History) {
-				h.Requests[0].Answer = fleet.Response{Status: http.StatusServiceUnavailable}
+				h.Requests[0].Response = fleet.Response{Status: http.StatusServiceUnavailable}
 				h.Runs["r1"] = []fleet.Run{run("w1", 0)}
 			},
 			func(h *History) { h.Runs["r1"] = nil }},
 		{"MIXED", "the answer of another request",
-			func(h *History) { h.Requests[0].Answer.Body = "answer to r9" },
-			func(h *History) { h.Requests[0].Answer.Status = http.StatusBadGateway }},
+			func(h *History) { h.Requests[0].Response.Body = "answer to r9" },
+			func(h *History) { h.Requests[0].Response.Status = http.StatusBadGateway }},
 		{"MIXED", "an answer without a signature",
-			func(h *History) { h.Requests[0].Answer.Signature = "" },
-			func(h *History) { h.Requests[0].Answer.Status = http.StatusBadGateway }},
+			func(h *History) { h.Requests[0].Response.Signature = "" },
+			func(h *History) { h.Requests[0].Response.Status = http.StatusBadGateway }},
 		{"ORDER", "a stream that looks whole and is not",
-			func(h *History) { h.Requests[1].Answer.Body = fleet.StreamAnswer("r2", 2) },
+			func(h *History) { h.Requests[1].Response.Body = fleet.StreamAnswer("r2", 2) },
 			func(h *History) {
-				h.Requests[1].Answer.Err = broken
-				h.Spans = []Span{{Fault: GatewayKill{}, Begun: at(0)}}
+				h.Requests[1].Response.Err = broken
+				h.Spans = []Span{{Fault: GatewayKill{}, Begun: timeAt(0)}}
 			}},
 		{"ORDER", "a stream with an event twice",
 			func(h *History) {
-				h.Requests[1].Answer = fleet.Response{Status: http.StatusOK, Body: fleet.Event("r2", 1) + fleet.Event("r2", 1), Err: broken}
-				h.Spans = []Span{{Fault: GatewayKill{}, Begun: at(0)}}
+				h.Requests[1].Response = fleet.Response{Status: http.StatusOK, Body: fleet.Event("r2", 1) + fleet.Event("r2", 1), Err: broken}
+				h.Spans = []Span{{Fault: GatewayKill{}, Begun: timeAt(0)}}
 			},
-			func(h *History) { h.Requests[1].Answer.Body = fleet.Event("r2", 1) + fleet.Event("r2", 2) }},
+			func(h *History) { h.Requests[1].Response.Body = fleet.Event("r2", 1) + fleet.Event("r2", 2) }},
 		{"LOST", "a connection closed around planned work",
 			func(h *History) {
-				h.Requests[0].Answer = fleet.Response{Err: broken}
-				h.Spans = []Span{{Fault: GatewayStop{}, Begun: at(0)}}
+				h.Requests[0].Response = fleet.Response{Err: broken}
+				h.Spans = []Span{{Fault: GatewayStop{}, Begun: timeAt(0)}}
 			},
-			func(h *History) { h.Spans = append(h.Spans, Span{Fault: GatewayPause{}, Begun: at(0)}) }},
+			func(h *History) { h.Spans = append(h.Spans, Span{Fault: GatewayPause{}, Begun: timeAt(0)}) }},
 		{"LOST", "a connection closed under a request that a worker has got, in the midst of faults",
 			func(h *History) {
-				h.Requests[0].Answer = fleet.Response{Err: broken}
+				h.Requests[0].Response = fleet.Response{Err: broken}
 				h.Requests[0].Gateway = "g1"
-				h.Arrivals = []fleet.Arrival{{ID: "r1", At: at(10 * time.Millisecond)}}
-				h.Spans = []Span{{Fault: GatewayPause{}, Begun: at(0)}}
+				h.Arrivals = []fleet.Arrival{{ID: "r1", At: timeAt(10 * time.Millisecond)}}
+				h.Spans = []Span{{Fault: GatewayPause{}, Begun: timeAt(0)}}
 			},
 			func(h *History) {
-				h.Ends = []End{{Gateway: "g1", At: at(50 * time.Millisecond), Asked: true, Killed: true}}
+				h.Exits = []ProcessExit{{Gateway: "g1", At: timeAt(50 * time.Millisecond), Expected: true, Killed: true}}
 			}},
 		{"LOST", "a connection closed under a request that only a reading has reached",
 			func(h *History) {
-				h.Requests[1].Answer = fleet.Response{Err: broken}
-				h.Arrivals = []fleet.Arrival{{ID: "r2", Reading: true, At: at(10 * time.Millisecond)}}
-				h.Spans = []Span{{Fault: GatewayKill{}, Begun: at(0)}}
+				h.Requests[1].Response = fleet.Response{Err: broken}
+				h.Arrivals = []fleet.Arrival{{ID: "r2", Reading: true, At: timeAt(10 * time.Millisecond)}}
+				h.Spans = []Span{{Fault: GatewayKill{}, Begun: timeAt(0)}}
 			},
-			func(h *History) { h.Requests[1].Answer.Err = context.DeadlineExceeded }},
+			func(h *History) { h.Requests[1].Response.Err = context.DeadlineExceeded }},
 		{"LOST", "a connection closed under a request, and not by its caller, who has dropped a silent one",
 			func(h *History) {
-				h.Requests[1].Answer = fleet.Response{Err: broken}
-				h.Arrivals = []fleet.Arrival{{ID: "r2", At: at(10 * time.Millisecond)}}
-				h.Spans = []Span{{Fault: GoneSilent{}, Begun: at(0)}}
+				h.Requests[1].Response = fleet.Response{Err: broken}
+				h.Arrivals = []fleet.Arrival{{ID: "r2", At: timeAt(10 * time.Millisecond)}}
+				h.Spans = []Span{{Fault: SilentConnections{}, Begun: timeAt(0)}}
 			},
-			func(h *History) { h.Requests[1].Answer.Err = errClosed }},
+			func(h *History) { h.Requests[1].Response.Err = errClosedByCaller }},
 		{"LOST", "a stream that breaks off around planned work",
 			func(h *History) {
-				h.Requests[1].Answer = fleet.Response{Status: http.StatusOK, Body: fleet.Event("r2", 1), Err: broken}
-				h.Requests[1].Asked.Deadline = time.Second
-				h.Spans = []Span{{Fault: GatewayStop{}, Begun: at(0)}}
+				h.Requests[1].Response = fleet.Response{Status: http.StatusOK, Body: fleet.Event("r2", 1), Err: broken}
+				h.Requests[1].Request.Deadline = time.Second
+				h.Spans = []Span{{Fault: GatewayStop{}, Begun: timeAt(0)}}
 			},
 			func(h *History) { h.Requests[1].Ended = h.Requests[1].Sent.Add(time.Second) }},
 		{"Fault", "a gateway that ends by itself",
-			func(h *History) { h.Ends = []End{{Gateway: "g1", At: at(0), Err: broken}} },
-			func(h *History) { h.Ends[0].Asked = true }},
+			func(h *History) { h.Exits = []ProcessExit{{Gateway: "g1", At: timeAt(0), Err: broken}} },
+			func(h *History) { h.Exits[0].Expected = true }},
 		{"GONE", "requests reach workers long after their callers have left",
 			func(h *History) {
-				for i := range goneArrivals + 1 {
-					r := left(fmt.Sprint("gone-", i), time.Duration(i)*time.Millisecond)
+				for i := range maxLateArrivals + 1 {
+					r := abandoned(fmt.Sprint("gone-", i), time.Duration(i)*time.Millisecond)
 					h.Requests = append(h.Requests, r)
-					h.Arrivals = append(h.Arrivals, fleet.Arrival{ID: r.Asked.ID, At: r.Left.Add(goneTime + time.Millisecond)})
+					h.Arrivals = append(h.Arrivals, fleet.Arrival{ID: r.Request.ID, At: r.AbandonedAt.Add(abandonGrace + time.Millisecond)})
 				}
 			},
-			func(h *History) { h.Arrivals[0].At = at(0) }},
+			func(h *History) { h.Arrivals[0].At = timeAt(0) }},
 		{"GONE", "workers work on long after callers have left",
 			func(h *History) {
-				h.Seen = at(time.Hour)
-				for i := range 4 * (goneWork + 1) {
-					r := left(fmt.Sprint("gone-", i), 0)
-					r.Long = true
+				h.CollectedAt = timeAt(time.Hour)
+				for i := range 4 * (maxLateWork + 1) {
+					r := abandoned(fmt.Sprint("gone-", i), 0)
+					r.LongRunning = true
 					h.Requests = append(h.Requests, r)
-					work := fleet.Work{ID: r.Asked.ID, Begun: at(0), Ended: r.Left}
+					work := fleet.Work{ID: r.Request.ID, Begun: timeAt(0), Ended: r.AbandonedAt}
 					switch i % 3 {
 					case 0:
-						work.Ended = r.Left.Add(goneTime + time.Millisecond)
+						work.Ended = r.AbandonedAt.Add(abandonGrace + time.Millisecond)
 					case 1:
 						work.Ended = time.Time{}
 					}
-					h.Worked = append(h.Worked, work)
+					h.Work = append(h.Work, work)
 				}
 			},
-			func(h *History) { h.Spans = []Span{{Fault: GatewayPause{}, Begun: at(0)}} }},
+			func(h *History) { h.Spans = []Span{{Fault: GatewayPause{}, Begun: timeAt(0)}} }},
 		{"BUDGET", "further readings of one prompt",
 			func(h *History) {
-				h.Arrivals = append(h.Arrivals, fleet.Arrival{ID: "r2", Service: serviceEngine, At: at(0)})
+				h.Arrivals = append(h.Arrivals, fleet.Arrival{ID: "r2", Service: serviceEngine, At: timeAt(0)})
 				for i := range retrySlack + 3 {
-					h.Arrivals = append(h.Arrivals, fleet.Arrival{ID: "r2", Service: serviceEngine, Reading: true, At: at(time.Duration(i) * time.Millisecond)})
+					h.Arrivals = append(h.Arrivals, fleet.Arrival{ID: "r2", Service: serviceEngine, Reading: true, At: timeAt(time.Duration(i) * time.Millisecond)})
 				}
 			},
 			func(h *History) {
@@ -163,8 +163,8 @@
 			func(h *History) {
 				for i := range 2 * retrySlack {
 					id := fmt.Sprint("r", i)
-					first := fleet.Arrival{ID: id, Service: servicePlain, At: at(0)}
-					again := fleet.Arrival{ID: id, Service: servicePlain, At: at(retryWindow - 3*time.Second + time.Duration(i)*30*time.Millisecond)}
+					first := fleet.Arrival{ID: id, Service: servicePlain, At: timeAt(0)}
+					again := fleet.Arrival{ID: id, Service: servicePlain, At: timeAt(retryWindow - 3*time.Second + time.Duration(i)*30*time.Millisecond)}
 					h.Arrivals = append(h.Arrivals, first, again)
 				}
 			},
@@ -177,118 +177,123 @@
 			}},
 		{"DRAIN", "work for a worker that left",
 			func(h *History) {
-				h.Departures = []Departure{{Worker: "w1", At: at(0)}}
+				h.Departures = []Departure{{Worker: "w1", At: timeAt(0)}}
 				h.Runs["r1"] = []fleet.Run{run("w1", drainTime+time.Millisecond)}
 			},
-			func(h *History) { h.Spans = []Span{{Fault: StoreCompact{}, Begun: at(0)}} }},
+			func(h *History) { h.Spans = []Span{{Fault: StoreCompaction{}, Begun: timeAt(0)}} }},
 		{"DRAIN", "work for a worker that had said that it leaves",
 			func(h *History) {
 				h.Gateways = []string{"g"}
 				h.Requests[0].Gateway = "g"
 				h.Runs["r1"] = []fleet.Run{run("w1", 0)}
-				h.Notices = []fleet.Notice{{ID: "r1", Worker: "w1", Leaving: true, At: at(0)}}
-				late := answered("r9", KindAgain, drainTime+time.Second)
+				h.Notices = []fleet.Notice{{ID: "r1", Worker: "w1", Leaving: true, At: timeAt(0)}}
+				late := answered("r9", KindIdempotent, drainTime+time.Second)
 				late.Gateway = "g"
 				h.Requests = append(h.Requests, late)
-				h.Arrivals = append(h.Arrivals, fleet.Arrival{ID: "r9", Worker: "w1", At: at(drainTime + time.Second)})
+				h.Arrivals = append(h.Arrivals, fleet.Arrival{ID: "r9", Worker: "w1", At: timeAt(drainTime + time.Second)})
 			},
 			func(h *History) {
-				h.Spans = []Span{{Fault: GatewayFreeze{Gateway: 0}, Begun: at(time.Second), Ended: at(2 * time.Second)}}
+				h.Spans = []Span{{Fault: GatewayFreeze{Gateway: 0}, Begun: timeAt(time.Second), Ended: timeAt(2 * time.Second)}}
 			}},
 		{"BUDGET", "requests for a worker that had asked for rest",
 			func(h *History) {
 				h.Gateways = []string{"g"}
 				h.Requests[0].Gateway = "g"
-				h.Notices = []fleet.Notice{{ID: "r1", Worker: "w1", Rest: 2 * time.Second, At: at(0)}}
+				h.Notices = []fleet.Notice{{ID: "r1", Worker: "w1", Rest: 2 * time.Second, At: timeAt(0)}}
 				for i := range 3 {
-					more := answered(fmt.Sprint("rest-", i), KindAgain, time.Second)
+					more := answered(fmt.Sprint("rest-", i), KindIdempotent, time.Second)
 					more.Gateway = "g"
 					h.Requests = append(h.Requests, more)
-					h.Arrivals = append(h.Arrivals, fleet.Arrival{ID: more.Asked.ID, Worker: "w1", At: at(time.Second)})
+					h.Arrivals = append(h.Arrivals, fleet.Arrival{ID: more.Request.ID, Worker: "w1", At: timeAt(time.Second)})
 				}
 			},
-			func(h *History) { h.Ends = []End{{Gateway: "g", At: at(500 * time.Millisecond), Asked: true}} }},
+			func(h *History) {
+				h.Exits = []ProcessExit{{Gateway: "g", At: timeAt(500 * time.Millisecond), Expected: true}}
+			}},
 		{"LIMIT", "more requests than a worker takes",
 			func(h *History) {
 				h.Gateways = []string{"g"}
 				h.Requests[0].Gateway = "g"
-				h.Limits = []fleet.LimitChange{{Worker: "w1", PerSecond: 0.4, At: at(0)}}
-				h.Notices = []fleet.Notice{{ID: "r1", Worker: "w1", Limit: 0.4, At: at(0)}}
+				h.Limits = []fleet.LimitChange{{Worker: "w1", PerSecond: 0.4, At: timeAt(0)}}
+				h.Notices = []fleet.Notice{{ID: "r1", Worker: "w1", Limit: 0.4, At: timeAt(0)}}
 				for i := range 8 {
-					more := answered(fmt.Sprint("limit-", i), KindAgain, 4*time.Second)
+					more := answered(fmt.Sprint("limit-", i), KindIdempotent, 4*time.Second)
 					more.Gateway = "g"
 					h.Requests = append(h.Requests, more)
-					h.Arrivals = append(h.Arrivals, fleet.Arrival{ID: more.Asked.ID, Worker: "w1", At: at(4 * time.Second)})
+					h.Arrivals = append(h.Arrivals, fleet.Arrival{ID: more.Request.ID, Worker: "w1", At: timeAt(4 * time.Second)})
 				}
-				h.Seen = at(time.Minute)
+				h.CollectedAt = timeAt(time.Minute)
 			},
 			func(h *History) { h.Limits[0].PerSecond, h.Notices[0].Limit = 2, 2 }},
 		{"ONE", "two holders share a fence",
 			func(h *History) {
-				h.Orders = []fleet.AcceptedOrder{{Holder: "a", Fence: 7}, {Holder: "b", Fence: 7, At: at(time.Hour)}}
+				h.Orders = []fleet.AcceptedOrder{{Holder: "a", Fence: 7}, {Holder: "b", Fence: 7, At: timeAt(time.Hour)}}
 			},
 			func(h *History) { h.Orders[1].Fence = 8 }},
 		{"ONE", "a lower fence after a higher one",
 			func(h *History) {
-				h.Orders = []fleet.AcceptedOrder{{Holder: "a", Fence: 7}, {Holder: "b", Fence: 6, At: at(time.Hour)}}
+				h.Orders = []fleet.AcceptedOrder{{Holder: "a", Fence: 7}, {Holder: "b", Fence: 6, At: timeAt(time.Hour)}}
 			},
 			func(h *History) { h.Orders[1].Fence = 8 }},
 		{"ONE", "two holders within a lease",
 			func(h *History) {
-				h.Orders = []fleet.AcceptedOrder{{Holder: "a", Fence: 7, At: at(0)}, {Holder: "b", Fence: 8, At: at(leaseTime - 1)}}
+				h.Orders = []fleet.AcceptedOrder{{Holder: "a", Fence: 7, At: timeAt(0)}, {Holder: "b", Fence: 8, At: timeAt(leaseTTL - 1)}}
 			},
-			func(h *History) { h.Orders[1].At = at(leaseTime) }},
+			func(h *History) { h.Orders[1].At = timeAt(leaseTTL) }},
 		{"BUDGET", "more repeats than allowed",
 			func(h *History) {
 				for i := range retrySlack + 5 {
-					h.Arrivals = append(h.Arrivals, fleet.Arrival{ID: "r1", Service: servicePlain, At: at(time.Duration(i) * time.Millisecond)})
+					h.Arrivals = append(h.Arrivals, fleet.Arrival{ID: "r1", Service: servicePlain, At: timeAt(time.Duration(i) * time.Millisecond)})
 				}
 			},
 			func(h *History) {
 				for i := range 30 {
-					h.Requests = append(h.Requests, answered(fmt.Sprint("more-", i), KindAgain, 0))
+					h.Requests = append(h.Requests, answered(fmt.Sprint("more-", i), KindIdempotent, 0))
 				}
 			}},
 		{"CONFIG", "a configuration that comes late",
-			func(h *History) { h.Spread = []time.Duration{configTime + 1} },
-			func(h *History) { h.Spread[0] = configTime }},
+			func(h *History) { h.ConfigDelays = []time.Duration{maxConfigDelay + 1} },
+			func(h *History) { h.ConfigDelays[0] = maxConfigDelay }},
 		{"RECOVER", "no service after everything has healed",
 			func(h *History) {
-				h.Quiet = []Span{{Begun: at(0), Ended: at(time.Second)}}
+				h.QuietPeriods = []Span{{Begun: timeAt(0), Ended: timeAt(time.Second)}}
 				for i := range 40 {
-					r := answered(fmt.Sprint("more-", i), KindAgain, time.Millisecond)
-					r.Answer = fleet.Response{Status: http.StatusServiceUnavailable}
+					r := answered(fmt.Sprint("more-", i), KindIdempotent, time.Millisecond)
+					r.Response = fleet.Response{Status: http.StatusServiceUnavailable}
 					h.Requests = append(h.Requests, r)
 				}
 			},
-			func(h *History) { h.Quiet[0].Begun, h.Quiet[0].Ended = at(time.Hour), at(time.Hour); h.Quiet = nil }},
+			func(h *History) {
+				h.QuietPeriods[0].Begun, h.QuietPeriods[0].Ended = timeAt(time.Hour), timeAt(time.Hour)
+				h.QuietPeriods = nil
+			}},
 		{"BUDGET", "retries of a request that ends workers, long after the third end",
 			func(h *History) {
-				for i := range 4 + crashRetries {
+				for i := range 4 + maxCrashRetries {
 					r := answered(fmt.Sprint("crash-", i), KindStream, time.Duration(i)*10*time.Second)
-					r.Crashing, r.Answer = 1, fleet.Response{Status: http.StatusBadGateway}
+					r.CrashID, r.Response = 1, fleet.Response{Status: http.StatusBadGateway}
 					h.Requests = append(h.Requests, r)
-					h.Heads = append(h.Heads, fleet.Head{ID: r.Asked.ID})
-					h.Crashes = append(h.Crashes, fleet.Crash{ID: r.Asked.ID, At: r.Sent})
+					h.Heads = append(h.Heads, fleet.Head{ID: r.Request.ID})
+					h.Crashes = append(h.Crashes, fleet.Crash{ID: r.Request.ID, At: r.Sent})
 				}
 			},
-			func(h *History) { h.Spans = []Span{{Fault: StoreCompact{}, Begun: at(0)}} }},
+			func(h *History) { h.Spans = []Span{{Fault: StoreCompaction{}, Begun: timeAt(0)}} }},
 		{"DENIED", "a request that does no harm is barred",
-			func(h *History) { h.Requests[0].Answer.Status = http.StatusUnprocessableEntity },
-			func(h *History) { h.Requests[0].Crashing = 1 }},
+			func(h *History) { h.Requests[0].Response.Status = http.StatusUnprocessableEntity },
+			func(h *History) { h.Requests[0].CrashID = 1 }},
 	}
 	for _, test := range tests {
 		t.Run(test.rule+" "+test.desc, func(t *testing.T) {
-			h := &History{Requests: []Request{answered("r1", KindOnce, 0), answered("r2", KindStream, 0)}, Runs: map[string][]fleet.Run{}}
+			h := &History{Requests: []RequestRecord{answered("r1", KindNonIdempotent, 0), answered("r2", KindStream, 0)}, Runs: map[string][]fleet.Run{}}
 			if found := Check(h); len(found) > 0 {
 				t.Fatalf("a good history: %v", found)
 			}
-			test.change(h)
+			test.violate(h)
 			found := Check(h)
 			if len(found) == 0 || slices.ContainsFunc(found, func(v Violation) bool { return v.Rule != test.rule }) {
 				t.Errorf("found %v, want %s alone", found, test.rule)
 			}
-			test.excuse(h)
+			test.allow(h)
 			if found := Check(h); len(found) > 0 {
 				t.Errorf("it is allowed now, and yet: %v", found)
 			}
@@ -296,14 +301,14 @@
 	}
 }
 
-func TestRoundsAreDecidedByTheirSeed(t *testing.T) {
+func TestRoundsAreDeterministic(t *testing.T) {
 	kinds := map[string]bool{}
 	for number := range 300 {
-		one, again := round(7, number, 4, 10), round(7, number, 4, 10)
-		if fmt.Sprint(one) != fmt.Sprint(again) {
+		first, second := drawRound(7, number, 4, 10), drawRound(7, number, 4, 10)
+		if fmt.Sprint(first) != fmt.Sprint(second) {
 			t.Fatalf("round %d is another one the second time", number)
 		}
-		for _, each := range one {
+		for _, each := range first {
 			kinds[fmt.Sprintf("%T", each.Fault)] = true
 			if each.At < 0 || each.At >= faultTime {
 				t.Errorf("a fault at %s", each.At)
--- a/internal/soak/command.go
+++ b/internal/soak/command.go
@@ -40,8 +40,8 @@
 	if c.For < roundTime {
 		problems = errors.Join(problems, errors.Newf("--for is %s, allowed is %s or more", c.For, roundTime))
 	}
-	if c.Gateways < 0 || c.Gateways == 1 || c.Gateways > mostGateways {
-		problems = errors.Join(problems, errors.Newf("--gateways is %d, allowed are 0 and 2 to %d", c.Gateways, mostGateways))
+	if c.Gateways < 0 || c.Gateways == 1 || c.Gateways > maxGateways {
+		problems = errors.Join(problems, errors.Newf("--gateways is %d, allowed are 0 and 2 to %d", c.Gateways, maxGateways))
 	}
 	if c.Rate < 1 {
 		problems = errors.Join(problems, errors.Newf("--rate is %d, allowed is 1 or more", c.Rate))
@@ -50,20 +50,20 @@
 }
 
 // mostGateways bounds the processes of a soak: the half of a machine of developers bears them.
-const mostGateways = 200
+const maxGateways = 200
 
 // ErrBroken is the error of a soak that found a broken rule.
-var ErrBroken = errors.New("a rule was broken")
+var ErrViolations = errors.New("a rule was broken")
 
 // Run runs the soak until its time is over, a rule is broken, or the context ends.
 func (c *Command) Run(ctx context.Context, out io.Writer) error {
 	if c.Regressions {
-		return c.playRegressions(ctx, out)
+		return c.runRegressions(ctx, out)
 	}
 	if c.Seed == 0 {
 		c.Seed = uint64(time.Now().UnixNano())
 	}
-	return c.play(ctx, out)
+	return c.runSeed(ctx, out)
 }
 
 // regressions are seeds that failed once, one a line: DEPLOYMENT SEED ROUNDS, then the cause.
@@ -72,7 +72,7 @@
 var regressions string
 
 // playRegressions plays each seed that failed once.
-func (c *Command) playRegressions(ctx context.Context, out io.Writer) error {
+func (c *Command) runRegressions(ctx context.Context, out io.Writer) error {
 	for line := range strings.Lines(regressions) {
 		line = strings.TrimSpace(line)
 		if line == "" || strings.HasPrefix(line, "#") {
@@ -87,8 +87,8 @@
 		if err := errors.Join(seedErr, roundsErr); err != nil {
 			return errors.Wrapf(err, "step read the regressions: %q", line)
 		}
-		one := Command{Deployment: words[0], Seed: seed, For: time.Duration(rounds) * roundTime, Rate: c.Rate, Gateway: c.Gateway}
-		if err := one.play(ctx, out); err != nil {
+		command := Command{Deployment: words[0], Seed: seed, For: time.Duration(rounds) * roundTime, Rate: c.Rate, Gateway: c.Gateway}
+		if err := command.runSeed(ctx, out); err != nil {
 			return err
 		}
 	}
@@ -96,7 +96,7 @@
 }
 
 // play runs one seed.
-func (c *Command) play(ctx context.Context, out io.Writer) (err error) {
+func (c *Command) runSeed(ctx context.Context, out io.Writer) (err error) {
 	folder, err := os.MkdirTemp("", "granitebay-soak-")
 	if err != nil {
 		return errors.Wrap(err, "step make a folder for logs")
@@ -107,37 +107,37 @@
 			return err
 		}
 	}
-	size := shapes[c.Deployment]
+	shape := shapes[c.Deployment]
 	if c.Gateways > 0 {
-		size.gateways = c.Gateways
+		shape.gateways = c.Gateways
 	}
-	fmt.Fprintf(out, "soak --deployment %s --seed %d --for %s --gateways %d; logs in %s\n", c.Deployment, c.Seed, c.For, size.gateways, folder)
-	s, err := startSystem(ctx, size, builds{before: c.Before, own: binary}, folder)
+	fmt.Fprintf(out, "soak --deployment %s --seed %d --for %s --gateways %d; logs in %s\n", c.Deployment, c.Seed, c.For, shape.gateways, folder)
+	s, err := startSystem(ctx, shape, builds{previous: c.Before, current: binary}, folder)
 	if err != nil {
 		return err
 	}
 	defer s.stop()
-	watching, stopWatching := context.WithCancel(ctx)
-	var watched sync.WaitGroup
-	watched.Go(func() { s.watchOwn(watching) })
-	watched.Go(func() { s.keepCopies(watching) })
-	defer watched.Wait()
+	watchCtx, stopWatching := context.WithCancel(ctx)
+	var watchers sync.WaitGroup
+	watchers.Go(func() { s.watchStalls(watchCtx) })
+	watchers.Go(func() { s.takeSnapshots(watchCtx) })
+	defer watchers.Wait()
 	defer stopWatching()
-	calling, stopCalling := context.WithCancel(ctx)
-	ended := make(chan struct{})
+	trafficCtx, stopTraffic := context.WithCancel(ctx)
+	trafficDone := make(chan struct{})
 	go func() {
-		defer close(ended)
-		s.callers(calling, c.Seed, c.Rate)
+		defer close(trafficDone)
+		s.generateTraffic(trafficCtx, c.Seed, c.Rate)
 	}()
-	quiet, err := c.rounds(ctx, out, s)
-	stopCalling()
-	<-ended
+	quiet, err := c.runRounds(ctx, out, s)
+	stopTraffic()
+	<-trafficDone
 	if err != nil {
 		return err
 	}
 	stopWatching()
-	watched.Wait()
-	for _, stood := range s.stood {
+	watchers.Wait()
+	for _, stood := range s.stalls {
 		fmt.Fprintln(out, stood)
 	}
 	return c.report(out, s.history(quiet), folder)
@@ -145,34 +145,34 @@
 
 // Bounds of the look at the own process: how often it is taken, and how much later than that it counts as a standstill.
 const (
-	ownTick       = 50 * time.Millisecond
-	ownStandstill = 300 * time.Millisecond
+	stallCheckInterval = 50 * time.Millisecond
+	stallThreshold     = 300 * time.Millisecond
 )
 
 // watchOwn notes when the soak itself stands still, with its callers, its workers and its store: on a machine that is busy. It excuses
 // nothing; whoever reads of a broken rule has to know it.
-func (s *system) watchOwn(ctx context.Context) {
+func (s *system) watchStalls(ctx context.Context) {
 	last := time.Now()
 	for ctx.Err() == nil {
-		sleep(ctx, ownTick)
+		sleep(ctx, stallCheckInterval)
 		now := time.Now()
-		if stood := now.Sub(last) - ownTick; stood > ownStandstill {
-			s.stood = append(s.stood, fmt.Sprintf("the soak itself stood still for %s until %s", stood.Round(time.Millisecond), now.Format(clock)))
+		if stalled := now.Sub(last) - stallCheckInterval; stalled > stallThreshold {
+			s.stalls = append(s.stalls, fmt.Sprintf("the soak itself stood still for %s until %s", stalled.Round(time.Millisecond), now.Format(timeFormat)))
 		}
 		last = now
 	}
 }
 
 // rounds plays all rounds and returns the times in which the system had to serve.
-func (c *Command) rounds(ctx context.Context, out io.Writer, s *system) ([]Span, error) {
+func (c *Command) runRounds(ctx context.Context, out io.Writer, s *system) ([]Span, error) {
 	var quiet []Span
 	for number := range int(c.For / roundTime) {
-		faults := append(round(c.Seed, number, len(s.gateways), len(s.workers)), s.builds.upgrade(number)...)
-		slices.SortStableFunc(faults, func(a, b Timed) int { return int(a.At - b.At) })
+		faults := append(drawRound(c.Seed, number, len(s.gateways), len(s.workers)), s.builds.upgrade(number)...)
+		slices.SortStableFunc(faults, func(a, b ScheduledFault) int { return int(a.At - b.At) })
 		begun := time.Now()
 		for _, each := range faults {
 			sleep(ctx, time.Until(begun.Add(each.At)))
-			s.inject(each.Fault, calm(faults))
+			s.injectFault(each.Fault, isCalm(faults))
 		}
 		sleep(ctx, time.Until(begun.Add(faultTime)))
 		if err := s.heal(); err != nil {
@@ -185,7 +185,7 @@
 			return quiet, nil
 		}
 		quiet = append(quiet, Span{Begun: from, Ended: time.Now()})
-		fmt.Fprintf(out, "round %d: %s; %s\n", number, describe(faults), s.progress())
+		fmt.Fprintf(out, "round %d: %s; %s\n", number, describeFaults(faults), s.progress())
 		if found := Check(s.history(quiet)); len(found) > 0 {
 			return quiet, nil
 		}
@@ -194,7 +194,7 @@
 }
 
 // describe names the faults of a round.
-func describe(faults []Timed) string {
+func describeFaults(faults []ScheduledFault) string {
 	var texts []string
 	for _, each := range faults {
 		texts = append(texts, fmt.Sprintf("%.1fs %s", each.At.Seconds(), each.Fault))
@@ -208,7 +208,7 @@
 	defer s.mu.Unlock()
 	served := 0
 	for _, r := range s.requests {
-		if r.Answer.Status == 200 && r.Answer.Err == nil {
+		if r.Response.Status == 200 && r.Response.Err == nil {
 			served++
 		}
 	}
@@ -216,43 +216,43 @@
 }
 
 // shownViolations bounds what is printed of each kind.
-const shownViolations = 5
+const maxShownViolations = 5
 
 // report prints the violations of a history, and keeps it beside the logs.
 func (c *Command) report(out io.Writer, h *History, folder string) error {
 	found := Check(h)
-	for service, most := range h.repeats() {
-		fmt.Fprintf(out, "%s: most were %s\n", service, most)
+	for service, peak := range h.peakRetries() {
+		fmt.Fprintf(out, "%s: most were %s\n", service, peak)
 	}
 	if len(found) == 0 {
 		fmt.Fprintf(out, "no rule was broken in %d requests\n", len(h.Requests))
 		return nil
 	}
 	for i, violation := range found {
-		if i < shownViolations {
+		if i < maxShownViolations {
 			fmt.Fprintln(out, violation)
-			fmt.Fprintln(out, "  "+h.of(violation.Subject))
+			fmt.Fprintln(out, "  "+h.describeRequest(violation.Subject))
 		}
 	}
 	fmt.Fprintf(out, "%d violations. Logs of all processes are kept in %s. Again: granitebay-lab soak --deployment %s --seed %d --for %s\n",
 		len(found), folder, c.Deployment, c.Seed, c.For)
 	_ = os.WriteFile(filepath.Join(folder, "violations.txt"), []byte(fmt.Sprintln(found)), 0o600)
-	return errors.Wrapf(ErrBroken, "soak: %d violations", len(found))
+	return errors.Wrapf(ErrViolations, "soak: %d violations", len(found))
 }
 
 // of returns what is known of one request.
-func (h *History) of(id string) string {
+func (h *History) describeRequest(id string) string {
 	for _, r := range h.Requests {
-		if r.Asked.ID == id {
-			return fmt.Sprintf("sent %s to %s, ended %s with %d %v; runs %+v", r.Sent.Format(clock), r.Gateway, r.Ended.Format(clock),
-				r.Answer.Status, r.Answer.Err, h.Runs[id])
+		if r.Request.ID == id {
+			return fmt.Sprintf("sent %s to %s, ended %s with %d %v; runs %+v", r.Sent.Format(timeFormat), r.Gateway, r.Ended.Format(timeFormat),
+				r.Response.Status, r.Response.Err, h.Runs[id])
 		}
 	}
 	return ""
 }
 
 // clock is how times are printed.
-const clock = "15:04:05.000"
+const timeFormat = "15:04:05.000"
 
 // sleep waits for a time or the end of the context.
-func sleep(ctx context.Context, lasting time.Duration) { pause.For(ctx, lasting) }
+func sleep(ctx context.Context, duration time.Duration) { pause.For(ctx, duration) }
--- a/internal/soak/front.go
+++ b/internal/soak/dialer.go
@@ -11,21 +11,21 @@
 )
 
 // front opens the connections of callers, which may go silent for good.
-type front struct {
+type callerDialer struct {
 	mu    sync.Mutex
-	conns map[*frontConn]string
+	conns map[*callerConn]string
 }
 
 // newFront returns a front without connections.
-func newFront() *front { return &front{conns: map[*frontConn]string{}} }
+func newCallerDialer() *callerDialer { return &callerDialer{conns: map[*callerConn]string{}} }
 
 // dial opens a connection to a gateway.
-func (f *front) dial(ctx context.Context, gateway string) (net.Conn, error) {
+func (f *callerDialer) dial(ctx context.Context, gateway string) (net.Conn, error) {
 	opened, err := new(net.Dialer).DialContext(ctx, "tcp4", gateway)
 	if err != nil {
 		return nil, err
 	}
-	conn := &frontConn{TCPConn: opened.(*net.TCPConn), front: f, lost: make(chan struct{}), closed: make(chan struct{})}
+	conn := &callerConn{TCPConn: opened.(*net.TCPConn), dialer: f, silenced: make(chan struct{}), closed: make(chan struct{})}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.conns[conn] = gateway
@@ -33,7 +33,7 @@
 }
 
 // silence makes the connections to a gateway go silent for good: neither side hears the other one, nor its end.
-func (f *front) silence(gateway string) {
+func (f *callerDialer) silence(gateway string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for conn, to := range f.conns {
@@ -44,18 +44,18 @@
 }
 
 // heal has callers drop connections that have gone silent. The gateways are told nothing.
-func (f *front) heal() {
+func (f *callerDialer) dropSilent() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for conn := range f.conns {
 		if conn.isSilent() {
-			conn.dropped.Do(func() { close(conn.closed) })
+			conn.closeOnce.Do(func() { close(conn.closed) })
 		}
 	}
 }
 
 // close ends the connections that are left.
-func (f *front) close() {
+func (f *callerDialer) close() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for conn := range f.conns {
@@ -64,35 +64,35 @@
 }
 
 // forget forgets a connection that has ended for both sides.
-func (f *front) forget(conn *frontConn) {
+func (f *callerDialer) remove(conn *callerConn) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.conns, conn)
 }
 
 // frontConn is a connection of a caller.
-type frontConn struct {
+type callerConn struct {
 	*net.TCPConn
-	front *front
+	dialer *callerDialer
 	// lost is closed once it is silent, and closed once its caller has closed it.
-	lost, closed chan struct{}
-	losing       sync.Once
-	dropped      sync.Once
+	silenced, closed chan struct{}
+	silenceOnce      sync.Once
+	closeOnce        sync.Once
 }
 
 // silence makes everything lost from now on.
-func (c *frontConn) silence() {
-	c.losing.Do(func() {
-		close(c.lost)
+func (c *callerConn) silence() {
+	c.silenceOnce.Do(func() {
+		close(c.silenced)
 		// Whoever reads notices it now.
 		_ = c.TCPConn.SetReadDeadline(time.Now())
 	})
 }
 
 // isSilent tells whether everything is lost.
-func (c *frontConn) isSilent() bool {
+func (c *callerConn) isSilent() bool {
 	select {
-	case <-c.lost:
+	case <-c.silenced:
 		return true
 	default:
 		return false
@@ -100,42 +100,42 @@
 }
 
 // errClosed is the error of a connection that its caller has closed.
-var errClosed = errors.New("closed by its caller")
+var errClosedByCaller = errors.New("closed by its caller")
 
 // Read is part of net.Conn.
-func (c *frontConn) Read(into []byte) (int, error) {
-	n, err := c.TCPConn.Read(into)
+func (c *callerConn) Read(buffer []byte) (int, error) {
+	n, err := c.TCPConn.Read(buffer)
 	if !c.isSilent() {
 		return n, err
 	}
 	<-c.closed
-	return 0, errClosed
+	return 0, errClosedByCaller
 }
 
 // Write is part of net.Conn.
-func (c *frontConn) Write(content []byte) (int, error) {
+func (c *callerConn) Write(data []byte) (int, error) {
 	if c.isSilent() {
-		return len(content), nil
+		return len(data), nil
 	}
-	return c.TCPConn.Write(content)
+	return c.TCPConn.Write(data)
 }
 
 // Close is part of net.Conn. The gateway does not hear of the end of a silent one.
-func (c *frontConn) Close() error {
+func (c *callerConn) Close() error {
 	// Also one that goes silent just now ends for its caller.
-	c.dropped.Do(func() { close(c.closed) })
+	c.closeOnce.Do(func() { close(c.closed) })
 	if c.isSilent() {
 		return nil
 	}
-	c.front.forget(c)
+	c.dialer.remove(c)
 	return c.TCPConn.Close()
 }
 
 // SyscallConn is part of syscall.Conn. Callers find a silent connection closed once it has healed.
-func (c *frontConn) SyscallConn() (syscall.RawConn, error) {
+func (c *callerConn) SyscallConn() (syscall.RawConn, error) {
 	select {
 	case <-c.closed:
-		return nil, errClosed
+		return nil, errClosedByCaller
 	default:
 		return c.TCPConn.SyscallConn()
 	}
--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -11,27 +11,27 @@
 
 // The kinds of requests that the callers send.
 const (
-	KindOnce   Kind = "once"
-	KindAgain  Kind = "again"
-	KindStream Kind = "stream"
+	KindNonIdempotent Kind = "once"
+	KindIdempotent    Kind = "again"
+	KindStream        Kind = "stream"
 )
 
 // Request is one request with what became of it.
-type Request struct {
-	Asked fleet.Request
-	Kind  Kind
+type RequestRecord struct {
+	Request fleet.Request
+	Kind    Kind
 	// Crashing is which of the requests that end workers it repeats, from 1; 0 for one that does no harm.
-	Crashing int
+	CrashID int
 	// Gateway is the address to which it was sent, and Sent and Ended bound it.
-	Gateway string
-	Sent    time.Time
-	Ended   time.Time
-	Answer  fleet.Response
+	Gateway  string
+	Sent     time.Time
+	Ended    time.Time
+	Response fleet.Response
 	// Left is when the caller left before it had the answer; zero when it did not. Long is set when a worker works on it for long.
-	Left time.Time
-	Long bool
+	AbandonedAt time.Time
+	LongRunning bool
 	// Want is the whole answer that belongs to it.
-	Want string
+	WantBody string
 }
 
 // Span is a time in which something went wrong, or planned work was done.
@@ -42,13 +42,13 @@
 }
 
 // End is the end of the process of a gateway.
-type End struct {
+type ProcessExit struct {
 	// Gateway is the address of its callers.
 	Gateway string
 	At      time.Time
 	// Asked is set when it was asked to end, and Killed when it was ended at once.
-	Asked, Killed bool
-	Err           error
+	Expected, Killed bool
+	Err              error
 }
 
 // Departure is a worker that was recorded as leaving.
@@ -60,11 +60,11 @@
 // History is everything that was seen from outside.
 type History struct {
 	// Seen is when it was taken.
-	Seen     time.Time
-	Requests []Request
-	Runs     map[string][]fleet.Run
-	Arrivals []fleet.Arrival
-	Orders   []fleet.AcceptedOrder
+	CollectedAt time.Time
+	Requests    []RequestRecord
+	Runs        map[string][]fleet.Run
+	Arrivals    []fleet.Arrival
+	Orders      []fleet.AcceptedOrder
 	// Notices are what workers said of themselves, and Gateways the addresses of gateways by their numbers.
 	Notices []fleet.Notice
 	// Limits are when workers began to name limits, and others or none, in their order.
@@ -76,12 +76,12 @@
 	Spans      []Span
 	Departures []Departure
 	// Ends are those of gateways, and Worked what workers worked on.
-	Ends   []End
-	Worked []fleet.Work
+	Exits []ProcessExit
+	Work  []fleet.Work
 	// Quiet are the times in which the system has to serve, and Spread how long each new configuration took to be in force
 	// everywhere while nothing went wrong.
-	Quiet  []Span
-	Spread []time.Duration
+	QuietPeriods []Span
+	ConfigDelays []time.Duration
 }
 
 // Violation is a broken rule.
@@ -97,17 +97,17 @@
 func (v Violation) String() string { return v.Rule + " " + v.Subject + ": " + v.Detail }
 
 // touch is how long around a fault a system counts as disturbed.
-const touch = 3 * time.Second
+const recoveryMargin = 3 * time.Second
 
 // disturbed tells whether anything unplanned went wrong within a time, or shortly before.
-func (h *History) disturbed(from, until time.Time) bool {
-	return h.disturbedBy(func(f Fault) bool { return !planned(f) }, from, until)
+func (h *History) hasUnplannedFault(from, until time.Time) bool {
+	return h.hasFault(func(f Fault) bool { return !isPlanned(f) }, from, until)
 }
 
 // disturbedBy tells whether one of some faults was there within a time, or shortly before.
-func (h *History) disturbedBy(counts func(Fault) bool, from, until time.Time) bool {
+func (h *History) hasFault(matches func(Fault) bool, from, until time.Time) bool {
 	for _, span := range h.Spans {
-		if counts(span.Fault) && span.Begun.Before(until) && (span.Ended.IsZero() || span.Ended.Add(touch).After(from)) {
+		if matches(span.Fault) && span.Begun.Before(until) && (span.Ended.IsZero() || span.Ended.Add(recoveryMargin).After(from)) {
 			return true
 		}
 	}
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -11,22 +11,22 @@
 
 // storeFaults and workerFaults name the faults of the stand-ins.
 var (
-	storeFaults = map[StoreKind]fleet.StoreFault{
-		StoreRefuses: fleet.FaultRefuse, StoreSilent: fleet.FaultSilent, StoreBusy: fleet.FaultBusy,
-		StoreLosesAnswer: fleet.FaultDropResponses, StoreSlow: fleet.FaultNone,
+	storeFaults = map[StoreFaultKind]fleet.StoreFault{
+		StoreRefusing: fleet.FaultRefuse, StoreSilent: fleet.FaultSilent, StoreBusy: fleet.FaultBusy,
+		StoreDroppingResponses: fleet.FaultDropResponses, StoreSlow: fleet.FaultNone,
 	}
-	workerFaults = map[WorkerKind]fleet.WorkerFault{
+	workerFaults = map[WorkerFaultKind]fleet.WorkerFault{
 		WorkerErrors: fleet.WorkerErrors, WorkerResets: fleet.WorkerResets, WorkerMute: fleet.WorkerMute,
-		WorkerCuts: fleet.WorkerCuts, WorkerLapses: fleet.WorkerExpiresHandles, WorkerLate: fleet.WorkerLateOrders,
+		WorkerCuts: fleet.WorkerCuts, WorkerExpiresHandles: fleet.WorkerExpiresHandles, WorkerLateOrders: fleet.WorkerLateOrders,
 	}
 )
 
 // slowStore is the delay of a store that is slow.
-const slowStore = 200 * time.Millisecond
+const slowStoreDelay = 200 * time.Millisecond
 
 // inject makes one thing go wrong, and notes it. Calm is set when nothing unplanned happens in the round.
-func (s *system) inject(fault Fault, calm bool) {
-	s.begin(fault)
+func (s *system) injectFault(fault Fault, calm bool) {
+	s.recordFault(fault)
 	switch f := fault.(type) {
 	case GatewayKill:
 		for _, i := range f.Gateways {
@@ -37,38 +37,38 @@
 			s.gateways[i].signal(syscall.SIGSTOP)
 		}
 	case GatewayStop:
-		s.background.Go(func() { s.restart(s.gateways[f.Gateway]) })
-	case StoreTrouble:
+		s.background.Go(func() { s.restartGateway(s.gateways[f.Gateway]) })
+	case StoreFault:
 		delay := time.Duration(0)
 		if f.Kind == StoreSlow {
-			delay = slowStore
+			delay = slowStoreDelay
 		}
 		s.fleet.Store.SetFault(storeFaults[f.Kind], delay)
-	case StoreCut:
+	case StoreNetworkFault:
 		for _, i := range f.Gateways {
-			s.gateways[i].proxy.Set(f.Mode)
+			s.gateways[i].storeProxy.Set(f.Mode)
 		}
 	case GatewayUpgrade:
 		s.replaceGateways(f)
-	case StoreRestored:
-		s.restore(f)
-	case StoreCompact:
+	case StoreRestore:
+		s.restoreStore(f)
+	case StoreCompaction:
 		s.fleet.Store.Compact()
-	case LeaseLapse:
+	case LeaseExpiry:
 		s.fleet.Store.EndLeases()
-	case WorkerTrouble:
-		s.workers[f.Worker].current().SetFault(workerFaults[f.Kind])
-	case WorkerCut:
-		s.workers[f.Worker].way().Set(f.Mode)
-	case WorkerReplace:
-		s.background.Go(func() { s.replace(s.workers[f.Worker]) })
+	case WorkerFault:
+		s.workers[f.Worker].currentWorker().SetFault(workerFaults[f.Kind])
+	case WorkerNetworkFault:
+		s.workers[f.Worker].currentProxy().Set(f.Mode)
+	case WorkerReplacement:
+		s.background.Go(func() { s.replaceWorker(s.workers[f.Worker]) })
 	case LongPrompts:
 		s.longPrompts.Store(true)
 	case CrashingRequest:
-		s.crashing.Add(1)
-		s.crashes.Store(true)
-	case NewTimeout:
-		s.change(calm, func() { s.timeoutMs = f.TimeoutMs })
+		s.crashingCount.Add(1)
+		s.sendCrashing.Store(true)
+	case TimeoutChange:
+		s.changeConfiguration(calm, func() { s.timeoutMs = f.TimeoutMs })
 	default:
 		if s.injectNotice(fault) {
 			return
@@ -78,7 +78,7 @@
 }
 
 // begin notes that something goes wrong.
-func (s *system) begin(fault Fault) {
+func (s *system) recordFault(fault Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.spans = append(s.spans, Span{Fault: fault, Begun: time.Now()})
@@ -87,16 +87,16 @@
 // heal ends everything that goes wrong: whoever is stopped goes on, whoever is gone starts again.
 func (s *system) heal() error {
 	s.longPrompts.Store(false)
-	s.crashes.Store(false)
-	s.crowd.Store(false)
-	s.front.heal()
+	s.sendCrashing.Store(false)
+	s.doubleLoad.Store(false)
+	s.dialer.dropSilent()
 	s.fleet.Store.SetFault(fleet.FaultNone, 0)
 	for _, slot := range s.workers {
-		slot.current().SetFault(fleet.WorkerGood)
-		slot.way().Set(netproxy.ModePass)
+		slot.currentWorker().SetFault(fleet.WorkerGood)
+		slot.currentProxy().Set(netproxy.ModePass)
 	}
 	for _, g := range s.gateways {
-		g.proxy.Set(netproxy.ModePass)
+		g.storeProxy.Set(netproxy.ModePass)
 		g.signal(syscall.SIGCONT)
 	}
 	s.background.Wait()
@@ -105,7 +105,7 @@
 			return err
 		}
 	}
-	s.replaceChanged()
+	s.restoreRoles()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i := range s.spans {
@@ -117,15 +117,15 @@
 }
 
 // restart stops a gateway as planned and starts it again.
-func (s *system) restart(g *gatewayProcess) {
+func (s *system) restartGateway(g *gatewayProcess) {
 	if err := g.stop(); err == nil {
 		_ = g.start()
 	}
 }
 
 // replace records a worker as leaving, starts another one, and ends the first when its time is over.
-func (s *system) replace(slot *workerSlot) {
-	old, way := slot.current(), slot.way()
+func (s *system) replaceWorker(slot *workerSlot) {
+	old, way := slot.currentWorker(), slot.currentProxy()
 	old.Drain()
 	s.mu.Lock()
 	s.departures = append(s.departures, Departure{Worker: old.ID(), At: time.Now()})
@@ -139,48 +139,48 @@
 }
 
 // replaceChanged replaces the engines that changed their role, so that later rounds find the roles of the beginning.
-func (s *system) replaceChanged() {
+func (s *system) restoreRoles() {
 	for _, slot := range s.workers {
-		if slot.current().Stage() != slot.options.Stage {
-			s.background.Go(func() { s.replace(slot) })
+		if slot.currentWorker().Stage() != slot.options.Stage {
+			s.background.Go(func() { s.replaceWorker(slot) })
 		}
 	}
 }
 
 // change writes a changed configuration, and measures how long it takes to be in force while all is calm.
-func (s *system) change(calm bool, edit func()) {
+func (s *system) changeConfiguration(measure bool, edit func()) {
 	s.mu.Lock()
 	edit()
 	s.mu.Unlock()
 	begun := time.Now()
 	version := s.configure()
-	if calm {
-		s.background.Go(func() { s.measureSpread(version, begun) })
+	if measure {
+		s.background.Go(func() { s.measureConfigDelay(version, begun) })
 	}
 }
 
 // current returns the worker of a slot.
-func (w *workerSlot) current() *fleet.Worker {
+func (w *workerSlot) currentWorker() *fleet.Worker {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.worker.Latest()
 }
 
 // way returns the proxy before the worker of a slot.
-func (w *workerSlot) way() *netproxy.Proxy {
+func (w *workerSlot) currentProxy() *netproxy.Proxy {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.proxy
 }
 
 // calm tells whether nothing unplanned happens in a round, and no gateway stops.
-func calm(faults []Timed) bool {
-	return !slices.ContainsFunc(faults, func(each Timed) bool {
+func isCalm(faults []ScheduledFault) bool {
+	return !slices.ContainsFunc(faults, func(each ScheduledFault) bool {
 		switch each.Fault.(type) {
 		case GatewayStop, GatewayUpgrade:
 			return true
 		default:
-			return !planned(each.Fault)
+			return !isPlanned(each.Fault)
 		}
 	})
 }
--- a/internal/soak/limits.go
+++ b/internal/soak/limits.go
@@ -8,48 +8,48 @@
 )
 
 // WorkerLimits makes a worker name how many requests a second it takes, for a time, and another number in its second half.
-type WorkerLimits struct {
-	Worker       int
-	First, Later float64
-	For          time.Duration
+type WorkerLimitNotice struct {
+	Worker        int
+	First, Second float64
+	Duration      time.Duration
 }
 
-func (WorkerLimits) isFault() {}
+func (WorkerLimitNotice) isFault() {}
 
-func (f WorkerLimits) String() string {
-	return fmt.Sprintf("worker %d takes %.1f and then %.1f requests a second, for %s altogether", f.Worker, f.First, f.Later, f.For)
+func (f WorkerLimitNotice) String() string {
+	return fmt.Sprintf("worker %d takes %.1f and then %.1f requests a second, for %s altogether", f.Worker, f.First, f.Second, f.Duration)
 }
 
 const (
 	// limitStream is the stream of random numbers that decides about limits of workers.
 	limitStream = 1 << 35
 	// limitSeeds is the first seed whose rounds have them.
-	limitSeeds = 9000
+	firstLimitSeed = 9000
 )
 
 // limitsOf returns the limits that workers name in a round: two rounds in three have some.
-func limitsOf(seed uint64, number, workers int) []Timed {
+func drawLimits(seed uint64, number, workers int) []ScheduledFault {
 	random := rand.New(rand.NewPCG(seed, limitStream+uint64(number)))
-	if seed < limitSeeds || random.IntN(3) == 0 {
+	if seed < firstLimitSeed || random.IntN(3) == 0 {
 		return nil
 	}
 	rate := func() float64 { return []float64{0.4, 1.1, 2, 5.4, 20}[random.IntN(5)] }
-	var faults []Timed
+	var faults []ScheduledFault
 	for _, worker := range random.Perm(workers)[:1+random.IntN(min(3, workers))] {
 		at := time.Duration(random.Int64N(int64(faultTime / 2)))
-		faults = append(faults, Timed{At: at, Fault: WorkerLimits{worker, rate(), rate(), time.Duration(5000+random.IntN(5000)) * time.Millisecond}})
+		faults = append(faults, ScheduledFault{At: at, Fault: WorkerLimitNotice{worker, rate(), rate(), time.Duration(5000+random.IntN(5000)) * time.Millisecond}})
 	}
 	return faults
 }
 
 // injectLimit has a worker name limits, and none any more once the time is over.
-func (s *system) injectLimit(f WorkerLimits) {
-	worker := s.workers[f.Worker].current()
+func (s *system) injectLimits(f WorkerLimitNotice) {
+	worker := s.workers[f.Worker].currentWorker()
 	worker.Limit(f.First)
 	s.background.Go(func() {
-		time.Sleep(f.For / 2)
-		worker.Limit(f.Later)
-		time.Sleep(f.For / 2)
+		time.Sleep(f.Duration / 2)
+		worker.Limit(f.Second)
+		time.Sleep(f.Duration / 2)
 		worker.Limit(0)
 	})
 }
@@ -58,8 +58,8 @@
 const (
 	// limitSettles is how long after a worker first named a limit the bound holds, and limitTold how long a gateway has known it whose
 	// requests count.
-	limitSettles = 3 * time.Second
-	limitTold    = 500 * time.Millisecond
+	limitSettleTime  = 3 * time.Second
+	limitNoticeDelay = 500 * time.Millisecond
 	// limitWindow is the time in which requests are counted, limitFactor how much more than the limit may come in it, and limitSlack how
 	// many requests beyond that.
 	limitWindow = 4 * time.Second
@@ -68,32 +68,32 @@
 )
 
 // limited is a time in which a worker named limits without a pause.
-type limited struct {
-	worker      string
-	most        float64
-	from, until time.Time
+type limitPeriod struct {
+	worker       string
+	maxPerSecond float64
+	from, until  time.Time
 }
 
 // limitedTimes returns the times in which workers named limits. A time begins with the first answer that named one.
-func limitedTimes(h *History) []limited {
-	var times []limited
-	open := map[string]*limited{}
-	for _, said := range h.Limits {
-		one := open[said.Worker]
+func limitPeriods(h *History) []limitPeriod {
+	var times []limitPeriod
+	open := map[string]*limitPeriod{}
+	for _, change := range h.Limits {
+		period := open[change.Worker]
 		switch {
-		case one == nil && said.PerSecond > 0:
-			open[said.Worker] = &limited{worker: said.Worker, most: said.PerSecond, from: said.At}
-		case one != nil && said.PerSecond > 0:
-			one.most = max(one.most, said.PerSecond)
-		case one != nil:
-			one.until = said.At
-			times = append(times, *one)
-			delete(open, said.Worker)
+		case period == nil && change.PerSecond > 0:
+			open[change.Worker] = &limitPeriod{worker: change.Worker, maxPerSecond: change.PerSecond, from: change.At}
+		case period != nil && change.PerSecond > 0:
+			period.maxPerSecond = max(period.maxPerSecond, change.PerSecond)
+		case period != nil:
+			period.until = change.At
+			times = append(times, *period)
+			delete(open, change.Worker)
 		}
 	}
-	for _, one := range open {
-		one.until = h.Seen
-		times = append(times, *one)
+	for _, period := range open {
+		period.until = h.CollectedAt
+		times = append(times, *period)
 	}
 	return times
 }
@@ -101,13 +101,13 @@
 // checkLimits: a worker gets in no limitWindow more than its limit allows, of the gateways that had passed its word on and neither ended nor
 // stood still since. A way to the worker that is disturbed excuses it: what was held up arrives together.
 func checkLimits(h *History) []Violation {
-	requests := h.byID()
+	requests := h.requestsByID()
 	var found []Violation
-	for _, each := range limitedTimes(h) {
-		told := toldOf(h, requests, each)
+	for _, period := range limitPeriods(h) {
+		announcedAt := limitAnnouncements(h, requests, period)
 		var first time.Time
 		for _, notice := range h.Notices {
-			if notice.Worker == each.worker && notice.Limit > 0 && !notice.At.Before(each.from) && (first.IsZero() || notice.At.Before(first)) {
+			if notice.Worker == period.worker && notice.Limit > 0 && !notice.At.Before(period.from) && (first.IsZero() || notice.At.Before(first)) {
 				first = notice.At
 			}
 		}
@@ -117,20 +117,20 @@
 		var counted []time.Time
 		for _, arrival := range h.Arrivals {
 			gateway := requests[arrival.ID].Gateway
-			at, known := told[gateway]
-			counts := known && arrival.Worker == each.worker && arrival.At.After(at.Add(limitTold)) && arrival.At.After(first.Add(limitSettles)) && arrival.At.Before(each.until)
-			if counts && !h.stood(gateway, at, arrival.At) {
+			at, known := announcedAt[gateway]
+			counts := known && arrival.Worker == period.worker && arrival.At.After(at.Add(limitNoticeDelay)) && arrival.At.After(first.Add(limitSettleTime)) && arrival.At.Before(period.until)
+			if counts && !h.wasInterrupted(gateway, at, arrival.At) {
 				counted = append(counted, arrival.At)
 			}
 		}
-		allowed := int(limitFactor*each.most*limitWindow.Seconds()) + limitSlack
+		allowed := int(limitFactor*period.maxPerSecond*limitWindow.Seconds()) + limitSlack
 		for i := range counted {
 			last := i + allowed
-			if last >= len(counted) || counted[last].Sub(counted[i]) > limitWindow || h.disturbedBy(onWayToWorkers, counted[i].Add(-touch), counted[last]) {
+			if last >= len(counted) || counted[last].Sub(counted[i]) > limitWindow || h.hasFault(isWorkerPathFault, counted[i].Add(-recoveryMargin), counted[last]) {
 				continue
 			}
-			found = append(found, Violation{"LIMIT", each.worker, fmt.Sprintf("%d requests in %s of a worker that takes %.1f a second, until %s",
-				allowed+1, counted[last].Sub(counted[i]).Round(time.Millisecond), each.most, counted[last].Format(clock))})
+			found = append(found, Violation{"LIMIT", period.worker, fmt.Sprintf("%d requests in %s of a worker that takes %.1f a second, until %s",
+				allowed+1, counted[last].Sub(counted[i]).Round(time.Millisecond), period.maxPerSecond, counted[last].Format(timeFormat))})
 			break
 		}
 	}
@@ -138,17 +138,17 @@
 }
 
 // toldOf returns when each gateway first passed on an answer in which a worker named its limit, within a time.
-func toldOf(h *History, requests map[string]Request, within limited) map[string]time.Time {
-	told := map[string]time.Time{}
+func limitAnnouncements(h *History, requests map[string]RequestRecord, period limitPeriod) map[string]time.Time {
+	announcedAt := map[string]time.Time{}
 	for _, notice := range h.Notices {
 		r := requests[notice.ID]
-		if notice.Worker != within.worker || notice.Limit == 0 || notice.At.Before(within.from) || notice.At.After(within.until) ||
-			r.Answer.Err != nil || r.Answer.Status != http.StatusOK {
+		if notice.Worker != period.worker || notice.Limit == 0 || notice.At.Before(period.from) || notice.At.After(period.until) ||
+			r.Response.Err != nil || r.Response.Status != http.StatusOK {
 			continue
 		}
-		if before, known := told[r.Gateway]; !known || r.Ended.Before(before) {
-			told[r.Gateway] = r.Ended
+		if before, known := announcedAt[r.Gateway]; !known || r.Ended.Before(before) {
+			announcedAt[r.Gateway] = r.Ended
 		}
 	}
-	return told
+	return announcedAt
 }
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -19,14 +19,14 @@
 
 // gatewayProcess is one gateway as a process of its own, which is started anew after its end.
 type gatewayProcess struct {
-	binary  string
-	name    string
-	zone    string
-	folder  string
-	proxy   *netproxy.Proxy
-	seeds   []string
-	callers string
-	ready   string
+	binary     string
+	name       string
+	zone       string
+	folder     string
+	storeProxy *netproxy.Proxy
+	seeds      []string
+	callers    string
+	ready      string
 	// directory, control and admin are the other addresses, host:port.
 	directory string
 	control   string
@@ -40,17 +40,17 @@
 	done    chan struct{}
 	started time.Time
 	// asked is set once the process was asked to end, and ends are those of its lives.
-	asked bool
-	ends  []End
+	stopRequested bool
+	exits         []ProcessExit
 }
 
 // newGatewayProcess prepares a gateway that reaches the store through a proxy.
 func newGatewayProcess(binary, name, zone, folder, store string) (*gatewayProcess, error) {
-	through, err := netproxy.New(store)
+	storeProxy, err := netproxy.New(store)
 	if err != nil {
 		return nil, err
 	}
-	g := &gatewayProcess{binary: binary, name: name, zone: zone, folder: folder, proxy: through}
+	g := &gatewayProcess{binary: binary, name: name, zone: zone, folder: folder, storeProxy: storeProxy}
 	for _, address := range []*string{&g.callers, &g.ready, &g.directory, &g.control, &g.admin, &g.peers} {
 		if *address, err = freeAddress(); err != nil {
 			return nil, err
@@ -61,11 +61,11 @@
 }
 
 // given holds the ports that were handed out, so that none is twice.
-var given sync.Map
+var assignedAddresses sync.Map
 
 // ownLoopback returns a loopback address of this process: soaks beside each other must not take the ports that one of them has found
 // free for gateways which it starts, and starts again, later.
-func ownLoopback() string {
+func processLoopback() string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.1", 1+pid>>8&0x7f, pid&0xff)
 }
@@ -73,7 +73,7 @@
 // freeAddress returns an address on loopback whose port is free at the moment, for TCP and for UDP.
 func freeAddress() (string, error) {
 	for {
-		listener, err := net.Listen("tcp4", net.JoinHostPort(ownLoopback(), "0"))
+		listener, err := net.Listen("tcp4", net.JoinHostPort(processLoopback(), "0"))
 		if err != nil {
 			return "", errors.Wrap(err, "step find a free port")
 		}
@@ -83,7 +83,7 @@
 		if !free {
 			continue
 		}
-		if _, taken := given.LoadOrStore(address, true); !taken {
+		if _, taken := assignedAddresses.LoadOrStore(address, true); !taken {
 			return address, nil
 		}
 	}
@@ -102,7 +102,7 @@
 // settingsFile writes the settings of the gateway and returns the path.
 func (g *gatewayProcess) settingsFile() (string, error) {
 	content, err := yaml.Marshal(map[string]any{
-		"name": g.name, "zone": g.zone, "seeds": g.seeds, "store": g.proxy.Address(),
+		"name": g.name, "zone": g.zone, "seeds": g.seeds, "store": g.storeProxy.Address(),
 		"listen": map[string]string{
 			"callers": g.callers, "ready": g.ready, "directory": g.directory, "control": g.control, "admin": g.admin, "peers": g.peers,
 		},
@@ -136,11 +136,11 @@
 		return errors.Wrapf(err, "step start %s", g.name)
 	}
 	done := make(chan struct{})
-	g.command, g.done, g.started, g.asked = command, done, time.Now(), false
+	g.command, g.done, g.started, g.stopRequested = command, done, time.Now(), false
 	go func() {
 		err := command.Wait()
 		g.mu.Lock()
-		g.ends = append(g.ends, End{Gateway: g.callers, At: time.Now(), Asked: g.asked, Killed: isKilled(command), Err: err})
+		g.exits = append(g.exits, ProcessExit{Gateway: g.callers, At: time.Now(), Expected: g.stopRequested, Killed: isKilled(command), Err: err})
 		g.command = nil
 		g.mu.Unlock()
 		close(done)
@@ -155,22 +155,22 @@
 }
 
 // settled is how long after its start a process has taken charge of its signals.
-const settled = 500 * time.Millisecond
+const signalSetupTime = 500 * time.Millisecond
 
 // reload has the gateway read its settings again.
 func (g *gatewayProcess) reload() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.command != nil && time.Since(g.started) > settled {
+	if g.command != nil && time.Since(g.started) > signalSetupTime {
 		_ = g.command.Process.Signal(syscall.SIGHUP)
 	}
 }
 
 // endings returns the ends of the process so far.
-func (g *gatewayProcess) endings() []End {
+func (g *gatewayProcess) exitRecords() []ProcessExit {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return slices.Clone(g.ends)
+	return slices.Clone(g.exits)
 }
 
 // signal sends a signal to the process, if it runs.
@@ -178,7 +178,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.command != nil {
-		g.asked = g.asked || signal == syscall.SIGTERM || signal == syscall.SIGKILL
+		g.stopRequested = g.stopRequested || signal == syscall.SIGTERM || signal == syscall.SIGKILL
 		_ = g.command.Process.Signal(signal)
 	}
 }
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -27,37 +27,37 @@
 type GatewayStop struct{ Gateway int }
 
 // StoreTrouble makes the store misbehave for everybody.
-type StoreTrouble struct{ Kind StoreKind }
+type StoreFault struct{ Kind StoreFaultKind }
 
 // StoreCut cuts gateways off from the store.
-type StoreCut struct {
+type StoreNetworkFault struct {
 	Gateways []int
 	Mode     netproxy.Mode
 }
 
 // StoreCompact makes the store forget its history.
-type StoreCompact struct{}
+type StoreCompaction struct{}
 
 // LeaseLapse ends the leases of all gateways.
-type LeaseLapse struct{}
+type LeaseExpiry struct{}
 
 // WorkerTrouble makes a worker misbehave.
-type WorkerTrouble struct {
+type WorkerFault struct {
 	Worker int
-	Kind   WorkerKind
+	Kind   WorkerFaultKind
 }
 
 // WorkerCut puts a fault on the way to a worker.
-type WorkerCut struct {
+type WorkerNetworkFault struct {
 	Worker int
 	Mode   netproxy.Mode
 }
 
 // WorkerReplace drains a worker and starts another one in its place.
-type WorkerReplace struct{ Worker int }
+type WorkerReplacement struct{ Worker int }
 
 // NewTimeout changes the time-out of all routes.
-type NewTimeout struct{ TimeoutMs int }
+type TimeoutChange struct{ TimeoutMs int }
 
 // LongPrompts makes callers send long prompts that nobody has read, until the round heals. Engines change their role for it;
 // those that did are replaced afterwards.
@@ -68,42 +68,42 @@
 type CrashingRequest struct{}
 
 // StoreKind is how a store misbehaves.
-type StoreKind string
+type StoreFaultKind string
 
 // The kinds of trouble of a store.
 const (
-	StoreRefuses     StoreKind = "refuses"
-	StoreSilent      StoreKind = "is silent"
-	StoreBusy        StoreKind = "is busy"
-	StoreLosesAnswer StoreKind = "loses answers"
-	StoreSlow        StoreKind = "is slow"
+	StoreRefusing          StoreFaultKind = "refuses"
+	StoreSilent            StoreFaultKind = "is silent"
+	StoreBusy              StoreFaultKind = "is busy"
+	StoreDroppingResponses StoreFaultKind = "loses answers"
+	StoreSlow              StoreFaultKind = "is slow"
 )
 
 // WorkerKind is how a worker misbehaves.
-type WorkerKind string
+type WorkerFaultKind string
 
 // The kinds of trouble of a worker.
 const (
-	WorkerErrors WorkerKind = "answers errors"
-	WorkerResets WorkerKind = "resets connections"
-	WorkerMute   WorkerKind = "never answers"
-	WorkerCuts   WorkerKind = "breaks answers off"
-	WorkerLapses WorkerKind = "lets handles lapse"
-	WorkerLate   WorkerKind = "carries orders out late"
+	WorkerErrors         WorkerFaultKind = "answers errors"
+	WorkerResets         WorkerFaultKind = "resets connections"
+	WorkerMute           WorkerFaultKind = "never answers"
+	WorkerCuts           WorkerFaultKind = "breaks answers off"
+	WorkerExpiresHandles WorkerFaultKind = "lets handles lapse"
+	WorkerLateOrders     WorkerFaultKind = "carries orders out late"
 )
 
-func (GatewayKill) isFault()   {}
-func (GatewayPause) isFault()  {}
-func (GatewayStop) isFault()   {}
-func (StoreTrouble) isFault()  {}
-func (StoreCut) isFault()      {}
-func (StoreCompact) isFault()  {}
-func (LeaseLapse) isFault()    {}
-func (WorkerTrouble) isFault() {}
-func (WorkerCut) isFault()     {}
-func (WorkerReplace) isFault() {}
-func (NewTimeout) isFault()    {}
-func (LongPrompts) isFault()   {}
+func (GatewayKill) isFault()        {}
+func (GatewayPause) isFault()       {}
+func (GatewayStop) isFault()        {}
+func (StoreFault) isFault()         {}
+func (StoreNetworkFault) isFault()  {}
+func (StoreCompaction) isFault()    {}
+func (LeaseExpiry) isFault()        {}
+func (WorkerFault) isFault()        {}
+func (WorkerNetworkFault) isFault() {}
+func (WorkerReplacement) isFault()  {}
+func (TimeoutChange) isFault()      {}
+func (LongPrompts) isFault()        {}
 
 func (CrashingRequest) isFault() {}
 
@@ -112,16 +112,18 @@
 func (f GatewayStop) String() string {
 	return fmt.Sprintf("gateway %d is stopped as planned", f.Gateway)
 }
-func (f StoreTrouble) String() string { return fmt.Sprintf("the store %s", f.Kind) }
-func (f StoreCut) String() string {
+func (f StoreFault) String() string { return fmt.Sprintf("the store %s", f.Kind) }
+func (f StoreNetworkFault) String() string {
 	return fmt.Sprintf("gateways %v and the store: %s", f.Gateways, f.Mode)
 }
-func (StoreCompact) String() string    { return "the store forgets its history" }
-func (LeaseLapse) String() string      { return "the leases of all gateways end" }
-func (f WorkerTrouble) String() string { return fmt.Sprintf("worker %d %s", f.Worker, f.Kind) }
-func (f WorkerCut) String() string     { return fmt.Sprintf("the way to worker %d: %s", f.Worker, f.Mode) }
-func (f WorkerReplace) String() string { return fmt.Sprintf("worker %d is replaced", f.Worker) }
-func (f NewTimeout) String() string {
+func (StoreCompaction) String() string { return "the store forgets its history" }
+func (LeaseExpiry) String() string     { return "the leases of all gateways end" }
+func (f WorkerFault) String() string   { return fmt.Sprintf("worker %d %s", f.Worker, f.Kind) }
+func (f WorkerNetworkFault) String() string {
+	return fmt.Sprintf("the way to worker %d: %s", f.Worker, f.Mode)
+}
+func (f WorkerReplacement) String() string { return fmt.Sprintf("worker %d is replaced", f.Worker) }
+func (f TimeoutChange) String() string {
 	return fmt.Sprintf("the routes get a time-out of %d ms", f.TimeoutMs)
 }
 
@@ -129,9 +131,9 @@
 func (CrashingRequest) String() string { return "a request ends each worker that runs it" }
 
 // planned tells whether a fault is planned work, around which no request may be lost.
-func planned(f Fault) bool {
+func isPlanned(f Fault) bool {
 	switch f.(type) {
-	case GatewayStop, GatewayReload, WorkerReplace, WorkerSaysLeaving, WorkerLimits, GatewayUpgrade, NewTimeout, NewIdle:
+	case GatewayStop, GatewayReload, WorkerReplacement, WorkerLeavingNotice, WorkerLimitNotice, GatewayUpgrade, TimeoutChange, IdleTimeoutChange:
 		return true
 	default:
 		return false
@@ -139,7 +141,7 @@
 }
 
 // Timed is a fault with its moment within the round.
-type Timed struct {
+type ScheduledFault struct {
 	At    time.Duration
 	Fault Fault
 }
@@ -155,24 +157,24 @@
 )
 
 // leastTimeout is the shortest time-out that routes get.
-const leastTimeout = 1500 * time.Millisecond
+const minTimeout = 1500 * time.Millisecond
 
 // mostFaults bounds the faults of a round.
-const mostFaults = 3
+const maxFaults = 3
 
 // round returns the faults of one round, decided by the seed and the number of the round.
-func round(seed uint64, number, gateways, workers int) []Timed {
+func drawRound(seed uint64, number, gateways, workers int) []ScheduledFault {
 	random := rand.New(rand.NewPCG(seed, uint64(number)))
-	var faults []Timed
-	for range 1 + random.IntN(mostFaults) {
+	var faults []ScheduledFault
+	for range 1 + random.IntN(maxFaults) {
 		at := time.Duration(random.Int64N(int64(faultTime / 2)))
-		faults = append(faults, Timed{At: at, Fault: draw(random, gateways, workers)})
+		faults = append(faults, ScheduledFault{At: at, Fault: drawFault(random, gateways, workers)})
 	}
-	faults = append(faults, crashing(seed, number)...)
-	faults = append(faults, series(seed, number, gateways, workers)...)
-	faults = append(faults, noticesOf(seed, number, workers)...)
-	faults = append(faults, limitsOf(seed, number, workers)...)
-	return append(faults, returns(seed, number)...)
+	faults = append(faults, drawCrashing(seed, number)...)
+	faults = append(faults, drawSeries(seed, number, gateways, workers)...)
+	faults = append(faults, drawNotices(seed, number, workers)...)
+	faults = append(faults, drawLimits(seed, number, workers)...)
+	return append(faults, drawRestore(seed, number)...)
 }
 
 // crashingStream is the stream of random numbers that decides about crashing requests: one of its own, so that the faults of older seeds
@@ -180,16 +182,16 @@
 const crashingStream = 1 << 32
 
 // crashing returns the crashing request of a round: one in three has one.
-func crashing(seed uint64, number int) []Timed {
+func drawCrashing(seed uint64, number int) []ScheduledFault {
 	random := rand.New(rand.NewPCG(seed, crashingStream+uint64(number)))
 	if random.IntN(3) > 0 {
 		return nil
 	}
-	return []Timed{{At: time.Duration(random.Int64N(int64(faultTime / 2))), Fault: CrashingRequest{}}}
+	return []ScheduledFault{{At: time.Duration(random.Int64N(int64(faultTime / 2))), Fault: CrashingRequest{}}}
 }
 
 // draw draws one fault.
-func draw(random *rand.Rand, gateways, workers int) Fault {
+func drawFault(random *rand.Rand, gateways, workers int) Fault {
 	some := func() []int {
 		// Sometimes all of them at once.
 		if random.IntN(4) == 0 {
@@ -207,26 +209,26 @@
 	case 2, 3:
 		return GatewayStop{random.IntN(gateways)}
 	case 4, 5:
-		kinds := []StoreKind{StoreRefuses, StoreSilent, StoreBusy, StoreLosesAnswer, StoreSlow}
-		return StoreTrouble{kinds[random.IntN(len(kinds))]}
+		kinds := []StoreFaultKind{StoreRefusing, StoreSilent, StoreBusy, StoreDroppingResponses, StoreSlow}
+		return StoreFault{kinds[random.IntN(len(kinds))]}
 	case 6:
-		return StoreCut{some(), mode}
+		return StoreNetworkFault{some(), mode}
 	case 7:
 		if random.IntN(2) == 0 {
-			return LeaseLapse{}
+			return LeaseExpiry{}
 		}
-		return StoreCompact{}
+		return StoreCompaction{}
 	case 8, 9:
-		kinds := []WorkerKind{WorkerErrors, WorkerResets, WorkerMute, WorkerCuts, WorkerLapses, WorkerLate}
-		return WorkerTrouble{worker, kinds[random.IntN(len(kinds))]}
+		kinds := []WorkerFaultKind{WorkerErrors, WorkerResets, WorkerMute, WorkerCuts, WorkerExpiresHandles, WorkerLateOrders}
+		return WorkerFault{worker, kinds[random.IntN(len(kinds))]}
 	case 10:
 		if random.IntN(2) == 0 {
-			return WorkerCut{worker, mode}
+			return WorkerNetworkFault{worker, mode}
 		}
-		return WorkerReplace{worker}
+		return WorkerReplacement{worker}
 	case 11:
 		return LongPrompts{}
 	default:
-		return NewTimeout{int(leastTimeout/time.Millisecond) + 100*random.IntN(10)}
+		return TimeoutChange{int(minTimeout/time.Millisecond) + 100*random.IntN(10)}
 	}
 }
--- a/internal/soak/series.go
+++ b/internal/soak/series.go
@@ -14,61 +14,63 @@
 
 // GatewayFreeze stops a gateway where it stands for a time.
 type GatewayFreeze struct {
-	Gateway int
-	For     time.Duration
+	Gateway  int
+	Duration time.Duration
 }
 
 // GatewayRestart ends a gateway at once and starts it again.
 type GatewayRestart struct{ Gateway int }
 
 // NewIdle changes how long connections of callers may rest.
-type NewIdle struct{ IdleMs int }
+type IdleTimeoutChange struct{ IdleMs int }
 
 // GoneSilent makes the connections that are there go silent for good, while new ones work.
-type GoneSilent struct {
-	Way Way
+type SilentConnections struct {
+	Path ConnPath
 	// Index of the gateway, or of the worker.
 	Index int
 }
 
 // Way is between whom connections go silent.
-type Way string
+type ConnPath string
 
 // The ways on which connections go silent.
 const (
-	WayCallers Way = "callers and gateway"
-	WayWorker  Way = "gateways and worker"
-	WayStore   Way = "the store and gateway"
-	WayControl Way = "gateways and the control port of gateway"
+	PathCallers ConnPath = "callers and gateway"
+	PathWorker  ConnPath = "gateways and worker"
+	PathStore   ConnPath = "the store and gateway"
+	PathControl ConnPath = "gateways and the control port of gateway"
 )
 
 // sheddingAttempts is how often a request may be tried once workers have turned most away: more repeats are wanted than there are.
-const sheddingAttempts = 4
+const overloadAttempts = 4
 
 // Shedding makes all workers turn most requests away, while twice as many come.
-type Shedding struct{}
+type Overload struct{}
 
-func (GatewayReload) isFault()  {}
-func (GatewayFreeze) isFault()  {}
-func (GatewayRestart) isFault() {}
-func (NewIdle) isFault()        {}
-func (GoneSilent) isFault()     {}
-func (Shedding) isFault()       {}
+func (GatewayReload) isFault()     {}
+func (GatewayFreeze) isFault()     {}
+func (GatewayRestart) isFault()    {}
+func (IdleTimeoutChange) isFault() {}
+func (SilentConnections) isFault() {}
+func (Overload) isFault()          {}
 
 func (f GatewayReload) String() string {
 	return fmt.Sprintf("gateway %d reads its settings", f.Gateway)
 }
 func (f GatewayFreeze) String() string {
-	return fmt.Sprintf("gateway %d stands still for %s", f.Gateway, f.For)
+	return fmt.Sprintf("gateway %d stands still for %s", f.Gateway, f.Duration)
 }
 func (f GatewayRestart) String() string {
 	return fmt.Sprintf("gateway %d is killed and starts", f.Gateway)
 }
-func (f NewIdle) String() string { return fmt.Sprintf("connections may rest for %d ms", f.IdleMs) }
-func (f GoneSilent) String() string {
-	return fmt.Sprintf("connections between %s %d go silent for good", f.Way, f.Index)
+func (f IdleTimeoutChange) String() string {
+	return fmt.Sprintf("connections may rest for %d ms", f.IdleMs)
 }
-func (Shedding) String() string { return "all workers turn most requests away from a crowd" }
+func (f SilentConnections) String() string {
+	return fmt.Sprintf("connections between %s %d go silent for good", f.Path, f.Index)
+}
+func (Overload) String() string { return "all workers turn most requests away from a crowd" }
 
 // seriesStream is the stream of random numbers that decides about series, beside that of the crashing requests.
 const seriesStream = 1 << 33
@@ -78,31 +80,31 @@
 
 // series returns faults of one kind that follow on each other within a round, or of all kinds: two rounds in three have some. They overlap
 // with each other and with the other faults of the round.
-func series(seed uint64, number, gateways, workers int) []Timed {
+func drawSeries(seed uint64, number, gateways, workers int) []ScheduledFault {
 	random := rand.New(rand.NewPCG(seed, seriesStream+uint64(number)))
 	if random.IntN(3) == 0 {
 		return nil
 	}
 	kind := random.IntN(len(seriesKinds) + 1)
 	count := 4 + random.IntN(4)
-	var faults []Timed
-	if kind == restartKind {
+	var faults []ScheduledFault
+	if kind == restartSeries {
 		// Repeats are wanted from the first restart on, and each restart grants some anew if anything does.
 		count *= 2
-		faults = append(faults, Timed{Fault: Shedding{}})
+		faults = append(faults, ScheduledFault{Fault: Overload{}})
 	}
 	for range count {
 		draw := seriesKinds[random.IntN(len(seriesKinds))]
 		if kind < len(seriesKinds) {
 			draw = seriesKinds[kind]
 		}
-		faults = append(faults, Timed{At: time.Duration(random.Int64N(int64(seriesTime))), Fault: draw(random, gateways, workers)})
+		faults = append(faults, ScheduledFault{At: time.Duration(random.Int64N(int64(seriesTime))), Fault: draw(random, gateways, workers)})
 	}
 	return faults
 }
 
 // restartKind is the number of the series of restarts.
-const restartKind = 2
+const restartSeries = 2
 
 // seriesKinds draw the faults of each kind of series.
 var seriesKinds = []func(random *rand.Rand, gateways, workers int) Fault{
@@ -120,30 +122,30 @@
 	// Restarts while repeats are wanted.
 	func(random *rand.Rand, gateways, _ int) Fault {
 		if random.IntN(5) == 0 {
-			return Shedding{}
+			return Overload{}
 		}
 		return GatewayRestart{random.IntN(gateways)}
 	},
 	// Configurations.
 	func(random *rand.Rand, _, _ int) Fault {
 		if random.IntN(3) == 0 {
-			return NewTimeout{int(leastTimeout/time.Millisecond) + 100*random.IntN(10)}
+			return TimeoutChange{int(minTimeout/time.Millisecond) + 100*random.IntN(10)}
 		}
-		return NewIdle{leastIdle + 100*random.IntN(30)}
+		return IdleTimeoutChange{minIdleMs + 100*random.IntN(30)}
 	},
 	// Silence.
 	func(random *rand.Rand, gateways, workers int) Fault {
-		way := []Way{WayCallers, WayWorker, WayStore, WayControl}[random.IntN(4)]
-		if way == WayWorker {
-			return GoneSilent{way, random.IntN(workers)}
+		way := []ConnPath{PathCallers, PathWorker, PathStore, PathControl}[random.IntN(4)]
+		if way == PathWorker {
+			return SilentConnections{way, random.IntN(workers)}
 		}
-		return GoneSilent{way, random.IntN(gateways)}
+		return SilentConnections{way, random.IntN(gateways)}
 	},
 }
 
 // leastIdle is the shortest time in milliseconds for which connections of callers may rest: its fifth part is more than the callers of
 // this program are held up on a busy machine.
-const leastIdle = 800
+const minIdleMs = 800
 
 // injectSeries makes one thing of a series go wrong.
 func (s *system) injectSeries(fault Fault, calm bool) {
@@ -154,7 +156,7 @@
 		g := s.gateways[f.Gateway]
 		g.signal(syscall.SIGSTOP)
 		s.background.Go(func() {
-			time.Sleep(f.For)
+			time.Sleep(f.Duration)
 			g.signal(syscall.SIGCONT)
 		})
 	case GatewayRestart:
@@ -162,56 +164,56 @@
 			s.gateways[f.Gateway].kill()
 			_ = s.gateways[f.Gateway].start()
 		})
-	case NewIdle:
-		s.change(calm, func() {
+	case IdleTimeoutChange:
+		s.changeConfiguration(calm, func() {
 			s.idleMs = f.IdleMs
-			s.idles = append(s.idles, idleBound{time.Now(), time.Duration(f.IdleMs) * time.Millisecond})
+			s.idleTimeouts = append(s.idleTimeouts, idleTimeout{time.Now(), time.Duration(f.IdleMs) * time.Millisecond})
 		})
-	case GoneSilent:
+	case SilentConnections:
 		s.silence(f)
-	case Shedding:
-		s.crowd.Store(true)
-		s.change(false, func() { s.attempts = sheddingAttempts })
+	case Overload:
+		s.doubleLoad.Store(true)
+		s.changeConfiguration(false, func() { s.attempts = overloadAttempts })
 		for _, slot := range s.workers {
-			slot.current().SetFault(fleet.WorkerSheds)
+			slot.currentWorker().SetFault(fleet.WorkerSheds)
 		}
 	}
 }
 
 // silence makes the connections of one way go silent.
-func (s *system) silence(f GoneSilent) {
-	switch f.Way {
-	case WayCallers:
-		s.front.silence(s.gateways[f.Index].callers)
-	case WayWorker:
-		s.workers[f.Index].way().Silence()
-	case WayStore:
-		s.gateways[f.Index].proxy.Silence()
-	case WayControl:
+func (s *system) silence(f SilentConnections) {
+	switch f.Path {
+	case PathCallers:
+		s.dialer.silence(s.gateways[f.Index].callers)
+	case PathWorker:
+		s.workers[f.Index].currentProxy().Silence()
+	case PathStore:
+		s.gateways[f.Index].storeProxy.Silence()
+	case PathControl:
 		s.gateways[f.Index].controlProxy.Silence()
 	}
 }
 
 // idleBound is how long connections may rest from a moment on.
-type idleBound struct {
-	from  time.Time
-	bound time.Duration
+type idleTimeout struct {
+	from    time.Time
+	timeout time.Duration
 }
 
 // Callers take up connections that have rested for so much of the bound at the most.
-const restNumerator, restDenominator = 4, 5
+const idleNumerator, idleDenominator = 4, 5
 
 // mayRest tells whether a connection that rests since a moment may be taken up: the least bound counts that may have been in force at
 // some gateway since.
-func (s *system) mayRest(since time.Time) bool {
+func (s *system) mayReuse(since time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	least := fleet.DefaultIdle
-	for i, each := range s.idles {
-		if i+1 < len(s.idles) && s.idles[i+1].from.Add(configTime).Before(since) {
+	for i, each := range s.idleTimeouts {
+		if i+1 < len(s.idleTimeouts) && s.idleTimeouts[i+1].from.Add(maxConfigDelay).Before(since) {
 			continue
 		}
-		least = min(least, each.bound)
+		least = min(least, each.timeout)
 	}
-	return time.Since(since) <= least*restNumerator/restDenominator
+	return time.Since(since) <= least*idleNumerator/idleDenominator
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -37,7 +37,7 @@
 	}
 }
 
-func TestFlagErrorsNameEverythingThatIsWrong(t *testing.T) {
+func TestValidateReportsAllProblems(t *testing.T) {
 	err := (&Command{Deployment: "sydney", For: time.Second, Gateways: 1}).Validate()
 	for _, want := range []string{"--deployment", "sydney", "fes, magnolia", "--for", "1s", "--rate", "--gateways"} {
 		if err == nil || !strings.Contains(err.Error(), want) {
@@ -47,7 +47,7 @@
 }
 
 // echo serves connections that get back what they send, until the test ends.
-func echo(t *testing.T) string {
+func startEchoServer(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -68,25 +68,25 @@
 
 // TestProxyModes sends bytes through a proxy whose mode changes.
 func TestProxyModes(t *testing.T) {
-	p, err := netproxy.New(echo(t))
+	p, err := netproxy.New(startEchoServer(t))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer p.Close()
 	tests := []struct {
-		mode  netproxy.Mode
-		comes bool
-		least time.Duration
+		mode     netproxy.Mode
+		answers  bool
+		minDelay time.Duration
 	}{
 		{netproxy.ModePass, true, 0}, {netproxy.ModeSlow, true, 2 * netproxy.SlowDelay}, {netproxy.ModeSilent, false, 0}, {netproxy.ModeOneWay, false, 0}, {netproxy.ModeReset, false, 0},
 	}
 	for _, test := range tests {
 		p.Set(test.mode)
 		begun := time.Now()
-		if got := echoes(t, p.Address()); got != test.comes {
+		if got := echoes(t, p.Address()); got != test.answers {
 			t.Errorf("%s: an answer comes: %t", test.mode, got)
 		}
-		if took := time.Since(begun); took < test.least {
+		if took := time.Since(begun); took < test.minDelay {
 			t.Errorf("%s: it took %s", test.mode, took)
 		}
 	}
@@ -114,8 +114,8 @@
 }
 
 // TestConnectionsGoSilentForGood silences connections of callers and those through a proxy; new ones work, and the other side hears nothing.
-func TestConnectionsGoSilentForGood(t *testing.T) {
-	p, err := netproxy.New(echo(t))
+func TestSilencedConnections(t *testing.T) {
+	p, err := netproxy.New(startEchoServer(t))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -125,10 +125,10 @@
 		t.Fatal(err)
 	}
 	defer through.Close()
-	callers := newFront()
-	defer callers.close()
-	address := echo(t)
-	caller, err := callers.dial(t.Context(), address)
+	dialer := newCallerDialer()
+	defer dialer.close()
+	address := startEchoServer(t)
+	caller, err := dialer.dial(t.Context(), address)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -136,25 +136,25 @@
 		t.Fatal("nothing comes back before")
 	}
 	p.Silence()
-	callers.silence(address)
+	dialer.silence(address)
 	if echoesOn(through) {
 		t.Error("an answer comes through a proxy that has gone silent")
 	}
-	heard := make(chan error, 1)
+	readErr := make(chan error, 1)
 	go func() {
 		_, err := caller.Read(make([]byte, 1))
-		heard <- err
+		readErr <- err
 	}()
 	select {
-	case err := <-heard:
+	case err := <-readErr:
 		t.Errorf("a caller hears %v on a connection that has gone silent", err)
 	case <-time.After(100 * time.Millisecond):
 	}
-	if later, err := callers.dial(t.Context(), address); err != nil || !echoesOn(later) || !echoes(t, p.Address()) {
+	if later, err := dialer.dial(t.Context(), address); err != nil || !echoesOn(later) || !echoes(t, p.Address()) {
 		t.Error("new connections do not work")
 	}
 	_ = caller.Close()
-	if err := <-heard; err == nil {
+	if err := <-readErr; err == nil {
 		t.Error("a connection that its caller has closed still reads")
 	}
 }
--- a/internal/soak/restored.go
+++ b/internal/soak/storerestore.go
@@ -11,94 +11,94 @@
 )
 
 // StoreRestored has the store be away for a time and come back from an older copy.
-type StoreRestored struct {
+type StoreRestore struct {
 	// Age of the copy as the store goes away, and Away how long it is.
-	Age, Away time.Duration
+	SnapshotAge, Outage time.Duration
 	// WriteAfter is after how long operators and workers write again what is lost.
-	WriteAfter time.Duration
+	RewriteDelay time.Duration
 }
 
-func (StoreRestored) isFault() {}
+func (StoreRestore) isFault() {}
 
-func (f StoreRestored) String() string {
-	return fmt.Sprintf("the store is away for %s and comes back from a copy %s old", f.Away, f.Age)
+func (f StoreRestore) String() string {
+	return fmt.Sprintf("the store is away for %s and comes back from a copy %s old", f.Outage, f.SnapshotAge)
 }
 
 const (
 	// restoredStream is the stream of random numbers that decides about returns of the store.
 	restoredStream = 1 << 35
 	// copyEvery is how often the store is copied, and copiesKept how long copies are kept.
-	copyEvery  = 250 * time.Millisecond
-	copiesKept = 12 * time.Second
+	snapshotInterval  = 250 * time.Millisecond
+	snapshotRetention = 12 * time.Second
 )
 
 // returns draws the return of the store of a round: one round in two has one.
-func returns(seed uint64, number int) []Timed {
+func drawRestore(seed uint64, number int) []ScheduledFault {
 	random := rand.New(rand.NewPCG(seed, restoredStream+uint64(number)))
-	if seed < noticeSeeds || random.IntN(2) == 0 {
+	if seed < firstNoticeSeed || random.IntN(2) == 0 {
 		return nil
 	}
-	return []Timed{{
+	return []ScheduledFault{{
 		At: time.Duration(random.Int64N(int64(faultTime / 2))),
-		Fault: StoreRestored{
-			Age: time.Duration(1000+random.IntN(9000)) * time.Millisecond, Away: time.Duration(200+random.IntN(4800)) * time.Millisecond,
-			WriteAfter: time.Duration(random.IntN(1000)) * time.Millisecond,
+		Fault: StoreRestore{
+			SnapshotAge: time.Duration(1000+random.IntN(9000)) * time.Millisecond, Outage: time.Duration(200+random.IntN(4800)) * time.Millisecond,
+			RewriteDelay: time.Duration(random.IntN(1000)) * time.Millisecond,
 		},
 	}}
 }
 
 // datedCopy is a copy of the store with its moment.
-type datedCopy struct {
-	at     time.Time
-	copied fleet.Copy
+type timedSnapshot struct {
+	at       time.Time
+	snapshot fleet.Copy
 }
 
 // keepCopies copies the store until the context ends.
-func (s *system) keepCopies(ctx context.Context) {
-	ticker := time.NewTicker(copyEvery)
+func (s *system) takeSnapshots(ctx context.Context) {
+	ticker := time.NewTicker(snapshotInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case now := <-ticker.C:
-			copied := s.fleet.Store.Copy()
+			snapshot := s.fleet.Store.Copy()
 			s.mu.Lock()
-			s.copies = append(s.copies, datedCopy{now, copied})
-			s.copies = slices.DeleteFunc(s.copies, func(each datedCopy) bool { return now.Sub(each.at) > copiesKept })
+			s.snapshots = append(s.snapshots, timedSnapshot{now, snapshot})
+			s.snapshots = slices.DeleteFunc(s.snapshots, func(each timedSnapshot) bool { return now.Sub(each.at) > snapshotRetention })
 			s.mu.Unlock()
 		}
 	}
 }
 
 // copyOf returns the latest copy that is so old, or the oldest there is.
-func (s *system) copyOf(age time.Duration) fleet.Copy {
+func (s *system) snapshotOfAge(age time.Duration) fleet.Copy {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.copies) == 0 {
+	if len(s.snapshots) == 0 {
 		return s.fleet.Store.Copy()
 	}
-	found := s.copies[0]
-	for _, each := range s.copies {
+	found := s.snapshots[0]
+	for _, each := range s.snapshots {
 		if time.Since(each.at) >= age {
 			found = each
 		}
 	}
-	return found.copied
+	return found.snapshot
 }
 
 // restore has the store go away and come back.
-func (s *system) restore(f StoreRestored) {
-	copied := s.copyOf(f.Age)
+func (s *system) restoreStore(f StoreRestore) {
+	snapshot := s.snapshotOfAge(f.SnapshotAge)
 	s.fleet.Store.SetFault(fleet.FaultRefuse, 0)
 	s.background.Go(func() {
-		time.Sleep(f.Away)
-		lost := s.fleet.Store.Restore(copied)
+		time.Sleep(f.Outage)
+		lost := s.fleet.Store.Restore(snapshot)
 		s.fleet.Store.SetFault(fleet.FaultNone, 0)
 		s.mu.Lock()
-		s.copies = nil
+		s.snapshots = nil
 		s.mu.Unlock()
-		time.Sleep(f.WriteAfter)
+		time.Sleep(f.RewriteDelay)
 		s.fleet.Store.WriteAgain(lost...)
 	})
 }
--- a/internal/soak/system.go
+++ b/internal/soak/system.go
@@ -27,32 +27,32 @@
 	store    *httptest.Server
 	gateways []*gatewayProcess
 	workers  []*workerSlot
-	front    *front
+	dialer   *callerDialer
 
 	// longPrompts is set while callers send long prompts.
 	longPrompts atomic.Bool
 	// crowd is set while callers send twice as many requests.
-	crowd atomic.Bool
+	doubleLoad atomic.Bool
 	// crashes is set while callers often send a request that ends workers, and crashing how many such ones there were.
-	crashes  atomic.Bool
-	crashing atomic.Int64
+	sendCrashing  atomic.Bool
+	crashingCount atomic.Int64
 
 	// stood says when the soak itself stood still; it is written by watchOwn alone.
-	stood []string
+	stalls []string
 
-	mu         sync.Mutex
-	copies     []datedCopy
-	version    int
-	timeoutMs  int
-	idleMs     int
-	attempts   int
-	idles      []idleBound
-	requests   []Request
-	spans      []Span
-	departures []Departure
-	spread     []time.Duration
-	calling    sync.WaitGroup
-	background sync.WaitGroup
+	mu           sync.Mutex
+	snapshots    []timedSnapshot
+	version      int
+	timeoutMs    int
+	idleMs       int
+	attempts     int
+	idleTimeouts []idleTimeout
+	requests     []RequestRecord
+	spans        []Span
+	departures   []Departure
+	configDelays []time.Duration
+	pendingCalls sync.WaitGroup
+	background   sync.WaitGroup
 }
 
 // shape is the size of a system.
@@ -82,10 +82,10 @@
 const streamEvents = 6
 
 // startSystem starts everything and waits until each gateway is ready.
-func startSystem(ctx context.Context, of shape, programs builds, folder string) (*system, error) {
-	s := &system{shape: of, builds: programs, fleet: fleet.NewFleet(), timeoutMs: 2500, front: newFront()}
+func startSystem(ctx context.Context, shape shape, builds builds, folder string) (*system, error) {
+	s := &system{shape: shape, builds: builds, fleet: fleet.NewFleet(), timeoutMs: 2500, dialer: newCallerDialer()}
 	s.store = httptest.NewServer(s.fleet.Store)
-	for i, service := range s.services() {
+	for i, service := range s.workerOptions() {
 		slot := &workerSlot{number: i, options: service}
 		s.workers = append(s.workers, slot)
 		if err := s.startWorker(slot); err != nil {
@@ -94,18 +94,18 @@
 		}
 	}
 	s.configure()
-	for i := range of.gateways {
-		zone := of.zones[i%len(of.zones)]
-		g, err := newGatewayProcess(programs.first(), fmt.Sprintf("gateway-%d", i), zone, folder, strings.TrimPrefix(s.store.URL, "http://"))
+	for i := range shape.gateways {
+		zone := shape.zones[i%len(shape.zones)]
+		g, err := newGatewayProcess(builds.initial(), fmt.Sprintf("gateway-%d", i), zone, folder, strings.TrimPrefix(s.store.URL, "http://"))
 		if err != nil {
 			s.stop()
 			return nil, err
 		}
 		s.gateways = append(s.gateways, g)
 	}
-	s.fleet.Store.Rewrite(s.throughProxies)
+	s.fleet.Store.Rewrite(s.proxyControlAddresses)
 	for i, g := range s.gateways {
-		for seed := range min(seeds, len(s.gateways)) {
+		for seed := range min(seedGateways, len(s.gateways)) {
 			if seed != i {
 				g.seeds = append(g.seeds, s.gateways[seed].controlProxy.Address())
 			}
@@ -119,10 +119,10 @@
 }
 
 // seeds is how many gateways the others are told of.
-const seeds = 2
+const seedGateways = 2
 
 // throughProxies has gateways ask each other through the proxies before their control ports.
-func (s *system) throughProxies(key string, value []byte) []byte {
+func (s *system) proxyControlAddresses(key string, value []byte) []byte {
 	if !strings.HasPrefix(key, "gateways/") {
 		return value
 	}
@@ -133,7 +133,7 @@
 }
 
 // services lists the workers of the system.
-func (s *system) services() []fleet.WorkerOptions {
+func (s *system) workerOptions() []fleet.WorkerOptions {
 	var all []fleet.WorkerOptions
 	add := func(count int, options fleet.WorkerOptions) {
 		for i := range count {
@@ -156,19 +156,19 @@
 	slot.incarnation++
 	options := slot.options
 	options.ID = fmt.Sprintf("w%d.%d", slot.number, slot.incarnation)
-	var through *netproxy.Proxy
+	var proxy *netproxy.Proxy
 	var proxyErr error
 	options.Through = func(address string) string {
-		if through, proxyErr = netproxy.New(address); proxyErr != nil {
+		if proxy, proxyErr = netproxy.New(address); proxyErr != nil {
 			return address
 		}
-		return through.Address()
+		return proxy.Address()
 	}
 	worker, err := s.fleet.Start(options)
 	if err := errors.Join(err, proxyErr); err != nil {
 		return errors.Wrapf(err, "step start worker %s", options.ID)
 	}
-	slot.worker, slot.proxy = worker, through
+	slot.worker, slot.proxy = worker, proxy
 	return nil
 }
 
@@ -191,13 +191,13 @@
 
 // startTimeout bounds the start of the gateways, and startEach is added for each of them.
 const (
-	startTimeout = 15 * time.Second
-	startEach    = 200 * time.Millisecond
+	startTimeout           = 15 * time.Second
+	startTimeoutPerGateway = 200 * time.Millisecond
 )
 
 // awaitReady waits until each gateway is ready.
 func (s *system) awaitReady(ctx context.Context) error {
-	timeout := startTimeout + time.Duration(len(s.gateways))*startEach
+	timeout := startTimeout + time.Duration(len(s.gateways))*startTimeoutPerGateway
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	caller := fleet.NewCaller(false)
@@ -222,10 +222,10 @@
 	for _, g := range s.gateways {
 		g.signal(syscall.SIGCONT)
 		g.kill()
-		g.proxy.Close()
+		g.storeProxy.Close()
 		g.controlProxy.Close()
 	}
-	s.front.close()
+	s.dialer.close()
 	for _, slot := range s.workers {
 		if slot.worker != nil {
 			slot.worker.Stop(true)
@@ -238,26 +238,26 @@
 
 // history returns what was seen so far.
 func (s *system) history(quiet []Span) *History {
-	var ends []End
+	var ends []ProcessExit
 	var addresses []string
 	for _, g := range s.gateways {
 		addresses = append(addresses, g.callers)
-		ends = append(ends, g.endings()...)
+		ends = append(ends, g.exitRecords()...)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return &History{
-		Seen: time.Now(), Ends: ends, Worked: s.fleet.Worked(),
-		Requests: append([]Request(nil), s.requests...), Runs: s.fleet.Runs(), Arrivals: s.fleet.Arrivals(), Orders: s.fleet.Orders(),
+		CollectedAt: time.Now(), Exits: ends, Work: s.fleet.Worked(),
+		Requests: append([]RequestRecord(nil), s.requests...), Runs: s.fleet.Runs(), Arrivals: s.fleet.Arrivals(), Orders: s.fleet.Orders(),
 		Crashes: s.fleet.Crashes(), Heads: s.fleet.Heads(), Notices: s.fleet.Notices(), Limits: s.fleet.Limits(), Gateways: addresses,
-		Spans: append([]Span(nil), s.spans...), Departures: append([]Departure(nil), s.departures...), Quiet: quiet,
-		Spread: append([]time.Duration(nil), s.spread...),
+		Spans: append([]Span(nil), s.spans...), Departures: append([]Departure(nil), s.departures...), QuietPeriods: quiet,
+		ConfigDelays: append([]time.Duration(nil), s.configDelays...),
 	}
 }
 
 // measureSpread waits until a version is in force at each gateway that runs, and notes how long that took.
-func (s *system) measureSpread(version int, begun time.Time) {
-	ctx, cancel := context.WithTimeout(context.Background(), 3*configTime)
+func (s *system) measureConfigDelay(version int, begun time.Time) {
+	ctx, cancel := context.WithTimeout(context.Background(), 3*maxConfigDelay)
 	defer cancel()
 	for _, g := range s.gateways {
 		client := adminapi.NewClient([]string{g.admin}, http.DefaultClient)
@@ -270,5 +270,5 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.spread = append(s.spread, time.Since(begun))
+	s.configDelays = append(s.configDelays, time.Since(begun))
 }
--- a/internal/soak/upgrade.go
+++ b/internal/soak/upgrade.go
@@ -11,8 +11,8 @@
 
 // The builds.
 const (
-	BuildBefore Build = "build before"
-	BuildNow    Build = "build now"
+	BuildPrevious Build = "build before"
+	BuildCurrent  Build = "build now"
 )
 
 func (GatewayUpgrade) isFault() {}
@@ -22,45 +22,45 @@
 }
 
 // builds are the programs between which a soak changes to and fro; without one before there is nothing to change.
-type builds struct{ before, own string }
+type builds struct{ previous, current string }
 
 // first returns the program with which all gateways begin.
-func (b builds) first() string {
-	if b.before != "" {
-		return b.before
+func (b builds) initial() string {
+	if b.previous != "" {
+		return b.previous
 	}
-	return b.own
+	return b.current
 }
 
 // upgrade returns the replacement of a round, or nothing.
-func (b builds) upgrade(number int) []Timed {
-	if b.before == "" {
+func (b builds) upgrade(number int) []ScheduledFault {
+	if b.previous == "" {
 		return nil
 	}
-	build := BuildNow
+	build := BuildCurrent
 	if number%2 == 1 {
-		build = BuildBefore
+		build = BuildPrevious
 	}
-	return []Timed{{Fault: GatewayUpgrade{build}}}
+	return []ScheduledFault{{Fault: GatewayUpgrade{build}}}
 }
 
 // replaceGateways replaces the gateways one after the other.
 func (s *system) replaceGateways(f GatewayUpgrade) {
-	program := s.builds.own
-	if f.Build == BuildBefore {
-		program = s.builds.before
+	program := s.builds.current
+	if f.Build == BuildPrevious {
+		program = s.builds.previous
 	}
 	s.background.Go(func() {
 		for _, g := range s.gateways {
 			_ = g.stop()
-			g.setProgram(program)
+			g.setBinary(program)
 			_ = g.start()
 		}
 	})
 }
 
 // setProgram has the gateway run another program from its next start on.
-func (g *gatewayProcess) setProgram(program string) {
+func (g *gatewayProcess) setBinary(program string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.binary = program
