--- a/internal/demo/stats.go
+++ b/internal/demo/stats.go
@@ -64,59 +64,59 @@
 }
 
 // recordSent records that a request is being sent.
-func (t *stats) recordSent(req request) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	t.summary.Sent++
-	t.inFlight++
+func (s *stats) recordSent(req request) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.summary.Sent++
+	s.inFlight++
 	if req.class.nonIdempotent {
-		t.nonIdempotent[req.id] = true
+		s.nonIdempotent[req.id] = true
 	}
 }
 
 // recordFirstToken records a time to first token.
-func (t *stats) recordFirstToken(now time.Time, wait time.Duration) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	t.firstTokens = append(t.firstTokens, firstToken{at: now, wait: wait})
+func (s *stats) recordFirstToken(now time.Time, wait time.Duration) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.firstTokens = append(s.firstTokens, firstToken{at: now, wait: wait})
 }
 
 // recordResult records the result of a request.
-func (t *stats) recordResult(res result) {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	t.inFlight--
+func (s *stats) recordResult(res result) {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.inFlight--
 	switch res.outcome {
 	case outcomeAnswered:
-		t.summary.Answered++
+		s.summary.Answered++
 	case outcomeNotRun:
-		t.summary.NotRun++
-		t.notRun[res.request.id] = true
+		s.summary.NotRun++
+		s.notRun[res.request.id] = true
 	case outcomeFailed:
-		t.summary.Failed++
+		s.summary.Failed++
 	default:
-		t.summary.Unknown++
+		s.summary.Unknown++
 	}
-	t.summary.WrongAnswers += lo.Ternary(res.wrong, 1, 0)
-	t.summary.Late += lo.Ternary(res.late(), 1, 0)
-	t.summary.Unreported += lo.Ternary(res.outcomeReported, 0, 1)
-	if res.detail != "" && len(t.failures) < maxFailures {
-		t.failures = append(t.failures, res.describeFailure())
+	s.summary.WrongAnswers += lo.Ternary(res.wrong, 1, 0)
+	s.summary.Late += lo.Ternary(res.late(), 1, 0)
+	s.summary.Unreported += lo.Ternary(res.outcomeReported, 0, 1)
+	if res.detail != "" && len(s.failures) < maxFailures {
+		s.failures = append(s.failures, res.describeFailure())
 	}
 }
 
 // duplicateRuns counts the repeated runs of non-idempotent requests, given the number of runs of each request.
-func (t *stats) duplicateRuns(runs map[string]int) int {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	return lo.SumBy(lo.Keys(t.nonIdempotent), func(id string) int { return max(runs[id]-1, 0) })
+func (s *stats) duplicateRuns(runs map[string]int) int {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return lo.SumBy(lo.Keys(s.nonIdempotent), func(id string) int { return max(runs[id]-1, 0) })
 }
 
 // falseNotRun counts the requests that were reported as not run although a worker ran them.
-func (t *stats) falseNotRun(runs map[string]int) int {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	return lo.CountBy(lo.Keys(t.notRun), func(id string) bool { return runs[id] > 0 })
+func (s *stats) falseNotRun(runs map[string]int) int {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	return lo.CountBy(lo.Keys(s.notRun), func(id string) bool { return runs[id] > 0 })
 }
 
 // snapshot is the content of one status line.
@@ -128,17 +128,17 @@
 }
 
 // nextSnapshot returns the current state and resets what is reported once.
-func (t *stats) nextSnapshot(now time.Time) snapshot {
-	t.mutex.Lock()
-	defer t.mutex.Unlock()
-	t.firstTokens = lo.DropWhile(t.firstTokens, func(each firstToken) bool { return now.Sub(each.at) > firstTokenWindow })
+func (s *stats) nextSnapshot(now time.Time) snapshot {
+	s.mutex.Lock()
+	defer s.mutex.Unlock()
+	s.firstTokens = lo.DropWhile(s.firstTokens, func(each firstToken) bool { return now.Sub(each.at) > firstTokenWindow })
 	current := snapshot{
-		summary:  t.summary,
-		inFlight: t.inFlight,
-		p95:      percentile95(t.firstTokens),
-		failures: t.failures,
+		summary:  s.summary,
+		inFlight: s.inFlight,
+		p95:      percentile95(s.firstTokens),
+		failures: s.failures,
 	}
-	t.failures = nil
+	s.failures = nil
 	return current
 }
 
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -14,7 +14,7 @@
 	"github.com/granitebay/granitebay/internal/standin/fleet"
 )
 
-// Bounds of the rules, as the settings of the gateways and the pages have them.
+// Bounds of the rules, matching the gateways' default settings and the documentation.
 const (
 	drainTime        = 2 * time.Second
 	leaseTTL         = 3 * time.Second
@@ -28,15 +28,15 @@
 	minQuietRequests = 20
 )
 
-// check is a rule that looks at a whole history.
+// check verifies one rule against a history.
 type check func(h *History) []Violation
 
-// checks are all rules, in the order in which they are reported.
+// checks lists all rules in reporting order.
 var checks = []check{
 	checkNonIdempotent, checkRefusals, checkResponses, checkLostConnections, checkClosedConnections, checkExits, checkAbandoned, checkDrain, checkLeavingNotices, checkRetryAfter, checkLimits, checkOrders, checkRetryBudget, checkConfigDelays, checkRecovery, checkCrashRetries, checkFalseBlocks,
 }
 
-// Check returns all broken rules of a history.
+// Check returns all violations in a history.
 func Check(h *History) []Violation {
 	var found []Violation
 	for _, each := range checks {
@@ -45,30 +45,31 @@
 	return found
 }
 
-// checkOnce: work that may run once runs once at the most, and other work at two workers at the most.
+// checkNonIdempotent: a non-idempotent request runs at most once.
 func checkNonIdempotent(h *History) []Violation {
 	var found []Violation
 	for _, r := range h.Requests {
 		if runs := h.Runs[r.Request.ID]; r.Kind == KindNonIdempotent && len(runs) > 1 {
-			found = append(found, Violation{"TWICE", r.Request.ID, fmt.Sprintf("it ran %d times: %+v", len(runs), runs)})
+			found = append(found, Violation{"TWICE", r.Request.ID, fmt.Sprintf("non-idempotent request ran %d times: %+v", len(runs), runs)})
 		}
 	}
 	return found
 }
 
-// checkRefused: what was refused has not run.
+// checkRefusals: a refused non-idempotent request has not run.
 func checkRefusals(h *History) []Violation {
 	var found []Violation
 	for _, r := range h.Requests {
 		refused := r.Response.Err == nil && (r.Response.Status == http.StatusServiceUnavailable || r.Response.Status == http.StatusTooManyRequests)
 		if refused && r.Kind == KindNonIdempotent && len(h.Runs[r.Request.ID]) > 0 {
-			found = append(found, Violation{"REFUSED", r.Request.ID, fmt.Sprintf("answered %d, and ran: %+v", r.Response.Status, h.Runs[r.Request.ID])})
+			found = append(found, Violation{"REFUSED", r.Request.ID, fmt.Sprintf("answered %d although it ran: %+v", r.Response.Status, h.Runs[r.Request.ID])})
 		}
 	}
 	return found
 }
 
-// checkAnswers: a success is the whole answer to its own request, signed; a stream that is not whole has a true beginning.
+// checkResponses: a successful response is complete, signed and belongs to its request; an incomplete stream is a prefix of the
+// expected one.
 func checkResponses(h *History) []Violation {
 	var found []Violation
 	for _, r := range h.Requests {
@@ -77,17 +78,17 @@
 		}
 		switch {
 		case r.Response.Err == nil && r.Response.Signature == "":
-			found = append(found, Violation{"MIXED", r.Request.ID, "the answer is not signed"})
+			found = append(found, Violation{"MIXED", r.Request.ID, "the response has no signature"})
 		case r.Response.Err == nil && r.Response.Body != r.WantBody:
 			found = append(found, Violation{answerRule(r), r.Request.ID, fmt.Sprintf("got %q, want %q", r.Response.Body, r.WantBody)})
 		case r.Response.Err != nil && !strings.HasPrefix(r.WantBody, r.Response.Body):
-			found = append(found, Violation{answerRule(r), r.Request.ID, fmt.Sprintf("broke off after %q of %q", r.Response.Body, r.WantBody)})
+			found = append(found, Violation{answerRule(r), r.Request.ID, fmt.Sprintf("aborted after %q, want a prefix of %q", r.Response.Body, r.WantBody)})
 		}
 	}
 	return found
 }
 
-// rule names the rule that a wrong answer breaks.
+// answerRule returns the rule that a wrong answer violates.
 func answerRule(r RequestRecord) string {
 	if r.Kind == KindStream {
 		return "ORDER"
@@ -95,7 +96,7 @@
 	return "MIXED"
 }
 
-// checkLost: around planned work no connection closes without an answer.
+// checkLostConnections: planned operations do not cause connections to close without a response.
 func checkLostConnections(h *History) []Violation {
 	var found []Violation
 	for _, r := range h.Requests {
@@ -104,21 +105,21 @@
 		if r.Response.Err == nil || refused || !r.AbandonedAt.IsZero() || r.isOverdue() || h.hasUnplannedFault(r.Sent.Add(-recoveryMargin), r.Ended) {
 			continue
 		}
-		found = append(found, Violation{"LOST", r.Request.ID, fmt.Sprintf("sent to %s, after %s: %v", r.Gateway, r.Ended.Sub(r.Sent), r.Response.Err)})
+		found = append(found, Violation{"LOST", r.Request.ID, fmt.Sprintf("connection to %s lost after %s: %v", r.Gateway, r.Ended.Sub(r.Sent), r.Response.Err)})
 	}
 	return found
 }
 
-// overdue tells whether a stream had begun and broke off when its time was over, as it has to.
+// isOverdue reports whether a stream had started and was aborted at its deadline, as required.
 func (r *RequestRecord) isOverdue() bool {
 	return r.Response.Status == http.StatusOK && r.Ended.Sub(r.Sent) >= min(r.Request.Deadline, minTimeout)
 }
 
-// endSlack is how long before the end of a killed process was noticed its connections may have closed.
+// exitSlack is how long before the recorded exit of a killed process its connections may have closed.
 const exitSlack = 100 * time.Millisecond
 
-// checkClosed: no gateway closes the connection of a request without an answer once a worker has got it, whatever goes wrong, but for one
-// that is killed. The caller of a connection that has gone silent waits until its time is over, and sees no end.
+// checkClosedConnections: once a request has reached a worker, no gateway closes its connection without a response, except when
+// the gateway is killed. Clients of silenced connections time out and are not counted.
 func checkClosedConnections(h *History) []Violation {
 	arrivals := map[string]time.Time{}
 	for _, arrival := range h.Arrivals {
@@ -133,47 +134,49 @@
 		if h.wasKilled(r.Gateway, r.Sent, r.Ended) {
 			continue
 		}
-		found = append(found, Violation{"LOST", r.Request.ID, fmt.Sprintf("%s closed its connection after %s with no answer, and a worker got it %s before: %v",
+		found = append(found, Violation{"LOST", r.Request.ID, fmt.Sprintf("%s closed the connection after %s without a response, %s after the request had reached a worker: %v",
 			r.Gateway, r.Ended.Sub(r.Sent), r.Ended.Sub(at), r.Response.Err)})
 	}
 	return found
 }
 
-// byCaller tells whether it was the caller that closed a connection: its time was over, or it dropped a silent one once that had healed.
+// closedByCaller reports whether the client closed the connection: because of its timeout, or because it dropped a silenced
+// connection when the faults ended.
 func closedByCaller(err error) bool {
 	return errors.Is(err, context.DeadlineExceeded) || errors.Is(err, errClosedByCaller)
 }
 
-// killed tells whether a gateway was killed within a time.
+// wasKilled reports whether a gateway was killed within a time span.
 func (h *History) wasKilled(gateway string, from, until time.Time) bool {
 	return slices.ContainsFunc(h.Exits, func(end ProcessExit) bool {
 		return end.Gateway == gateway && end.Killed && end.At.After(from) && end.At.Before(until.Add(exitSlack))
 	})
 }
 
-// checkEnds: no gateway ends that was not asked to.
+// checkExits: no gateway process exits unless it was asked to.
 func checkExits(h *History) []Violation {
 	var found []Violation
 	for _, end := range h.Exits {
 		if !end.Expected {
-			found = append(found, Violation{"Fault", end.Gateway, fmt.Sprintf("it ended by itself at %s: %v", end.At.Format(timeFormat), end.Err)})
+			found = append(found, Violation{"Fault", end.Gateway, fmt.Sprintf("unexpected exit at %s: %v", end.At.Format(timeFormat), end.Err)})
 		}
 	}
 	return found
 }
 
-// Bounds of what may go on after a caller has left.
+// Bounds on work after a client has disconnected.
 const (
-	// goneTime is how long after a caller has left its request may reach workers, and workers may work on it.
+	// abandonGrace is how long after the disconnect a request may still reach workers, and workers may still process it.
 	abandonGrace = 500 * time.Millisecond
-	// goneArrivals is how many requests may reach workers later, and goneWork how many may be worked on later in any case.
+	// maxLateArrivals is the number of requests that may reach workers later, and maxLateWork the number that may always be
+	// processed later.
 	maxLateArrivals, maxLateWork = 3, 3
-	// goneShare is the part of the requests on which workers would have worked for so long that may be worked on later.
+	// maxLateWorkShare is the share of the long-running requests that may be processed later.
 	maxLateWorkShare = 0.25
 )
 
-// checkGone: once callers have left, few of their requests reach workers later than goneTime, and workers do not go on working on those that
-// may be repeated or resumed.
+// checkAbandoned: after clients have disconnected, few of their requests reach workers later than abandonGrace, and workers stop
+// processing those that are idempotent or resumable.
 func checkAbandoned(h *History) []Violation {
 	abandoned := map[string]RequestRecord{}
 	for _, r := range h.Requests {
@@ -202,16 +205,16 @@
 	}
 	var found []Violation
 	if len(lateArrivals) > maxLateArrivals {
-		found = append(found, Violation{"GONE", fmt.Sprint(len(lateArrivals)), fmt.Sprintf("requests reached workers later than %s after their callers had left: %v", abandonGrace, slices.Sorted(maps.Keys(lateArrivals)))})
+		found = append(found, Violation{"GONE", fmt.Sprint(len(lateArrivals)), fmt.Sprintf("requests reached workers later than %s after their clients had disconnected: %v", abandonGrace, slices.Sorted(maps.Keys(lateArrivals)))})
 	}
 	if len(lateWork) > maxLateWork && float64(len(lateWork)) > maxLateWorkShare*float64(len(longRunning)) {
-		found = append(found, Violation{"GONE", fmt.Sprint(len(lateWork)), fmt.Sprintf("of %d requests that would have lasted were worked on later than %s after their callers had left: %v",
+		found = append(found, Violation{"GONE", fmt.Sprint(len(lateWork)), fmt.Sprintf("of %d long-running requests were still processed %s after their clients had disconnected: %v",
 			len(longRunning), abandonGrace, slices.Sorted(maps.Keys(lateWork)))})
 	}
 	return found
 }
 
-// checkDrain: a worker that is recorded as leaving gets nothing after its time to drain.
+// checkDrain: a draining worker gets no requests after the drain time.
 func checkDrain(h *History) []Violation {
 	var found []Violation
 	for _, departure := range h.Departures {
@@ -219,7 +222,7 @@
 		for id, runs := range h.Runs {
 			for _, run := range runs {
 				if run.Worker == departure.Worker && run.Begun.After(limit) && !h.hasUnplannedFault(departure.At, run.Begun) {
-					found = append(found, Violation{"DRAIN", id, fmt.Sprintf("ran at %s, %s after it was leaving", departure.Worker, run.Begun.Sub(departure.At))})
+					found = append(found, Violation{"DRAIN", id, fmt.Sprintf("ran on %s %s after the worker had started to drain", departure.Worker, run.Begun.Sub(departure.At))})
 				}
 			}
 		}
@@ -227,8 +230,8 @@
 	return found
 }
 
-// checkOrders: holders do not share a fence, fences rise, and holders do not take turns within a lease. An order counts from
-// when it came to its worker, whenever it was carried out.
+// checkOrders: holders do not share a fence, fences increase, and orders of two holders are at least a lease apart. The time of
+// an order is that of its arrival at the worker.
 func checkOrders(h *History) []Violation {
 	var found []Violation
 	holders := map[int64]string{}
@@ -249,19 +252,19 @@
 	return found
 }
 
-// checkTurn looks at two orders in a row by two holders.
+// checkHolderChange checks two consecutive orders of different holders.
 func checkHolderChange(previous, order fleet.AcceptedOrder) []Violation {
 	var found []Violation
 	if order.Fence < previous.Fence {
 		found = append(found, Violation{"ONE", order.Worker, fmt.Sprintf("fence %d after %d", order.Fence, previous.Fence)})
 	}
 	if elapsed := order.At.Sub(previous.At); elapsed < leaseTTL {
-		found = append(found, Violation{"ONE", order.Worker, fmt.Sprintf("%s gives an order %s after %s", order.Holder, elapsed, previous.Holder)})
+		found = append(found, Violation{"ONE", order.Worker, fmt.Sprintf("%s issued an order %s after %s", order.Holder, elapsed, previous.Holder)})
 	}
 	return found
 }
 
-// checkBudget: arrivals beyond the first of each request stay within the budget of each window.
+// checkRetryBudget: retries stay within the budget of each window.
 func checkRetryBudget(h *History) []Violation {
 	var found []Violation
 	for service, peak := range h.peakRetries() {
@@ -272,19 +275,20 @@
 	return found
 }
 
-// repeats are the arrivals beyond the first of each request in a window.
+// retryCount is the number of retries in a window, and the number allowed.
 type retryCount struct {
 	from    time.Time
 	count   int
 	allowed float64
 }
 
-// String is part of fmt.Stringer.
+// String implements fmt.Stringer.
 func (r retryCount) String() string {
-	return fmt.Sprintf("%d repeats within %s from %s, allowed are %.0f", r.count, retryWindow, r.from.Format(timeFormat), r.allowed)
+	return fmt.Sprintf("%d retries within %s from %s, allowed: %.0f", r.count, retryWindow, r.from.Format(timeFormat), r.allowed)
 }
 
-// repeats returns the window of each service with the most repeats for those that are allowed. Windows begin at each repeat.
+// peakRetries returns, for each service, the window with the most retries relative to the allowed number. A window starts at each
+// retry.
 func (h *History) peakRetries() map[string]retryCount {
 	found := map[string]retryCount{}
 	for service, at := range h.retryTimes() {
@@ -303,7 +307,7 @@
 	return found
 }
 
-// repeatTimes returns when repeats arrived, by service. A first call that only has the prompt read is none.
+// retryTimes returns the arrival times of retries by service. The prefill call and the run of a request are counted separately.
 func (h *History) retryTimes() map[string][]time.Time {
 	type callKey struct {
 		id      string
@@ -321,13 +325,13 @@
 	return times
 }
 
-// Services of the kinds of requests.
+// The services of the simulated workers.
 const (
 	servicePlain  = "app"
 	serviceEngine = "llm"
 )
 
-// serviceOf returns the service to which requests of a kind go.
+// serviceOf returns the service for a kind of requests.
 func serviceOf(kind Kind) string {
 	if kind == KindStream {
 		return serviceEngine
@@ -335,8 +339,8 @@
 	return servicePlain
 }
 
-// requestsFor counts the requests for a service in the window from a moment, the one before or the one half before, whichever
-// holds most.
+// requestsAround counts the requests for a service in the window starting at a time, in the previous window, and in the one half
+// a window earlier. It returns the highest count.
 func (h *History) requestsAround(service string, from time.Time) int {
 	highest := 0
 	for _, begin := range []time.Time{from, from.Add(-retryWindow), from.Add(-retryWindow / 2)} {
@@ -351,18 +355,18 @@
 	return highest
 }
 
-// checkConfiguration: a new configuration is in force everywhere within its bound while nothing goes wrong.
+// checkConfigDelays: in the absence of faults, a new configuration takes effect on all gateways within maxConfigDelay.
 func checkConfigDelays(h *History) []Violation {
 	var found []Violation
 	for i, delay := range h.ConfigDelays {
 		if delay > maxConfigDelay {
-			found = append(found, Violation{"CONFIG", fmt.Sprintf("change %d", i), fmt.Sprintf("in force everywhere after %s", delay)})
+			found = append(found, Violation{"CONFIG", fmt.Sprintf("change %d", i), fmt.Sprintf("in effect on all gateways after %s", delay)})
 		}
 	}
 	return found
 }
 
-// checkService: once everything has healed, requests are served.
+// checkRecovery: after the faults have ended, requests are served again.
 func checkRecovery(h *History) []Violation {
 	var found []Violation
 	for i, quiet := range h.QuietPeriods {
@@ -380,14 +384,14 @@
 			}
 		}
 		if sent < minQuietRequests || float64(served) < minServedShare*float64(sent) {
-			found = append(found, Violation{"RECOVER", fmt.Sprintf("round %d", i), fmt.Sprintf("%d of %d served after everything had healed; %.5q", served, sent, failed)})
+			found = append(found, Violation{"RECOVER", fmt.Sprintf("round %d", i), fmt.Sprintf("%d of %d served after all faults had ended; %.5q", served, sent, failed)})
 		}
 	}
 	return found
 }
 
-// checkCrashing: once three workers ended under a request, few of its retries reach workers that were sent a while later by gateways
-// that nothing else disturbs.
+// checkCrashRetries: once a request has crashed crashThreshold workers, few of its retries that are sent later than
+// recoveryMargin reach workers, unless other faults interfere.
 func checkCrashRetries(h *History) []Violation {
 	reached := map[string]bool{}
 	for _, head := range h.Heads {
@@ -416,18 +420,18 @@
 	var found []Violation
 	for id, count := range late {
 		if count > maxCrashRetries {
-			found = append(found, Violation{"BUDGET", fmt.Sprintf("crashing request %d", id), fmt.Sprintf("%d retries reached workers later than %s after three had ended; %d ended in all", count, recoveryMargin, len(crashes[id]))})
+			found = append(found, Violation{"BUDGET", fmt.Sprintf("crashing request %d", id), fmt.Sprintf("%d retries reached workers later than %s after the third crash; %d crashes in total", count, recoveryMargin, len(crashes[id]))})
 		}
 	}
 	return found
 }
 
-// checkBarred: a request that does no harm is not barred.
+// checkFalseBlocks: requests that do not crash workers are not blocked.
 func checkFalseBlocks(h *History) []Violation {
 	var found []Violation
 	for _, r := range h.Requests {
 		if r.CrashID == 0 && r.Response.Status == http.StatusUnprocessableEntity {
-			found = append(found, Violation{"DENIED", r.Request.ID, "it does no harm and was barred: " + r.Response.Body})
+			found = append(found, Violation{"DENIED", r.Request.ID, "blocked although it does not crash workers: " + r.Response.Body})
 		}
 	}
 	return found
--- a/internal/soak/check_test.go
+++ b/internal/soak/check_test.go
@@ -12,13 +12,13 @@
 	"github.com/granitebay/granitebay/internal/standin/fleet"
 )
 
-// start is when the histories of the tests begin.
+// historyStart is the start of all histories.
 var historyStart = time.Unix(1_700_000_000, 0)
 
-// at returns a moment of a history.
+// timeAt returns a time in a history.
 func timeAt(after time.Duration) time.Time { return historyStart.Add(after) }
 
-// answered returns a request that was answered well, sent at a moment.
+// answered returns a request with a correct response, sent at a time.
 func answered(id string, kind Kind, sent time.Duration) RequestRecord {
 	want := fleet.PlainAnswer(id, []byte("b"))
 	if kind == KindStream {
@@ -30,7 +30,7 @@
 	}
 }
 
-// left returns a request whose caller left soon after a moment.
+// abandoned returns a stream whose client disconnected shortly after sending it.
 func abandoned(id string, sent time.Duration) RequestRecord {
 	r := answered(id, KindStream, sent)
 	r.Response = fleet.Response{Err: context.Canceled}
@@ -38,55 +38,55 @@
 	return r
 }
 
-// run returns one run of a request.
+// run returns a run of a request.
 func run(worker string, begun time.Duration) fleet.Run {
 	return fleet.Run{Worker: worker, Begun: timeAt(begun)}
 }
 
-// TestEachCheckFindsItsBrokenRule gives each check a history in which nothing but its rule is broken, and one in which it is not.
+// TestChecks guards against checks that miss a violation of their rule, report that of another one, or report permitted behavior.
 func TestChecks(t *testing.T) {
 	broken := errors.New("EOF")
 	tests := []struct {
 		rule string
 		desc string
-		// change breaks the rule in a good history; excuse then adds what makes it allowed.
+		// violate changes a correct history so that the rule is violated; allow then adds what makes it permitted.
 		violate func(h *History)
 		allow   func(h *History)
 	}{
-		{"TWICE", "work that runs once ran twice",
+		{"TWICE", "non-idempotent request runs twice",
 			func(h *History) { h.Runs["r1"] = []fleet.Run{run("w1", 0), run("w2", time.Second)} },
 			func(h *History) { h.Requests[0].Kind = KindIdempotent }},
-		{"REFUSED", "what was refused ran",
+		{"REFUSED", "refused request runs",
 			func(h *History) {
 				h.Requests[0].Response = fleet.Response{Status: http.StatusServiceUnavailable}
 				h.Runs["r1"] = []fleet.Run{run("w1", 0)}
 			},
 			func(h *History) { h.Runs["r1"] = nil }},
-		{"MIXED", "the answer of another request",
+		{"MIXED", "response to another request",
 			func(h *History) { h.Requests[0].Response.Body = "answer to r9" },
 			func(h *History) { h.Requests[0].Response.Status = http.StatusBadGateway }},
-		{"MIXED", "an answer without a signature",
+		{"MIXED", "response without a signature",
 			func(h *History) { h.Requests[0].Response.Signature = "" },
 			func(h *History) { h.Requests[0].Response.Status = http.StatusBadGateway }},
-		{"ORDER", "a stream that looks whole and is not",
+		{"ORDER", "stream ends normally but is incomplete",
 			func(h *History) { h.Requests[1].Response.Body = fleet.StreamAnswer("r2", 2) },
 			func(h *History) {
 				h.Requests[1].Response.Err = broken
 				h.Spans = []Span{{Fault: GatewayKill{}, Begun: timeAt(0)}}
 			}},
-		{"ORDER", "a stream with an event twice",
+		{"ORDER", "stream with a duplicate event",
 			func(h *History) {
 				h.Requests[1].Response = fleet.Response{Status: http.StatusOK, Body: fleet.Event("r2", 1) + fleet.Event("r2", 1), Err: broken}
 				h.Spans = []Span{{Fault: GatewayKill{}, Begun: timeAt(0)}}
 			},
 			func(h *History) { h.Requests[1].Response.Body = fleet.Event("r2", 1) + fleet.Event("r2", 2) }},
-		{"LOST", "a connection closed around planned work",
+		{"LOST", "connection lost during a planned operation",
 			func(h *History) {
 				h.Requests[0].Response = fleet.Response{Err: broken}
 				h.Spans = []Span{{Fault: GatewayStop{}, Begun: timeAt(0)}}
 			},
 			func(h *History) { h.Spans = append(h.Spans, Span{Fault: GatewayPause{}, Begun: timeAt(0)}) }},
-		{"LOST", "a connection closed under a request that a worker has got, in the midst of faults",
+		{"LOST", "connection closed after the request reached a worker, during faults",
 			func(h *History) {
 				h.Requests[0].Response = fleet.Response{Err: broken}
 				h.Requests[0].Gateway = "g1"
@@ -96,31 +96,31 @@
 			func(h *History) {
 				h.Exits = []ProcessExit{{Gateway: "g1", At: timeAt(50 * time.Millisecond), Expected: true, Killed: true}}
 			}},
-		{"LOST", "a connection closed under a request that only a reading has reached",
+		{"LOST", "connection closed after the prefill request reached a worker",
 			func(h *History) {
 				h.Requests[1].Response = fleet.Response{Err: broken}
 				h.Arrivals = []fleet.Arrival{{ID: "r2", Reading: true, At: timeAt(10 * time.Millisecond)}}
 				h.Spans = []Span{{Fault: GatewayKill{}, Begun: timeAt(0)}}
 			},
 			func(h *History) { h.Requests[1].Response.Err = context.DeadlineExceeded }},
-		{"LOST", "a connection closed under a request, and not by its caller, who has dropped a silent one",
+		{"LOST", "connection closed, but not by a client that dropped a silenced one",
 			func(h *History) {
 				h.Requests[1].Response = fleet.Response{Err: broken}
 				h.Arrivals = []fleet.Arrival{{ID: "r2", At: timeAt(10 * time.Millisecond)}}
 				h.Spans = []Span{{Fault: SilentConnections{}, Begun: timeAt(0)}}
 			},
 			func(h *History) { h.Requests[1].Response.Err = errClosedByCaller }},
-		{"LOST", "a stream that breaks off around planned work",
+		{"LOST", "stream aborted during a planned operation",
 			func(h *History) {
 				h.Requests[1].Response = fleet.Response{Status: http.StatusOK, Body: fleet.Event("r2", 1), Err: broken}
 				h.Requests[1].Request.Deadline = time.Second
 				h.Spans = []Span{{Fault: GatewayStop{}, Begun: timeAt(0)}}
 			},
 			func(h *History) { h.Requests[1].Ended = h.Requests[1].Sent.Add(time.Second) }},
-		{"Fault", "a gateway that ends by itself",
+		{"Fault", "unexpected exit of a gateway",
 			func(h *History) { h.Exits = []ProcessExit{{Gateway: "g1", At: timeAt(0), Err: broken}} },
 			func(h *History) { h.Exits[0].Expected = true }},
-		{"GONE", "requests reach workers long after their callers have left",
+		{"GONE", "requests reach workers long after their clients disconnected",
 			func(h *History) {
 				for i := range maxLateArrivals + 1 {
 					r := abandoned(fmt.Sprint("gone-", i), time.Duration(i)*time.Millisecond)
@@ -129,7 +129,7 @@
 				}
 			},
 			func(h *History) { h.Arrivals[0].At = timeAt(0) }},
-		{"GONE", "workers work on long after callers have left",
+		{"GONE", "workers process requests long after their clients disconnected",
 			func(h *History) {
 				h.CollectedAt = timeAt(time.Hour)
 				for i := range 4 * (maxLateWork + 1) {
@@ -147,7 +147,7 @@
 				}
 			},
 			func(h *History) { h.Spans = []Span{{Fault: GatewayPause{}, Begun: timeAt(0)}} }},
-		{"BUDGET", "further readings of one prompt",
+		{"BUDGET", "repeated prefill of a prompt",
 			func(h *History) {
 				h.Arrivals = append(h.Arrivals, fleet.Arrival{ID: "r2", Service: serviceEngine, At: timeAt(0)})
 				for i := range retrySlack + 3 {
@@ -159,7 +159,7 @@
 					h.Requests = append(h.Requests, answered(fmt.Sprint("more-", i), KindStream, 0))
 				}
 			}},
-		{"BUDGET", "repeats of all gateways together, in a window that begins between two others",
+		{"BUDGET", "retries of all gateways in a window that overlaps two fixed windows",
 			func(h *History) {
 				for i := range 2 * retrySlack {
 					id := fmt.Sprint("r", i)
@@ -175,13 +175,13 @@
 					}
 				}
 			}},
-		{"DRAIN", "work for a worker that left",
+		{"DRAIN", "run on a worker after its drain time",
 			func(h *History) {
 				h.Departures = []Departure{{Worker: "w1", At: timeAt(0)}}
 				h.Runs["r1"] = []fleet.Run{run("w1", drainTime+time.Millisecond)}
 			},
 			func(h *History) { h.Spans = []Span{{Fault: StoreCompaction{}, Begun: timeAt(0)}} }},
-		{"DRAIN", "work for a worker that had said that it leaves",
+		{"DRAIN", "request to a worker after its leaving notice",
 			func(h *History) {
 				h.Gateways = []string{"g"}
 				h.Requests[0].Gateway = "g"
@@ -195,7 +195,7 @@
 			func(h *History) {
 				h.Spans = []Span{{Fault: GatewayFreeze{Gateway: 0}, Begun: timeAt(time.Second), Ended: timeAt(2 * time.Second)}}
 			}},
-		{"BUDGET", "requests for a worker that had asked for rest",
+		{"BUDGET", "requests to a worker within its Retry-After time",
 			func(h *History) {
 				h.Gateways = []string{"g"}
 				h.Requests[0].Gateway = "g"
@@ -210,7 +210,7 @@
 			func(h *History) {
 				h.Exits = []ProcessExit{{Gateway: "g", At: timeAt(500 * time.Millisecond), Expected: true}}
 			}},
-		{"LIMIT", "more requests than a worker takes",
+		{"LIMIT", "more requests than the limit of a worker",
 			func(h *History) {
 				h.Gateways = []string{"g"}
 				h.Requests[0].Gateway = "g"
@@ -230,17 +230,17 @@
 				h.Orders = []fleet.AcceptedOrder{{Holder: "a", Fence: 7}, {Holder: "b", Fence: 7, At: timeAt(time.Hour)}}
 			},
 			func(h *History) { h.Orders[1].Fence = 8 }},
-		{"ONE", "a lower fence after a higher one",
+		{"ONE", "decreasing fence",
 			func(h *History) {
 				h.Orders = []fleet.AcceptedOrder{{Holder: "a", Fence: 7}, {Holder: "b", Fence: 6, At: timeAt(time.Hour)}}
 			},
 			func(h *History) { h.Orders[1].Fence = 8 }},
-		{"ONE", "two holders within a lease",
+		{"ONE", "orders of two holders within a lease",
 			func(h *History) {
 				h.Orders = []fleet.AcceptedOrder{{Holder: "a", Fence: 7, At: timeAt(0)}, {Holder: "b", Fence: 8, At: timeAt(leaseTTL - 1)}}
 			},
 			func(h *History) { h.Orders[1].At = timeAt(leaseTTL) }},
-		{"BUDGET", "more repeats than allowed",
+		{"BUDGET", "more retries than allowed",
 			func(h *History) {
 				for i := range retrySlack + 5 {
 					h.Arrivals = append(h.Arrivals, fleet.Arrival{ID: "r1", Service: servicePlain, At: timeAt(time.Duration(i) * time.Millisecond)})
@@ -251,10 +251,10 @@
 					h.Requests = append(h.Requests, answered(fmt.Sprint("more-", i), KindIdempotent, 0))
 				}
 			}},
-		{"CONFIG", "a configuration that comes late",
+		{"CONFIG", "configuration takes effect too late",
 			func(h *History) { h.ConfigDelays = []time.Duration{maxConfigDelay + 1} },
 			func(h *History) { h.ConfigDelays[0] = maxConfigDelay }},
-		{"RECOVER", "no service after everything has healed",
+		{"RECOVER", "no service after all faults have ended",
 			func(h *History) {
 				h.QuietPeriods = []Span{{Begun: timeAt(0), Ended: timeAt(time.Second)}}
 				for i := range 40 {
@@ -267,7 +267,7 @@
 				h.QuietPeriods[0].Begun, h.QuietPeriods[0].Ended = timeAt(time.Hour), timeAt(time.Hour)
 				h.QuietPeriods = nil
 			}},
-		{"BUDGET", "retries of a request that ends workers, long after the third end",
+		{"BUDGET", "retries of a crashing request long after the third crash",
 			func(h *History) {
 				for i := range 4 + maxCrashRetries {
 					r := answered(fmt.Sprint("crash-", i), KindStream, time.Duration(i)*10*time.Second)
@@ -278,7 +278,7 @@
 				}
 			},
 			func(h *History) { h.Spans = []Span{{Fault: StoreCompaction{}, Begun: timeAt(0)}} }},
-		{"DENIED", "a request that does no harm is barred",
+		{"DENIED", "request that does not crash workers is blocked",
 			func(h *History) { h.Requests[0].Response.Status = http.StatusUnprocessableEntity },
 			func(h *History) { h.Requests[0].CrashID = 1 }},
 	}
@@ -286,16 +286,16 @@
 		t.Run(test.rule+" "+test.desc, func(t *testing.T) {
 			h := &History{Requests: []RequestRecord{answered("r1", KindNonIdempotent, 0), answered("r2", KindStream, 0)}, Runs: map[string][]fleet.Run{}}
 			if found := Check(h); len(found) > 0 {
-				t.Fatalf("a good history: %v", found)
+				t.Fatalf("violations in a correct history: %v", found)
 			}
 			test.violate(h)
 			found := Check(h)
 			if len(found) == 0 || slices.ContainsFunc(found, func(v Violation) bool { return v.Rule != test.rule }) {
-				t.Errorf("found %v, want %s alone", found, test.rule)
+				t.Errorf("found %v, want only %s", found, test.rule)
 			}
 			test.allow(h)
 			if found := Check(h); len(found) > 0 {
-				t.Errorf("it is allowed now, and yet: %v", found)
+				t.Errorf("violations although permitted: %v", found)
 			}
 		})
 	}
@@ -306,16 +306,16 @@
 	for number := range 300 {
 		first, second := drawRound(7, number, 4, 10), drawRound(7, number, 4, 10)
 		if fmt.Sprint(first) != fmt.Sprint(second) {
-			t.Fatalf("round %d is another one the second time", number)
+			t.Fatalf("round %d differs when drawn again", number)
 		}
 		for _, each := range first {
 			kinds[fmt.Sprintf("%T", each.Fault)] = true
 			if each.At < 0 || each.At >= faultTime {
-				t.Errorf("a fault at %s", each.At)
+				t.Errorf("fault at %s, outside of the fault time", each.At)
 			}
 		}
 	}
 	if len(kinds) != 19 {
-		t.Errorf("only %d kinds of faults come: %v", len(kinds), kinds)
+		t.Errorf("%d kinds of faults are drawn, want 19: %v", len(kinds), kinds)
 	}
 }
--- a/internal/soak/command.go
+++ b/internal/soak/command.go
@@ -21,41 +21,41 @@
 
 // Command is the command line of the soak.
 type Command struct {
-	Deployment  string        `default:"fes" help:"Deployment whose shape the system has: fes or magnolia."`
-	For         time.Duration `default:"1m" help:"Time to inject faults; rounds of 12 s."`
-	Seed        uint64        `help:"Decides the faults and the requests; a new one by default."`
-	Rate        int           `default:"60" help:"Requests a second."`
-	Gateways    int           `help:"Gateways in place of those of the deployment; 0 has it as it is."`
-	Regressions bool          `help:"Play the seeds that once failed instead."`
-	Gateway     string        `help:"Program of the gateway; it is built by default, within the module." type:"path"`
-	Before      string        `help:"Program of the build before: all gateways begin with it, and each round replaces them one after the other, forward and back in turn." type:"path"`
+	Deployment  string        `default:"fes" help:"Deployment that determines the size of the system: fes or magnolia."`
+	For         time.Duration `default:"1m" help:"How long to inject faults, in rounds of 12s."`
+	Seed        uint64        `help:"Seed of the faults and requests; random by default."`
+	Rate        int           `default:"60" help:"Requests per second."`
+	Gateways    int           `help:"Number of gateways; 0 uses that of the deployment."`
+	Regressions bool          `help:"Run the seeds that have failed before instead."`
+	Gateway     string        `help:"Gateway binary; by default it is built from the current module." type:"path"`
+	Before      string        `help:"Gateway binary of the previous build: all gateways start with it, and each round performs a rolling replacement, alternating between upgrade and downgrade." type:"path"`
 }
 
-// Validate checks what the types of the flags cannot say. The error names everything that is wrong.
+// Validate checks the flag values and returns all problems at once.
 func (c *Command) Validate() error {
 	var problems error
 	if _, known := shapes[c.Deployment]; !known {
 		problems = errors.Newf("--deployment is %q, allowed are %s", c.Deployment, strings.Join(slices.Sorted(maps.Keys(shapes)), ", "))
 	}
 	if c.For < roundTime {
-		problems = errors.Join(problems, errors.Newf("--for is %s, allowed is %s or more", c.For, roundTime))
+		problems = errors.Join(problems, errors.Newf("--for is %s, must be at least %s", c.For, roundTime))
 	}
 	if c.Gateways < 0 || c.Gateways == 1 || c.Gateways > maxGateways {
-		problems = errors.Join(problems, errors.Newf("--gateways is %d, allowed are 0 and 2 to %d", c.Gateways, maxGateways))
+		problems = errors.Join(problems, errors.Newf("--gateways is %d, must be 0 or 2 to %d", c.Gateways, maxGateways))
 	}
 	if c.Rate < 1 {
-		problems = errors.Join(problems, errors.Newf("--rate is %d, allowed is 1 or more", c.Rate))
+		problems = errors.Join(problems, errors.Newf("--rate is %d, must be at least 1", c.Rate))
 	}
 	return problems
 }
 
-// mostGateways bounds the processes of a soak: the half of a machine of developers bears them.
+// maxGateways bounds the number of processes, for the capacity of a developer's machine.
 const maxGateways = 200
 
-// ErrBroken is the error of a soak that found a broken rule.
+// ErrViolations is returned if a rule was violated.
 var ErrViolations = errors.New("a rule was broken")
 
-// Run runs the soak until its time is over, a rule is broken, or the context ends.
+// Run runs the soak until its time is over, a rule is violated, or the context ends.
 func (c *Command) Run(ctx context.Context, out io.Writer) error {
 	if c.Regressions {
 		return c.runRegressions(ctx, out)
@@ -66,12 +66,12 @@
 	return c.runSeed(ctx, out)
 }
 
-// regressions are seeds that failed once, one a line: DEPLOYMENT SEED ROUNDS, then the cause.
+// regressions lists seeds that have failed before, one per line: DEPLOYMENT SEED ROUNDS CAUSE.
 //
 //go:embed regressions.txt
 var regressions string
 
-// playRegressions plays each seed that failed once.
+// runRegressions runs all seeds of the regressions file.
 func (c *Command) runRegressions(ctx context.Context, out io.Writer) error {
 	for line := range strings.Lines(regressions) {
 		line = strings.TrimSpace(line)
@@ -80,12 +80,12 @@
 		}
 		words := strings.Fields(line)
 		if len(words) < 4 {
-			return errors.Newf("step read the regressions: %q, wanted is DEPLOYMENT SEED ROUNDS CAUSE", line)
+			return errors.Newf("parse regressions: line %q, want DEPLOYMENT SEED ROUNDS CAUSE", line)
 		}
 		seed, seedErr := strconv.ParseUint(words[1], 10, 64)
 		rounds, roundsErr := strconv.Atoi(words[2])
 		if err := errors.Join(seedErr, roundsErr); err != nil {
-			return errors.Wrapf(err, "step read the regressions: %q", line)
+			return errors.Wrapf(err, "parse regressions: line %q", line)
 		}
 		command := Command{Deployment: words[0], Seed: seed, For: time.Duration(rounds) * roundTime, Rate: c.Rate, Gateway: c.Gateway}
 		if err := command.runSeed(ctx, out); err != nil {
@@ -95,11 +95,11 @@
 	return nil
 }
 
-// play runs one seed.
+// runSeed runs the soak with one seed.
 func (c *Command) runSeed(ctx context.Context, out io.Writer) (err error) {
 	folder, err := os.MkdirTemp("", "granitebay-soak-")
 	if err != nil {
-		return errors.Wrap(err, "step make a folder for logs")
+		return errors.Wrap(err, "create a directory for logs")
 	}
 	binary := c.Gateway
 	if binary == "" {
@@ -137,20 +137,20 @@
 	}
 	stopWatching()
 	watchers.Wait()
-	for _, stood := range s.stalls {
-		fmt.Fprintln(out, stood)
+	for _, stall := range s.stalls {
+		fmt.Fprintln(out, stall)
 	}
 	return c.report(out, s.history(quiet), folder)
 }
 
-// Bounds of the look at the own process: how often it is taken, and how much later than that it counts as a standstill.
+// Limits for the detection of stalls of this process: the interval of the checks, and the delay that counts as a stall.
 const (
 	stallCheckInterval = 50 * time.Millisecond
 	stallThreshold     = 300 * time.Millisecond
 )
 
-// watchOwn notes when the soak itself stands still, with its callers, its workers and its store: on a machine that is busy. It excuses
-// nothing; whoever reads of a broken rule has to know it.
+// watchStalls records when this process stalls, and with it all clients, workers and the store. Stalls do not excuse violations,
+// but help to interpret them.
 func (s *system) watchStalls(ctx context.Context) {
 	last := time.Now()
 	for ctx.Err() == nil {
@@ -163,7 +163,7 @@
 	}
 }
 
-// rounds plays all rounds and returns the times in which the system had to serve.
+// runRounds runs all rounds and returns the quiet periods, in which the system has to serve.
 func (c *Command) runRounds(ctx context.Context, out io.Writer, s *system) ([]Span, error) {
 	var quiet []Span
 	for number := range int(c.For / roundTime) {
@@ -193,7 +193,7 @@
 	return quiet, nil
 }
 
-// describe names the faults of a round.
+// describeFaults formats the faults of a round.
 func describeFaults(faults []ScheduledFault) string {
 	var texts []string
 	for _, each := range faults {
@@ -202,7 +202,7 @@
 	return strings.Join(texts, ", ")
 }
 
-// progress counts what was seen so far.
+// progress formats the counts so far.
 func (s *system) progress() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -215,14 +215,14 @@
 	return fmt.Sprintf("%d requests, %d served, %d orders", len(s.requests), served, len(s.fleet.Orders()))
 }
 
-// shownViolations bounds what is printed of each kind.
+// maxShownViolations bounds the violations that are printed.
 const maxShownViolations = 5
 
-// report prints the violations of a history, and keeps it beside the logs.
+// report prints the violations of a history and writes them next to the logs.
 func (c *Command) report(out io.Writer, h *History, folder string) error {
 	found := Check(h)
 	for service, peak := range h.peakRetries() {
-		fmt.Fprintf(out, "%s: most were %s\n", service, peak)
+		fmt.Fprintf(out, "%s: peak of %s\n", service, peak)
 	}
 	if len(found) == 0 {
 		fmt.Fprintf(out, "no rule was broken in %d requests\n", len(h.Requests))
@@ -234,13 +234,13 @@
 			fmt.Fprintln(out, "  "+h.describeRequest(violation.Subject))
 		}
 	}
-	fmt.Fprintf(out, "%d violations. Logs of all processes are kept in %s. Again: granitebay-lab soak --deployment %s --seed %d --for %s\n",
+	fmt.Fprintf(out, "%d violations. The logs of all processes are in %s. To reproduce: granitebay-lab soak --deployment %s --seed %d --for %s\n",
 		len(found), folder, c.Deployment, c.Seed, c.For)
 	_ = os.WriteFile(filepath.Join(folder, "violations.txt"), []byte(fmt.Sprintln(found)), 0o600)
 	return errors.Wrapf(ErrViolations, "soak: %d violations", len(found))
 }
 
-// of returns what is known of one request.
+// describeRequest formats what is known of a request.
 func (h *History) describeRequest(id string) string {
 	for _, r := range h.Requests {
 		if r.Request.ID == id {
@@ -251,8 +251,8 @@
 	return ""
 }
 
-// clock is how times are printed.
+// timeFormat is the format of printed times.
 const timeFormat = "15:04:05.000"
 
-// sleep waits for a time or the end of the context.
+// sleep waits for a duration or the end of the context.
 func sleep(ctx context.Context, duration time.Duration) { pause.For(ctx, duration) }
--- a/internal/soak/dialer.go
+++ b/internal/soak/dialer.go
@@ -10,86 +10,86 @@
 	"github.com/cockroachdb/errors"
 )
 
-// front opens the connections of callers, which may go silent for good.
+// callerDialer opens the clients' connections to gateways, which it can silence: they drop all further traffic.
 type callerDialer struct {
 	mu    sync.Mutex
 	conns map[*callerConn]string
 }
 
-// newFront returns a front without connections.
+// newCallerDialer returns a dialer without connections.
 func newCallerDialer() *callerDialer { return &callerDialer{conns: map[*callerConn]string{}} }
 
 // dial opens a connection to a gateway.
-func (f *callerDialer) dial(ctx context.Context, gateway string) (net.Conn, error) {
+func (d *callerDialer) dial(ctx context.Context, gateway string) (net.Conn, error) {
 	opened, err := new(net.Dialer).DialContext(ctx, "tcp4", gateway)
 	if err != nil {
 		return nil, err
 	}
-	conn := &callerConn{TCPConn: opened.(*net.TCPConn), dialer: f, silenced: make(chan struct{}), closed: make(chan struct{})}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.conns[conn] = gateway
+	conn := &callerConn{TCPConn: opened.(*net.TCPConn), dialer: d, silenced: make(chan struct{}), closed: make(chan struct{})}
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.conns[conn] = gateway
 	return conn, nil
 }
 
-// silence makes the connections to a gateway go silent for good: neither side hears the other one, nor its end.
-func (f *callerDialer) silence(gateway string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for conn, to := range f.conns {
+// silence drops all further traffic on the connections to a gateway. Neither side is notified, not even of a close.
+func (d *callerDialer) silence(gateway string) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for conn, to := range d.conns {
 		if to == gateway {
 			conn.silence()
 		}
 	}
 }
 
-// heal has callers drop connections that have gone silent. The gateways are told nothing.
-func (f *callerDialer) dropSilent() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for conn := range f.conns {
+// dropSilent makes clients see their silenced connections as closed. The gateways are not notified.
+func (d *callerDialer) dropSilent() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for conn := range d.conns {
 		if conn.isSilent() {
 			conn.closeOnce.Do(func() { close(conn.closed) })
 		}
 	}
 }
 
-// close ends the connections that are left.
-func (f *callerDialer) close() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for conn := range f.conns {
+// close closes all remaining connections.
+func (d *callerDialer) close() {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	for conn := range d.conns {
 		_ = conn.TCPConn.Close()
 	}
 }
 
-// forget forgets a connection that has ended for both sides.
-func (f *callerDialer) remove(conn *callerConn) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	delete(f.conns, conn)
+// remove removes a connection that is closed on both sides.
+func (d *callerDialer) remove(conn *callerConn) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	delete(d.conns, conn)
 }
 
-// frontConn is a connection of a caller.
+// callerConn is a client connection.
 type callerConn struct {
 	*net.TCPConn
 	dialer *callerDialer
-	// lost is closed once it is silent, and closed once its caller has closed it.
+	// silenced is closed once the connection is silenced, and closed once the client has closed it.
 	silenced, closed chan struct{}
 	silenceOnce      sync.Once
 	closeOnce        sync.Once
 }
 
-// silence makes everything lost from now on.
+// silence drops all further traffic.
 func (c *callerConn) silence() {
 	c.silenceOnce.Do(func() {
 		close(c.silenced)
-		// Whoever reads notices it now.
+		// Unblock a pending read.
 		_ = c.TCPConn.SetReadDeadline(time.Now())
 	})
 }
 
-// isSilent tells whether everything is lost.
+// isSilent reports whether the connection is silenced.
 func (c *callerConn) isSilent() bool {
 	select {
 	case <-c.silenced:
@@ -99,10 +99,10 @@
 	}
 }
 
-// errClosed is the error of a connection that its caller has closed.
-var errClosedByCaller = errors.New("closed by its caller")
+// errClosedByCaller is returned by reads of a silenced connection after its client has closed it.
+var errClosedByCaller = errors.New("connection closed by the client")
 
-// Read is part of net.Conn.
+// Read implements net.Conn.
 func (c *callerConn) Read(buffer []byte) (int, error) {
 	n, err := c.TCPConn.Read(buffer)
 	if !c.isSilent() {
@@ -112,7 +112,7 @@
 	return 0, errClosedByCaller
 }
 
-// Write is part of net.Conn.
+// Write implements net.Conn.
 func (c *callerConn) Write(data []byte) (int, error) {
 	if c.isSilent() {
 		return len(data), nil
@@ -120,9 +120,9 @@
 	return c.TCPConn.Write(data)
 }
 
-// Close is part of net.Conn. The gateway does not hear of the end of a silent one.
+// Close implements net.Conn. The gateway is not notified if the connection is silenced.
 func (c *callerConn) Close() error {
-	// Also one that goes silent just now ends for its caller.
+	// This also unblocks a reader if the connection is silenced at the same time.
 	c.closeOnce.Do(func() { close(c.closed) })
 	if c.isSilent() {
 		return nil
@@ -131,7 +131,7 @@
 	return c.TCPConn.Close()
 }
 
-// SyscallConn is part of syscall.Conn. Callers find a silent connection closed once it has healed.
+// SyscallConn implements syscall.Conn. It returns an error for a silenced connection that was dropped.
 func (c *callerConn) SyscallConn() (syscall.RawConn, error) {
 	select {
 	case <-c.closed:
--- a/internal/soak/history.go
+++ b/internal/soak/history.go
@@ -9,102 +9,103 @@
 // Kind is a kind of requests.
 type Kind string
 
-// The kinds of requests that the callers send.
+// The kinds of requests.
 const (
 	KindNonIdempotent Kind = "once"
 	KindIdempotent    Kind = "again"
 	KindStream        Kind = "stream"
 )
 
-// Request is one request with what became of it.
+// RequestRecord is a request with its result.
 type RequestRecord struct {
 	Request fleet.Request
 	Kind    Kind
-	// Crashing is which of the requests that end workers it repeats, from 1; 0 for one that does no harm.
+	// CrashID numbers the worker-crashing requests from 1; repeats of a request share its number. It is 0 for other requests.
 	CrashID int
-	// Gateway is the address to which it was sent, and Sent and Ended bound it.
+	// Gateway is the address to which the request was sent. Sent and Ended are the times of the call and of its end.
 	Gateway  string
 	Sent     time.Time
 	Ended    time.Time
 	Response fleet.Response
-	// Left is when the caller left before it had the answer; zero when it did not. Long is set when a worker works on it for long.
+	// AbandonedAt is when the client disconnected before the response was complete; zero if it did not. LongRunning is set if a
+	// worker takes fleet.LongWork for the request.
 	AbandonedAt time.Time
 	LongRunning bool
-	// Want is the whole answer that belongs to it.
+	// WantBody is the complete expected answer.
 	WantBody string
 }
 
-// Span is a time in which something went wrong, or planned work was done.
+// Span is a time span, such as that of a fault or of a quiet period.
 type Span struct {
 	Fault Fault
 	Begun time.Time
 	Ended time.Time
 }
 
-// End is the end of the process of a gateway.
+// ProcessExit is the exit of a gateway process.
 type ProcessExit struct {
-	// Gateway is the address of its callers.
+	// Gateway is the address for client requests.
 	Gateway string
 	At      time.Time
-	// Asked is set when it was asked to end, and Killed when it was ended at once.
+	// Expected is set if the process was asked to exit, and Killed if it was killed.
 	Expected, Killed bool
 	Err              error
 }
 
-// Departure is a worker that was recorded as leaving.
+// Departure is a worker that started to drain.
 type Departure struct {
 	Worker string
 	At     time.Time
 }
 
-// History is everything that was seen from outside.
+// History is everything observed from outside the gateways.
 type History struct {
-	// Seen is when it was taken.
+	// CollectedAt is when the history was collected.
 	CollectedAt time.Time
 	Requests    []RequestRecord
 	Runs        map[string][]fleet.Run
 	Arrivals    []fleet.Arrival
 	Orders      []fleet.AcceptedOrder
-	// Notices are what workers said of themselves, and Gateways the addresses of gateways by their numbers.
+	// Notices are the announcements of workers. Gateways are the client addresses of the gateways by index.
 	Notices []fleet.Notice
-	// Limits are when workers began to name limits, and others or none, in their order.
+	// Limits are the changes of announced request limits, in order.
 	Limits   []fleet.LimitChange
 	Gateways []string
-	// Crashes are the ends of workers under requests, and Heads all calls at workers.
+	// Crashes are the worker crashes caused by requests, and Heads the caller headers of all calls to workers.
 	Crashes    []fleet.Crash
 	Heads      []fleet.Head
 	Spans      []Span
 	Departures []Departure
-	// Ends are those of gateways, and Worked what workers worked on.
+	// Exits are those of gateway processes, and Work the processing times of workers.
 	Exits []ProcessExit
 	Work  []fleet.Work
-	// Quiet are the times in which the system has to serve, and Spread how long each new configuration took to be in force
-	// everywhere while nothing went wrong.
+	// QuietPeriods are the times in which the system has to serve. ConfigDelays are the times that new configurations took to
+	// reach all gateways in the absence of faults.
 	QuietPeriods []Span
 	ConfigDelays []time.Duration
 }
 
-// Violation is a broken rule.
+// Violation is a violated rule.
 type Violation struct {
-	// Rule is named as on the users' pages.
+	// Rule is the name of the rule in the users' documentation.
 	Rule string
-	// Subject is a request, a worker or a time.
+	// Subject is a request, a worker, a service, a gateway or a round.
 	Subject string
 	Detail  string
 }
 
-// String is one line.
+// String formats the violation as one line.
 func (v Violation) String() string { return v.Rule + " " + v.Subject + ": " + v.Detail }
 
-// touch is how long around a fault a system counts as disturbed.
+// recoveryMargin is how long after a fault the system still counts as disturbed.
 const recoveryMargin = 3 * time.Second
 
-// disturbed tells whether anything unplanned went wrong within a time, or shortly before.
+// hasUnplannedFault reports whether an unplanned fault was active within a time span or recoveryMargin before it.
 func (h *History) hasUnplannedFault(from, until time.Time) bool {
 	return h.hasFault(func(f Fault) bool { return !isPlanned(f) }, from, until)
 }
 
-// disturbedBy tells whether one of some faults was there within a time, or shortly before.
+// hasFault reports whether a matching fault was active within a time span or recoveryMargin before it.
 func (h *History) hasFault(matches func(Fault) bool, from, until time.Time) bool {
 	for _, span := range h.Spans {
 		if matches(span.Fault) && span.Begun.Before(until) && (span.Ended.IsZero() || span.Ended.Add(recoveryMargin).After(from)) {
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -9,7 +9,7 @@
 	"github.com/granitebay/granitebay/internal/standin/netproxy"
 )
 
-// storeFaults and workerFaults name the faults of the stand-ins.
+// storeFaults and workerFaults map the faults of a schedule to those of the simulated components.
 var (
 	storeFaults = map[StoreFaultKind]fleet.StoreFault{
 		StoreRefusing: fleet.FaultRefuse, StoreSilent: fleet.FaultSilent, StoreBusy: fleet.FaultBusy,
@@ -21,10 +21,10 @@
 	}
 )
 
-// slowStore is the delay of a store that is slow.
+// slowStoreDelay is the delay of each call to a slow store.
 const slowStoreDelay = 200 * time.Millisecond
 
-// inject makes one thing go wrong, and notes it. Calm is set when nothing unplanned happens in the round.
+// injectFault starts a fault and records it. The round is calm if it contains no unplanned fault and no gateway stop.
 func (s *system) injectFault(fault Fault, calm bool) {
 	s.recordFault(fault)
 	switch f := fault.(type) {
@@ -77,14 +77,14 @@
 	}
 }
 
-// begin notes that something goes wrong.
+// recordFault records the start of a fault.
 func (s *system) recordFault(fault Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.spans = append(s.spans, Span{Fault: fault, Begun: time.Now()})
 }
 
-// heal ends everything that goes wrong: whoever is stopped goes on, whoever is gone starts again.
+// heal ends all faults: it resumes paused processes and restarts stopped ones.
 func (s *system) heal() error {
 	s.longPrompts.Store(false)
 	s.sendCrashing.Store(false)
@@ -116,14 +116,14 @@
 	return nil
 }
 
-// restart stops a gateway as planned and starts it again.
+// restartGateway shuts a gateway down gracefully and starts it again.
 func (s *system) restartGateway(g *gatewayProcess) {
 	if err := g.stop(); err == nil {
 		_ = g.start()
 	}
 }
 
-// replace records a worker as leaving, starts another one, and ends the first when its time is over.
+// replaceWorker drains a worker, starts a successor, and stops the worker after the drain time.
 func (s *system) replaceWorker(slot *workerSlot) {
 	old, way := slot.currentWorker(), slot.currentProxy()
 	old.Drain()
@@ -138,7 +138,7 @@
 	way.Close()
 }
 
-// replaceChanged replaces the engines that changed their role, so that later rounds find the roles of the beginning.
+// restoreRoles replaces the engines that have changed their role, so that later rounds start with the initial roles.
 func (s *system) restoreRoles() {
 	for _, slot := range s.workers {
 		if slot.currentWorker().Stage() != slot.options.Stage {
@@ -147,7 +147,7 @@
 	}
 }
 
-// change writes a changed configuration, and measures how long it takes to be in force while all is calm.
+// changeConfiguration writes a modified configuration. In a calm round, it measures the time until the change is in effect.
 func (s *system) changeConfiguration(measure bool, edit func()) {
 	s.mu.Lock()
 	edit()
@@ -159,21 +159,21 @@
 	}
 }
 
-// current returns the worker of a slot.
+// currentWorker returns the worker of a slot.
 func (w *workerSlot) currentWorker() *fleet.Worker {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.worker.Latest()
 }
 
-// way returns the proxy before the worker of a slot.
+// currentProxy returns the proxy in front of the worker of a slot.
 func (w *workerSlot) currentProxy() *netproxy.Proxy {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.proxy
 }
 
-// calm tells whether nothing unplanned happens in a round, and no gateway stops.
+// isCalm reports whether a round contains no unplanned fault and no gateway stop.
 func isCalm(faults []ScheduledFault) bool {
 	return !slices.ContainsFunc(faults, func(each ScheduledFault) bool {
 		switch each.Fault.(type) {
--- a/internal/soak/limits.go
+++ b/internal/soak/limits.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// WorkerLimits makes a worker name how many requests a second it takes, for a time, and another number in its second half.
+// WorkerLimitNotice makes a worker announce a request limit per second, with another value in the second half of the duration.
 type WorkerLimitNotice struct {
 	Worker        int
 	First, Second float64
@@ -21,13 +21,13 @@
 }
 
 const (
-	// limitStream is the stream of random numbers that decides about limits of workers.
+	// limitStream is the random stream of worker limits.
 	limitStream = 1 << 35
-	// limitSeeds is the first seed whose rounds have them.
+	// firstLimitSeed is the first seed with worker limits. Lower seeds reproduce their earlier schedules.
 	firstLimitSeed = 9000
 )
 
-// limitsOf returns the limits that workers name in a round: two rounds in three have some.
+// drawLimits returns the worker limits of a round. Two rounds in three have some.
 func drawLimits(seed uint64, number, workers int) []ScheduledFault {
 	random := rand.New(rand.NewPCG(seed, limitStream+uint64(number)))
 	if seed < firstLimitSeed || random.IntN(3) == 0 {
@@ -42,7 +42,7 @@
 	return faults
 }
 
-// injectLimit has a worker name limits, and none any more once the time is over.
+// injectLimits makes a worker announce limits, and none after the duration.
 func (s *system) injectLimits(f WorkerLimitNotice) {
 	worker := s.workers[f.Worker].currentWorker()
 	worker.Limit(f.First)
@@ -54,27 +54,26 @@
 	})
 }
 
-// Bounds of what workers with limits may get.
+// Bounds on the requests of workers with limits.
 const (
-	// limitSettles is how long after a worker first named a limit the bound holds, and limitTold how long a gateway has known it whose
-	// requests count.
+	// limitSettleTime is how long after a worker's first announcement the bound applies. limitNoticeDelay is how long a gateway
+	// must have known the limit for its requests to count.
 	limitSettleTime  = 3 * time.Second
 	limitNoticeDelay = 500 * time.Millisecond
-	// limitWindow is the time in which requests are counted, limitFactor how much more than the limit may come in it, and limitSlack how
-	// many requests beyond that.
+	// limitWindow is the window in which requests are counted. The bound is limitFactor times the limit plus limitSlack requests.
 	limitWindow = 4 * time.Second
 	limitFactor = 1.5
 	limitSlack  = 5
 )
 
-// limited is a time in which a worker named limits without a pause.
+// limitPeriod is a period in which a worker announced limits without interruption.
 type limitPeriod struct {
 	worker       string
 	maxPerSecond float64
 	from, until  time.Time
 }
 
-// limitedTimes returns the times in which workers named limits. A time begins with the first answer that named one.
+// limitPeriods returns the periods in which workers announced limits.
 func limitPeriods(h *History) []limitPeriod {
 	var times []limitPeriod
 	open := map[string]*limitPeriod{}
@@ -98,8 +97,9 @@
 	return times
 }
 
-// checkLimits: a worker gets in no limitWindow more than its limit allows, of the gateways that had passed its word on and neither ended nor
-// stood still since. A way to the worker that is disturbed excuses it: what was held up arrives together.
+// checkLimits: gateways that have seen a worker's limit do not exceed it, apart from a tolerance, within limitWindow. Gateways
+// that exited or paused since are not counted. Network faults at the worker excuse an excess, because delayed requests arrive
+// together.
 func checkLimits(h *History) []Violation {
 	requests := h.requestsByID()
 	var found []Violation
@@ -129,7 +129,7 @@
 			if last >= len(counted) || counted[last].Sub(counted[i]) > limitWindow || h.hasFault(isWorkerPathFault, counted[i].Add(-recoveryMargin), counted[last]) {
 				continue
 			}
-			found = append(found, Violation{"LIMIT", period.worker, fmt.Sprintf("%d requests in %s of a worker that takes %.1f a second, until %s",
+			found = append(found, Violation{"LIMIT", period.worker, fmt.Sprintf("%d requests within %s for a worker with a limit of %.1f per second, until %s",
 				allowed+1, counted[last].Sub(counted[i]).Round(time.Millisecond), period.maxPerSecond, counted[last].Format(timeFormat))})
 			break
 		}
@@ -137,7 +137,8 @@
 	return found
 }
 
-// toldOf returns when each gateway first passed on an answer in which a worker named its limit, within a time.
+// limitAnnouncements returns, for each gateway, when it first delivered a response in which the worker announced a limit within
+// the period.
 func limitAnnouncements(h *History, requests map[string]RequestRecord, period limitPeriod) map[string]time.Time {
 	announcedAt := map[string]time.Time{}
 	for _, notice := range h.Notices {
--- a/internal/soak/notices.go
+++ b/internal/soak/notices.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// WorkerSaysLeaving makes a worker say in its answers that it leaves, some time before its record does.
+// WorkerLeavingNotice makes a worker announce in its responses that it is leaving, some time before its record says so.
 type WorkerLeavingNotice struct {
 	Worker int
-	// Ahead of its record by so much.
+	// Lead is the time between the announcement and the update of the record.
 	Lead time.Duration
 }
 
-// WorkerRests makes a worker turn everything away for a time, and ask each time for rest.
+// WorkerShedding makes a worker refuse all requests for a duration, with a Retry-After header.
 type WorkerShedding struct {
 	Worker               int
 	Duration, RetryAfter time.Duration
@@ -32,13 +32,13 @@
 }
 
 const (
-	// noticeStream is the stream of random numbers that decides about what workers say of themselves.
+	// noticeStream is the random stream of worker announcements.
 	noticeStream = 1 << 34
-	// noticeSeeds is the first seed whose rounds have them: those before, which are kept for what they showed, play as they did.
+	// firstNoticeSeed is the first seed with announcements. Lower seeds reproduce their earlier schedules.
 	firstNoticeSeed = 8000
 )
 
-// noticesOf returns what workers say of themselves in a round: one round in two has some, half of these beside a store that is silent.
+// drawNotices returns the announcements of a round. Half of the rounds have some, and half of these also have a silent store.
 func drawNotices(seed uint64, number, workers int) []ScheduledFault {
 	random := rand.New(rand.NewPCG(seed, noticeStream+uint64(number)))
 	if seed < firstNoticeSeed || random.IntN(2) == 0 {
@@ -60,7 +60,7 @@
 	return faults
 }
 
-// injectNotice has a worker speak of itself, and tells whether the fault is of that kind.
+// injectNotice makes a worker send an announcement. It returns false for other faults.
 func (s *system) injectNotice(fault Fault) bool {
 	switch f := fault.(type) {
 	case WorkerLeavingNotice:
@@ -80,8 +80,8 @@
 	return true
 }
 
-// checkLeaving: a request that its caller sent later than the time to drain after its gateway had passed on the word of a worker that it
-// leaves does not reach that worker. Only a start or a standstill of the gateway excuses it.
+// checkLeavingNotices: after a gateway has delivered a response in which a worker announced that it is leaving, requests sent
+// through this gateway later than the drain time do not reach the worker, unless the gateway exited or paused since.
 func checkLeavingNotices(h *History) []Violation {
 	type pair struct{ worker, gateway string }
 	requests := h.requestsByID()
@@ -101,20 +101,20 @@
 		r := requests[arrival.ID]
 		at, known := announcedAt[pair{arrival.Worker, r.Gateway}]
 		if known && r.Sent.After(at.Add(drainTime)) && !h.wasInterrupted(r.Gateway, at, arrival.At) {
-			found = append(found, Violation{"DRAIN", arrival.ID, fmt.Sprintf("reached %s through %s, sent %s after that had passed on that the worker leaves", arrival.Worker, r.Gateway, r.Sent.Sub(at))})
+			found = append(found, Violation{"DRAIN", arrival.ID, fmt.Sprintf("reached %s through %s, sent %s after the gateway had delivered the worker's leaving notice", arrival.Worker, r.Gateway, r.Sent.Sub(at))})
 		}
 	}
 	return found
 }
 
-// Bounds of the rest of a worker.
+// Tolerances of checkRetryAfter.
 const (
 	retryAfterSlack     = 500 * time.Millisecond
 	maxDuringRetryAfter = 2
 )
 
-// checkRest: few requests of one gateway reach a worker between half a second after it asked that gateway for rest and the end of that. A
-// start or a standstill of the gateway excuses it, and so does a way to the worker that is disturbed.
+// checkRetryAfter: few requests of a gateway reach a worker between retryAfterSlack after a refusal with Retry-After and the end
+// of that time. Exits and pauses of the gateway excuse a violation, as do network faults at the worker.
 func checkRetryAfter(h *History) []Violation {
 	requests := h.requestsByID()
 	var found []Violation
@@ -130,13 +130,13 @@
 			}
 		}
 		if count > maxDuringRetryAfter && !h.wasInterrupted(gateway, notice.At.Add(-recoveryMargin), until) && !h.hasFault(isWorkerPathFault, notice.At.Add(-recoveryMargin), until) {
-			found = append(found, Violation{"BUDGET", notice.ID, fmt.Sprintf("%d requests reached %s through %s within a rest of %s", count, notice.Worker, gateway, notice.Rest)})
+			found = append(found, Violation{"BUDGET", notice.ID, fmt.Sprintf("%d requests reached %s through %s within a Retry-After of %s", count, notice.Worker, gateway, notice.Rest)})
 		}
 	}
 	return found
 }
 
-// onWayToWorkers tells whether a fault is on the ways between gateways and workers.
+// isWorkerPathFault reports whether a fault affects the network between gateways and workers.
 func isWorkerPathFault(f Fault) bool {
 	switch f := f.(type) {
 	case WorkerNetworkFault:
@@ -148,7 +148,7 @@
 	}
 }
 
-// byID returns the requests by their ids.
+// requestsByID returns the requests by ID.
 func (h *History) requestsByID() map[string]RequestRecord {
 	requests := make(map[string]RequestRecord, len(h.Requests))
 	for _, r := range h.Requests {
@@ -157,7 +157,7 @@
 	return requests
 }
 
-// stood tells whether a gateway ended, or stood still, within a time.
+// wasInterrupted reports whether a gateway exited or was paused within a time span.
 func (h *History) wasInterrupted(gateway string, from, until time.Time) bool {
 	if slices.ContainsFunc(h.Exits, func(end ProcessExit) bool {
 		return end.Gateway == gateway && end.At.After(from) && end.At.Before(until)
--- a/internal/soak/process.go
+++ b/internal/soak/process.go
@@ -17,7 +17,7 @@
 	"github.com/granitebay/granitebay/internal/standin/netproxy"
 )
 
-// gatewayProcess is one gateway as a process of its own, which is started anew after its end.
+// gatewayProcess is a gateway that runs as a process and can be restarted.
 type gatewayProcess struct {
 	binary     string
 	name       string
@@ -27,24 +27,24 @@
 	seeds      []string
 	callers    string
 	ready      string
-	// directory, control and admin are the other addresses, host:port.
+	// directory, control and admin are further listening addresses, host:port.
 	directory string
 	control   string
 	admin     string
 	peers     string
-	// controlProxy stands before the control port.
+	// controlProxy is the proxy in front of the control port.
 	controlProxy *netproxy.Proxy
 
 	mu      sync.Mutex
 	command *exec.Cmd
 	done    chan struct{}
 	started time.Time
-	// asked is set once the process was asked to end, and ends are those of its lives.
+	// stopRequested is set once the current process was asked to exit. exits are those of all processes so far.
 	stopRequested bool
 	exits         []ProcessExit
 }
 
-// newGatewayProcess prepares a gateway that reaches the store through a proxy.
+// newGatewayProcess returns a gateway that is not running and reaches the store through a proxy.
 func newGatewayProcess(binary, name, zone, folder, store string) (*gatewayProcess, error) {
 	storeProxy, err := netproxy.New(store)
 	if err != nil {
@@ -60,22 +60,22 @@
 	return g, err
 }
 
-// given holds the ports that were handed out, so that none is twice.
+// assignedAddresses holds the addresses handed out, so that none is used twice.
 var assignedAddresses sync.Map
 
-// ownLoopback returns a loopback address of this process: soaks beside each other must not take the ports that one of them has found
-// free for gateways which it starts, and starts again, later.
+// processLoopback returns a loopback address specific to this process. It keeps concurrent soaks from taking each other's ports
+// while gateways restart.
 func processLoopback() string {
 	pid := os.Getpid()
 	return fmt.Sprintf("127.%d.%d.1", 1+pid>>8&0x7f, pid&0xff)
 }
 
-// freeAddress returns an address on loopback whose port is free at the moment, for TCP and for UDP.
+// freeAddress returns a loopback address whose port is currently free for both TCP and UDP.
 func freeAddress() (string, error) {
 	for {
 		listener, err := net.Listen("tcp4", net.JoinHostPort(processLoopback(), "0"))
 		if err != nil {
-			return "", errors.Wrap(err, "step find a free port")
+			return "", errors.Wrap(err, "find a free port")
 		}
 		address := listener.Addr().String()
 		free := freeForUDP(address)
@@ -89,7 +89,7 @@
 	}
 }
 
-// freeForUDP tells whether no socket for datagrams has the address, as that of the peers needs it.
+// freeForUDP reports whether the address is free for UDP, which the peers' port needs.
 func freeForUDP(address string) bool {
 	packets, err := net.ListenPacket("udp4", address)
 	if err != nil {
@@ -99,7 +99,7 @@
 	return true
 }
 
-// settingsFile writes the settings of the gateway and returns the path.
+// settingsFile writes the settings of the gateway and returns the path of the file.
 func (g *gatewayProcess) settingsFile() (string, error) {
 	content, err := yaml.Marshal(map[string]any{
 		"name": g.name, "zone": g.zone, "seeds": g.seeds, "store": g.storeProxy.Address(),
@@ -108,13 +108,13 @@
 		},
 	})
 	if err != nil {
-		return "", errors.Wrapf(err, "step write the settings of %s", g.name)
+		return "", errors.Wrapf(err, "encode the settings of %s", g.name)
 	}
 	path := filepath.Join(g.folder, g.name+".yaml")
-	return path, errors.Wrapf(os.WriteFile(path, content, 0o600), "step write the settings of %s", g.name)
+	return path, errors.Wrapf(os.WriteFile(path, content, 0o600), "write the settings of %s", g.name)
 }
 
-// start runs the gateway unless it runs.
+// start starts the gateway unless it is running.
 func (g *gatewayProcess) start() error {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -127,13 +127,13 @@
 	}
 	log, err := os.OpenFile(filepath.Join(g.folder, g.name+".log"), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		return errors.Wrapf(err, "step open the log of %s", g.name)
+		return errors.Wrapf(err, "open the log of %s", g.name)
 	}
 	defer log.Close()
 	command := exec.Command(g.binary, "--settings", path)
 	command.Stdout, command.Stderr = log, log
 	if err := command.Start(); err != nil {
-		return errors.Wrapf(err, "step start %s", g.name)
+		return errors.Wrapf(err, "start %s", g.name)
 	}
 	done := make(chan struct{})
 	g.command, g.done, g.started, g.stopRequested = command, done, time.Now(), false
@@ -148,16 +148,16 @@
 	return nil
 }
 
-// isKilled tells whether a process that has ended was killed.
+// isKilled reports whether an exited process was killed by SIGKILL.
 func isKilled(command *exec.Cmd) bool {
 	status, known := command.ProcessState.Sys().(syscall.WaitStatus)
 	return known && status.Signaled() && status.Signal() == syscall.SIGKILL
 }
 
-// settled is how long after its start a process has taken charge of its signals.
+// signalSetupTime is the time that a started process may need to install its signal handlers.
 const signalSetupTime = 500 * time.Millisecond
 
-// reload has the gateway read its settings again.
+// reload makes the gateway reload its settings.
 func (g *gatewayProcess) reload() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -166,14 +166,14 @@
 	}
 }
 
-// endings returns the ends of the process so far.
+// exitRecords returns the exits so far.
 func (g *gatewayProcess) exitRecords() []ProcessExit {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return slices.Clone(g.exits)
 }
 
-// signal sends a signal to the process, if it runs.
+// signal sends a signal to the process if it is running.
 func (g *gatewayProcess) signal(signal syscall.Signal) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -183,17 +183,17 @@
 	}
 }
 
-// running tells whether the process runs.
+// running reports whether the process is running.
 func (g *gatewayProcess) running() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.command != nil
 }
 
-// stopTimeout is how long a planned stop may take.
+// stopTimeout bounds a graceful shutdown.
 const stopTimeout = 10 * time.Second
 
-// stop stops the gateway as planned and waits for its end.
+// stop shuts the gateway down gracefully and waits for its exit.
 func (g *gatewayProcess) stop() error {
 	g.mu.Lock()
 	done, runs := g.done, g.command != nil
@@ -207,11 +207,11 @@
 		return nil
 	case <-time.After(stopTimeout):
 		g.kill()
-		return errors.Newf("step stop %s: it did not end within %s", g.name, stopTimeout)
+		return errors.Newf("stop %s: process did not exit within %s", g.name, stopTimeout)
 	}
 }
 
-// kill ends the gateway at once and waits for its end.
+// kill kills the gateway and waits for its exit.
 func (g *gatewayProcess) kill() {
 	g.mu.Lock()
 	done, runs := g.done, g.command != nil
@@ -222,12 +222,12 @@
 	}
 }
 
-// buildGateway builds the program of a gateway into a folder. It is run within the module.
+// buildGateway builds the gateway binary into a directory. It has to run within the module.
 func buildGateway(folder string) (string, error) {
 	binary := filepath.Join(folder, "granitebay-gateway")
 	output, err := exec.Command("go", "build", "-o", binary, "github.com/granitebay/granitebay/cmd/granitebay-gateway").CombinedOutput()
 	if err != nil {
-		return "", errors.Wrapf(err, "step build the gateway: %s", fmt.Sprintf("%.500s", output))
+		return "", errors.Wrapf(err, "build the gateway: %s", fmt.Sprintf("%.500s", output))
 	}
 	return binary, nil
 }
--- a/internal/soak/restore.go
+++ b/internal/soak/restore.go
@@ -10,11 +10,11 @@
 	"github.com/granitebay/granitebay/internal/standin/fleet"
 )
 
-// StoreRestored has the store be away for a time and come back from an older copy.
+// StoreRestore makes the store unavailable for a time and then restores it from an older snapshot.
 type StoreRestore struct {
-	// Age of the copy as the store goes away, and Away how long it is.
+	// SnapshotAge is the age of the snapshot at the start of the outage, and Outage its duration.
 	SnapshotAge, Outage time.Duration
-	// WriteAfter is after how long operators and workers write again what is lost.
+	// RewriteDelay is how long after the restore operators and workers write their lost items again.
 	RewriteDelay time.Duration
 }
 
@@ -25,14 +25,14 @@
 }
 
 const (
-	// restoredStream is the stream of random numbers that decides about returns of the store.
+	// restoredStream is the random stream of store restores.
 	restoredStream = 1 << 35
-	// copyEvery is how often the store is copied, and copiesKept how long copies are kept.
+	// snapshotInterval is the interval of the snapshots, and snapshotRetention how long they are kept.
 	snapshotInterval  = 250 * time.Millisecond
 	snapshotRetention = 12 * time.Second
 )
 
-// returns draws the return of the store of a round: one round in two has one.
+// drawRestore returns the store restore of a round. Half of the rounds have one.
 func drawRestore(seed uint64, number int) []ScheduledFault {
 	random := rand.New(rand.NewPCG(seed, restoredStream+uint64(number)))
 	if seed < firstNoticeSeed || random.IntN(2) == 0 {
@@ -47,13 +47,13 @@
 	}}
 }
 
-// datedCopy is a copy of the store with its moment.
+// timedSnapshot is a snapshot of the store and its time.
 type timedSnapshot struct {
 	at       time.Time
 	snapshot fleet.Copy
 }
 
-// keepCopies copies the store until the context ends.
+// takeSnapshots takes snapshots of the store until the context ends.
 func (s *system) takeSnapshots(ctx context.Context) {
 	ticker := time.NewTicker(snapshotInterval)
 	defer ticker.Stop()
@@ -71,7 +71,7 @@
 	}
 }
 
-// copyOf returns the latest copy that is so old, or the oldest there is.
+// snapshotOfAge returns the latest snapshot of at least an age, or the oldest one.
 func (s *system) snapshotOfAge(age time.Duration) fleet.Copy {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -87,7 +87,7 @@
 	return found.snapshot
 }
 
-// restore has the store go away and come back.
+// restoreStore simulates an outage of the store and its restore from a snapshot.
 func (s *system) restoreStore(f StoreRestore) {
 	snapshot := s.snapshotOfAge(f.SnapshotAge)
 	s.fleet.Store.SetFault(fleet.FaultRefuse, 0)
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -1,5 +1,5 @@
-// Package soak runs real gateways as processes against stand-ins and injects faults from outside, in rounds that a seed decides.
-// It checks the rules that callers, workers and the store can see, and that every round ends in service.
+// Package soak runs gateway processes against a simulated platform and injects faults, in rounds determined by a seed. It checks
+// the guarantees that are visible to clients, workers and the store, and that the system recovers after each round.
 package soak
 
 import (
@@ -10,67 +10,67 @@
 	"github.com/granitebay/granitebay/internal/standin/netproxy"
 )
 
-// Fault is one thing that goes wrong in a round. It is one of the types below.
+// Fault is a fault of a round. It is one of the types below.
 type Fault interface {
 	isFault()
-	// String says what goes wrong, for people.
+	// String describes the fault for people.
 	String() string
 }
 
-// GatewayKill ends gateways at once; they start again when the round heals.
+// GatewayKill kills gateways. They are restarted at the end of the faults.
 type GatewayKill struct{ Gateways []int }
 
-// GatewayPause stops gateways where they stand.
+// GatewayPause suspends gateway processes until the end of the faults.
 type GatewayPause struct{ Gateways []int }
 
-// GatewayStop stops one gateway as planned, and starts it again.
+// GatewayStop shuts a gateway down gracefully and starts it again.
 type GatewayStop struct{ Gateway int }
 
-// StoreTrouble makes the store misbehave for everybody.
+// StoreFault makes the store misbehave for all clients.
 type StoreFault struct{ Kind StoreFaultKind }
 
-// StoreCut cuts gateways off from the store.
+// StoreNetworkFault disturbs the network between gateways and the store.
 type StoreNetworkFault struct {
 	Gateways []int
 	Mode     netproxy.Mode
 }
 
-// StoreCompact makes the store forget its history.
+// StoreCompaction discards the history of the store.
 type StoreCompaction struct{}
 
-// LeaseLapse ends the leases of all gateways.
+// LeaseExpiry ends all leases.
 type LeaseExpiry struct{}
 
-// WorkerTrouble makes a worker misbehave.
+// WorkerFault makes a worker misbehave.
 type WorkerFault struct {
 	Worker int
 	Kind   WorkerFaultKind
 }
 
-// WorkerCut puts a fault on the way to a worker.
+// WorkerNetworkFault disturbs the network between gateways and a worker.
 type WorkerNetworkFault struct {
 	Worker int
 	Mode   netproxy.Mode
 }
 
-// WorkerReplace drains a worker and starts another one in its place.
+// WorkerReplacement drains a worker and starts a successor.
 type WorkerReplacement struct{ Worker int }
 
-// NewTimeout changes the time-out of all routes.
+// TimeoutChange changes the timeout of all routes.
 type TimeoutChange struct{ TimeoutMs int }
 
-// LongPrompts makes callers send long prompts that nobody has read, until the round heals. Engines change their role for it;
-// those that did are replaced afterwards.
+// LongPrompts makes clients send long, uncached prompts until the end of the faults, so that engines change their role. Those
+// that did are replaced afterwards.
 type LongPrompts struct{}
 
-// CrashingRequest makes callers send one request again and again that ends each worker that runs it, until the round heals; and now and
-// then for good.
+// CrashingRequest makes clients repeat a request that crashes each worker that runs it, frequently until the end of the faults
+// and occasionally afterwards.
 type CrashingRequest struct{}
 
-// StoreKind is how a store misbehaves.
+// StoreFaultKind is a fault of the store.
 type StoreFaultKind string
 
-// The kinds of trouble of a store.
+// The faults of the store.
 const (
 	StoreRefusing          StoreFaultKind = "refuses"
 	StoreSilent            StoreFaultKind = "is silent"
@@ -79,10 +79,10 @@
 	StoreSlow              StoreFaultKind = "is slow"
 )
 
-// WorkerKind is how a worker misbehaves.
+// WorkerFaultKind is a fault of a worker.
 type WorkerFaultKind string
 
-// The kinds of trouble of a worker.
+// The faults of a worker.
 const (
 	WorkerErrors         WorkerFaultKind = "answers errors"
 	WorkerResets         WorkerFaultKind = "resets connections"
@@ -130,7 +130,7 @@
 func (LongPrompts) String() string     { return "callers send long prompts" }
 func (CrashingRequest) String() string { return "a request ends each worker that runs it" }
 
-// planned tells whether a fault is planned work, around which no request may be lost.
+// isPlanned reports whether a fault is a planned operation, which must not cause lost requests.
 func isPlanned(f Fault) bool {
 	switch f.(type) {
 	case GatewayStop, GatewayReload, WorkerReplacement, WorkerLeavingNotice, WorkerLimitNotice, GatewayUpgrade, TimeoutChange, IdleTimeoutChange:
@@ -140,29 +140,29 @@
 	}
 }
 
-// Timed is a fault with its moment within the round.
+// ScheduledFault is a fault and its time within the round.
 type ScheduledFault struct {
 	At    time.Duration
 	Fault Fault
 }
 
-// Times of a round.
+// Durations of the parts of a round.
 const (
-	// faultTime is the part of a round in which things go wrong; at its end everything heals.
+	// faultTime is the part of a round in which faults are active.
 	faultTime = 5 * time.Second
-	// quietTime follows. Within its first part the system has to recover, in the second one it has to serve.
+	// quietTime is the part without faults. The system has to recover within recoverTime and to serve for the rest of it.
 	quietTime   = 7 * time.Second
 	recoverTime = 5 * time.Second
 	roundTime   = faultTime + quietTime
 )
 
-// leastTimeout is the shortest time-out that routes get.
+// minTimeout is the shortest timeout of routes.
 const minTimeout = 1500 * time.Millisecond
 
-// mostFaults bounds the faults of a round.
+// maxFaults bounds the faults drawn from the main random stream of a round.
 const maxFaults = 3
 
-// round returns the faults of one round, decided by the seed and the number of the round.
+// drawRound returns the faults of a round. They depend on the seed, the number of the round and the size of the system alone.
 func drawRound(seed uint64, number, gateways, workers int) []ScheduledFault {
 	random := rand.New(rand.NewPCG(seed, uint64(number)))
 	var faults []ScheduledFault
@@ -177,11 +177,10 @@
 	return append(faults, drawRestore(seed, number)...)
 }
 
-// crashingStream is the stream of random numbers that decides about crashing requests: one of its own, so that the faults of older seeds
-// stay as they were.
+// crashingStream is the random stream of crashing requests. It is separate so that the other faults of older seeds do not change.
 const crashingStream = 1 << 32
 
-// crashing returns the crashing request of a round: one in three has one.
+// drawCrashing returns the crashing request of a round. One round in three has one.
 func drawCrashing(seed uint64, number int) []ScheduledFault {
 	random := rand.New(rand.NewPCG(seed, crashingStream+uint64(number)))
 	if random.IntN(3) > 0 {
@@ -190,10 +189,10 @@
 	return []ScheduledFault{{At: time.Duration(random.Int64N(int64(faultTime / 2))), Fault: CrashingRequest{}}}
 }
 
-// draw draws one fault.
+// drawFault draws one fault.
 func drawFault(random *rand.Rand, gateways, workers int) Fault {
 	some := func() []int {
-		// Sometimes all of them at once.
+		// Occasionally select all gateways.
 		if random.IntN(4) == 0 {
 			return random.Perm(gateways)
 		}
--- a/internal/soak/series.go
+++ b/internal/soak/series.go
@@ -9,32 +9,32 @@
 	"github.com/granitebay/granitebay/internal/standin/fleet"
 )
 
-// GatewayReload sends a gateway the signal with which it reads its settings again.
+// GatewayReload makes a gateway reload its settings with SIGHUP.
 type GatewayReload struct{ Gateway int }
 
-// GatewayFreeze stops a gateway where it stands for a time.
+// GatewayFreeze suspends a gateway process for a duration.
 type GatewayFreeze struct {
 	Gateway  int
 	Duration time.Duration
 }
 
-// GatewayRestart ends a gateway at once and starts it again.
+// GatewayRestart kills a gateway and starts it again.
 type GatewayRestart struct{ Gateway int }
 
-// NewIdle changes how long connections of callers may rest.
+// IdleTimeoutChange changes the idle timeout of client connections.
 type IdleTimeoutChange struct{ IdleMs int }
 
-// GoneSilent makes the connections that are there go silent for good, while new ones work.
+// SilentConnections drops all further traffic on the open connections of a path. New connections work.
 type SilentConnections struct {
 	Path ConnPath
-	// Index of the gateway, or of the worker.
+	// Index is that of the gateway or the worker.
 	Index int
 }
 
-// Way is between whom connections go silent.
+// ConnPath identifies the two ends of silenced connections.
 type ConnPath string
 
-// The ways on which connections go silent.
+// The connection paths.
 const (
 	PathCallers ConnPath = "callers and gateway"
 	PathWorker  ConnPath = "gateways and worker"
@@ -42,10 +42,11 @@
 	PathControl ConnPath = "gateways and the control port of gateway"
 )
 
-// sheddingAttempts is how often a request may be tried once workers have turned most away: more repeats are wanted than there are.
+// overloadAttempts is the number of attempts per request during an overload. It is high enough that the demand for retries
+// exceeds the budget.
 const overloadAttempts = 4
 
-// Shedding makes all workers turn most requests away, while twice as many come.
+// Overload makes all workers refuse most requests while the load doubles.
 type Overload struct{}
 
 func (GatewayReload) isFault()     {}
@@ -72,14 +73,14 @@
 }
 func (Overload) String() string { return "all workers turn most requests away from a crowd" }
 
-// seriesStream is the stream of random numbers that decides about series, beside that of the crashing requests.
+// seriesStream is the random stream of fault series.
 const seriesStream = 1 << 33
 
-// seriesTime is the part of a round in which the faults of a series begin.
+// seriesTime is the part of a round in which the faults of a series start.
 const seriesTime = faultTime * 4 / 5
 
-// series returns faults of one kind that follow on each other within a round, or of all kinds: two rounds in three have some. They overlap
-// with each other and with the other faults of the round.
+// drawSeries returns a sequence of faults of one kind, or of all kinds. Two rounds in three have one. The faults may overlap with
+// each other and with other faults.
 func drawSeries(seed uint64, number, gateways, workers int) []ScheduledFault {
 	random := rand.New(rand.NewPCG(seed, seriesStream+uint64(number)))
 	if random.IntN(3) == 0 {
@@ -89,7 +90,7 @@
 	count := 4 + random.IntN(4)
 	var faults []ScheduledFault
 	if kind == restartSeries {
-		// Repeats are wanted from the first restart on, and each restart grants some anew if anything does.
+		// Demand for retries starts before the first restart, to detect restarts that reset the retry budget.
 		count *= 2
 		faults = append(faults, ScheduledFault{Fault: Overload{}})
 	}
@@ -103,37 +104,37 @@
 	return faults
 }
 
-// restartKind is the number of the series of restarts.
+// restartSeries is the index of the restarts in seriesKinds.
 const restartSeries = 2
 
-// seriesKinds draw the faults of each kind of series.
+// seriesKinds holds the functions that draw the faults of each kind of series.
 var seriesKinds = []func(random *rand.Rand, gateways, workers int) Fault{
-	// Signals.
+	// Reloads and graceful restarts.
 	func(random *rand.Rand, gateways, _ int) Fault {
 		if random.IntN(3) == 0 {
 			return GatewayStop{random.IntN(gateways)}
 		}
 		return GatewayReload{random.IntN(gateways)}
 	},
-	// Pauses.
+	// Temporary suspension of processes.
 	func(random *rand.Rand, gateways, _ int) Fault {
 		return GatewayFreeze{random.IntN(gateways), time.Duration(100+random.IntN(1200)) * time.Millisecond}
 	},
-	// Restarts while repeats are wanted.
+	// Restarts under a high demand for retries.
 	func(random *rand.Rand, gateways, _ int) Fault {
 		if random.IntN(5) == 0 {
 			return Overload{}
 		}
 		return GatewayRestart{random.IntN(gateways)}
 	},
-	// Configurations.
+	// Configuration changes.
 	func(random *rand.Rand, _, _ int) Fault {
 		if random.IntN(3) == 0 {
 			return TimeoutChange{int(minTimeout/time.Millisecond) + 100*random.IntN(10)}
 		}
 		return IdleTimeoutChange{minIdleMs + 100*random.IntN(30)}
 	},
-	// Silence.
+	// Silenced connections.
 	func(random *rand.Rand, gateways, workers int) Fault {
 		way := []ConnPath{PathCallers, PathWorker, PathStore, PathControl}[random.IntN(4)]
 		if way == PathWorker {
@@ -143,11 +144,11 @@
 	},
 }
 
-// leastIdle is the shortest time in milliseconds for which connections of callers may rest: its fifth part is more than the callers of
-// this program are held up on a busy machine.
+// minIdleMs is the shortest idle timeout of client connections, in milliseconds. The part of it that clients leave unused exceeds
+// the scheduling delays of this process on a busy machine.
 const minIdleMs = 800
 
-// injectSeries makes one thing of a series go wrong.
+// injectSeries starts a fault of a series.
 func (s *system) injectSeries(fault Fault, calm bool) {
 	switch f := fault.(type) {
 	case GatewayReload:
@@ -180,7 +181,7 @@
 	}
 }
 
-// silence makes the connections of one way go silent.
+// silence silences the connections of a path.
 func (s *system) silence(f SilentConnections) {
 	switch f.Path {
 	case PathCallers:
@@ -194,17 +195,17 @@
 	}
 }
 
-// idleBound is how long connections may rest from a moment on.
+// idleTimeout is an idle timeout and the time from which it was configured.
 type idleTimeout struct {
 	from    time.Time
 	timeout time.Duration
 }
 
-// Callers take up connections that have rested for so much of the bound at the most.
+// Clients reuse connections that have been idle for at most this fraction of the timeout.
 const idleNumerator, idleDenominator = 4, 5
 
-// mayRest tells whether a connection that rests since a moment may be taken up: the least bound counts that may have been in force at
-// some gateway since.
+// mayReuse reports whether a connection that has been idle since a time may be reused. The shortest timeout that may have been in
+// effect on any gateway since then applies.
 func (s *system) mayReuse(since time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -11,7 +11,7 @@
 	"github.com/granitebay/granitebay/internal/standin/netproxy"
 )
 
-// TestShortSoak plays fixed seeds over real processes.
+// TestShortSoak runs seeds that cover the main kinds of faults against gateway processes.
 func TestShortSoak(t *testing.T) {
 	for _, test := range []struct {
 		faults     string
@@ -19,10 +19,10 @@
 		seed       uint64
 		rounds     int
 	}{
-		{"long prompts, three of four gateways that stand still, and two of these without the store", "fes", 1280, 1},
-		{"a way to a worker that is reset, and connections of the store, a worker, callers and control ports that go silent for good", "fes", 6177, 1},
-		{"gateways that are killed and start while all workers turn most requests away", "fes", 6003, 1},
-		{"a request that ends workers, the store forgets its history, and all gateways are killed", "fes", 3937, 2},
+		{"long prompts, three of four gateways paused, two of these cut off from the store", "fes", 1280, 1},
+		{"resets at a worker, silenced connections of the store, a worker, clients and control ports", "fes", 6177, 1},
+		{"gateway restarts while all workers refuse most requests", "fes", 6003, 1},
+		{"crashing request, store compaction, all gateways killed", "fes", 3937, 2},
 	} {
 		t.Run(test.faults, func(t *testing.T) {
 			var out bytes.Buffer
@@ -31,7 +31,7 @@
 				t.Fatalf("%v\n%s", err, out.String())
 			}
 			if !strings.Contains(out.String(), "no rule was broken") {
-				t.Errorf("printed %s", out.String())
+				t.Errorf("output does not report success: %s", out.String())
 			}
 		})
 	}
@@ -46,7 +46,7 @@
 	}
 }
 
-// echo serves connections that get back what they send, until the test ends.
+// startEchoServer starts an echo server and returns its address. It accepts connections until the test ends.
 func startEchoServer(t *testing.T) string {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -66,7 +66,7 @@
 	return listener.Addr().String()
 }
 
-// TestProxyModes sends bytes through a proxy whose mode changes.
+// TestProxyModes checks the effect of each proxy mode on an echo server behind the proxy.
 func TestProxyModes(t *testing.T) {
 	p, err := netproxy.New(startEchoServer(t))
 	if err != nil {
@@ -84,15 +84,15 @@
 		p.Set(test.mode)
 		begun := time.Now()
 		if got := echoes(t, p.Address()); got != test.answers {
-			t.Errorf("%s: an answer comes: %t", test.mode, got)
+			t.Errorf("%s: echoed is %t", test.mode, got)
 		}
 		if took := time.Since(begun); took < test.minDelay {
-			t.Errorf("%s: it took %s", test.mode, took)
+			t.Errorf("%s: took only %s", test.mode, took)
 		}
 	}
 }
 
-// echoes tells whether a byte comes back within a while.
+// echoes reports whether a byte sent on a new connection is echoed in time.
 func echoes(t *testing.T, address string) bool {
 	t.Helper()
 	conn, err := net.Dial("tcp4", address)
@@ -103,7 +103,7 @@
 	return echoesOn(conn)
 }
 
-// echoesOn tells whether a byte comes back on a connection within a while.
+// echoesOn reports whether a byte sent on a connection is echoed in time.
 func echoesOn(conn net.Conn) bool {
 	_ = conn.SetDeadline(time.Now().Add(600 * time.Millisecond))
 	if _, err := conn.Write([]byte("x")); err != nil {
@@ -113,7 +113,8 @@
 	return err == nil
 }
 
-// TestConnectionsGoSilentForGood silences connections of callers and those through a proxy; new ones work, and the other side hears nothing.
+// TestSilencedConnections guards against silenced connections that deliver data or notify a peer, and against effects on new
+// connections.
 func TestSilencedConnections(t *testing.T) {
 	p, err := netproxy.New(startEchoServer(t))
 	if err != nil {
@@ -133,12 +134,12 @@
 		t.Fatal(err)
 	}
 	if !echoesOn(through) || !echoesOn(caller) {
-		t.Fatal("nothing comes back before")
+		t.Fatal("no echo before the connections are silenced")
 	}
 	p.Silence()
 	dialer.silence(address)
 	if echoesOn(through) {
-		t.Error("an answer comes through a proxy that has gone silent")
+		t.Error("echo on a silenced connection through the proxy")
 	}
 	readErr := make(chan error, 1)
 	go func() {
@@ -147,14 +148,14 @@
 	}()
 	select {
 	case err := <-readErr:
-		t.Errorf("a caller hears %v on a connection that has gone silent", err)
+		t.Errorf("read of a silenced client connection returned with error %v", err)
 	case <-time.After(100 * time.Millisecond):
 	}
 	if later, err := dialer.dial(t.Context(), address); err != nil || !echoesOn(later) || !echoes(t, p.Address()) {
-		t.Error("new connections do not work")
+		t.Error("no echo on new connections")
 	}
 	_ = caller.Close()
 	if err := <-readErr; err == nil {
-		t.Error("a connection that its caller has closed still reads")
+		t.Error("read succeeded after the client closed the connection")
 	}
 }
--- a/internal/soak/system.go
+++ b/internal/soak/system.go
@@ -19,7 +19,7 @@
 	"github.com/granitebay/granitebay/internal/standin/netproxy"
 )
 
-// system is gateways as processes, with stand-ins of the store, the workers and the callers in this process.
+// system consists of gateway processes and, within this process, the simulated store, workers and clients.
 type system struct {
 	shape    shape
 	builds   builds
@@ -29,15 +29,16 @@
 	workers  []*workerSlot
 	dialer   *callerDialer
 
-	// longPrompts is set while callers send long prompts.
+	// longPrompts is set while clients send long prompts.
 	longPrompts atomic.Bool
-	// crowd is set while callers send twice as many requests.
+	// doubleLoad is set while clients send twice as many requests.
 	doubleLoad atomic.Bool
-	// crashes is set while callers often send a request that ends workers, and crashing how many such ones there were.
+	// sendCrashing is set while clients frequently send a request that crashes workers. crashingCount is the number of such
+	// requests so far.
 	sendCrashing  atomic.Bool
 	crashingCount atomic.Int64
 
-	// stood says when the soak itself stood still; it is written by watchOwn alone.
+	// stalls describes the stalls of this process. Only watchStalls writes it.
 	stalls []string
 
 	mu           sync.Mutex
@@ -61,27 +62,27 @@
 	zones                            []string
 }
 
-// shapes of the deployments.
+// shapes holds the sizes of the deployments.
 var shapes = map[string]shape{
 	"fes":      {gateways: 4, plain: 3, prefill: 2, decode: 5, zones: []string{"zone-a", "zone-b", "zone-c", "zone-d"}},
 	"magnolia": {gateways: 6, plain: 3, prefill: 3, decode: 7, zones: []string{"zone-a", "zone-b", "zone-c"}},
 }
 
-// workerSlot is a place at which one worker after another runs, behind a proxy.
+// workerSlot runs one worker at a time, behind a proxy.
 type workerSlot struct {
 	number  int
 	options fleet.WorkerOptions
-	// mu guards the worker of the moment.
+	// mu guards the fields below.
 	mu          sync.Mutex
 	incarnation int
 	worker      *fleet.Worker
 	proxy       *netproxy.Proxy
 }
 
-// streamEvents is the length of streamed answers.
+// streamEvents is the number of events in a stream.
 const streamEvents = 6
 
-// startSystem starts everything and waits until each gateway is ready.
+// startSystem starts all components and waits until the gateways are ready.
 func startSystem(ctx context.Context, shape shape, builds builds, folder string) (*system, error) {
 	s := &system{shape: shape, builds: builds, fleet: fleet.NewFleet(), timeoutMs: 2500, dialer: newCallerDialer()}
 	s.store = httptest.NewServer(s.fleet.Store)
@@ -118,10 +119,10 @@
 	return s, s.awaitReady(ctx)
 }
 
-// seeds is how many gateways the others are told of.
+// seedGateways is the number of gateways that serve as seeds.
 const seedGateways = 2
 
-// throughProxies has gateways ask each other through the proxies before their control ports.
+// proxyControlAddresses replaces the control addresses in the gateways' records by those of their proxies.
 func (s *system) proxyControlAddresses(key string, value []byte) []byte {
 	if !strings.HasPrefix(key, "gateways/") {
 		return value
@@ -132,7 +133,7 @@
 	return value
 }
 
-// services lists the workers of the system.
+// workerOptions returns the options of all workers.
 func (s *system) workerOptions() []fleet.WorkerOptions {
 	var all []fleet.WorkerOptions
 	add := func(count int, options fleet.WorkerOptions) {
@@ -149,7 +150,7 @@
 	return all
 }
 
-// startWorker starts the next worker of a slot, which others reach through a proxy.
+// startWorker starts the next worker of a slot, behind a new proxy.
 func (s *system) startWorker(slot *workerSlot) error {
 	slot.mu.Lock()
 	defer slot.mu.Unlock()
@@ -166,13 +167,13 @@
 	}
 	worker, err := s.fleet.Start(options)
 	if err := errors.Join(err, proxyErr); err != nil {
-		return errors.Wrapf(err, "step start worker %s", options.ID)
+		return errors.Wrapf(err, "start worker %s", options.ID)
 	}
 	slot.worker, slot.proxy = worker, proxy
 	return nil
 }
 
-// configure writes the next version of the configuration.
+// configure writes the next version of the configuration and returns the version.
 func (s *system) configure() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -189,13 +190,13 @@
 	return s.version
 }
 
-// startTimeout bounds the start of the gateways, and startEach is added for each of them.
+// startTimeout bounds the start of all gateways; startTimeoutPerGateway is added for each.
 const (
 	startTimeout           = 15 * time.Second
 	startTimeoutPerGateway = 200 * time.Millisecond
 )
 
-// awaitReady waits until each gateway is ready.
+// awaitReady waits until all gateways are ready.
 func (s *system) awaitReady(ctx context.Context) error {
 	timeout := startTimeout + time.Duration(len(s.gateways))*startTimeoutPerGateway
 	ctx, cancel := context.WithTimeout(ctx, timeout)
@@ -205,11 +206,11 @@
 		for !caller.Ready(ctx, g.ready) {
 			if !g.running() {
 				s.stop()
-				return errors.Newf("step wait until %s is ready: it has ended; its log says why", g.name)
+				return errors.Newf("wait until %s is ready: process exited, see its log", g.name)
 			}
 			if ctx.Err() != nil {
 				s.stop()
-				return errors.Newf("step wait until %s is ready: not within %s", g.name, timeout)
+				return errors.Newf("wait until %s is ready: timeout of %s exceeded", g.name, timeout)
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
@@ -217,7 +218,7 @@
 	return nil
 }
 
-// stop ends everything that was started.
+// stop stops all components.
 func (s *system) stop() {
 	for _, g := range s.gateways {
 		g.signal(syscall.SIGCONT)
@@ -236,7 +237,7 @@
 	s.store.Close()
 }
 
-// history returns what was seen so far.
+// history returns the observations so far.
 func (s *system) history(quiet []Span) *History {
 	var ends []ProcessExit
 	var addresses []string
@@ -255,7 +256,7 @@
 	}
 }
 
-// measureSpread waits until a version is in force at each gateway that runs, and notes how long that took.
+// measureConfigDelay waits until a version is in effect on each running gateway and records the delay.
 func (s *system) measureConfigDelay(version int, begun time.Time) {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*maxConfigDelay)
 	defer cancel()
--- a/internal/soak/traffic.go
+++ b/internal/soak/traffic.go
@@ -14,11 +14,11 @@
 	"github.com/granitebay/granitebay/internal/standin/fleet"
 )
 
-// callers sends requests in open loop until the context ends.
+// generateTraffic sends requests in an open loop until the context ends.
 func (s *system) generateTraffic(ctx context.Context, seed uint64, perSecond int) {
 	random := rand.New(rand.NewPCG(seed, 99))
-	crashing := rand.New(rand.NewPCG(seed, crashingStream))
-	behaviors := rand.New(rand.NewPCG(seed, seriesStream))
+	crashingRandom := rand.New(rand.NewPCG(seed, crashingStream))
+	behaviorRandom := rand.New(rand.NewPCG(seed, seriesStream))
 	unpooled, pooling := fleet.NewCaller(false), fleet.NewPoolingCaller(s.dialer.dial)
 	defer pooling.Close()
 	directory := &cachedDirectory{system: s, caller: fleet.NewCaller(true)}
@@ -36,78 +36,79 @@
 		} else {
 			ticker.Reset(time.Second / time.Duration(perSecond))
 		}
-		closes := random.IntN(3) == 0
+		newConn := random.IntN(3) == 0
 		request := drawRequest(random, number, s.longPrompts.Load())
-		s.maybeMakeCrashing(crashing, &request)
+		s.maybeMakeCrashing(crashingRandom, &request)
 		gateways := directory.get(ctx)
 		if len(gateways) == 0 {
 			continue
 		}
 		request.Gateway = gateways[random.IntN(len(gateways))]
-		behavior := drawBehavior(behaviors, &request)
-		if closes {
+		behavior := drawBehavior(behaviorRandom, &request)
+		if newConn {
 			s.pendingCalls.Go(func() { s.call(request, behavior.abandonAfter, unpooled.Do) })
 			continue
 		}
 		if idle := pooling.IdleGateways(); behavior.sticky && len(idle) > 0 {
-			request.Gateway = idle[behaviors.IntN(len(idle))]
+			request.Gateway = idle[behaviorRandom.IntN(len(idle))]
 		}
 		s.pendingCalls.Go(func() {
-			s.call(request, behavior.abandonAfter, func(ctx context.Context, gateway string, asked fleet.Request) fleet.Response {
-				return pooling.Do(ctx, gateway, asked, behavior.conn, s.mayReuse)
+			s.call(request, behavior.abandonAfter, func(ctx context.Context, gateway string, call fleet.Request) fleet.Response {
+				return pooling.Do(ctx, gateway, call, behavior.conn, s.mayReuse)
 			})
 		})
 	}
 }
 
-// habit is what a caller does besides asking.
+// callBehavior is how a client sends a request.
 type callBehavior struct {
-	// pick says which connection it takes, and stays whether it goes to a gateway to which it has one, whatever the directory tells.
+	// conn selects the connection. sticky makes the client prefer a gateway to which it has an idle connection over those that
+	// the directory returns.
 	conn   fleet.ConnChoice
 	sticky bool
-	// leave is after what time it leaves; zero when it waits for the answer.
+	// abandonAfter is the time after which the client disconnects; zero if it waits for the response.
 	abandonAfter time.Duration
 }
 
-// How often callers do what: one in so many.
+// Frequencies of client behaviors, as one in N requests.
 const (
 	stickyOneIn      = 4
 	abandonOneIn     = 14
 	longRunningOneIn = 20
-	// earlyLeave bounds the time after which callers leave whose request is not long.
+	// maxEarlyAbandon bounds the time after which clients disconnect from requests that are not long-running.
 	maxEarlyAbandon = 40 * time.Millisecond
 )
 
-// drawHabit draws what a caller does, and makes some of the streams long; half of the callers of these leave.
+// drawBehavior draws the behavior of a client. It also makes some of the streams long-running; half of their clients disconnect.
 func drawBehavior(random *rand.Rand, request *RequestRecord) callBehavior {
 	behavior := callBehavior{
 		conn:   []fleet.ConnChoice{fleet.ConnNew, fleet.ConnMostRecent, fleet.ConnLeastRecent, fleet.ConnLeastRecent}[random.IntN(4)],
 		sticky: random.IntN(stickyOneIn) == 0,
 	}
-	abandons, long, late := random.IntN(abandonOneIn) == 0, random.IntN(longRunningOneIn) == 0, random.IntN(2) == 0
-	early := 1 + time.Duration(random.Int64N(int64(maxEarlyAbandon)))
+	abandons, long, abandonsLong := random.IntN(abandonOneIn) == 0, random.IntN(longRunningOneIn) == 0, random.IntN(2) == 0
+	delay := 1 + time.Duration(random.Int64N(int64(maxEarlyAbandon)))
 	switch {
 	case request.CrashID > 0:
 	case long && request.Kind == KindStream:
 		request.LongRunning = true
 		request.Request.Body += " " + fleet.LongBody
-		if late {
-			behavior.abandonAfter = fleet.LongWork/12 + 2*early
+		if abandonsLong {
+			behavior.abandonAfter = fleet.LongWork/12 + 2*delay
 		}
 	case abandons:
-		behavior.abandonAfter = early
+		behavior.abandonAfter = delay
 	}
 	return behavior
 }
 
-// Sizes of prompts in tokens: the part that many requests share, and the whole.
+// Prompt lengths in tokens: the shared prefix and the total.
 const (
 	shortShared, shortTokens   = 90, 300
 	middleShared, middleTokens = 3000, 4000
 	longShared, longTokens     = 1000, 10_000
 )
 
-// drawRequest draws a request, with a long prompt if it is to stream and long is set.
+// drawRequest draws a request. If long is set, streams have long prompts.
 func drawRequest(random *rand.Rand, number int, long bool) RequestRecord {
 	id := fmt.Sprintf("r%d", number)
 	kind := []Kind{KindNonIdempotent, KindIdempotent, KindStream, KindStream}[random.IntN(4)]
@@ -129,13 +130,15 @@
 	return RequestRecord{Request: call, Kind: kind, WantBody: wantBody}
 }
 
-// One in so many requests repeats the crashing one of the round, and one in so many any of those whose bar the store holds, for good.
+// One in crashingOneIn requests repeats the crashing request of the current round. One in blockedOneIn repeats any earlier one
+// that the store lists as blocked.
 const (
 	crashingOneIn = 12
 	blockedOneIn  = 150
 )
 
-// maybeCrashing turns some requests into repeats of those that end workers: their id is new, and all else the same.
+// maybeMakeCrashing turns some requests into repeats of worker-crashing requests. They differ from each other only in the request
+// ID.
 func (s *system) maybeMakeCrashing(random *rand.Rand, request *RequestRecord) {
 	crashingCount := int(s.crashingCount.Load())
 	repeatCurrent, repeatBlocked := random.IntN(crashingOneIn) == 0, random.IntN(blockedOneIn) == 0
@@ -150,14 +153,14 @@
 		return
 	}
 	body := crashingBody(request.CrashID)
-	// Each of them is of one kind.
+	// All repeats of a request have the same kind.
 	kind := KindStream
 	if request.CrashID%2 == 0 {
 		kind = KindIdempotent
 	}
 	path := "/" + string(kind) + "/x"
 	if !s.sendCrashing.Load() && !s.isBlocked(path, body) {
-		// It may end more workers, which no gateway could know: all that knew of it may have been killed.
+		// Without a block in the store, it would crash further workers: all gateways that knew of it may have been killed.
 		request.CrashID = 0
 		return
 	}
@@ -170,19 +173,19 @@
 	}
 }
 
-// crashingBody is the body of a request that ends workers.
+// crashingBody returns the body of a worker-crashing request.
 func crashingBody(number int) string { return fmt.Sprintf("number %d %s", number, fleet.CrashingBody) }
 
-// isBarred tells whether the store holds the bar of a request.
+// isBlocked reports whether the store lists a request as blocked.
 func (s *system) isBlocked(path, body string) bool {
 	digest := poison.Asked{Method: http.MethodPost, Host: fleet.Host, Target: path, Body: []byte(body)}.Digest()
 	return slices.Contains(s.fleet.Store.Keys(poison.Prefix), poison.KeyOf(digest))
 }
 
-// callSlack is how long after its deadline a caller still waits.
+// callSlack is how long after its deadline a client still waits.
 const callSlack = 2 * time.Second
 
-// call sends one request and notes what became of it. The caller leaves after a time, or waits for the answer if that is zero.
+// call sends a request and records the result. If abandonAfter is positive, the client disconnects after that time.
 func (s *system) call(request RequestRecord, abandonAfter time.Duration, do func(ctx context.Context, gateway string, asked fleet.Request) fleet.Response) {
 	ctx, cancel := context.WithTimeout(context.Background(), request.Request.Deadline+callSlack)
 	defer cancel()
@@ -201,7 +204,7 @@
 	s.requests = append(s.requests, request)
 }
 
-// directory keeps the answer of the directory for a while, as callers do.
+// cachedDirectory caches the addresses returned by the directory.
 type cachedDirectory struct {
 	system    *system
 	caller    *fleet.Caller
@@ -210,10 +213,10 @@
 	next      int
 }
 
-// addressTime is how long callers keep addresses.
+// directoryTTL is the lifetime of cached addresses.
 const directoryTTL = time.Second
 
-// get returns the addresses of the moment, older ones when no gateway answers.
+// get returns the cached addresses and refreshes them when they have expired. It keeps them if no gateway answers.
 func (d *cachedDirectory) get(ctx context.Context) []string {
 	if time.Since(d.fetchedAt) < directoryTTL {
 		return d.addresses
--- a/internal/soak/upgrade.go
+++ b/internal/soak/upgrade.go
@@ -2,11 +2,10 @@
 
 import "fmt"
 
-// GatewayUpgrade replaces all gateways one after the other by those of another build: each is stopped as planned and started with the other
-// program.
+// GatewayUpgrade performs a rolling replacement of all gateways: each is shut down gracefully and started with the other binary.
 type GatewayUpgrade struct{ Build Build }
 
-// Build is one of the two programs of a soak that changes between them.
+// Build is one of the two binaries of a rolling upgrade.
 type Build string
 
 // The builds.
@@ -21,10 +20,10 @@
 	return fmt.Sprintf("all gateways are replaced by those of the %s one after the other", f.Build)
 }
 
-// builds are the programs between which a soak changes to and fro; without one before there is nothing to change.
+// builds holds the gateway binaries. Upgrades are disabled if previous is empty.
 type builds struct{ previous, current string }
 
-// first returns the program with which all gateways begin.
+// initial returns the binary with which all gateways start.
 func (b builds) initial() string {
 	if b.previous != "" {
 		return b.previous
@@ -32,7 +31,7 @@
 	return b.current
 }
 
-// upgrade returns the replacement of a round, or nothing.
+// upgrade returns the rolling replacement of a round, if upgrades are enabled.
 func (b builds) upgrade(number int) []ScheduledFault {
 	if b.previous == "" {
 		return nil
@@ -59,7 +58,7 @@
 	})
 }
 
-// setProgram has the gateway run another program from its next start on.
+// setBinary sets the binary that the next start of the gateway uses.
 func (g *gatewayProcess) setBinary(program string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/standin/fleet/caller.go
+++ b/internal/standin/fleet/caller.go
@@ -105,18 +105,18 @@
 }
 
 // httpRequest returns the HTTP request to a gateway.
-func (a Request) httpRequest(ctx context.Context, gateway string) (*http.Request, error) {
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+gateway+a.Path, strings.NewReader(a.Body))
+func (r Request) httpRequest(ctx context.Context, gateway string) (*http.Request, error) {
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+gateway+r.Path, strings.NewReader(r.Body))
 	if err != nil {
 		return nil, err
 	}
 	request.Host = Host
-	request.Header.Set("Request-Id", a.ID)
-	request.Header.Set("Deadline-Ms", strconv.FormatInt(a.Deadline.Milliseconds(), 10))
-	if a.PromptTokens > 0 {
+	request.Header.Set("Request-Id", r.ID)
+	request.Header.Set("Deadline-Ms", strconv.FormatInt(r.Deadline.Milliseconds(), 10))
+	if r.PromptTokens > 0 {
 		request.Header.Set("Model", "m")
-		request.Header.Set("Token-Count", fmt.Sprintf("%d,30", a.PromptTokens))
-		request.Header.Set("Prompt-Prefix", fmt.Sprintf("%s:%d,%s:%d", a.SharedPrefix, a.SharedTokens, a.ID, a.PromptTokens-a.SharedTokens))
+		request.Header.Set("Token-Count", fmt.Sprintf("%d,30", r.PromptTokens))
+		request.Header.Set("Prompt-Prefix", fmt.Sprintf("%s:%d,%s:%d", r.SharedPrefix, r.SharedTokens, r.ID, r.PromptTokens-r.SharedTokens))
 	}
 	return request, nil
 }
--- a/internal/standin/fleet/poolingcaller.go
+++ b/internal/standin/fleet/poolingcaller.go
@@ -54,14 +54,14 @@
 
 // Do sends a request on one connection and reads the whole response. Idle connections that reusable rejects are closed. The
 // connection is closed if the context ends.
-func (k *PoolingCaller) Do(ctx context.Context, gateway string, call Request, choice ConnChoice, reusable func(since time.Time) bool) Response {
+func (c *PoolingCaller) Do(ctx context.Context, gateway string, call Request, choice ConnChoice, reusable func(since time.Time) bool) Response {
 	request, err := call.httpRequest(ctx, gateway)
 	if err != nil {
 		return Response{Err: err}
 	}
-	conn := k.takeIdle(gateway, choice, reusable)
+	conn := c.takeIdle(gateway, choice, reusable)
 	if conn == nil {
-		opened, err := k.dial(ctx, gateway)
+		opened, err := c.dial(ctx, gateway)
 		if err != nil {
 			return Response{Err: errors.Mark(err, ErrNotConnected)}
 		}
@@ -73,7 +73,7 @@
 	case !release():
 		response.Err = errors.CombineErrors(ctx.Err(), response.Err)
 	case reuse && response.Err == nil:
-		k.putIdle(gateway, conn)
+		c.putIdle(gateway, conn)
 	default:
 		_ = conn.Close()
 	}
@@ -94,19 +94,19 @@
 }
 
 // takeIdle returns an idle connection, or nil. It closes connections that are not reusable or were closed by the gateway.
-func (k *PoolingCaller) takeIdle(gateway string, choice ConnChoice, reusable func(since time.Time) bool) *idleConn {
+func (c *PoolingCaller) takeIdle(gateway string, choice ConnChoice, reusable func(since time.Time) bool) *idleConn {
 	if choice == ConnNew {
 		return nil
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for len(k.idle[gateway]) > 0 {
-		conns := k.idle[gateway]
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for len(c.idle[gateway]) > 0 {
+		conns := c.idle[gateway]
 		var conn *idleConn
 		if choice == ConnLeastRecent {
-			conn, k.idle[gateway] = conns[0], conns[1:]
+			conn, c.idle[gateway] = conns[0], conns[1:]
 		} else {
-			conn, k.idle[gateway] = conns[len(conns)-1], conns[:len(conns)-1]
+			conn, c.idle[gateway] = conns[len(conns)-1], conns[:len(conns)-1]
 		}
 		if reusable(conn.since) && conn.isOpen() {
 			return conn
@@ -117,23 +117,23 @@
 }
 
 // putIdle returns a connection to the pool and closes the oldest one beyond the limit.
-func (k *PoolingCaller) putIdle(gateway string, conn *idleConn) {
+func (c *PoolingCaller) putIdle(gateway string, conn *idleConn) {
 	conn.since = time.Now()
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.idle[gateway] = append(k.idle[gateway], conn)
-	if conns := k.idle[gateway]; len(conns) > maxIdleConns {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.idle[gateway] = append(c.idle[gateway], conn)
+	if conns := c.idle[gateway]; len(conns) > maxIdleConns {
 		_ = conns[0].Close()
-		k.idle[gateway] = conns[1:]
+		c.idle[gateway] = conns[1:]
 	}
 }
 
 // IdleGateways returns the gateways with idle connections.
-func (k *PoolingCaller) IdleGateways() []string {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+func (c *PoolingCaller) IdleGateways() []string {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	var gateways []string
-	for gateway, conns := range k.idle {
+	for gateway, conns := range c.idle {
 		if len(conns) > 0 {
 			gateways = append(gateways, gateway)
 		}
@@ -156,13 +156,13 @@
 }
 
 // Close closes all idle connections.
-func (k *PoolingCaller) Close() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	for gateway, conns := range k.idle {
+func (c *PoolingCaller) Close() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for gateway, conns := range c.idle {
 		for _, conn := range conns {
 			_ = conn.Close()
 		}
-		delete(k.idle, gateway)
+		delete(c.idle, gateway)
 	}
 }
