--- a/internal/demo/load.go
+++ b/internal/demo/load.go
@@ -89,8 +89,8 @@
 func (l *loadGenerator) send(req request) {
 	l.stats.recordSent(req)
 	l.pending.Go(func() {
-		got := l.caller.call(context.Background(), req)
-		l.stats.recordResult(got)
+		res := l.caller.call(context.Background(), req)
+		l.stats.recordResult(res)
 	})
 }
 
--- a/internal/demo/stats_test.go
+++ b/internal/demo/stats_test.go
@@ -24,13 +24,13 @@
 		{outcome: outcomeFailed, outcomeReported: true},
 	}
 	runs := map[string]int{}
-	for i, got := range results {
-		got.request = testRequest
-		got.request.id = fmt.Sprint("request-", i)
-		got.request.class.nonIdempotent = i < 4
-		stats.recordSent(got.request)
-		stats.recordResult(got)
-		runs[got.request.id] = 1
+	for i, res := range results {
+		res.request = testRequest
+		res.request.id = fmt.Sprint("request-", i)
+		res.request.class.nonIdempotent = i < 4
+		stats.recordSent(res.request)
+		stats.recordResult(res)
+		runs[res.request.id] = 1
 	}
 	runs["request-0"], runs["request-3"] = 3, 0
 	for wait := range 100 {
--- a/internal/demo/workload_test.go
+++ b/internal/demo/workload_test.go
@@ -17,7 +17,7 @@
 func TestWorkloadsMatchConfiguration(t *testing.T) {
 	for _, spec := range deployment.All() {
 		t.Run(spec.Name, func(t *testing.T) {
-			work, err := workloadFor(spec.Name)
+			load, err := workloadFor(spec.Name)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -29,7 +29,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, each := range work.classes {
+			for _, each := range load.classes {
 				labels := map[string]string{"class": each.name, configuration.LabelRepeatable: lo.Ternary(each.nonIdempotent, "false", "true")}
 				rule, ok := snapshot.RuleFor(labels)
 				if !ok {
@@ -48,20 +48,20 @@
 
 func TestMixShiftsWithinTenSeconds(t *testing.T) {
 	for _, name := range deployment.Names() {
-		work, err := workloadFor(name)
+		load, err := workloadFor(name)
 		if err != nil {
 			t.Fatal(err)
 		}
-		before, after := work.rates(0), work.rates(8*time.Second)
+		before, after := load.rates(0), load.rates(8*time.Second)
 		largest := 0.0
-		for index := range work.classes {
+		for index := range load.classes {
 			largest = max(largest, after[index]/lo.Sum(after)-before[index]/lo.Sum(before))
 		}
 		if largest < 0.2 {
 			t.Errorf("%s: the largest gain in share of a class is %.2f, want at least 0.2", name, largest)
 		}
-		for elapsed := time.Duration(0); elapsed < work.period; elapsed += time.Second {
-			if slices.Min(work.rates(elapsed)) < 0 {
+		for elapsed := time.Duration(0); elapsed < load.period; elapsed += time.Second {
+			if slices.Min(load.rates(elapsed)) < 0 {
 				t.Errorf("%s: negative rate after %s", name, elapsed)
 			}
 		}
@@ -69,16 +69,16 @@
 }
 
 func TestPickClassFollowsRates(t *testing.T) {
-	work := fesWorkload()
+	load := fesWorkload()
 	random := rand.New(rand.NewPCG(1, 1))
 	drawn := map[string]int{}
 	const draws = 10000
 	for range draws {
-		class, _ := work.pickClass(0, random)
+		class, _ := load.pickClass(0, random)
 		drawn[class.name]++
 	}
-	rates := work.rates(0)
-	for index, each := range work.classes {
+	rates := load.rates(0)
+	for index, each := range load.classes {
 		want := rates[index] / lo.Sum(rates)
 		if got := float64(drawn[each.name]) / draws; got < want-0.02 || got > want+0.02 {
 			t.Errorf("class %s has share %.3f, want %.3f", each.name, got, want)
--- a/internal/soak/check.go
+++ b/internal/soak/check.go
@@ -39,8 +39,8 @@
 // Check returns all violations in a history.
 func Check(h *History) []Violation {
 	var found []Violation
-	for _, each := range checks {
-		found = append(found, each(h)...)
+	for _, verify := range checks {
+		found = append(found, verify(h)...)
 	}
 	return found
 }
@@ -148,17 +148,17 @@
 
 // wasKilled reports whether a gateway was killed within a time span.
 func (h *History) wasKilled(gateway string, from, until time.Time) bool {
-	return slices.ContainsFunc(h.Exits, func(end ProcessExit) bool {
-		return end.Gateway == gateway && end.Killed && end.At.After(from) && end.At.Before(until.Add(exitSlack))
+	return slices.ContainsFunc(h.Exits, func(exit ProcessExit) bool {
+		return exit.Gateway == gateway && exit.Killed && exit.At.After(from) && exit.At.Before(until.Add(exitSlack))
 	})
 }
 
 // checkExits: no gateway process exits unless it was asked to.
 func checkExits(h *History) []Violation {
 	var found []Violation
-	for _, end := range h.Exits {
-		if !end.Expected {
-			found = append(found, Violation{"Fault", end.Gateway, fmt.Sprintf("unexpected exit at %s: %v", end.At.Format(timeFormat), end.Err)})
+	for _, exit := range h.Exits {
+		if !exit.Expected {
+			found = append(found, Violation{"Fault", exit.Gateway, fmt.Sprintf("unexpected exit at %s: %v", exit.At.Format(timeFormat), exit.Err)})
 		}
 	}
 	return found
--- a/internal/soak/command.go
+++ b/internal/soak/command.go
@@ -97,13 +97,13 @@
 
 // runSeed runs the soak with one seed.
 func (c *Command) runSeed(ctx context.Context, out io.Writer) (err error) {
-	folder, err := os.MkdirTemp("", "granitebay-soak-")
+	directory, err := os.MkdirTemp("", "granitebay-soak-")
 	if err != nil {
 		return errors.Wrap(err, "create a directory for logs")
 	}
 	binary := c.Gateway
 	if binary == "" {
-		if binary, err = buildGateway(folder); err != nil {
+		if binary, err = buildGateway(directory); err != nil {
 			return err
 		}
 	}
@@ -111,8 +111,8 @@
 	if c.Gateways > 0 {
 		shape.gateways = c.Gateways
 	}
-	fmt.Fprintf(out, "soak --deployment %s --seed %d --for %s --gateways %d; logs in %s\n", c.Deployment, c.Seed, c.For, shape.gateways, folder)
-	s, err := startSystem(ctx, shape, builds{previous: c.Before, current: binary}, folder)
+	fmt.Fprintf(out, "soak --deployment %s --seed %d --for %s --gateways %d; logs in %s\n", c.Deployment, c.Seed, c.For, shape.gateways, directory)
+	s, err := startSystem(ctx, shape, builds{previous: c.Before, current: binary}, directory)
 	if err != nil {
 		return err
 	}
@@ -140,7 +140,7 @@
 	for _, stall := range s.stalls {
 		fmt.Fprintln(out, stall)
 	}
-	return c.report(out, s.history(quiet), folder)
+	return c.report(out, s.history(quiet), directory)
 }
 
 // Limits for the detection of stalls of this process: the interval of the checks, and the delay that counts as a stall.
@@ -169,12 +169,12 @@
 	for number := range int(c.For / roundTime) {
 		faults := append(drawRound(c.Seed, number, len(s.gateways), len(s.workers)), s.builds.upgrade(number)...)
 		slices.SortStableFunc(faults, func(a, b ScheduledFault) int { return int(a.At - b.At) })
-		begun := time.Now()
+		start := time.Now()
 		for _, each := range faults {
-			sleep(ctx, time.Until(begun.Add(each.At)))
+			sleep(ctx, time.Until(start.Add(each.At)))
 			s.injectFault(each.Fault, isCalm(faults))
 		}
-		sleep(ctx, time.Until(begun.Add(faultTime)))
+		sleep(ctx, time.Until(start.Add(faultTime)))
 		if err := s.heal(); err != nil {
 			return nil, err
 		}
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -125,7 +125,7 @@
 
 // replaceWorker drains a worker, starts a successor, and stops the worker after the drain time.
 func (s *system) replaceWorker(slot *workerSlot) {
-	old, way := slot.currentWorker(), slot.currentProxy()
+	old, proxy := slot.currentWorker(), slot.currentProxy()
 	old.Drain()
 	s.mu.Lock()
 	s.departures = append(s.departures, Departure{Worker: old.ID(), At: time.Now()})
@@ -135,7 +135,7 @@
 	}
 	time.Sleep(drainTime + time.Second)
 	old.Stop(false)
-	way.Close()
+	proxy.Close()
 }
 
 // restoreRoles replaces the engines that have changed their role, so that later rounds start with the initial roles.
@@ -152,10 +152,10 @@
 	s.mu.Lock()
 	edit()
 	s.mu.Unlock()
-	begun := time.Now()
+	start := time.Now()
 	version := s.configure()
 	if measure {
-		s.background.Go(func() { s.measureConfigDelay(version, begun) })
+		s.background.Go(func() { s.measureConfigDelay(version, start) })
 	}
 }
 
--- a/internal/soak/notices.go
+++ b/internal/soak/notices.go
@@ -159,8 +159,8 @@
 
 // wasInterrupted reports whether a gateway exited or was paused within a time span.
 func (h *History) wasInterrupted(gateway string, from, until time.Time) bool {
-	if slices.ContainsFunc(h.Exits, func(end ProcessExit) bool {
-		return end.Gateway == gateway && end.At.After(from) && end.At.Before(until)
+	if slices.ContainsFunc(h.Exits, func(exit ProcessExit) bool {
+		return exit.Gateway == gateway && exit.At.After(from) && exit.At.Before(until)
 	}) {
 		return true
 	}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -82,11 +82,11 @@
 	}
 	for _, test := range tests {
 		p.Set(test.mode)
-		begun := time.Now()
+		start := time.Now()
 		if got := echoes(t, p.Address()); got != test.answers {
 			t.Errorf("%s: echoed is %t", test.mode, got)
 		}
-		if took := time.Since(begun); took < test.minDelay {
+		if took := time.Since(start); took < test.minDelay {
 			t.Errorf("%s: took only %s", test.mode, took)
 		}
 	}
--- a/internal/soak/system.go
+++ b/internal/soak/system.go
@@ -86,8 +86,8 @@
 func startSystem(ctx context.Context, shape shape, builds builds, folder string) (*system, error) {
 	s := &system{shape: shape, builds: builds, fleet: fleet.NewFleet(), timeoutMs: 2500, dialer: newCallerDialer()}
 	s.store = httptest.NewServer(s.fleet.Store)
-	for i, service := range s.workerOptions() {
-		slot := &workerSlot{number: i, options: service}
+	for i, options := range s.workerOptions() {
+		slot := &workerSlot{number: i, options: options}
 		s.workers = append(s.workers, slot)
 		if err := s.startWorker(slot); err != nil {
 			s.stop()
@@ -239,16 +239,16 @@
 
 // history returns the observations so far.
 func (s *system) history(quiet []Span) *History {
-	var ends []ProcessExit
+	var exits []ProcessExit
 	var addresses []string
 	for _, g := range s.gateways {
 		addresses = append(addresses, g.callers)
-		ends = append(ends, g.exitRecords()...)
+		exits = append(exits, g.exitRecords()...)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return &History{
-		CollectedAt: time.Now(), Exits: ends, Work: s.fleet.Worked(),
+		CollectedAt: time.Now(), Exits: exits, Work: s.fleet.Worked(),
 		Requests: append([]RequestRecord(nil), s.requests...), Runs: s.fleet.Runs(), Arrivals: s.fleet.Arrivals(), Orders: s.fleet.Orders(),
 		Crashes: s.fleet.Crashes(), Heads: s.fleet.Heads(), Notices: s.fleet.Notices(), Limits: s.fleet.Limits(), Gateways: addresses,
 		Spans: append([]Span(nil), s.spans...), Departures: append([]Departure(nil), s.departures...), QuietPeriods: quiet,
@@ -257,7 +257,7 @@
 }
 
 // measureConfigDelay waits until a version is in effect on each running gateway and records the delay.
-func (s *system) measureConfigDelay(version int, begun time.Time) {
+func (s *system) measureConfigDelay(version int, start time.Time) {
 	ctx, cancel := context.WithTimeout(context.Background(), 3*maxConfigDelay)
 	defer cancel()
 	for _, g := range s.gateways {
@@ -271,5 +271,5 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.configDelays = append(s.configDelays, time.Since(begun))
+	s.configDelays = append(s.configDelays, time.Since(start))
 }
--- a/internal/soak/traffic.go
+++ b/internal/soak/traffic.go
@@ -186,7 +186,7 @@
 const callSlack = 2 * time.Second
 
 // call sends a request and records the result. If abandonAfter is positive, the client disconnects after that time.
-func (s *system) call(request RequestRecord, abandonAfter time.Duration, do func(ctx context.Context, gateway string, asked fleet.Request) fleet.Response) {
+func (s *system) call(request RequestRecord, abandonAfter time.Duration, do func(ctx context.Context, gateway string, call fleet.Request) fleet.Response) {
 	ctx, cancel := context.WithTimeout(context.Background(), request.Request.Deadline+callSlack)
 	defer cancel()
 	request.Sent = time.Now()
--- a/internal/soak/upgrade.go
+++ b/internal/soak/upgrade.go
@@ -45,22 +45,22 @@
 
 // replaceGateways replaces the gateways one after the other.
 func (s *system) replaceGateways(f GatewayUpgrade) {
-	program := s.builds.current
+	binary := s.builds.current
 	if f.Build == BuildPrevious {
-		program = s.builds.previous
+		binary = s.builds.previous
 	}
 	s.background.Go(func() {
 		for _, g := range s.gateways {
 			_ = g.stop()
-			g.setBinary(program)
+			g.setBinary(binary)
 			_ = g.start()
 		}
 	})
 }
 
 // setBinary sets the binary that the next start of the gateway uses.
-func (g *gatewayProcess) setBinary(program string) {
+func (g *gatewayProcess) setBinary(binary string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.binary = program
+	g.binary = binary
 }
--- a/internal/standin/fleet/model.go
+++ b/internal/standin/fleet/model.go
@@ -8,8 +8,7 @@
 	"time"
 )
 
-// ModelOptions configure the timing of a model engine. The defaults are assumed values, of the order commonly reported for
-// accelerators.
+// ModelOptions configure the timing of a model engine.
 type ModelOptions struct {
 	// PromptTokensPerSecond is the prefill rate in the prefill stage; the decode stage has half of it.
 	PromptTokensPerSecond float64
--- a/internal/standin/fleet/model_test.go
+++ b/internal/standin/fleet/model_test.go
@@ -20,11 +20,11 @@
 			t.Error("prefill of a 60 s prompt was completed although the client disconnected")
 		}
 	}
-	begun := time.Now()
+	start := time.Now()
 	if !engine.prefill(10, 1, nil) {
 		t.Error("prefill was aborted although the client is connected")
 	}
-	if took := time.Since(begun); took > 5*time.Second {
+	if took := time.Since(start); took > 5*time.Second {
 		t.Errorf("prefill of a 10 ms prompt took %s", took)
 	}
 }
@@ -32,7 +32,7 @@
 // TestPrefillIsSerialized guards against concurrent prefill exceeding the configured rate.
 func TestPrefillIsSerialized(t *testing.T) {
 	engine := newEngineModel(ModelOptions{PromptTokensPerSecond: 1000})
-	begun := time.Now()
+	start := time.Now()
 	results := make(chan bool, 2)
 	for range cap(results) {
 		go func() { results <- engine.prefill(100, 1, nil) }()
@@ -40,7 +40,7 @@
 	for range cap(results) {
 		<-results
 	}
-	if took := time.Since(begun); took < 200*time.Millisecond {
+	if took := time.Since(start); took < 200*time.Millisecond {
 		t.Errorf("prefill of two 100 ms prompts took %s, want at least 200ms", took)
 	}
 }
--- a/internal/standin/fleet/routes.go
+++ b/internal/standin/fleet/routes.go
@@ -62,29 +62,29 @@
 const DefaultIdle = 15 * time.Second
 
 // Configure writes a configuration to the store.
-func (f *Fleet) Configure(wanted Configuration) {
+func (f *Fleet) Configure(config Configuration) {
 	routes := []jsonObject{}
-	for _, each := range wanted.Routes {
+	for _, route := range config.Routes {
 		routes = append(routes, jsonObject{
-			"name": each.Name, "host": Host, "pathPrefix": each.Prefix, "kind": each.Kind, "timeoutMs": wanted.TimeoutMs,
-			"targetLatencyMs": targetLatencyMs, "priority": 1, "service": each.Service, "maxAttempts": max(wanted.MaxAttempts, minAttempts), "resumable": each.Resumable,
+			"name": route.Name, "host": Host, "pathPrefix": route.Prefix, "kind": route.Kind, "timeoutMs": config.TimeoutMs,
+			"targetLatencyMs": targetLatencyMs, "priority": 1, "service": route.Service, "maxAttempts": max(config.MaxAttempts, minAttempts), "resumable": route.Resumable,
 		})
 	}
 	services := []jsonObject{}
-	for _, each := range wanted.Services {
-		services = append(services, each.record())
+	for _, service := range config.Services {
+		services = append(services, service.record())
 	}
 	idleMs := int(DefaultIdle / time.Millisecond)
-	if wanted.IdleMs > 0 {
-		idleMs = wanted.IdleMs
+	if config.IdleMs > 0 {
+		idleMs = config.IdleMs
 	}
 	record := jsonObject{
-		"version": wanted.Version, "routes": routes, "services": services,
+		"version": config.Version, "routes": routes, "services": services,
 		"limits": jsonObject{"maxHeaderBytes": 16384, "maxBodyBytes": 4 << 20, "headerTimeoutMs": 3000, "idleTimeoutMs": idleMs},
 	}
-	if wanted.Tenants != nil {
+	if config.Tenants != nil {
 		tenants := []jsonObject{}
-		for name, keys := range wanted.Tenants {
+		for name, keys := range config.Tenants {
 			tenants = append(tenants, jsonObject{"name": name, "apiKeys": keys})
 		}
 		record["tenants"] = tenants
