--- a/internal/labfleet/labfleet.go
+++ b/internal/labfleet/labfleet.go
@@ -102,7 +102,7 @@
 func (f *Fleet) RoleCounts() (prefill, decode, changing int) {
 	for _, worker := range f.workers {
 		switch {
-		case worker.Changing():
+		case worker.ChangingStage():
 			changing++
 		case worker.Stage() == string(backend.RolePrefill):
 			prefill++
--- a/internal/soak/inject.go
+++ b/internal/soak/inject.go
@@ -55,7 +55,7 @@
 	case StoreCompaction:
 		s.fleet.Store.Compact()
 	case LeaseExpiry:
-		s.fleet.Store.EndLeases()
+		s.fleet.Store.ExpireLeases()
 	case WorkerFault:
 		s.workers[f.Worker].currentWorker().SetFault(workerFaults[f.Kind])
 	case WorkerNetworkFault:
--- a/internal/standin/fleet/store.go
+++ b/internal/standin/fleet/store.go
@@ -171,8 +171,8 @@
 	}
 }
 
-// EndLeases ends all leases, as if none had been renewed in time.
-func (s *Store) EndLeases() {
+// ExpireLeases ends all leases, as if none had been renewed in time.
+func (s *Store) ExpireLeases() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for id := range s.leases {
--- a/internal/standin/fleet/worker.go
+++ b/internal/standin/fleet/worker.go
@@ -138,8 +138,8 @@
 	return w.model.prefilledTokens
 }
 
-// Changing reports whether the worker is unavailable because of a stage change.
-func (w *Worker) Changing() bool {
+// ChangingStage reports whether the worker is unavailable because of a stage change.
+func (w *Worker) ChangingStage() bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.changingStage
@@ -197,7 +197,7 @@
 	w.writeRecord()
 }
 
-// Stop stops the worker and its successors. After a crash its record remains in the store.
+// Stop stops the worker and its successors. If crash is set, the record remains in the store.
 func (w *Worker) Stop(crash bool) {
 	w.mutex.Lock()
 	w.stopped = true
