--- a/internal/demo/command.go
+++ b/internal/demo/command.go
@@ -1,5 +1,5 @@
-// Package demo is the main job of a newcomer: a whole deployment in one process with live load whose mix shifts, and a
-// line a second that says who served what, which engines change their role, and why.
+// Package demo runs a whole deployment in one process under a generated load with a shifting mix. It prints one line per second
+// with the request counts and latencies, the worker roles and the reasons for role changes.
 package demo
 
 import (
@@ -15,76 +15,76 @@
 )
 
 const (
-	// lineInterval is the time between two lines.
+	// lineInterval is the time between status lines.
 	lineInterval = time.Second
 	// startTimeout bounds the start of the deployment.
 	startTimeout = 30 * time.Second
-	// noMix stands for the mix when no more requests are sent.
-	noMix = "no new requests, waiting for answers"
+	// drainingMix replaces the mix once no more requests are sent.
+	drainingMix = "no new requests, waiting for answers"
 )
 
 // Command is the command line of the demo.
 type Command struct {
 	Deployment string        `default:"fes" help:"Deployment to run: fes or magnolia."`
-	For        time.Duration `help:"Time to send requests, for example 10s; then wait for the answers and print a summary. By default until Ctrl-C."`
-	Seed       uint64        `default:"1" help:"Decides the requests and the faults of the stand-ins."`
-	Rate       float64       `default:"1" help:"Factor on the requests a second."`
-	// EngineSpeed above 1 leaves room to watch a rush without many late answers.
-	EngineSpeed float64 `default:"1.5" help:"Factor on the speed of the engines."`
+	For        time.Duration `help:"How long to send requests, for example 10s. The demo then waits for the answers and prints a summary. By default it runs until Ctrl-C."`
+	Seed       uint64        `default:"1" help:"Seed of the generated requests."`
+	Rate       float64       `default:"1" help:"Factor applied to the request rate."`
+	// A speed above 1 leaves enough headroom that a rush causes few late answers.
+	EngineSpeed float64 `default:"1.5" help:"Factor applied to the speed of the engines."`
 }
 
-// ErrPromiseBroken is the error of a demo in which a promise was broken.
-var ErrPromiseBroken = errors.New("a promise was broken")
+// ErrGuaranteeViolated is returned if a guarantee was violated.
+var ErrGuaranteeViolated = errors.New("a guarantee was violated")
 
-// Validate checks what the types of the flags cannot say. The error names everything that is wrong.
+// Validate checks the flag values and returns all problems at once.
 func (c *Command) Validate() error {
 	_, err := deployment.Find(c.Deployment)
 	problems := errors.Wrap(err, "--deployment")
 	if c.For < 0 {
-		problems = errors.Join(problems, errors.Newf("--for is %s, allowed is 0 or more", c.For))
+		problems = errors.Join(problems, errors.Newf("--for is %s, must not be negative", c.For))
 	}
 	if c.Rate <= 0 {
-		problems = errors.Join(problems, errors.Newf("--rate is %g, allowed is more than 0", c.Rate))
+		problems = errors.Join(problems, errors.Newf("--rate is %g, must be greater than 0", c.Rate))
 	}
 	if c.EngineSpeed <= 0 {
-		problems = errors.Join(problems, errors.Newf("--engine-speed is %g, allowed is more than 0", c.EngineSpeed))
+		problems = errors.Join(problems, errors.Newf("--engine-speed is %g, must be greater than 0", c.EngineSpeed))
 	}
 	return problems
 }
 
-// Run runs the demo until the time is over or the context ends. The last line is the summary as JSON.
-func (c *Command) Run(ctx context.Context, out io.Writer, around Surroundings, logger *logrus.Logger) error {
-	chosen, err := deployment.Find(c.Deployment)
+// Run runs the demo until the configured time is over or the context ends. The last line of output is the summary in JSON.
+func (c *Command) Run(ctx context.Context, out io.Writer, factories Surroundings, logger *logrus.Logger) error {
+	spec, err := deployment.Find(c.Deployment)
 	if err != nil {
 		return err
 	}
-	work, err := workloadOf(chosen.Name)
+	workload, err := workloadFor(spec.Name)
 	if err != nil {
 		return err
 	}
-	show := display{out: out, workload: work}
-	show.introduction(chosen)
+	screen := display{out: out, workload: workload}
+	screen.introduction(spec)
 	starting, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
-	running, err := startSystem(starting, chosen, c.EngineSpeed, around, quieter(logger))
+	sys, err := startSystem(starting, spec, c.EngineSpeed, factories, warningsOnly(logger))
 	if err != nil {
 		return err
 	}
-	defer running.stop()
-	counts, sentences := newTally(), &changes{}
-	running.follow(sentences.note)
-	show.ready(chosen, running)
-	c.serve(ctx, show, newLoad(c.Seed, c.Rate, work, chosen.Model, running, counts), running, sentences)
-	last := counts.take(time.Now())
-	show.troubles(last.troubles)
-	last.summary.DuplicateRuns = counts.duplicates(running.fleet.Runs())
-	last.summary.FalseNotRun = counts.falseNotRun(running.fleet.Runs())
-	last.summary.RoleChanges = running.fleet.Orders()
-	return show.end(last.summary)
+	defer sys.stop()
+	stats, roleChanges := newStats(), &roleChangeLog{}
+	sys.followDecisions(roleChanges.record)
+	screen.ready(spec, sys)
+	c.serve(ctx, screen, newLoadGenerator(c.Seed, c.Rate, workload, spec.Model, sys, stats), sys, roleChanges)
+	final := stats.nextSnapshot(time.Now())
+	screen.failures(final.failures)
+	final.summary.DuplicateRuns = stats.duplicateRuns(sys.fleet.RunCounts())
+	final.summary.FalseNotRun = stats.falseNotRun(sys.fleet.RunCounts())
+	final.summary.RoleChanges = sys.fleet.OrderCount()
+	return screen.finish(final.summary)
 }
 
-// serve sends the load and prints a line a second, until the time is over and the answers are here.
-func (c *Command) serve(ctx context.Context, show display, sending *load, running *system, sentences *changes) {
+// serve sends requests and prints status lines until the time is over and all requests have ended.
+func (c *Command) serve(ctx context.Context, screen display, generator *loadGenerator, sys *system, roleChanges *roleChangeLog) {
 	started := time.Now()
 	if c.For > 0 {
 		var cancel context.CancelFunc
@@ -94,28 +94,28 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		sending.run(ctx, started)
-		sending.wait()
+		generator.run(ctx, started)
+		generator.wait()
 	}()
 	ticker := time.NewTicker(lineInterval)
 	defer ticker.Stop()
 	for {
 		select {
 		case now := <-ticker.C:
-			mix := noMix
+			mix := drainingMix
 			if ctx.Err() == nil {
-				mix = show.mix(now.Sub(started))
+				mix = screen.mix(now.Sub(started))
 			}
-			show.line(now.Sub(started), mix, sending.tally.take(now), rolesOf(running.fleet))
-			show.sentences(sentences.take())
+			screen.line(now.Sub(started), mix, generator.stats.nextSnapshot(now), countRoles(sys.fleet))
+			screen.roleChanges(roleChanges.drain())
 		case <-done:
 			return
 		}
 	}
 }
 
-// quieter returns a logger without the messages that every start gives, unless details were asked for.
-func quieter(logger *logrus.Logger) *logrus.Logger {
+// warningsOnly returns a logger that suppresses info messages, unless a more detailed level is set.
+func warningsOnly(logger *logrus.Logger) *logrus.Logger {
 	quiet := logrus.New()
 	quiet.SetOutput(logger.Out)
 	quiet.SetFormatter(logger.Formatter)
@@ -126,17 +126,17 @@
 	return quiet
 }
 
-// end prints the summary, as JSON on the last line, and tells whether all is well.
-func (d display) end(total summary) error {
+// finish prints the summary, with JSON on the last line, and returns an error if a guarantee was violated.
+func (d display) finish(total summary) error {
 	d.totals(total)
 	text, err := json.Marshal(total)
 	if err != nil {
 		return errors.Wrap(err, "encode the summary")
 	}
 	d.printf("%s", text)
-	if !total.well() {
-		return errors.Wrapf(ErrPromiseBroken, "demo: %d wrong answers, %d duplicate runs, %d requests without an outcome, %d run although not run",
-			total.WrongAnswers, total.DuplicateRuns, total.Untold, total.FalseNotRun)
+	if !total.guaranteesKept() {
+		return errors.Wrapf(ErrGuaranteeViolated, "demo: %d wrong answers, %d duplicate runs, %d requests without a reported outcome, %d executed although reported as not run",
+			total.WrongAnswers, total.DuplicateRuns, total.Unreported, total.FalseNotRun)
 	}
 	return nil
 }
--- a/internal/demo/system.go
+++ b/internal/demo/system.go
@@ -18,31 +18,31 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// Surroundings say how gateways are made and how the store is reached; both speak the protocol of the stand-ins.
+// Surroundings holds the constructors of gateways and store clients, which have to use the protocol of the simulated platform.
 type Surroundings struct {
 	NewGateway func(gateway.Settings, *logrus.Logger) *gateway.Gateway
 	NewStore   func(address string) store.Store
 }
 
-// system is a deployment in one process: stand-ins and gateways, which talk over loopback.
+// system is a deployment in one process: gateways and a simulated platform, connected over loopback.
 type system struct {
-	fleet    *labfleet.Fleet
-	gateways []*gateway.Gateway
-	settings []gateway.Settings
-	stops    []func()
+	fleet         *labfleet.Fleet
+	gateways      []*gateway.Gateway
+	settings      []gateway.Settings
+	stopFollowing []func()
 }
 
-// startSystem starts a deployment and waits until each gateway takes requests.
-func startSystem(ctx context.Context, chosen deployment.Deployment, speed float64, around Surroundings, logger *logrus.Logger) (*system, error) {
-	stand, err := labfleet.Start(ctx, labfleet.Options{Deployment: chosen, Listen: "127.0.0.1:0", Speed: speed, Connect: around.NewStore})
+// startSystem starts a deployment and waits until all gateways are ready.
+func startSystem(ctx context.Context, spec deployment.Deployment, speed float64, factories Surroundings, logger *logrus.Logger) (*system, error) {
+	standins, err := labfleet.Start(ctx, labfleet.Options{Deployment: spec, Listen: "127.0.0.1:0", Speed: speed, Connect: factories.NewStore})
 	if err != nil {
 		return nil, err
 	}
-	s := &system{fleet: stand}
-	for _, zone := range chosen.Zones {
-		for number := range chosen.GatewaysPerZone {
+	s := &system{fleet: standins}
+	for _, zone := range spec.Zones {
+		for number := range spec.GatewaysPerZone {
 			name := fmt.Sprintf("gateway-%s-%d", strings.TrimPrefix(zone, "zone-"), number+1)
-			if err := s.startGateway(name, zone, around, logger); err != nil {
+			if err := s.startGateway(name, zone, factories, logger); err != nil {
 				s.stop()
 				return nil, err
 			}
@@ -51,8 +51,8 @@
 	return s, s.awaitReady(ctx)
 }
 
-// startGateway starts one gateway on free ports.
-func (s *system) startGateway(name, zone string, around Surroundings, logger *logrus.Logger) error {
+// startGateway starts a gateway on free ports.
+func (s *system) startGateway(name, zone string, factories Surroundings, logger *logrus.Logger) error {
 	addresses, err := freeAddresses(5)
 	if err != nil {
 		return err
@@ -63,21 +63,21 @@
 	settings.ListenPeers, settings.ListenAdmin = addresses[3], addresses[4]
 	settings.FirstStart = true
 	settings.StoreAddress = s.fleet.StoreAddress()
-	started := around.NewGateway(settings, logger)
-	if err := started.Start(); err != nil {
-		return errors.Wrapf(err, "step start gateway %s", name)
+	gw := factories.NewGateway(settings, logger)
+	if err := gw.Start(); err != nil {
+		return errors.Wrapf(err, "start gateway %s", name)
 	}
-	s.gateways, s.settings = append(s.gateways, started), append(s.settings, settings)
+	s.gateways, s.settings = append(s.gateways, gw), append(s.settings, settings)
 	return nil
 }
 
-// freeAddresses returns addresses on loopback that are free at the moment.
+// freeAddresses returns loopback addresses that are currently free.
 func freeAddresses(count int) ([]string, error) {
 	var addresses []string
 	for range count {
 		listener, err := net.Listen("tcp4", "127.0.0.1:0")
 		if err != nil {
-			return nil, errors.Wrap(err, "step find a free port")
+			return nil, errors.Wrap(err, "find a free port")
 		}
 		defer listener.Close()
 		addresses = append(addresses, listener.Addr().String())
@@ -85,33 +85,33 @@
 	return addresses, nil
 }
 
-// readyPoll is the time between two looks at whether the gateways are ready.
+// readyPoll is the interval of readiness checks.
 const readyPoll = 50 * time.Millisecond
 
-// awaitReady waits until each gateway knows its configuration and its workers.
+// awaitReady waits until each gateway has a configuration and workers.
 func (s *system) awaitReady(ctx context.Context) error {
 	for !lo.EveryBy(s.gateways, func(each *gateway.Gateway) bool { return each.Serves() }) {
 		select {
 		case <-ctx.Done():
 			s.stop()
-			return errors.Wrap(ctx.Err(), "step wait until the gateways serve")
+			return errors.Wrap(ctx.Err(), "wait until the gateways are ready")
 		case <-time.After(readyPoll):
 		}
 	}
 	return nil
 }
 
-// follow hands each new decision of every gateway to a function, which is called from many goroutines.
-func (s *system) follow(take func(decision.Record)) {
+// followDecisions passes each new decision of the gateways to handle, which is called concurrently.
+func (s *system) followDecisions(handle func(decision.Record)) {
 	for _, each := range s.gateways {
 		records, stop := each.Decisions().Follow()
 		done := make(chan struct{})
-		s.stops = append(s.stops, func() { stop(); close(done) })
+		s.stopFollowing = append(s.stopFollowing, func() { stop(); close(done) })
 		go func() {
 			for {
 				select {
 				case record := <-records:
-					take(record)
+					handle(record)
 				case <-done:
 					return
 				}
@@ -120,9 +120,9 @@
 	}
 }
 
-// stop ends everything at once.
+// stop stops all components immediately.
 func (s *system) stop() {
-	for _, stop := range s.stops {
+	for _, stop := range s.stopFollowing {
 		stop()
 	}
 	for _, each := range s.gateways {
--- a/internal/soak/schedule.go
+++ b/internal/soak/schedule.go
@@ -1,5 +1,5 @@
-// Package soak runs real gateways as processes against stand-ins and injects faults from outside, in rounds that a seed decides.
-// It checks the rules that callers, workers and the store can see, and that every round ends in service.
+// Package soak runs gateway processes against a simulated platform and injects faults, in rounds determined by a seed. It checks
+// the guarantees that are visible to clients, workers and the store, and that the system recovers after each round.
 package soak
 
 import (
@@ -10,100 +10,100 @@
 	"github.com/granitebay/granitebay/internal/standin/netproxy"
 )
 
-// Fault is one thing that goes wrong in a round. It is one of the types below.
+// Fault is a fault of a round. It is one of the types below.
 type Fault interface {
 	isFault()
-	// String says what goes wrong, for people.
+	// String describes the fault for people.
 	String() string
 }
 
-// GatewayKill ends gateways at once; they start again when the round heals.
+// GatewayKill kills gateways. They are restarted at the end of the faults.
 type GatewayKill struct{ Gateways []int }
 
-// GatewayPause stops gateways where they stand.
+// GatewayPause suspends gateway processes until the end of the faults.
 type GatewayPause struct{ Gateways []int }
 
-// GatewayStop stops one gateway as planned, and starts it again.
+// GatewayStop shuts a gateway down gracefully and starts it again.
 type GatewayStop struct{ Gateway int }
 
-// StoreTrouble makes the store misbehave for everybody.
-type StoreTrouble struct{ Kind StoreKind }
+// StoreFault makes the store misbehave for all clients.
+type StoreFault struct{ Kind StoreFaultKind }
 
-// StoreCut cuts gateways off from the store.
-type StoreCut struct {
+// StoreNetworkFault disturbs the network between gateways and the store.
+type StoreNetworkFault struct {
 	Gateways []int
 	Mode     netproxy.Mode
 }
 
-// StoreCompact makes the store forget its history.
-type StoreCompact struct{}
+// StoreCompaction discards the history of the store.
+type StoreCompaction struct{}
 
-// LeaseLapse ends the leases of all gateways.
-type LeaseLapse struct{}
+// LeaseExpiry ends all leases.
+type LeaseExpiry struct{}
 
-// WorkerTrouble makes a worker misbehave.
-type WorkerTrouble struct {
+// WorkerFault makes a worker misbehave.
+type WorkerFault struct {
 	Worker int
-	Kind   WorkerKind
+	Kind   WorkerFaultKind
 }
 
-// WorkerCut puts a fault on the way to a worker.
-type WorkerCut struct {
+// WorkerNetworkFault disturbs the network between gateways and a worker.
+type WorkerNetworkFault struct {
 	Worker int
 	Mode   netproxy.Mode
 }
 
-// WorkerReplace drains a worker and starts another one in its place.
-type WorkerReplace struct{ Worker int }
+// WorkerReplacement drains a worker and starts a successor.
+type WorkerReplacement struct{ Worker int }
 
-// NewTimeout changes the time-out of all routes.
-type NewTimeout struct{ TimeoutMs int }
+// TimeoutChange changes the timeout of all routes.
+type TimeoutChange struct{ TimeoutMs int }
 
-// LongPrompts makes callers send long prompts that nobody has read, until the round heals. Engines change their role for it;
-// those that did are replaced afterwards.
+// LongPrompts makes clients send long, uncached prompts until the end of the faults, so that engines change their role. Those
+// that did are replaced afterwards.
 type LongPrompts struct{}
 
-// CrashingRequest makes callers send one request again and again that ends each worker that runs it, until the round heals; and now and
-// then for good.
+// CrashingRequest makes clients repeat a request that crashes each worker that runs it, frequently until the end of the faults
+// and occasionally afterwards.
 type CrashingRequest struct{}
 
-// StoreKind is how a store misbehaves.
-type StoreKind string
+// StoreFaultKind is a fault of the store.
+type StoreFaultKind string
 
-// The kinds of trouble of a store.
+// The faults of the store.
 const (
-	StoreRefuses     StoreKind = "refuses"
-	StoreSilent      StoreKind = "is silent"
-	StoreBusy        StoreKind = "is busy"
-	StoreLosesAnswer StoreKind = "loses answers"
-	StoreSlow        StoreKind = "is slow"
+	StoreRefusing          StoreFaultKind = "refuses"
+	StoreSilent            StoreFaultKind = "is silent"
+	StoreBusy              StoreFaultKind = "is busy"
+	StoreDroppingResponses StoreFaultKind = "loses answers"
+	StoreSlow              StoreFaultKind = "is slow"
 )
 
-// WorkerKind is how a worker misbehaves.
-type WorkerKind string
+// WorkerFaultKind is a fault of a worker.
+type WorkerFaultKind string
 
-// The kinds of trouble of a worker.
+// The faults of a worker.
 const (
-	WorkerErrors WorkerKind = "answers errors"
-	WorkerResets WorkerKind = "resets connections"
-	WorkerMute   WorkerKind = "never answers"
-	WorkerCuts   WorkerKind = "breaks answers off"
-	WorkerLapses WorkerKind = "lets handles lapse"
-	WorkerLate   WorkerKind = "carries orders out late"
+	WorkerErrors         WorkerFaultKind = "answers errors"
+	WorkerResets         WorkerFaultKind = "resets connections"
+	WorkerMute           WorkerFaultKind = "never answers"
+	WorkerCuts           WorkerFaultKind = "breaks answers off"
+	WorkerExpiresHandles WorkerFaultKind = "lets handles lapse"
+	WorkerLateOrders     WorkerFaultKind = "carries orders out late"
 )
 
-func (GatewayKill) isFault()   {}
-func (GatewayPause) isFault()  {}
-func (GatewayStop) isFault()   {}
-func (StoreTrouble) isFault()  {}
-func (StoreCut) isFault()      {}
-func (StoreCompact) isFault()  {}
-func (LeaseLapse) isFault()    {}
-func (WorkerTrouble) isFault() {}
-func (WorkerCut) isFault()     {}
-func (WorkerReplace) isFault() {}
-func (NewTimeout) isFault()    {}
-func (LongPrompts) isFault()   {}
+func (GatewayKill) isFault()        {}
+func (GatewayPause) isFault()       {}
+func (GatewayStop) isFault()        {}
+func (StoreFault) isFault()         {}
+func (StoreNetworkFault) isFault()  {}
+func (StoreCompaction) isFault()    {}
+func (LeaseExpiry) isFault()        {}
+func (WorkerFault) isFault()        {}
+func (WorkerNetworkFault) isFault() {}
+func (WorkerReplacement) isFault()  {}
+func (TimeoutChange) isFault()      {}
+func (LongPrompts) isFault()        {}
 
 func (CrashingRequest) isFault() {}
 
@@ -112,86 +112,87 @@
 func (f GatewayStop) String() string {
 	return fmt.Sprintf("gateway %d is stopped as planned", f.Gateway)
 }
-func (f StoreTrouble) String() string { return fmt.Sprintf("the store %s", f.Kind) }
-func (f StoreCut) String() string {
+func (f StoreFault) String() string { return fmt.Sprintf("the store %s", f.Kind) }
+func (f StoreNetworkFault) String() string {
 	return fmt.Sprintf("gateways %v and the store: %s", f.Gateways, f.Mode)
 }
-func (StoreCompact) String() string    { return "the store forgets its history" }
-func (LeaseLapse) String() string      { return "the leases of all gateways end" }
-func (f WorkerTrouble) String() string { return fmt.Sprintf("worker %d %s", f.Worker, f.Kind) }
-func (f WorkerCut) String() string     { return fmt.Sprintf("the way to worker %d: %s", f.Worker, f.Mode) }
-func (f WorkerReplace) String() string { return fmt.Sprintf("worker %d is replaced", f.Worker) }
-func (f NewTimeout) String() string {
+func (StoreCompaction) String() string { return "the store forgets its history" }
+func (LeaseExpiry) String() string     { return "the leases of all gateways end" }
+func (f WorkerFault) String() string   { return fmt.Sprintf("worker %d %s", f.Worker, f.Kind) }
+func (f WorkerNetworkFault) String() string {
+	return fmt.Sprintf("the way to worker %d: %s", f.Worker, f.Mode)
+}
+func (f WorkerReplacement) String() string { return fmt.Sprintf("worker %d is replaced", f.Worker) }
+func (f TimeoutChange) String() string {
 	return fmt.Sprintf("the routes get a time-out of %d ms", f.TimeoutMs)
 }
 
 func (LongPrompts) String() string     { return "callers send long prompts" }
 func (CrashingRequest) String() string { return "a request ends each worker that runs it" }
 
-// planned tells whether a fault is planned work, around which no request may be lost.
-func planned(f Fault) bool {
+// isPlanned reports whether a fault is a planned operation, which must not cause lost requests.
+func isPlanned(f Fault) bool {
 	switch f.(type) {
-	case GatewayStop, GatewayReload, WorkerReplace, WorkerSaysLeaving, WorkerLimits, GatewayUpgrade, NewTimeout, NewIdle:
+	case GatewayStop, GatewayReload, WorkerReplacement, WorkerLeavingNotice, WorkerLimitNotice, GatewayUpgrade, TimeoutChange, IdleTimeoutChange:
 		return true
 	default:
 		return false
 	}
 }
 
-// Timed is a fault with its moment within the round.
-type Timed struct {
+// ScheduledFault is a fault and its time within the round.
+type ScheduledFault struct {
 	At    time.Duration
 	Fault Fault
 }
 
-// Times of a round.
+// Durations of the parts of a round.
 const (
-	// faultTime is the part of a round in which things go wrong; at its end everything heals.
+	// faultTime is the part of a round in which faults are active.
 	faultTime = 5 * time.Second
-	// quietTime follows. Within its first part the system has to recover, in the second one it has to serve.
+	// quietTime is the part without faults. The system has to recover within recoverTime and to serve for the rest of it.
 	quietTime   = 7 * time.Second
 	recoverTime = 5 * time.Second
 	roundTime   = faultTime + quietTime
 )
 
-// leastTimeout is the shortest time-out that routes get.
-const leastTimeout = 1500 * time.Millisecond
+// minTimeout is the shortest timeout of routes.
+const minTimeout = 1500 * time.Millisecond
 
-// mostFaults bounds the faults of a round.
-const mostFaults = 3
+// maxFaults bounds the faults drawn from the main random stream of a round.
+const maxFaults = 3
 
-// round returns the faults of one round, decided by the seed and the number of the round.
-func round(seed uint64, number, gateways, workers int) []Timed {
+// drawRound returns the faults of a round. They depend on the seed, the number of the round and the size of the system alone.
+func drawRound(seed uint64, number, gateways, workers int) []ScheduledFault {
 	random := rand.New(rand.NewPCG(seed, uint64(number)))
-	var faults []Timed
-	for range 1 + random.IntN(mostFaults) {
+	var faults []ScheduledFault
+	for range 1 + random.IntN(maxFaults) {
 		at := time.Duration(random.Int64N(int64(faultTime / 2)))
-		faults = append(faults, Timed{At: at, Fault: draw(random, gateways, workers)})
+		faults = append(faults, ScheduledFault{At: at, Fault: drawFault(random, gateways, workers)})
 	}
-	faults = append(faults, crashing(seed, number)...)
-	faults = append(faults, series(seed, number, gateways, workers)...)
-	faults = append(faults, noticesOf(seed, number, workers)...)
-	faults = append(faults, limitsOf(seed, number, workers)...)
-	return append(faults, returns(seed, number)...)
+	faults = append(faults, drawCrashing(seed, number)...)
+	faults = append(faults, drawSeries(seed, number, gateways, workers)...)
+	faults = append(faults, drawNotices(seed, number, workers)...)
+	faults = append(faults, drawLimits(seed, number, workers)...)
+	return append(faults, drawRestore(seed, number)...)
 }
 
-// crashingStream is the stream of random numbers that decides about crashing requests: one of its own, so that the faults of older seeds
-// stay as they were.
+// crashingStream is the random stream of crashing requests. It is separate so that the other faults of older seeds do not change.
 const crashingStream = 1 << 32
 
-// crashing returns the crashing request of a round: one in three has one.
-func crashing(seed uint64, number int) []Timed {
+// drawCrashing returns the crashing request of a round. One round in three has one.
+func drawCrashing(seed uint64, number int) []ScheduledFault {
 	random := rand.New(rand.NewPCG(seed, crashingStream+uint64(number)))
 	if random.IntN(3) > 0 {
 		return nil
 	}
-	return []Timed{{At: time.Duration(random.Int64N(int64(faultTime / 2))), Fault: CrashingRequest{}}}
+	return []ScheduledFault{{At: time.Duration(random.Int64N(int64(faultTime / 2))), Fault: CrashingRequest{}}}
 }
 
-// draw draws one fault.
-func draw(random *rand.Rand, gateways, workers int) Fault {
+// drawFault draws one fault.
+func drawFault(random *rand.Rand, gateways, workers int) Fault {
 	some := func() []int {
-		// Sometimes all of them at once.
+		// Occasionally select all gateways.
 		if random.IntN(4) == 0 {
 			return random.Perm(gateways)
 		}
@@ -207,26 +208,26 @@
 	case 2, 3:
 		return GatewayStop{random.IntN(gateways)}
 	case 4, 5:
-		kinds := []StoreKind{StoreRefuses, StoreSilent, StoreBusy, StoreLosesAnswer, StoreSlow}
-		return StoreTrouble{kinds[random.IntN(len(kinds))]}
+		kinds := []StoreFaultKind{StoreRefusing, StoreSilent, StoreBusy, StoreDroppingResponses, StoreSlow}
+		return StoreFault{kinds[random.IntN(len(kinds))]}
 	case 6:
-		return StoreCut{some(), mode}
+		return StoreNetworkFault{some(), mode}
 	case 7:
 		if random.IntN(2) == 0 {
-			return LeaseLapse{}
+			return LeaseExpiry{}
 		}
-		return StoreCompact{}
+		return StoreCompaction{}
 	case 8, 9:
-		kinds := []WorkerKind{WorkerErrors, WorkerResets, WorkerMute, WorkerCuts, WorkerLapses, WorkerLate}
-		return WorkerTrouble{worker, kinds[random.IntN(len(kinds))]}
+		kinds := []WorkerFaultKind{WorkerErrors, WorkerResets, WorkerMute, WorkerCuts, WorkerExpiresHandles, WorkerLateOrders}
+		return WorkerFault{worker, kinds[random.IntN(len(kinds))]}
 	case 10:
 		if random.IntN(2) == 0 {
-			return WorkerCut{worker, mode}
+			return WorkerNetworkFault{worker, mode}
 		}
-		return WorkerReplace{worker}
+		return WorkerReplacement{worker}
 	case 11:
 		return LongPrompts{}
 	default:
-		return NewTimeout{int(leastTimeout/time.Millisecond) + 100*random.IntN(10)}
+		return TimeoutChange{int(minTimeout/time.Millisecond) + 100*random.IntN(10)}
 	}
 }
--- a/internal/soak/system.go
+++ b/internal/soak/system.go
@@ -19,7 +19,7 @@
 	"github.com/granitebay/granitebay/internal/standin/netproxy"
 )
 
-// system is gateways as processes, with stand-ins of the store, the workers and the callers in this process.
+// system consists of gateway processes and, within this process, the simulated store, workers and clients.
 type system struct {
 	shape    shape
 	builds   builds
@@ -27,32 +27,33 @@
 	store    *httptest.Server
 	gateways []*gatewayProcess
 	workers  []*workerSlot
-	front    *front
+	dialer   *callerDialer
 
-	// longPrompts is set while callers send long prompts.
+	// longPrompts is set while clients send long prompts.
 	longPrompts atomic.Bool
-	// crowd is set while callers send twice as many requests.
-	crowd atomic.Bool
-	// crashes is set while callers often send a request that ends workers, and crashing how many such ones there were.
-	crashes  atomic.Bool
-	crashing atomic.Int64
+	// doubleLoad is set while clients send twice as many requests.
+	doubleLoad atomic.Bool
+	// sendCrashing is set while clients frequently send a request that crashes workers. crashingCount is the number of such
+	// requests so far.
+	sendCrashing  atomic.Bool
+	crashingCount atomic.Int64
 
-	// stood says when the soak itself stood still; it is written by watchOwn alone.
-	stood []string
+	// stalls describes the stalls of this process. Only watchStalls writes it.
+	stalls []string
 
-	mu         sync.Mutex
-	copies     []datedCopy
-	version    int
-	timeoutMs  int
-	idleMs     int
-	attempts   int
-	idles      []idleBound
-	requests   []Request
-	spans      []Span
-	departures []Departure
-	spread     []time.Duration
-	calling    sync.WaitGroup
-	background sync.WaitGroup
+	mu           sync.Mutex
+	snapshots    []timedSnapshot
+	version      int
+	timeoutMs    int
+	idleMs       int
+	attempts     int
+	idleTimeouts []idleTimeout
+	requests     []RequestRecord
+	spans        []Span
+	departures   []Departure
+	configDelays []time.Duration
+	pendingCalls sync.WaitGroup
+	background   sync.WaitGroup
 }
 
 // shape is the size of a system.
@@ -61,32 +62,32 @@
 	zones                            []string
 }
 
-// shapes of the deployments.
+// shapes holds the sizes of the deployments.
 var shapes = map[string]shape{
 	"fes":      {gateways: 4, plain: 3, prefill: 2, decode: 5, zones: []string{"zone-a", "zone-b", "zone-c", "zone-d"}},
 	"magnolia": {gateways: 6, plain: 3, prefill: 3, decode: 7, zones: []string{"zone-a", "zone-b", "zone-c"}},
 }
 
-// workerSlot is a place at which one worker after another runs, behind a proxy.
+// workerSlot runs one worker at a time, behind a proxy.
 type workerSlot struct {
 	number  int
 	options fleet.WorkerOptions
-	// mu guards the worker of the moment.
+	// mu guards the fields below.
 	mu          sync.Mutex
 	incarnation int
 	worker      *fleet.Worker
 	proxy       *netproxy.Proxy
 }
 
-// streamEvents is the length of streamed answers.
+// streamEvents is the number of events in a stream.
 const streamEvents = 6
 
-// startSystem starts everything and waits until each gateway is ready.
-func startSystem(ctx context.Context, of shape, programs builds, folder string) (*system, error) {
-	s := &system{shape: of, builds: programs, fleet: fleet.NewFleet(), timeoutMs: 2500, front: newFront()}
+// startSystem starts all components and waits until the gateways are ready.
+func startSystem(ctx context.Context, shape shape, builds builds, folder string) (*system, error) {
+	s := &system{shape: shape, builds: builds, fleet: fleet.NewFleet(), timeoutMs: 2500, dialer: newCallerDialer()}
 	s.store = httptest.NewServer(s.fleet.Store)
-	for i, service := range s.services() {
-		slot := &workerSlot{number: i, options: service}
+	for i, options := range s.workerOptions() {
+		slot := &workerSlot{number: i, options: options}
 		s.workers = append(s.workers, slot)
 		if err := s.startWorker(slot); err != nil {
 			s.stop()
@@ -94,18 +95,18 @@
 		}
 	}
 	s.configure()
-	for i := range of.gateways {
-		zone := of.zones[i%len(of.zones)]
-		g, err := newGatewayProcess(programs.first(), fmt.Sprintf("gateway-%d", i), zone, folder, strings.TrimPrefix(s.store.URL, "http://"))
+	for i := range shape.gateways {
+		zone := shape.zones[i%len(shape.zones)]
+		g, err := newGatewayProcess(builds.initial(), fmt.Sprintf("gateway-%d", i), zone, folder, strings.TrimPrefix(s.store.URL, "http://"))
 		if err != nil {
 			s.stop()
 			return nil, err
 		}
 		s.gateways = append(s.gateways, g)
 	}
-	s.fleet.Store.Rewrite(s.throughProxies)
+	s.fleet.Store.Rewrite(s.proxyControlAddresses)
 	for i, g := range s.gateways {
-		for seed := range min(seeds, len(s.gateways)) {
+		for seed := range min(seedGateways, len(s.gateways)) {
 			if seed != i {
 				g.seeds = append(g.seeds, s.gateways[seed].controlProxy.Address())
 			}
@@ -118,11 +119,11 @@
 	return s, s.awaitReady(ctx)
 }
 
-// seeds is how many gateways the others are told of.
-const seeds = 2
+// seedGateways is the number of gateways that serve as seeds.
+const seedGateways = 2
 
-// throughProxies has gateways ask each other through the proxies before their control ports.
-func (s *system) throughProxies(key string, value []byte) []byte {
+// proxyControlAddresses replaces the control addresses in the gateways' records by those of their proxies.
+func (s *system) proxyControlAddresses(key string, value []byte) []byte {
 	if !strings.HasPrefix(key, "gateways/") {
 		return value
 	}
@@ -132,8 +133,8 @@
 	return value
 }
 
-// services lists the workers of the system.
-func (s *system) services() []fleet.WorkerOptions {
+// workerOptions returns the options of all workers.
+func (s *system) workerOptions() []fleet.WorkerOptions {
 	var all []fleet.WorkerOptions
 	add := func(count int, options fleet.WorkerOptions) {
 		for i := range count {
@@ -149,30 +150,30 @@
 	return all
 }
 
-// startWorker starts the next worker of a slot, which others reach through a proxy.
+// startWorker starts the next worker of a slot, behind a new proxy.
 func (s *system) startWorker(slot *workerSlot) error {
 	slot.mu.Lock()
 	defer slot.mu.Unlock()
 	slot.incarnation++
 	options := slot.options
 	options.ID = fmt.Sprintf("w%d.%d", slot.number, slot.incarnation)
-	var through *netproxy.Proxy
+	var proxy *netproxy.Proxy
 	var proxyErr error
 	options.Through = func(address string) string {
-		if through, proxyErr = netproxy.New(address); proxyErr != nil {
+		if proxy, proxyErr = netproxy.New(address); proxyErr != nil {
 			return address
 		}
-		return through.Address()
+		return proxy.Address()
 	}
 	worker, err := s.fleet.Start(options)
 	if err := errors.Join(err, proxyErr); err != nil {
-		return errors.Wrapf(err, "step start worker %s", options.ID)
+		return errors.Wrapf(err, "start worker %s", options.ID)
 	}
-	slot.worker, slot.proxy = worker, through
+	slot.worker, slot.proxy = worker, proxy
 	return nil
 }
 
-// configure writes the next version of the configuration.
+// configure writes the next version of the configuration and returns the version.
 func (s *system) configure() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -189,15 +190,15 @@
 	return s.version
 }
 
-// startTimeout bounds the start of the gateways, and startEach is added for each of them.
+// startTimeout bounds the start of all gateways; startTimeoutPerGateway is added for each.
 const (
-	startTimeout = 15 * time.Second
-	startEach    = 200 * time.Millisecond
+	startTimeout           = 15 * time.Second
+	startTimeoutPerGateway = 200 * time.Millisecond
 )
 
-// awaitReady waits until each gateway is ready.
+// awaitReady waits until all gateways are ready.
 func (s *system) awaitReady(ctx context.Context) error {
-	timeout := startTimeout + time.Duration(len(s.gateways))*startEach
+	timeout := startTimeout + time.Duration(len(s.gateways))*startTimeoutPerGateway
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	caller := fleet.NewCaller(false)
@@ -205,11 +206,11 @@
 		for !caller.Ready(ctx, g.ready) {
 			if !g.running() {
 				s.stop()
-				return errors.Newf("step wait until %s is ready: it has ended; its log says why", g.name)
+				return errors.Newf("wait until %s is ready: process exited, see its log", g.name)
 			}
 			if ctx.Err() != nil {
 				s.stop()
-				return errors.Newf("step wait until %s is ready: not within %s", g.name, timeout)
+				return errors.Newf("wait until %s is ready: timeout of %s exceeded", g.name, timeout)
 			}
 			time.Sleep(50 * time.Millisecond)
 		}
@@ -217,15 +218,15 @@
 	return nil
 }
 
-// stop ends everything that was started.
+// stop stops all components.
 func (s *system) stop() {
 	for _, g := range s.gateways {
 		g.signal(syscall.SIGCONT)
 		g.kill()
-		g.proxy.Close()
+		g.storeProxy.Close()
 		g.controlProxy.Close()
 	}
-	s.front.close()
+	s.dialer.close()
 	for _, slot := range s.workers {
 		if slot.worker != nil {
 			slot.worker.Stop(true)
@@ -236,28 +237,28 @@
 	s.store.Close()
 }
 
-// history returns what was seen so far.
+// history returns the observations so far.
 func (s *system) history(quiet []Span) *History {
-	var ends []End
+	var exits []ProcessExit
 	var addresses []string
 	for _, g := range s.gateways {
 		addresses = append(addresses, g.callers)
-		ends = append(ends, g.endings()...)
+		exits = append(exits, g.exitRecords()...)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return &History{
-		Seen: time.Now(), Ends: ends, Worked: s.fleet.Worked(),
-		Requests: append([]Request(nil), s.requests...), Runs: s.fleet.Runs(), Arrivals: s.fleet.Arrivals(), Orders: s.fleet.Orders(),
+		CollectedAt: time.Now(), Exits: exits, Work: s.fleet.Worked(),
+		Requests: append([]RequestRecord(nil), s.requests...), Runs: s.fleet.Runs(), Arrivals: s.fleet.Arrivals(), Orders: s.fleet.Orders(),
 		Crashes: s.fleet.Crashes(), Heads: s.fleet.Heads(), Notices: s.fleet.Notices(), Limits: s.fleet.Limits(), Gateways: addresses,
-		Spans: append([]Span(nil), s.spans...), Departures: append([]Departure(nil), s.departures...), Quiet: quiet,
-		Spread: append([]time.Duration(nil), s.spread...),
+		Spans: append([]Span(nil), s.spans...), Departures: append([]Departure(nil), s.departures...), QuietPeriods: quiet,
+		ConfigDelays: append([]time.Duration(nil), s.configDelays...),
 	}
 }
 
-// measureSpread waits until a version is in force at each gateway that runs, and notes how long that took.
-func (s *system) measureSpread(version int, begun time.Time) {
-	ctx, cancel := context.WithTimeout(context.Background(), 3*configTime)
+// measureConfigDelay waits until a version is in effect on each running gateway and records the delay.
+func (s *system) measureConfigDelay(version int, start time.Time) {
+	ctx, cancel := context.WithTimeout(context.Background(), 3*maxConfigDelay)
 	defer cancel()
 	for _, g := range s.gateways {
 		client := adminapi.NewClient([]string{g.admin}, http.DefaultClient)
@@ -270,5 +271,5 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.spread = append(s.spread, time.Since(begun))
+	s.configDelays = append(s.configDelays, time.Since(start))
 }
--- a/internal/soak/upgrade.go
+++ b/internal/soak/upgrade.go
@@ -2,17 +2,16 @@
 
 import "fmt"
 
-// GatewayUpgrade replaces all gateways one after the other by those of another build: each is stopped as planned and started with the other
-// program.
+// GatewayUpgrade performs a rolling replacement of all gateways: each is shut down gracefully and started with the other binary.
 type GatewayUpgrade struct{ Build Build }
 
-// Build is one of the two programs of a soak that changes between them.
+// Build is one of the two binaries of a rolling upgrade.
 type Build string
 
 // The builds.
 const (
-	BuildBefore Build = "build before"
-	BuildNow    Build = "build now"
+	BuildPrevious Build = "build before"
+	BuildCurrent  Build = "build now"
 )
 
 func (GatewayUpgrade) isFault() {}
@@ -21,47 +20,47 @@
 	return fmt.Sprintf("all gateways are replaced by those of the %s one after the other", f.Build)
 }
 
-// builds are the programs between which a soak changes to and fro; without one before there is nothing to change.
-type builds struct{ before, own string }
+// builds holds the gateway binaries. Upgrades are disabled if previous is empty.
+type builds struct{ previous, current string }
 
-// first returns the program with which all gateways begin.
-func (b builds) first() string {
-	if b.before != "" {
-		return b.before
+// initial returns the binary with which all gateways start.
+func (b builds) initial() string {
+	if b.previous != "" {
+		return b.previous
 	}
-	return b.own
+	return b.current
 }
 
-// upgrade returns the replacement of a round, or nothing.
-func (b builds) upgrade(number int) []Timed {
-	if b.before == "" {
+// upgrade returns the rolling replacement of a round, if upgrades are enabled.
+func (b builds) upgrade(number int) []ScheduledFault {
+	if b.previous == "" {
 		return nil
 	}
-	build := BuildNow
+	build := BuildCurrent
 	if number%2 == 1 {
-		build = BuildBefore
+		build = BuildPrevious
 	}
-	return []Timed{{Fault: GatewayUpgrade{build}}}
+	return []ScheduledFault{{Fault: GatewayUpgrade{build}}}
 }
 
 // replaceGateways replaces the gateways one after the other.
 func (s *system) replaceGateways(f GatewayUpgrade) {
-	program := s.builds.own
-	if f.Build == BuildBefore {
-		program = s.builds.before
+	binary := s.builds.current
+	if f.Build == BuildPrevious {
+		binary = s.builds.previous
 	}
 	s.background.Go(func() {
 		for _, g := range s.gateways {
 			_ = g.stop()
-			g.setProgram(program)
+			g.setBinary(binary)
 			_ = g.start()
 		}
 	})
 }
 
-// setProgram has the gateway run another program from its next start on.
-func (g *gatewayProcess) setProgram(program string) {
+// setBinary sets the binary that the next start of the gateway uses.
+func (g *gatewayProcess) setBinary(binary string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.binary = program
+	g.binary = binary
 }
--- a/internal/standin/fleet/caller.go
+++ b/internal/standin/fleet/caller.go
@@ -11,41 +11,42 @@
 	"time"
 )
 
-// Asked is a request as a stand-in caller sends it.
-type Asked struct {
+// Request is a request of a simulated client.
+type Request struct {
 	ID   string
 	Path string
 	Body string
-	// Tokens of the prompt, zero for requests to plain workers; Shared of them begin other prompts too.
-	Tokens int
-	Shared int
-	// Subject names the shared part.
-	Subject  string
-	Deadline time.Duration
+	// PromptTokens is the length of the prompt; zero for requests to plain workers. Its first SharedTokens are shared with other
+	// prompts.
+	PromptTokens int
+	SharedTokens int
+	// SharedPrefix identifies the shared part of the prompt.
+	SharedPrefix string
+	Deadline     time.Duration
 }
 
-// Answered is what a caller got.
-type Answered struct {
+// Response is the response that a client received.
+type Response struct {
 	Status    int
 	Signature string
 	Body      string
-	// RetryAfter is set with a refusal that names the time to come back.
+	// RetryAfter is the Retry-After header of a refusal.
 	RetryAfter string
-	// Err is set when the answer is not whole.
+	// Err is set if the response is incomplete.
 	Err error
 }
 
-// Caller asks gateways as the platform's callers do.
+// Caller is a simulated client of the gateways, based on the HTTP client of the standard library.
 type Caller struct{ client *http.Client }
 
-// NewCaller returns a caller that keeps connections, or opens a new one for each request.
-func NewCaller(keep bool) *Caller {
+// NewCaller returns a client that reuses connections, or opens a new one for each request.
+func NewCaller(keepAlive bool) *Caller {
 	return &Caller{client: &http.Client{Transport: &http.Transport{
-		DisableCompression: true, DisableKeepAlives: !keep, MaxIdleConnsPerHost: 8, ResponseHeaderTimeout: 10 * time.Second,
+		DisableCompression: true, DisableKeepAlives: !keepAlive, MaxIdleConnsPerHost: 8, ResponseHeaderTimeout: 10 * time.Second,
 	}}}
 }
 
-// Resolve asks a directory where to connect.
+// Resolve asks a directory for the addresses of gateways.
 func (c *Caller) Resolve(ctx context.Context, directory string) ([]string, error) {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
@@ -64,7 +65,7 @@
 	return answer.Addresses, json.NewDecoder(response.Body).Decode(&answer)
 }
 
-// Ready asks whether a gateway takes requests.
+// Ready reports whether a gateway is ready for requests.
 func (c *Caller) Ready(ctx context.Context, address string) bool {
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
@@ -80,51 +81,51 @@
 	return response.StatusCode == http.StatusOK
 }
 
-// Ask sends a request to a gateway and reads the answer to its end.
-func (c *Caller) Ask(ctx context.Context, gateway string, asked Asked) Answered {
-	request, err := asked.request(ctx, gateway)
+// Do sends a request to a gateway and reads the whole response.
+func (c *Caller) Do(ctx context.Context, gateway string, call Request) Response {
+	request, err := call.httpRequest(ctx, gateway)
 	if err != nil {
-		return Answered{Err: err}
+		return Response{Err: err}
 	}
 	response, err := c.client.Do(request)
 	if err != nil {
-		return Answered{Err: err}
+		return Response{Err: err}
 	}
 	defer response.Body.Close()
-	return answered(response)
+	return readResponse(response)
 }
 
-// answered reads an answer to its end.
-func answered(response *http.Response) Answered {
+// readResponse reads a response to its end.
+func readResponse(response *http.Response) Response {
 	content, err := io.ReadAll(response.Body)
-	return Answered{
+	return Response{
 		Status: response.StatusCode, Signature: response.Header.Get("Response-Signature"), Body: string(content),
 		RetryAfter: response.Header.Get("Retry-After"), Err: err,
 	}
 }
 
-// request returns the request as it is sent to a gateway.
-func (a Asked) request(ctx context.Context, gateway string) (*http.Request, error) {
-	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+gateway+a.Path, strings.NewReader(a.Body))
+// httpRequest returns the HTTP request to a gateway.
+func (r Request) httpRequest(ctx context.Context, gateway string) (*http.Request, error) {
+	request, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+gateway+r.Path, strings.NewReader(r.Body))
 	if err != nil {
 		return nil, err
 	}
 	request.Host = Host
-	request.Header.Set("Request-Id", a.ID)
-	request.Header.Set("Deadline-Ms", strconv.FormatInt(a.Deadline.Milliseconds(), 10))
-	if a.Tokens > 0 {
+	request.Header.Set("Request-Id", r.ID)
+	request.Header.Set("Deadline-Ms", strconv.FormatInt(r.Deadline.Milliseconds(), 10))
+	if r.PromptTokens > 0 {
 		request.Header.Set("Model", "m")
-		request.Header.Set("Token-Count", fmt.Sprintf("%d,30", a.Tokens))
-		request.Header.Set("Prompt-Prefix", fmt.Sprintf("%s:%d,%s:%d", a.Subject, a.Shared, a.ID, a.Tokens-a.Shared))
+		request.Header.Set("Token-Count", fmt.Sprintf("%d,30", r.PromptTokens))
+		request.Header.Set("Prompt-Prefix", fmt.Sprintf("%s:%d,%s:%d", r.SharedPrefix, r.SharedTokens, r.ID, r.PromptTokens-r.SharedTokens))
 	}
 	return request, nil
 }
 
-// StreamAnswer is the whole answer of an engine that sends so many events.
+// StreamAnswer returns the complete answer of an engine that sends a number of events.
 func StreamAnswer(id string, events int) string {
-	var all strings.Builder
+	var stream strings.Builder
 	for number := 1; number <= events; number++ {
-		all.WriteString(Event(id, number))
+		stream.WriteString(Event(id, number))
 	}
-	return all.String()
+	return stream.String()
 }
--- a/internal/standin/fleet/completion.go
+++ b/internal/standin/fleet/completion.go
@@ -14,18 +14,18 @@
 // completionsPath is the path of completion requests.
 const completionsPath = "/v1/completions"
 
-// completion is a request for a completion.
-type completion struct {
+// completionRequest is the body of a completion request.
+type completionRequest struct {
 	Model     string `json:"model"`
 	Prompt    string `json:"prompt"`
 	MaxTokens *int   `json:"max_tokens"`
 	Stream    bool   `json:"stream"`
 }
 
-// defaultMaxTokens is the length of an answer when a request does not give one.
+// defaultMaxTokens is the answer length if a request sets none.
 const defaultMaxTokens = 16
 
-// completionChunk is one event of a streamed answer, or a whole answer.
+// completionChunk is one event of a streamed answer, or a complete answer.
 type completionChunk struct {
 	ID      string             `json:"id"`
 	Object  string             `json:"object"`
@@ -33,43 +33,43 @@
 	Choices []completionChoice `json:"choices"`
 }
 
-// completionChoice is the only choice of an answer.
+// completionChoice is the single choice of an answer.
 type completionChoice struct {
 	Text  string `json:"text"`
 	Index int    `json:"index"`
 }
 
 // chunk returns an answer, or a part of one.
-func (c *completion) chunk(id, text string) completionChunk {
+func (c *completionRequest) chunk(id, text string) completionChunk {
 	return completionChunk{ID: id, Object: "text_completion", Model: c.Model, Choices: []completionChoice{{Text: text}}}
 }
 
-// tokens returns the words of the answer.
-func (c *completion) tokens() []string {
+// tokens returns the tokens of the answer.
+func (c *completionRequest) tokens() []string {
 	count := defaultMaxTokens
 	if c.MaxTokens != nil {
 		count = *c.MaxTokens
 	}
-	return answers.AnswerTokens(answers.PromptDigest(c.Model, c.Prompt), 0, count)
+	return answers.Tokens(answers.PromptDigest(c.Model, c.Prompt), 0, count)
 }
 
-// complete answers a completion request. Events are numbered from one, and the last one says that the answer is whole.
-func (w *Worker) complete(writer http.ResponseWriter, request *http.Request, id string, body []byte, fault WorkerFault) {
-	var wanted completion
-	if err := json.Unmarshal(body, &wanted); err != nil {
+// serveCompletion answers a completion request. Stream events are numbered from one; the last one is [DONE].
+func (w *Worker) serveCompletion(writer http.ResponseWriter, request *http.Request, id string, body []byte, fault WorkerFault) {
+	var req completionRequest
+	if err := json.Unmarshal(body, &req); err != nil {
 		writer.WriteHeader(http.StatusBadRequest)
 		return
 	}
-	if !wanted.Stream {
-		w.completeWhole(writer, request, id, &wanted)
+	if !req.Stream {
+		w.writeWholeCompletion(writer, request, id, &req)
 		return
 	}
 	writer.Header().Set("Content-Type", "text/event-stream")
 	controller := http.NewResponseController(writer)
 	after, _ := strconv.Atoi(request.Header.Get("Last-Event-Id"))
-	tokens := wanted.tokens()
+	tokens := req.tokens()
 	for number := after + 1; number <= len(tokens)+1; number++ {
-		if !w.model.step(request.Context().Done()) {
+		if !w.model.decodeStep(request.Context().Done()) {
 			return
 		}
 		if fault == WorkerCuts && number > after+2 {
@@ -79,21 +79,21 @@
 		}
 		data := []byte("[DONE]")
 		if number <= len(tokens) {
-			data, _ = json.Marshal(wanted.chunk(id, tokens[number-1]))
+			data, _ = json.Marshal(req.chunk(id, tokens[number-1]))
 		}
 		_, _ = fmt.Fprintf(writer, "id: %d\ndata: %s\n\n", number, data)
 		_ = controller.Flush()
 	}
 }
 
-// completeWhole answers with one object.
-func (w *Worker) completeWhole(writer http.ResponseWriter, request *http.Request, id string, wanted *completion) {
-	tokens := wanted.tokens()
+// writeWholeCompletion writes the answer as a single JSON object.
+func (w *Worker) writeWholeCompletion(writer http.ResponseWriter, request *http.Request, id string, req *completionRequest) {
+	tokens := req.tokens()
 	for range tokens {
-		if !w.model.step(request.Context().Done()) {
+		if !w.model.decodeStep(request.Context().Done()) {
 			return
 		}
 	}
 	writer.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(writer).Encode(wanted.chunk(id, strings.Join(tokens, "")))
+	_ = json.NewEncoder(writer).Encode(req.chunk(id, strings.Join(tokens, "")))
 }
--- a/internal/standin/fleet/store.go
+++ b/internal/standin/fleet/store.go
@@ -1,5 +1,5 @@
-// Package fleet stands in for the machines' platform: its store, its workers and its callers, as the platform's pages describe
-// them. Tests and the soak run gateways against it. Names of the platform stand here for that reason only.
+// Package fleet simulates the platform around a gateway: its key-value store, workers, operators and clients. The tests and the
+// soak run gateways against it. Field and header names follow the platform's protocol.
 package fleet
 
 import (
@@ -10,51 +10,51 @@
 	"time"
 )
 
-// record is one item of the store.
-type record struct {
+// storeItem is an item of the store, or a change in its history.
+type storeItem struct {
 	Key      string `json:"key"`
 	Value    []byte `json:"value"`
 	Revision int64  `json:"revision"`
 	Created  int64  `json:"created"`
 	Lease    int64  `json:"lease"`
-	Gone     bool   `json:"gone,omitempty"`
+	Deleted  bool   `json:"gone,omitempty"`
 }
 
-// grant is a lease.
-type grant struct {
-	ttl   time.Duration
-	until time.Time
+// lease is a lease and its expiry time.
+type lease struct {
+	ttl       time.Duration
+	expiresAt time.Time
 }
 
-// StoreFault is how the store misbehaves.
+// StoreFault is a fault that the store simulates.
 type StoreFault int
 
-// The faults of a store.
+// The faults of the store.
 const (
-	// FaultNone is none.
+	// FaultNone means normal operation.
 	FaultNone StoreFault = iota
-	// FaultRefuse answers 503; nothing is done.
+	// FaultRefuse answers 503 without executing the call.
 	FaultRefuse
-	// FaultSilent accepts calls and never answers them; nothing is done.
+	// FaultSilent accepts calls and never answers or executes them.
 	FaultSilent
-	// FaultBusy answers 429 to all but stale reads; nothing is done.
+	// FaultBusy answers 429 to all calls except stale reads, without executing them.
 	FaultBusy
-	// FaultLoseAnswers carries writes out and never answers them.
-	FaultLoseAnswers
+	// FaultDropResponses executes writes but never answers them.
+	FaultDropResponses
 )
 
-// Store is a linearizable key-value store with leases and watches.
+// Store is an in-memory, linearizable key-value store with leases and watches.
 type Store struct {
 	mutex   sync.Mutex
 	changed *sync.Cond
-	// era rises each time that the store comes back from an older copy.
+	// era is incremented each time the store is restored from a snapshot.
 	era      int64
 	revision int64
-	items    map[string]record
-	history  []record
-	// compacted is the last revision whose changes are not kept.
+	items    map[string]storeItem
+	history  []storeItem
+	// compacted is the last revision whose history has been discarded.
 	compacted int64
-	leases    map[int64]grant
+	leases    map[int64]lease
 	nextLease int64
 	fault     StoreFault
 	delay     time.Duration
@@ -62,7 +62,7 @@
 	rewrite   func(key string, value []byte) []byte
 }
 
-// Rewrite changes what is written from now on, as one who stands between the store and those who write.
+// Rewrite installs a function that modifies every value written from now on, as a proxy between the store and its writers would.
 func (s *Store) Rewrite(rewrite func(key string, value []byte) []byte) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -71,12 +71,12 @@
 
 // NewStore returns an empty store.
 func NewStore() *Store {
-	store := &Store{era: 1, items: map[string]record{}, leases: map[int64]grant{}, calls: map[string]int{}}
+	store := &Store{era: 1, items: map[string]storeItem{}, leases: map[int64]lease{}, calls: map[string]int{}}
 	store.changed = sync.NewCond(&store.mutex)
 	return store
 }
 
-// SetFault makes the store misbehave from now on.
+// SetFault sets the fault that the store simulates and a delay added to each call.
 func (s *Store) SetFault(fault StoreFault, delay time.Duration) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -84,7 +84,7 @@
 	s.changed.Broadcast()
 }
 
-// Compact forgets the history.
+// Compact discards the history of changes.
 func (s *Store) Compact() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -92,7 +92,7 @@
 	s.changed.Broadcast()
 }
 
-// Put writes an item as operators and workers do.
+// Put writes an item on behalf of an operator or a worker.
 func (s *Store) Put(key string, value any) {
 	encoded, err := json.Marshal(value)
 	if err != nil {
@@ -101,22 +101,22 @@
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.revision++
-	s.write(record{Key: key, Value: encoded})
+	s.putLocked(storeItem{Key: key, Value: encoded})
 }
 
-// Delete removes an item.
+// Delete removes an item on behalf of an operator or a worker.
 func (s *Store) Delete(key string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.revision++
-	s.remove(key)
+	s.removeLocked(key)
 }
 
-// Keys returns the keys below a prefix.
+// Keys returns the sorted keys with a prefix.
 func (s *Store) Keys(prefix string) []string {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	s.expire()
+	s.expireLeasesLocked()
 	var keys []string
 	for key := range s.items {
 		if strings.HasPrefix(key, prefix) {
@@ -127,7 +127,7 @@
 	return keys
 }
 
-// Calls returns how often each call was made.
+// Calls returns the number of calls by name.
 func (s *Store) Calls() map[string]int {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -138,8 +138,8 @@
 	return calls
 }
 
-// write and remove change an item at the current revision. The mutex is held.
-func (s *Store) write(item record) {
+// putLocked and removeLocked change an item at the current revision. The caller holds the mutex.
+func (s *Store) putLocked(item storeItem) {
 	if s.rewrite != nil {
 		item.Value = s.rewrite(item.Key, item.Value)
 	}
@@ -152,41 +152,41 @@
 	s.changed.Broadcast()
 }
 
-func (s *Store) remove(key string) {
+func (s *Store) removeLocked(key string) {
 	if _, found := s.items[key]; !found {
 		return
 	}
 	delete(s.items, key)
-	s.history = append(s.history, record{Key: key, Revision: s.revision, Gone: true})
+	s.history = append(s.history, storeItem{Key: key, Revision: s.revision, Deleted: true})
 	s.changed.Broadcast()
 }
 
-// expire ends leases whose time is over. The mutex is held.
-func (s *Store) expire() {
+// expireLeasesLocked ends expired leases. The caller holds the mutex.
+func (s *Store) expireLeasesLocked() {
 	now := time.Now()
 	for id, lease := range s.leases {
-		if now.After(lease.until) {
-			s.end(id)
+		if now.After(lease.expiresAt) {
+			s.endLeaseLocked(id)
 		}
 	}
 }
 
-// EndLeases ends all leases, as when nobody renewed them in time.
-func (s *Store) EndLeases() {
+// ExpireLeases ends all leases, as if none had been renewed in time.
+func (s *Store) ExpireLeases() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	for id := range s.leases {
-		s.end(id)
+		s.endLeaseLocked(id)
 	}
 }
 
-// end ends one lease. The mutex is held.
-func (s *Store) end(id int64) {
+// endLeaseLocked ends a lease and removes its items. The caller holds the mutex.
+func (s *Store) endLeaseLocked(id int64) {
 	delete(s.leases, id)
 	for key, item := range s.items {
 		if item.Lease == id {
 			s.revision++
-			s.remove(key)
+			s.removeLocked(key)
 		}
 	}
 }
