--- a/internal/balance/limits.go
+++ b/internal/balance/limits.go
@@ -46,7 +46,7 @@
 }
 
 // share returns the share of this gateway.
-func (l *workerLimit) share() float64 { return l.shares.Part(l.id, l.quota.PerSecond()) }
+func (l *workerLimit) share() float64 { return l.shares.Part(l.id, l.quota.Rate()) }
 
 // limitTTL is how long the limit of a removed worker is kept: longer than an overloaded worker takes to recover or to
 // be replaced.
@@ -63,7 +63,7 @@
 	if limit == nil {
 		b.forgetLimits(now)
 		limit = &workerLimit{id: id, shares: b.limits.shares, quota: quota.New(now, perSecond, 0), reportedAt: reportedAt}
-		limit.quota.Earn(now, limit.share())
+		limit.quota.Accrue(now, limit.share())
 		b.limits.byWorker[id] = limit
 		if state, found := b.workers[id]; found {
 			state.limit = limit
@@ -74,10 +74,10 @@
 		return false
 	}
 	limit.reportedAt = reportedAt
-	if perSecond == limit.quota.PerSecond() {
+	if perSecond == limit.quota.Rate() {
 		return false
 	}
-	limit.quota.Earn(now, limit.share())
+	limit.quota.Accrue(now, limit.share())
 	limit.quota.SetRate(now, perSecond, limit.shares.Part(id, perSecond))
 	return true
 }
@@ -109,7 +109,7 @@
 // EarnLimits accrues all quotas. It must be called before and after the shares of this gateway change.
 func (b *Balancer) EarnLimits(now time.Time) {
 	for _, limit := range b.limits.byWorker {
-		limit.quota.Earn(now, limit.share())
+		limit.quota.Accrue(now, limit.share())
 	}
 }
 
@@ -160,12 +160,12 @@
 	if limit == nil {
 		return Quota{}, false
 	}
-	return Quota{PerSecond: limit.quota.PerSecond(), Part: limit.share(), Heard: limit.reportedAt}, true
+	return Quota{PerSecond: limit.quota.Rate(), Part: limit.share(), Heard: limit.reportedAt}, true
 }
 
 // hasQuota reports whether the quota of the worker allows a request now.
 func (s *workerState) hasQuota(now time.Time) bool {
-	return s.limit == nil || s.limit.quota.Takes(now, s.limit.share()) || s.limit.shares.Lent(s.worker.ID) > 0
+	return s.limit == nil || s.limit.quota.CanSpend(now, s.limit.share()) || s.limit.shares.Lent(s.worker.ID) > 0
 }
 
 // acceptsFrom returns the earliest time at which the worker accepts a request from this gateway, as far as its
@@ -176,9 +176,9 @@
 	if s.limit == nil {
 		return from
 	}
-	next, holdsShare := s.limit.quota.Next(now, s.limit.share())
+	next, holdsShare := s.limit.quota.NextAt(now, s.limit.share())
 	if !holdsShare {
-		next = now.Add(time.Duration(float64(time.Second) / s.limit.quota.PerSecond()))
+		next = now.Add(time.Duration(float64(time.Second) / s.limit.quota.Rate()))
 	}
 	if next.After(from) {
 		return next
@@ -209,7 +209,7 @@
 			full.Until = from
 		}
 		if state.limit != nil {
-			full.PerSecond += state.limit.quota.PerSecond()
+			full.PerSecond += state.limit.quota.Rate()
 		}
 	}
 	return full, !full.Until.IsZero()
--- a/internal/forward/ratelimits.go
+++ b/internal/forward/ratelimits.go
@@ -17,7 +17,7 @@
 	// now includes the time while the machine is suspended, because other gateways keep using their shares meanwhile.
 	now     func() time.Time
 	holders *quota.Holders
-	asks    *quota.Asks
+	asks    *quota.LoanRequests
 	// loans from other gateways, by worker id.
 	loans map[string]*quota.Loans
 	// outgoingAsks and outgoingLoans are to be sent to the other gateways.
@@ -29,7 +29,7 @@
 
 // Part implements balance.Holdings.
 func (h *limitHoldings) Part(worker string, perSecond float64) float64 {
-	return h.holders.Part(h.now(), worker, perSecond)
+	return h.holders.Share(h.now(), worker, perSecond)
 }
 
 // Lent implements balance.Holdings.
@@ -57,7 +57,7 @@
 func (d *Dispatcher) ShareLimits(name string) {
 	now := d.retries.now
 	d.limits = &limitHoldings{
-		name: name, now: now, holders: quota.NewHolders(name, retrybudget.ValidFor(d.settings.Budget.Window)), asks: quota.NewAsks(now()),
+		name: name, now: now, holders: quota.NewHolders(name, retrybudget.ValidFor(d.settings.Budget.Window)), asks: quota.NewLoanRequests(now()),
 		loans: map[string]*quota.Loans{}, loanArrived: make(chan struct{}),
 	}
 	d.balancer.ShareLimits(d.limits)
@@ -85,7 +85,7 @@
 	if d.limits == nil {
 		return 1
 	}
-	return max(d.limits.holders.Gateways(d.limits.now()), 1)
+	return max(d.limits.holders.MemberCount(d.limits.now()), 1)
 }
 
 // placesOf returns this gateway's share of a concurrency limit.
@@ -95,7 +95,7 @@
 	if d.limits == nil {
 		return bound
 	}
-	return d.limits.holders.Places(d.limits.now(), key, bound)
+	return d.limits.holders.ConcurrencyShare(d.limits.now(), key, bound)
 }
 
 // Limit sets the rate limit of a worker, which applies to all gateways together. The worker named it the given time ago. It reports whether
--- a/internal/forward/retrybudget.go
+++ b/internal/forward/retrybudget.go
@@ -115,7 +115,7 @@
 	}
 	d.retries.settings = settings
 	d.retries.share.SetWindow(settings.Window)
-	d.updateHolders(func(holders *quota.Holders) { holders.SetValid(retrybudget.ValidFor(settings.Window)) })
+	d.updateHolders(func(holders *quota.Holders) { holders.SetConfirmationTTL(retrybudget.ValidFor(settings.Window)) })
 	for _, budget := range d.retries.budgets {
 		budget.SetSettings(d.retries.now(), settings)
 	}
--- a/internal/quota/holders.go
+++ b/internal/quota/holders.go
@@ -46,8 +46,8 @@
 	return &Holders{self: self, confirmationTTL: confirmationTTL, expiries: map[string]time.Time{}, ranks: map[string]int{}}
 }
 
-// SetValid changes how long a confirmation remains valid.
-func (h *Holders) SetValid(ttl time.Duration) { h.confirmationTTL = ttl }
+// SetConfirmationTTL changes how long a confirmation remains valid.
+func (h *Holders) SetConfirmationTTL(ttl time.Duration) { h.confirmationTTL = ttl }
 
 // SetGateways replaces the membership list and reports whether that changed anything. A gateway that is missing from
 // the list counts for another two confirmation TTLs: its last confirmation remains valid for one, and it may be listed
@@ -111,9 +111,9 @@
 	return !h.listedSince.IsZero() && h.lastConfirmed.Sub(h.listedSince) >= h.confirmationTTL && now.Sub(h.lastConfirmed) <= h.confirmationTTL
 }
 
-// Part returns the share of a limit that this gateway holds, from 0 to 1. The limit is identified by its key; a low
+// Share returns the share of a limit that this gateway holds, from 0 to 1. The limit is identified by its key; a low
 // rate, in requests per second, is held by few gateways.
-func (h *Holders) Part(now time.Time, key string, rate float64) float64 {
+func (h *Holders) Share(now time.Time, key string, rate float64) float64 {
 	if !h.isActive(now) {
 		return 0
 	}
@@ -125,11 +125,11 @@
 	return 1 / float64(holders)
 }
 
-// Places returns how many concurrent requests of a concurrency limit this gateway may admit. The gateways together
+// ConcurrencyShare returns how many concurrent requests of a concurrency limit this gateway may admit. The gateways together
 // admit the limit, or one request each if the limit is smaller than the number of gateways: callers may use any
 // gateway, and one without places would reject tenants that have no request in progress. Like serving itself, it works
 // without the store.
-func (h *Holders) Places(now time.Time, key string, limit int) int {
+func (h *Holders) ConcurrencyShare(now time.Time, key string, limit int) int {
 	h.dropExpired(now)
 	gateways := max(len(h.members), 1)
 	places := limit / gateways
@@ -139,8 +139,8 @@
 	return max(places, 1)
 }
 
-// Gateways returns how many gateways count.
-func (h *Holders) Gateways(now time.Time) int {
+// MemberCount returns how many gateways count.
+func (h *Holders) MemberCount(now time.Time) int {
 	h.dropExpired(now)
 	return len(h.members)
 }
--- a/internal/quota/loans.go
+++ b/internal/quota/loans.go
@@ -15,11 +15,11 @@
 	askIntervalPerGateway = 30 * time.Millisecond
 )
 
-// Asks tracks this gateway's questions for loans. It is a pure state machine and not safe for concurrent use.
+// LoanRequests tracks this gateway's questions for loans. It is a pure state machine and not safe for concurrent use.
 //
 // Invariant: a loan is used at most once, within loanTTL of the question that it answers. A lost answer loses the
 // loan; answers that are late, duplicated or meant for an earlier process of this gateway are rejected.
-type Asks struct {
+type LoanRequests struct {
 	// serial and askedAt describe the last question; answered holds the answers accepted for it, one per lender and
 	// limit.
 	serial   int64
@@ -31,11 +31,13 @@
 // answer identifies the loan of one lender for one limit.
 type answer struct{ lender, key string }
 
-// NewAsks returns the state of a process that starts now. Its serials are greater than those of earlier processes.
-func NewAsks(now time.Time) *Asks { return &Asks{serial: now.UnixNano(), answered: map[answer]bool{}} }
+// NewLoanRequests returns the state of a process that starts now. Its serials are greater than those of earlier processes.
+func NewLoanRequests(now time.Time) *LoanRequests {
+	return &LoanRequests{serial: now.UnixNano(), answered: map[answer]bool{}}
+}
 
 // Ask starts a question to the given number of gateways and returns its serial, or false if it is too early.
-func (a *Asks) Ask(now time.Time, gateways int) (int64, bool) {
+func (a *LoanRequests) Ask(now time.Time, gateways int) (int64, bool) {
 	if !a.askedAt.IsZero() && now.Sub(a.askedAt) < a.interval {
 		return 0, false
 	}
@@ -50,7 +52,7 @@
 }
 
 // Answer returns when a loan that answers a question expires, or false if the loan must not be used.
-func (a *Asks) Answer(now time.Time, serial int64, lender, key string) (time.Time, bool) {
+func (a *LoanRequests) Answer(now time.Time, serial int64, lender, key string) (time.Time, bool) {
 	expiry := a.askedAt.Add(loanTTL)
 	if serial != a.serial || a.askedAt.IsZero() || !now.Before(expiry) || a.answered[answer{lender, key}] {
 		return time.Time{}, false
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -17,19 +17,19 @@
 	return &Quota{rate: rate, updatedAt: now, share: share}
 }
 
-// PerSecond returns the rate of the limit for all gateways together.
-func (q *Quota) PerSecond() float64 { return q.rate }
+// Rate returns the rate of the limit for all gateways together.
+func (q *Quota) Rate() float64 { return q.rate }
 
 // SetRate changes the rate of the limit. The share is the one that results from the new rate.
 func (q *Quota) SetRate(now time.Time, rate, share float64) {
-	q.Earn(now, min(share, q.share))
+	q.Accrue(now, min(share, q.share))
 	q.rate = rate
-	q.Earn(now, share)
+	q.Accrue(now, share)
 }
 
-// Earn adds the credits earned up to now. Call it before and after each change of the share: between two calls the
+// Accrue adds the credits earned up to now. Call it before and after each change of the share: between two calls the
 // smaller share applies, and a quota without a share loses its credits, as another gateway now holds the share.
-func (q *Quota) Earn(now time.Time, share float64) {
+func (q *Quota) Accrue(now time.Time, share float64) {
 	if elapsed := now.Sub(q.updatedAt); elapsed > 0 {
 		q.credits += q.rate * min(share, q.share) * elapsed.Seconds()
 		q.updatedAt = now
@@ -44,30 +44,32 @@
 // capacity is the maximum number of credits: those earned in burstInterval, but at least one whole request.
 func (q *Quota) capacity() float64 { return max(q.rate*q.share*burstInterval.Seconds(), 1) }
 
-// Left returns how many requests may be sent now, including a fraction.
-func (q *Quota) Left(now time.Time, share float64) float64 {
-	q.Earn(now, share)
+// Available returns how many requests may be sent now, including a fraction.
+func (q *Quota) Available(now time.Time, share float64) float64 {
+	q.Accrue(now, share)
 	return q.credits
 }
 
 // requestCost is one request, less the rounding error of summed fractions.
 const requestCost = 1 - 1e-9
 
-// Takes reports whether a request may be sent now.
-func (q *Quota) Takes(now time.Time, share float64) bool { return q.Left(now, share) >= requestCost }
+// CanSpend reports whether a request may be sent now.
+func (q *Quota) CanSpend(now time.Time, share float64) bool {
+	return q.Available(now, share) >= requestCost
+}
 
 // Spend takes one request from the quota and reports whether there was one.
 func (q *Quota) Spend(now time.Time, share float64) bool {
-	if !q.Takes(now, share) {
+	if !q.CanSpend(now, share) {
 		return false
 	}
 	q.credits = max(q.credits-1, 0)
 	return true
 }
 
-// Next returns when the next request may be sent, or false if this gateway holds no share.
-func (q *Quota) Next(now time.Time, share float64) (time.Time, bool) {
-	missing := requestCost - q.Left(now, share)
+// NextAt returns when the next request may be sent, or false if this gateway holds no share.
+func (q *Quota) NextAt(now time.Time, share float64) (time.Time, bool) {
+	missing := requestCost - q.Available(now, share)
 	if share == 0 {
 		return time.Time{}, false
 	}
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -79,7 +79,7 @@
 	name    string
 	holders *Holders
 	quota   *Quota
-	asks    *Asks
+	asks    *LoanRequests
 	loans   Loans
 	// frozen gateways do nothing; partitioned ones cannot reach the store.
 	frozen, partitioned bool
@@ -92,16 +92,16 @@
 	name := fmt.Sprint("g", f.started)
 	f.started++
 	g := &gateway{name: name, holders: NewHolders(name, confirmationTTL), knownRate: f.rate}
-	g.quota, g.asks = New(f.now, g.knownRate, 0), NewAsks(f.now)
+	g.quota, g.asks = New(f.now, g.knownRate, 0), NewLoanRequests(f.now)
 	f.gateways = append(f.gateways, g)
 	return g
 }
 
 // share returns the current share of a gateway.
-func (f *fleet) share(g *gateway) float64 { return g.holders.Part(f.now, "worker", g.knownRate) }
+func (f *fleet) share(g *gateway) float64 { return g.holders.Share(f.now, "worker", g.knownRate) }
 
 // accrue adds earned credits before or after a change.
-func (f *fleet) accrue(g *gateway) { g.quota.Earn(f.now, f.share(g)) }
+func (f *fleet) accrue(g *gateway) { g.quota.Accrue(f.now, f.share(g)) }
 
 // readList makes a gateway read the current membership list.
 func (f *fleet) readList(g *gateway) {
@@ -306,7 +306,7 @@
 		for _, limit := range []int{1, 2, 9, 10, 17, 64, 200} {
 			sum := 0
 			for _, g := range f.gateways {
-				sum += g.holders.Places(f.now, "rule/tenant", limit)
+				sum += g.holders.ConcurrencyShare(f.now, "rule/tenant", limit)
 			}
 			if want := max(limit, gateways); sum != want {
 				t.Errorf("%d gateways have %d places under a limit of %d, want %d", gateways, sum, limit, want)
