--- a/internal/forward/ratelimits.go
+++ b/internal/forward/ratelimits.go
@@ -57,7 +57,7 @@
 func (d *Dispatcher) ShareLimits(name string) {
 	now := d.retries.now
 	d.limits = &limitHoldings{
-		name: name, now: now, holders: quota.NewHolders(name, retrybudget.ValidFor(d.settings.Budget.Window)), asks: quota.NewLoanRequests(now()),
+		name: name, now: now, holders: quota.NewHolders(name, retrybudget.ConfirmationTTL(d.settings.Budget.Window)), asks: quota.NewLoanRequests(now()),
 		loans: map[string]*quota.Loans{}, loanArrived: make(chan struct{}),
 	}
 	d.balancer.ShareLimits(d.limits)
--- a/internal/forward/retrybudget.go
+++ b/internal/forward/retrybudget.go
@@ -42,8 +42,8 @@
 	if !found {
 		budget = &groupBudget{Budget: retrybudget.New(r.settings)}
 		now := r.now()
-		budget.Earn(r.share.Since(now), r.share.At(now))
-		budget.Begin(now, r.share.At(now), r.initialShare)
+		budget.Accrue(r.share.Since(now), r.share.At(now))
+		budget.AddInitialCredit(now, r.share.At(now), r.initialShare)
 		r.budgets[group] = budget
 	}
 	return budget
@@ -53,7 +53,7 @@
 func (r *retryBudgets) accrue(now time.Time) {
 	share := r.share.At(now)
 	for _, budget := range r.budgets {
-		budget.Earn(now, share)
+		budget.Accrue(now, share)
 	}
 }
 
@@ -83,14 +83,14 @@
 	now := d.retries.now()
 	d.retries.accrue(now)
 	d.updateHolders(func(holders *quota.Holders) { holders.Confirm(at) })
-	initial := d.retries.share.BeginFirst(at)
+	initial := d.retries.share.ConfirmFirstStart(at)
 	d.retries.accrue(now)
 	if initial == 0 {
 		return
 	}
 	d.retries.initialShare = initial
 	for _, budget := range d.retries.budgets {
-		budget.Begin(now, d.retries.share.At(now), initial)
+		budget.AddInitialCredit(now, d.retries.share.At(now), initial)
 	}
 }
 
@@ -115,7 +115,7 @@
 	}
 	d.retries.settings = settings
 	d.retries.share.SetWindow(settings.Window)
-	d.updateHolders(func(holders *quota.Holders) { holders.SetConfirmationTTL(retrybudget.ValidFor(settings.Window)) })
+	d.updateHolders(func(holders *quota.Holders) { holders.SetConfirmationTTL(retrybudget.ConfirmationTTL(settings.Window)) })
 	for _, budget := range d.retries.budgets {
 		budget.SetSettings(d.retries.now(), settings)
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -190,7 +190,7 @@
 	g.replica.SetFeed(g.feedFollower)
 	g.replica.SetLister(g.lister)
 	g.replica.SetKnownWithin(settings.ConfigurationAge)
-	g.replica.SetFreshFor(retrybudget.FreshFor(settings.RetryWindow))
+	g.replica.SetFreshFor(retrybudget.MaxListAge(settings.RetryWindow))
 	g.tenantUsage = newTenantUsage(g)
 	if ports.Capacity != nil {
 		settings := capacity.DefaultSettings()
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -92,7 +92,7 @@
 	g.gracePeriod.Store(int64(settings.Grace))
 	g.addressTTL.Store(int64(min(settings.AddressTTL, settings.MaxAddressTTL)))
 	g.dispatcher.SetBudget(budgetSettings(settings))
-	g.replica.SetFreshFor(retrybudget.FreshFor(settings.RetryWindow))
+	g.replica.SetFreshFor(retrybudget.MaxListAge(settings.RetryWindow))
 	logging.Part(g.logger, "gateway").Info("Settings in force.")
 }
 
--- a/internal/retrybudget/retrybudget.go
+++ b/internal/retrybudget/retrybudget.go
@@ -72,31 +72,31 @@
 
 // SetSettings replaces the settings. Credit is kept up to the new capacity.
 func (b *Budget) SetSettings(now time.Time, settings Settings) {
-	b.Earn(now, b.share)
+	b.Accrue(now, b.share)
 	if settings.Window != b.settings.Window {
 		// Counts in slots of another length cannot be converted.
 		b.requests = [capacitySlots + 1]int{}
 	}
 	b.settings = settings
-	b.Earn(now, b.share)
+	b.Accrue(now, b.share)
 }
 
 // View returns a snapshot of the budget.
 func (b *Budget) View(now time.Time, share float64) View {
-	b.Earn(now, share)
+	b.Accrue(now, share)
 	return View{Granted: b.granted, Denied: b.denied, Left: b.credits, Share: b.share}
 }
 
 // CountRequest counts a request from a caller. The share is the current one.
 func (b *Budget) CountRequest(now time.Time, share float64) {
-	b.Earn(now, share)
+	b.Accrue(now, share)
 	b.requests[b.currentSlot%int64(len(b.requests))]++
 	b.credits += b.settings.Safety * b.settings.Ratio
 }
 
 // Spend takes one retry from the budget and reports whether there was one.
 func (b *Budget) Spend(now time.Time, share float64) bool {
-	b.Earn(now, share)
+	b.Accrue(now, share)
 	if b.credits < 1 {
 		b.denied++
 		return false
@@ -106,15 +106,15 @@
 	return true
 }
 
-// Begin adds a fraction of the credit that may be stored of the whole allowance, up to the budget's own capacity.
-func (b *Budget) Begin(now time.Time, share, fraction float64) {
-	b.Earn(now, share)
+// AddInitialCredit adds a fraction of the credit that may be stored of the whole allowance, up to the budget's own capacity.
+func (b *Budget) AddInitialCredit(now time.Time, share, fraction float64) {
+	b.Accrue(now, share)
 	b.credits = min(b.credits+b.allowance(fraction)*storedFraction, b.capacity())
 }
 
-// Earn adds the credit earned up to now. Call it whenever the share changes: between two calls the smaller share
+// Accrue adds the credit earned up to now. Call it whenever the share changes: between two calls the smaller share
 // applies.
-func (b *Budget) Earn(now time.Time, share float64) {
+func (b *Budget) Accrue(now time.Time, share float64) {
 	if !b.updatedAt.IsZero() {
 		elapsed := min(max(now.Sub(b.updatedAt), 0), b.settings.Window)
 		b.credits += b.allowance(min(share, b.share)) * (1 - storedFraction) * float64(elapsed) / float64(b.settings.Window)
--- a/internal/retrybudget/retrybudget_test.go
+++ b/internal/retrybudget/retrybudget_test.go
@@ -29,11 +29,11 @@
 				budget = New(settings)
 			case 1:
 				// The budget learns of the change immediately or with its next call.
-				budget.Earn(now, share)
+				budget.Accrue(now, share)
 				share = shareGen.Draw(t, "share")
 				changes = append(changes, shareChange{now, share})
 				if rapid.Bool().Draw(t, "notified") {
-					budget.Earn(now, share)
+					budget.Accrue(now, share)
 				}
 			case 2:
 				budget.SetSettings(now, settings)
@@ -86,7 +86,7 @@
 func TestSmallerShareAppliesBetweenCalls(t *testing.T) {
 	for _, shares := range [][2]float64{{0.25, 0.5}, {0.5, 0.25}} {
 		budget := New(Settings{Allowance: 40, Window: 10 * time.Second, Safety: 1})
-		budget.Earn(epoch, shares[0])
+		budget.Accrue(epoch, shares[0])
 		if left := budget.View(epoch.Add(4*time.Second), shares[1]).Left; left != 2 {
 			t.Errorf("shares %v earned %v retries in 4 s, want 2: a quarter of the 20 per window of 10 s", shares, left)
 		}
@@ -113,7 +113,7 @@
 		}
 		return granted
 	}
-	budget.Earn(epoch, 1)
+	budget.Accrue(epoch, 1)
 	for _, test := range []struct {
 		offset time.Duration
 		want   int
@@ -153,15 +153,15 @@
 	if got := share.At(epoch); got != 0 {
 		t.Errorf("share %v before the first confirmation, want 0", got)
 	}
-	if fraction := share.BeginFirst(epoch); fraction != 1.0/20 {
+	if fraction := share.ConfirmFirstStart(epoch); fraction != 1.0/20 {
 		t.Errorf("the initial fraction is %v, want 1/(4*5)", fraction)
 	}
 	budget := New(Settings{Allowance: 400, Window: 10 * time.Second, Safety: 1})
-	budget.Begin(epoch, share.At(epoch), 1.0/20)
+	budget.AddInitialCredit(epoch, share.At(epoch), 1.0/20)
 	if left := budget.View(epoch, 0.25).Left; left != 10 {
 		t.Errorf("%v retries are left, want 1/20 of the stored half of 400", left)
 	}
-	budget.Begin(epoch, share.At(epoch), 1)
+	budget.AddInitialCredit(epoch, share.At(epoch), 1)
 	if left := budget.View(epoch, 0.25).Left; left != 50 {
 		t.Errorf("%v retries are left, want a quarter of the stored half of 400", left)
 	}
@@ -173,7 +173,7 @@
 	if since := share.Since(epoch.Add(time.Second)); !since.Equal(epoch) {
 		t.Errorf("the share has been in force since %s before the start", epoch.Sub(since))
 	}
-	if fraction := share.BeginFirst(epoch.Add(8 * time.Second)); fraction != 0 {
+	if fraction := share.ConfirmFirstStart(epoch.Add(8 * time.Second)); fraction != 0 {
 		t.Errorf("the initial fraction after a gap in the confirmations is %v, want 0", fraction)
 	}
 	if got := share.At(epoch.Add(8 * time.Second)); got != 0 {
--- a/internal/retrybudget/share.go
+++ b/internal/retrybudget/share.go
@@ -13,8 +13,8 @@
 // calls and for gateways that learn the list from another one, which adds a second.
 const freshnessFraction = 0.6
 
-// FreshFor returns how stale the membership list may become without losing the share: 4.2 s for a window of 10 s.
-func FreshFor(window time.Duration) time.Duration {
+// MaxListAge returns how stale the membership list may become without losing the share: 4.2 s for a window of 10 s.
+func MaxListAge(window time.Duration) time.Duration {
 	return time.Duration(freshnessFraction * confirmationFraction * float64(window))
 }
 
@@ -43,21 +43,21 @@
 }
 
 // confirmationTTL is how long a confirmation remains valid.
-func (s *Share) confirmationTTL() time.Duration { return ValidFor(s.window) }
+func (s *Share) confirmationTTL() time.Duration { return ConfirmationTTL(s.window) }
 
-// ValidFor returns how long a confirmation remains valid: 7 s for a window of 10 s.
-func ValidFor(window time.Duration) time.Duration {
+// ConfirmationTTL returns how long a confirmation remains valid: 7 s for a window of 10 s.
+func ConfirmationTTL(window time.Duration) time.Duration {
 	return time.Duration(confirmationFraction * float64(window))
 }
 
-// BeginFirst confirms the registration when the whole system starts for the first time, when no gateway still uses an
+// ConfirmFirstStart confirms the registration when the whole system starts for the first time, when no gateway still uses an
 // older list. A share that was never confirmed then applies at once, and the returned fraction of the total storable
 // credit is what its budgets start with; otherwise it is 0.
 //
 // The fractions of all gateways sum to at most 1: the k-th gateway to register sees at least k sharers, and 1/2 + 1/6
 // + 1/12 + ... is 1. Starting with 1/k would be too much, as gateways that registered slightly earlier may have spent
 // what they stored under larger shares.
-func (s *Share) BeginFirst(at time.Time) float64 {
+func (s *Share) ConfirmFirstStart(at time.Time) float64 {
 	if !s.confirmedSince.IsZero() {
 		s.Confirm(at)
 		return 0
