--- a/internal/absence/absence.go
+++ b/internal/absence/absence.go
@@ -129,7 +129,7 @@
 
 // Change removes engines whose records are gone, and learns from those that returned, which it returns.
 func (t *Table) Change(now time.Time, changes backend.Changes) []Return {
-	for _, id := range changes.Gone {
+	for _, id := range changes.Removed {
 		delete(t.absent, id)
 	}
 	for id, expiry := range t.trustedUntil {
@@ -141,7 +141,7 @@
 		return nil
 	}
 	var returns []Return
-	for _, worker := range changes.Put {
+	for _, worker := range changes.Updated {
 		previous, found := t.endedByAddress[worker.Address]
 		if !found || previous.id == worker.ID {
 			continue
--- a/internal/absence/absence_test.go
+++ b/internal/absence/absence_test.go
@@ -32,7 +32,7 @@
 		{"the report has expired", func(*Table, *backend.Worker) {}, settings.Mark, false},
 		{"reported again", func(table *Table, worker *backend.Worker) { table.Refused(epoch.Add(time.Second), worker, false) }, settings.Mark, true},
 		{"the engine responds", func(table *Table, worker *backend.Worker) { table.Answers(epoch, worker) }, 0, false},
-		{"the record is removed", func(table *Table, _ *backend.Worker) { table.Change(epoch, backend.Changes{Gone: []string{"a"}}) }, 0, false},
+		{"the record is removed", func(table *Table, _ *backend.Worker) { table.Change(epoch, backend.Changes{Removed: []string{"a"}}) }, 0, false},
 	} {
 		t.Run(c.desc, func(t *testing.T) {
 			table, worker := New(settings), engine("a", "x")
@@ -75,14 +75,14 @@
 	now := epoch
 	for i := range 10 {
 		previous, next := engine(fmt.Sprint("a", i), "x"), engine(fmt.Sprint("a", i+1), "x")
-		table.Change(now, backend.Changes{Put: []*backend.Worker{previous}})
+		table.Change(now, backend.Changes{Updated: []*backend.Worker{previous}})
 		table.Refused(now, previous, true)
 		if at, learned := table.BackAt(previous.ID); learned != (i > 0) || at.Sub(now) < time.Second || at.Sub(now) > 4*time.Second {
 			t.Errorf("incarnation %d: expected back in %s, learned: %v", i, at.Sub(now), learned)
 		}
 		now = now.Add(2 * time.Second)
-		table.Change(now, backend.Changes{Gone: []string{previous.ID}})
-		returned := table.Change(now, backend.Changes{Put: []*backend.Worker{next}})
+		table.Change(now, backend.Changes{Removed: []string{previous.ID}})
+		returned := table.Change(now, backend.Changes{Updated: []*backend.Worker{next}})
 		if len(returned) != 1 || returned[0].Away != 2*time.Second {
 			t.Fatalf("incarnation %d: returned %+v", i, returned)
 		}
@@ -115,7 +115,7 @@
 				delete(reportedAt, worker.ID)
 				delete(direct, worker.ID)
 			default:
-				table.Change(now, set.Since(nil))
+				table.Change(now, set.Diff(nil))
 			}
 			for id := range set {
 				absent, confirmed := table.Absent(now, id)
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -83,8 +83,8 @@
 // Set is a snapshot of all workers by ID.
 type Set map[string]*Worker
 
-// OfGroup returns the workers of a group that are not draining, ordered by ID.
-func (s Set) OfGroup(group string) []*Worker {
+// Available returns the workers of a group that are not draining, ordered by ID.
+func (s Set) Available(group string) []*Worker {
 	var workers []*Worker
 	for _, worker := range s {
 		if worker.Group == group && !worker.Draining {
@@ -95,8 +95,8 @@
 	return workers
 }
 
-// Part is a segment of a prompt that other prompts may share.
-type Part struct {
+// Segment is a segment of a prompt that other prompts may share.
+type Segment struct {
 	ID     string
 	Tokens int
 }
@@ -108,28 +108,28 @@
 	// PromptTokens and OutputTokens are zero for requests to plain workers.
 	PromptTokens int
 	OutputTokens int
-	// Parts are the segments of the prompt in order. The last one is specific to the request or its session.
-	Parts []Part
+	// Segments are the segments of the prompt in order. The last one is specific to the request or its session.
+	Segments []Segment
 }
 
-// SharedParts returns the segments that other requests may share.
-func (d Demand) SharedParts() []Part {
-	if len(d.Parts) == 0 {
+// SharedSegments returns the segments that other requests may share.
+func (d Demand) SharedSegments() []Segment {
+	if len(d.Segments) == 0 {
 		return nil
 	}
-	return d.Parts[:len(d.Parts)-1]
+	return d.Segments[:len(d.Segments)-1]
 }
 
 // AffinityKey identifies prompts that benefit from running on the same worker: it is the last shared segment, or the
 // request's own one if there is no other. It is empty for requests without segments.
 func (d Demand) AffinityKey() string {
-	switch len(d.Parts) {
+	switch len(d.Segments) {
 	case 0:
 		return ""
 	case 1:
-		return d.Parts[0].ID
+		return d.Segments[0].ID
 	default:
-		return d.Parts[len(d.Parts)-2].ID
+		return d.Segments[len(d.Segments)-2].ID
 	}
 }
 
--- a/internal/backend/load.go
+++ b/internal/backend/load.go
@@ -2,10 +2,10 @@
 
 // Load is the amount of work at a worker.
 type Load struct {
-	// Running counts requests that were sent and have not ended. Reading counts those whose prompt is still to be
-	// processed, with ReadingTokens prompt tokens in total. DeferredTokens counts the tokens of low-priority prompts,
+	// Running counts requests that were sent and have not ended. Prefilling counts those whose prompt is still to be
+	// processed, with PrefillTokens prompt tokens in total. DeferredTokens counts the tokens of low-priority prompts,
 	// which are processed only when nothing else waits.
-	Running, Reading, ReadingTokens, DeferredTokens int
+	Running, Prefilling, PrefillTokens, DeferredTokens int
 	// Waiting counts low-priority requests whose prompt was processed elsewhere and that have not started decoding.
 	// All other requests take precedence.
 	Waiting int
@@ -15,8 +15,8 @@
 func (l Load) Plus(other Load) Load {
 	return Load{
 		Running:        l.Running + other.Running,
-		Reading:        l.Reading + other.Reading,
-		ReadingTokens:  l.ReadingTokens + other.ReadingTokens,
+		Prefilling:     l.Prefilling + other.Prefilling,
+		PrefillTokens:  l.PrefillTokens + other.PrefillTokens,
 		DeferredTokens: l.DeferredTokens + other.DeferredTokens,
 		Waiting:        l.Waiting + other.Waiting,
 	}
@@ -25,11 +25,11 @@
 // Minus returns the difference of two loads.
 func (l Load) Minus(other Load) Load {
 	return l.Plus(Load{
-		Running: -other.Running, Reading: -other.Reading,
-		ReadingTokens: -other.ReadingTokens, DeferredTokens: -other.DeferredTokens, Waiting: -other.Waiting,
+		Running: -other.Running, Prefilling: -other.Prefilling,
+		PrefillTokens: -other.PrefillTokens, DeferredTokens: -other.DeferredTokens, Waiting: -other.Waiting,
 	})
 }
 
-// Writing returns the number of requests that an engine is decoding, or that wait to be decoded ahead of low-priority
+// Decoding returns the number of requests that an engine is decoding, or that wait to be decoded ahead of low-priority
 // ones.
-func (l Load) Writing() int { return max(l.Running-l.Reading-l.Waiting, 0) }
+func (l Load) Decoding() int { return max(l.Running-l.Prefilling-l.Waiting, 0) }
--- a/internal/backend/notice.go
+++ b/internal/backend/notice.go
@@ -11,10 +11,12 @@
 	// Limit is the number of requests per second that the worker accepts from all gateways together, for as long as
 	// its responses say so; zero if unset.
 	Limit float64
-	// Asked is when the request was sent, if the worker ran it: a response to such a request without a limit revokes
+	// RequestedAt is when the request was sent, if the worker ran it: a response to such a request without a limit revokes
 	// an earlier limit. It is zero for other responses, which may omit a limit that is in force.
-	Asked time.Time
+	RequestedAt time.Time
 }
 
 // Empty reports whether the worker reports nothing.
-func (n Notice) Empty() bool { return !n.Leaving && n.BackOff == 0 && n.Limit == 0 && n.Asked.IsZero() }
+func (n Notice) Empty() bool {
+	return !n.Leaving && n.BackOff == 0 && n.Limit == 0 && n.RequestedAt.IsZero()
+}
--- a/internal/backend/roster.go
+++ b/internal/backend/roster.go
@@ -4,20 +4,20 @@
 
 // RosterSettings configures a roster.
 type RosterSettings struct {
-	// FadeTime is how long a worker stays in use after its record disappeared around an outage of the store. The
+	// OutageGrace is how long a worker stays in use after its record disappeared around an outage of the store. The
 	// outage may have expired the record of a running worker, which records itself again with its next heartbeat.
-	FadeTime time.Duration
-	// OutageMemory is how long after an outage missing records are attributed to it.
-	OutageMemory time.Duration
-	// LostTime is how long a worker stays in use whose record is missing after the store was restored from a backup.
+	OutageGrace time.Duration
+	// OutageWindow is how long after an outage missing records are attributed to it.
+	OutageWindow time.Duration
+	// RestoreGrace is how long a worker stays in use whose record is missing after the store was restored from a backup.
 	// It may have started after the backup was made, and not have recorded itself again yet.
-	LostTime time.Duration
+	RestoreGrace time.Duration
 }
 
 // Roster is the list of workers according to the store. It is a pure state machine and not safe for concurrent use.
 //
-// Invariants: a worker is in use only while its record exists, or, unless it was draining, for FadeTime after its
-// record disappeared within OutageMemory of an outage, or for LostTime if it disappeared within OutageMemory of a
+// Invariants: a worker is in use only while its record exists, or, unless it was draining, for OutageGrace after its
+// record disappeared within OutageWindow of an outage, or for RestoreGrace if it disappeared within OutageWindow of a
 // restore; each record names one incarnation at a time; and an incarnation that announced that it is leaving is
 // draining, whatever its record says, since the record may be stale for as long as the store is unavailable.
 type Roster struct {
@@ -54,7 +54,7 @@
 func (r *Roster) Outage(now time.Time) { r.lastOutage = now }
 
 // Restored records that the store was restored from a backup. Call it before passing on the restored records.
-func (r *Roster) Restored(now time.Time) { r.restoreGraceUntil = now.Add(r.settings.OutageMemory) }
+func (r *Roster) Restored(now time.Time) { r.restoreGraceUntil = now.Add(r.settings.OutageWindow) }
 
 // Reset replaces all records with those of the given workers.
 func (r *Roster) Reset(now time.Time, workers []*Worker) {
@@ -107,9 +107,9 @@
 	return true
 }
 
-// Leaves records that an incarnation announced that it is leaving, before its record says so, and reports whether this
+// AnnounceLeaving records that an incarnation announced that it is leaving, before its record says so, and reports whether this
 // makes a worker in use draining.
-func (r *Roster) Leaves(now time.Time, id string) bool {
+func (r *Roster) AnnounceLeaving(now time.Time, id string) bool {
 	worker := r.lookup(id)
 	if !r.markDraining(now, id) || worker == nil || worker.Draining {
 		return false
@@ -144,10 +144,10 @@
 	}
 	delete(r.byRecord, name)
 	r.pending[worker.ID] = nil
-	recent := !r.lastOutage.IsZero() && now.Sub(r.lastOutage) < r.settings.OutageMemory
-	grace := r.settings.FadeTime
+	recent := !r.lastOutage.IsZero() && now.Sub(r.lastOutage) < r.settings.OutageWindow
+	grace := r.settings.OutageGrace
 	if now.Before(r.restoreGraceUntil) {
-		recent, grace = true, r.settings.LostTime
+		recent, grace = true, r.settings.RestoreGrace
 	}
 	if recent && !worker.Draining {
 		r.retained[worker.ID] = retainedWorker{worker: worker, expiry: now.Add(grace)}
@@ -155,8 +155,8 @@
 	}
 }
 
-// Drop records that a record became unusable. Its worker is no longer in use.
-func (r *Roster) Drop(name string) {
+// Invalidate records that a record became unusable. Its worker is no longer in use.
+func (r *Roster) Invalidate(name string) {
 	if worker, known := r.byRecord[name]; known {
 		delete(r.byRecord, name)
 		r.pending[worker.ID] = nil
@@ -181,9 +181,9 @@
 		previous := r.reported[id]
 		switch {
 		case worker == nil && previous != nil:
-			changes.Gone = append(changes.Gone, id)
+			changes.Removed = append(changes.Removed, id)
 		case worker != nil && (previous == nil || !previous.Equal(worker)):
-			changes.Put = append(changes.Put, worker)
+			changes.Updated = append(changes.Updated, worker)
 		}
 	}
 	clear(r.pending)
--- a/internal/backend/roster_test.go
+++ b/internal/backend/roster_test.go
@@ -9,7 +9,7 @@
 // which they write again only with their next heartbeats.
 func TestWorkersAreRetainedAfterOutage(t *testing.T) {
 	epoch := time.Unix(1000, 0)
-	settings := RosterSettings{FadeTime: 1500 * time.Millisecond, OutageMemory: 5 * time.Second}
+	settings := RosterSettings{OutageGrace: 1500 * time.Millisecond, OutageWindow: 5 * time.Second}
 	ready, draining := &Worker{ID: "ready"}, &Worker{ID: "draining", Draining: true}
 	newRoster := func() *Roster {
 		roster := NewRoster(settings)
@@ -33,7 +33,7 @@
 	if len(roster.reported) != 1 || roster.reported["ready"] == nil {
 		t.Errorf("after an outage: %v", roster.reported)
 	}
-	if want := epoch.Add(time.Second + settings.FadeTime); !next.Equal(want) {
+	if want := epoch.Add(time.Second + settings.OutageGrace); !next.Equal(want) {
 		t.Errorf("the next retained worker expires at %s, want %s", next, want)
 	}
 	if countInUse(roster, next) != 0 {
@@ -54,12 +54,12 @@
 	roster.Changes(now)
 	roster.Put(now, &Worker{ID: "i@2", Record: "i", Address: "a"})
 	changes, _ := roster.Changes(now)
-	if len(changes.Gone) != 1 || changes.Gone[0] != "i@1" || len(changes.Put) != 1 || changes.Put[0].ID != "i@2" {
+	if len(changes.Removed) != 1 || changes.Removed[0] != "i@1" || len(changes.Updated) != 1 || changes.Updated[0].ID != "i@2" {
 		t.Errorf("after a restart: %+v", changes)
 	}
-	roster.Drop("i")
+	roster.Invalidate("i")
 	changes, _ = roster.Changes(now)
-	if len(changes.Gone) != 1 || changes.Gone[0] != "i@2" || len(changes.Put) != 0 {
+	if len(changes.Removed) != 1 || changes.Removed[0] != "i@2" || len(changes.Updated) != 0 {
 		t.Errorf("after the record became unusable: %+v", changes)
 	}
 	if changes, _ = roster.Changes(now); !changes.Empty() {
@@ -88,13 +88,13 @@
 	} {
 		t.Run(test.desc, func(t *testing.T) {
 			for source, leave := range map[string]func(roster *Roster) bool{
-				"response": func(r *Roster) bool { return r.Leaves(now, "i@1") },
+				"response": func(r *Roster) bool { return r.AnnounceLeaving(now, "i@1") },
 				"record":   func(r *Roster) bool { r.Put(now, ready.AsDraining()); return true },
 			} {
-				roster := NewRoster(RosterSettings{FadeTime: time.Second, OutageMemory: time.Second})
+				roster := NewRoster(RosterSettings{OutageGrace: time.Second, OutageWindow: time.Second})
 				roster.Put(now, ready)
 				roster.Changes(now)
-				if !leave(roster) || roster.Leaves(now, "i@1") {
+				if !leave(roster) || roster.AnnounceLeaving(now, "i@1") {
 					t.Errorf("%s: an announcement must be new exactly once", source)
 				}
 				test.event(roster)
@@ -118,16 +118,16 @@
 // an outage.
 func TestRetainedWorkerThatLeavesIsDraining(t *testing.T) {
 	now := time.Unix(1000, 0)
-	roster := NewRoster(RosterSettings{FadeTime: time.Second, OutageMemory: time.Second})
+	roster := NewRoster(RosterSettings{OutageGrace: time.Second, OutageWindow: time.Second})
 	roster.Put(now, &Worker{ID: "i"})
 	roster.Outage(now)
 	roster.Remove(now, "i")
 	roster.Changes(now)
-	if !roster.Leaves(now, "i") {
+	if !roster.AnnounceLeaving(now, "i") {
 		t.Error("the announcement did not make the worker draining")
 	}
 	changes, _ := roster.Changes(now)
-	if len(changes.Put) != 1 || !changes.Put[0].Draining {
+	if len(changes.Updated) != 1 || !changes.Updated[0].Draining {
 		t.Errorf("got changes %+v, want one draining worker", changes)
 	}
 }
--- a/internal/balance/backoff_test.go
+++ b/internal/balance/backoff_test.go
@@ -77,13 +77,13 @@
 	case "reachable":
 		r.balancer.SetGone(r.now, arguments[0], time.Time{})
 	case "remove":
-		r.balancer.Change(backend.Changes{Gone: arguments})
+		r.balancer.Change(backend.Changes{Removed: arguments})
 	case "add":
-		r.balancer.Change(backend.Changes{Put: []*backend.Worker{r.workers[arguments[0]]}})
+		r.balancer.Change(backend.Changes{Updated: []*backend.Worker{r.workers[arguments[0]]}})
 	case "restart":
 		restarted := *r.workers[arguments[0]]
 		restarted.ID += "@2"
-		r.balancer.Change(backend.Changes{Gone: arguments, Put: []*backend.Worker{&restarted}})
+		r.balancer.Change(backend.Changes{Removed: arguments, Updated: []*backend.Worker{&restarted}})
 	case "accepting":
 		if accepting := r.accepting(); !slices.Equal(accepting, arguments) {
 			return fmt.Sprintf("%v accept requests", accepting)
--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -169,19 +169,19 @@
 	for id, state := range b.workers {
 		previous[id] = state.worker
 	}
-	b.Change(set.Since(previous))
+	b.Change(set.Diff(previous))
 }
 
 // Change adds, updates and removes workers. The state of all others is unchanged.
 func (b *Balancer) Change(changes backend.Changes) {
-	for _, id := range changes.Gone {
+	for _, id := range changes.Removed {
 		if state, found := b.workers[id]; found {
 			b.index.remove(state)
 			delete(b.workers, id)
 			delete(b.loaded, id)
 		}
 	}
-	for _, worker := range changes.Put {
+	for _, worker := range changes.Updated {
 		state, found := b.workers[worker.ID]
 		if !found {
 			state = &workerState{backOffUntil: b.backOffs[worker.ID], limit: b.limits.byWorker[worker.ID]}
@@ -217,9 +217,9 @@
 		load.Waiting = 1
 	case tokens <= 0:
 	case deferred:
-		load.Reading, load.DeferredTokens = 1, tokens
+		load.Prefilling, load.DeferredTokens = 1, tokens
 	default:
-		load.Reading, load.ReadingTokens = 1, tokens
+		load.Prefilling, load.PrefillTokens = 1, tokens
 	}
 	return load
 }
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -134,7 +134,7 @@
 		if worker == "prefill-1" {
 			return backend.Load{}
 		}
-		return backend.Load{Running: 1, ReadingTokens: 50_000}
+		return backend.Load{Running: 1, PrefillTokens: 50_000}
 	}
 	balancer := New(DefaultSettings(), enginemodel.New(), busy)
 	balancer.SetWorkers(engines(backend.RolePrefill, 3))
@@ -188,7 +188,7 @@
 func TestHealthyWorkersArePreferredOverEjected(t *testing.T) {
 	balancer := New(DefaultSettings(), enginemodel.New(), func(worker string) backend.Load {
 		if worker == "decode-0" {
-			return backend.Load{Running: 30, ReadingTokens: 2000}
+			return backend.Load{Running: 30, PrefillTokens: 2000}
 		}
 		return backend.Load{}
 	})
@@ -213,7 +213,7 @@
 		return Query{Group: "g", Role: backend.RoleDecode, Key: "one prompt of all", Apart: fmt.Sprint("digest ", i)}
 	}
 	busy, _ := balancer.Pick(epoch, suspect(0))
-	balancer.Begin(busy.Worker.ID, backend.Load{Running: 1, Reading: 1, ReadingTokens: 500_000})
+	balancer.Begin(busy.Worker.ID, backend.Load{Running: 1, Prefilling: 1, PrefillTokens: 500_000})
 	pickedWithoutSpread, pickedForSuspects := map[string]int{}, map[string]int{}
 	for i := range 200 {
 		query := suspect(i)
--- a/internal/balance/index_test.go
+++ b/internal/balance/index_test.go
@@ -20,9 +20,9 @@
 		set := backend.Set{}
 		for range rapid.IntRange(1, 60).Draw(t, "changes") {
 			id := fmt.Sprint("w", rapid.IntRange(0, 9).Draw(t, "worker"))
-			changes := backend.Changes{Gone: []string{id}}
+			changes := backend.Changes{Removed: []string{id}}
 			if rapid.IntRange(0, 3).Draw(t, "stays") > 0 {
-				changes = backend.Changes{Put: []*backend.Worker{{
+				changes = backend.Changes{Updated: []*backend.Worker{{
 					ID: id, Group: rapid.SampledFrom([]string{"g", "h"}).Draw(t, "group"),
 					Address:  fmt.Sprint("a", rapid.IntRange(0, 3).Draw(t, "address")),
 					Zone:     rapid.SampledFrom([]string{"y", "z"}).Draw(t, "zone"),
--- a/internal/balance/pick.go
+++ b/internal/balance/pick.go
@@ -113,8 +113,8 @@
 		score.Answer = estimate.BaseSeconds + score.Wait + score.Reading
 	}
 	if worker.Role == backend.RoleDecode {
-		wait := slotWaitSeconds(estimate, load.Writing(), worker.Slots)
-		score.HoldUp = score.Reading * b.settings.InterferenceWeight * float64(load.Writing())
+		wait := slotWaitSeconds(estimate, load.Decoding(), worker.Slots)
+		score.HoldUp = score.Reading * b.settings.InterferenceWeight * float64(load.Decoding())
 		score.Queue += wait
 		score.Wait += wait
 		score.Answer += wait
@@ -128,9 +128,9 @@
 // tokensAhead returns how many tokens the worker prefills before the prompt of the query.
 func tokensAhead(query Query, load backend.Load) int {
 	if query.Deferred {
-		return load.ReadingTokens + load.DeferredTokens
+		return load.PrefillTokens + load.DeferredTokens
 	}
-	return load.ReadingTokens
+	return load.PrefillTokens
 }
 
 // addPrefill adds the prefill cost of the prompt at a worker with the given time per token.
--- a/internal/cluster/view.go
+++ b/internal/cluster/view.go
@@ -289,7 +289,7 @@
 	case worker != nil:
 		v.roster.Put(v.now(), worker)
 	default:
-		v.roster.Drop(id)
+		v.roster.Invalidate(id)
 	}
 	return true
 }
@@ -298,7 +298,7 @@
 // that is new.
 func (v *View) WorkerLeaves(id string) bool {
 	v.rosterMutex.Lock()
-	changed := v.roster.Leaves(v.now(), id)
+	changed := v.roster.AnnounceLeaving(v.now(), id)
 	v.rosterMutex.Unlock()
 	if changed {
 		v.publishWorkers()
--- a/internal/cluster/view_test.go
+++ b/internal/cluster/view_test.go
@@ -52,7 +52,7 @@
 	r.workersAtConfiguration = r.workers
 }
 func (r *recorder) WorkersChanged(changes backend.Changes) {
-	r.workers += len(changes.Put) - len(changes.Gone)
+	r.workers += len(changes.Updated) - len(changes.Removed)
 }
 
 func (r *recorder) StoreRestored(int64)                              {}
@@ -74,7 +74,7 @@
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	recorded := &recorder{}
-	roster := backend.NewRoster(backend.RosterSettings{FadeTime: 30 * time.Millisecond, OutageMemory: time.Second})
+	roster := backend.NewRoster(backend.RosterSettings{OutageGrace: 30 * time.Millisecond, OutageWindow: time.Second})
 	return NewView(fakeDecoder{}, recorded, member.NewList(member.Gateway{Name: "a"}), roster, ownKey, logger), recorded
 }
 
--- a/internal/completions/completions.go
+++ b/internal/completions/completions.go
@@ -164,10 +164,10 @@
 	}
 	shared := min(b.SharedPrefixTokens, len(words))
 	if shared > 0 {
-		demand.Parts = append(demand.Parts, backend.Part{ID: partID(b.Model, words[:shared]), Tokens: shared})
+		demand.Segments = append(demand.Segments, backend.Segment{ID: partID(b.Model, words[:shared]), Tokens: shared})
 	}
 	if len(words) > 0 {
-		demand.Parts = append(demand.Parts, backend.Part{ID: partID(b.Model, words), Tokens: len(words) - shared})
+		demand.Segments = append(demand.Segments, backend.Segment{ID: partID(b.Model, words), Tokens: len(words) - shared})
 	}
 	return demand
 }
--- a/internal/completions/completions_test.go
+++ b/internal/completions/completions_test.go
@@ -35,7 +35,7 @@
 		return "error " + strings.ReplaceAll(err.Error(), "\n", "\nerror ")
 	}
 	var parts []string
-	for _, part := range request.Demand.Parts {
+	for _, part := range request.Demand.Segments {
 		parts = append(parts, fmt.Sprint(part.Tokens))
 	}
 	return fmt.Sprintf("labels %s\nid %s tenant %s patience %s once %t whole %t\ntokens %d,%d parts %s",
--- a/internal/forward/dispatcher.go
+++ b/internal/forward/dispatcher.go
@@ -120,7 +120,7 @@
 func (d *Dispatcher) SetWorkers(workers backend.Set) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.changeWorkers(workers.Since(d.records))
+	d.changeWorkers(workers.Diff(d.records))
 }
 
 // ChangeWorkers applies added, updated and removed workers. Its cost depends on the number of changes, not of workers.
@@ -134,9 +134,9 @@
 func (d *Dispatcher) changeWorkers(changes backend.Changes) {
 	now := d.now()
 	changes.Apply(d.records)
-	changes.Put = d.engineState.applyReportedRoles(now, changes.Put, changes.Gone)
+	changes.Updated = d.engineState.applyReportedRoles(now, changes.Updated, changes.Removed)
 	d.engineState.expirePendingRoles(now, d.balancer)
-	d.engineState.recordDecoders(changes.Put)
+	d.engineState.recordDecoders(changes.Updated)
 	d.engineState.returns = append(d.engineState.returns, d.engineState.absences.Change(now, changes)...)
 	d.balancer.Change(changes)
 	d.engineState.signalRecovered()
@@ -144,7 +144,7 @@
 		d.engineState.notifyChange()
 	}
 	d.balancer.Returned(now)
-	for _, id := range changes.Gone {
+	for _, id := range changes.Removed {
 		d.residency.ForgetWorker(id)
 		d.model.ForgetWorker(id)
 	}
@@ -191,7 +191,7 @@
 	d.peers.loadChanged(worker.ID, tokens >= d.settings.UrgentNotifyTokens)
 	return &Assignment{
 		Worker: worker, Score: choice.Score, Candidates: choice.Candidates, dispatcher: d, load: load, deferred: deferred,
-		queuedTokens: queued.ReadingTokens, startedAt: d.now(), objective: objective,
+		queuedTokens: queued.PrefillTokens, startedAt: d.now(), objective: objective,
 	}
 }
 
@@ -233,7 +233,7 @@
 	}
 	now := a.dispatcher.now()
 	a.dispatcher.model.ObserveReading(now, enginemodel.ClassOf(a.Worker), a.Worker.ID, enginemodel.Reading{
-		Ahead: a.queuedTokens, Tokens: a.load.ReadingTokens, Took: now.Sub(a.startedAt),
+		Ahead: a.queuedTokens, Tokens: a.load.PrefillTokens, Took: now.Sub(a.startedAt),
 	})
 }
 
--- a/internal/forward/fleet_load_test.go
+++ b/internal/forward/fleet_load_test.go
@@ -80,7 +80,7 @@
 	own := s.drawTokens(meanOwnTokens, 1.1, 53_200)
 	id := fmt.Sprint("document-", document)
 	request := &Request{ID: fmt.Sprint("r", number), Demand: backend.Demand{
-		PromptTokens: shared[document] + own, Parts: []backend.Part{{ID: id, Tokens: shared[document]}, {ID: fmt.Sprint("own", number), Tokens: own}},
+		PromptTokens: shared[document] + own, Segments: []backend.Segment{{ID: id, Tokens: shared[document]}, {ID: fmt.Sprint("own", number), Tokens: own}},
 	}}
 	gateway := s.gateways[s.random.IntN(len(s.gateways))]
 	arrived := s.now
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -495,7 +495,7 @@
 }
 
 // longPrompt is prefilled on a separate engine.
-var longPrompt = backend.Demand{PromptTokens: 9000, Parts: []backend.Part{{ID: "a", Tokens: 8000}, {ID: "b", Tokens: 1000}}}
+var longPrompt = backend.Demand{PromptTokens: 9000, Segments: []backend.Segment{{ID: "a", Tokens: 8000}, {ID: "b", Tokens: 1000}}}
 
 func TestLongPromptIsPrefilledSeparately(t *testing.T) {
 	workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Answer, error) {
--- a/internal/forward/placement_test.go
+++ b/internal/forward/placement_test.go
@@ -39,7 +39,7 @@
 }
 
 // shortPrompt is prefilled quickly on any engine.
-var shortPrompt = backend.Demand{PromptTokens: 380, Parts: []backend.Part{{ID: "a", Tokens: 90}, {ID: "b", Tokens: 290}}}
+var shortPrompt = backend.Demand{PromptTokens: 380, Segments: []backend.Segment{{ID: "a", Tokens: 90}, {ID: "b", Tokens: 290}}}
 
 func TestPrefillPlacementFollowsLoad(t *testing.T) {
 	cases := []struct {
@@ -74,7 +74,7 @@
 
 func TestSharedPrefixIsPrefilledOnceAndFetched(t *testing.T) {
 	dispatcher := newEngineDispatcher()
-	demand := backend.Demand{PromptTokens: 12_000, Parts: []backend.Part{{ID: "a", Tokens: 8000}, {ID: "b", Tokens: 4000}}}
+	demand := backend.Demand{PromptTokens: 12_000, Segments: []backend.Segment{{ID: "a", Tokens: 8000}, {ID: "b", Tokens: 4000}}}
 	request := &Request{ID: "r", Demand: demand}
 	first, _ := dispatcher.Place(request, engineGroup, PlaceOptions{})
 	if first.FetchFrom != nil {
@@ -107,7 +107,7 @@
 	}
 	message.Sender, message.Epoch, message.Sequence = "one", 1, 1
 	receiver.Hear(&message)
-	if load := receiver.peers.board.Load(placement.Prefill.Worker.ID); load.ReadingTokens == 0 {
+	if load := receiver.peers.board.Load(placement.Prefill.Worker.ID); load.PrefillTokens == 0 {
 		t.Error("the load was not applied")
 	}
 	if holders := receiver.usableHolders([]prefixSegment{{key: "a", tokens: 8000}}); len(holders) != 1 || holders[placement.Prefill.Worker.ID].readyTokens != 8000 {
@@ -160,7 +160,7 @@
 	dispatcher := newEngineDispatcher()
 	previous := -1
 	for _, tokens := range []int{600, 3000, 8000, 50_000} {
-		demand := backend.Demand{PromptTokens: tokens, Parts: []backend.Part{{ID: fmt.Sprint("own", tokens), Tokens: tokens}}}
+		demand := backend.Demand{PromptTokens: tokens, Segments: []backend.Segment{{ID: fmt.Sprint("own", tokens), Tokens: tokens}}}
 		placement, found := dispatcher.Place(&Request{ID: "r", Demand: demand}, engineGroup, PlaceOptions{})
 		if !found {
 			t.Fatal("no engine was found")
@@ -205,7 +205,7 @@
 				message.Loads = append(message.Loads, loadshare.Load{Worker: fmt.Sprint(backend.RoleDecode, i), Running: 20, ReadingTokens: c.waiting})
 			}
 			dispatcher.Hear(message)
-			demand := backend.Demand{PromptTokens: c.tokens, Parts: []backend.Part{{ID: "own", Tokens: c.tokens}}}
+			demand := backend.Demand{PromptTokens: c.tokens, Segments: []backend.Segment{{ID: "own", Tokens: c.tokens}}}
 			placement, found := dispatcher.Place(&Request{ID: "r", Demand: demand}, engineGroup, PlaceOptions{Objective: c.objective, Left: c.left})
 			if !found || placement.Deferred != c.want {
 				t.Fatalf("got deferred %v, want %v", placement.Deferred, c.want)
@@ -240,7 +240,7 @@
 	chain := func(ids ...string) backend.Demand {
 		demand := backend.Demand{}
 		for _, id := range ids {
-			demand.Parts = append(demand.Parts, backend.Part{ID: id, Tokens: 3000})
+			demand.Segments = append(demand.Segments, backend.Segment{ID: id, Tokens: 3000})
 			demand.PromptTokens += 3000
 		}
 		return demand
@@ -293,12 +293,12 @@
 			t.Fatal("no runner was found")
 		}
 		load := dispatcher.balancer.TotalLoad(runner.Worker.ID)
-		if load.Running != 1 || load.Writing() != want {
-			t.Errorf("deferred %v: %+v counts as %d runs", deferred, load, load.Writing())
+		if load.Running != 1 || load.Decoding() != want {
+			t.Errorf("deferred %v: %+v counts as %d runs", deferred, load, load.Decoding())
 		}
 		runner.prefilled()
-		if load = dispatcher.balancer.TotalLoad(runner.Worker.ID); load.Writing() != 1 {
-			t.Errorf("deferred %v: a run that has started counts as %d", deferred, load.Writing())
+		if load = dispatcher.balancer.TotalLoad(runner.Worker.ID); load.Decoding() != 1 {
+			t.Errorf("deferred %v: a run that has started counts as %d", deferred, load.Decoding())
 		}
 		runner.finish(balance.OutcomeGood)
 		if load = dispatcher.balancer.TotalLoad(runner.Worker.ID); load != (backend.Load{}) {
--- a/internal/forward/prompt.go
+++ b/internal/forward/prompt.go
@@ -130,7 +130,7 @@
 func sharedPrefixOf(demand backend.Demand, minTokens int) sharedPrefix {
 	shared := sharedPrefix{key: demand.AffinityKey()}
 	pending := 0
-	for _, part := range demand.SharedParts() {
+	for _, part := range demand.SharedSegments() {
 		shared.tokens += part.Tokens
 		pending += part.Tokens
 		if part.Tokens >= minTokens {
--- a/internal/forward/rolechange.go
+++ b/internal/forward/rolechange.go
@@ -54,7 +54,7 @@
 	}
 	for worker, status := range d.balancer.Engines(d.now(), group) {
 		if worker.Group == group && worker.Slots > 0 {
-			busy += float64(status.Load.Writing()) / float64(worker.Slots)
+			busy += float64(status.Load.Decoding()) / float64(worker.Slots)
 		}
 	}
 	return busy
--- a/internal/forward/scale_test.go
+++ b/internal/forward/scale_test.go
@@ -43,10 +43,10 @@
 
 // fleetRequest returns the request with a number. One in six has a long shared part.
 func fleetRequest(number int) *Request {
-	demand := backend.Demand{PromptTokens: 400, Parts: []backend.Part{{ID: fmt.Sprint("short-", number%32), Tokens: 90}, {ID: "own", Tokens: 310}}}
+	demand := backend.Demand{PromptTokens: 400, Segments: []backend.Segment{{ID: fmt.Sprint("short-", number%32), Tokens: 90}, {ID: "own", Tokens: 310}}}
 	if number%6 == 0 {
 		demand = backend.Demand{
-			PromptTokens: 17_000, Parts: []backend.Part{{ID: fmt.Sprint("long-", number%1000), Tokens: 13_300}, {ID: "own", Tokens: 3700}},
+			PromptTokens: 17_000, Segments: []backend.Segment{{ID: fmt.Sprint("long-", number%1000), Tokens: 13_300}, {ID: "own", Tokens: 3700}},
 		}
 	}
 	return &Request{ID: fmt.Sprint("request-", number), Demand: demand}
@@ -129,7 +129,7 @@
 				changed := *set[ids[i%len(ids)]]
 				changed.Draining = !changed.Draining
 				set[changed.ID] = &changed
-				dispatcher.ChangeWorkers(backend.Changes{Put: []*backend.Worker{&changed}})
+				dispatcher.ChangeWorkers(backend.Changes{Updated: []*backend.Worker{&changed}})
 			}
 		})
 	}
@@ -160,7 +160,7 @@
 		if placement.Prefill != nil {
 			prefill = placement.Prefill
 		}
-		if placement.FetchFrom == nil && !source.residency.Keeps(prefill.Worker.ID, request.Demand.Parts[0].ID) {
+		if placement.FetchFrom == nil && !source.residency.Keeps(prefill.Worker.ID, request.Demand.Segments[0].ID) {
 			t.Errorf("document %d is prefilled again at %s", i, prefill.Worker.ID)
 		}
 	}
--- a/internal/gateway/cachedparts_test.go
+++ b/internal/gateway/cachedparts_test.go
@@ -40,7 +40,7 @@
 			g := New(settings, Ports{Decoder: nopDecoder{}, KeptParts: counter}, logger)
 			g.dispatcher.SetGroups([]routing.Group{{Name: "g", Engine: &routing.Engine{}}})
 			g.configuration = &routing.Configuration{}
-			g.WorkersChanged(backend.Changes{Put: []*backend.Worker{{ID: "w", Group: "g", Role: backend.RoleDecode, Address: "x:1"}}})
+			g.WorkersChanged(backend.Changes{Updated: []*backend.Worker{{ID: "w", Group: "g", Role: backend.RoleDecode, Address: "x:1"}}})
 			g.entries.isEntry = isEntry
 			ctx, cancel := context.WithCancel(t.Context())
 			go g.learnCachedParts(ctx)
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -62,11 +62,11 @@
 			delete(g.workersAtAddress, previous.Address)
 		}
 	}
-	for _, worker := range changes.Put {
+	for _, worker := range changes.Updated {
 		release(worker.ID)
 		g.workersAtAddress[worker.Address]++
 	}
-	for _, id := range changes.Gone {
+	for _, id := range changes.Removed {
 		release(id)
 		if previous := g.workers[id]; previous != nil && g.workersAtAddress[previous.Address] == 0 {
 			g.ports.ForgetAddress(previous.Address)
@@ -110,9 +110,9 @@
 // rosterSettings derives the settings of the worker roster.
 func rosterSettings(settings Settings) backend.RosterSettings {
 	return backend.RosterSettings{
-		FadeTime:     time.Duration(fadeRatio * float64(settings.DrainTime)),
-		OutageMemory: outageMemory,
-		LostTime:     lostRecordTimeout,
+		OutageGrace:  time.Duration(fadeRatio * float64(settings.DrainTime)),
+		OutageWindow: outageMemory,
+		RestoreGrace: lostRecordTimeout,
 	}
 }
 
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -78,7 +78,7 @@
 			t.logger.WithError(err).WithField("worker", worker.ID).Warn("Cannot parse a notice of a worker.")
 		}
 	}
-	if notice.Limit > 0 || !notice.Asked.IsZero() {
+	if notice.Limit > 0 || !notice.RequestedAt.IsZero() {
 		t.gateway.workerLimits.handle(worker, notice)
 	}
 	if !notice.Leaving && notice.BackOff == 0 {
--- a/internal/gateway/workerlimits.go
+++ b/internal/gateway/workerlimits.go
@@ -68,7 +68,7 @@
 	}
 	now := time.Now()
 	if notice.Limit == 0 {
-		t.end(worker.ID, now.Sub(notice.Asked), sourceAnswer)
+		t.end(worker.ID, now.Sub(notice.RequestedAt), sourceAnswer)
 		return
 	}
 	t.gateway.metrics.countNotice(worker.Group, noticeLimit)
--- a/internal/loadshare/board.go
+++ b/internal/loadshare/board.go
@@ -35,7 +35,7 @@
 // backendLoad returns the load without its worker.
 func (l Load) backendLoad() backend.Load {
 	return backend.Load{
-		Running: l.Running, Reading: l.Reading, ReadingTokens: l.ReadingTokens, DeferredTokens: l.DeferredTokens,
+		Running: l.Running, Prefilling: l.Reading, PrefillTokens: l.ReadingTokens, DeferredTokens: l.DeferredTokens,
 		Waiting: l.Waiting,
 	}
 }
@@ -43,7 +43,7 @@
 // LoadAt returns the message form of a load.
 func LoadAt(worker string, load backend.Load) Load {
 	return Load{
-		Worker: worker, Running: load.Running, Reading: load.Reading, ReadingTokens: load.ReadingTokens,
+		Worker: worker, Running: load.Running, Reading: load.Prefilling, ReadingTokens: load.PrefillTokens,
 		DeferredTokens: load.DeferredTokens, Waiting: load.Waiting,
 	}
 }
--- a/internal/loadshare/loadshare_test.go
+++ b/internal/loadshare/loadshare_test.go
@@ -62,7 +62,7 @@
 				total += load.Running
 			}
 		}
-		if got := board.Load("w"); got.Running != total || got.ReadingTokens != total*10 {
+		if got := board.Load("w"); got.Running != total || got.PrefillTokens != total*10 {
 			t.Fatalf("got %+v, want %d", got, total)
 		}
 	})
--- a/internal/poison/guard_test.go
+++ b/internal/poison/guard_test.go
@@ -70,7 +70,7 @@
 }
 
 // setWorkers replaces the registered workers.
-func setWorkers(g *testGuard, workers backend.Set) { g.ChangeWorkers(workers.Since(g.registered)) }
+func setWorkers(g *testGuard, workers backend.Set) { g.ChangeWorkers(workers.Diff(g.registered)) }
 
 // workerSet returns workers with the given ids.
 func workerSet(ids ...string) backend.Set {
--- a/internal/roles/planner.go
+++ b/internal/roles/planner.go
@@ -153,7 +153,7 @@
 	for _, engine := range group.Engines {
 		if engine.Worker.Role == role {
 			// Engines that are about to change finish their requests.
-			summary.runs += engine.Load.Writing()
+			summary.runs += engine.Load.Decoding()
 		}
 		if engine.targetRole() != role || engine.Worker.Draining {
 			continue
@@ -264,4 +264,4 @@
 }
 
 // workload returns the work of an engine in requests, counting 1000 prompt tokens as one request.
-func (e Engine) workload() int { return e.Load.Running + e.Load.ReadingTokens/1000 }
+func (e Engine) workload() int { return e.Load.Running + e.Load.PrefillTokens/1000 }
--- a/internal/routing/configuration.go
+++ b/internal/routing/configuration.go
@@ -215,7 +215,7 @@
 // SelectChanges is like Select, for changed workers.
 func (c *Configuration) SelectChanges(changes backend.Changes) backend.Changes {
 	if c.changesWorkers() {
-		changes.Put = lo.Map(changes.Put, func(worker *backend.Worker, _ int) *backend.Worker { return c.applyLabelsAndGroups(worker) })
+		changes.Updated = lo.Map(changes.Updated, func(worker *backend.Worker, _ int) *backend.Worker { return c.applyLabelsAndGroups(worker) })
 	}
 	return changes
 }
