--- a/internal/forward/demand.go
+++ b/internal/forward/demand.go
@@ -24,10 +24,10 @@
 }
 
 // demandToSend returns the counters for the other gateways. The mutex is held.
-func (d *Dispatcher) demandToSend() []loadshare.Offered {
-	var demand []loadshare.Offered
+func (d *Dispatcher) demandToSend() []loadshare.OfferedLoad {
+	var demand []loadshare.OfferedLoad
 	for group, counter := range d.demand {
-		demand = append(demand, loadshare.Offered{Group: group, Tokens: counter.tokens})
+		demand = append(demand, loadshare.OfferedLoad{Group: group, Tokens: counter.tokens})
 	}
 	return demand
 }
--- a/internal/forward/enginestate.go
+++ b/internal/forward/enginestate.go
@@ -210,7 +210,7 @@
 	}
 	d.acceptReportedRole(worker, role)
 	if d.peers.notify != nil && len(d.peers.newRoles) < maxPendingNotices {
-		d.peers.newRoles = append(d.peers.newRoles, loadshare.Changed{Worker: id, Role: string(role)})
+		d.peers.newRoles = append(d.peers.newRoles, loadshare.RoleReport{Worker: id, Role: string(role)})
 		d.peers.notify(true)
 	}
 }
@@ -249,7 +249,7 @@
 	for _, id := range message.Refused {
 		d.recordRefused(id, false)
 	}
-	for _, id := range message.Answering {
+	for _, id := range message.Recovered {
 		if worker, found := d.balancer.Worker(id); found {
 			d.markAlive(worker)
 		}
--- a/internal/forward/loans_test.go
+++ b/internal/forward/loans_test.go
@@ -9,7 +9,7 @@
 )
 
 // askForLoans returns a dispatcher that holds no share of its workers' limits, after it has asked for loans.
-func askForLoans(t *testing.T) (*Dispatcher, loadshare.Ask, <-chan struct{}) {
+func askForLoans(t *testing.T) (*Dispatcher, loadshare.LoanRequest, <-chan struct{}) {
 	t.Helper()
 	f := newFixture(t, fixtureOptions{rule: routing.Rule{Kind: routing.KindRepeatable}}, &fakeWorkers{})
 	d := f.handler.dispatcher
@@ -74,7 +74,7 @@
 	d.ShareLimits("one")
 	id := d.balancer.IDs()[0]
 	d.Limit(id, 5, 0)
-	d.HearLoans([]loadshare.Ask{{Asker: "other", Serial: 1, Workers: []string{id, "nobody"}, Wanted: 4}}, nil)
+	d.HearLoans([]loadshare.LoanRequest{{Asker: "other", Serial: 1, Workers: []string{id, "nobody"}, MaxRequests: 4}}, nil)
 	if _, loans := d.DrainLoans(); len(loans) != 0 {
 		t.Errorf("a gateway that holds nothing lent %+v", loans)
 	}
@@ -83,7 +83,7 @@
 	d.ConfirmShare(now.Add(-8 * time.Second))
 	d.ConfirmShare(now.Add(-time.Second))
 	time.Sleep(250 * time.Millisecond)
-	d.HearLoans([]loadshare.Ask{{Asker: "other", Serial: 1, Workers: []string{id}, Wanted: 4}}, nil)
+	d.HearLoans([]loadshare.LoanRequest{{Asker: "other", Serial: 1, Workers: []string{id}, MaxRequests: 4}}, nil)
 	if _, loans := d.DrainLoans(); len(loans) != 1 || loans[0].Count != 1 || loans[0].Lender != "one" || loans[0].Asker != "other" {
 		t.Errorf("a gateway that holds one request lent %+v", loans)
 	}
--- a/internal/forward/peers.go
+++ b/internal/forward/peers.go
@@ -14,14 +14,14 @@
 	board *loadshare.Board
 	// changedLoads are the workers whose load has changed since the last update.
 	changedLoads   map[string]bool
-	cachedPrefixes []loadshare.Kept
+	cachedPrefixes []loadshare.CachedSegment
 	// roleChanges are the role changes that this gateway has ordered.
 	roleChanges map[string]roleChange
 	// ejected are the workers whose ejection other gateways are told of.
 	ejected []string
 	// refused are engines that refused a connection, answering those that respond again, and newRoles those that reported a new role.
 	refused, answering []string
-	newRoles           []loadshare.Changed
+	newRoles           []loadshare.RoleReport
 	// notify signals that there is something to send; nil if nothing is sent.
 	notify func(urgent bool)
 }
@@ -47,7 +47,7 @@
 }
 
 // prefixCached records that a worker has cached a prefix.
-func (p *peerExchange) prefixCached(cached loadshare.Kept) {
+func (p *peerExchange) prefixCached(cached loadshare.CachedSegment) {
 	if p.notify == nil || len(p.cachedPrefixes) >= maxPendingNotices {
 		return
 	}
@@ -80,10 +80,10 @@
 	defer d.mutex.Unlock()
 	message := loadshare.Message{
 		Kept: d.peers.cachedPrefixes, Failed: d.peers.ejected, Changing: d.pendingRoleChanges(), Changed: d.peers.newRoles,
-		Refused: d.peers.refused, Answering: d.peers.answering,
+		Refused: d.peers.refused, Recovered: d.peers.answering,
 	}
 	for _, worker := range d.loadsToSend(full) {
-		message.Loads = append(message.Loads, loadshare.LoadAt(worker, d.balancer.Load(worker)))
+		message.Loads = append(message.Loads, loadshare.NewLoad(worker, d.balancer.Load(worker)))
 	}
 	if full {
 		message.Offered = d.demandToSend()
@@ -94,8 +94,8 @@
 }
 
 // pendingRoleChanges returns the unfinished role changes that this gateway has ordered. The mutex is held.
-func (d *Dispatcher) pendingRoleChanges() []loadshare.Changing {
-	var pending []loadshare.Changing
+func (d *Dispatcher) pendingRoleChanges() []loadshare.RoleChange {
+	var pending []loadshare.RoleChange
 	now := d.now()
 	for id, change := range d.peers.roleChanges {
 		worker, found := d.balancer.Worker(id)
@@ -103,7 +103,7 @@
 			delete(d.peers.roleChanges, id)
 			continue
 		}
-		pending = append(pending, loadshare.Changing{
+		pending = append(pending, loadshare.RoleChange{
 			Worker: id, Role: string(change.role), ForMs: change.expiresAt.Sub(now).Milliseconds(),
 			ReadyMs: max(change.readyAt.Sub(now).Milliseconds(), 0),
 		})
--- a/internal/forward/placement.go
+++ b/internal/forward/placement.go
@@ -243,9 +243,9 @@
 func (d *Dispatcher) recordCached(worker *backend.Worker, demand backend.Demand, ready bool) {
 	shared := sharedPrefixOf(demand, d.settings.MinSharedTokens)
 	for i, segment := range shared.segments {
-		cached := loadshare.Kept{Worker: worker.ID, Key: segment.key, Tokens: segment.tokens, Ready: ready}
+		cached := loadshare.CachedSegment{Worker: worker.ID, Key: segment.key, Tokens: segment.tokens, Ready: ready}
 		if ready && i == len(shared.segments)-1 {
-			cached.Own = demand.PromptTokens - shared.tokens
+			cached.PrivateTokens = demand.PromptTokens - shared.tokens
 		}
 		d.addCached(worker, cached)
 		d.peers.prefixCached(cached)
@@ -253,9 +253,9 @@
 }
 
 // addCached adds a cached prefix to the table. The mutex is held.
-func (d *Dispatcher) addCached(worker *backend.Worker, cached loadshare.Kept) {
+func (d *Dispatcher) addCached(worker *backend.Worker, cached loadshare.CachedSegment) {
 	d.residency.Keep(worker.ID, d.cacheCapacity(worker), cached.Key, cached.Tokens, cached.Ready)
-	d.residency.Fill(worker.ID, cached.Own)
+	d.residency.Fill(worker.ID, cached.PrivateTokens)
 }
 
 // RecordPrefilled records that an engine has prefilled the prompt of a request and has cached it.
--- a/internal/forward/placement_test.go
+++ b/internal/forward/placement_test.go
@@ -33,7 +33,7 @@
 func hearLoad(dispatcher *Dispatcher, role backend.Role, running, readingTokens int) {
 	message := &loadshare.Message{Sender: "other", Epoch: int64(running*1000 + readingTokens), Sequence: 1, Full: true}
 	for i := range 3 {
-		message.Loads = append(message.Loads, loadshare.Load{Worker: fmt.Sprint(role, i), Running: running, ReadingTokens: readingTokens})
+		message.Loads = append(message.Loads, loadshare.Load{Worker: fmt.Sprint(role, i), Running: running, PrefillTokens: readingTokens})
 	}
 	dispatcher.Hear(message)
 }
@@ -61,7 +61,7 @@
 			hearLoad(dispatcher, backend.RoleDecode, c.decoding, c.decodeTokens)
 			message := &loadshare.Message{Sender: "third", Epoch: 1, Sequence: 1}
 			for i := range 3 {
-				message.Loads = append(message.Loads, loadshare.Load{Worker: fmt.Sprint(backend.RolePrefill, i), ReadingTokens: c.prefillTokens})
+				message.Loads = append(message.Loads, loadshare.Load{Worker: fmt.Sprint(backend.RolePrefill, i), PrefillTokens: c.prefillTokens})
 			}
 			dispatcher.Hear(message)
 			placement, found := dispatcher.Place(&Request{ID: "r", Demand: c.demand}, engineGroup, PlaceOptions{})
@@ -86,7 +86,7 @@
 		t.Fatalf("the engine that has cached the part was not picked: %+v", again)
 	}
 	busy := &loadshare.Message{Sender: "other", Epoch: 1, Sequence: 1}
-	busy.Loads = []loadshare.Load{{Worker: first.Prefill.Worker.ID, ReadingTokens: 100_000}}
+	busy.Loads = []loadshare.Load{{Worker: first.Prefill.Worker.ID, PrefillTokens: 100_000}}
 	dispatcher.Hear(busy)
 	another, _ := dispatcher.Place(&Request{ID: "t", Demand: demand}, engineGroup, PlaceOptions{})
 	if another.Prefill == nil || another.Prefill.Worker == first.Prefill.Worker || another.FetchFrom != first.Prefill.Worker {
@@ -202,7 +202,7 @@
 			hearLoad(dispatcher, backend.RolePrefill, 0, c.waiting)
 			message := &loadshare.Message{Sender: "third", Epoch: 1, Sequence: 1}
 			for i := range 3 {
-				message.Loads = append(message.Loads, loadshare.Load{Worker: fmt.Sprint(backend.RoleDecode, i), Running: 20, ReadingTokens: c.waiting})
+				message.Loads = append(message.Loads, loadshare.Load{Worker: fmt.Sprint(backend.RoleDecode, i), Running: 20, PrefillTokens: c.waiting})
 			}
 			dispatcher.Hear(message)
 			demand := backend.Demand{PromptTokens: c.tokens, Segments: []backend.Segment{{ID: "own", Tokens: c.tokens}}}
@@ -223,7 +223,7 @@
 	message := &loadshare.Message{Sender: "other", Epoch: 1, Sequence: 1}
 	for _, role := range []backend.Role{backend.RolePrefill, backend.RoleDecode} {
 		for i := range 3 {
-			message.Loads = append(message.Loads, loadshare.Load{Worker: fmt.Sprint(role, i), Running: 1, Reading: 1, DeferredTokens: 500_000})
+			message.Loads = append(message.Loads, loadshare.Load{Worker: fmt.Sprint(role, i), Running: 1, Prefilling: 1, DeferredTokens: 500_000})
 		}
 	}
 	dispatcher.Hear(message)
--- a/internal/forward/prefixcache.go
+++ b/internal/forward/prefixcache.go
@@ -35,21 +35,21 @@
 }
 
 // Kept returns up to limit cached parts that this gateway knows of, for each engine the most recently used last.
-func (d *Dispatcher) Kept(limit int) []loadshare.Kept {
+func (d *Dispatcher) Kept(limit int) []loadshare.CachedSegment {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	var all []loadshare.Kept
+	var all []loadshare.CachedSegment
 	for worker, part := range d.residency.All() {
 		if len(all) >= limit {
 			break
 		}
-		all = append(all, loadshare.Kept{Worker: worker, Key: part.Key, Tokens: part.Tokens, Ready: part.Ready})
+		all = append(all, loadshare.CachedSegment{Worker: worker, Key: part.Key, Tokens: part.Tokens, Ready: part.Ready})
 	}
 	return all
 }
 
 // LearnAll records the cached parts that another gateway knows of, and returns how many were new.
-func (d *Dispatcher) LearnAll(parts []loadshare.Kept) int {
+func (d *Dispatcher) LearnAll(parts []loadshare.CachedSegment) int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	added := 0
--- a/internal/forward/ratelimits.go
+++ b/internal/forward/ratelimits.go
@@ -21,7 +21,7 @@
 	// loans from other gateways, by worker id.
 	loans map[string]*quota.Loans
 	// outgoingAsks and outgoingLoans are to be sent to the other gateways.
-	outgoingAsks  []loadshare.Ask
+	outgoingAsks  []loadshare.LoanRequest
 	outgoingLoans []loadshare.Loan
 	// loanArrived is closed and replaced when a loan arrives.
 	loanArrived chan struct{}
@@ -164,13 +164,13 @@
 		return nil, false
 	}
 	workers := d.balancer.Lacking(d.now(), group.Name, runnerRole(group), maxWorkersPerAsk)
-	d.limits.outgoingAsks = append(d.limits.outgoingAsks, loadshare.Ask{Asker: d.limits.name, Serial: serial, Workers: workers, Wanted: requestsPerAsk})
+	d.limits.outgoingAsks = append(d.limits.outgoingAsks, loadshare.LoanRequest{Asker: d.limits.name, Serial: serial, Workers: workers, MaxRequests: requestsPerAsk})
 	d.peers.notify(true)
 	return d.limits.loanArrived, true
 }
 
 // DrainLoans returns the requests for loans, and the loans, that are to be sent to the other gateways.
-func (d *Dispatcher) DrainLoans() ([]loadshare.Ask, []loadshare.Loan) {
+func (d *Dispatcher) DrainLoans() ([]loadshare.LoanRequest, []loadshare.Loan) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.limits == nil {
@@ -182,7 +182,7 @@
 }
 
 // HearLoans handles requests for loans and loans from another gateway.
-func (d *Dispatcher) HearLoans(asks []loadshare.Ask, loans []loadshare.Loan) {
+func (d *Dispatcher) HearLoans(asks []loadshare.LoanRequest, loans []loadshare.Loan) {
 	if len(asks) == 0 && len(loans) == 0 {
 		return
 	}
@@ -205,9 +205,9 @@
 }
 
 // lend lends unused capacity to the gateway that asked for it. The mutex is held.
-func (d *Dispatcher) lend(ask loadshare.Ask) {
+func (d *Dispatcher) lend(ask loadshare.LoanRequest) {
 	for _, worker := range ask.Workers[:min(len(ask.Workers), maxWorkersPerAsk)] {
-		if count := d.balancer.Lend(d.now(), worker, min(ask.Wanted, requestsPerAsk)); count > 0 {
+		if count := d.balancer.Lend(d.now(), worker, min(ask.MaxRequests, requestsPerAsk)); count > 0 {
 			d.limits.outgoingLoans = append(d.limits.outgoingLoans, loadshare.Loan{
 				Asker: ask.Asker, Serial: ask.Serial, Lender: d.limits.name, Worker: worker, Count: count,
 			})
--- a/internal/gateway/agreement_test.go
+++ b/internal/gateway/agreement_test.go
@@ -99,7 +99,7 @@
 	}
 	entries, suspects := g.list.Entries(s.now)
 	audience := audienceOf(g.name, entries, slices.Concat(suspects, g.list.Claimants(s.now)), nil)
-	g.entries, g.audience, g.isEntry = entries, audience.Peers, !audience.StandsBy
+	g.entries, g.audience, g.isEntry = entries, audience.Peers, !audience.Standby
 }
 
 // query makes a standby gateway query a random entry that it knows.
--- a/internal/gateway/entries.go
+++ b/internal/gateway/entries.go
@@ -173,16 +173,16 @@
 		g.entries.previous = g.entries.current
 	}
 	g.entries.current, g.entries.suspects, g.entries.servingCount, g.entries.peers = entries, suspects, serving, audience.Peers
-	g.updateEntryRole(!audience.StandsBy, len(entries), serving)
+	g.updateEntryRole(!audience.Standby, len(entries), serving)
 	g.replica.SetReaders(serving)
-	g.replica.SetCalm(audience.StandsBy)
+	g.replica.SetCalm(audience.Standby)
 	if entriesChanged {
 		g.replica.Wake()
 	}
 	g.feedFollower.SetTellers(lo.Map(entries, func(entry member.Gateway, _ int) changefeed.Teller {
 		return changefeed.Teller{Name: entry.Name, Zone: entry.Zone, Address: entry.ControlAddress}
 	}))
-	g.setRetrySharers(audience.StandsBy, len(entries), len(suspects)+len(claimants), serving)
+	g.setRetrySharers(audience.Standby, len(entries), len(suspects)+len(claimants), serving)
 	g.loadExchange.SetAudience(audience)
 }
 
@@ -274,10 +274,10 @@
 // audienceOf returns the recipients of a gateway's load messages: the entries, the uncertain gateways and the leader.
 // Uncertain gateways are suspects, which otherwise would not learn that they are heard again, and gateways that consider
 // themselves entries while this one does not, which otherwise would not learn of the other entries.
-func audienceOf(ownName string, entries, uncertain, leader []member.Gateway) loadshare.Audience {
+func audienceOf(ownName string, entries, uncertain, leader []member.Gateway) loadshare.Receivers {
 	isEntry := slices.ContainsFunc(entries, func(entry member.Gateway) bool { return entry.Name == ownName })
 	recipients := lo.UniqBy(slices.Concat(entries, uncertain, leader), func(gateway member.Gateway) string { return gateway.Name })
-	return loadshare.Audience{Peers: peerAddresses(ownName, recipients), StandsBy: !isEntry}
+	return loadshare.Receivers{Peers: peerAddresses(ownName, recipients), Standby: !isEntry}
 }
 
 // peerAddresses returns the peer addresses of the gateways other than ownName.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -285,20 +285,20 @@
 	return nil
 }
 
-// Drain implements loadshare.Source.
-func (g *Gateway) Drain(full bool) loadshare.Message {
+// TakeUpdate implements loadshare.Source.
+func (g *Gateway) TakeUpdate(full bool) loadshare.Message {
 	message := g.dispatcher.Drain(full)
 	if full {
-		message.Busy = g.utilization.peak()
+		message.Utilization = g.utilization.peak()
 	}
 	message.Poison = g.barSyncer.guard.Tell(full)
 	g.tenantUsage.addTo(&message, full, !g.isEntry())
 	return message
 }
 
-// Hear implements loadshare.Source.
-func (g *Gateway) Hear(message *loadshare.Message) {
-	if message.StandsBy {
+// ApplyUpdate implements loadshare.Source.
+func (g *Gateway) ApplyUpdate(message *loadshare.Message) {
+	if message.Standby {
 		g.view.Unheard(message.Sender)
 	} else {
 		g.view.Heard(message.Sender)
--- a/internal/gateway/supplement.go
+++ b/internal/gateway/supplement.go
@@ -2,15 +2,15 @@
 
 import "github.com/granitebay/granitebay/internal/loadshare"
 
-// DrainSupplement implements loadshare.Source.
-func (g *Gateway) DrainSupplement(full bool) loadshare.Supplement {
+// TakeSupplement implements loadshare.Source.
+func (g *Gateway) TakeSupplement(full bool) loadshare.Supplement {
 	asks, loans := g.dispatcher.DrainLoans()
 	return loadshare.Supplement{Leaving: g.notices.drain(full), Limits: g.workerLimits.drain(full), Asks: asks, Loans: loans}
 }
 
-// HearSupplement implements loadshare.Source. Workers announced as leaving are drained here as well, even if this
+// ApplySupplement implements loadshare.Source. Workers announced as leaving are drained here as well, even if this
 // gateway got no notice from them.
-func (g *Gateway) HearSupplement(supplement *loadshare.Supplement) {
+func (g *Gateway) ApplySupplement(supplement *loadshare.Supplement) {
 	for _, id := range supplement.Leaving {
 		if g.view.WorkerLeaves(id) {
 			g.notices.reportRemoteLeaving(id)
--- a/internal/keptshare/keptshare.go
+++ b/internal/keptshare/keptshare.go
@@ -33,7 +33,7 @@
 )
 
 // Handler serves the cached parts that source returns, of each engine the least recently used first.
-func Handler(source func(maxParts int) []loadshare.Kept) http.Handler {
+func Handler(source func(maxParts int) []loadshare.CachedSegment) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		encoded, err := cbor.Marshal(source(maxParts))
 		if err != nil {
@@ -53,7 +53,7 @@
 func New() *Asker { return &Asker{httpclient.New(httpclient.DefaultSettings())} }
 
 // Ask returns the cached parts that the gateway at the address knows.
-func (a *Asker) Ask(ctx context.Context, address string) ([]loadshare.Kept, error) {
+func (a *Asker) Ask(ctx context.Context, address string) ([]loadshare.CachedSegment, error) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	response, err := a.client.Do(ctx, address, &httpclient.Request{Method: http.MethodGet, Target: Path, Host: address, Header: http.Header{}})
@@ -65,7 +65,7 @@
 	if err != nil || response.Status != http.StatusOK {
 		return nil, errors.Newf("step query cached parts, peer %s: status %d, read error %v", address, response.Status, err)
 	}
-	var parts []loadshare.Kept
+	var parts []loadshare.CachedSegment
 	err = cbor.Unmarshal(content, &parts)
 	return parts, errors.Wrapf(err, "step query cached parts, peer %s: decode response, limited to %d bytes", address, maxResponseBytes)
 }
--- a/internal/keptshare/keptshare_test.go
+++ b/internal/keptshare/keptshare_test.go
@@ -19,8 +19,8 @@
 }
 
 func TestAskReturnsCachedParts(t *testing.T) {
-	known := []loadshare.Kept{{Worker: "w", Key: "k", Tokens: 13_300, Ready: true}, {Worker: "v", Key: "l", Tokens: 700}}
-	got, err := New().Ask(t.Context(), startServer(t, Handler(func(int) []loadshare.Kept { return known })))
+	known := []loadshare.CachedSegment{{Worker: "w", Key: "k", Tokens: 13_300, Ready: true}, {Worker: "v", Key: "l", Tokens: 700}}
+	got, err := New().Ask(t.Context(), startServer(t, Handler(func(int) []loadshare.CachedSegment { return known })))
 	if err != nil || !reflect.DeepEqual(got, known) {
 		t.Errorf("got %+v, %v", got, err)
 	}
--- a/internal/loadshare/board.go
+++ b/internal/loadshare/board.go
@@ -21,11 +21,11 @@
 type Load struct {
 	_      struct{} `cbor:",toarray"`
 	Worker string
-	// Running counts requests; Reading counts those whose prompt is still to be processed, with ReadingTokens prompt
+	// Running counts requests; Prefilling counts those whose prompt is still to be processed, with PrefillTokens prompt
 	// tokens in total.
 	Running       int
-	ReadingTokens int
-	Reading       int
+	PrefillTokens int
+	Prefilling    int
 	// DeferredTokens counts the tokens of low-priority prompts, which are processed only when nothing else waits.
 	DeferredTokens int
 	// Waiting counts low-priority requests that have not started.
@@ -35,32 +35,32 @@
 // backendLoad returns the load without its worker.
 func (l Load) backendLoad() backend.Load {
 	return backend.Load{
-		Running: l.Running, Prefilling: l.Reading, PrefillTokens: l.ReadingTokens, DeferredTokens: l.DeferredTokens,
+		Running: l.Running, Prefilling: l.Prefilling, PrefillTokens: l.PrefillTokens, DeferredTokens: l.DeferredTokens,
 		Waiting: l.Waiting,
 	}
 }
 
-// LoadAt returns the message form of a load.
-func LoadAt(worker string, load backend.Load) Load {
+// NewLoad returns the message form of a load.
+func NewLoad(worker string, load backend.Load) Load {
 	return Load{
-		Worker: worker, Running: load.Running, Reading: load.Prefilling, ReadingTokens: load.PrefillTokens,
+		Worker: worker, Running: load.Running, Prefilling: load.Prefilling, PrefillTokens: load.PrefillTokens,
 		DeferredTokens: load.DeferredTokens, Waiting: load.Waiting,
 	}
 }
 
-// Kept announces that a worker caches a prompt segment, or is about to.
-type Kept struct {
+// CachedSegment announces that a worker caches a prompt segment, or is about to.
+type CachedSegment struct {
 	_      struct{} `cbor:",toarray"`
 	Worker string
 	Key    string
 	Tokens int
 	Ready  bool
-	// Own counts tokens specific to the request, which the worker caches although no other request can use them.
-	Own int
+	// PrivateTokens counts tokens specific to the request, which the worker caches although no other request can use them.
+	PrivateTokens int
 }
 
-// Changing announces that a worker is changing its role, during which it receives no work.
-type Changing struct {
+// RoleChange announces that a worker is changing its role, during which it receives no work.
+type RoleChange struct {
 	_      struct{} `cbor:",toarray"`
 	Worker string
 	// Role is the new role. The change is over once the worker's record contains it.
@@ -70,8 +70,8 @@
 	ForMs, ReadyMs int64
 }
 
-// Changed announces that a worker reports a new role that its record may not contain yet.
-type Changed struct {
+// RoleReport announces that a worker reports a new role that its record may not contain yet.
+type RoleReport struct {
 	_      struct{} `cbor:",toarray"`
 	Worker string
 	Role   string
@@ -88,21 +88,21 @@
 	// Full is set if the sender has no load at the workers that are not listed.
 	Full  bool
 	Loads []Load
-	Kept  []Kept
+	Kept  []CachedSegment
 	// Offered is the work offered per group. It is sent in full messages only.
-	Offered []Offered
+	Offered []OfferedLoad
 	// Changing lists workers that are changing their role, according to the controlling gateway.
-	Changing []Changing
+	Changing []RoleChange
 	// Failed lists workers that the sender excluded since the last message because they did not respond.
 	Failed []string
-	// Changed lists workers with a new role. Refused lists engines whose addresses refuse connections, and Answering
+	// Changed lists workers with a new role. Refused lists engines whose addresses refuse connections, and Recovered
 	// lists engines that were suspected of that but respond.
-	Changed            []Changed
-	Refused, Answering []string
-	// Busy is the utilization of the sender's most used resource limit. It is sent in full messages only.
-	Busy float64
-	// StandsBy is set by a standby gateway, which receives no callers. It sends its load but no heartbeats.
-	StandsBy bool
+	Changed            []RoleReport
+	Refused, Recovered []string
+	// Utilization is the utilization of the sender's most used resource limit. It is sent in full messages only.
+	Utilization float64
+	// Standby is set by a standby gateway, which receives no callers. It sends its load but no heartbeats.
+	Standby bool
 	// WallMs is the wall-clock time at the sender, in milliseconds since the Unix epoch.
 	WallMs int64
 	// Used is the usage of tenants.
@@ -164,7 +164,7 @@
 	}
 	peer.sequence, peer.lastReceived = message.Sequence, now
 	if message.Full {
-		peer.busy = message.Busy
+		peer.busy = message.Utilization
 		for worker := range peer.loads {
 			b.setLoad(peer, worker, backend.Load{})
 		}
--- a/internal/loadshare/exchange.go
+++ b/internal/loadshare/exchange.go
@@ -11,13 +11,13 @@
 
 // Source provides the outgoing updates and consumes the incoming ones.
 type Source interface {
-	// Drain returns what changed since the last call, or everything if full is set. The exchange fills in the sender.
-	Drain(full bool) Message
-	// Hear consumes a message from a peer.
-	Hear(message *Message)
-	// DrainSupplement does the same as Drain for supplements, and HearSupplement consumes one from a peer.
-	DrainSupplement(full bool) Supplement
-	HearSupplement(supplement *Supplement)
+	// TakeUpdate returns what changed since the last call, or everything if full is set. The exchange fills in the sender.
+	TakeUpdate(full bool) Message
+	// ApplyUpdate consumes a message from a peer.
+	ApplyUpdate(message *Message)
+	// TakeSupplement does the same as Drain for supplements, and ApplySupplement consumes one from a peer.
+	TakeSupplement(full bool) Supplement
+	ApplySupplement(supplement *Supplement)
 }
 
 // Settings configures an exchange.
@@ -46,13 +46,13 @@
 	}
 }
 
-// Audience is the set of receivers of updates.
-type Audience struct {
+// Receivers is the set of receivers of updates.
+type Receivers struct {
 	// Peers are the addresses that receive every update. It must be complete: gateways that lack each other's load and
 	// cached segments cost far more than the datagrams.
 	Peers []string
-	// StandsBy is set for a standby gateway, which sends changes but no heartbeats.
-	StandsBy bool
+	// Standby is set for a standby gateway, which sends changes but no heartbeats.
+	Standby bool
 }
 
 // Exchange sends and receives updates as datagrams.
@@ -63,7 +63,7 @@
 	socket   *net.UDPConn
 	urgent   chan struct{}
 	changed  chan struct{}
-	audience chan Audience
+	audience chan Receivers
 	epoch    int64
 	sequence uint64
 
@@ -86,7 +86,7 @@
 	}
 	return &Exchange{
 		settings: settings, source: source, logger: logger, socket: socket, epoch: time.Now().UnixNano(),
-		urgent: make(chan struct{}, 1), changed: make(chan struct{}, 1), audience: make(chan Audience, 1),
+		urgent: make(chan struct{}, 1), changed: make(chan struct{}, 1), audience: make(chan Receivers, 1),
 	}, nil
 }
 
@@ -103,7 +103,7 @@
 }
 
 // SetAudience replaces the receivers.
-func (e *Exchange) SetAudience(audience Audience) {
+func (e *Exchange) SetAudience(audience Receivers) {
 	for {
 		select {
 		case e.audience <- audience:
@@ -145,13 +145,13 @@
 	if isSupplement(encoded) {
 		supplement, err := DecodeSupplement(encoded)
 		if err == nil {
-			e.source.HearSupplement(supplement)
+			e.source.ApplySupplement(supplement)
 		}
 		return err
 	}
 	message, err := Decode(encoded)
 	if err == nil {
-		e.source.Hear(message)
+		e.source.ApplyUpdate(message)
 	}
 	return err
 }
@@ -201,9 +201,9 @@
 
 // applyAudience applies new receivers. A gateway that becomes standby first tells the peers that received its
 // heartbeats.
-func (e *Exchange) applyAudience(audience Audience) {
-	becameStandby := audience.StandsBy && !e.standby
-	e.standby = audience.StandsBy
+func (e *Exchange) applyAudience(audience Receivers) {
+	becameStandby := audience.Standby && !e.standby
+	e.standby = audience.Standby
 	if becameStandby {
 		e.sendMessage(Message{})
 	}
@@ -230,16 +230,16 @@
 	if full {
 		e.lastFull = e.lastSent
 	}
-	message := e.source.Drain(full)
+	message := e.source.TakeUpdate(full)
 	message.Full = full
 	e.sendMessage(message)
-	e.sendSupplement(e.source.DrainSupplement(full))
+	e.sendSupplement(e.source.TakeSupplement(full))
 }
 
 // sendMessage sends a message to all peers. Send errors are ignored, as datagrams may be lost anyway.
 func (e *Exchange) sendMessage(message Message) {
 	e.sequence++
-	message.Sender, message.Epoch, message.Sequence, message.StandsBy = e.settings.Name, e.epoch, e.sequence, e.standby
+	message.Sender, message.Epoch, message.Sequence, message.Standby = e.settings.Name, e.epoch, e.sequence, e.standby
 	encoded, err := message.Encode()
 	if err != nil {
 		e.logger.WithError(err).Error("Cannot encode a message to peers.")
--- a/internal/loadshare/loadshare_test.go
+++ b/internal/loadshare/loadshare_test.go
@@ -16,14 +16,14 @@
 func TestMessageRoundTrip(t *testing.T) {
 	message := &Message{
 		Sender: "a", Epoch: 3, Sequence: 9, Full: true,
-		Loads: []Load{{Worker: "w", Running: 2, ReadingTokens: 300}}, Kept: []Kept{{Worker: "w", Key: "k", Tokens: 9, Ready: true}},
+		Loads: []Load{{Worker: "w", Running: 2, PrefillTokens: 300}}, Kept: []CachedSegment{{Worker: "w", Key: "k", Tokens: 9, Ready: true}},
 	}
 	encoded, err := message.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
 	decoded, err := Decode(encoded)
-	if err != nil || decoded.Sender != "a" || !decoded.Full || decoded.Loads[0].ReadingTokens != 300 || !decoded.Kept[0].Ready {
+	if err != nil || decoded.Sender != "a" || !decoded.Full || decoded.Loads[0].PrefillTokens != 300 || !decoded.Kept[0].Ready {
 		t.Fatalf("got %+v, %v", decoded, err)
 	}
 	if _, err := Decode([]byte("nonsense")); err == nil {
@@ -45,7 +45,7 @@
 				Full:     true,
 			}
 			if running := rapid.IntRange(0, 3).Draw(t, "running"); running > 0 {
-				message.Loads = []Load{{Worker: "w", Running: running, ReadingTokens: running * 10}}
+				message.Loads = []Load{{Worker: "w", Running: running, PrefillTokens: running * 10}}
 			}
 			previous := latest[message.Sender]
 			newer := previous == nil || message.Epoch > previous.Epoch || (message.Epoch == previous.Epoch && message.Sequence > previous.Sequence)
@@ -82,13 +82,15 @@
 	received []*Message
 }
 
-func (s *fakeSource) Drain(bool) Message { return Message{Loads: []Load{{Worker: "w", Running: 1}}} }
+func (s *fakeSource) TakeUpdate(bool) Message {
+	return Message{Loads: []Load{{Worker: "w", Running: 1}}}
+}
 
-func (s *fakeSource) DrainSupplement(bool) Supplement { return Supplement{} }
+func (s *fakeSource) TakeSupplement(bool) Supplement { return Supplement{} }
 
-func (s *fakeSource) HearSupplement(*Supplement) {}
+func (s *fakeSource) ApplySupplement(*Supplement) {}
 
-func (s *fakeSource) Hear(message *Message) {
+func (s *fakeSource) ApplyUpdate(message *Message) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.received = append(s.received, message)
@@ -138,7 +140,7 @@
 
 func TestPeersReceiveChangesAndHeartbeats(t *testing.T) {
 	exchanges, sources := exchangePair(t)
-	exchanges[0].SetAudience(Audience{Peers: []string{address(exchanges[1])}})
+	exchanges[0].SetAudience(Receivers{Peers: []string{address(exchanges[1])}})
 	exchanges[0].Changed(true)
 	waitForMessages(t, sources[1], 5)
 }
@@ -148,16 +150,16 @@
 func TestStandbyStopsHeartbeats(t *testing.T) {
 	exchanges, sources := exchangePair(t)
 	peers := []string{address(exchanges[1])}
-	exchanges[0].SetAudience(Audience{Peers: peers})
+	exchanges[0].SetAudience(Receivers{Peers: peers})
 	waitForMessages(t, sources[1], 3)
-	exchanges[0].SetAudience(Audience{Peers: peers, StandsBy: true})
+	exchanges[0].SetAudience(Receivers{Peers: peers, Standby: true})
 	received := func() (messages []*Message) {
 		sources[1].mutex.Lock()
 		defer sources[1].mutex.Unlock()
 		return append(messages, sources[1].received...)
 	}
 	for range 200 {
-		if messages := received(); messages[len(messages)-1].StandsBy {
+		if messages := received(); messages[len(messages)-1].Standby {
 			break
 		}
 		time.Sleep(10 * time.Millisecond)
@@ -165,12 +167,12 @@
 	count := sources[1].receivedCount()
 	time.Sleep(100 * time.Millisecond)
 	messages := received()
-	if len(messages) != count || !messages[count-1].StandsBy {
-		t.Errorf("%d messages after %d, StandsBy of the last one: %t", len(messages), count, messages[count-1].StandsBy)
+	if len(messages) != count || !messages[count-1].Standby {
+		t.Errorf("%d messages after %d, StandsBy of the last one: %t", len(messages), count, messages[count-1].Standby)
 	}
 	exchanges[0].Changed(true)
 	waitForMessages(t, sources[1], count+1)
-	if messages := received(); !messages[count].StandsBy || len(messages[count].Loads) == 0 {
+	if messages := received(); !messages[count].Standby || len(messages[count].Loads) == 0 {
 		t.Errorf("the change was sent as %+v", messages[count])
 	}
 }
--- a/internal/loadshare/rate.go
+++ b/internal/loadshare/rate.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Offered is the work that callers have offered to a group through one gateway.
-type Offered struct {
+// OfferedLoad is the work that callers have offered to a group through one gateway.
+type OfferedLoad struct {
 	_     struct{} `cbor:",toarray"`
 	Group string
 	// Tokens counts the prompt tokens for engines since the start of the sender.
--- a/internal/loadshare/supplement.go
+++ b/internal/loadshare/supplement.go
@@ -14,19 +14,19 @@
 	// Limits lists workers that set or revoked a rate limit in responses to the sender.
 	Limits []Limit `cbor:"2,keyasint,omitempty"`
 	// Asks are the sender's questions for loans of requests at workers with limits, and Loans are its loans to others.
-	Asks  []Ask  `cbor:"3,keyasint,omitempty"`
-	Loans []Loan `cbor:"4,keyasint,omitempty"`
+	Asks  []LoanRequest `cbor:"3,keyasint,omitempty"`
+	Loans []Loan        `cbor:"4,keyasint,omitempty"`
 }
 
-// Ask asks the other gateways for a loan of requests at workers with limits.
-type Ask struct {
+// LoanRequest asks the other gateways for a loan of requests at workers with limits.
+type LoanRequest struct {
 	_     struct{} `cbor:",toarray"`
 	Asker string
 	// Serial identifies a question of an asker, also across its restarts.
 	Serial  int64
 	Workers []string
-	// Wanted is the maximum number of requests per worker.
-	Wanted int
+	// MaxRequests is the maximum number of requests per worker.
+	MaxRequests int
 }
 
 // Loan lends requests at a worker to the gateway that asked for them. The lender does not use them anymore.
