--- a/internal/gateway/admin_tenants.go
+++ b/internal/gateway/admin_tenants.go
@@ -44,11 +44,11 @@
 func (a admin) Usage() adminapi.UsageStatus {
 	status := adminapi.UsageStatus{Gateway: a.settings.Name, Open: []adminapi.OpenWindow{}}
 	if a.tenantUsage.reporter != nil {
-		counts := a.tenantUsage.reporter.Figures()
-		status.Agreed, status.Sent, status.Late, status.Failed, status.Superseded = counts.Agreed, counts.Sent, counts.Late, counts.Failed, counts.Refused
+		counts := a.tenantUsage.reporter.Stats()
+		status.Agreed, status.Sent, status.Late, status.Failed, status.Superseded = counts.Finalized, counts.Sent, counts.Late, counts.Failed, counts.Superseded
 	}
 	if a.tenantUsage.tally != nil {
-		for _, window := range a.tenantUsage.tally.Open() {
+		for _, window := range a.tenantUsage.tally.OpenWindows() {
 			requests := a.tenantUsage.tally.Sum(window)
 			status.Open = append(status.Open, adminapi.OpenWindow{
 				Window: window, Requests: lo.Sum(lo.Values(requests)), Tenants: len(requests),
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -191,7 +191,7 @@
 func (m *gatewayMetrics) registerFleetTasks(reporter *usage.Reporter, executor *capacity.Executor) {
 	m.writeFleetTasks = func(w io.Writer) {
 		if reporter != nil {
-			writeUsageWindows(w, reporter.Figures())
+			writeUsageWindows(w, reporter.Stats())
 		}
 		if executor != nil {
 			writeCapacity(w, executor.Status())
@@ -200,13 +200,13 @@
 }
 
 // writeUsageWindows writes the outcomes of usage windows.
-func writeUsageWindows(w io.Writer, counts usage.Figures) {
+func writeUsageWindows(w io.Writer, counts usage.Stats) {
 	for _, window := range []struct {
 		outcome string
 		n       int
 	}{
-		{"agreed", counts.Agreed}, {"sent", counts.Sent}, {"late", counts.Late}, {"failed", counts.Failed},
-		{"superseded", counts.Refused},
+		{"agreed", counts.Finalized}, {"sent", counts.Sent}, {"late", counts.Late}, {"failed", counts.Failed},
+		{"superseded", counts.Superseded},
 	} {
 		metrics.WriteCounterUint64(w, fmt.Sprintf(`%s{outcome=%q}`, metricWindows, window.outcome), uint64(window.n))
 	}
--- a/internal/gateway/tenantusage.go
+++ b/internal/gateway/tenantusage.go
@@ -34,7 +34,7 @@
 		return u
 	}
 	settings := usage.DefaultSettings()
-	settings.Holder, settings.Window, settings.Due = g.settings.Name, u.window, g.settings.UsageDue
+	settings.Holder, settings.Window, settings.LateAfter = g.settings.Name, u.window, g.settings.UsageDue
 	u.reporter = usage.NewReporter(settings, g.ports.Store, g.ports.Usage, u.tally, u.clock.Now, g.controller.Authority,
 		logging.Part(g.logger, "usage"), g.recordDecision)
 	return u
@@ -50,10 +50,10 @@
 	switch {
 	case full:
 		message.WallMs = now.UnixMilli()
-		message.Used = u.tally.All(now)
+		message.Used = u.tally.TakeAll(now)
 		u.sentAt = now
 	case standby || now.Sub(u.sentAt) >= usageSendInterval:
-		message.Used = u.tally.Untold()
+		message.Used = u.tally.TakeUnsent()
 		u.sentAt = now
 	}
 }
@@ -64,7 +64,7 @@
 		return
 	}
 	if message.WallMs > 0 {
-		u.clock.Heard(message.Sender, time.UnixMilli(message.WallMs))
+		u.clock.ObservePeer(message.Sender, time.UnixMilli(message.WallMs))
 	}
 	u.tally.Merge(time.Now(), message.Sender, message.Used)
 }
@@ -79,8 +79,8 @@
 		logging.Part(g.logger, "usage").WithError(err).Error("Cannot decode the usage ledger.")
 		return
 	}
-	g.tenantUsage.tally.Agreed(ledger.Next)
+	g.tenantUsage.tally.Finalized(ledger.Next)
 	if g.tenantUsage.reporter != nil {
-		g.tenantUsage.reporter.Heard(ledger)
+		g.tenantUsage.reporter.ObserveLedger(ledger)
 	}
 }
--- a/internal/usage/clock.go
+++ b/internal/usage/clock.go
@@ -41,8 +41,8 @@
 	return func() (time.Duration, time.Time) { return boottime.Now().Sub(start), time.Now().Round(0) }
 }
 
-// Heard records the time of day in a message that has just arrived from another gateway.
-func (c *Clock) Heard(gateway string, wall time.Time) {
+// ObservePeer records the time of day in a message that has just arrived from another gateway.
+func (c *Clock) ObservePeer(gateway string, wall time.Time) {
 	monotonic, _ := c.readClocks()
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/usage/model_test.go
+++ b/internal/usage/model_test.go
@@ -71,7 +71,7 @@
 func (s *simulation) startGateway(number int, epoch int64) *gateway {
 	g := &gateway{number: number, tally: NewTally(fmt.Sprint("g", number), epoch)}
 	settings := DefaultSettings()
-	settings.Holder, settings.Window, settings.Due = fmt.Sprint("g", number), testWindow, 10*time.Second
+	settings.Holder, settings.Window, settings.LateAfter = fmt.Sprint("g", number), testWindow, 10*time.Second
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	g.reporter = NewReporter(settings, s, simulatedPlatform{s}, g.tally, func() time.Time { return s.now }, func() (int64, bool) {
@@ -132,7 +132,7 @@
 // exchangeCounts sends all counts of each gateway to the others.
 func (s *simulation) exchangeCounts() {
 	for _, from := range s.gateways {
-		counts := from.tally.All(s.now)
+		counts := from.tally.TakeAll(s.now)
 		for _, to := range s.gateways {
 			if to != from {
 				to.tally.Merge(s.now, fmt.Sprint("g", from.number), counts)
@@ -165,7 +165,7 @@
 	}
 	for _, g := range s.gateways {
 		if rapid.Bool().Draw(s.t, "watch notifies") {
-			g.tally.Agreed(ledger.Next)
+			g.tally.Finalized(ledger.Next)
 		}
 	}
 	return s.revision, nil
--- a/internal/usage/reporter.go
+++ b/internal/usage/reporter.go
@@ -30,15 +30,15 @@
 type Settings struct {
 	// Holder is the name of the process, unique in the fleet.
 	Holder string
-	// Window is the length of a window, and Due how long after its end a report counts as late.
-	Window, Due time.Duration
+	// Window is the length of a window, and LateAfter how long after its end a report counts as late.
+	Window, LateAfter time.Duration
 	// Settle is how long after its end a window is finalized. By then all gateways have sent their counts.
 	Settle time.Duration
-	// Hear is how long after it acquired the authority a process starts to finalize windows. By then the other
+	// CollectDelay is how long after it acquired the authority a process starts to finalize windows. By then the other
 	// gateways know the new holder and have sent it their counts.
-	Hear time.Duration
-	// Tick is the interval between steps, and LongestPause bounds the exponential backoff after failed calls.
-	Tick, LongestPause time.Duration
+	CollectDelay time.Duration
+	// Tick is the interval between steps, and MaxBackoff bounds the exponential backoff after failed calls.
+	Tick, MaxBackoff time.Duration
 	// CallTimeout is the timeout of one call.
 	CallTimeout time.Duration
 }
@@ -50,9 +50,9 @@
 		Settle: 1200 * time.Millisecond,
 		// Standby gateways learn of the new holder with their next poll of the feed (0.7 s) and then send everything
 		// within a second.
-		Hear:         1900 * time.Millisecond,
+		CollectDelay: 1900 * time.Millisecond,
 		Tick:         250 * time.Millisecond,
-		LongestPause: 2 * time.Second,
+		MaxBackoff:   2 * time.Second,
 		CallTimeout:  1500 * time.Millisecond,
 	}
 }
@@ -87,12 +87,12 @@
 	// newestLedger is the newest ledger known to have been stored. After a restore from a backup the store may hold an
 	// older one.
 	newestLedger Ledger
-	figures      Figures
+	figures      Stats
 }
 
-// Figures counts the actions of a reporter.
-type Figures struct {
-	Agreed, Sent, Late, Failed, Refused int
+// Stats counts the actions of a reporter.
+type Stats struct {
+	Finalized, Sent, Late, Failed, Superseded int
 }
 
 // NewReporter returns a reporter. It does nothing until Run or Step is called. now returns the time of day.
@@ -106,15 +106,15 @@
 	}
 }
 
-// Figures returns the counts of actions so far.
-func (r *Reporter) Figures() Figures {
+// Stats returns the counts of actions so far.
+func (r *Reporter) Stats() Stats {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.figures
 }
 
 // updateFigures updates the figures under the mutex.
-func (r *Reporter) updateFigures(update func(*Figures)) {
+func (r *Reporter) updateFigures(update func(*Stats)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	update(&r.figures)
@@ -143,7 +143,7 @@
 	if fence != r.fence {
 		r.fence, r.authoritySince, r.ledgerKnown = fence, now, false
 	}
-	if err := r.process(ctx, now.Sub(r.authoritySince) >= r.settings.Hear); err != nil {
+	if err := r.process(ctx, now.Sub(r.authoritySince) >= r.settings.CollectDelay); err != nil {
 		r.handleError(now, err)
 		return
 	}
@@ -154,12 +154,12 @@
 func (r *Reporter) handleError(now time.Time, err error) {
 	if errors.Is(err, ErrSuperseded) {
 		r.supersededFence = r.fence
-		r.updateFigures(func(f *Figures) { f.Refused++ })
+		r.updateFigures(func(f *Stats) { f.Superseded++ })
 		r.logger.WithField("fence", r.fence).Warn("Another gateway has taken over usage reporting. Stopping.")
 		return
 	}
-	r.updateFigures(func(f *Figures) { f.Failed++ })
-	r.backoff = min(max(2*r.backoff, r.settings.Tick), r.settings.LongestPause)
+	r.updateFigures(func(f *Stats) { f.Failed++ })
+	r.backoff = min(max(2*r.backoff, r.settings.Tick), r.settings.MaxBackoff)
 	r.retryAt = now.Add(r.backoff)
 	r.logger.WithError(err).WithField("pause", r.backoff).Warn("Cannot report usage. Retrying.")
 }
@@ -206,8 +206,8 @@
 	return r.restoreLedger(ctx)
 }
 
-// Heard records a ledger that the store holds.
-func (r *Reporter) Heard(ledger Ledger) {
+// ObserveLedger records a ledger that the store holds.
+func (r *Reporter) ObserveLedger(ledger Ledger) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if ledger.Next > r.newestLedger.Next {
@@ -248,7 +248,7 @@
 		return errors.Wrap(err, "write usage ledger")
 	}
 	r.ledger, r.revision = updated, revision
-	r.Heard(updated)
+	r.ObserveLedger(updated)
 	return nil
 }
 
@@ -266,8 +266,8 @@
 		return err
 	}
 	r.pruneAccepted()
-	r.tally.Agreed(updated.Next)
-	r.updateFigures(func(f *Figures) { f.Agreed += len(reports) })
+	r.tally.Finalized(updated.Next)
+	r.updateFigures(func(f *Stats) { f.Finalized += len(reports) })
 	return nil
 }
 
@@ -324,7 +324,7 @@
 	r.mu.Lock()
 	r.acceptedAt[report.Window] = now
 	r.figures.Sent++
-	if delay > r.settings.Due {
+	if delay > r.settings.LateAfter {
 		r.figures.Late++
 	}
 	r.mu.Unlock()
--- a/internal/usage/restore_test.go
+++ b/internal/usage/restore_test.go
@@ -58,7 +58,7 @@
 		logger.SetOutput(io.Discard)
 		reporter := func(name string) *Reporter {
 			settings := DefaultSettings()
-			settings.Holder, settings.Window, settings.Hear = name, time.Second, 0
+			settings.Holder, settings.Window, settings.CollectDelay = name, time.Second, 0
 			return NewReporter(settings, ledgers, sent, NewTally(name, 1), func() time.Time { return now }, func() (int64, bool) {
 				return map[string]int64{"a": 1, "b": 2}[name], holder == name
 			}, logger, func(decision.Record) {})
@@ -77,7 +77,7 @@
 		if err := json.Unmarshal(ledgers.value, &newest); err != nil {
 			t.Fatal(err)
 		}
-		b.Heard(newest)
+		b.ObserveLedger(newest)
 		ledgers.value, ledgers.revision = backup.value, store.NewRevision(2, backup.revision.Number())
 		next := a
 		if takesOver {
--- a/internal/usage/tally.go
+++ b/internal/usage/tally.go
@@ -129,8 +129,8 @@
 	}
 }
 
-// Untold returns the own counts that have changed since the last call of Untold or All.
-func (t *Tally) Untold() []Count {
+// TakeUnsent returns the own counts that have changed since the last call of TakeUnsent or All.
+func (t *Tally) TakeUnsent() []Count {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var counts []Count
@@ -145,8 +145,8 @@
 	return counts
 }
 
-// All returns the own counts, and those to be forwarded for gateways that have been silent.
-func (t *Tally) All(now time.Time) []Count {
+// TakeAll returns the own counts, and those to be forwarded for gateways that have been silent.
+func (t *Tally) TakeAll(now time.Time) []Count {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	clear(t.unsent)
@@ -166,8 +166,8 @@
 	return Count{Gateway: from.gateway, Epoch: from.epoch, Window: window, Requests: requests}
 }
 
-// Open returns the windows with counts that are not finalized, oldest first.
-func (t *Tally) Open() []int64 {
+// OpenWindows returns the windows with counts that are not finalized, oldest first.
+func (t *Tally) OpenWindows() []int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return slices.Sorted(maps.Keys(t.counts))
@@ -186,8 +186,8 @@
 	return sum
 }
 
-// Agreed records that the windows before next are finalized, and drops them.
-func (t *Tally) Agreed(next int64) {
+// Finalized records that the windows before next are finalized, and drops them.
+func (t *Tally) Finalized(next int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.firstOpen = max(t.firstOpen, next)
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -27,9 +27,9 @@
 				tallies[gateway].Add(window, "a")
 				total++
 			case 1:
-				messages, senders = append(messages, tallies[gateway].Untold()), append(senders, gateway)
+				messages, senders = append(messages, tallies[gateway].TakeUnsent()), append(senders, gateway)
 			case 2:
-				messages, senders = append(messages, tallies[gateway].All(epoch)), append(senders, gateway)
+				messages, senders = append(messages, tallies[gateway].TakeAll(epoch)), append(senders, gateway)
 			case 3:
 				if len(messages) > 0 {
 					i := rapid.IntRange(0, len(messages)-1).Draw(t, "message")
@@ -41,7 +41,7 @@
 			}
 		}
 		for from := range tallies {
-			counts := tallies[from].All(epoch)
+			counts := tallies[from].TakeAll(epoch)
 			for to := range tallies {
 				tallies[to].Merge(epoch, fmt.Sprint("g", from), counts)
 			}
@@ -57,17 +57,17 @@
 func TestPeersForwardCountsOfDeadGateway(t *testing.T) {
 	dead, peer, other := NewTally("dead", 1), NewTally("peer", 1), NewTally("other", 1)
 	dead.Add(7, "a")
-	peer.Merge(epoch, "dead", dead.Untold())
-	other.Merge(epoch.Add(time.Second), "peer", peer.All(epoch.Add(time.Second)))
+	peer.Merge(epoch, "dead", dead.TakeUnsent())
+	other.Merge(epoch.Add(time.Second), "peer", peer.TakeAll(epoch.Add(time.Second)))
 	if sum := other.Sum(7)["a"]; sum != 0 {
 		t.Fatalf("the counts of a live gateway were forwarded: %d", sum)
 	}
 	now := epoch.Add(silenceTimeout + time.Millisecond)
-	other.Merge(now, "peer", peer.All(now))
+	other.Merge(now, "peer", peer.TakeAll(now))
 	// The gateway restarts and counts again.
 	restarted := NewTally("dead", 2)
 	restarted.Add(7, "a")
-	other.Merge(now, "dead", restarted.All(now))
+	other.Merge(now, "dead", restarted.TakeAll(now))
 	if sum := other.Sum(7)["a"]; sum != 2 {
 		t.Fatalf("got %d requests, want 2", sum)
 	}
@@ -76,7 +76,7 @@
 func TestRequestAfterFinalizationCountsInNextWindow(t *testing.T) {
 	tally := NewTally("g", 1)
 	tally.Add(7, "a")
-	tally.Agreed(8)
+	tally.Finalized(8)
 	tally.Add(7, "a")
 	if before, after := tally.Sum(7)["a"], tally.Sum(8)["a"]; before != 0 || after != 1 {
 		t.Fatalf("got %d requests in the finalized window and %d in the next one, want 0 and 1", before, after)
@@ -94,7 +94,7 @@
 	}
 	expect("no peers", 0)
 	for i, ms := range []time.Duration{2, 10, -3000, 5} {
-		clock.Heard(fmt.Sprint("g", i), epoch.Add(ms*time.Millisecond))
+		clock.ObservePeer(fmt.Sprint("g", i), epoch.Add(ms*time.Millisecond))
 	}
 	expect("one peer is behind", 2*time.Millisecond)
 	monotonic, wall = time.Second, epoch.Add(3*time.Second)
