--- a/internal/absence/absence.go
+++ b/internal/absence/absence.go
@@ -11,17 +11,17 @@
 
 // Settings configures a table.
 type Settings struct {
-	// Mark is how long a report that the address of an engine refuses connections is valid. Probes that fail again
+	// ReportTTL is how long a report that the address of an engine refuses connections is valid. Probes that fail again
 	// renew it; without probes, the next request detects the absence again.
-	Mark time.Duration
-	// Return is the assumed time until an engine is back while no return has been observed. LongestReturn bounds the
+	ReportTTL time.Duration
+	// DefaultReturnTime is the assumed time until an engine is back while no return has been observed. MaxReturnTime bounds the
 	// observed times that are learned from: an engine that was away for longer was not simply restarted.
-	Return, LongestReturn time.Duration
+	DefaultReturnTime, MaxReturnTime time.Duration
 }
 
 // DefaultSettings returns a Mark of several probe intervals, and a Return of about the time until a record expires.
 func DefaultSettings() Settings {
-	return Settings{Mark: 1500 * time.Millisecond, Return: 3 * time.Second, LongestReturn: time.Minute}
+	return Settings{ReportTTL: 1500 * time.Millisecond, DefaultReturnTime: 3 * time.Second, MaxReturnTime: time.Minute}
 }
 
 // maxTrackedReturns bounds the ended engines whose return is awaited to measure its duration.
@@ -80,7 +80,7 @@
 		t.trackReturn(now, worker)
 		found = false
 	}
-	entry.expiry = now.Add(t.settings.Mark)
+	entry.expiry = now.Add(t.settings.ReportTTL)
 	isNew := !found || (direct && !entry.confirmed)
 	entry.confirmed = entry.confirmed || direct
 	return isNew
@@ -96,12 +96,12 @@
 	}
 }
 
-// Answers records that an engine responds, and reports whether it was known to be absent.
-func (t *Table) Answers(now time.Time, worker *backend.Worker) bool {
+// Responded records that an engine responds, and reports whether it was known to be absent.
+func (t *Table) Responded(now time.Time, worker *backend.Worker) bool {
 	_, found := t.absent[worker.ID]
 	delete(t.absent, worker.ID)
 	if found {
-		t.trustedUntil[worker.ID] = now.Add(t.settings.Mark)
+		t.trustedUntil[worker.ID] = now.Add(t.settings.ReportTTL)
 	}
 	if previous := t.endedByAddress[worker.Address]; previous.id == worker.ID {
 		delete(t.endedByAddress, worker.Address)
@@ -127,8 +127,8 @@
 	return engines
 }
 
-// Change removes engines whose records are gone, and learns from those that returned, which it returns.
-func (t *Table) Change(now time.Time, changes backend.Changes) []Return {
+// ApplyChanges removes engines whose records are gone, and learns from those that returned, which it returns.
+func (t *Table) ApplyChanges(now time.Time, changes backend.Changes) []Return {
 	for _, id := range changes.Removed {
 		delete(t.absent, id)
 	}
@@ -146,14 +146,14 @@
 		if !found || previous.id == worker.ID {
 			continue
 		}
-		if away := now.Sub(previous.since); away <= t.settings.LongestReturn {
+		if away := now.Sub(previous.since); away <= t.settings.MaxReturnTime {
 			t.returnTimes.add(away)
 			returns = append(returns, Return{Worker: worker, Away: away})
 		}
 		delete(t.endedByAddress, worker.Address)
 	}
 	for address, previous := range t.endedByAddress {
-		if now.Sub(previous.since) > t.settings.LongestReturn {
+		if now.Sub(previous.since) > t.settings.MaxReturnTime {
 			delete(t.endedByAddress, address)
 		}
 	}
@@ -181,9 +181,9 @@
 	return entry.expiry
 }
 
-// BackAt returns when an absent engine is expected to accept requests again under another ID, and whether that is
+// ExpectedReturn returns when an absent engine is expected to accept requests again under another ID, and whether that is
 // based on observed returns.
-func (t *Table) BackAt(id string) (at time.Time, learned bool) {
+func (t *Table) ExpectedReturn(id string) (at time.Time, learned bool) {
 	since := t.Since(id)
 	if since.IsZero() {
 		return since, false
@@ -191,7 +191,7 @@
 	if duration, known := t.returnTimes.upperBound(); known {
 		return since.Add(duration), true
 	}
-	return since.Add(t.settings.Return), false
+	return since.Add(t.settings.DefaultReturnTime), false
 }
 
 // durationEstimate is a smoothed mean of a duration and its mean deviation, as TCP keeps for round-trip times (RFC
--- a/internal/absence/absence_test.go
+++ b/internal/absence/absence_test.go
@@ -28,11 +28,13 @@
 		at   time.Duration
 		want bool
 	}{
-		{"before the report expires", func(*Table, *backend.Worker) {}, settings.Mark - 1, true},
-		{"the report has expired", func(*Table, *backend.Worker) {}, settings.Mark, false},
-		{"reported again", func(table *Table, worker *backend.Worker) { table.Refused(epoch.Add(time.Second), worker, false) }, settings.Mark, true},
-		{"the engine responds", func(table *Table, worker *backend.Worker) { table.Answers(epoch, worker) }, 0, false},
-		{"the record is removed", func(table *Table, _ *backend.Worker) { table.Change(epoch, backend.Changes{Removed: []string{"a"}}) }, 0, false},
+		{"before the report expires", func(*Table, *backend.Worker) {}, settings.ReportTTL - 1, true},
+		{"the report has expired", func(*Table, *backend.Worker) {}, settings.ReportTTL, false},
+		{"reported again", func(table *Table, worker *backend.Worker) { table.Refused(epoch.Add(time.Second), worker, false) }, settings.ReportTTL, true},
+		{"the engine responds", func(table *Table, worker *backend.Worker) { table.Responded(epoch, worker) }, 0, false},
+		{"the record is removed", func(table *Table, _ *backend.Worker) {
+			table.ApplyChanges(epoch, backend.Changes{Removed: []string{"a"}})
+		}, 0, false},
 	} {
 		t.Run(c.desc, func(t *testing.T) {
 			table, worker := New(settings), engine("a", "x")
@@ -56,7 +58,7 @@
 		now := epoch.Add(time.Duration(i) * 10 * time.Millisecond)
 		if table.Refused(now, worker, false) {
 			excluded++
-			table.Answers(now.Add(5*time.Millisecond), worker)
+			table.Responded(now.Add(5*time.Millisecond), worker)
 		}
 	}
 	if excluded != 1 {
@@ -75,14 +77,14 @@
 	now := epoch
 	for i := range 10 {
 		previous, next := engine(fmt.Sprint("a", i), "x"), engine(fmt.Sprint("a", i+1), "x")
-		table.Change(now, backend.Changes{Updated: []*backend.Worker{previous}})
+		table.ApplyChanges(now, backend.Changes{Updated: []*backend.Worker{previous}})
 		table.Refused(now, previous, true)
-		if at, learned := table.BackAt(previous.ID); learned != (i > 0) || at.Sub(now) < time.Second || at.Sub(now) > 4*time.Second {
+		if at, learned := table.ExpectedReturn(previous.ID); learned != (i > 0) || at.Sub(now) < time.Second || at.Sub(now) > 4*time.Second {
 			t.Errorf("incarnation %d: expected back in %s, learned: %v", i, at.Sub(now), learned)
 		}
 		now = now.Add(2 * time.Second)
-		table.Change(now, backend.Changes{Removed: []string{previous.ID}})
-		returned := table.Change(now, backend.Changes{Updated: []*backend.Worker{next}})
+		table.ApplyChanges(now, backend.Changes{Removed: []string{previous.ID}})
+		returned := table.ApplyChanges(now, backend.Changes{Updated: []*backend.Worker{next}})
 		if len(returned) != 1 || returned[0].Away != 2*time.Second {
 			t.Fatalf("incarnation %d: returned %+v", i, returned)
 		}
@@ -111,16 +113,16 @@
 				table.Refused(now, worker, false)
 				reportedAt[worker.ID] = now
 			case 2:
-				table.Answers(now, worker)
+				table.Responded(now, worker)
 				delete(reportedAt, worker.ID)
 				delete(direct, worker.ID)
 			default:
-				table.Change(now, set.Diff(nil))
+				table.ApplyChanges(now, set.Diff(nil))
 			}
 			for id := range set {
 				absent, confirmed := table.Absent(now, id)
 				at, reported := reportedAt[id]
-				if absent && (!reported || now.Sub(at) >= settings.Mark) {
+				if absent && (!reported || now.Sub(at) >= settings.ReportTTL) {
 					t.Fatalf("%s is absent, last reported at %s, now %s", id, at, now)
 				}
 				if confirmed && (!absent || !direct[id]) {
--- a/internal/forward/dispatcher.go
+++ b/internal/forward/dispatcher.go
@@ -137,7 +137,7 @@
 	changes.Updated = d.engineState.applyReportedRoles(now, changes.Updated, changes.Removed)
 	d.engineState.expirePendingRoles(now, d.balancer)
 	d.engineState.recordDecoders(changes.Updated)
-	d.engineState.returns = append(d.engineState.returns, d.engineState.absences.Change(now, changes)...)
+	d.engineState.returns = append(d.engineState.returns, d.engineState.absences.ApplyChanges(now, changes)...)
 	d.balancer.Change(changes)
 	d.engineState.signalRecovered()
 	if len(d.engineState.pendingRoles) > 0 || len(d.engineState.absences.Engines()) > 0 {
--- a/internal/forward/enginestate.go
+++ b/internal/forward/enginestate.go
@@ -218,7 +218,7 @@
 // markAlive clears the assumption that an engine has ended, and reports whether there was one. The mutex is held.
 func (d *Dispatcher) markAlive(worker *backend.Worker) bool {
 	now := d.now()
-	if !d.engineState.absences.Answers(now, worker) {
+	if !d.engineState.absences.Responded(now, worker) {
 		return false
 	}
 	d.balancer.SetGone(now, worker.ID, time.Time{})
@@ -357,7 +357,7 @@
 		case worker.Role == backend.RoleDecode && absent:
 			loss.Lost++
 			loss.Since = laterOf(loss.Since, d.engineState.absences.Since(worker.ID))
-			at, _ := d.engineState.absences.BackAt(worker.ID)
+			at, _ := d.engineState.absences.ExpectedReturn(worker.ID)
 			returnsAt = earliestSet(returnsAt, at)
 		case worker.Role == backend.RoleDecode && !isPending:
 			return Loss{}, false
--- a/internal/forward/rolechange.go
+++ b/internal/forward/rolechange.go
@@ -67,7 +67,7 @@
 		engine.Becoming = change.role
 	}
 	_, engine.Gone = d.engineState.absences.Absent(now, worker.ID)
-	if at, learnt := d.engineState.absences.BackAt(worker.ID); learnt {
+	if at, learnt := d.engineState.absences.ExpectedReturn(worker.ID); learnt {
 		engine.BackAt = at
 	}
 	return engine
