--- a/internal/authority/authority.go
+++ b/internal/authority/authority.go
@@ -19,8 +19,8 @@
 	Margin time.Duration
 	// TickInterval is how often Tick is called. A gap of more than twice as long means that the process was suspended.
 	TickInterval time.Duration
-	// ThawPause is how long, in addition to Margin, nothing is permitted after the process was suspended.
-	ThawPause time.Duration
+	// ResumeDelay is how long, in addition to Margin, nothing is permitted after the process was suspended.
+	ResumeDelay time.Duration
 }
 
 // DefaultSettings returns settings for leases of three seconds.
@@ -30,7 +30,7 @@
 		CallHandover: time.Second,
 		Margin:       700 * time.Millisecond,
 		TickInterval: 250 * time.Millisecond,
-		ThawPause:    300 * time.Millisecond,
+		ResumeDelay:  300 * time.Millisecond,
 	}
 }
 
@@ -81,8 +81,8 @@
 const (
 	// Returning holders held the key recently, or may have.
 	Returning Succession = iota
-	// Following holders did not hold the key recently.
-	Following
+	// NewHolder holders did not hold the key recently.
+	NewHolder
 	// First holders have no predecessor.
 	First
 )
@@ -95,7 +95,7 @@
 	switch succession {
 	case First:
 		a.orderFrom, a.callFrom = now, now
-	case Following:
+	case NewHolder:
 		// A holder that succeeds itself may still be waiting for earlier holders.
 		a.callFrom = laterOf(previousCallFrom, now.Add(a.settings.CallHandover))
 	}
@@ -126,7 +126,7 @@
 // Tick detects that the process was suspended. Call it every TickInterval.
 func (a *Authority) Tick(now time.Time) {
 	if !a.lastTick.IsZero() && now.Sub(a.lastTick) > 2*a.settings.TickInterval {
-		a.postpone(now.Add(a.settings.ThawPause + a.settings.Margin))
+		a.postpone(now.Add(a.settings.ResumeDelay + a.settings.Margin))
 	}
 	a.lastTick = now
 }
--- a/internal/authority/authority_test.go
+++ b/internal/authority/authority_test.go
@@ -30,7 +30,7 @@
 	if mayOrderAt(0) {
 		t.Fatal("an order is permitted without the key")
 	}
-	a.Acquired(epoch, 1, 42, Following)
+	a.Acquired(epoch, 1, 42, NewHolder)
 	a.Leased(epoch.Add(2*time.Second), 1, ttl)
 	if mayOrderAt(3 * time.Second) {
 		t.Fatal("an order is permitted within the handover")
@@ -53,7 +53,7 @@
 func TestSuspendedProcessWaits(t *testing.T) {
 	a := New(DefaultSettings())
 	a.Leased(epoch, 1, time.Hour)
-	a.Acquired(epoch, 1, 1, Following)
+	a.Acquired(epoch, 1, 1, NewHolder)
 	now := epoch
 	for range 40 {
 		now = now.Add(250 * time.Millisecond)
@@ -125,7 +125,7 @@
 				if holder < 0 {
 					revision++
 					holder, leaseUntil = i, now.Add(ttl)
-					succession := Following
+					succession := NewHolder
 					switch {
 					case len(previousHolders) == 0:
 						succession = First
@@ -189,7 +189,7 @@
 				revision++
 				holder, leaseUntil = i, now.Add(ttl)
 				process.Leased(clock, revision, ttl)
-				process.Acquired(clock, revision, revision, Following)
+				process.Acquired(clock, revision, revision, NewHolder)
 			}
 			if holder == i && rapid.IntRange(0, 3).Draw(t, "renew") > 0 {
 				leaseUntil = now.Add(ttl)
@@ -236,7 +236,7 @@
 	a.Acquired(at(1750), 3, 3, Returning)
 	a.Lost()
 	a.Leased(at(2000), 4, ttl)
-	a.Acquired(at(2000), 4, 4, Following)
+	a.Acquired(at(2000), 4, 4, NewHolder)
 	for ms := 2000; ms < 1750+int(settings.Handover.Milliseconds()); ms += 50 {
 		a.lastTick = time.Time{}
 		a.Leased(at(ms), 4, ttl)
--- a/internal/authority/restored_test.go
+++ b/internal/authority/restored_test.go
@@ -35,7 +35,7 @@
 // TestNewHolderAfterRestoreWaitsForOldLease guards against a new holder that acts while a holder unknown to the
 // restored store may still act.
 func TestNewHolderAfterRestoreWaitsForOldLease(t *testing.T) {
-	for _, succession := range []Succession{First, Following, Returning} {
+	for _, succession := range []Succession{First, NewHolder, Returning} {
 		settings := DefaultSettings()
 		a := New(settings)
 		a.Restored(epoch)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -162,7 +162,7 @@
 	}
 	control := roles.DefaultControllerSettings()
 	control.Holder = settings.Name
-	control.Authority.ThawPause = settings.ThawPause
+	control.Authority.ResumeDelay = settings.ThawPause
 	g.controller = roles.NewController(control, ports.Store, ports.Orderer, g.dispatcher, logging.Part(logger, "roles"), g.recordDecision)
 	g.engineMonitor = newEngineMonitor(g)
 	g.notices = newNoticeTracker(g)
--- a/internal/roles/holder.go
+++ b/internal/roles/holder.go
@@ -47,7 +47,7 @@
 	case slices.Contains(h.Holders[1:], name):
 		return authority.Returning
 	default:
-		return authority.Following
+		return authority.NewHolder
 	}
 }
 
