--- a/internal/balance/backoff.go
+++ b/internal/balance/backoff.go
@@ -38,9 +38,9 @@
 	return until
 }
 
-// BacksOffUntil returns when the back-off of a worker ends. The time is in the past or zero if the worker accepts
+// BackOffUntil returns when the back-off of a worker ends. The time is in the past or zero if the worker accepts
 // requests.
-func (b *Balancer) BacksOffUntil(id string) time.Time { return b.backOffs[id] }
+func (b *Balancer) BackOffUntil(id string) time.Time { return b.backOffs[id] }
 
 // backingOff reports whether the worker has asked for no requests.
 func (s *workerState) backingOff(now time.Time) bool { return now.Before(s.backOffUntil) }
--- a/internal/balance/backoff_test.go
+++ b/internal/balance/backoff_test.go
@@ -27,7 +27,7 @@
 
 // outcomesByName maps the outcomes in scripts.
 var outcomesByName = map[string]Outcome{
-	"good": OutcomeGood, "full": OutcomeFull, "silent": OutcomeSilent, "broken": OutcomeBroken,
+	"good": OutcomeGood, "full": OutcomeRefused, "silent": OutcomeTimeout, "broken": OutcomeMalformed,
 }
 
 // duration parses a duration of a script.
@@ -42,9 +42,9 @@
 // quotaShares returns the share of this gateway by worker, and has no loans.
 type quotaShares func(worker string) float64
 
-func (s quotaShares) Part(worker string, _ float64) float64 { return s(worker) }
-func (quotaShares) Lent(string) int                         { return 0 }
-func (quotaShares) UseLent(string) bool                     { return false }
+func (s quotaShares) Share(worker string, _ float64) float64 { return s(worker) }
+func (quotaShares) Loans(string) int                         { return 0 }
+func (quotaShares) UseLoan(string) bool                      { return false }
 
 // accepting returns the sorted IDs of the workers that can be picked.
 func (r *scriptRun) accepting() []string {
@@ -73,9 +73,9 @@
 			r.balancer.End(r.now, arguments[0], outcomesByName[arguments[1]])
 		}
 	case "unreachable":
-		r.balancer.SetGone(r.now, arguments[0], r.now.Add(time.Second))
+		r.balancer.SetUnreachable(r.now, arguments[0], r.now.Add(time.Second))
 	case "reachable":
-		r.balancer.SetGone(r.now, arguments[0], time.Time{})
+		r.balancer.SetUnreachable(r.now, arguments[0], time.Time{})
 	case "remove":
 		r.balancer.Change(backend.Changes{Removed: arguments})
 	case "add":
@@ -90,13 +90,13 @@
 		}
 	case "limit":
 		rate, _ := strconv.ParseFloat(arguments[1], 64)
-		r.balancer.Limit(r.now, arguments[0], rate, r.now.Add(-r.duration(arguments[2])))
+		r.balancer.SetLimit(r.now, arguments[0], rate, r.now.Add(-r.duration(arguments[2])))
 	case "no-limit":
-		r.balancer.Unlimit(arguments[0], r.now.Add(-r.duration(arguments[1])))
+		r.balancer.RemoveLimit(arguments[0], r.now.Add(-r.duration(arguments[1])))
 	case "share":
-		r.balancer.EarnLimits(r.now)
+		r.balancer.AccrueLimits(r.now)
 		r.share, _ = strconv.ParseFloat(arguments[0], 64)
-		r.balancer.EarnLimits(r.now)
+		r.balancer.AccrueLimits(r.now)
 	case "spend":
 		spent := 0
 		for r.balancer.Spend(r.now, arguments[0]) && spent < 100 {
@@ -106,7 +106,7 @@
 			return fmt.Sprintf("spent %d requests", spent)
 		}
 	case "accepts-in":
-		full, allFull := r.balancer.FullUntil(r.now, "g", backend.RoleDecode)
+		full, allFull := r.balancer.RoleFullUntil(r.now, "g", backend.RoleDecode)
 		if got := full.Until.Sub(r.now).String(); (allFull && got != arguments[0]) || (!allFull && arguments[0] != "never") {
 			return fmt.Sprintf("accepts in %s, all full: %t", got, allFull)
 		}
@@ -168,7 +168,7 @@
 			}
 		}
 		now := epoch.Add(time.Duration(rapid.IntRange(0, 5000).Draw(t, "later")) * time.Millisecond)
-		query := Query{Group: "g", Role: backend.RoleDecode, Request: rapid.String().Draw(t, "request"), Apart: rapid.SampledFrom([]string{"", "a"}).Draw(t, "apart")}
+		query := Query{Group: "g", Role: backend.RoleDecode, Request: rapid.String().Draw(t, "request"), SuspectKey: rapid.SampledFrom([]string{"", "a"}).Draw(t, "apart")}
 		if choice, found := balancer.Pick(now, query); found && now.Before(until[choice.Worker.ID]) {
 			t.Fatalf("picked %s, which backs off for %s", choice.Worker.ID, until[choice.Worker.ID].Sub(now))
 		}
@@ -189,13 +189,13 @@
 		for id := range set {
 			if rapid.Bool().Draw(t, id) {
 				limits[id] = rapid.Float64Range(0.1, 20).Draw(t, "limit")
-				balancer.Limit(epoch, id, limits[id], epoch)
+				balancer.SetLimit(epoch, id, limits[id], epoch)
 			}
 		}
 		const seconds = 3
 		for step := range seconds * 50 {
 			now := epoch.Add(time.Duration(step) * 20 * time.Millisecond)
-			query := Query{Group: "g", Role: backend.RoleDecode, Request: fmt.Sprint(step), Apart: rapid.SampledFrom([]string{"", "a"}).Draw(t, "apart")}
+			query := Query{Group: "g", Role: backend.RoleDecode, Request: fmt.Sprint(step), SuspectKey: rapid.SampledFrom([]string{"", "a"}).Draw(t, "apart")}
 			choice, found := balancer.Pick(now, query)
 			if !found {
 				continue
--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -26,30 +26,30 @@
 	// Key is the affinity key: prompts with the same key share a cacheable prefix. It breaks ties between workers.
 	// Empty means no preference.
 	Key string
-	// Reading estimates the prefill cost of the prompt at a worker. Nil means no cost.
-	Reading func(worker *backend.Worker) Reading
+	// PrefillCost estimates the prefill cost of the prompt at a worker. Nil means no cost.
+	PrefillCost func(worker *backend.Worker) PrefillCost
 	// Deferred prompts are prefilled after all others.
 	Deferred bool
 	// Zone is the preferred zone.
 	Zone string
-	// Near lists the IDs of workers that have a part of the prompt cached. They are candidates even if the role is
+	// Holders lists the IDs of workers that have a part of the prompt cached. They are candidates even if the role is
 	// sampled.
-	Near []string
-	// Gather concentrates prompts whose key is not worth a worker of its own on a few workers of the zone, to limit
+	Holders []string
+	// Concentrate concentrates prompts whose key is not worth a worker of its own on a few workers of the zone, to limit
 	// the number of connections.
-	Gather bool
+	Concentrate bool
 	// Excluded lists workers that must not be tried again.
 	Excluded []string
-	// Apart is set for a suspect: a request that may crash its worker. Suspects are restricted to as many workers as
+	// SuspectKey is set for a suspect: a request that may crash its worker. Suspects are restricted to as many workers as
 	// the role can afford to lose. Among those whose cost is close to the cheapest, this key selects one, so that
 	// suspects that ran on the same worker are separated on the next and can be told apart.
-	Apart string
-	// Begun is set for a suspect that has been prefilled in its turn and now needs a worker for decoding.
-	Begun bool
+	SuspectKey string
+	// Prefilled is set for a suspect that has been prefilled in its turn and now needs a worker for decoding.
+	Prefilled bool
 }
 
-// Reading is the prefill cost of a prompt at a worker.
-type Reading struct {
+// PrefillCost is the prefill cost of a prompt at a worker.
+type PrefillCost struct {
 	// Tokens is the number of tokens that the worker must prefill.
 	Tokens int
 	// TransferSeconds is the time to transfer the rest from the caches of other workers, and the cost of recomputing
@@ -61,24 +61,24 @@
 type Score struct {
 	// Queue is the time until the work already at the worker is done.
 	Queue float64
-	// Reading is the time to prefill the tokens that the worker has not cached, and HoldUp is the delay that this
+	// Prefill is the time to prefill the tokens that the worker has not cached, and Interference is the delay that this
 	// adds to the responses that the worker is decoding.
-	Reading float64
-	HoldUp  float64
+	Prefill      float64
+	Interference float64
 	// Transfer is the cost of transferring cached tokens from other workers.
 	Transfer float64
-	// Distance is the cost of crossing zones.
-	Distance float64
-	// Answer is the expected time to the first token, and Wait is the part of it that is spent queueing. They are not
+	// ZoneCost is the cost of crossing zones.
+	ZoneCost float64
+	// TimeToFirstToken is the expected time to the first token, and QueueWait is the part of it that is spent queueing. They are not
 	// part of the total.
-	Answer, Wait float64
-	// Doubt is the penalty of an ejected worker that is used because too few healthy workers are left.
-	Doubt float64
+	TimeToFirstToken, QueueWait float64
+	// EjectedPenalty is the penalty of an ejected worker that is used because too few healthy workers are left.
+	EjectedPenalty float64
 }
 
 // Total returns the total cost in seconds.
 func (s Score) Total() float64 {
-	return s.Queue + s.Reading + s.HoldUp + s.Transfer + s.Distance + s.Doubt
+	return s.Queue + s.Prefill + s.Interference + s.Transfer + s.ZoneCost + s.EjectedPenalty
 }
 
 // Choice is a picked worker and its score.
@@ -244,8 +244,8 @@
 // Loaded returns the sorted IDs of the workers with load from this gateway.
 func (b *Balancer) Loaded() []string { return slices.Sorted(maps.Keys(b.loaded)) }
 
-// Answered records that a worker has prefilled the prompt of a request, which is still running there.
-func (b *Balancer) Answered(id string, load backend.Load) {
+// PrefillDone records that a worker has prefilled the prompt of a request, which is still running there.
+func (b *Balancer) PrefillDone(id string, load backend.Load) {
 	if state, found := b.workers[id]; found {
 		load.Running = 0
 		state.load = state.load.Minus(load)
@@ -265,11 +265,11 @@
 	return state.health.record(now, outcome, &b.settings.Health)
 }
 
-// Hearsay records that another gateway has ejected a worker. It counts as one failure: reports from two gateways, or
+// RemoteEjection records that another gateway has ejected a worker. It counts as one failure: reports from two gateways, or
 // one report and one local failure, eject the worker here too.
-func (b *Balancer) Hearsay(now time.Time, id string) {
+func (b *Balancer) RemoteEjection(now time.Time, id string) {
 	if state, found := b.workers[id]; found {
-		state.health.record(now, OutcomeSilent, &b.settings.Health)
+		state.health.record(now, OutcomeTimeout, &b.settings.Health)
 	}
 }
 
@@ -322,9 +322,9 @@
 	return !s.worker.Draining && !s.unreachable(now) && !s.changingRole(now)
 }
 
-// KeptOff reports whether a worker is skipped because it is ejected or unreachable, and whether it is changing its
+// Skipped reports whether a worker is skipped because it is ejected or unreachable, and whether it is changing its
 // role.
-func (b *Balancer) KeptOff(now time.Time, id string) (ejected, changingRole bool) {
+func (b *Balancer) Skipped(now time.Time, id string) (ejected, changingRole bool) {
 	state, found := b.workers[id]
 	if !found {
 		return false, false
@@ -332,9 +332,9 @@
 	return state.health.ejected(now) || state.unreachable(now), state.changingRole(now)
 }
 
-// SetGone marks a worker as unreachable until the given time. A time that has passed marks it as reachable and clears
+// SetUnreachable marks a worker as unreachable until the given time. A time that has passed marks it as reachable and clears
 // its health record.
-func (b *Balancer) SetGone(now time.Time, id string, until time.Time) {
+func (b *Balancer) SetUnreachable(now time.Time, id string, until time.Time) {
 	state, found := b.workers[id]
 	if !found {
 		return
@@ -367,8 +367,8 @@
 	}
 }
 
-// SetChanging marks a worker as changing its role until the given time.
-func (b *Balancer) SetChanging(id string, until time.Time) {
+// SetRoleChange marks a worker as changing its role until the given time.
+func (b *Balancer) SetRoleChange(id string, until time.Time) {
 	if state, found := b.workers[id]; found {
 		state.roleChangeUntil = until
 	}
@@ -394,27 +394,27 @@
 // Count returns the number of workers of a group.
 func (b *Balancer) Count(group string) int { return len(b.index.byGroup[group]) }
 
-// Engines returns the workers of a group, ordered by ID, each with its total load and whether it is usable.
-func (b *Balancer) Engines(now time.Time, group string) iter.Seq2[*backend.Worker, Standing] {
-	return func(yield func(*backend.Worker, Standing) bool) {
+// WorkerStatuses returns the workers of a group, ordered by ID, each with its total load and whether it is usable.
+func (b *Balancer) WorkerStatuses(now time.Time, group string) iter.Seq2[*backend.Worker, WorkerStatus] {
+	return func(yield func(*backend.Worker, WorkerStatus) bool) {
 		for _, state := range b.index.byGroup[group] {
-			if !yield(state.worker, Standing{Load: b.combinedLoad(state), Usable: state.usable(now)}) {
+			if !yield(state.worker, WorkerStatus{Load: b.combinedLoad(state), Usable: state.usable(now)}) {
 				return
 			}
 		}
 	}
 }
 
-// Standing is the state of a worker at one moment.
-type Standing struct {
+// WorkerStatus is the state of a worker at one moment.
+type WorkerStatus struct {
 	// Load is the load that all gateways have placed on the worker.
 	Load backend.Load
 	// Usable is set if the worker is in service, not backing off and not ejected.
 	Usable bool
 }
 
-// Home returns the preferred worker of the query, or nil if there is none.
-func (b *Balancer) Home(now time.Time, query Query) *backend.Worker {
+// Preferred returns the preferred worker of the query, or nil if there is none.
+func (b *Balancer) Preferred(now time.Time, query Query) *backend.Worker {
 	if preferred := b.shortlistWorkers(now, query).preferred; preferred != nil {
 		return preferred.worker
 	}
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -65,7 +65,7 @@
 		for id := range set {
 			for range rapid.IntRange(0, 4).Draw(t, "failures of "+id) {
 				balancer.Begin(id, LoadOf(0, false))
-				balancer.End(epoch, id, OutcomeBroken)
+				balancer.End(epoch, id, OutcomeMalformed)
 			}
 		}
 		choice, found := balancer.Pick(epoch, Query{Request: "r", Group: "g", Role: backend.RoleDecode, Excluded: excluded})
@@ -147,11 +147,11 @@
 func TestOneReportFromAnotherGatewayDoesNotEject(t *testing.T) {
 	balancer := New(DefaultSettings(), enginemodel.New(), nil)
 	balancer.SetWorkers(engines(backend.RoleDecode, 4))
-	balancer.Hearsay(epoch, "decode-0")
+	balancer.RemoteEjection(epoch, "decode-0")
 	if !balancer.Usable(epoch, "decode-0") {
 		t.Error("one report ejected the worker")
 	}
-	balancer.Hearsay(epoch, "decode-0")
+	balancer.RemoteEjection(epoch, "decode-0")
 	if balancer.Usable(epoch, "decode-0") {
 		t.Error("two reports did not eject the worker")
 	}
@@ -173,7 +173,7 @@
 		balancer.Begin(choice.Worker.ID, LoadOf(0, false))
 		outcome := OutcomeGood
 		if choice.Worker.ID == "decode-0" {
-			outcome = OutcomeFull
+			outcome = OutcomeRefused
 			refused++
 		}
 		balancer.End(now, choice.Worker.ID, outcome)
@@ -210,20 +210,20 @@
 	balancer := New(DefaultSettings(), enginemodel.New(), nil)
 	balancer.SetWorkers(engines(backend.RoleDecode, 32))
 	suspect := func(i int) Query {
-		return Query{Group: "g", Role: backend.RoleDecode, Key: "one prompt of all", Apart: fmt.Sprint("digest ", i)}
+		return Query{Group: "g", Role: backend.RoleDecode, Key: "one prompt of all", SuspectKey: fmt.Sprint("digest ", i)}
 	}
 	busy, _ := balancer.Pick(epoch, suspect(0))
 	balancer.Begin(busy.Worker.ID, backend.Load{Running: 1, Prefilling: 1, PrefillTokens: 500_000})
 	pickedWithoutSpread, pickedForSuspects := map[string]int{}, map[string]int{}
 	for i := range 200 {
 		query := suspect(i)
-		query.Apart = ""
+		query.SuspectKey = ""
 		choice, _ := balancer.Pick(epoch, query)
 		pickedWithoutSpread[choice.Worker.ID]++
 		first, _ := balancer.Pick(epoch, suspect(i))
 		again, _ := balancer.Pick(epoch, suspect(i))
 		if first.Worker != again.Worker {
-			t.Errorf("suspect %q goes to %s and then to %s", suspect(i).Apart, first.Worker.ID, again.Worker.ID)
+			t.Errorf("suspect %q goes to %s and then to %s", suspect(i).SuspectKey, first.Worker.ID, again.Worker.ID)
 		}
 		pickedForSuspects[first.Worker.ID]++
 	}
--- a/internal/balance/health.go
+++ b/internal/balance/health.go
@@ -11,14 +11,14 @@
 	OutcomeNone Outcome = iota
 	// OutcomeGood is a complete response.
 	OutcomeGood
-	// OutcomeFull is a refusal by a worker at capacity.
-	OutcomeFull
+	// OutcomeRefused is a refusal by a worker at capacity.
+	OutcomeRefused
 	// OutcomeError is an error response.
 	OutcomeError
-	// OutcomeBroken is a truncated or malformed response.
-	OutcomeBroken
-	// OutcomeSilent is a timeout.
-	OutcomeSilent
+	// OutcomeMalformed is a truncated or malformed response.
+	OutcomeMalformed
+	// OutcomeTimeout is a timeout.
+	OutcomeTimeout
 	// OutcomeUnreachable is a failed connection attempt.
 	OutcomeUnreachable
 )
@@ -64,8 +64,8 @@
 var failureSeverity = map[Outcome]float64{
 	OutcomeGood:        0,
 	OutcomeError:       0.7,
-	OutcomeBroken:      1,
-	OutcomeSilent:      1,
+	OutcomeMalformed:   1,
+	OutcomeTimeout:     1,
 	OutcomeUnreachable: 1,
 }
 
@@ -85,7 +85,7 @@
 
 // record updates the failure rate with one outcome, and reports whether the worker is ejected because of it.
 func (h *health) record(now time.Time, outcome Outcome, settings *HealthSettings) bool {
-	if outcome == OutcomeFull {
+	if outcome == OutcomeRefused {
 		h.recordRefusal(now, settings)
 		return false
 	}
--- a/internal/balance/limits.go
+++ b/internal/balance/limits.go
@@ -9,20 +9,20 @@
 
 // QuotaShares tells which share of the rate limits of workers this gateway may use.
 type QuotaShares interface {
-	// Part returns the share of this gateway in the limit of a worker, given the limit in requests per second.
-	Part(worker string, perSecond float64) float64
-	// Lent returns how many requests to a worker this gateway may send on loan from other gateways. UseLent uses one
+	// Share returns the share of this gateway in the limit of a worker, given the limit in requests per second.
+	Share(worker string, perSecond float64) float64
+	// Loans returns how many requests to a worker this gateway may send on loan from other gateways. UseLoan uses one
 	// of them, and reports whether there was one.
-	Lent(worker string) int
-	UseLent(worker string) bool
+	Loans(worker string) int
+	UseLoan(worker string) bool
 }
 
 // soleGateway implements QuotaShares for a single gateway.
 type soleGateway struct{}
 
-func (soleGateway) Part(string, float64) float64 { return 1 }
-func (soleGateway) Lent(string) int              { return 0 }
-func (soleGateway) UseLent(string) bool          { return false }
+func (soleGateway) Share(string, float64) float64 { return 1 }
+func (soleGateway) Loans(string) int              { return 0 }
+func (soleGateway) UseLoan(string) bool           { return false }
 
 // limits holds the workers that have announced a request rate limit, which applies to all gateways together, by
 // worker ID. Entries outlive the registration of the worker.
@@ -46,7 +46,7 @@
 }
 
 // share returns the share of this gateway.
-func (l *workerLimit) share() float64 { return l.shares.Part(l.id, l.quota.Rate()) }
+func (l *workerLimit) share() float64 { return l.shares.Share(l.id, l.quota.Rate()) }
 
 // limitTTL is how long the limit of a removed worker is kept: longer than an overloaded worker takes to recover or to
 // be replaced.
@@ -56,9 +56,9 @@
 // the first limit is set.
 func (b *Balancer) ShareLimits(shares QuotaShares) { b.limits.shares = shares }
 
-// Limit sets the request rate limit that a worker announced at the given time, and reports whether that changes it.
+// SetLimit sets the request rate limit that a worker announced at the given time, and reports whether that changes it.
 // Earlier announcements than the current one are ignored.
-func (b *Balancer) Limit(now time.Time, id string, perSecond float64, reportedAt time.Time) bool {
+func (b *Balancer) SetLimit(now time.Time, id string, perSecond float64, reportedAt time.Time) bool {
 	limit := b.limits.byWorker[id]
 	if limit == nil {
 		b.forgetLimits(now)
@@ -78,14 +78,14 @@
 		return false
 	}
 	limit.quota.Accrue(now, limit.share())
-	limit.quota.SetRate(now, perSecond, limit.shares.Part(id, perSecond))
+	limit.quota.SetRate(now, perSecond, limit.shares.Share(id, perSecond))
 	return true
 }
 
-// Unlimit records that a worker announced no limit in the response to a request sent at the given time, and reports
+// RemoveLimit records that a worker announced no limit in the response to a request sent at the given time, and reports
 // whether that removes its limit. A limit that was announced later is kept, because responses may arrive out of
 // order.
-func (b *Balancer) Unlimit(id string, sentAt time.Time) bool {
+func (b *Balancer) RemoveLimit(id string, sentAt time.Time) bool {
 	limit := b.limits.byWorker[id]
 	if limit == nil || !sentAt.After(limit.reportedAt) {
 		return false
@@ -106,8 +106,8 @@
 	}
 }
 
-// EarnLimits accrues all quotas. It must be called before and after the shares of this gateway change.
-func (b *Balancer) EarnLimits(now time.Time) {
+// AccrueLimits accrues all quotas. It must be called before and after the shares of this gateway change.
+func (b *Balancer) AccrueLimits(now time.Time) {
 	for _, limit := range b.limits.byWorker {
 		limit.quota.Accrue(now, limit.share())
 	}
@@ -117,7 +117,7 @@
 // It must be called for every request that may take a slot of the worker.
 func (b *Balancer) Spend(now time.Time, id string) bool {
 	limit := b.limits.byWorker[id]
-	return limit == nil || limit.quota.Spend(now, limit.share()) || limit.shares.UseLent(id)
+	return limit == nil || limit.quota.Spend(now, limit.share()) || limit.shares.UseLoan(id)
 }
 
 // Lend takes up to count requests from the quota of a worker for another gateway, and returns how many it took.
@@ -129,9 +129,9 @@
 	return limit.quota.Lend(now, limit.share(), count)
 }
 
-// Lacking returns up to maxWorkers workers of a role that are available but for the local quota. Successive calls
+// OutOfQuota returns up to maxWorkers workers of a role that are available but for the local quota. Successive calls
 // rotate through the workers.
-func (b *Balancer) Lacking(now time.Time, group string, role backend.Role, maxWorkers int) []string {
+func (b *Balancer) OutOfQuota(now time.Time, group string, role backend.Role, maxWorkers int) []string {
 	workers := b.index.byGroup[group]
 	var lacking []string
 	for i := range workers {
@@ -148,10 +148,10 @@
 
 // Quota is the limit of a worker and the share of this gateway.
 type Quota struct {
-	// PerSecond is the limit of all gateways together, and Part the share of this gateway.
-	PerSecond, Part float64
-	// Heard is when the worker last announced the limit.
-	Heard time.Time
+	// PerSecond is the limit of all gateways together, and Share the share of this gateway.
+	PerSecond, Share float64
+	// ReportedAt is when the worker last announced the limit.
+	ReportedAt time.Time
 }
 
 // QuotaOf returns the quota of a worker, or false if it has no limit.
@@ -160,12 +160,12 @@
 	if limit == nil {
 		return Quota{}, false
 	}
-	return Quota{PerSecond: limit.quota.Rate(), Part: limit.share(), Heard: limit.reportedAt}, true
+	return Quota{PerSecond: limit.quota.Rate(), Share: limit.share(), ReportedAt: limit.reportedAt}, true
 }
 
 // hasQuota reports whether the quota of the worker allows a request now.
 func (s *workerState) hasQuota(now time.Time) bool {
-	return s.limit == nil || s.limit.quota.CanSpend(now, s.limit.share()) || s.limit.shares.Lent(s.worker.ID) > 0
+	return s.limit == nil || s.limit.quota.CanSpend(now, s.limit.share()) || s.limit.shares.Loans(s.worker.ID) > 0
 }
 
 // acceptsFrom returns the earliest time at which the worker accepts a request from this gateway, as far as its
@@ -186,24 +186,24 @@
 	return from
 }
 
-// Full describes a role of which no worker in service accepts requests now.
-type Full struct {
+// RoleFull describes a role of which no worker in service accepts requests now.
+type RoleFull struct {
 	// Until is when the first of them accepts requests again.
 	Until time.Time
 	// PerSecond is the sum of the limits of these workers, zero if none has one.
 	PerSecond float64
 }
 
-// FullUntil returns when a full role accepts requests again. It returns false if a worker of the role accepts requests
+// RoleFullUntil returns when a full role accepts requests again. It returns false if a worker of the role accepts requests
 // now, or if none is in service.
-func (b *Balancer) FullUntil(now time.Time, group string, role backend.Role) (Full, bool) {
-	var full Full
+func (b *Balancer) RoleFullUntil(now time.Time, group string, role backend.Role) (RoleFull, bool) {
+	var full RoleFull
 	for _, state := range b.index.byGroup[group] {
 		if state.worker.Role != role || !state.inService(now) {
 			continue
 		}
 		if state.acceptsNow(now) {
-			return Full{}, false
+			return RoleFull{}, false
 		}
 		if from := state.acceptsFrom(now); full.Until.IsZero() || from.Before(full.Until) {
 			full.Until = from
--- a/internal/balance/pick.go
+++ b/internal/balance/pick.go
@@ -24,7 +24,7 @@
 			best, bestScore = candidate, score
 		}
 	}
-	if query.Apart != "" {
+	if query.SuspectKey != "" {
 		best, bestScore = b.spreadSuspect(now, query, candidates.states, bestScore, estimate)
 	}
 	return Choice{Worker: best.worker, Score: bestScore, Candidates: len(candidates.states)}, true
@@ -32,7 +32,7 @@
 
 // candidates returns the workers to score for the query.
 func (b *Balancer) candidates(now time.Time, query Query) shortlist {
-	if query.Apart != "" {
+	if query.SuspectKey != "" {
 		states := b.suspectCandidates(now, query)
 		return shortlist{states: states, preferred: preferredWorker(query, states)}
 	}
@@ -51,7 +51,7 @@
 			addresses = append(addresses, candidate.worker.Address)
 		}
 	}
-	chosen := affordable[rendezvous.First(query.Apart, addresses)]
+	chosen := affordable[rendezvous.First(query.SuspectKey, addresses)]
 	return chosen, b.scoreWithPenalty(now, query, chosen, estimate)
 }
 
@@ -59,7 +59,7 @@
 func (b *Balancer) scoreWithPenalty(now time.Time, query Query, candidate *workerState, estimate enginemodel.Estimate) Score {
 	score := b.score(now, query, candidate, estimate)
 	if candidate.health.ejected(now) {
-		score.Doubt = b.settings.Health.EjectedPenaltySeconds
+		score.EjectedPenalty = b.settings.Health.EjectedPenaltySeconds
 	}
 	return score
 }
@@ -109,18 +109,18 @@
 		perToken := estimate.SecondsPerToken * b.model.Slowdown(now, enginemodel.ClassOf(worker), worker.ID)
 		score.Queue = float64(load.Running)*b.settings.SecondsPerRequest + float64(tokensAhead(query, load))*perToken
 		score.addPrefill(query, worker, perToken)
-		score.Wait = float64(tokensAhead(query, load)) * perToken
-		score.Answer = estimate.BaseSeconds + score.Wait + score.Reading
+		score.QueueWait = float64(tokensAhead(query, load)) * perToken
+		score.TimeToFirstToken = estimate.BaseSeconds + score.QueueWait + score.Prefill
 	}
 	if worker.Role == backend.RoleDecode {
 		wait := slotWaitSeconds(estimate, load.Decoding(), worker.Slots)
-		score.HoldUp = score.Reading * b.settings.InterferenceWeight * float64(load.Decoding())
+		score.Interference = score.Prefill * b.settings.InterferenceWeight * float64(load.Decoding())
 		score.Queue += wait
-		score.Wait += wait
-		score.Answer += wait
+		score.QueueWait += wait
+		score.TimeToFirstToken += wait
 	}
 	if query.Zone != "" && worker.Zone != query.Zone {
-		score.Distance = b.settings.OtherZoneSeconds
+		score.ZoneCost = b.settings.OtherZoneSeconds
 	}
 	return score
 }
@@ -135,11 +135,11 @@
 
 // addPrefill adds the prefill cost of the prompt at a worker with the given time per token.
 func (s *Score) addPrefill(query Query, worker *backend.Worker, perToken float64) {
-	if query.Reading == nil {
+	if query.PrefillCost == nil {
 		return
 	}
-	prefill := query.Reading(worker)
-	s.Reading = float64(prefill.Tokens) * perToken
+	prefill := query.PrefillCost(worker)
+	s.Prefill = float64(prefill.Tokens) * perToken
 	s.Transfer = prefill.TransferSeconds
 }
 
--- a/internal/balance/shortlist.go
+++ b/internal/balance/shortlist.go
@@ -55,7 +55,7 @@
 		zone = b.index.ring(ringKey{group: query.Group, role: query.Role, zone: query.Zone})
 	}
 	collected := collector{now: now, query: &query, searchFactor: settings.SearchFactor}
-	for _, id := range query.Near[:min(len(query.Near), settings.Holders)] {
+	for _, id := range query.Holders[:min(len(query.Holders), settings.Holders)] {
 		if state := b.workers[id]; state != nil && state.worker.Role == query.Role && slices.Contains(state.worker.Groups(), query.Group) {
 			collected.add(state)
 		}
@@ -65,7 +65,7 @@
 		key = query.Request
 	}
 	affinityStart := hashPosition(key)
-	if query.Gather {
+	if query.Concentrate {
 		affinityStart = hashPosition(query.Zone)
 	}
 	randomStart := hashPosition(query.Request + "/random")
@@ -76,7 +76,7 @@
 	collected.walk(zone, randomStart, settings.Random)
 	collected.walk(all, randomStart, settings.Random)
 	result.states = b.withEjected(collected.healthy, collected.ejected)
-	if query.Gather && len(zoneAffinity) > 0 {
+	if query.Concentrate && len(zoneAffinity) > 0 {
 		result.preferred = preferredWorker(query, zoneAffinity)
 	}
 	return result
--- a/internal/balance/shortlist_test.go
+++ b/internal/balance/shortlist_test.go
@@ -75,7 +75,7 @@
 		var excluded []string
 		for range rapid.IntRange(0, 20).Draw(t, "tries") {
 			query := Query{Request: rapid.String().Draw(t, "request"), Group: "g", Role: backend.RoleDecode, Zone: "z1", Excluded: excluded}
-			query.Gather = rapid.Bool().Draw(t, "gather")
+			query.Concentrate = rapid.Bool().Draw(t, "gather")
 			choice, found := balancer.Pick(epoch, query)
 			if !found || choice.Worker.Draining || slices.Contains(excluded, choice.Worker.ID) {
 				t.Fatalf("picked %+v, excluded %v", choice, excluded)
@@ -97,7 +97,7 @@
 	var running []string
 	for i := range 6_000 {
 		choice, _ := balancer.Pick(epoch, Query{
-			Request: fmt.Sprint("r", i), Group: "g", Role: backend.RoleDecode, Key: fmt.Sprint("short ", i%3355), Zone: "z2", Gather: true,
+			Request: fmt.Sprint("r", i), Group: "g", Role: backend.RoleDecode, Key: fmt.Sprint("short ", i%3355), Zone: "z2", Concentrate: true,
 		})
 		balancer.Begin(choice.Worker.ID, LoadOf(0, false))
 		if load := balancer.Load(choice.Worker.ID); load.Running > 2 {
--- a/internal/balance/suspects.go
+++ b/internal/balance/suspects.go
@@ -14,10 +14,10 @@
 	// Share is the share of a role that may be missing or serving suspects at any one time. One worker is always
 	// allowed, so that suspects can be cleared or confirmed in small roles too.
 	Share float64
-	// Away is how long a crashed worker that has not been replaced counts as missing. Afterwards the role is
+	// MissingTimeout is how long a crashed worker that has not been replaced counts as missing. Afterwards the role is
 	// considered smaller. It exceeds the time in which a worker registration expires, so that a worker that restarts
 	// at once is back before.
-	Away time.Duration
+	MissingTimeout time.Duration
 	// CrashMemory is how long the address of a crashed worker is tried last. Otherwise a worker that keeps crashing
 	// by itself would get harmless requests blocked.
 	CrashMemory time.Duration
@@ -33,7 +33,7 @@
 
 // DefaultRiskSettings returns the default settings.
 func DefaultRiskSettings() RiskSettings {
-	return RiskSettings{Share: 0.25, Away: 10 * time.Second, CrashMemory: 10 * time.Minute, Sets: 8, Turn: 100 * time.Millisecond}
+	return RiskSettings{Share: 0.25, MissingTimeout: 10 * time.Second, CrashMemory: 10 * time.Minute, Sets: 8, Turn: 100 * time.Millisecond}
 }
 
 // crash records the crash of a worker.
@@ -55,9 +55,9 @@
 	initialized bool
 }
 
-// Ended records that a worker crashed at the given time, as its connections or other gateways report. Repeated calls
+// RecordCrash records that a worker crashed at the given time, as its connections or other gateways report. Repeated calls
 // have no effect.
-func (b *Balancer) Ended(now, at time.Time, id string) {
+func (b *Balancer) RecordCrash(now, at time.Time, id string) {
 	state, found := b.workers[id]
 	if b.crashes.byWorker[id] != nil || !found {
 		return
@@ -70,9 +70,9 @@
 	b.crashes.byWorker[id] = &crash{worker: state.worker, at: at}
 }
 
-// Returned matches added workers with the crashed workers that they replace. It must be called after each change of
+// MatchReplacements matches added workers with the crashed workers that they replace. It must be called after each change of
 // the workers.
-func (b *Balancer) Returned(now time.Time) {
+func (b *Balancer) MatchReplacements(now time.Time) {
 	for _, crash := range b.crashes.byWorker {
 		if crash.replaced {
 			continue
@@ -101,7 +101,7 @@
 // markReplaced records that a crashed worker has been replaced.
 func (b *Balancer) markReplaced(now time.Time, crash *crash) {
 	if !crash.replaced {
-		crash.replaced, b.crashes.lastRecovery = true, min(now.Sub(crash.at), b.settings.Risk.Away)
+		crash.replaced, b.crashes.lastRecovery = true, min(now.Sub(crash.at), b.settings.Risk.MissingTimeout)
 	}
 }
 
@@ -128,7 +128,7 @@
 	var missingSince []time.Time
 	for _, candidate := range b.index.byGroup[query.Group] {
 		crash := b.crashes.byWorker[candidate.worker.ID]
-		isLive := crash == nil || now.Sub(crash.at) >= b.settings.Risk.Away
+		isLive := crash == nil || now.Sub(crash.at) >= b.settings.Risk.MissingTimeout
 		if !isLive || candidate.worker.Draining || candidate.worker.Role != query.Role || candidate.changingRole(now) {
 			continue
 		}
@@ -139,7 +139,7 @@
 		live[candidate.worker.Address] = candidate
 	}
 	for _, crash := range b.crashes.byWorker {
-		if crash.affects(query) && !crash.replaced && now.Sub(crash.at) < b.settings.Risk.Away {
+		if crash.affects(query) && !crash.replaced && now.Sub(crash.at) < b.settings.Risk.MissingTimeout {
 			missingSince = append(missingSince, crash.at)
 		}
 	}
@@ -162,7 +162,7 @@
 func (b *Balancer) suspectCandidates(now time.Time, query Query) []*workerState {
 	live, missingSince := b.liveAndMissing(now, query)
 	capacity := b.suspectCapacity(len(live), len(missingSince))
-	if capacity <= 0 || (!query.Begun && b.untilTurn(now, query, capacity) > 0) {
+	if capacity <= 0 || (!query.Prefilled && b.untilTurn(now, query, capacity) > 0) {
 		return nil
 	}
 	var candidates []*workerState
@@ -211,7 +211,7 @@
 	}
 	elapsed := now.Sub(b.crashes.byWorker[lastCrash].at)
 	turn := b.settings.Risk.Turn
-	ownSet := rendezvous.Slot(lastCrash+"/"+query.Apart, sets)
+	ownSet := rendezvous.Slot(lastCrash+"/"+query.SuspectKey, sets)
 	turns := (ownSet - int(elapsed/turn)%sets + sets) % sets
 	if turns == 0 {
 		return 0
@@ -237,22 +237,22 @@
 	return ordered
 }
 
-// RunsIn returns the expected time until the suspect can run: when it is its turn and a worker accepts it. If too
+// SuspectWait returns the expected time until the suspect can run: when it is its turn and a worker accepts it. If too
 // many workers are missing, it is when the first of them is expected to be replaced, or no longer counts as missing.
-func (b *Balancer) RunsIn(now time.Time, query Query) time.Duration {
+func (b *Balancer) SuspectWait(now time.Time, query Query) time.Duration {
 	live, missingSince := b.liveAndMissing(now, query)
 	if capacity := b.suspectCapacity(len(live), len(missingSince)); capacity > 0 {
 		return max(b.untilTurn(now, query, capacity), untilFirstAccepts(now, b.suspectTargets(query, live, capacity)))
 	}
-	recovery := b.settings.Risk.Away
+	recovery := b.settings.Risk.MissingTimeout
 	if b.crashes.lastRecovery > 0 {
 		recovery = b.crashes.lastRecovery
 	}
 	return max(recovery-now.Sub(slices.MinFunc(missingSince, time.Time.Compare)), 0)
 }
 
-// Tried reports whether the suspect has been tried at every worker that may serve it.
-func (b *Balancer) Tried(now time.Time, query Query) bool {
+// SuspectExhausted reports whether the suspect has been tried at every worker that may serve it.
+func (b *Balancer) SuspectExhausted(now time.Time, query Query) bool {
 	live, missingSince := b.liveAndMissing(now, query)
 	capacity := min(b.suspectCapacity(len(live), len(missingSince)), len(live))
 	if capacity <= 0 || len(query.Excluded) == 0 {
--- a/internal/balance/suspects_test.go
+++ b/internal/balance/suspects_test.go
@@ -18,13 +18,13 @@
 func newBalancer(set backend.Set) *Balancer {
 	balancer := New(DefaultSettings(), enginemodel.New(), nil)
 	balancer.SetWorkers(set)
-	balancer.Returned(epoch)
+	balancer.MatchReplacements(epoch)
 	return balancer
 }
 
 // suspectQuery returns a query for a suspect with the given key.
 func suspectQuery(name string) Query {
-	return Query{Group: "g", Role: backend.RoleDecode, Apart: name}
+	return Query{Group: "g", Role: backend.RoleDecode, SuspectKey: name}
 }
 
 // TestSuspectsAreBoundedByRiskShare reports the same crashes to several gateways in different orders, with different
@@ -40,14 +40,14 @@
 		for gateway := range 3 {
 			balancer := newBalancer(set)
 			for _, i := range rapid.Permutation(lo.Range(len(crashed))).Draw(t, "order") {
-				balancer.Ended(now, epoch.Add(time.Duration(i)*time.Second/10), crashed[i])
+				balancer.RecordCrash(now, epoch.Add(time.Duration(i)*time.Second/10), crashed[i])
 			}
 			ejected := rapid.SampledFrom(ids).Draw(t, "ejected")
 			balancer.Begin(ejected, LoadOf(0, false))
 			balancer.End(now, ejected, OutcomeUnreachable)
 			for number := range 20 {
 				query := suspectQuery(fmt.Sprint(gateway, "-", number))
-				query.Begun = rapid.Bool().Draw(t, "begun")
+				query.Prefilled = rapid.Bool().Draw(t, "begun")
 				query.Excluded = rapid.SliceOfN(rapid.SampledFrom(ids), 0, 2).Draw(t, "excluded")
 				choice, found := balancer.Pick(now, query)
 				if !found {
@@ -70,11 +70,11 @@
 	settings := DefaultRiskSettings()
 	set := engines(backend.RoleDecode, 4)
 	balancer := newBalancer(set)
-	balancer.Ended(epoch, epoch, "decode-1")
+	balancer.RecordCrash(epoch, epoch, "decode-1")
 	if _, found := balancer.Pick(epoch, suspectQuery("a")); found {
 		t.Fatal("a suspect runs while one of four workers is missing")
 	}
-	if wait := balancer.RunsIn(epoch.Add(time.Second), suspectQuery("a")); wait != settings.Away-time.Second {
+	if wait := balancer.SuspectWait(epoch.Add(time.Second), suspectQuery("a")); wait != settings.MissingTimeout-time.Second {
 		t.Errorf("RunsIn = %s, want the time until the worker no longer counts as missing", wait)
 	}
 	set = set.Clone()
@@ -82,21 +82,21 @@
 	delete(set, "decode-1")
 	replacedAt := epoch.Add(3 * time.Second)
 	balancer.SetWorkers(set)
-	balancer.Returned(replacedAt)
+	balancer.MatchReplacements(replacedAt)
 	turns := map[string]int{}
 	for step := range int(settings.Round() / (10 * time.Millisecond)) {
 		now := replacedAt.Add(time.Duration(step) * 10 * time.Millisecond)
 		for number := range 20 {
 			query := suspectQuery(fmt.Sprint("suspect ", number))
 			choice, found := balancer.Pick(now, query)
-			wait := balancer.RunsIn(now, query)
+			wait := balancer.SuspectWait(now, query)
 			if found != (wait == 0) || wait >= settings.Round() {
-				t.Fatalf("%s: found = %t, RunsIn = %s", query.Apart, found, wait)
+				t.Fatalf("%s: found = %t, RunsIn = %s", query.SuspectKey, found, wait)
 			}
 			if found {
-				turns[query.Apart]++
+				turns[query.SuspectKey]++
 				if choice.Worker.ID == "again" {
-					t.Errorf("%s runs at the address of the last crash", query.Apart)
+					t.Errorf("%s runs at the address of the last crash", query.SuspectKey)
 				}
 			}
 		}
@@ -109,8 +109,8 @@
 	if len(turns) != 20 {
 		t.Errorf("%d of 20 suspects had a turn", len(turns))
 	}
-	balancer.Ended(replacedAt, replacedAt, "decode-2")
-	if wait := balancer.RunsIn(replacedAt, suspectQuery("a")); wait != 3*time.Second {
+	balancer.RecordCrash(replacedAt, replacedAt, "decode-2")
+	if wait := balancer.SuspectWait(replacedAt, suspectQuery("a")); wait != 3*time.Second {
 		t.Errorf("RunsIn after the next crash = %s, want the last recovery time of 3s", wait)
 	}
 }
@@ -120,7 +120,7 @@
 	set := engines(backend.RoleDecode, 4)
 	balancer := newBalancer(set)
 	for id := range set {
-		balancer.Ended(epoch, epoch, id)
+		balancer.RecordCrash(epoch, epoch, id)
 	}
 	replacements := backend.Set{}
 	for i := range 4 {
@@ -128,38 +128,38 @@
 		replacements[id] = &backend.Worker{ID: id, Group: "g", Address: "10.0.1." + fmt.Sprint(i), Role: backend.RoleDecode, Slots: 8}
 	}
 	query := suspectQuery("a")
-	query.Begun = true
+	query.Prefilled = true
 	for count := range 5 {
 		current := backend.Set{}
 		for i := range count {
 			current[fmt.Sprint("other-", i)] = replacements[fmt.Sprint("other-", i)]
 		}
 		balancer.SetWorkers(current)
-		balancer.Returned(epoch.Add(time.Second))
+		balancer.MatchReplacements(epoch.Add(time.Second))
 		if _, found := balancer.Pick(epoch.Add(time.Second), query); found != (count == 4) {
 			t.Errorf("%d replacements: a suspect runs: %t", count, found)
 		}
 	}
 	balancer = newBalancer(set)
-	balancer.Ended(epoch, epoch, "decode-0")
-	if _, found := balancer.Pick(epoch.Add(DefaultRiskSettings().Away), query); !found {
+	balancer.RecordCrash(epoch, epoch, "decode-0")
+	if _, found := balancer.Pick(epoch.Add(DefaultRiskSettings().MissingTimeout), query); !found {
 		t.Error("suspects are held back although the crashed worker no longer counts as missing")
 	}
 }
 
 // TestUnreachableWorkerCountsAsMissingForSuspects makes the only worker that may serve suspects refuse connections
-// before its crash is reported. No other worker may be put at risk, and RunsIn must ask for a retry.
+// before its crash is reported. No other worker may be put at risk, and SuspectWait must ask for a retry.
 func TestUnreachableWorkerCountsAsMissingForSuspects(t *testing.T) {
 	b, now, query := newBalancer(engines(backend.RoleDecode, 4)), epoch, suspectQuery("a")
 	choice, found := b.Pick(now, query)
 	if !found {
 		t.Fatal("no worker was picked for a suspect")
 	}
-	b.SetGone(now, choice.Worker.ID, now.Add(time.Second))
+	b.SetUnreachable(now, choice.Worker.ID, now.Add(time.Second))
 	if again, found := b.Pick(now, query); found {
 		t.Errorf("picked %s although another worker is missing", again.Worker.ID)
 	}
-	if wait := b.RunsIn(now, query); wait <= 0 {
+	if wait := b.SuspectWait(now, query); wait <= 0 {
 		t.Errorf("RunsIn = %s, want more than zero", wait)
 	}
 }
@@ -169,11 +169,11 @@
 	b, now, query := newBalancer(engines(backend.RoleDecode, 4)), epoch, suspectQuery("a")
 	choice, _ := b.Pick(now, query)
 	query.Excluded = []string{choice.Worker.ID}
-	if !b.Tried(now, query) {
+	if !b.SuspectExhausted(now, query) {
 		t.Error("Tried = false although every allowed worker is excluded")
 	}
 	query.Excluded = nil
-	if b.Tried(now, query) {
+	if b.SuspectExhausted(now, query) {
 		t.Error("Tried = true although no worker is excluded")
 	}
 }
--- a/internal/forward/attempts.go
+++ b/internal/forward/attempts.go
@@ -84,11 +84,11 @@
 	case failureUnreachable, failureMoved:
 		return balance.OutcomeUnreachable
 	case failureRefused:
-		return balance.OutcomeFull
+		return balance.OutcomeRefused
 	case failureSilent, failureDeadline:
-		return balance.OutcomeSilent
+		return balance.OutcomeTimeout
 	case failureBroken:
-		return balance.OutcomeBroken
+		return balance.OutcomeMalformed
 	case failureError:
 		return balance.OutcomeError
 	default:
--- a/internal/forward/availability.go
+++ b/internal/forward/availability.go
@@ -15,7 +15,7 @@
 	loss       *Loss
 	expectedAt time.Time
 	// full says why workers that are up accept no requests.
-	full balance.Full
+	full balance.RoleFull
 }
 
 // availability returns when a worker is expected to accept the request, or false if that is unknown.
--- a/internal/forward/dispatcher.go
+++ b/internal/forward/dispatcher.go
@@ -143,7 +143,7 @@
 	if len(d.engineState.pendingRoles) > 0 || len(d.engineState.absences.Engines()) > 0 {
 		d.engineState.notifyChange()
 	}
-	d.balancer.Returned(now)
+	d.balancer.MatchReplacements(now)
 	for _, id := range changes.Removed {
 		d.residency.ForgetWorker(id)
 		d.model.ForgetWorker(id)
@@ -155,7 +155,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := d.now()
-	d.balancer.Ended(now, now.Add(-sinceEnd), worker)
+	d.balancer.RecordCrash(now, now.Add(-sinceEnd), worker)
 }
 
 // SuspectTurn says when a suspect request may run.
@@ -172,13 +172,13 @@
 func (d *Dispatcher) SuspectTurnOf(group *routing.Group, suspectKey string, excluded []string) SuspectTurn {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	query := balance.Query{Group: group.Name, Role: backend.RoleDecode, Apart: suspectKey, Excluded: excluded}
+	query := balance.Query{Group: group.Name, Role: backend.RoleDecode, SuspectKey: suspectKey, Excluded: excluded}
 	if group.Engine == nil {
 		query.Role = backend.RoleNone
 	}
 	now := d.now()
-	wait := d.balancer.RunsIn(now, query)
-	return SuspectTurn{Wait: wait, WorthWaiting: wait <= d.settings.Balance.Risk.Round(), Exhausted: d.balancer.Tried(now, query)}
+	wait := d.balancer.SuspectWait(now, query)
+	return SuspectTurn{Wait: wait, WorthWaiting: wait <= d.settings.Balance.Risk.Round(), Exhausted: d.balancer.SuspectExhausted(now, query)}
 }
 
 // assign adds the load of a request to a worker. The mutex is held.
@@ -221,7 +221,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	a.observePrefill()
-	d.balancer.Answered(a.Worker.ID, a.load)
+	d.balancer.PrefillDone(a.Worker.ID, a.load)
 	d.peers.loadChanged(a.Worker.ID, false)
 	a.load = backend.Load{}
 }
@@ -252,7 +252,7 @@
 	if a.objective > 0 {
 		base = min(base, time.Duration(responseTimeoutObjectiveShare*float64(a.objective)))
 	}
-	return base + time.Duration(responseTimeoutCostFactor*a.Score.Answer*nanosecondsPerSecond)
+	return base + time.Duration(responseTimeoutCostFactor*a.Score.TimeToFirstToken*nanosecondsPerSecond)
 }
 
 // mayBeBusy reports whether a silent worker may only be busy, because the request ended before its response timeout. No queueing time is
@@ -278,17 +278,17 @@
 	}
 	a.finished = true
 	d, now := a.dispatcher, a.dispatcher.now()
-	if outcome == balance.OutcomeSilent && a.mayBeBusy(now) {
+	if outcome == balance.OutcomeTimeout && a.mayBeBusy(now) {
 		outcome = balance.OutcomeNone
 	}
 	if outcome == balance.OutcomeError && a.Worker.Role != backend.RoleNone {
 		// An error response of an engine means that the engine failed. With plain workers, the request is as often at fault.
-		outcome = balance.OutcomeBroken
+		outcome = balance.OutcomeMalformed
 	}
 	if outcome == balance.OutcomeGood {
 		d.model.ObserveRun(now, enginemodel.ClassOf(a.Worker), now.Sub(a.startedAt))
 	}
-	d.balancer.Answered(a.Worker.ID, a.load)
+	d.balancer.PrefillDone(a.Worker.ID, a.load)
 	if d.balancer.End(now, a.Worker.ID, outcome) {
 		a.dispatcher.peers.workerEjected(a.Worker, outcome)
 	}
--- a/internal/forward/enginestate.go
+++ b/internal/forward/enginestate.go
@@ -182,7 +182,7 @@
 	}
 	now := d.now()
 	isNew := d.engineState.absences.Refused(now, worker, firsthand)
-	d.balancer.SetGone(now, id, d.engineState.absences.Until(id))
+	d.balancer.SetUnreachable(now, id, d.engineState.absences.Until(id))
 	if firsthand && d.peers.notify != nil && len(d.peers.refused) < maxPendingNotices {
 		d.peers.refused = append(d.peers.refused, id)
 		d.peers.notify(isNew)
@@ -221,7 +221,7 @@
 	if !d.engineState.absences.Responded(now, worker) {
 		return false
 	}
-	d.balancer.SetGone(now, worker.ID, time.Time{})
+	d.balancer.SetUnreachable(now, worker.ID, time.Time{})
 	d.engineState.signalRecovered()
 	d.engineState.notifyChange()
 	return true
@@ -265,7 +265,7 @@
 			continue
 		}
 		until := now.Add(time.Duration(changing.ForMs) * time.Millisecond)
-		d.balancer.SetChanging(worker.ID, until)
+		d.balancer.SetRoleChange(worker.ID, until)
 		if before, known := d.engineState.pendingRoles[worker.ID]; known && before.role == backend.Role(changing.Role) {
 			until = laterOf(until, before.expiresAt)
 		} else {
--- a/internal/forward/enginestate_test.go
+++ b/internal/forward/enginestate_test.go
@@ -121,7 +121,7 @@
 	for i := range 3 {
 		two.gateways[0].EngineRefuses(fmt.Sprint("decode", i))
 	}
-	two.gateways[0].SetChanging("prefill0", backend.RoleDecode)
+	two.gateways[0].SetRoleChange("prefill0", backend.RoleDecode)
 	two.exchange()
 	for gateway := range two.gateways {
 		loss, lost := two.gateways[gateway].RoleLoss(two.group)
@@ -197,7 +197,7 @@
 			t.Errorf("after %s, ordered: %v: expected back after %s, want %s", c.at, ordered, back, c.back)
 		}
 		if c.order {
-			gateway.SetChanging("prefill0", backend.RoleDecode)
+			gateway.SetRoleChange("prefill0", backend.RoleDecode)
 			ordered = true
 		}
 	}
@@ -240,7 +240,7 @@
 func TestRequestWaitsForRoleExpectedSoon(t *testing.T) {
 	f, workers := newLostRoleFixture(t, 4*time.Second, 50*time.Millisecond)
 	dispatcher := f.handler.dispatcher
-	dispatcher.SetChanging("prefill0", backend.RoleDecode)
+	dispatcher.SetRoleChange("prefill0", backend.RoleDecode)
 	time.AfterFunc(100*time.Millisecond, func() { dispatcher.EngineAnswers("prefill0", backend.RoleDecode, false) })
 	response, body, err := f.get(t)
 	if err != nil || response.StatusCode != http.StatusOK {
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -662,7 +662,7 @@
 	f.reports.mutex.Lock()
 	defer f.reports.mutex.Unlock()
 	first := f.reports.last.Tries[0]
-	want := time.Duration(responseTimeoutObjectiveShare*float64(objective)) + time.Duration(responseTimeoutCostFactor*first.Score.Answer*nanosecondsPerSecond)
+	want := time.Duration(responseTimeoutObjectiveShare*float64(objective)) + time.Duration(responseTimeoutCostFactor*first.Score.TimeToFirstToken*nanosecondsPerSecond)
 	if waited := first.ReadIn; waited < want || waited > want+150*time.Millisecond {
 		t.Errorf("waited %s for the silent engine, want %s", waited, want)
 	}
--- a/internal/forward/peers.go
+++ b/internal/forward/peers.go
@@ -58,8 +58,8 @@
 // workerEjected records that a worker was ejected. Only failures that other gateways would see too are sent: workers that do not respond
 // and engines whose responses fail.
 func (p *peerExchange) workerEjected(worker *backend.Worker, outcome balance.Outcome) {
-	visibleToPeers := outcome == balance.OutcomeUnreachable || outcome == balance.OutcomeSilent ||
-		(outcome == balance.OutcomeBroken && worker.Role != backend.RoleNone)
+	visibleToPeers := outcome == balance.OutcomeUnreachable || outcome == balance.OutcomeTimeout ||
+		(outcome == balance.OutcomeMalformed && worker.Role != backend.RoleNone)
 	if p.notify == nil || !visibleToPeers || len(p.ejected) >= maxPendingNotices {
 		return
 	}
@@ -145,6 +145,6 @@
 	}
 	d.applyPeerEngines(message)
 	for _, worker := range message.Failed {
-		d.balancer.Hearsay(d.now(), worker)
+		d.balancer.RemoteEjection(d.now(), worker)
 	}
 }
--- a/internal/forward/placement.go
+++ b/internal/forward/placement.go
@@ -73,18 +73,18 @@
 func (d *Dispatcher) hasAlternative(request *Request, group *routing.Group, excluded []string) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	query := balance.Query{Request: request.ID, Group: group.Name, Role: backend.RoleDecode, Zone: d.settings.Zone, Excluded: excluded, Gather: true}
+	query := balance.Query{Request: request.ID, Group: group.Name, Role: backend.RoleDecode, Zone: d.settings.Zone, Excluded: excluded, Concentrate: true}
 	if group.Engine == nil {
 		query.Role = backend.RoleNone
 	}
-	return d.balancer.Home(d.now(), query) != nil
+	return d.balancer.Preferred(d.now(), query) != nil
 }
 
 // placePlain picks a plain worker.
 func (d *Dispatcher) placePlain(request *Request, group *routing.Group, options PlaceOptions) (*Placement, bool) {
 	choice, found := d.balancer.Pick(d.now(), balance.Query{
 		Request: request.ID, Group: group.Name, Role: backend.RoleNone, Zone: d.settings.Zone, Excluded: options.Excluded,
-		Apart: options.SuspectKey, Gather: true,
+		SuspectKey: options.SuspectKey, Concentrate: true,
 	})
 	if !found {
 		return nil, false
@@ -187,29 +187,29 @@
 // pickRunner picks the engine to which a prompt is transferred from its source.
 func (d *Dispatcher) pickRunner(prompt *promptContext, excluded []string, source *backend.Worker) (balance.Choice, bool) {
 	query := prompt.query(backend.RoleDecode, source.Zone, excluded)
-	query.Reading = prompt.transferCost
+	query.PrefillCost = prompt.transferCost
 	return d.balancer.Pick(d.now(), query)
 }
 
 // planColocated has the decode engine prefill the prompt.
 func (d *Dispatcher) planColocated(prompt *promptContext, excluded []string) (plan, bool) {
 	query := prompt.query(backend.RoleDecode, d.settings.Zone, excluded)
-	query.Reading = prompt.prefillCost
+	query.PrefillCost = prompt.prefillCost
 	choice, found := d.balancer.Pick(d.now(), query)
 	if !found {
 		return plan{}, false
 	}
 	seconds := choice.Score.Total()
-	if choice.Score.Reading > d.settings.LongPrefill.Seconds() {
+	if choice.Score.Prefill > d.settings.LongPrefill.Seconds() {
 		seconds += d.settings.LongPrefillSeconds
 	}
-	return plan{runner: choice, seconds: seconds, timeToFirstEvent: choice.Score.Answer, queueWait: choice.Score.Wait}, true
+	return plan{runner: choice, seconds: seconds, timeToFirstEvent: choice.Score.TimeToFirstToken, queueWait: choice.Score.QueueWait}, true
 }
 
 // planDisaggregated has one engine prefill the prompt and another decode the answer.
 func (d *Dispatcher) planDisaggregated(prompt *promptContext, excluded []string) (plan, bool) {
 	query := prompt.query(backend.RolePrefill, d.settings.Zone, excluded)
-	query.Reading = prompt.prefillCost
+	query.PrefillCost = prompt.prefillCost
 	prefill, found := d.balancer.Pick(d.now(), query)
 	if !found {
 		return plan{}, false
@@ -221,8 +221,8 @@
 	return plan{
 		prefill: &prefill, runner: runner,
 		seconds:          prefill.Score.Total() + runner.Score.Total() + d.settings.DisaggregationSeconds,
-		timeToFirstEvent: prefill.Score.Answer + runner.Score.Answer,
-		queueWait:        prefill.Score.Wait + runner.Score.Wait,
+		timeToFirstEvent: prefill.Score.TimeToFirstToken + runner.Score.TimeToFirstToken,
+		queueWait:        prefill.Score.QueueWait + runner.Score.QueueWait,
 	}, true
 }
 
--- a/internal/forward/placement_test.go
+++ b/internal/forward/placement_test.go
@@ -117,7 +117,7 @@
 		t.Error("an update was sent twice")
 	}
 	runner, _ := sender.PlaceRunner(request, engineGroup, nil, placement.Prefill)
-	sender.SetChanging(runner.Worker.ID, backend.RolePrefill)
+	sender.SetRoleChange(runner.Worker.ID, backend.RolePrefill)
 	message = sender.Drain(false)
 	message.Sender, message.Epoch, message.Sequence = "one", 1, 2
 	receiver.Hear(&message)
@@ -317,7 +317,7 @@
 			worker, _ := dispatcher.balancer.Worker("w")
 			assignment := dispatcher.assign(balance.Choice{Worker: worker}, 0, false, 0)
 			now = now.Add(60 * time.Millisecond)
-			assignment.finish(balance.OutcomeSilent)
+			assignment.finish(balance.OutcomeTimeout)
 		}
 		if usable, want := dispatcher.balancer.Usable(now, "w"), role == backend.RoleDecode; usable != want {
 			t.Errorf("role %q: usable %v, want %v", role, usable, want)
--- a/internal/forward/prefill.go
+++ b/internal/forward/prefill.go
@@ -53,7 +53,7 @@
 	if p.Deferred {
 		return urgencyDeferred
 	}
-	return urgencyOf(p.Prefill.Score.Reading)
+	return urgencyOf(p.Prefill.Score.Prefill)
 }
 
 // urgencyOf returns the urgency of a prompt by its expected prefill time.
--- a/internal/forward/prompt.go
+++ b/internal/forward/prompt.go
@@ -52,7 +52,7 @@
 func (d *Dispatcher) preferredHolders(prompt *promptContext) map[string]cacheHolder {
 	holders := map[string]cacheHolder{}
 	for _, role := range []backend.Role{backend.RolePrefill, backend.RoleDecode} {
-		if preferred := d.balancer.Home(d.now(), prompt.query(role, "", nil)); preferred != nil {
+		if preferred := d.balancer.Preferred(d.now(), prompt.query(role, "", nil)); preferred != nil {
 			holders[preferred.ID] = cacheHolder{worker: preferred, tokens: prompt.shared.tokens}
 		}
 	}
@@ -63,21 +63,21 @@
 func (p *promptContext) query(role backend.Role, zone string, excluded []string) balance.Query {
 	return balance.Query{
 		Request: p.request.ID, Group: p.group.Name, Role: role, Key: p.shared.key, Zone: zone, Excluded: excluded,
-		Deferred: p.deferred, Apart: p.suspectKey, Begun: p.prefilled, Near: p.holderIDs, Gather: len(p.shared.segments) == 0,
+		Deferred: p.deferred, SuspectKey: p.suspectKey, Prefilled: p.prefilled, Holders: p.holderIDs, Concentrate: len(p.shared.segments) == 0,
 	}
 }
 
 // prefillCost returns the cost of prefilling the prompt at an engine.
-func (p *promptContext) prefillCost(worker *backend.Worker) balance.Reading {
+func (p *promptContext) prefillCost(worker *backend.Worker) balance.PrefillCost {
 	total := p.request.Demand.PromptTokens
 	cached := p.holders[worker.ID].tokens
 	settings := &p.dispatcher.settings
 	if p.longestReady > cached && p.group.Engine.LinkMbps > 0 {
 		bits := float64(p.longestReady-cached) * float64(p.group.Engine.BytesPerToken) * 8
 		seconds := settings.FetchWeight * bits / (p.group.Engine.LinkMbps * 1e6)
-		return balance.Reading{Tokens: p.prefillWork(p.longestReady), TransferSeconds: seconds}
+		return balance.PrefillCost{Tokens: p.prefillWork(p.longestReady), TransferSeconds: seconds}
 	}
-	cost := balance.Reading{Tokens: p.prefillWork(cached)}
+	cost := balance.PrefillCost{Tokens: p.prefillWork(cached)}
 	if p.longestCached > cached && total > 0 {
 		estimate := p.dispatcher.model.Estimate(p.dispatcher.now(), enginemodel.ClassOf(worker))
 		cost.TransferSeconds = settings.RecomputeWeight * float64(p.longestCached-cached) * estimate.SecondsPerToken
@@ -92,12 +92,12 @@
 }
 
 // transferCost returns the cost of transferring the prefilled prompt to an engine.
-func (p *promptContext) transferCost(worker *backend.Worker) balance.Reading {
+func (p *promptContext) transferCost(worker *backend.Worker) balance.PrefillCost {
 	seconds := p.dispatcher.settings.TransferSeconds
 	if cached := p.holders[worker.ID].tokens; cached > 0 {
 		seconds *= 1 - float64(cached)/float64(p.longestCached)
 	}
-	return balance.Reading{TransferSeconds: seconds}
+	return balance.PrefillCost{TransferSeconds: seconds}
 }
 
 // attentionCostPerToken is the relative slowdown of prefilling one token for each token of context, because attention is quadratic in the
--- a/internal/forward/ratelimits.go
+++ b/internal/forward/ratelimits.go
@@ -27,21 +27,21 @@
 	loanArrived chan struct{}
 }
 
-// Part implements balance.Holdings.
-func (h *limitHoldings) Part(worker string, perSecond float64) float64 {
+// Share implements balance.Holdings.
+func (h *limitHoldings) Share(worker string, perSecond float64) float64 {
 	return h.holders.Share(h.now(), worker, perSecond)
 }
 
-// Lent implements balance.Holdings.
-func (h *limitHoldings) Lent(worker string) int {
+// Loans implements balance.Holdings.
+func (h *limitHoldings) Loans(worker string) int {
 	if loans := h.loans[worker]; loans != nil {
 		return loans.Left(h.now())
 	}
 	return 0
 }
 
-// UseLent implements balance.Holdings.
-func (h *limitHoldings) UseLent(worker string) bool {
+// UseLoan implements balance.Holdings.
+func (h *limitHoldings) UseLoan(worker string) bool {
 	loans := h.loans[worker]
 	if loans == nil || !loans.Spend(h.now()) {
 		return false
@@ -75,9 +75,9 @@
 	if d.limits == nil {
 		return
 	}
-	d.balancer.EarnLimits(d.now())
+	d.balancer.AccrueLimits(d.now())
 	change(d.limits.holders)
-	d.balancer.EarnLimits(d.now())
+	d.balancer.AccrueLimits(d.now())
 }
 
 // gatewayCount returns how many gateways share limits. The mutex is held.
@@ -105,7 +105,7 @@
 	defer d.mutex.Unlock()
 	now := d.now()
 	clear(d.saturation)
-	return d.balancer.Limit(now, worker, perSecond, now.Add(-age))
+	return d.balancer.SetLimit(now, worker, perSecond, now.Add(-age))
 }
 
 // Unlimit removes the rate limit of a worker whose response named none. The request was sent the given time ago; a limit named after that
@@ -113,7 +113,7 @@
 func (d *Dispatcher) Unlimit(worker string, age time.Duration) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.balancer.Unlimit(worker, d.now().Add(-age))
+	return d.balancer.RemoveLimit(worker, d.now().Add(-age))
 }
 
 // MayAsk takes a health check from the quota of a rate-limited worker, and reports whether the quota allowed it.
@@ -163,7 +163,7 @@
 	if !allowed {
 		return nil, false
 	}
-	workers := d.balancer.Lacking(d.now(), group.Name, runnerRole(group), maxWorkersPerAsk)
+	workers := d.balancer.OutOfQuota(d.now(), group.Name, runnerRole(group), maxWorkersPerAsk)
 	d.limits.outgoingAsks = append(d.limits.outgoingAsks, loadshare.LoanRequest{Asker: d.limits.name, Serial: serial, Workers: workers, MaxRequests: requestsPerAsk})
 	d.peers.notify(true)
 	return d.limits.loanArrived, true
--- a/internal/forward/rolechange.go
+++ b/internal/forward/rolechange.go
@@ -25,7 +25,7 @@
 	now := d.now()
 	groups := map[string]*roles.Group{}
 	for service, engine := range d.engineGroups {
-		for worker, status := range d.balancer.Engines(now, service) {
+		for worker, status := range d.balancer.WorkerStatuses(now, service) {
 			if worker.Group != service {
 				continue
 			}
@@ -52,7 +52,7 @@
 	if d.engineGroups[group] != nil {
 		busy = d.prefillDemand(group, group)
 	}
-	for worker, status := range d.balancer.Engines(d.now(), group) {
+	for worker, status := range d.balancer.WorkerStatuses(d.now(), group) {
 		if worker.Group == group && worker.Slots > 0 {
 			busy += float64(status.Load.Decoding()) / float64(worker.Slots)
 		}
@@ -61,7 +61,7 @@
 }
 
 // engineSnapshot returns the planner's view of an engine. The mutex is held.
-func (d *Dispatcher) engineSnapshot(now time.Time, worker *backend.Worker, status balance.Standing) roles.Engine {
+func (d *Dispatcher) engineSnapshot(now time.Time, worker *backend.Worker, status balance.WorkerStatus) roles.Engine {
 	engine := roles.Engine{Worker: worker, Load: status.Load, Usable: status.Usable}
 	if change, found := d.engineState.pendingRoles[worker.ID]; found && now.Before(change.expiresAt) {
 		engine.Becoming = change.role
@@ -73,8 +73,8 @@
 	return engine
 }
 
-// SetChanging implements roles.Fleet.
-func (d *Dispatcher) SetChanging(id string, role backend.Role) {
+// SetRoleChange implements roles.Fleet.
+func (d *Dispatcher) SetRoleChange(id string, role backend.Role) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	worker, found := d.balancer.Worker(id)
@@ -97,6 +97,6 @@
 		delete(d.peers.roleChanges, id)
 		delete(d.engineState.pendingRoles, id)
 	}
-	d.balancer.SetChanging(id, until)
+	d.balancer.SetRoleChange(id, until)
 	d.peers.loadChanged(id, true)
 }
--- a/internal/forward/saturation.go
+++ b/internal/forward/saturation.go
@@ -20,22 +20,22 @@
 // cachedSaturation is the saturation of a group with the time at which it was computed. Until is zero if some workers accept requests.
 type cachedSaturation struct {
 	at time.Time
-	balance.Full
+	balance.RoleFull
 }
 
 // saturatedUntil returns why and until when no worker of a group accepts requests, or false if that does not apply to all of them. The
 // result is cached, because computing it iterates over all workers of the group.
-func (d *Dispatcher) saturatedUntil(group *routing.Group) (balance.Full, bool) {
+func (d *Dispatcher) saturatedUntil(group *routing.Group) (balance.RoleFull, bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := d.now()
 	cached, isCached := d.saturation[group.Name]
 	if !isCached || now.Sub(cached.at) >= availabilityCacheTime || !now.Before(cached.Until) {
-		full, _ := d.balancer.FullUntil(now, group.Name, runnerRole(group))
-		cached = cachedSaturation{at: now, Full: full}
+		full, _ := d.balancer.RoleFullUntil(now, group.Name, runnerRole(group))
+		cached = cachedSaturation{at: now, RoleFull: full}
 		d.saturation[group.Name] = cached
 	}
-	return cached.Full, !cached.Until.IsZero()
+	return cached.RoleFull, !cached.Until.IsZero()
 }
 
 // runnerRole returns the role of the workers of a group that generate answers.
@@ -48,7 +48,7 @@
 
 // reserveSlot returns when a rate-limited group is expected to have room for a caller, after the callers that were told before. A caller
 // that cannot wait so long reserves nothing. Each gateway announces its share of the slots, since callers may return to any gateway.
-func (d *Dispatcher) reserveSlot(group string, full balance.Full, latest time.Time) time.Time {
+func (d *Dispatcher) reserveSlot(group string, full balance.RoleFull, latest time.Time) time.Time {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	at := d.reservedUntil[group].Add(time.Duration(float64(d.gatewayCount()) / full.PerSecond * float64(time.Second)))
--- a/internal/forward/suspect_test.go
+++ b/internal/forward/suspect_test.go
@@ -83,7 +83,7 @@
 	}
 	duplicateDone.Wait()
 	after, _ := strconv.ParseFloat(duplicate.Header.Get("Retry-After"), 64)
-	least := (balance.DefaultRiskSettings().Away - downtime).Seconds()
+	least := (balance.DefaultRiskSettings().MissingTimeout - downtime).Seconds()
 	if duplicate.StatusCode != http.StatusServiceUnavailable || after < least {
 		t.Errorf("the duplicate got %d with Retry-After %.1f", duplicate.StatusCode, after)
 	}
--- a/internal/forward/views.go
+++ b/internal/forward/views.go
@@ -31,14 +31,14 @@
 	var views []WorkerView
 	for _, id := range d.balancer.IDs() {
 		worker, _ := d.balancer.Worker(id)
-		setAside, changing := d.balancer.KeptOff(now, id)
+		setAside, changing := d.balancer.Skipped(now, id)
 		var quota *balance.Quota
 		if limited, found := d.balancer.QuotaOf(id); found {
 			quota = &limited
 		}
 		views = append(views, WorkerView{
 			Quota: quota, Worker: worker, Load: d.balancer.TotalLoad(id), SetAside: setAside, Changing: changing,
-			BacksOff: now.Before(d.balancer.BacksOffUntil(id)),
+			BacksOff: now.Before(d.balancer.BackOffUntil(id)),
 		})
 	}
 	return views
--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -78,7 +78,7 @@
 		w := view.Worker
 		var limit *adminapi.LimitStatus
 		if quota := view.Quota; quota != nil {
-			limit = &adminapi.LimitStatus{PerSecond: quota.PerSecond, Part: quota.Part, HeardAgoMs: time.Since(quota.Heard).Milliseconds()}
+			limit = &adminapi.LimitStatus{PerSecond: quota.PerSecond, Part: quota.Share, HeardAgoMs: time.Since(quota.ReportedAt).Milliseconds()}
 		}
 		return adminapi.WorkerStatus{
 			Address: w.Address, ID: w.ID, Service: w.Group, Groups: w.Selected, Zone: w.Zone, Labels: w.Labels, Role: string(w.Role),
--- a/internal/gateway/decisions.go
+++ b/internal/gateway/decisions.go
@@ -117,8 +117,8 @@
 	if try.Candidates > 0 {
 		text += fmt.Sprintf(", picked of %d for %s", try.Candidates, describeScore(try.Score))
 	}
-	if try.Score.Answer > 0 {
-		text += fmt.Sprintf(", answer expected after %.0f ms", millisecondsPerSecond*try.Score.Answer)
+	if try.Score.TimeToFirstToken > 0 {
+		text += fmt.Sprintf(", answer expected after %.0f ms", millisecondsPerSecond*try.Score.TimeToFirstToken)
 	}
 	if try.Deferred {
 		text += ", too late for its objective and therefore deferred"
@@ -135,8 +135,8 @@
 		name    string
 		seconds float64
 	}{
-		{"queue", score.Queue}, {"reading", score.Reading}, {"hold-up", score.HoldUp}, {"transfer", score.Transfer},
-		{"distance", score.Distance}, {"doubt", score.Doubt},
+		{"queue", score.Queue}, {"reading", score.Prefill}, {"hold-up", score.Interference}, {"transfer", score.Transfer},
+		{"distance", score.ZoneCost}, {"doubt", score.EjectedPenalty},
 	}
 	text := fmt.Sprintf("%.1f ms expected", millisecondsPerSecond*score.Total())
 	for _, part := range parts {
--- a/internal/poison/strategies_test.go
+++ b/internal/poison/strategies_test.go
@@ -269,7 +269,7 @@
 		return
 	}
 	choice, found := gateway.balancer.Pick(s.now, balance.Query{
-		Group: "g", Role: backend.RoleDecode, Apart: request.digest.String(), Excluded: request.excluded,
+		Group: "g", Role: backend.RoleDecode, SuspectKey: request.digest.String(), Excluded: request.excluded,
 	})
 	if !found {
 		s.waitOrRefuse(request)
@@ -289,7 +289,7 @@
 // waitOrRefuse delays a request that has run before or whose turn is near, and refuses others, whose callers retry once.
 func (s *simulation) waitOrRefuse(request *simRequest) {
 	request.affected = true
-	turnsIn := request.gateway.balancer.RunsIn(s.now, balance.Query{Group: "g", Role: backend.RoleDecode, Apart: request.digest.String()})
+	turnsIn := request.gateway.balancer.SuspectWait(s.now, balance.Query{Group: "g", Role: backend.RoleDecode, SuspectKey: request.digest.String()})
 	if request.tries > 0 || (turnsIn > 0 && turnsIn <= time.Duration(s.strategy.sets)*s.strategy.turn) {
 		s.schedule(pollInterval, func() { s.try(request) })
 		return
@@ -380,7 +380,7 @@
 		gateway := request.gateway
 		s.schedule(probeDelay, func() {
 			gateway.table.RecordCrash(s.now, brokenAt, poison.Crash{Digest: request.digest, Worker: id}, "rule", "")
-			gateway.balancer.Ended(s.now, brokenAt, id)
+			gateway.balancer.RecordCrash(s.now, brokenAt, id)
 			gateway.lastCrashReport = s.now
 			s.shareUpdate(gateway)
 		})
@@ -393,7 +393,7 @@
 	s.schedule(restartTime+recordDelay, func() {
 		for _, gateway := range s.gateways {
 			gateway.balancer.SetWorkers(s.workerRecords())
-			gateway.balancer.Returned(s.now)
+			gateway.balancer.MatchReplacements(s.now)
 		}
 	})
 }
@@ -439,7 +439,7 @@
 		s.schedule(delay, func() {
 			other.table.MergeUpdate(s.now, update)
 			for _, crash := range update.Crashes {
-				other.balancer.Ended(s.now, sent, crash.Worker)
+				other.balancer.RecordCrash(s.now, sent, crash.Worker)
 				other.lastCrashReport = s.now
 			}
 			s.scheduleEvaluation(other)
--- a/internal/roles/controller.go
+++ b/internal/roles/controller.go
@@ -58,9 +58,9 @@
 type Fleet interface {
 	// Groups returns the groups of engines by name.
 	Groups() map[string]*Group
-	// SetChanging stops routing to an engine at all gateways until its record has the given role. Passing its present role cancels the
+	// SetRoleChange stops routing to an engine at all gateways until its record has the given role. Passing its present role cancels the
 	// change.
-	SetChanging(worker string, role backend.Role)
+	SetRoleChange(worker string, role backend.Role)
 }
 
 // ControllerSettings configures a controller.
@@ -282,7 +282,7 @@
 	var changes []Change
 	for name, group := range groups {
 		for _, change := range c.planner(name).Recover(now, group) {
-			c.fleet.SetChanging(change.Worker.ID, change.Role)
+			c.fleet.SetRoleChange(change.Worker.ID, change.Role)
 			changes = append(changes, change)
 		}
 	}
@@ -300,7 +300,7 @@
 		planned := len(changes)
 		for name, group := range groups {
 			if change := c.planner(name).Next(now, group); change != nil {
-				c.fleet.SetChanging(change.Worker.ID, change.Role)
+				c.fleet.SetRoleChange(change.Worker.ID, change.Role)
 				group.applyChange(change)
 				changes = append(changes, *change)
 			}
--- a/internal/roles/controller_test.go
+++ b/internal/roles/controller_test.go
@@ -84,7 +84,7 @@
 	return map[string]*Group{"g": {Engines: newEngines(5, 7, 1), ReadingDemand: 5}}
 }
 
-func (f *busyPrefillFleet) SetChanging(_ string, role backend.Role) {
+func (f *busyPrefillFleet) SetRoleChange(_ string, role backend.Role) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.changing = append(f.changing, role)
--- a/internal/roles/orders.go
+++ b/internal/roles/orders.go
@@ -75,7 +75,7 @@
 		return
 	}
 	if err != nil {
-		c.fleet.SetChanging(change.Worker.ID, change.Worker.Role)
+		c.fleet.SetRoleChange(change.Worker.ID, change.Worker.Role)
 		log.WithError(err).Warn("An engine did not accept an order.")
 		c.recordChange(change, "not taken", "The engine did not accept the order: "+err.Error()+".")
 		return
--- a/internal/roles/transitions.go
+++ b/internal/roles/transitions.go
@@ -76,10 +76,10 @@
 	case err != nil:
 		c.logger.WithError(err).WithField("engine", worker.ID).Debug("The state of an engine that changes its role could not be read.")
 	case state.Busy || state.Role == role:
-		c.fleet.SetChanging(worker.ID, role)
+		c.fleet.SetRoleChange(worker.ID, role)
 	default:
 		delete(c.pendingChanges.changes, worker.ID)
-		c.fleet.SetChanging(worker.ID, worker.Role)
+		c.fleet.SetRoleChange(worker.ID, worker.Role)
 		c.logger.WithField("engine", worker.ID).Warn("An engine accepted an order but does not change its role.")
 	}
 }
