--- a/internal/enginemodel/enginemodel.go
+++ b/internal/enginemodel/enginemodel.go
@@ -25,13 +25,13 @@
 // ClassOf returns the class of a worker.
 func ClassOf(worker *backend.Worker) Class { return Class{Group: worker.Group, Role: worker.Role} }
 
-// Reading is the observation of one prefill.
-type Reading struct {
-	// Ahead is the number of tokens queued at the worker when the prompt was sent, and Tokens is the number of tokens
+// PrefillSample is the observation of one prefill.
+type PrefillSample struct {
+	// QueuedTokens is the number of tokens queued at the worker when the prompt was sent, and Tokens is the number of tokens
 	// of the prompt that the worker was expected to prefill.
-	Ahead, Tokens int
-	// Took is the time from sending the prompt until it was prefilled.
-	Took time.Duration
+	QueuedTokens, Tokens int
+	// Duration is the time from sending the prompt until it was prefilled.
+	Duration time.Duration
 }
 
 // Parameters of the estimation.
@@ -91,16 +91,16 @@
 	return stats
 }
 
-// ObserveReading records a prefill. The weight drops with the share of tokens that were queued ahead, because the
+// ObservePrefill records a prefill. The weight drops with the share of tokens that were queued ahead, because the
 // known queue length may be outdated.
-func (m *Model) ObserveReading(now time.Time, class Class, id string, reading Reading) {
-	if reading.Tokens <= 0 || reading.Took <= 0 || reading.Ahead < 0 {
+func (m *Model) ObservePrefill(now time.Time, class Class, id string, reading PrefillSample) {
+	if reading.Tokens <= 0 || reading.Duration <= 0 || reading.QueuedTokens < 0 {
 		return
 	}
 	stats := m.statsOf(class)
 	expected := m.Estimate(now, class)
-	tokens := float64(reading.Ahead + reading.Tokens)
-	seconds := reading.Took.Seconds()
+	tokens := float64(reading.QueuedTokens + reading.Tokens)
+	seconds := reading.Duration.Seconds()
 	predicted := expected.BaseSeconds + expected.SecondsPerToken*tokens
 	if stats.prefill.weight > clipMinSamples {
 		seconds = min(max(seconds, predicted/clipFactor), predicted*clipFactor)
@@ -116,8 +116,8 @@
 	worker.logSlowdown.add(now, math.Log(seconds/predicted), weight)
 }
 
-// ObserveRun records the time for which a request occupied a worker.
-func (m *Model) ObserveRun(now time.Time, class Class, took time.Duration) {
+// ObserveRequest records the time for which a request occupied a worker.
+func (m *Model) ObserveRequest(now time.Time, class Class, took time.Duration) {
 	if took <= 0 {
 		return
 	}
--- a/internal/enginemodel/enginemodel_test.go
+++ b/internal/enginemodel/enginemodel_test.go
@@ -83,17 +83,17 @@
 	count, every := r.parseInt(options["samples"]), r.parseDuration(options["every"])
 	for i := range count {
 		id := fmt.Sprintf("w%d", i%workers)
-		reading := Reading{Ahead: r.parseInt(options["ahead"]), Tokens: int(minTokens) + r.random.IntN(int(maxTokens-minTokens)+1)}
-		seconds := float64(reading.Ahead+reading.Tokens) / float64(r.parseInt(options["rate"]))
+		reading := PrefillSample{QueuedTokens: r.parseInt(options["ahead"]), Tokens: int(minTokens) + r.random.IntN(int(maxTokens-minTokens)+1)}
+		seconds := float64(reading.QueuedTokens+reading.Tokens) / float64(r.parseInt(options["rate"]))
 		if id == slow {
 			seconds *= slowFactor
 		}
 		if outlierCount := r.parseInt(outliers); outlierCount > 0 && i%(count/outlierCount) == 0 {
 			seconds *= outlierFactor
 		}
-		reading.Took = r.parseDuration(options["base"]) + time.Duration(seconds*float64(time.Second))
+		reading.Duration = r.parseDuration(options["base"]) + time.Duration(seconds*float64(time.Second))
 		r.now = r.now.Add(every)
-		r.model.ObserveReading(r.now, classOf(role), id, reading)
+		r.model.ObservePrefill(r.now, classOf(role), id, reading)
 	}
 }
 
@@ -145,12 +145,12 @@
 		roles := []string{"prefill", "decode"}
 		for range rapid.IntRange(0, 60).Draw(t, "readings") {
 			now = now.Add(time.Duration(rapid.Int64Range(-1e9, 60e9).Draw(t, "pause")))
-			model.ObserveReading(now, classOf(rapid.SampledFrom(roles).Draw(t, "role")), "w", Reading{
-				Ahead:  rapid.IntRange(-10, 1e6).Draw(t, "ahead"),
-				Tokens: rapid.IntRange(-10, 1e6).Draw(t, "tokens"),
-				Took:   time.Duration(rapid.Int64Range(-1e9, 1e12).Draw(t, "took")),
+			model.ObservePrefill(now, classOf(rapid.SampledFrom(roles).Draw(t, "role")), "w", PrefillSample{
+				QueuedTokens: rapid.IntRange(-10, 1e6).Draw(t, "ahead"),
+				Tokens:       rapid.IntRange(-10, 1e6).Draw(t, "tokens"),
+				Duration:     time.Duration(rapid.Int64Range(-1e9, 1e12).Draw(t, "took")),
 			})
-			model.ObserveRun(now, classOf("decode"), time.Duration(rapid.Int64Range(-1e9, 1e12).Draw(t, "run")))
+			model.ObserveRequest(now, classOf("decode"), time.Duration(rapid.Int64Range(-1e9, 1e12).Draw(t, "run")))
 		}
 		for _, role := range roles {
 			estimate := model.Estimate(now, classOf(role))
@@ -178,8 +178,8 @@
 			now = now.Add(50 * time.Millisecond)
 			tokens := rapid.IntRange(2000, 20_000).Draw(t, "tokens")
 			took := 0.008 + float64(tokens)/rate
-			model.ObserveReading(now, classOf("prefill"), fmt.Sprint(i%3), Reading{
-				Tokens: tokens, Took: time.Duration(took * float64(time.Second)),
+			model.ObservePrefill(now, classOf("prefill"), fmt.Sprint(i%3), PrefillSample{
+				Tokens: tokens, Duration: time.Duration(took * float64(time.Second)),
 			})
 		}
 		got := 1 / model.Estimate(now, classOf("prefill")).SecondsPerToken
--- a/internal/forward/dispatcher.go
+++ b/internal/forward/dispatcher.go
@@ -232,8 +232,8 @@
 		return
 	}
 	now := a.dispatcher.now()
-	a.dispatcher.model.ObserveReading(now, enginemodel.ClassOf(a.Worker), a.Worker.ID, enginemodel.Reading{
-		Ahead: a.queuedTokens, Tokens: a.load.PrefillTokens, Took: now.Sub(a.startedAt),
+	a.dispatcher.model.ObservePrefill(now, enginemodel.ClassOf(a.Worker), a.Worker.ID, enginemodel.PrefillSample{
+		QueuedTokens: a.queuedTokens, Tokens: a.load.PrefillTokens, Duration: now.Sub(a.startedAt),
 	})
 }
 
@@ -286,7 +286,7 @@
 		outcome = balance.OutcomeMalformed
 	}
 	if outcome == balance.OutcomeGood {
-		d.model.ObserveRun(now, enginemodel.ClassOf(a.Worker), now.Sub(a.startedAt))
+		d.model.ObserveRequest(now, enginemodel.ClassOf(a.Worker), now.Sub(a.startedAt))
 	}
 	d.balancer.PrefillDone(a.Worker.ID, a.load)
 	if d.balancer.End(now, a.Worker.ID, outcome) {
