--- a/internal/forward/placement.go
+++ b/internal/forward/placement.go
@@ -254,8 +254,8 @@
 
 // addCached adds a cached prefix to the table. The mutex is held.
 func (d *Dispatcher) addCached(worker *backend.Worker, cached loadshare.CachedSegment) {
-	d.residency.Keep(worker.ID, d.cacheCapacity(worker), cached.Key, cached.Tokens, cached.Ready)
-	d.residency.Fill(worker.ID, cached.PrivateTokens)
+	d.residency.Add(worker.ID, d.cacheCapacity(worker), cached.Key, cached.Tokens, cached.Ready)
+	d.residency.AddAnonymous(worker.ID, cached.PrivateTokens)
 }
 
 // RecordPrefilled records that an engine has prefilled the prompt of a request and has cached it.
@@ -271,8 +271,8 @@
 	defer d.mutex.Unlock()
 	for _, segment := range sharedPrefixOf(request.Demand, d.settings.MinSharedTokens).segments {
 		for _, holder := range d.residency.Holders(segment.key) {
-			if holder.Worker == worker.ID && !holder.Ready {
-				d.residency.Forget(worker.ID, segment.key)
+			if holder.Worker == worker.ID && !holder.Cached {
+				d.residency.Remove(worker.ID, segment.key)
 			}
 		}
 	}
--- a/internal/forward/prefixcache.go
+++ b/internal/forward/prefixcache.go
@@ -29,7 +29,7 @@
 	}
 	for _, part := range parts {
 		if part.Tokens >= d.settings.MinSharedTokens {
-			d.residency.Keep(id, d.cacheCapacity(worker), part.Key, part.Tokens, true)
+			d.residency.Add(id, d.cacheCapacity(worker), part.Key, part.Tokens, true)
 		}
 	}
 }
@@ -43,7 +43,7 @@
 		if len(all) >= limit {
 			break
 		}
-		all = append(all, loadshare.CachedSegment{Worker: worker, Key: part.Key, Tokens: part.Tokens, Ready: part.Ready})
+		all = append(all, loadshare.CachedSegment{Worker: worker, Key: part.Key, Tokens: part.Tokens, Ready: part.Cached})
 	}
 	return all
 }
@@ -55,7 +55,7 @@
 	added := 0
 	for _, part := range parts {
 		worker, found := d.balancer.Worker(part.Worker)
-		if !found || part.Tokens <= 0 || d.residency.Keeps(part.Worker, part.Key) {
+		if !found || part.Tokens <= 0 || d.residency.Has(part.Worker, part.Key) {
 			continue
 		}
 		added++
--- a/internal/forward/prompt.go
+++ b/internal/forward/prompt.go
@@ -162,7 +162,7 @@
 			if !found || holder.tokens < before {
 				continue
 			}
-			if cached.Ready && holder.readyTokens == before {
+			if cached.Cached && holder.readyTokens == before {
 				holder.readyTokens += segment.tokens
 			}
 			holder.tokens += segment.tokens
--- a/internal/residency/residency.go
+++ b/internal/residency/residency.go
@@ -10,8 +10,8 @@
 // Holder is an engine that has a part in its cache.
 type Holder struct {
 	Worker string
-	// Ready is set once the part has been prefilled or fetched, and not while that is still in progress.
-	Ready bool
+	// Cached is set once the part has been prefilled or fetched, and not while that is still in progress.
+	Cached bool
 }
 
 // Table is the state of all engine caches. It is a pure state machine and not safe for concurrent use.
@@ -30,7 +30,7 @@
 }
 
 // part is a cached part. A part without a key can't be used by other requests.
-type part struct {
+type segment struct {
 	key    string
 	tokens int
 	ready  bool
@@ -41,9 +41,9 @@
 	return &Table{workers: map[string]*engineCache{}, holders: map[string][]string{}}
 }
 
-// Keep records that an engine with the given cache capacity in tokens has a part, or is about to have it, and marks
+// Add records that an engine with the given cache capacity in tokens has a part, or is about to have it, and marks
 // the part as used.
-func (t *Table) Keep(worker string, capacity int, key string, tokens int, ready bool) {
+func (t *Table) Add(worker string, capacity int, key string, tokens int, ready bool) {
 	cache, exists := t.workers[worker]
 	if !exists {
 		cache = &engineCache{lru: list.New(), parts: map[string]*list.Element{}}
@@ -52,11 +52,11 @@
 	cache.capacity = capacity
 	if element, found := cache.parts[key]; found {
 		cache.lru.MoveToFront(element)
-		existing := element.Value.(*part)
+		existing := element.Value.(*segment)
 		existing.ready = existing.ready || ready
 		return
 	}
-	cache.parts[key] = cache.lru.PushFront(&part{key: key, tokens: tokens, ready: ready})
+	cache.parts[key] = cache.lru.PushFront(&segment{key: key, tokens: tokens, ready: ready})
 	cache.tokens += tokens
 	t.holders[key] = append(t.holders[key], worker)
 	t.evict(worker, cache)
@@ -65,24 +65,24 @@
 // maxAnonymousTokens limits the size of a merged part without a key.
 const maxAnonymousTokens = 5000
 
-// Fill records that a request has filled the cache of an engine with tokens that no other request can use. They are
+// AddAnonymous records that a request has filled the cache of an engine with tokens that no other request can use. They are
 // evicted like parts.
-func (t *Table) Fill(worker string, tokens int) {
+func (t *Table) AddAnonymous(worker string, tokens int) {
 	cache, exists := t.workers[worker]
 	if !exists || tokens <= 0 {
 		return
 	}
 	cache.tokens += tokens
-	if front := cache.lru.Front(); front != nil && front.Value.(*part).canAbsorb(tokens) {
-		front.Value.(*part).tokens += tokens
+	if front := cache.lru.Front(); front != nil && front.Value.(*segment).canAbsorb(tokens) {
+		front.Value.(*segment).tokens += tokens
 	} else {
-		cache.lru.PushFront(&part{tokens: tokens})
+		cache.lru.PushFront(&segment{tokens: tokens})
 	}
 	t.evict(worker, cache)
 }
 
 // canAbsorb reports whether the part has no key and room for more tokens.
-func (p *part) canAbsorb(tokens int) bool {
+func (p *segment) canAbsorb(tokens int) bool {
 	return p.key == "" && p.tokens+tokens <= maxAnonymousTokens
 }
 
@@ -93,8 +93,8 @@
 	}
 }
 
-// Forget records that an engine does not have a part.
-func (t *Table) Forget(worker, key string) {
+// Remove records that an engine does not have a part.
+func (t *Table) Remove(worker, key string) {
 	cache, exists := t.workers[worker]
 	if !exists {
 		return
@@ -116,8 +116,8 @@
 	delete(t.workers, worker)
 }
 
-// Keeps reports whether an engine has a part, or is about to have it.
-func (t *Table) Keeps(worker, key string) bool {
+// Has reports whether an engine has a part, or is about to have it.
+func (t *Table) Has(worker, key string) bool {
 	cache, exists := t.workers[worker]
 	return exists && cache.parts[key] != nil
 }
@@ -127,18 +127,18 @@
 	var holders []Holder
 	for _, worker := range t.holders[key] {
 		element := t.workers[worker].parts[key]
-		holders = append(holders, Holder{Worker: worker, Ready: element.Value.(*part).ready})
+		holders = append(holders, Holder{Worker: worker, Cached: element.Value.(*segment).ready})
 	}
 	return holders
 }
 
 // All returns the cached parts of all engines, of each engine the least recently used first.
-func (t *Table) All() iter.Seq2[string, CachedPart] {
-	return func(yield func(string, CachedPart) bool) {
+func (t *Table) All() iter.Seq2[string, CachedSegment] {
+	return func(yield func(string, CachedSegment) bool) {
 		for worker, cache := range t.workers {
 			for element := cache.lru.Back(); element != nil; element = element.Prev() {
-				cached := element.Value.(*part)
-				if cached.key != "" && !yield(worker, CachedPart{Key: cached.key, Tokens: cached.tokens, Ready: cached.ready}) {
+				cached := element.Value.(*segment)
+				if cached.key != "" && !yield(worker, CachedSegment{Key: cached.key, Tokens: cached.tokens, Cached: cached.ready}) {
 					return
 				}
 			}
@@ -146,16 +146,16 @@
 	}
 }
 
-// CachedPart is a part that an engine has, or is about to have.
-type CachedPart struct {
+// CachedSegment is a part that an engine has, or is about to have.
+type CachedSegment struct {
 	Key    string
 	Tokens int
-	Ready  bool
+	Cached bool
 }
 
 // remove removes one part from the cache of an engine.
 func (t *Table) remove(worker string, cache *engineCache, element *list.Element) {
-	removed := cache.lru.Remove(element).(*part)
+	removed := cache.lru.Remove(element).(*segment)
 	cache.tokens -= removed.tokens
 	if removed.key == "" {
 		return
--- a/internal/residency/residency_test.go
+++ b/internal/residency/residency_test.go
@@ -27,7 +27,7 @@
 // first.
 type referenceTable map[string][]referencePart
 
-// keep implements Table.Keep.
+// keep implements Table.Add.
 func (m referenceTable) keep(worker, key string, tokens int, ready bool) {
 	parts := m[worker]
 	i := slices.IndexFunc(parts, func(p referencePart) bool { return p.key == key })
@@ -45,7 +45,7 @@
 	m[worker] = parts
 }
 
-// fill implements Table.Fill, for fills that are too large to be merged.
+// fill implements Table.AddAnonymous, for fills that are too large to be merged.
 func (m referenceTable) fill(worker string, tokens int) {
 	if _, exists := m[worker]; !exists {
 		return
@@ -57,7 +57,7 @@
 	m[worker] = parts
 }
 
-// forget implements Table.Forget.
+// forget implements Table.Remove.
 func (m referenceTable) forget(worker, key string) {
 	m[worker] = slices.DeleteFunc(m[worker], func(p referencePart) bool { return p.key == key })
 }
@@ -68,7 +68,7 @@
 	for worker, parts := range m {
 		for _, part := range parts {
 			if part.key == key {
-				found = append(found, residency.Holder{Worker: worker, Ready: part.ready})
+				found = append(found, residency.Holder{Worker: worker, Cached: part.ready})
 			}
 		}
 	}
@@ -106,18 +106,18 @@
 			key := rapid.SampledFrom(keys).Draw(t, "key")
 			switch rapid.IntRange(0, 7).Draw(t, "change") {
 			case 0:
-				table.Forget(worker, key)
+				table.Remove(worker, key)
 				reference.forget(worker, key)
 			case 1:
 				table.ForgetWorker(worker)
 				delete(reference, worker)
 			case 2:
 				tokens := rapid.IntRange(3000, 9000).Draw(t, "own")
-				table.Fill(worker, tokens)
+				table.AddAnonymous(worker, tokens)
 				reference.fill(worker, tokens)
 			default:
 				tokens, ready := rapid.IntRange(1, 24_000).Draw(t, "tokens"), rapid.Bool().Draw(t, "ready")
-				table.Keep(worker, largeCapacity, key, tokens, ready)
+				table.Add(worker, largeCapacity, key, tokens, ready)
 				reference.keep(worker, key, tokens, ready)
 			}
 			for _, each := range keys {
@@ -134,10 +134,10 @@
 func TestHoldersAreInCachingOrder(t *testing.T) {
 	table := residency.New()
 	for _, worker := range []string{"w2", "w0", "w1"} {
-		table.Keep(worker, capacity, "k", 10, true)
+		table.Add(worker, capacity, "k", 10, true)
 	}
-	table.Keep("w2", capacity, "k", 10, true)
-	want := []residency.Holder{{Worker: "w2", Ready: true}, {Worker: "w0", Ready: true}, {Worker: "w1", Ready: true}}
+	table.Add("w2", capacity, "k", 10, true)
+	want := []residency.Holder{{Worker: "w2", Cached: true}, {Worker: "w0", Cached: true}, {Worker: "w1", Cached: true}}
 	if got := table.Holders("k"); !slices.Equal(got, want) {
 		t.Errorf("got %v, want %v", got, want)
 	}
@@ -146,15 +146,15 @@
 // TestSmallFillsAreMerged guards against a table that grows with every request.
 func TestSmallFillsAreMerged(t *testing.T) {
 	table := residency.New()
-	table.Keep("w", largeCapacity, "first", 1000, true)
+	table.Add("w", largeCapacity, "first", 1000, true)
 	for range 180 {
-		table.Fill("w", 100)
+		table.AddAnonymous("w", 100)
 	}
 	if len(table.Holders("first")) != 1 {
 		t.Fatal("a part was evicted although the cache had room")
 	}
 	for range 20 {
-		table.Fill("w", 100)
+		table.AddAnonymous("w", 100)
 	}
 	if len(table.Holders("first")) != 0 {
 		t.Fatal("a part was kept although newer tokens fill the cache")
