--- a/internal/gateway/cachedparts.go
+++ b/internal/gateway/cachedparts.go
@@ -71,7 +71,7 @@
 	var learned atomic.Int64
 	for _, address := range g.gatewaysToQuery() {
 		queries.Go(func() {
-			parts, err := g.cacheAsker.Ask(ctx, address)
+			parts, err := g.cacheAsker.Query(ctx, address)
 			if err != nil {
 				logging.Part(g.logger, "gateway").WithError(err).Debug("Querying a gateway for cached prompt parts failed.")
 				return
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -114,7 +114,7 @@
 	restoreTrigger chan struct{}
 	// editsMayBeLost is set while the store may lack operators' edits that are in force here.
 	editsMayBeLost atomic.Bool
-	cacheAsker     *keptshare.Asker
+	cacheAsker     *keptshare.Client
 
 	leaving     atomic.Bool
 	sideServers []*callers.Server
--- a/internal/keptshare/keptshare.go
+++ b/internal/keptshare/keptshare.go
@@ -23,8 +23,8 @@
 
 // Limits of a request.
 const (
-	// maxParts is the maximum number of parts in a response, which is about 4 MB for ten thousand engines.
-	maxParts = 100_000
+	// maxSegments is the maximum number of parts in a response, which is about 4 MB for ten thousand engines.
+	maxSegments = 100_000
 	// maxResponseBytes limits the size of a response.
 	maxResponseBytes = 16 << 20
 	// requestTimeout limits the time of a request. It must be short, because the gateway queries the engines if no
@@ -35,7 +35,7 @@
 // Handler serves the cached parts that source returns, of each engine the least recently used first.
 func Handler(source func(maxParts int) []loadshare.CachedSegment) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		encoded, err := cbor.Marshal(source(maxParts))
+		encoded, err := cbor.Marshal(source(maxSegments))
 		if err != nil {
 			w.WriteHeader(http.StatusInternalServerError)
 			return
@@ -46,14 +46,14 @@
 	})
 }
 
-// Asker queries other gateways.
-type Asker struct{ client *httpclient.Client }
+// Client queries other gateways.
+type Client struct{ client *httpclient.Client }
 
 // New returns an Asker.
-func New() *Asker { return &Asker{httpclient.New(httpclient.DefaultSettings())} }
+func New() *Client { return &Client{httpclient.New(httpclient.DefaultSettings())} }
 
-// Ask returns the cached parts that the gateway at the address knows.
-func (a *Asker) Ask(ctx context.Context, address string) ([]loadshare.CachedSegment, error) {
+// Query returns the cached parts that the gateway at the address knows.
+func (a *Client) Query(ctx context.Context, address string) ([]loadshare.CachedSegment, error) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	response, err := a.client.Do(ctx, address, &httpclient.Request{Method: http.MethodGet, Target: Path, Host: address, Header: http.Header{}})
--- a/internal/keptshare/keptshare_test.go
+++ b/internal/keptshare/keptshare_test.go
@@ -20,7 +20,7 @@
 
 func TestAskReturnsCachedParts(t *testing.T) {
 	known := []loadshare.CachedSegment{{Worker: "w", Key: "k", Tokens: 13_300, Ready: true}, {Worker: "v", Key: "l", Tokens: 700}}
-	got, err := New().Ask(t.Context(), startServer(t, Handler(func(int) []loadshare.CachedSegment { return known })))
+	got, err := New().Query(t.Context(), startServer(t, Handler(func(int) []loadshare.CachedSegment { return known })))
 	if err != nil || !reflect.DeepEqual(got, known) {
 		t.Errorf("got %+v, %v", got, err)
 	}
@@ -32,7 +32,7 @@
 		"not CBOR":        func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("nonsense")) },
 		"other CBOR type": func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte{0x05}) },
 	} {
-		if parts, err := New().Ask(t.Context(), startServer(t, handler)); err == nil || len(parts) > 0 || !strings.Contains(err.Error(), "query cached parts") {
+		if parts, err := New().Query(t.Context(), startServer(t, handler)); err == nil || len(parts) > 0 || !strings.Contains(err.Error(), "query cached parts") {
 			t.Errorf("%s: got parts %v, error %v", name, parts, err)
 		}
 	}
