--- a/internal/configuration/snapshot.go
+++ b/internal/configuration/snapshot.go
@@ -111,8 +111,8 @@
 	result := &routing.Configuration{Revision: int64(s.Revision()), WorkerLabels: s.document.WorkerLabels}
 	for _, g := range s.groups {
 		result.Groups = append(result.Groups, routing.Group{
-			Name: g.group.Name, Of: g.group.Service, Selector: g.selector,
-			LeastOfRole: map[backend.Role]int(g.group.RoleFloors),
+			Name: g.group.Name, SelectFrom: g.group.Service, Selector: g.selector,
+			MinPerRole: map[backend.Role]int(g.group.RoleFloors),
 		})
 	}
 	for _, r := range s.rules {
@@ -124,15 +124,15 @@
 // toRoutingRule converts a rule to the form that the request path uses.
 func (c compiledRule) toRoutingRule() routing.Rule {
 	return routing.Rule{
-		Name:           c.rule.Name,
-		Match:          routing.LabelMatch{Selector: c.selector, Precedence: c.rule.Precedence},
-		Kind:           routing.KindStream,
-		Resumable:      true,
-		Timeout:        c.rule.Timeout.Std(),
-		Objective:      c.rule.Objective.Std(),
-		Priority:       c.rule.Priority,
-		MaxAttempts:    c.rule.MaximumAttempts,
-		TenantInFlight: c.rule.TenantInFlight,
+		Name:              c.rule.Name,
+		Match:             routing.LabelMatch{Selector: c.selector, Precedence: c.rule.Precedence},
+		Kind:              routing.KindStream,
+		Resumable:         true,
+		Timeout:           c.rule.Timeout.Std(),
+		Objective:         c.rule.Objective.Std(),
+		Priority:          c.rule.Priority,
+		MaxAttempts:       c.rule.MaximumAttempts,
+		MaxTenantInFlight: c.rule.TenantInFlight,
 		Shares: lo.Map(c.rule.Groups, func(share GroupShare, _ int) routing.Share {
 			return routing.Share{Group: share.Group, Weight: share.Weight}
 		}),
--- a/internal/forward/attempts_test.go
+++ b/internal/forward/attempts_test.go
@@ -28,7 +28,7 @@
 	failures := []failure{failureUnreachable, failureRefused, failureMoved, failureSilent, failureBroken, failureError, failureDeadline, failureCallerGone}
 	rapid.Check(t, func(t *rapid.T) {
 		rule := &routing.Rule{
-			Kind:        rapid.SampledFrom([]routing.Kind{routing.KindRunOnce, routing.KindRepeatable, routing.KindStream}).Draw(t, "kind"),
+			Kind:        rapid.SampledFrom([]routing.Kind{routing.KindAtMostOnce, routing.KindRepeatable, routing.KindStream}).Draw(t, "kind"),
 			Resumable:   rapid.Bool().Draw(t, "resumable"),
 			MaxAttempts: rapid.IntRange(1, 3).Draw(t, "attempts"),
 		}
@@ -75,7 +75,7 @@
 		workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Answer, error) {
 			return wholeResponse(status, "x"), nil
 		}}
-		f := newFixture(t, fixtureOptions{rule: routing.Rule{Kind: routing.KindRunOnce}}, workers)
+		f := newFixture(t, fixtureOptions{rule: routing.Rule{Kind: routing.KindAtMostOnce}}, workers)
 		response, _, err := f.get(t)
 		if err != nil || response.StatusCode != http.StatusBadGateway || len(workers.ranAt) != 1 {
 			t.Errorf("worker status %d: got %v, %v after %d runs", status, response, err, len(workers.ranAt))
--- a/internal/forward/enginestate.go
+++ b/internal/forward/enginestate.go
@@ -382,14 +382,14 @@
 func (d *Dispatcher) expectedRecovery(now time.Time, loss *Loss, engine *routing.Engine, changeDone, returnsAt time.Time) time.Time {
 	changeOrdered := loss.Since.Add(roleOrderTime)
 	if changeDone.IsZero() && loss.Readers > 1 && !loss.Since.IsZero() && now.Before(changeOrdered) {
-		changeDone = changeOrdered.Add(engine.RoleChange)
+		changeDone = changeOrdered.Add(engine.RoleChangeTime)
 	}
 	expected := earliestSet(changeDone, returnsAt)
 	switch {
 	case expected.IsZero():
-		return now.Add(roleOrderTime + engine.RoleChange)
+		return now.Add(roleOrderTime + engine.RoleChangeTime)
 	case now.After(expected):
-		return now.Add(min(max(now.Sub(expected), AskEngineEvery), engine.RoleChange+roleOrderTime))
+		return now.Add(min(max(now.Sub(expected), AskEngineEvery), engine.RoleChangeTime+roleOrderTime))
 	default:
 		return expected
 	}
--- a/internal/forward/enginestate_test.go
+++ b/internal/forward/enginestate_test.go
@@ -32,7 +32,7 @@
 // newTwoGateways returns two gateways that know the same engines.
 func newTwoGateways() *twoGateways {
 	engine := *engineGroup.Engine
-	engine.RoleChange = roleChangeTime
+	engine.RoleChangeTime = roleChangeTime
 	two := &twoGateways{now: time.Unix(1000, 0), group: &routing.Group{Name: "g", Engine: &engine}, records: backend.Set{}}
 	for _, role := range []backend.Role{backend.RolePrefill, backend.RoleDecode} {
 		for i := range 3 {
@@ -233,7 +233,7 @@
 	f := newFixture(t, fixtureOptions{
 		rule: routing.Rule{Kind: routing.KindRepeatable, MaxAttempts: 2, Objective: objective}, engine: true, demand: shortPrompt, allowance: 10,
 	}, workers)
-	f.handler.dispatcher.engineGroups["g"].RoleChange = roleChange
+	f.handler.dispatcher.engineGroups["g"].RoleChangeTime = roleChange
 	return f, workers
 }
 
--- a/internal/forward/fleet_load_test.go
+++ b/internal/forward/fleet_load_test.go
@@ -158,7 +158,7 @@
 	random := rand.New(rand.NewPCG(3, 5))
 	s := &loadSimulation{
 		now: time.Unix(1000, 0), random: random, busyUntil: map[string]time.Time{}, cached: map[string]map[string]bool{}, everCached: map[string]bool{},
-		group: &routing.Group{Name: "g", Engine: &routing.Engine{MemoryTokens: 417_523, BytesPerToken: 163_840, LinkMbps: 1_500_000}},
+		group: &routing.Group{Name: "g", Engine: &routing.Engine{KVCacheTokens: 417_523, BytesPerToken: 163_840, LinkMbps: 1_500_000}},
 	}
 	set := fleetOf(10_000)
 	for zone := range gatewayCount {
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -207,7 +207,7 @@
 }
 
 func TestRetryAfterFailedAttempt(t *testing.T) {
-	runOnce := routing.Rule{Kind: routing.KindRunOnce}
+	runOnce := routing.Rule{Kind: routing.KindAtMostOnce}
 	repeatable := routing.Rule{Kind: routing.KindRepeatable, MaxAttempts: 2}
 	cases := []struct {
 		desc       string
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -228,7 +228,7 @@
 			strings.Join(bar.Workers, ", "), bar.Until.UTC().Format(time.RFC3339))
 		return respondError(writer, report, http.StatusUnprocessableEntity, ReasonBarred)
 	}
-	if !h.tenants.Begin(match.Rule.Name, request.Tenant, match.Rule.TenantInFlight) {
+	if !h.tenants.Begin(match.Rule.Name, request.Tenant, match.Rule.MaxTenantInFlight) {
 		return respondRetryAfter(writer, report, ReasonTenantLimit, h.settings.RefusedRetryAfter)
 	}
 	defer h.tenants.End(match.Rule.Name, request.Tenant)
--- a/internal/forward/placement.go
+++ b/internal/forward/placement.go
@@ -235,7 +235,7 @@
 	if !found {
 		return 0
 	}
-	return int(cacheShare * float64(engine.MemoryTokens))
+	return int(cacheShare * float64(engine.KVCacheTokens))
 }
 
 // recordCached records that an engine has cached the shared prefix of a prompt, or is about to, and notifies the other gateways. The mutex
--- a/internal/forward/placement_test.go
+++ b/internal/forward/placement_test.go
@@ -12,7 +12,7 @@
 )
 
 // engineGroup is a group of engines.
-var engineGroup = &routing.Group{Name: "g", Engine: &routing.Engine{MemoryTokens: 400_000, BytesPerToken: 160_000, LinkMbps: 1e6}}
+var engineGroup = &routing.Group{Name: "g", Engine: &routing.Engine{KVCacheTokens: 400_000, BytesPerToken: 160_000, LinkMbps: 1e6}}
 
 // newEngineDispatcher returns a dispatcher with three engines of each role.
 func newEngineDispatcher() *Dispatcher {
--- a/internal/forward/rolechange.go
+++ b/internal/forward/rolechange.go
@@ -33,7 +33,7 @@
 			group, found := groups[name]
 			if !found {
 				group = &roles.Group{
-					Engines: make([]roles.Engine, 0, d.balancer.Count(service)), ReadingDemand: d.prefillDemand(name, service), Wrote: d.engineState.hadDecoders[name], RoleChange: engine.RoleChange,
+					Engines: make([]roles.Engine, 0, d.balancer.Count(service)), ReadingDemand: d.prefillDemand(name, service), Wrote: d.engineState.hadDecoders[name], RoleChange: engine.RoleChangeTime,
 				}
 				groups[name] = group
 			}
@@ -86,7 +86,7 @@
 		until = until.Add(maxRoleChangeTime)
 		change := roleChange{role: role, readyAt: d.now(), expiresAt: until}
 		if engine := d.engineGroups[worker.Group]; engine != nil {
-			change.readyAt = change.readyAt.Add(engine.RoleChange)
+			change.readyAt = change.readyAt.Add(engine.RoleChangeTime)
 		}
 		if before, found := d.engineState.pendingRoles[id]; found && before.role == role {
 			change.readyAt = before.readyAt
--- a/internal/forward/suspect_test.go
+++ b/internal/forward/suspect_test.go
@@ -95,7 +95,7 @@
 // TestSuspectFailureIsDelayedUntilPeersKnow covers a crash under a request that may run once. Its caller may retry it at another gateway at
 // once.
 func TestSuspectFailureIsDelayedUntilPeersKnow(t *testing.T) {
-	f := newSuspectFixture(t, routing.Rule{Kind: routing.KindRunOnce}, 0)
+	f := newSuspectFixture(t, routing.Rule{Kind: routing.KindAtMostOnce}, 0)
 	start := time.Now()
 	response, _, err := f.get(t)
 	if err != nil || response.StatusCode != http.StatusBadGateway || time.Since(start) < peerNotifyDelay {
--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -115,7 +115,7 @@
 	}
 	workers := a.dispatcher.Workers()
 	return lo.Map(table.Configuration().Groups, func(group routing.Group, _ int) adminapi.GroupStatus {
-		status := adminapi.GroupStatus{Name: group.Name, Of: group.Of, Roles: map[string]int{}}
+		status := adminapi.GroupStatus{Name: group.Name, Of: group.SelectFrom, Roles: map[string]int{}}
 		for _, view := range workers {
 			if !slices.Contains(view.Worker.Groups(), group.Name) {
 				continue
--- a/internal/gateway/capacity.go
+++ b/internal/gateway/capacity.go
@@ -39,9 +39,9 @@
 // capacityGroup returns the observed workers and the scaling limits of a group.
 func (g *Gateway) capacityGroup(group routing.Group) capacity.Group {
 	observed := capacity.Group{
-		Name: group.Name, Boot: group.Scaling.Boot, Present: capacity.Plan{}, Busy: g.dispatcher.Busy(group.Name),
+		Name: group.Name, Boot: group.Scaling.BootTime, Present: capacity.Plan{}, Busy: g.dispatcher.Busy(group.Name),
 		Shown: g.view.Steady() > initialRecordTime, Certain: g.view.Steady() > recordRecoveryTime, New: g.view.IsNew(newFleetPeriod),
-		Offer: capacity.Offer{Least: group.Scaling.Least, Most: group.Scaling.Most, SpotPrice: group.Scaling.SpotPrice},
+		Offer: capacity.Offer{Least: group.Scaling.Min, Most: group.Scaling.Max, SpotPrice: group.Scaling.SpotPrice},
 	}
 	for zone, price := range group.Scaling.ZonePrices {
 		observed.Offer.Zones = append(observed.Offer.Zones, capacity.Zone{Name: zone, Price: price, NoSpot: group.Scaling.SpotPrice <= 0})
--- a/internal/roles/controller.go
+++ b/internal/roles/controller.go
@@ -131,7 +131,7 @@
 func (c *Controller) SetGroups(groups []routing.Group) {
 	minEngines := map[string]map[backend.Role]int{}
 	for _, group := range groups {
-		minEngines[group.Name] = group.LeastOfRole
+		minEngines[group.Name] = group.MinPerRole
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/internal/routing/configuration.go
+++ b/internal/routing/configuration.go
@@ -17,8 +17,8 @@
 
 // Kinds of requests.
 const (
-	// KindRunOnce requests are executed at most once.
-	KindRunOnce Kind = iota
+	// KindAtMostOnce requests are executed at most once.
+	KindAtMostOnce Kind = iota
 	// KindRepeatable requests may be executed again after any failure.
 	KindRepeatable
 	// KindStream requests are answered with a stream of events. They are executed at most once unless their rule is
@@ -68,8 +68,8 @@
 	Timeout time.Duration
 	// Objective is the target for the time to the first byte of the response.
 	Objective time.Duration
-	// GapObjective is the target for the longest pause between two events of a stream.
-	GapObjective time.Duration
+	// EventGapObjective is the target for the longest pause between two events of a stream.
+	EventGapObjective time.Duration
 	// Priority is the priority class of the rule, 0 being the most urgent.
 	Priority int
 	// MaxAttempts is the maximum number of workers that may execute one request.
@@ -80,8 +80,8 @@
 	Shares []Share
 	// Public rules require no API key.
 	Public bool
-	// TenantInFlight limits the concurrent requests of one tenant over all gateways; zero means no limit.
-	TenantInFlight int
+	// MaxTenantInFlight limits the concurrent requests of one tenant over all gateways; zero means no limit.
+	MaxTenantInFlight int
 }
 
 // Repeatable reports whether a request of the rule may be executed more than once.
@@ -91,8 +91,8 @@
 
 // Engine describes the inference engines of a group.
 type Engine struct {
-	// MemoryTokens is the capacity of the KV cache of one engine.
-	MemoryTokens int
+	// KVCacheTokens is the capacity of the KV cache of one engine.
+	KVCacheTokens int
 	// BytesPerToken is the size of one token in the KV cache.
 	BytesPerToken int
 	// LinkMbps is the bandwidth between engines in Mbit/s.
@@ -101,21 +101,21 @@
 	TokensPerEvent int
 	// HandleTTL is how long the KV cache of a prefilled prompt is kept for the decode engine.
 	HandleTTL time.Duration
-	// RoleChange is how long a role change takes.
-	RoleChange time.Duration
+	// RoleChangeTime is how long a role change takes.
+	RoleChangeTime time.Duration
 }
 
 // Group is a set of interchangeable workers: those that register as its members, or those of another group that its
 // selector matches.
 type Group struct {
 	Name string
-	// Of is the group from which the selector selects workers; empty for a group without a selector.
-	Of       string
-	Selector Selector
+	// SelectFrom is the group from which the selector selects workers; empty for a group without a selector.
+	SelectFrom string
+	Selector   Selector
 	// HealthPath is the path at which a worker reports its identity; empty if it does not.
 	HealthPath string
-	// LeastOfRole is the minimum number of engines of each role.
-	LeastOfRole map[backend.Role]int
+	// MinPerRole is the minimum number of engines of each role.
+	MinPerRole map[backend.Role]int
 	// MaxConnections is the number of connections that one worker accepts from all callers together.
 	MaxConnections int
 	// Engine is nil for groups of plain application workers.
@@ -126,10 +126,10 @@
 
 // Scaling limits the workers of a group that may be provisioned.
 type Scaling struct {
-	// Least and Most limit the number of workers in each zone.
-	Least, Most int
-	// Boot is the time from ordering a worker until it serves requests.
-	Boot time.Duration
+	// Min and Max limit the number of workers in each zone.
+	Min, Max int
+	// BootTime is the time from ordering a worker until it serves requests.
+	BootTime time.Duration
 	// SpotPrice is the price of a preemptible worker relative to a regular one; zero if there are none.
 	SpotPrice float64
 	// ZonePrices are the prices of a worker per second, by zone.
@@ -186,7 +186,7 @@
 // withBaseSettings returns the group with the engine settings of the group that it selects from.
 func (c *Configuration) withBaseSettings(group Group) Group {
 	for _, base := range c.Groups {
-		if base.Name == group.Of {
+		if base.Name == group.SelectFrom {
 			group.Engine, group.MaxConnections = base.Engine, base.MaxConnections
 			return group
 		}
@@ -209,7 +209,7 @@
 
 // changesWorkers reports whether Select may change any worker.
 func (c *Configuration) changesWorkers() bool {
-	return c != nil && (len(c.WorkerLabels) > 0 || slices.ContainsFunc(c.Groups, func(g Group) bool { return g.Of != "" }))
+	return c != nil && (len(c.WorkerLabels) > 0 || slices.ContainsFunc(c.Groups, func(g Group) bool { return g.SelectFrom != "" }))
 }
 
 // SelectChanges is like Select, for changed workers.
@@ -226,7 +226,7 @@
 	labelled.Labels = lo.Assign(worker.Labels, c.WorkerLabels[worker.Address])
 	labelled.Selected = nil
 	for _, group := range c.Groups {
-		if group.Of == worker.Group && group.Selector != nil && group.Selector.MatchesLabels(labelled.Labels) {
+		if group.SelectFrom == worker.Group && group.Selector != nil && group.Selector.MatchesLabels(labelled.Labels) {
 			labelled.Selected = append(labelled.Selected, group.Name)
 		}
 	}
--- a/internal/routing/validate.go
+++ b/internal/routing/validate.go
@@ -25,8 +25,8 @@
 		groups[group.Name] = true
 	}
 	for i, group := range c.Groups {
-		if group.Of != "" && !groups[group.Of] {
-			addError(fmt.Sprintf("groups[%d].of", i), "there is no group %q", group.Of)
+		if group.SelectFrom != "" && !groups[group.SelectFrom] {
+			addError(fmt.Sprintf("groups[%d].of", i), "there is no group %q", group.SelectFrom)
 		}
 	}
 	for i := range c.Rules {
