--- a/internal/balance/suspects.go
+++ b/internal/balance/suspects.go
@@ -211,7 +211,7 @@
 	}
 	elapsed := now.Sub(b.crashes.byWorker[lastCrash].at)
 	turn := b.settings.Risk.Turn
-	ownSet := rendezvous.Slot(lastCrash+"/"+query.SuspectKey, sets)
+	ownSet := rendezvous.Bucket(lastCrash+"/"+query.SuspectKey, sets)
 	turns := (ownSet - int(elapsed/turn)%sets + sets) % sets
 	if turns == 0 {
 		return 0
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -44,8 +44,8 @@
 	return names
 }
 
-// Slot maps a key to one of the given number of slots.
-func Slot(key string, slots int) int { return int(weight(key, "") % uint64(slots)) }
+// Bucket maps a key to one of the given number of slots.
+func Bucket(key string, slots int) int { return int(weight(key, "") % uint64(slots)) }
 
 // Hash returns the hash of a key.
 func Hash(key string) uint64 { return weight(key, "") }
