--- a/internal/callers/conn.go
+++ b/internal/callers/conn.go
@@ -192,7 +192,7 @@
 func (c *connection) closedBy() forward.Closer {
 	closer := forward.Closer(c.closer.Load())
 	if closer == forward.CloserCaller && c.closed.Load() && !c.failed.Load() {
-		return forward.CloserStop
+		return forward.CloserShutdown
 	}
 	return closer
 }
--- a/internal/callers/deadlines.go
+++ b/internal/callers/deadlines.go
@@ -20,11 +20,11 @@
 	case c.phase == phaseActive:
 		return false
 	case c.server.shutdownStart.Load() != nil:
-		c.closer.Store(int32(forward.CloserStop))
+		c.closer.Store(int32(forward.CloserShutdown))
 	case c.phase == phaseReadingHeader:
-		c.closer.Store(int32(forward.CloserHead))
+		c.closer.Store(int32(forward.CloserHeaderTimeout))
 	default:
-		c.closer.Store(int32(forward.CloserRest))
+		c.closer.Store(int32(forward.CloserIdleTimeout))
 		c.server.observer.RestedOut()
 	}
 	return true
--- a/internal/completions/completions.go
+++ b/internal/completions/completions.go
@@ -93,8 +93,8 @@
 	Error string `json:"error"`
 }
 
-// BrokenOff implements forward.LabelledProtocol.
-func (Callers) BrokenOff(reason forward.Reason) []byte {
+// TruncationEvent implements forward.LabelledProtocol.
+func (Callers) TruncationEvent(reason forward.Reason) []byte {
 	// Marshaling a string cannot fail.
 	data, _ := json.Marshal(StreamError{Error: string(reason)})
 	return []byte("event: " + EventError + "\ndata: " + string(data) + "\n\n")
@@ -109,15 +109,15 @@
 		return nil, err
 	}
 	request := &forward.Request{
-		ID:          r.Header.Get(HeaderRequestID),
-		Method:      r.Method,
-		Target:      r.URL.RequestURI(),
-		Host:        r.Host,
-		Header:      http.Header{"Content-Type": {"application/json"}},
-		Patience:    deadline,
-		ResumeAfter: r.Header.Get(HeaderLastEvent),
-		RunOnce:     !repeatable,
-		Tenant:      r.Header.Get(HeaderTenant),
+		ID:            r.Header.Get(HeaderRequestID),
+		Method:        r.Method,
+		Target:        r.URL.RequestURI(),
+		Host:          r.Host,
+		Header:        http.Header{"Content-Type": {"application/json"}},
+		CallerTimeout: deadline,
+		ResumeAfter:   r.Header.Get(HeaderLastEvent),
+		RunOnce:       !repeatable,
+		Tenant:        r.Header.Get(HeaderTenant),
 	}
 	if request.ID == "" {
 		request.ID = ulid.Make().String()
@@ -134,7 +134,7 @@
 	if err := body.validate(); err != nil {
 		return err
 	}
-	request.Whole = !body.Stream
+	request.Unstreamed = !body.Stream
 	request.Demand = body.demand()
 	return nil
 }
--- a/internal/completions/completions_test.go
+++ b/internal/completions/completions_test.go
@@ -39,7 +39,7 @@
 		parts = append(parts, fmt.Sprint(part.Tokens))
 	}
 	return fmt.Sprintf("labels %s\nid %s tenant %s patience %s once %t whole %t\ntokens %d,%d parts %s",
-		labels.Set(labelSet), request.ID, request.Tenant, request.Patience, request.RunOnce, request.Whole,
+		labels.Set(labelSet), request.ID, request.Tenant, request.CallerTimeout, request.RunOnce, request.Unstreamed,
 		request.Demand.PromptTokens, request.Demand.OutputTokens, strings.Join(parts, ","))
 }
 
--- a/internal/forward/attempts.go
+++ b/internal/forward/attempts.go
@@ -121,7 +121,7 @@
 	}
 	var refusal *Refusal
 	if errors.As(err, &refusal) {
-		if refusal.Moved {
+		if refusal.Misdirected {
 			return failureMoved
 		}
 		return failureRefused
--- a/internal/forward/attempts_test.go
+++ b/internal/forward/attempts_test.go
@@ -72,7 +72,7 @@
 // run, although the worker does not guarantee that.
 func TestNotRunStatusOfWorkerIsNotForwarded(t *testing.T) {
 	for _, status := range []int{http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout} {
-		workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Answer, error) {
+		workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Response, error) {
 			return wholeResponse(status, "x"), nil
 		}}
 		f := newFixture(t, fixtureOptions{rule: routing.Rule{Kind: routing.KindAtMostOnce}}, workers)
--- a/internal/forward/availability.go
+++ b/internal/forward/availability.go
@@ -12,7 +12,7 @@
 // availability says why no worker accepts a request now, and when one is expected to.
 type availability struct {
 	// loss is the lost role; nil if the workers are up but backing off or at their limits.
-	loss       *Loss
+	loss       *RoleLoss
 	expectedAt time.Time
 	// full says why workers that are up accept no requests.
 	full balance.RoleFull
@@ -22,7 +22,7 @@
 func (c *call) availability() (availability, bool) {
 	d := c.handler.dispatcher
 	if loss, lost := d.RoleLoss(c.match.Group); lost {
-		return availability{loss: &loss, expectedAt: loss.Back}, true
+		return availability{loss: &loss, expectedAt: loss.ExpectedAt}, true
 	}
 	full, known := d.saturatedUntil(c.match.Group)
 	return availability{expectedAt: full.Until, full: full}, known
@@ -64,7 +64,7 @@
 const wakeJitter = 60 * time.Millisecond
 
 // awaitRecovery waits, up to the timeout, until an engine of a lost role accepts requests. It reports whether one does.
-func awaitRecovery(ctx context.Context, loss *Loss, timeout time.Duration) bool {
+func awaitRecovery(ctx context.Context, loss *RoleLoss, timeout time.Duration) bool {
 	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	select {
--- a/internal/forward/backoff_test.go
+++ b/internal/forward/backoff_test.go
@@ -14,7 +14,7 @@
 // backOffWorkers returns workers that refuse all requests and ask for a back-off, until the duration has passed.
 func backOffWorkers(f **fixture, backOff, duration time.Duration) *fakeWorkers {
 	start := time.Now()
-	return &fakeWorkers{run: func(_ context.Context, _ int, worker *backend.Worker, _ RunOptions) (*Answer, error) {
+	return &fakeWorkers{run: func(_ context.Context, _ int, worker *backend.Worker, _ RunOptions) (*Response, error) {
 		if time.Since(start) < duration {
 			(*f).handler.dispatcher.BackOff(worker.ID, backOff)
 			return nil, refusalError
@@ -61,7 +61,7 @@
 func TestOtherWorkersServeDuringBackOff(t *testing.T) {
 	var f *fixture
 	first := ""
-	workers := &fakeWorkers{run: func(_ context.Context, _ int, worker *backend.Worker, _ RunOptions) (*Answer, error) {
+	workers := &fakeWorkers{run: func(_ context.Context, _ int, worker *backend.Worker, _ RunOptions) (*Response, error) {
 		if first == "" || first == worker.ID {
 			first = worker.ID
 			f.handler.dispatcher.BackOff(worker.ID, time.Minute)
--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -112,15 +112,15 @@
 
 // attempt sends the request to the workers of a placement. On failure it returns the id of the worker that failed.
 func (c *call) attempt(ctx context.Context, placement *Placement) (string, failure) {
-	record := Try{Begun: time.Now(), Deferred: placement.Deferred}
+	record := Attempt{Start: time.Now(), Deferred: placement.Deferred}
 	runner := placement.Runner
-	var prompt *Prompt
+	var prompt *PrefilledPrompt
 	if placement.Prefill != nil {
 		prefillEngine := placement.Prefill.Worker
-		record.Reader = prefillEngine.ID
+		record.PrefillEngine = prefillEngine.ID
 		record.Score, record.Candidates = placement.Prefill.Score, placement.Prefill.Candidates
 		prefilled, failed := c.prefill(ctx, placement)
-		record.ReadIn = time.Since(record.Begun)
+		record.PrefillTime = time.Since(record.Start)
 		if failed != failureNone {
 			c.recordAttempt(record, "read: ", failed)
 			return prefillEngine.ID, failed.asNotRun()
@@ -146,7 +146,7 @@
 	}
 	c.recordAttempt(record, "", failed)
 	if prompt != nil && failed == failureRefused {
-		c.prefilledAt = prompt.Reader
+		c.prefilledAt = prompt.Engine
 	}
 	return record.Worker, failed
 }
@@ -160,16 +160,16 @@
 }
 
 // recordAttempt adds an attempt to the report.
-func (c *call) recordAttempt(record Try, prefix string, failed failure) {
-	record.Ended = time.Now()
+func (c *call) recordAttempt(record Attempt, prefix string, failed failure) {
+	record.End = time.Now()
 	if failed != failureNone {
 		record.Failure = prefix + failed.String()
 	}
-	if failed == failureBroken && c.report.Asked == nil {
+	if failed == failureBroken && c.report.RequestDigest == nil {
 		digest := c.guarded.requestDigest()
-		c.report.Asked = &digest
+		c.report.RequestDigest = &digest
 	}
-	c.report.Tries = append(c.report.Tries, record)
+	c.report.Attempts = append(c.report.Attempts, record)
 }
 
 // runOn runs the request at a worker and forwards the response.
@@ -216,7 +216,7 @@
 }
 
 // fetchFrom returns the engine from which the runner fetches the cached part of the prompt, or nil.
-func (c *call) fetchFrom(prompt *Prompt, holder *backend.Worker) *backend.Worker {
+func (c *call) fetchFrom(prompt *PrefilledPrompt, holder *backend.Worker) *backend.Worker {
 	switch {
 	case c.prefilledAt != nil:
 		return c.prefilledAt
--- a/internal/forward/dispatcher.go
+++ b/internal/forward/dispatcher.go
@@ -150,8 +150,8 @@
 	}
 }
 
-// WorkerEnded records that a worker crashed while running a request, and how long ago.
-func (d *Dispatcher) WorkerEnded(worker string, sinceEnd time.Duration) {
+// RecordCrash records that a worker crashed while running a request, and how long ago.
+func (d *Dispatcher) RecordCrash(worker string, sinceEnd time.Duration) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := d.now()
--- a/internal/forward/enginestate.go
+++ b/internal/forward/enginestate.go
@@ -48,7 +48,7 @@
 // cachedLoss is a lost role with the time at which it was computed.
 type cachedLoss struct {
 	at   time.Time
-	loss Loss
+	loss RoleLoss
 }
 
 // availabilityCacheTime is how long losses and saturation are cached unless an update invalidates them.
@@ -122,31 +122,31 @@
 	return &changed
 }
 
-// WatchEngines sets a callback that signals that engines should be queried or that their state has changed. It must not block.
-func (d *Dispatcher) WatchEngines(onChange func()) {
+// OnEngineChange sets a callback that signals that engines should be queried or that their state has changed. It must not block.
+func (d *Dispatcher) OnEngineChange(onChange func()) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.engineState.onChange = onChange
 }
 
-// Question is an engine that should be queried.
-type Question struct {
+// EngineQuery is an engine that should be queried.
+type EngineQuery struct {
 	Worker *backend.Worker
 	// Absent is set if the engine is assumed to have ended, and Confirmed if this gateway observed that itself. Other engines are changing
 	// their role.
 	Absent, Confirmed bool
 }
 
-// Questions returns the engines to query: those that have ended, those that should have completed a role change, and those whose records do
+// EnginesToQuery returns the engines to query: those that have ended, those that should have completed a role change, and those whose records do
 // not show their reported roles.
-func (d *Dispatcher) Questions() []Question {
+func (d *Dispatcher) EnginesToQuery() []EngineQuery {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := d.now()
-	var questions []Question
+	var questions []EngineQuery
 	for _, worker := range d.engineState.absences.Engines() {
 		_, confirmed := d.engineState.absences.Absent(now, worker.ID)
-		questions = append(questions, Question{Worker: worker, Absent: true, Confirmed: confirmed})
+		questions = append(questions, EngineQuery{Worker: worker, Absent: true, Confirmed: confirmed})
 	}
 	for id, change := range d.engineState.pendingRoles {
 		worker, found := d.balancer.Worker(id)
@@ -155,19 +155,19 @@
 			continue
 		}
 		if !now.Before(change.readyAt) {
-			questions = append(questions, Question{Worker: worker})
+			questions = append(questions, EngineQuery{Worker: worker})
 		}
 	}
 	for id, reported := range d.engineState.reportedRoles {
 		if worker, found := d.balancer.Worker(id); found && !now.Before(reported.expiresAt) {
-			questions = append(questions, Question{Worker: worker})
+			questions = append(questions, EngineQuery{Worker: worker})
 		}
 	}
 	return questions
 }
 
-// EngineRefuses records that an engine's address refused a connection of this gateway, which means that its process has ended.
-func (d *Dispatcher) EngineRefuses(id string) {
+// RecordRefused records that an engine's address refused a connection of this gateway, which means that its process has ended.
+func (d *Dispatcher) RecordRefused(id string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.recordRefused(id, true)
@@ -192,8 +192,8 @@
 	}
 }
 
-// EngineAnswers records the response of an engine: it is up, and has the role unless it is still changing.
-func (d *Dispatcher) EngineAnswers(id string, role backend.Role, changing bool) {
+// RecordResponse records the response of an engine: it is up, and has the role unless it is still changing.
+func (d *Dispatcher) RecordResponse(id string, role backend.Role, changing bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	worker, found := d.balancer.Worker(id)
@@ -285,8 +285,8 @@
 	return b
 }
 
-// Returned returns the engines that registered again since the last call.
-func (d *Dispatcher) Returned() []absence.Return {
+// TakeReturned returns the engines that registered again since the last call.
+func (d *Dispatcher) TakeReturned() []absence.Return {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	returned := d.engineState.returns
@@ -298,18 +298,18 @@
 func (d *Dispatcher) recordIfRefused(worker *backend.Worker, err error) {
 	var transport *httpclient.Error
 	if worker.Role != backend.RoleNone && errors.As(err, &transport) && transport.Refused() {
-		d.EngineRefuses(worker.ID)
+		d.RecordRefused(worker.ID)
 	}
 }
 
-// Loss describes a group that has engines but none that can decode.
-type Loss struct {
-	// Lost decode engines have ended, Changing engines are becoming decode engines, and Readers are prefill engines that are up.
-	Lost, Changing, Readers int
+// RoleLoss describes a group that has engines but none that can decode.
+type RoleLoss struct {
+	// LostDecoders decode engines have ended, Changing engines are becoming decode engines, and PrefillEngines are prefill engines that are up.
+	LostDecoders, Changing, PrefillEngines int
 	// Since is when the last decode engine is known to have ended; zero if its record was removed.
 	Since time.Time
-	// Back is when an engine is expected to decode again.
-	Back time.Time
+	// ExpectedAt is when an engine is expected to decode again.
+	ExpectedAt time.Time
 	// Recovered is closed once an engine accepts requests again.
 	Recovered <-chan struct{}
 }
@@ -319,17 +319,17 @@
 const roleOrderTime = 500 * time.Millisecond
 
 // RoleLoss reports whether a group has engines but none that can decode.
-func (d *Dispatcher) RoleLoss(group *routing.Group) (Loss, bool) {
+func (d *Dispatcher) RoleLoss(group *routing.Group) (RoleLoss, bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.roleLoss(group.Name, group.Engine)
 }
 
 // Losses returns the groups that have no engine that can decode.
-func (d *Dispatcher) Losses() map[string]Loss {
+func (d *Dispatcher) Losses() map[string]RoleLoss {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	losses := map[string]Loss{}
+	losses := map[string]RoleLoss{}
 	for name, engine := range d.engineGroups {
 		if loss, lost := d.roleLoss(name, engine); lost {
 			losses[name] = loss
@@ -339,15 +339,15 @@
 }
 
 // roleLoss is RoleLoss with the mutex held.
-func (d *Dispatcher) roleLoss(group string, engine *routing.Engine) (Loss, bool) {
+func (d *Dispatcher) roleLoss(group string, engine *routing.Engine) (RoleLoss, bool) {
 	if engine == nil || !d.engineState.hadDecoders[group] {
-		return Loss{}, false
+		return RoleLoss{}, false
 	}
 	now := d.now()
 	if cached, isCached := d.engineState.lossCache[group]; isCached && now.Sub(cached.at) < availabilityCacheTime {
 		return cached.loss, true
 	}
-	loss := Loss{Recovered: d.engineState.recovered}
+	loss := RoleLoss{Recovered: d.engineState.recovered}
 	var changeDone, returnsAt time.Time
 	for worker := range d.balancer.OfGroup(group) {
 		absent, _ := d.engineState.absences.Absent(now, worker.ID)
@@ -355,33 +355,33 @@
 		switch {
 		case worker.Draining:
 		case worker.Role == backend.RoleDecode && absent:
-			loss.Lost++
+			loss.LostDecoders++
 			loss.Since = laterOf(loss.Since, d.engineState.absences.Since(worker.ID))
 			at, _ := d.engineState.absences.ExpectedReturn(worker.ID)
 			returnsAt = earliestSet(returnsAt, at)
 		case worker.Role == backend.RoleDecode && !isPending:
-			return Loss{}, false
+			return RoleLoss{}, false
 		case absent:
 		case isPending && change.role == backend.RoleDecode:
 			loss.Changing++
 			changeDone = earliestSet(changeDone, change.readyAt)
 		case worker.Role == backend.RolePrefill:
-			loss.Readers++
+			loss.PrefillEngines++
 		}
 	}
-	if loss.Lost+loss.Changing+loss.Readers == 0 {
-		return Loss{}, false
+	if loss.LostDecoders+loss.Changing+loss.PrefillEngines == 0 {
+		return RoleLoss{}, false
 	}
-	loss.Back = d.expectedRecovery(now, &loss, engine, changeDone, returnsAt)
+	loss.ExpectedAt = d.expectedRecovery(now, &loss, engine, changeDone, returnsAt)
 	d.engineState.lossCache[group] = cachedLoss{at: now, loss: loss}
 	return loss, true
 }
 
 // expectedRecovery returns when an engine is expected to decode again: when a pending or expected role change completes, or when an engine
 // that ended is back. If that time has passed, the delay is assumed to double.
-func (d *Dispatcher) expectedRecovery(now time.Time, loss *Loss, engine *routing.Engine, changeDone, returnsAt time.Time) time.Time {
+func (d *Dispatcher) expectedRecovery(now time.Time, loss *RoleLoss, engine *routing.Engine, changeDone, returnsAt time.Time) time.Time {
 	changeOrdered := loss.Since.Add(roleOrderTime)
-	if changeDone.IsZero() && loss.Readers > 1 && !loss.Since.IsZero() && now.Before(changeOrdered) {
+	if changeDone.IsZero() && loss.PrefillEngines > 1 && !loss.Since.IsZero() && now.Before(changeOrdered) {
 		changeDone = changeOrdered.Add(engine.RoleChangeTime)
 	}
 	expected := earliestSet(changeDone, returnsAt)
@@ -389,15 +389,15 @@
 	case expected.IsZero():
 		return now.Add(roleOrderTime + engine.RoleChangeTime)
 	case now.After(expected):
-		return now.Add(min(max(now.Sub(expected), AskEngineEvery), engine.RoleChangeTime+roleOrderTime))
+		return now.Add(min(max(now.Sub(expected), EngineQueryInterval), engine.RoleChangeTime+roleOrderTime))
 	default:
 		return expected
 	}
 }
 
-// AskEngineEvery is how often engines are queried that have ended or should have completed a role change. It is also the minimum remaining
+// EngineQueryInterval is how often engines are queried that have ended or should have completed a role change. It is also the minimum remaining
 // time assumed for one that is late.
-const AskEngineEvery = 100 * time.Millisecond
+const EngineQueryInterval = 100 * time.Millisecond
 
 // earliestSet returns the earlier of two times, ignoring zero times.
 func earliestSet(a, b time.Time) time.Time {
--- a/internal/forward/enginestate_test.go
+++ b/internal/forward/enginestate_test.go
@@ -44,7 +44,7 @@
 		two.gateways[i] = NewDispatcher(DefaultDispatchSettings(), func() time.Time { return two.now })
 		two.gateways[i].SetGroups([]routing.Group{*two.group})
 		two.gateways[i].SetWorkers(two.records.Clone())
-		two.gateways[i].ShareWith(func(bool) {})
+		two.gateways[i].NotifyUpdates(func(bool) {})
 	}
 	return two
 }
@@ -53,9 +53,9 @@
 func (two *twoGateways) exchange() {
 	two.sequence++
 	for i, gateway := range two.gateways {
-		message := gateway.Drain(false)
+		message := gateway.TakeUpdate(false)
 		message.Sender, message.Epoch, message.Sequence = fmt.Sprint(i), 1, two.sequence
-		two.gateways[1-i].Hear(&message)
+		two.gateways[1-i].ApplyUpdate(&message)
 	}
 }
 
@@ -77,14 +77,14 @@
 
 func TestRefusedEngineIsAvoidedByAllGateways(t *testing.T) {
 	two := newTwoGateways()
-	two.gateways[0].EngineRefuses("decode0")
-	two.gateways[0].EngineRefuses("decode1")
+	two.gateways[0].RecordRefused("decode0")
+	two.gateways[0].RecordRefused("decode1")
 	two.exchange()
 	for gateway := range two.gateways {
 		if runners := two.runners(gateway); len(runners) != 1 || !runners["decode2"] {
 			t.Errorf("gateway %d places requests at %v, want only decode2", gateway, runners)
 		}
-		for _, question := range two.gateways[gateway].Questions() {
+		for _, question := range two.gateways[gateway].EnginesToQuery() {
 			if question.Confirmed != (gateway == 0) {
 				t.Errorf("gateway %d would query %+v", gateway, question)
 			}
@@ -96,7 +96,7 @@
 	if groups := two.gateways[0].Groups(); countGone(groups["g"].Engines) != 2 {
 		t.Error("engines that refused the gateway's own connections are not considered lost")
 	}
-	two.gateways[1].EngineAnswers("decode0", backend.RoleDecode, false)
+	two.gateways[1].RecordResponse("decode0", backend.RoleDecode, false)
 	two.exchange()
 	for gateway := range two.gateways {
 		if runners := two.runners(gateway); !runners["decode0"] || runners["decode1"] {
@@ -119,20 +119,20 @@
 func TestReportedRolePrecedesRecord(t *testing.T) {
 	two := newTwoGateways()
 	for i := range 3 {
-		two.gateways[0].EngineRefuses(fmt.Sprint("decode", i))
+		two.gateways[0].RecordRefused(fmt.Sprint("decode", i))
 	}
 	two.gateways[0].SetRoleChange("prefill0", backend.RoleDecode)
 	two.exchange()
 	for gateway := range two.gateways {
 		loss, lost := two.gateways[gateway].RoleLoss(two.group)
-		if back := loss.Back.Sub(two.now); !lost || loss.Lost != 3 || loss.Changing != 1 || loss.Readers != 2 || back != roleChangeTime {
+		if back := loss.ExpectedAt.Sub(two.now); !lost || loss.LostDecoders != 3 || loss.Changing != 1 || loss.PrefillEngines != 2 || back != roleChangeTime {
 			t.Fatalf("gateway %d: loss %+v, expected back in %s, lost: %v", gateway, loss, back, lost)
 		}
 	}
 	before, _ := two.gateways[0].RoleLoss(two.group)
 	two.now = two.now.Add(roleChangeTime)
 	questions := 0
-	for _, question := range two.gateways[1].Questions() {
+	for _, question := range two.gateways[1].EnginesToQuery() {
 		if !question.Absent && question.Worker.ID == "prefill0" {
 			questions++
 		}
@@ -140,7 +140,7 @@
 	if questions != 1 {
 		t.Error("an engine that should have changed its role is not queried")
 	}
-	two.gateways[1].EngineAnswers("prefill0", backend.RoleDecode, false)
+	two.gateways[1].RecordResponse("prefill0", backend.RoleDecode, false)
 	two.exchange()
 	select {
 	case <-before.Recovered:
@@ -175,7 +175,7 @@
 		t.Fatal("a role with engines is considered lost")
 	}
 	for i := range 3 {
-		gateway.EngineRefuses(fmt.Sprint("decode", i))
+		gateway.RecordRefused(fmt.Sprint("decode", i))
 	}
 	ordered := false
 	for _, c := range []struct {
@@ -190,10 +190,10 @@
 	} {
 		two.now = time.Unix(1000, 0).Add(c.at)
 		for i := range 3 {
-			gateway.EngineRefuses(fmt.Sprint("decode", i))
+			gateway.RecordRefused(fmt.Sprint("decode", i))
 		}
 		loss, _ := gateway.RoleLoss(two.group)
-		if back := loss.Back.Sub(time.Unix(1000, 0)); back != c.back {
+		if back := loss.ExpectedAt.Sub(time.Unix(1000, 0)); back != c.back {
 			t.Errorf("after %s, ordered: %v: expected back after %s, want %s", c.at, ordered, back, c.back)
 		}
 		if c.order {
@@ -207,14 +207,14 @@
 func TestRecoveryWithoutRoleOrder(t *testing.T) {
 	two := newTwoGateways()
 	for i := range 3 {
-		two.gateways[0].EngineRefuses(fmt.Sprint("decode", i))
+		two.gateways[0].RecordRefused(fmt.Sprint("decode", i))
 	}
 	two.now = two.now.Add(roleOrderTime)
 	for i := range 3 {
-		two.gateways[0].EngineRefuses(fmt.Sprint("decode", i))
+		two.gateways[0].RecordRefused(fmt.Sprint("decode", i))
 	}
 	loss, _ := two.gateways[0].RoleLoss(two.group)
-	if back := loss.Back.Sub(time.Unix(1000, 0)); back != 3*time.Second {
+	if back := loss.ExpectedAt.Sub(time.Unix(1000, 0)); back != 3*time.Second {
 		t.Errorf("expected back after %s, want 3s", back)
 	}
 }
@@ -224,7 +224,7 @@
 func newLostRoleFixture(t *testing.T, objective, roleChange time.Duration) (*fixture, *fakeWorkers) {
 	t.Helper()
 	workers := &fakeWorkers{}
-	workers.run = func(_ context.Context, _ int, worker *backend.Worker, _ RunOptions) (*Answer, error) {
+	workers.run = func(_ context.Context, _ int, worker *backend.Worker, _ RunOptions) (*Response, error) {
 		if strings.HasPrefix(worker.ID, "decode") {
 			return nil, &httpclient.Error{Step: httpclient.StepConnect, Peer: worker.ID, Cause: syscall.ECONNREFUSED}
 		}
@@ -241,7 +241,7 @@
 	f, workers := newLostRoleFixture(t, 4*time.Second, 50*time.Millisecond)
 	dispatcher := f.handler.dispatcher
 	dispatcher.SetRoleChange("prefill0", backend.RoleDecode)
-	time.AfterFunc(100*time.Millisecond, func() { dispatcher.EngineAnswers("prefill0", backend.RoleDecode, false) })
+	time.AfterFunc(100*time.Millisecond, func() { dispatcher.RecordResponse("prefill0", backend.RoleDecode, false) })
 	response, body, err := f.get(t)
 	if err != nil || response.StatusCode != http.StatusOK {
 		t.Fatalf("got %v, %s, %v", response, body, err)
@@ -266,7 +266,7 @@
 		if least := (900*time.Millisecond + roleOrderTime - 100*time.Millisecond).Seconds(); err != nil || after < least || after > 2*least {
 			t.Errorf("Retry-After is %v", response.Header.Get("Retry-After"))
 		}
-		if loss := f.reports.last.Loss; loss == nil || loss.Lost != 3 || loss.Readers != 3 {
+		if loss := f.reports.last.Loss; loss == nil || loss.LostDecoders != 3 || loss.PrefillEngines != 3 {
 			t.Errorf("reported loss %+v", loss)
 		}
 		if !first {
@@ -298,14 +298,14 @@
 	dispatcher.SetWorkers(set)
 	for id, worker := range set {
 		if worker.Role == backend.RoleDecode {
-			dispatcher.EngineRefuses(id)
+			dispatcher.RecordRefused(id)
 		}
 	}
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
 		clear(dispatcher.engineState.lossCache)
-		if loss, lost := dispatcher.RoleLoss(two.group); !lost || loss.Lost != 2600 {
+		if loss, lost := dispatcher.RoleLoss(two.group); !lost || loss.LostDecoders != 2600 {
 			b.Fatal(loss)
 		}
 	}
@@ -329,7 +329,7 @@
 	b.ResetTimer()
 	for i := range b.N {
 		for gateway := range 320 {
-			dispatcher.Hear(&loadshare.Message{Sender: fmt.Sprint(gateway), Epoch: 1, Sequence: uint64(i + 1), Refused: refused})
+			dispatcher.ApplyUpdate(&loadshare.Message{Sender: fmt.Sprint(gateway), Epoch: 1, Sequence: uint64(i + 1), Refused: refused})
 		}
 	}
 }
--- a/internal/forward/exclusive.go
+++ b/internal/forward/exclusive.go
@@ -29,9 +29,9 @@
 	running map[poison.Digest]bool
 }
 
-// ChooseForSuspects sets the function that reports whether this gateway is elected for a key. Without it, every gateway is. It must be
+// SetSuspectElection sets the function that reports whether this gateway is elected for a key. Without it, every gateway is. It must be
 // called before the first request.
-func (h *Handler) ChooseForSuspects(isElected func(key string) bool) {
+func (h *Handler) SetSuspectElection(isElected func(key string) bool) {
 	h.exclusive.isElected = isElected
 }
 
--- a/internal/forward/fleet_load_test.go
+++ b/internal/forward/fleet_load_test.go
@@ -136,7 +136,7 @@
 // exchange delivers pending updates to the other gateways after a delay.
 func (s *loadSimulation) exchange() {
 	for i, gateway := range s.gateways {
-		message := gateway.Drain(false)
+		message := gateway.TakeUpdate(false)
 		if len(message.Loads) == 0 && len(message.Kept) == 0 {
 			continue
 		}
@@ -145,7 +145,7 @@
 		s.schedule(peerDelay, func() {
 			for j, other := range s.gateways {
 				if i != j {
-					other.Hear(&message)
+					other.ApplyUpdate(&message)
 				}
 			}
 		})
@@ -167,7 +167,7 @@
 		gateway := NewDispatcher(settings, func() time.Time { return s.now })
 		gateway.SetGroups([]routing.Group{*s.group})
 		gateway.SetWorkers(set)
-		gateway.ShareWith(func(bool) {})
+		gateway.NotifyUpdates(func(bool) {})
 		s.gateways = append(s.gateways, gateway)
 	}
 	shared := make([]int, documentCount)
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -37,8 +37,8 @@
 
 // fakeWorkers responds by calling functions and records its calls.
 type fakeWorkers struct {
-	run     func(ctx context.Context, number int, worker *backend.Worker, options RunOptions) (*Answer, error)
-	prefill func(ctx context.Context, number int, worker *backend.Worker) (*Prompt, error)
+	run     func(ctx context.Context, number int, worker *backend.Worker, options RunOptions) (*Response, error)
+	prefill func(ctx context.Context, number int, worker *backend.Worker) (*PrefilledPrompt, error)
 
 	// onRun is called for each run; may be nil.
 	onRun func(request *Request)
@@ -46,12 +46,12 @@
 	mutex          sync.Mutex
 	runOptions     []RunOptions
 	ranAt          []string
-	prefillOptions []ReadOptions
+	prefillOptions []PrefillOptions
 	prefilledAt    []string
 	released       []string
 }
 
-func (f *fakeWorkers) Run(ctx context.Context, worker *backend.Worker, request *Request, options RunOptions) (*Answer, error) {
+func (f *fakeWorkers) Run(ctx context.Context, worker *backend.Worker, request *Request, options RunOptions) (*Response, error) {
 	if f.onRun != nil {
 		f.onRun(request)
 	}
@@ -63,7 +63,7 @@
 	return f.run(ctx, number, worker, options)
 }
 
-func (f *fakeWorkers) ReadPrompt(ctx context.Context, worker *backend.Worker, _ *Request, options ReadOptions) (*Prompt, error) {
+func (f *fakeWorkers) Prefill(ctx context.Context, worker *backend.Worker, _ *Request, options PrefillOptions) (*PrefilledPrompt, error) {
 	f.mutex.Lock()
 	f.prefilledAt = append(f.prefilledAt, worker.ID)
 	f.prefillOptions = append(f.prefillOptions, options)
@@ -72,24 +72,24 @@
 	if f.prefill != nil {
 		return f.prefill(ctx, number, worker)
 	}
-	return &Prompt{Reader: worker, Handle: fmt.Sprint("h", number)}, nil
+	return &PrefilledPrompt{Engine: worker, Handle: fmt.Sprint("h", number)}, nil
 }
 
-func (f *fakeWorkers) ReleasePrompt(_ context.Context, prompt *Prompt) {
+func (f *fakeWorkers) ReleasePrompt(_ context.Context, prompt *PrefilledPrompt) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.released = append(f.released, prompt.Handle)
 }
 
 // wholeResponse returns a complete response.
-func wholeResponse(status int, body string) *Answer {
-	return &Answer{Status: status, Header: http.Header{}, ContentLength: int64(len(body)), Body: io.NopCloser(strings.NewReader(body))}
+func wholeResponse(status int, body string) *Response {
+	return &Response{Status: status, Header: http.Header{}, ContentLength: int64(len(body)), Body: io.NopCloser(strings.NewReader(body))}
 }
 
 // truncatedResponse returns a response that is cut off after the body.
-func truncatedResponse(body string) *Answer {
+func truncatedResponse(body string) *Response {
 	reader := io.MultiReader(strings.NewReader(body), failingReader{})
-	return &Answer{Status: http.StatusOK, Header: http.Header{}, ContentLength: -1, Body: io.NopCloser(reader)}
+	return &Response{Status: http.StatusOK, Header: http.Header{}, ContentLength: -1, Body: io.NopCloser(reader)}
 }
 
 // failingReader fails like a connection that was reset.
@@ -100,7 +100,7 @@
 }
 
 // awaitCancel blocks until the context ends.
-func awaitCancel(ctx context.Context) (*Answer, error) {
+func awaitCancel(ctx context.Context) (*Response, error) {
 	<-ctx.Done()
 	return nil, &httpclient.Error{Step: httpclient.StepAwait, Peer: "w", Cause: context.Cause(ctx)}
 }
@@ -220,13 +220,13 @@
 		{"unreachable", runOnce, connectError, 200, 2},
 		{"reset, may run once", runOnce, resetError, 502, 1},
 		{"reset, repeatable", repeatable, resetError, 200, 2},
-		{"invalid response, may run once", runOnce, &InvalidAnswer{Peer: "w"}, 502, 1},
-		{"invalid response, repeatable", repeatable, &InvalidAnswer{Peer: "w"}, 200, 2},
+		{"invalid response, may run once", runOnce, &InvalidResponse{Peer: "w"}, 502, 1},
+		{"invalid response, repeatable", repeatable, &InvalidResponse{Peer: "w"}, 200, 2},
 	}
 	for _, c := range cases {
 		t.Run(c.desc, func(t *testing.T) {
 			workers := &fakeWorkers{}
-			workers.run = func(_ context.Context, number int, _ *backend.Worker, _ RunOptions) (*Answer, error) {
+			workers.run = func(_ context.Context, number int, _ *backend.Worker, _ RunOptions) (*Response, error) {
 				if number == 1 {
 					return nil, c.first
 				}
@@ -244,7 +244,7 @@
 }
 
 func TestRefusalByAllWorkersIsReportedAsNotRun(t *testing.T) {
-	workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Answer, error) { return nil, refusalError }}
+	workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Response, error) { return nil, refusalError }}
 	response, _, err := newFixture(t, fixtureOptions{allowance: 10}, workers).get(t)
 	if err != nil || response.StatusCode != http.StatusServiceUnavailable || response.Header.Get("Retry-After") == "" {
 		t.Fatalf("got %v, %v", response, err)
@@ -252,7 +252,7 @@
 }
 
 func TestPossibleRunIsNotReportedAsNotRun(t *testing.T) {
-	workers := &fakeWorkers{run: func(_ context.Context, number int, _ *backend.Worker, _ RunOptions) (*Answer, error) {
+	workers := &fakeWorkers{run: func(_ context.Context, number int, _ *backend.Worker, _ RunOptions) (*Response, error) {
 		if number == 1 {
 			return nil, resetError
 		}
@@ -266,7 +266,7 @@
 }
 
 func TestWorkerErrorIsForwardedWhenRetriesFail(t *testing.T) {
-	workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Answer, error) {
+	workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Response, error) {
 		return wholeResponse(500, "sorry"), nil
 	}}
 	rule := routing.Rule{Kind: routing.KindRepeatable, MaxAttempts: 2}
@@ -277,7 +277,7 @@
 }
 
 func TestRuleTimeoutEndsRequest(t *testing.T) {
-	workers := &fakeWorkers{run: func(ctx context.Context, _ int, _ *backend.Worker, _ RunOptions) (*Answer, error) {
+	workers := &fakeWorkers{run: func(ctx context.Context, _ int, _ *backend.Worker, _ RunOptions) (*Response, error) {
 		return awaitCancel(ctx)
 	}}
 	start := time.Now()
@@ -293,7 +293,7 @@
 // TestSilentWorkerIsAbandonedOnlyWithRetry guards against responding with 502 while a silent worker may still respond and no retry is left.
 func TestSilentWorkerIsAbandonedOnlyWithRetry(t *testing.T) {
 	rule := routing.Rule{Kind: routing.KindRepeatable, MaxAttempts: 2, Objective: 50 * time.Millisecond}
-	answerLate := func(ctx context.Context, number int, _ *backend.Worker, _ RunOptions) (*Answer, error) {
+	answerLate := func(ctx context.Context, number int, _ *backend.Worker, _ RunOptions) (*Response, error) {
 		if number > 1 {
 			return wholeResponse(200, "second"), nil
 		}
@@ -315,7 +315,7 @@
 // TestOnlyWorkerIsNotAbandoned checks that the only worker of a group may exceed the response timeout.
 func TestOnlyWorkerIsNotAbandoned(t *testing.T) {
 	rule := routing.Rule{Kind: routing.KindRepeatable, MaxAttempts: 2, Objective: 50 * time.Millisecond}
-	f := newFixture(t, fixtureOptions{rule: rule, allowance: 10}, &fakeWorkers{run: func(ctx context.Context, _ int, _ *backend.Worker, _ RunOptions) (*Answer, error) {
+	f := newFixture(t, fixtureOptions{rule: rule, allowance: 10}, &fakeWorkers{run: func(ctx context.Context, _ int, _ *backend.Worker, _ RunOptions) (*Response, error) {
 		select {
 		case <-ctx.Done():
 			return awaitCancel(ctx)
@@ -349,12 +349,12 @@
 // TestAbandonedResponseIsNotForwarded covers a first event that arrives just as its worker is given up as silent. The caller must not get
 // the beginning of that response.
 func TestAbandonedResponseIsNotForwarded(t *testing.T) {
-	workers := &fakeWorkers{run: func(ctx context.Context, number int, _ *backend.Worker, _ RunOptions) (*Answer, error) {
+	workers := &fakeWorkers{run: func(ctx context.Context, number int, _ *backend.Worker, _ RunOptions) (*Response, error) {
 		if number > 1 {
 			return wholeResponse(200, firstEvents+lastEvents), nil
 		}
 		body := io.NopCloser(lateReader{ctx, strings.NewReader(firstEvents)})
-		return &Answer{Status: http.StatusOK, Header: http.Header{}, ContentLength: -1, Body: body}, nil
+		return &Response{Status: http.StatusOK, Header: http.Header{}, ContentLength: -1, Body: body}, nil
 	}}
 	rule := routing.Rule{Kind: routing.KindStream, Resumable: true, MaxAttempts: 2, Objective: 50 * time.Millisecond}
 	_, body, err := newFixture(t, fixtureOptions{rule: rule, allowance: 10}, workers).get(t)
@@ -395,12 +395,12 @@
 
 // TestStartedStreamOutlastsResponseTimeout guards against cutting off a stream that has started.
 func TestStartedStreamOutlastsResponseTimeout(t *testing.T) {
-	workers := &fakeWorkers{run: func(ctx context.Context, number int, _ *backend.Worker, _ RunOptions) (*Answer, error) {
+	workers := &fakeWorkers{run: func(ctx context.Context, number int, _ *backend.Worker, _ RunOptions) (*Response, error) {
 		if number > 1 {
 			return wholeResponse(200, lastEvents), nil
 		}
 		body := io.NopCloser(&slowReader{ctx: ctx, parts: []string{firstEvents, lastEvents}, pause: 200 * time.Millisecond})
-		return &Answer{Status: http.StatusOK, Header: http.Header{}, ContentLength: -1, Body: body}, nil
+		return &Response{Status: http.StatusOK, Header: http.Header{}, ContentLength: -1, Body: body}, nil
 	}}
 	rule := routing.Rule{Kind: routing.KindStream, Resumable: true, MaxAttempts: 2, Objective: 50 * time.Millisecond}
 	_, body, err := newFixture(t, fixtureOptions{rule: rule, allowance: 10}, workers).get(t)
@@ -411,7 +411,7 @@
 
 // TestNoRetryAfterCompleteResponse lets the response timeout pass while a complete response is being written.
 func TestNoRetryAfterCompleteResponse(t *testing.T) {
-	workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Answer, error) {
+	workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Response, error) {
 		return wholeResponse(200, "answer"), nil
 	}}
 	rule := routing.Rule{Kind: routing.KindRepeatable, MaxAttempts: 2, Objective: 50 * time.Millisecond}
@@ -441,7 +441,7 @@
 )
 
 func TestResumableStreamContinuesAfterLastEvent(t *testing.T) {
-	workers := &fakeWorkers{run: func(_ context.Context, number int, _ *backend.Worker, _ RunOptions) (*Answer, error) {
+	workers := &fakeWorkers{run: func(_ context.Context, number int, _ *backend.Worker, _ RunOptions) (*Response, error) {
 		if number == 1 {
 			return truncatedResponse(firstEvents + "id: 3\nda"), nil
 		}
@@ -458,7 +458,7 @@
 }
 
 func TestTruncatedStreamLooksTruncated(t *testing.T) {
-	workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Answer, error) {
+	workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Response, error) {
 		return truncatedResponse(firstEvents), nil
 	}}
 	_, body, err := newFixture(t, fixtureOptions{rule: routing.Rule{Kind: routing.KindStream}, allowance: 10}, workers).get(t)
@@ -472,7 +472,7 @@
 
 func TestCallerDisconnectCancelsRun(t *testing.T) {
 	ended := make(chan error, 1)
-	workers := &fakeWorkers{run: func(ctx context.Context, _ int, _ *backend.Worker, _ RunOptions) (*Answer, error) {
+	workers := &fakeWorkers{run: func(ctx context.Context, _ int, _ *backend.Worker, _ RunOptions) (*Response, error) {
 		answer, err := awaitCancel(ctx)
 		ended <- err
 		return answer, err
@@ -498,7 +498,7 @@
 var longPrompt = backend.Demand{PromptTokens: 9000, Segments: []backend.Segment{{ID: "a", Tokens: 8000}, {ID: "b", Tokens: 1000}}}
 
 func TestLongPromptIsPrefilledSeparately(t *testing.T) {
-	workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Answer, error) {
+	workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Response, error) {
 		return wholeResponse(200, lastEvents), nil
 	}}
 	rule := routing.Rule{Kind: routing.KindStream}
@@ -514,7 +514,7 @@
 // TestPromptWithLostHandleIsNotPrefilledAgain guards against prefilling a long prompt twice: the runner fetches the prompt from the cache
 // of the first engine.
 func TestPromptWithLostHandleIsNotPrefilledAgain(t *testing.T) {
-	workers := &fakeWorkers{run: func(_ context.Context, _ int, _ *backend.Worker, options RunOptions) (*Answer, error) {
+	workers := &fakeWorkers{run: func(_ context.Context, _ int, _ *backend.Worker, options RunOptions) (*Response, error) {
 		if options.Prompt != nil {
 			return nil, refusalError
 		}
@@ -532,14 +532,14 @@
 
 func TestFailedPrefillCountsAsNotRun(t *testing.T) {
 	workers := &fakeWorkers{
-		run: func(context.Context, int, *backend.Worker, RunOptions) (*Answer, error) {
+		run: func(context.Context, int, *backend.Worker, RunOptions) (*Response, error) {
 			return wholeResponse(200, lastEvents), nil
 		},
-		prefill: func(_ context.Context, number int, worker *backend.Worker) (*Prompt, error) {
+		prefill: func(_ context.Context, number int, worker *backend.Worker) (*PrefilledPrompt, error) {
 			if number == 1 {
 				return nil, resetError
 			}
-			return &Prompt{Reader: worker, Handle: "h"}, nil
+			return &PrefilledPrompt{Engine: worker, Handle: "h"}, nil
 		},
 	}
 	rule := routing.Rule{Kind: routing.KindStream}
@@ -550,7 +550,7 @@
 }
 
 func TestGatewayErrorResponses(t *testing.T) {
-	workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Answer, error) {
+	workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Response, error) {
 		return wholeResponse(200, "x"), nil
 	}}
 	f := newFixture(t, fixtureOptions{}, workers)
@@ -593,16 +593,16 @@
 // TestSecondPrefillUsesRetry checks that a second prefill call takes one retry from the budget.
 func TestSecondPrefillUsesRetry(t *testing.T) {
 	for allowance, wantPrefills := range map[float64]int{1: 1, 10: 2} {
-		workers := &fakeWorkers{run: func(_ context.Context, number int, _ *backend.Worker, _ RunOptions) (*Answer, error) {
+		workers := &fakeWorkers{run: func(_ context.Context, number int, _ *backend.Worker, _ RunOptions) (*Response, error) {
 			if number == 1 {
 				return nil, connectError
 			}
 			return wholeResponse(200, lastEvents), nil
 		}}
-		workers.prefill = func(_ context.Context, number int, worker *backend.Worker) (*Prompt, error) {
+		workers.prefill = func(_ context.Context, number int, worker *backend.Worker) (*PrefilledPrompt, error) {
 			// The delay feeds the model, so that prefilling on a separate engine stays the cheaper plan.
 			time.Sleep(100 * time.Millisecond)
-			return &Prompt{Reader: worker, Handle: fmt.Sprint(number)}, nil
+			return &PrefilledPrompt{Engine: worker, Handle: fmt.Sprint(number)}, nil
 		}
 		rule := routing.Rule{Kind: routing.KindStream}
 		f := newFixture(t, fixtureOptions{rule: rule, engine: true, demand: longPrompt, allowance: allowance - 1}, workers)
@@ -615,9 +615,9 @@
 // TestMovedWorkerIsAvoided guards against repeated requests to an address at which another worker now runs.
 func TestMovedWorkerIsAvoided(t *testing.T) {
 	workers := &fakeWorkers{}
-	workers.run = func(_ context.Context, _ int, worker *backend.Worker, _ RunOptions) (*Answer, error) {
+	workers.run = func(_ context.Context, _ int, worker *backend.Worker, _ RunOptions) (*Response, error) {
 		if worker.ID == "0" {
-			return nil, &Refusal{Peer: "w", Status: http.StatusMisdirectedRequest, Moved: true}
+			return nil, &Refusal{Peer: "w", Status: http.StatusMisdirectedRequest, Misdirected: true}
 		}
 		return wholeResponse(200, "answer"), nil
 	}
@@ -641,15 +641,15 @@
 // TestSilentEngineLeavesTimeForAnother guards against response timeouts that exceed the objective.
 func TestSilentEngineLeavesTimeForAnother(t *testing.T) {
 	workers := &fakeWorkers{
-		run: func(context.Context, int, *backend.Worker, RunOptions) (*Answer, error) {
+		run: func(context.Context, int, *backend.Worker, RunOptions) (*Response, error) {
 			return wholeResponse(200, "answer"), nil
 		},
-		prefill: func(ctx context.Context, number int, worker *backend.Worker) (*Prompt, error) {
+		prefill: func(ctx context.Context, number int, worker *backend.Worker) (*PrefilledPrompt, error) {
 			if number == 1 {
 				<-ctx.Done()
 				return nil, &httpclient.Error{Step: httpclient.StepAwait, Peer: "w", Cause: context.Cause(ctx)}
 			}
-			return &Prompt{Reader: worker, Handle: "h"}, nil
+			return &PrefilledPrompt{Engine: worker, Handle: "h"}, nil
 		},
 	}
 	objective := 250 * time.Millisecond
@@ -661,9 +661,9 @@
 	}
 	f.reports.mutex.Lock()
 	defer f.reports.mutex.Unlock()
-	first := f.reports.last.Tries[0]
+	first := f.reports.last.Attempts[0]
 	want := time.Duration(responseTimeoutObjectiveShare*float64(objective)) + time.Duration(responseTimeoutCostFactor*first.Score.TimeToFirstToken*nanosecondsPerSecond)
-	if waited := first.ReadIn; waited < want || waited > want+150*time.Millisecond {
+	if waited := first.PrefillTime; waited < want || waited > want+150*time.Millisecond {
 		t.Errorf("waited %s for the silent engine, want %s", waited, want)
 	}
 }
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -85,15 +85,15 @@
 // date. It must be called before the first request.
 func (h *Handler) SetFreshness(isFresh func() bool) { h.isConfigurationFresh = isFresh }
 
-// GuardWorkers sets the guard that blocks requests which crash workers. It must be called before the first request.
-func (h *Handler) GuardWorkers(guard *poison.Guard) { h.guard = guard }
+// SetGuard sets the guard that blocks requests which crash workers. It must be called before the first request.
+func (h *Handler) SetGuard(guard *poison.Guard) { h.guard = guard }
 
-// CountUsage sets a callback for each request of a tenant that starts running. It must be called before the first request.
-func (h *Handler) CountUsage(onStart func(tenant string)) { h.onTenantStart = onStart }
+// OnTenantStart sets a callback for each request of a tenant that starts running. It must be called before the first request.
+func (h *Handler) OnTenantStart(onStart func(tenant string)) { h.onTenantStart = onStart }
 
-// NameClosers sets the function that returns which side closed the connection of a request. Without it, that is always the caller. It must
+// SetCloserFunc sets the function that returns which side closed the connection of a request. Without it, that is always the caller. It must
 // be called before the first request.
-func (h *Handler) NameClosers(closerOf func(ctx context.Context) Closer) { h.closerOf = closerOf }
+func (h *Handler) SetCloserFunc(closerOf func(ctx context.Context) Closer) { h.closerOf = closerOf }
 
 // SetTable installs a configuration for new requests.
 func (h *Handler) SetTable(table *routing.Table) {
@@ -104,8 +104,8 @@
 // Table returns the current configuration, or nil.
 func (h *Handler) Table() *routing.Table { return h.table.Load() }
 
-// Leave adds "Connection: close" to all responses from now on.
-func (h *Handler) Leave() { h.closeConnections.Store(true) }
+// CloseConnections adds "Connection: close" to all responses from now on.
+func (h *Handler) CloseConnections() { h.closeConnections.Store(true) }
 
 // Stop refuses new requests. Requests in progress are finished.
 func (h *Handler) Stop() {
@@ -223,7 +223,7 @@
 	case poison.Judged:
 		return respondRetryAfter(writer, report, ReasonVerdictPending, h.settings.VerdictRetryAfter)
 	case poison.Barred:
-		report.Asked = &guarded.digest
+		report.RequestDigest = &guarded.digest
 		report.Err = errors.Newf("step admit: %d workers ended while running the request: %s; it is barred until %s", len(bar.Workers),
 			strings.Join(bar.Workers, ", "), bar.Until.UTC().Format(time.RFC3339))
 		return respondError(writer, report, http.StatusUnprocessableEntity, ReasonBarred)
@@ -239,7 +239,7 @@
 		relay:    relay{writer: writer, lastEvent: request.ResumeAfter},
 	}
 	if labelled, isLabelled := protocol.(LabelledProtocol); isLabelled {
-		current.truncationEvent = labelled.BrokenOff
+		current.truncationEvent = labelled.TruncationEvent
 	}
 	return current.run(ctx)
 }
@@ -307,8 +307,8 @@
 // deadlineFor returns the deadline of a request.
 func deadlineFor(arrived time.Time, rule *routing.Rule, request *Request) time.Time {
 	limit := rule.Timeout
-	if request.Patience > 0 {
-		limit = min(limit, request.Patience)
+	if request.CallerTimeout > 0 {
+		limit = min(limit, request.CallerTimeout)
 	}
 	return arrived.Add(limit)
 }
--- a/internal/forward/keys_test.go
+++ b/internal/forward/keys_test.go
@@ -30,7 +30,7 @@
 	}
 	for _, file := range archive.Files {
 		t.Run(file.Name, func(t *testing.T) {
-			workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Answer, error) {
+			workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Response, error) {
 				return wholeResponse(200, "answer"), nil
 			}}
 			k := &keyFixture{fixture: newFixture(t, fixtureOptions{}, workers)}
--- a/internal/forward/loans_test.go
+++ b/internal/forward/loans_test.go
@@ -14,14 +14,14 @@
 	f := newFixture(t, fixtureOptions{rule: routing.Rule{Kind: routing.KindRepeatable}}, &fakeWorkers{})
 	d := f.handler.dispatcher
 	d.ShareLimits("one")
-	d.ShareWith(func(bool) {})
+	d.NotifyUpdates(func(bool) {})
 	d.SetHolders([]string{"one", "other"})
 	for _, id := range d.balancer.IDs() {
-		d.Limit(id, 5, 0)
+		d.SetLimit(id, 5, 0)
 	}
 	group := routing.Group{Name: "g"}
 	loanArrived, asked := d.requestLoans(&group)
-	asks, _ := d.DrainLoans()
+	asks, _ := d.TakeLoans()
 	if !asked || len(asks) != 1 || len(asks[0].Workers) == 0 {
 		t.Fatalf("asked: %t, got %+v", asked, asks)
 	}
@@ -49,7 +49,7 @@
 		loan := loadshare.Loan{Asker: ask.Asker, Serial: ask.Serial, Lender: "other", Worker: worker, Count: 2}
 		test.alter(&loan)
 		time.Sleep(test.wait)
-		d.HearLoans(nil, []loadshare.Loan{loan, loan})
+		d.ApplyLoans(nil, []loadshare.Loan{loan, loan})
 		select {
 		case <-loanArrived:
 		default:
@@ -58,7 +58,7 @@
 			}
 		}
 		used := 0
-		for d.MayAsk(worker) {
+		for d.AllowHealthCheck(worker) {
 			used++
 		}
 		if used != test.used {
@@ -73,9 +73,9 @@
 	d := f.handler.dispatcher
 	d.ShareLimits("one")
 	id := d.balancer.IDs()[0]
-	d.Limit(id, 5, 0)
-	d.HearLoans([]loadshare.LoanRequest{{Asker: "other", Serial: 1, Workers: []string{id, "nobody"}, MaxRequests: 4}}, nil)
-	if _, loans := d.DrainLoans(); len(loans) != 0 {
+	d.SetLimit(id, 5, 0)
+	d.ApplyLoans([]loadshare.LoanRequest{{Asker: "other", Serial: 1, Workers: []string{id, "nobody"}, MaxRequests: 4}}, nil)
+	if _, loans := d.TakeLoans(); len(loans) != 0 {
 		t.Errorf("a gateway that holds nothing lent %+v", loans)
 	}
 	d.SetHolders([]string{"one"})
@@ -83,11 +83,11 @@
 	d.ConfirmShare(now.Add(-8 * time.Second))
 	d.ConfirmShare(now.Add(-time.Second))
 	time.Sleep(250 * time.Millisecond)
-	d.HearLoans([]loadshare.LoanRequest{{Asker: "other", Serial: 1, Workers: []string{id}, MaxRequests: 4}}, nil)
-	if _, loans := d.DrainLoans(); len(loans) != 1 || loans[0].Count != 1 || loans[0].Lender != "one" || loans[0].Asker != "other" {
+	d.ApplyLoans([]loadshare.LoanRequest{{Asker: "other", Serial: 1, Workers: []string{id}, MaxRequests: 4}}, nil)
+	if _, loans := d.TakeLoans(); len(loans) != 1 || loans[0].Count != 1 || loans[0].Lender != "one" || loans[0].Asker != "other" {
 		t.Errorf("a gateway that holds one request lent %+v", loans)
 	}
-	if d.MayAsk(id) {
+	if d.AllowHealthCheck(id) {
 		t.Error("lent capacity can still be used")
 	}
 }
--- a/internal/forward/peers.go
+++ b/internal/forward/peers.go
@@ -67,15 +67,15 @@
 	p.notify(true)
 }
 
-// ShareWith makes the dispatcher collect updates for other gateways. The callback must not block.
-func (d *Dispatcher) ShareWith(notify func(urgent bool)) {
+// NotifyUpdates makes the dispatcher collect updates for other gateways. The callback must not block.
+func (d *Dispatcher) NotifyUpdates(notify func(urgent bool)) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.peers.notify = notify
 }
 
-// Drain returns the changes since the last call, or the complete state.
-func (d *Dispatcher) Drain(full bool) loadshare.Message {
+// TakeUpdate returns the changes since the last call, or the complete state.
+func (d *Dispatcher) TakeUpdate(full bool) loadshare.Message {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	message := loadshare.Message{
@@ -111,8 +111,8 @@
 	return pending
 }
 
-// PeersBusy returns the utilization of the other gateways by name.
-func (d *Dispatcher) PeersBusy() map[string]float64 {
+// PeerUtilization returns the utilization of the other gateways by name.
+func (d *Dispatcher) PeerUtilization() map[string]float64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.peers.board.Busy(d.now())
@@ -131,8 +131,8 @@
 	return workers
 }
 
-// Hear applies an update of another gateway.
-func (d *Dispatcher) Hear(message *loadshare.Message) {
+// ApplyUpdate applies an update of another gateway.
+func (d *Dispatcher) ApplyUpdate(message *loadshare.Message) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if !d.peers.board.Apply(d.now(), message) {
--- a/internal/forward/placement.go
+++ b/internal/forward/placement.go
@@ -63,9 +63,9 @@
 	}
 }
 
-// WatchChoices sets a callback that gets the duration and the number of candidates of each placement. It must be called before the first
+// OnPlacement sets a callback that gets the duration and the number of candidates of each placement. It must be called before the first
 // request.
-func (d *Dispatcher) WatchChoices(onPlacement func(took time.Duration, candidates int)) {
+func (d *Dispatcher) OnPlacement(onPlacement func(took time.Duration, candidates int)) {
 	d.onPlacement = onPlacement
 }
 
--- a/internal/forward/placement_test.go
+++ b/internal/forward/placement_test.go
@@ -35,7 +35,7 @@
 	for i := range 3 {
 		message.Loads = append(message.Loads, loadshare.Load{Worker: fmt.Sprint(role, i), Running: running, PrefillTokens: readingTokens})
 	}
-	dispatcher.Hear(message)
+	dispatcher.ApplyUpdate(message)
 }
 
 // shortPrompt is prefilled quickly on any engine.
@@ -63,7 +63,7 @@
 			for i := range 3 {
 				message.Loads = append(message.Loads, loadshare.Load{Worker: fmt.Sprint(backend.RolePrefill, i), PrefillTokens: c.prefillTokens})
 			}
-			dispatcher.Hear(message)
+			dispatcher.ApplyUpdate(message)
 			placement, found := dispatcher.Place(&Request{ID: "r", Demand: c.demand}, engineGroup, PlaceOptions{})
 			if !found || (placement.Prefill != nil) != c.wantDisaggregated {
 				t.Fatalf("got %+v, want disaggregated: %v", placement, c.wantDisaggregated)
@@ -87,7 +87,7 @@
 	}
 	busy := &loadshare.Message{Sender: "other", Epoch: 1, Sequence: 1}
 	busy.Loads = []loadshare.Load{{Worker: first.Prefill.Worker.ID, PrefillTokens: 100_000}}
-	dispatcher.Hear(busy)
+	dispatcher.ApplyUpdate(busy)
 	another, _ := dispatcher.Place(&Request{ID: "t", Demand: demand}, engineGroup, PlaceOptions{})
 	if another.Prefill == nil || another.Prefill.Worker == first.Prefill.Worker || another.FetchFrom != first.Prefill.Worker {
 		t.Fatalf("the part is not fetched from the busy engine: %+v", another)
@@ -97,30 +97,30 @@
 func TestGatewaysShareLoadAndCache(t *testing.T) {
 	sender, receiver := newEngineDispatcher(), newEngineDispatcher()
 	notified := 0
-	sender.ShareWith(func(bool) { notified++ })
+	sender.NotifyUpdates(func(bool) { notified++ })
 	request := &Request{ID: "r", Demand: longPrompt}
 	placement, _ := sender.Place(request, engineGroup, PlaceOptions{})
 	sender.RecordPrefilled(placement.Prefill.Worker, request)
-	message := sender.Drain(false)
+	message := sender.TakeUpdate(false)
 	if notified == 0 || len(message.Loads) == 0 || len(message.Kept) == 0 {
 		t.Fatalf("got update %+v after %d notifications", message, notified)
 	}
 	message.Sender, message.Epoch, message.Sequence = "one", 1, 1
-	receiver.Hear(&message)
+	receiver.ApplyUpdate(&message)
 	if load := receiver.peers.board.Load(placement.Prefill.Worker.ID); load.PrefillTokens == 0 {
 		t.Error("the load was not applied")
 	}
 	if holders := receiver.usableHolders([]prefixSegment{{key: "a", tokens: 8000}}); len(holders) != 1 || holders[placement.Prefill.Worker.ID].readyTokens != 8000 {
 		t.Errorf("the cached part was not applied: %v", holders)
 	}
-	if again := sender.Drain(false); len(again.Loads)+len(again.Kept) != 0 {
+	if again := sender.TakeUpdate(false); len(again.Loads)+len(again.Kept) != 0 {
 		t.Error("an update was sent twice")
 	}
 	runner, _ := sender.PlaceRunner(request, engineGroup, nil, placement.Prefill)
 	sender.SetRoleChange(runner.Worker.ID, backend.RolePrefill)
-	message = sender.Drain(false)
+	message = sender.TakeUpdate(false)
 	message.Sender, message.Epoch, message.Sequence = "one", 1, 2
-	receiver.Hear(&message)
+	receiver.ApplyUpdate(&message)
 	if receiver.balancer.Usable(receiver.now(), runner.Worker.ID) {
 		t.Error("an engine is used although another gateway changes its role")
 	}
@@ -204,7 +204,7 @@
 			for i := range 3 {
 				message.Loads = append(message.Loads, loadshare.Load{Worker: fmt.Sprint(backend.RoleDecode, i), Running: 20, PrefillTokens: c.waiting})
 			}
-			dispatcher.Hear(message)
+			dispatcher.ApplyUpdate(message)
 			demand := backend.Demand{PromptTokens: c.tokens, Segments: []backend.Segment{{ID: "own", Tokens: c.tokens}}}
 			placement, found := dispatcher.Place(&Request{ID: "r", Demand: demand}, engineGroup, PlaceOptions{Objective: c.objective, Left: c.left})
 			if !found || placement.Deferred != c.want {
@@ -226,7 +226,7 @@
 			message.Loads = append(message.Loads, loadshare.Load{Worker: fmt.Sprint(role, i), Running: 1, Prefilling: 1, DeferredTokens: 500_000})
 		}
 	}
-	dispatcher.Hear(message)
+	dispatcher.ApplyUpdate(message)
 	options := PlaceOptions{Objective: 400 * time.Millisecond, Left: 400 * time.Millisecond}
 	placement, found := dispatcher.Place(&Request{ID: "r", Demand: longPrompt}, engineGroup, options)
 	if !found || placement.Deferred {
@@ -331,7 +331,7 @@
 	for _, role := range []backend.Role{backend.RoleNone, backend.RoleDecode} {
 		now := time.Unix(1000, 0)
 		dispatcher := NewDispatcher(DefaultDispatchSettings(), func() time.Time { return now })
-		dispatcher.ShareWith(func(bool) {})
+		dispatcher.NotifyUpdates(func(bool) {})
 		dispatcher.SetWorkers(backend.Set{"w": {ID: "w", Group: "g", Address: "w", Role: role, Slots: 6}})
 		for range 2 {
 			worker, _ := dispatcher.balancer.Worker("w")
@@ -343,7 +343,7 @@
 		if usable := dispatcher.balancer.Usable(now, "w"); usable == engine {
 			t.Errorf("role %q: usable %v after two errors", role, usable)
 		}
-		if failed := dispatcher.Drain(false).Failed; (len(failed) == 1) != engine {
+		if failed := dispatcher.TakeUpdate(false).Failed; (len(failed) == 1) != engine {
 			t.Errorf("role %q: reported as failed: %v", role, failed)
 		}
 	}
--- a/internal/forward/prefill.go
+++ b/internal/forward/prefill.go
@@ -6,7 +6,7 @@
 )
 
 // prefill has an engine compute the KV cache of the prompt.
-func (c *call) prefill(ctx context.Context, placement *Placement) (*Prompt, failure) {
+func (c *call) prefill(ctx context.Context, placement *Placement) (*PrefilledPrompt, failure) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	engine := placement.Prefill
@@ -14,7 +14,7 @@
 		timer := time.AfterFunc(engine.responseTimeout(), func() { cancel(errSilent) })
 		defer timer.Stop()
 	}
-	prompt, err := c.handler.workers.ReadPrompt(ctx, engine.Worker, c.request, ReadOptions{
+	prompt, err := c.handler.workers.Prefill(ctx, engine.Worker, c.request, PrefillOptions{
 		Deadline: c.deadline, FetchFrom: placement.FetchFrom, Urgency: placement.urgency(),
 	})
 	failed := classify(ctx, err)
@@ -70,7 +70,7 @@
 const releaseTimeout = time.Second
 
 // releasePrompt releases an unused prompt in the background.
-func (c *call) releasePrompt(prompt *Prompt) {
+func (c *call) releasePrompt(prompt *PrefilledPrompt) {
 	if prompt == nil {
 		return
 	}
--- a/internal/forward/prefixcache.go
+++ b/internal/forward/prefixcache.go
@@ -7,20 +7,20 @@
 	"github.com/granitebay/granitebay/internal/loadshare"
 )
 
-// KeptPart is a prompt part that an engine has cached.
-type KeptPart struct {
+// CachedSegment is a prompt part that an engine has cached.
+type CachedSegment struct {
 	Key    string
 	Tokens int
 }
 
-// KeptParts queries the caches of engines.
-type KeptParts interface {
-	// Kept returns the prompt parts that an engine has cached, most recently added last. The result may be stale or incomplete.
-	Kept(ctx context.Context, worker *backend.Worker) ([]KeptPart, error)
+// CacheQuerier queries the caches of engines.
+type CacheQuerier interface {
+	// CachedSegments returns the prompt parts that an engine has cached, most recently added last. The result may be stale or incomplete.
+	CachedSegments(ctx context.Context, worker *backend.Worker) ([]CachedSegment, error)
 }
 
-// Learn records the parts that an engine reported as cached. Parts that are too short to be tracked are ignored.
-func (d *Dispatcher) Learn(id string, parts []KeptPart) {
+// RecordCache records the parts that an engine reported as cached. Parts that are too short to be tracked are ignored.
+func (d *Dispatcher) RecordCache(id string, parts []CachedSegment) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	worker, found := d.balancer.Worker(id)
@@ -34,8 +34,8 @@
 	}
 }
 
-// Kept returns up to limit cached parts that this gateway knows of, for each engine the most recently used last.
-func (d *Dispatcher) Kept(limit int) []loadshare.CachedSegment {
+// CachedSegments returns up to limit cached parts that this gateway knows of, for each engine the most recently used last.
+func (d *Dispatcher) CachedSegments(limit int) []loadshare.CachedSegment {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	var all []loadshare.CachedSegment
@@ -48,8 +48,8 @@
 	return all
 }
 
-// LearnAll records the cached parts that another gateway knows of, and returns how many were new.
-func (d *Dispatcher) LearnAll(parts []loadshare.CachedSegment) int {
+// MergeCache records the cached parts that another gateway knows of, and returns how many were new.
+func (d *Dispatcher) MergeCache(parts []loadshare.CachedSegment) int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	added := 0
--- a/internal/forward/ratelimits.go
+++ b/internal/forward/ratelimits.go
@@ -98,9 +98,9 @@
 	return d.limits.holders.ConcurrencyShare(d.limits.now(), key, bound)
 }
 
-// Limit sets the rate limit of a worker, which applies to all gateways together. The worker named it the given time ago. It reports whether
+// SetLimit sets the rate limit of a worker, which applies to all gateways together. The worker named it the given time ago. It reports whether
 // the limit has changed.
-func (d *Dispatcher) Limit(worker string, perSecond float64, age time.Duration) bool {
+func (d *Dispatcher) SetLimit(worker string, perSecond float64, age time.Duration) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := d.now()
@@ -108,16 +108,16 @@
 	return d.balancer.SetLimit(now, worker, perSecond, now.Add(-age))
 }
 
-// Unlimit removes the rate limit of a worker whose response named none. The request was sent the given time ago; a limit named after that
+// RemoveLimit removes the rate limit of a worker whose response named none. The request was sent the given time ago; a limit named after that
 // stays. It reports whether a limit was removed.
-func (d *Dispatcher) Unlimit(worker string, age time.Duration) bool {
+func (d *Dispatcher) RemoveLimit(worker string, age time.Duration) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.balancer.RemoveLimit(worker, d.now().Add(-age))
 }
 
-// MayAsk takes a health check from the quota of a rate-limited worker, and reports whether the quota allowed it.
-func (d *Dispatcher) MayAsk(worker string) bool {
+// AllowHealthCheck takes a health check from the quota of a rate-limited worker, and reports whether the quota allowed it.
+func (d *Dispatcher) AllowHealthCheck(worker string) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.balancer.Spend(d.now(), worker)
@@ -169,8 +169,8 @@
 	return d.limits.loanArrived, true
 }
 
-// DrainLoans returns the requests for loans, and the loans, that are to be sent to the other gateways.
-func (d *Dispatcher) DrainLoans() ([]loadshare.LoanRequest, []loadshare.Loan) {
+// TakeLoans returns the requests for loans, and the loans, that are to be sent to the other gateways.
+func (d *Dispatcher) TakeLoans() ([]loadshare.LoanRequest, []loadshare.Loan) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.limits == nil {
@@ -181,8 +181,8 @@
 	return asks, loans
 }
 
-// HearLoans handles requests for loans and loans from another gateway.
-func (d *Dispatcher) HearLoans(asks []loadshare.LoanRequest, loans []loadshare.Loan) {
+// ApplyLoans handles requests for loans and loans from another gateway.
+func (d *Dispatcher) ApplyLoans(asks []loadshare.LoanRequest, loans []loadshare.Loan) {
 	if len(asks) == 0 && len(loans) == 0 {
 		return
 	}
--- a/internal/forward/ratelimits_bench_test.go
+++ b/internal/forward/ratelimits_bench_test.go
@@ -33,7 +33,7 @@
 			d.ConfirmShare(now.Add(-8 * time.Second))
 			d.ConfirmShare(now)
 			for id := range set {
-				d.Limit(id, 2, 0)
+				d.SetLimit(id, 2, 0)
 			}
 			group := &routing.Group{Name: "g"}
 			b.ResetTimer()
--- a/internal/forward/ratelimits_test.go
+++ b/internal/forward/ratelimits_test.go
@@ -18,7 +18,7 @@
 		d := f.handler.dispatcher
 		var limited int
 		for _, id := range d.balancer.IDs() {
-			d.Limit(id, 0.5, 0)
+			d.SetLimit(id, 0.5, 0)
 			limited++
 		}
 		last := 0.0
@@ -49,15 +49,15 @@
 	f := newFixture(t, fixtureOptions{rule: routing.Rule{Kind: routing.KindRepeatable}}, &fakeWorkers{})
 	d := f.handler.dispatcher
 	id := d.balancer.IDs()[0]
-	if !d.MayAsk(id) {
+	if !d.AllowHealthCheck(id) {
 		t.Error("a worker without a limit may not be checked")
 	}
-	d.Limit(id, 20, 0)
-	if d.MayAsk(id) {
+	d.SetLimit(id, 20, 0)
+	if d.AllowHealthCheck(id) {
 		t.Error("a worker may be checked before it has capacity")
 	}
 	time.Sleep(60 * time.Millisecond)
-	if !d.MayAsk(id) || d.MayAsk(id) {
+	if !d.AllowHealthCheck(id) || d.AllowHealthCheck(id) {
 		t.Error("a worker with capacity for one request may be checked twice, or not at all")
 	}
 }
--- a/internal/forward/relay.go
+++ b/internal/forward/relay.go
@@ -26,7 +26,7 @@
 }
 
 // readBuffered reads a response completely, so that a retry can replace one that is cut off.
-func readBuffered(answer *Answer) (*bufferedAnswer, error) {
+func readBuffered(answer *Response) (*bufferedAnswer, error) {
 	body, err := io.ReadAll(io.LimitReader(answer.Body, maxBufferedBytes+1))
 	if err != nil {
 		return nil, err
@@ -70,7 +70,7 @@
 }
 
 // stream forwards the events of one worker. It returns nil at the regular end of the stream.
-func (r *relay) stream(answer *Answer) error {
+func (r *relay) stream(answer *Response) error {
 	events := eventstream.NewReader(answer.Body, maxEventBytes)
 	accepted := false
 	for {
@@ -100,7 +100,7 @@
 }
 
 // writeHead writes the status and the headers once.
-func (r *relay) writeHead(answer *Answer) {
+func (r *relay) writeHead(answer *Response) {
 	if r.started {
 		return
 	}
--- a/internal/forward/report.go
+++ b/internal/forward/report.go
@@ -42,11 +42,11 @@
 // The closers. CloserCaller stands for everything outside the gateway: the caller, its machine, the network.
 const (
 	CloserCaller Closer = iota
-	// CloserRest is the idle timeout, and CloserHead the timeout for reading the request headers.
-	CloserRest
-	CloserHead
-	// CloserStop is the shutdown of the gateway.
-	CloserStop
+	// CloserIdleTimeout is the idle timeout, and CloserHeaderTimeout the timeout for reading the request headers.
+	CloserIdleTimeout
+	CloserHeaderTimeout
+	// CloserShutdown is the shutdown of the gateway.
+	CloserShutdown
 	// CloserBrokenAnswer closes a connection whose response was cut off at the worker, and CloserPanic one whose request caused a panic.
 	CloserBrokenAnswer
 	CloserPanic
@@ -54,12 +54,12 @@
 
 // closerNames are the names of closers in logs and metrics.
 var closerNames = map[Closer]string{
-	CloserCaller:       "caller",
-	CloserRest:         "bound on rest",
-	CloserHead:         "bound on heads",
-	CloserStop:         "stop",
-	CloserBrokenAnswer: "broken answer",
-	CloserPanic:        "panic",
+	CloserCaller:        "caller",
+	CloserIdleTimeout:   "bound on rest",
+	CloserHeaderTimeout: "bound on heads",
+	CloserShutdown:      "stop",
+	CloserBrokenAnswer:  "broken answer",
+	CloserPanic:         "panic",
 }
 
 // String returns the name of the closer as it appears in logs and metrics.
@@ -98,21 +98,21 @@
 	Version int64
 	Status  int
 	Reason  Reason
-	// Tries are the attempts in order.
-	Tries []Try
+	// Attempts are the attempts in order.
+	Attempts []Attempt
 	// Err is the last error, or nil.
 	Err error
-	// Asked is the digest of the request, set only if a connection to a worker broke or the request is barred. Requests with different ids
+	// RequestDigest is the digest of the request, set only if a connection to a worker broke or the request is barred. Requests with different ids
 	// may have the same digest.
-	Asked *poison.Digest
+	RequestDigest *poison.Digest
 	// Loss is the lost role for which the request was refused, or nil.
-	Loss *Loss
+	Loss *RoleLoss
 }
 
 // Step returns how far a request got that had no complete response.
 func (r *Report) Step() string {
 	switch {
-	case len(r.Tries) == 0:
+	case len(r.Attempts) == 0:
 		return "admit"
 	case r.FirstByte.IsZero():
 		return "await the answer"
@@ -121,29 +121,29 @@
 	}
 }
 
-// PassedOn returns the worker that received the request last, or empty if none did.
-func (r *Report) PassedOn() string {
-	for i := len(r.Tries) - 1; i >= 0; i-- {
-		switch try := r.Tries[i]; {
+// LastWorker returns the worker that received the request last, or empty if none did.
+func (r *Report) LastWorker() string {
+	for i := len(r.Attempts) - 1; i >= 0; i-- {
+		switch try := r.Attempts[i]; {
 		case try.Failure == failureUnreachable.String():
 		case try.Worker != "":
 			return try.Worker
-		case try.Reader != "":
-			return try.Reader
+		case try.PrefillEngine != "":
+			return try.PrefillEngine
 		}
 	}
 	return ""
 }
 
-// Try is one attempt to serve a request at a worker.
-type Try struct {
+// Attempt is one attempt to serve a request at a worker.
+type Attempt struct {
 	Worker string
-	// Reader is the engine that prefilled the prompt, or empty.
-	Reader string
-	// Begun and Ended are the bounds of the attempt; ReadIn is how long the prefill took.
-	Begun  time.Time
-	Ended  time.Time
-	ReadIn time.Duration
+	// PrefillEngine is the engine that prefilled the prompt, or empty.
+	PrefillEngine string
+	// Start and End are the bounds of the attempt; PrefillTime is how long the prefill took.
+	Start       time.Time
+	End         time.Time
+	PrefillTime time.Duration
 	// Score is the cost for which the worker, or the prefill engine if there was one, was picked among Candidates.
 	Score      balance.Score
 	Candidates int
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -24,17 +24,17 @@
 	// Header holds the headers that are passed to workers.
 	Header http.Header
 	Body   []byte
-	// Patience is how long the caller waits; zero if unknown.
-	Patience time.Duration
-	Demand   backend.Demand
+	// CallerTimeout is how long the caller waits; zero if unknown.
+	CallerTimeout time.Duration
+	Demand        backend.Demand
 	// ResumeAfter is the id of the last event of a stream that the caller already has, or empty.
 	ResumeAfter string
 	// RunOnce is set if the caller forbids running the request again, whatever the rule allows.
 	RunOnce bool
 	// Tenant is the tenant whose limits apply, or empty.
 	Tenant string
-	// Whole is set if the caller wants a single response although the rule would stream it.
-	Whole bool
+	// Unstreamed is set if the caller wants a single response although the rule would stream it.
+	Unstreamed bool
 }
 
 // digest returns the digest that identifies equal requests.
@@ -58,14 +58,14 @@
 	// Labels returns the labels of a request, or false if the request does not use this protocol. The owner is the tenant of the request's
 	// key, or nil if unknown.
 	Labels(request *http.Request, owner *tenant.Tenant) (map[string]string, bool)
-	// BrokenOff returns the event that ends a stream which was cut off, with the reason. It must differ from the regular end of a stream.
-	BrokenOff(reason Reason) []byte
+	// TruncationEvent returns the event that ends a stream which was cut off, with the reason. It must differ from the regular end of a stream.
+	TruncationEvent(reason Reason) []byte
 }
 
-// Prompt is a prefilled prompt whose KV cache an engine holds for the engine that decodes it.
-type Prompt struct {
-	// Reader is the engine that holds the KV cache.
-	Reader *backend.Worker
+// PrefilledPrompt is a prefilled prompt whose KV cache an engine holds for the engine that decodes it.
+type PrefilledPrompt struct {
+	// Engine is the engine that holds the KV cache.
+	Engine *backend.Worker
 	// Handle identifies the prompt at that engine.
 	Handle string
 }
@@ -75,7 +75,7 @@
 	// Deadline is when the response is no longer needed.
 	Deadline time.Time
 	// Prompt is the prefilled prompt, or nil.
-	Prompt *Prompt
+	Prompt *PrefilledPrompt
 	// FetchFrom is an engine whose cache holds a prefix of the prompt, or nil. It excludes Prompt.
 	FetchFrom *backend.Worker
 	// ResumeAfter is the id of the last event that the caller has, or empty.
@@ -84,8 +84,8 @@
 	Deferred bool
 }
 
-// ReadOptions configure how an engine prefills a prompt.
-type ReadOptions struct {
+// PrefillOptions configure how an engine prefills a prompt.
+type PrefillOptions struct {
 	// Deadline is when the prompt is no longer needed.
 	Deadline time.Time
 	// FetchFrom is an engine whose cache holds a prefix of the prompt, or nil.
@@ -94,18 +94,18 @@
 	Urgency int
 }
 
-// Workers sends requests to workers. Errors are of type *httpclient.Error, *Refusal or *InvalidAnswer.
+// Workers sends requests to workers. Errors are of type *httpclient.Error, *Refusal or *InvalidResponse.
 type Workers interface {
 	// Run runs a request at a worker. Cancelling the context closes the connection to the worker.
-	Run(ctx context.Context, worker *backend.Worker, request *Request, options RunOptions) (*Answer, error)
-	// ReadPrompt has an engine prefill the prompt of a request.
-	ReadPrompt(ctx context.Context, worker *backend.Worker, request *Request, options ReadOptions) (*Prompt, error)
+	Run(ctx context.Context, worker *backend.Worker, request *Request, options RunOptions) (*Response, error)
+	// Prefill has an engine prefill the prompt of a request.
+	Prefill(ctx context.Context, worker *backend.Worker, request *Request, options PrefillOptions) (*PrefilledPrompt, error)
 	// ReleasePrompt releases a prompt that will not be used.
-	ReleasePrompt(ctx context.Context, prompt *Prompt)
+	ReleasePrompt(ctx context.Context, prompt *PrefilledPrompt)
 }
 
-// Answer is the response of a worker that has run a request.
-type Answer struct {
+// Response is the response of a worker that has run a request.
+type Response struct {
 	Status int
 	// Header holds the headers that are passed to the caller.
 	Header http.Header
@@ -119,8 +119,8 @@
 	// Peer is the address of the worker.
 	Peer   string
 	Status int
-	// Moved is set if another worker than expected runs at the address.
-	Moved bool
+	// Misdirected is set if another worker than expected runs at the address.
+	Misdirected bool
 }
 
 // Error implements error.
@@ -128,14 +128,14 @@
 	return "step run, peer " + r.Peer + ": the worker refused the request: " + http.StatusText(r.Status)
 }
 
-// InvalidAnswer is a malformed or unexpected response. The request may have run.
-type InvalidAnswer struct {
+// InvalidResponse is a malformed or unexpected response. The request may have run.
+type InvalidResponse struct {
 	Peer   string
 	Reason string
 }
 
 // Error implements error.
-func (i *InvalidAnswer) Error() string {
+func (i *InvalidResponse) Error() string {
 	return "step run, peer " + i.Peer + ": invalid response: " + i.Reason
 }
 
--- a/internal/forward/response.go
+++ b/internal/forward/response.go
@@ -62,9 +62,9 @@
 
 // forwardAnswer passes the response of a worker to the caller. The response of a worker that failed is held back, since a retry may produce
 // a better one.
-func (c *call) forwardAnswer(answer *Answer) error {
+func (c *call) forwardAnswer(answer *Response) error {
 	defer answer.Body.Close()
-	if c.match.Rule.Kind == routing.KindStream && answer.Status == http.StatusOK && !c.request.Whole {
+	if c.match.Rule.Kind == routing.KindStream && answer.Status == http.StatusOK && !c.request.Unstreamed {
 		return c.forwardStream(answer)
 	}
 	buffered, err := readBuffered(answer)
@@ -99,7 +99,7 @@
 }
 
 // forwardStream passes an event stream to the caller.
-func (c *call) forwardStream(answer *Answer) error {
+func (c *call) forwardStream(answer *Response) error {
 	err := c.relay.stream(answer)
 	c.report.FirstByte = c.relay.firstByte
 	if c.relay.started {
--- a/internal/forward/retrybudget.go
+++ b/internal/forward/retrybudget.go
@@ -66,8 +66,8 @@
 	return true
 }
 
-// SetSharers sets the number of gateways among which the retry allowance is divided.
-func (d *Dispatcher) SetSharers(count int) {
+// SetGatewayCount sets the number of gateways among which the retry allowance is divided.
+func (d *Dispatcher) SetGatewayCount(count int) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := d.retries.now()
@@ -76,8 +76,8 @@
 	d.retries.accrue(now)
 }
 
-// BeginFirst is ConfirmShare for the first start of the whole system, in which the share takes effect immediately.
-func (d *Dispatcher) BeginFirst(at time.Time) {
+// ConfirmFirstStart is ConfirmShare for the first start of the whole system, in which the share takes effect immediately.
+func (d *Dispatcher) ConfirmFirstStart(at time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := d.retries.now()
@@ -94,7 +94,7 @@
 	}
 }
 
-// ConfirmShare records that at a time, on the clock since boot, the store held the registration of this gateway and SetSharers had been
+// ConfirmShare records that at a time, on the clock since boot, the store held the registration of this gateway and SetGatewayCount had been
 // called with all changes up to then.
 func (d *Dispatcher) ConfirmShare(at time.Time) {
 	d.mutex.Lock()
@@ -121,9 +121,9 @@
 	}
 }
 
-// WatchBudgets sets a callback for exhausted budgets, called at most once per window and group. It is called without the mutex, in the
+// OnBudgetExhausted sets a callback for exhausted budgets, called at most once per window and group. It is called without the mutex, in the
 // goroutine of the request that was denied a retry.
-func (d *Dispatcher) WatchBudgets(onExhausted func(group string, view retrybudget.View)) {
+func (d *Dispatcher) OnBudgetExhausted(onExhausted func(group string, view retrybudget.View)) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.retries.onExhausted = onExhausted
@@ -133,8 +133,8 @@
 type BudgetView struct {
 	Group string
 	retrybudget.View
-	// Sharers is the number of gateways among which the allowance is divided.
-	Sharers int
+	// GatewayCount is the number of gateways among which the allowance is divided.
+	GatewayCount int
 }
 
 // Budgets returns the budgets of all groups that received requests, ordered by name.
@@ -145,7 +145,7 @@
 	share, sharers := d.retries.share.At(now), d.retries.share.Sharers(now)
 	var views []BudgetView
 	for _, group := range slices.Sorted(maps.Keys(d.retries.budgets)) {
-		views = append(views, BudgetView{Group: group, View: d.retries.budgets[group].View(now, share), Sharers: sharers})
+		views = append(views, BudgetView{Group: group, View: d.retries.budgets[group].View(now, share), GatewayCount: sharers})
 	}
 	return views
 }
--- a/internal/forward/retrybudget_sim_test.go
+++ b/internal/forward/retrybudget_sim_test.go
@@ -178,7 +178,7 @@
 		if machine.process.registeredSince >= 0 && f.now-machine.storeDelay >= machine.process.registeredSince {
 			confirm := machine.process.dispatcher.ConfirmShare
 			if f.firstStart && machine.process.isNew {
-				confirm = machine.process.dispatcher.BeginFirst
+				confirm = machine.process.dispatcher.ConfirmFirstStart
 			}
 			confirm(simEpoch.Add(f.now - machine.storeDelay))
 		}
@@ -210,7 +210,7 @@
 		entries = min(f.entries, serving)
 	}
 	isStandby := slices.Index(registered, i) >= entries
-	machine.process.dispatcher.SetSharers(retrybudget.Sharers(isStandby, entries, serving))
+	machine.process.dispatcher.SetGatewayCount(retrybudget.Sharers(isStandby, entries, serving))
 }
 
 // countWithin counts the times in [from, to).
--- a/internal/forward/retrybudget_test.go
+++ b/internal/forward/retrybudget_test.go
@@ -19,7 +19,7 @@
 	settings := DefaultDispatchSettings()
 	settings.Budget = retrybudget.Settings{Allowance: 40, Window: 10 * time.Second, Safety: 1}
 	d := newDispatcher(settings, clock.now, clock.now)
-	d.SetSharers(4)
+	d.SetGatewayCount(4)
 	d.ConfirmShare(clock.now())
 	for clock.elapsed < 10*time.Second {
 		clock.elapsed += time.Second
@@ -42,7 +42,7 @@
 	d, clock := newBudgetDispatcher()
 	d.CountRequest("early")
 	checkBalance(t, d, "early", 1.5)
-	d.SetSharers(8)
+	d.SetGatewayCount(8)
 	clock.elapsed += 2 * time.Second
 	d.CountRequest("late")
 	checkBalance(t, d, "late", 0.5)
@@ -64,7 +64,7 @@
 func TestExhaustedBudgetCallbackDoesNotHoldMutex(t *testing.T) {
 	d, _ := newBudgetDispatcher()
 	counts := make(chan int, 1)
-	d.WatchBudgets(func(string, retrybudget.View) {
+	d.OnBudgetExhausted(func(string, retrybudget.View) {
 		budgets := make(chan int, 1)
 		go func() { budgets <- len(d.Budgets()) }()
 		select {
@@ -92,7 +92,7 @@
 		settings := DefaultDispatchSettings()
 		settings.Budget = retrybudget.Settings{Ratio: 0.2, Allowance: 20, Window: 10 * time.Second, Safety: retrybudget.DefaultSafety}
 		d := newDispatcher(settings, clock.now, clock.now)
-		d.SetSharers(12)
+		d.SetGatewayCount(12)
 		d.ConfirmShare(clock.now())
 		retries := 0
 		for clock.elapsed < 40*time.Second {
--- a/internal/forward/rolechange.go
+++ b/internal/forward/rolechange.go
@@ -43,9 +43,9 @@
 	return groups
 }
 
-// Busy returns how many workers of a group the current load would keep busy: engines by requested prefill work and occupied slots, plain
+// Utilization returns how many workers of a group the current load would keep busy: engines by requested prefill work and occupied slots, plain
 // workers by their runs.
-func (d *Dispatcher) Busy(group string) float64 {
+func (d *Dispatcher) Utilization(group string) float64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	busy := 0.0
--- a/internal/forward/scale_test.go
+++ b/internal/forward/scale_test.go
@@ -92,7 +92,7 @@
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
-				dispatcher.Drain(true)
+				dispatcher.TakeUpdate(true)
 			}
 		})
 	}
@@ -103,7 +103,7 @@
 	for _, size := range fleetSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			dispatcher := newFleetDispatcher(fleetOf(size))
-			dispatcher.Hear(&loadshare.Message{Sender: "other", Epoch: 1, Sequence: 1})
+			dispatcher.ApplyUpdate(&loadshare.Message{Sender: "other", Epoch: 1, Sequence: 1})
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
@@ -144,13 +144,13 @@
 		placement, _ := source.Place(request, engineGroup, PlaceOptions{})
 		source.RecordPrefilled(placement.Prefill.Worker, request)
 	}
-	if added := learner.LearnAll(source.Kept(1_000)); added != 60 {
+	if added := learner.MergeCache(source.CachedSegments(1_000)); added != 60 {
 		t.Errorf("%d parts were new, want 60", added)
 	}
-	if added := learner.LearnAll(source.Kept(1_000)); added != 0 {
+	if added := learner.MergeCache(source.CachedSegments(1_000)); added != 0 {
 		t.Errorf("%d parts were new again", added)
 	}
-	if parts := source.Kept(7); len(parts) != 7 {
+	if parts := source.CachedSegments(7); len(parts) != 7 {
 		t.Errorf("got %d parts, want 7", len(parts))
 	}
 	for i := range 60 {
--- a/internal/forward/suspect_test.go
+++ b/internal/forward/suspect_test.go
@@ -40,7 +40,7 @@
 // newSuspectFixture returns a fixture with a guard. The worker that gets the first request crashes.
 func newSuspectFixture(t *testing.T, rule routing.Rule, probeDelay time.Duration) *fixture {
 	workers, prober := &fakeWorkers{}, &crashProber{crashed: map[string]bool{}, delay: probeDelay}
-	workers.run = func(_ context.Context, number int, worker *backend.Worker, _ RunOptions) (*Answer, error) {
+	workers.run = func(_ context.Context, number int, worker *backend.Worker, _ RunOptions) (*Response, error) {
 		if number == 1 {
 			prober.crash(worker.ID)
 			return nil, resetError
@@ -48,9 +48,9 @@
 		return wholeResponse(200, "answer"), nil
 	}
 	f := newFixture(t, fixtureOptions{rule: rule, allowance: 10}, workers)
-	f.handler.GuardWorkers(poison.NewGuard(poison.DefaultSettings(), prober, time.Now, func(event poison.Event) {
+	f.handler.SetGuard(poison.NewGuard(poison.DefaultSettings(), prober, time.Now, func(event poison.Event) {
 		if ended, is := event.(poison.WorkerEnded); is {
-			f.handler.dispatcher.WorkerEnded(ended.Worker.ID, ended.Ago)
+			f.handler.dispatcher.RecordCrash(ended.Worker.ID, ended.Ago)
 		}
 	}))
 	return f
--- a/internal/forward/truncatedstream_test.go
+++ b/internal/forward/truncatedstream_test.go
@@ -20,7 +20,7 @@
 	return nil, false
 }
 
-func (truncationEventProtocol) BrokenOff(reason Reason) []byte {
+func (truncationEventProtocol) TruncationEvent(reason Reason) []byte {
 	return []byte("event: error\ndata: " + string(reason) + "\n\n")
 }
 
@@ -41,8 +41,8 @@
 
 // TestStreamCutAtDeadlineReportsReason guards against streams that end at their deadline without an event that says so.
 func TestStreamCutAtDeadlineReportsReason(t *testing.T) {
-	workers := &fakeWorkers{run: func(ctx context.Context, _ int, _ *backend.Worker, _ RunOptions) (*Answer, error) {
-		return &Answer{Status: http.StatusOK, Header: http.Header{}, ContentLength: -1, Body: io.NopCloser(&stallingBody{ctx: ctx})}, nil
+	workers := &fakeWorkers{run: func(ctx context.Context, _ int, _ *backend.Worker, _ RunOptions) (*Response, error) {
+		return &Response{Status: http.StatusOK, Header: http.Header{}, ContentLength: -1, Body: io.NopCloser(&stallingBody{ctx: ctx})}, nil
 	}}
 	f := newFixture(t, fixtureOptions{rule: routing.Rule{Kind: routing.KindStream, Timeout: 200 * time.Millisecond}, engine: true}, workers)
 	f.handler.protocol = truncationEventProtocol{plainProtocol{}}
--- a/internal/forward/unanswered_test.go
+++ b/internal/forward/unanswered_test.go
@@ -13,22 +13,22 @@
 // TestUnansweredRequestNamesCloser checks the reported closer of connections that end without a response.
 func TestUnansweredRequestNamesCloser(t *testing.T) {
 	ends := map[string]struct {
-		run           func(ctx context.Context) (*Answer, error)
+		run           func(ctx context.Context) (*Response, error)
 		clientTimeout time.Duration
 		closer        Closer
 		reason        Reason
 	}{
 		"the caller disconnects":            {run: awaitCancel, clientTimeout: 100 * time.Millisecond, closer: CloserCaller, reason: ReasonCallerGone},
-		"the gateway closes the connection": {run: awaitCancel, clientTimeout: 100 * time.Millisecond, closer: CloserRest, reason: ReasonCallerGone},
-		"panic":                             {run: func(context.Context) (*Answer, error) { panic("test panic") }, closer: CloserPanic, reason: ReasonPanic},
+		"the gateway closes the connection": {run: awaitCancel, clientTimeout: 100 * time.Millisecond, closer: CloserIdleTimeout, reason: ReasonCallerGone},
+		"panic":                             {run: func(context.Context) (*Response, error) { panic("test panic") }, closer: CloserPanic, reason: ReasonPanic},
 	}
 	for name, end := range ends {
 		t.Run(name, func(t *testing.T) {
-			workers := &fakeWorkers{run: func(ctx context.Context, _ int, _ *backend.Worker, _ RunOptions) (*Answer, error) {
+			workers := &fakeWorkers{run: func(ctx context.Context, _ int, _ *backend.Worker, _ RunOptions) (*Response, error) {
 				return end.run(ctx)
 			}}
 			f := newFixture(t, fixtureOptions{}, workers)
-			f.handler.NameClosers(func(context.Context) Closer { return end.closer })
+			f.handler.SetCloserFunc(func(context.Context) Closer { return end.closer })
 			client := &http.Client{Timeout: end.clientTimeout, Transport: &http.Transport{DisableKeepAlives: true}}
 			if response, err := client.Get(f.server.URL + "/x"); err == nil {
 				_ = response.Body.Close()
@@ -41,8 +41,8 @@
 			if fault := new(PanicError); (end.closer == CloserPanic) != (errors.As(report.Err, &fault) && len(fault.Stack) > 0) {
 				t.Errorf("got error %v", report.Err)
 			}
-			if end.closer != CloserPanic && (report.Step() != "await the answer" || report.PassedOn() == "") {
-				t.Errorf("got step %q, worker %q", report.Step(), report.PassedOn())
+			if end.closer != CloserPanic && (report.Step() != "await the answer" || report.LastWorker() == "") {
+				t.Errorf("got step %q, worker %q", report.Step(), report.LastWorker())
 			}
 		})
 	}
--- a/internal/forward/views.go
+++ b/internal/forward/views.go
@@ -14,11 +14,11 @@
 	Worker *backend.Worker
 	// Load is the load of all gateways.
 	Load backend.Load
-	// SetAside is set while a worker is ejected, and Changing while it changes its role.
-	SetAside bool
+	// Ejected is set while a worker is ejected, and Changing while it changes its role.
+	Ejected  bool
 	Changing bool
-	// BacksOff is set while the worker has asked this gateway not to send requests.
-	BacksOff bool
+	// BackingOff is set while the worker has asked this gateway not to send requests.
+	BackingOff bool
 	// Quota is what this gateway may send to a rate-limited worker; nil without a limit.
 	Quota *balance.Quota
 }
@@ -37,8 +37,8 @@
 			quota = &limited
 		}
 		views = append(views, WorkerView{
-			Quota: quota, Worker: worker, Load: d.balancer.TotalLoad(id), SetAside: setAside, Changing: changing,
-			BacksOff: now.Before(d.balancer.BackOffUntil(id)),
+			Quota: quota, Worker: worker, Load: d.balancer.TotalLoad(id), Ejected: setAside, Changing: changing,
+			BackingOff: now.Before(d.balancer.BackOffUntil(id)),
 		})
 	}
 	return views
--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -98,9 +98,9 @@
 		return adminapi.StateDraining
 	case view.Changing:
 		return adminapi.StateChanging
-	case view.BacksOff:
+	case view.BackingOff:
 		return adminapi.StateBackOff
-	case view.SetAside:
+	case view.Ejected:
 		return adminapi.StateSetAside
 	default:
 		return adminapi.StateReady
--- a/internal/gateway/barsyncer.go
+++ b/internal/gateway/barsyncer.go
@@ -76,19 +76,19 @@
 func (b *barSyncer) handleEvent(event poison.Event) {
 	switch e := event.(type) {
 	case poison.WorkerEnded:
-		b.gateway.dispatcher.WorkerEnded(e.Worker.ID, e.Ago)
+		b.gateway.dispatcher.RecordCrash(e.Worker.ID, e.Ago)
 		digests := strings.Join(lo.Map(e.Asked, func(d poison.Digest, _ int) string { return d.String() }), ",")
 		b.logger.WithFields(logrus.Fields{"worker": e.Worker.ID, "peer": e.Worker.Address, "by": e.By, "requests": len(e.Asked)}).
 			Warn("A worker ended under requests.")
 		b.gateway.metrics.countWorkerEnd(e.Worker.Group)
-		b.gateway.dispatcher.EngineRefuses(e.Worker.ID)
+		b.gateway.dispatcher.RecordRefused(e.Worker.ID)
 		b.gateway.recordDecision(decision.Record{
 			Kind: decision.KindBar, Subject: e.Worker.ID, Outcome: "suspected",
 			Reason: fmt.Sprintf("The worker crashed: %s. Any of the requests running there may be the cause.", e.By),
 			Inputs: map[string]string{"asked": digests},
 		})
 	case poison.EndHeard:
-		b.gateway.dispatcher.WorkerEnded(e.Worker, e.Ago)
+		b.gateway.dispatcher.RecordCrash(e.Worker, e.Ago)
 	case poison.Made:
 		b.logger.WithFields(barFields(e.Bar)).Warn("Request barred: workers crashed while running it.")
 		b.recordDecision(e.Bar, "barred", "Several workers crashed while running the request, one after another, and it never completed.")
--- a/internal/gateway/cachedparts.go
+++ b/internal/gateway/cachedparts.go
@@ -76,7 +76,7 @@
 				logging.Part(g.logger, "gateway").WithError(err).Debug("Querying a gateway for cached prompt parts failed.")
 				return
 			}
-			learned.Add(int64(g.dispatcher.LearnAll(parts)))
+			learned.Add(int64(g.dispatcher.MergeCache(parts)))
 		})
 	}
 	queries.Wait()
@@ -139,10 +139,10 @@
 func (g *Gateway) learnFromEngine(ctx context.Context, engine *backend.Worker) {
 	ctx, cancel := context.WithTimeout(ctx, engineQueryTimeout)
 	defer cancel()
-	parts, err := g.ports.KeptParts.Kept(ctx, engine)
+	parts, err := g.ports.KeptParts.CachedSegments(ctx, engine)
 	if err != nil {
 		logging.Part(g.logger, "gateway").WithError(err).Debug("Querying an engine for cached prompt parts failed.")
 		return
 	}
-	g.dispatcher.Learn(engine.ID, parts)
+	g.dispatcher.RecordCache(engine.ID, parts)
 }
--- a/internal/gateway/cachedparts_test.go
+++ b/internal/gateway/cachedparts_test.go
@@ -19,8 +19,8 @@
 // cacheQueryCounter counts queries of engine caches.
 type cacheQueryCounter struct{ queries atomic.Int64 }
 
-// Kept implements forward.KeptParts.
-func (c *cacheQueryCounter) Kept(context.Context, *backend.Worker) ([]forward.KeptPart, error) {
+// CachedSegments implements forward.CacheQuerier.
+func (c *cacheQueryCounter) CachedSegments(context.Context, *backend.Worker) ([]forward.CachedSegment, error) {
 	c.queries.Add(1)
 	return nil, nil
 }
--- a/internal/gateway/capacity.go
+++ b/internal/gateway/capacity.go
@@ -39,7 +39,7 @@
 // capacityGroup returns the observed workers and the scaling limits of a group.
 func (g *Gateway) capacityGroup(group routing.Group) capacity.Group {
 	observed := capacity.Group{
-		Name: group.Name, Boot: group.Scaling.BootTime, Present: capacity.Plan{}, Busy: g.dispatcher.Busy(group.Name),
+		Name: group.Name, Boot: group.Scaling.BootTime, Present: capacity.Plan{}, Busy: g.dispatcher.Utilization(group.Name),
 		Shown: g.view.Steady() > initialRecordTime, Certain: g.view.Steady() > recordRecoveryTime, New: g.view.IsNew(newFleetPeriod),
 		Offer: capacity.Offer{Least: group.Scaling.Min, Most: group.Scaling.Max, SpotPrice: group.Scaling.SpotPrice},
 	}
--- a/internal/gateway/decisions.go
+++ b/internal/gateway/decisions.go
@@ -30,13 +30,13 @@
 	reason          forward.Reason
 	duration        time.Duration
 	timeToFirstByte time.Duration
-	tries           []forward.Try
+	tries           []forward.Attempt
 	err             error
 	digest          *poison.Digest
 	// unanswered says who closed the connection of a caller that got no complete answer and how far its request had
 	// come; nil for answered requests.
 	unanswered map[string]string
-	roleLoss   *forward.Loss
+	roleLoss   *forward.RoleLoss
 	ended      time.Time
 }
 
@@ -44,7 +44,7 @@
 func newRequestDecision(report *forward.Report) requestDecision {
 	d := requestDecision{
 		rule: report.Rule, group: report.Group, version: report.Version, status: report.Status, reason: report.Reason,
-		duration: report.Ended.Sub(report.Arrived), tries: report.Tries, err: report.Err, target: report.Target, digest: report.Asked,
+		duration: report.Ended.Sub(report.Arrived), tries: report.Attempts, err: report.Err, target: report.Target, digest: report.RequestDigest,
 		roleLoss: report.Loss, ended: report.Ended,
 	}
 	if report.Request != nil {
@@ -52,7 +52,7 @@
 	}
 	if report.Unanswered {
 		d.unanswered = map[string]string{
-			"closed_by": report.ClosedBy.String(), "step": report.Step(), "peer": report.Caller, "passed_on_to": report.PassedOn(),
+			"closed_by": report.ClosedBy.String(), "step": report.Step(), "peer": report.Caller, "passed_on_to": report.LastWorker(),
 		}
 	}
 	if !report.FirstByte.IsZero() {
@@ -100,7 +100,7 @@
 	}
 	if d.roleLoss != nil {
 		inputs["role_gone"] = fmt.Sprintf("%d writers ended, %d engines are becoming writers, %d read; expected back in %d ms",
-			d.roleLoss.Lost, d.roleLoss.Changing, d.roleLoss.Readers, d.roleLoss.Back.Sub(d.ended).Milliseconds())
+			d.roleLoss.LostDecoders, d.roleLoss.Changing, d.roleLoss.PrefillEngines, d.roleLoss.ExpectedAt.Sub(d.ended).Milliseconds())
 	}
 	if d.err != nil {
 		inputs["error"] = d.err.Error()
@@ -109,10 +109,10 @@
 }
 
 // describeTry describes one attempt to run a request on a worker.
-func describeTry(try forward.Try) string {
-	text := fmt.Sprintf("worker %s in %d ms", try.Worker, try.Ended.Sub(try.Begun).Milliseconds())
-	if try.Reader != "" {
-		text = fmt.Sprintf("read by %s in %d ms, %s", try.Reader, try.ReadIn.Milliseconds(), text)
+func describeTry(try forward.Attempt) string {
+	text := fmt.Sprintf("worker %s in %d ms", try.Worker, try.End.Sub(try.Start).Milliseconds())
+	if try.PrefillEngine != "" {
+		text = fmt.Sprintf("read by %s in %d ms, %s", try.PrefillEngine, try.PrefillTime.Milliseconds(), text)
 	}
 	if try.Candidates > 0 {
 		text += fmt.Sprintf(", picked of %d for %s", try.Candidates, describeScore(try.Score))
--- a/internal/gateway/decisions_test.go
+++ b/internal/gateway/decisions_test.go
@@ -10,7 +10,7 @@
 
 // TestDescribeTryOfDeferredRequest checks that the description of a try says that it was deferred and why.
 func TestDescribeTryOfDeferredRequest(t *testing.T) {
-	try := forward.Try{Worker: "w", Candidates: 3, Score: balance.Score{Queue: 0.2, TimeToFirstToken: 0.45}, Deferred: true}
+	try := forward.Attempt{Worker: "w", Candidates: 3, Score: balance.Score{Queue: 0.2, TimeToFirstToken: 0.45}, Deferred: true}
 	text := describeTry(try)
 	for _, fragment := range []string{"answer expected after 450 ms", "too late for its objective"} {
 		if !strings.Contains(text, fragment) {
--- a/internal/gateway/enginemonitor.go
+++ b/internal/gateway/enginemonitor.go
@@ -36,7 +36,7 @@
 	// probeTimeout bounds one probe. It is longer than a loaded engine takes to answer, and short compared with a role
 	// change.
 	probeTimeout = 300 * time.Millisecond
-	// probeBackoffRatio is the fraction of an engine's absence to wait between probes, from forward.AskEngineEvery up to
+	// probeBackoffRatio is the fraction of an engine's absence to wait between probes, from forward.EngineQueryInterval up to
 	// maxProbeInterval. The maximum allows two probes within the time for which an answer counts.
 	probeBackoffRatio = 0.25
 	maxProbeInterval  = 700 * time.Millisecond
@@ -53,7 +53,7 @@
 		gateway: g, logger: logging.Part(g.logger, "engines"), wake: make(chan struct{}, 1), lastProbed: map[string]time.Time{},
 		firstProbed: map[string]time.Time{}, lostSince: map[string]time.Time{},
 	}
-	g.dispatcher.WatchEngines(func() {
+	g.dispatcher.OnEngineChange(func() {
 		// Don't wait for the probes: each silent engine takes probeTimeout.
 		g.controller.Wake()
 		select {
@@ -76,11 +76,11 @@
 		case <-timer.C:
 		}
 		m.reportRoleLosses(boottime.Now())
-		candidates := m.gateway.dispatcher.Questions()
+		candidates := m.gateway.dispatcher.EnginesToQuery()
 		m.prune(candidates)
 		m.probeAll(ctx, m.dueProbes(boottime.Now(), candidates))
 		if len(candidates) > 0 || len(m.lostSince) > 0 {
-			timer.Reset(forward.AskEngineEvery)
+			timer.Reset(forward.EngineQueryInterval)
 		} else {
 			timer.Reset(m.idleInterval())
 		}
@@ -97,7 +97,7 @@
 }
 
 // prune removes the state of engines that are no longer candidates for probing.
-func (m *engineMonitor) prune(candidates []forward.Question) {
+func (m *engineMonitor) prune(candidates []forward.EngineQuery) {
 	if len(m.firstProbed) == 0 {
 		return
 	}
@@ -115,12 +115,12 @@
 
 // dueProbes returns the engines to probe now: those assigned to this gateway and, on the leader, absent ones whose
 // termination it has not confirmed itself.
-func (m *engineMonitor) dueProbes(now time.Time, candidates []forward.Question) []forward.Question {
+func (m *engineMonitor) dueProbes(now time.Time, candidates []forward.EngineQuery) []forward.EngineQuery {
 	if len(candidates) == 0 {
 		return nil
 	}
 	leads := m.gateway.controller.GivesOrders()
-	var due []forward.Question
+	var due []forward.EngineQuery
 	for _, candidate := range candidates {
 		id := candidate.Worker.ID
 		if _, known := m.firstProbed[id]; !known {
@@ -130,7 +130,7 @@
 		if !mustConfirm && !m.gateway.ownsKey(id) {
 			continue
 		}
-		interval := forward.AskEngineEvery
+		interval := forward.EngineQueryInterval
 		if candidate.Absent {
 			interval = min(max(interval, time.Duration(probeBackoffRatio*float64(now.Sub(m.firstProbed[id])))), maxProbeInterval)
 		}
@@ -143,7 +143,7 @@
 }
 
 // probeAll probes engines concurrently.
-func (m *engineMonitor) probeAll(ctx context.Context, candidates []forward.Question) {
+func (m *engineMonitor) probeAll(ctx context.Context, candidates []forward.EngineQuery) {
 	slots := make(chan struct{}, maxConcurrentProbes)
 	var probes sync.WaitGroup
 	for _, candidate := range candidates {
@@ -157,7 +157,7 @@
 }
 
 // probe queries the state of one engine. A timeout is inconclusive.
-func (m *engineMonitor) probe(ctx context.Context, candidate forward.Question) {
+func (m *engineMonitor) probe(ctx context.Context, candidate forward.EngineQuery) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	worker := candidate.Worker
@@ -168,9 +168,9 @@
 	var transport *httpclient.Error
 	switch {
 	case err == nil:
-		m.gateway.dispatcher.EngineAnswers(worker.ID, state.Role, state.Busy)
+		m.gateway.dispatcher.RecordResponse(worker.ID, state.Role, state.Busy)
 	case errors.Is(err, roles.ErrOtherWorker), errors.As(err, &transport) && transport.Refused():
-		m.gateway.dispatcher.EngineRefuses(worker.ID)
+		m.gateway.dispatcher.RecordRefused(worker.ID)
 	default:
 		m.logger.WithError(err).WithField("engine", worker.ID).Debug("Probing an engine failed.")
 	}
@@ -186,7 +186,7 @@
 	if path == "" || m.gateway.ports.Identify == nil {
 		return nil
 	}
-	if !m.gateway.dispatcher.MayAsk(worker.ID) {
+	if !m.gateway.dispatcher.AllowHealthCheck(worker.ID) {
 		return errWorkerLimitReached
 	}
 	id, err := m.gateway.ports.Identify(ctx, worker, path)
@@ -218,10 +218,10 @@
 			continue
 		}
 		m.lostSince[group] = now
-		m.reportRole(group, "gone", fmt.Sprintf("The group has no decode engine: %d terminated, %d prefill engines are left.", loss.Lost, loss.Readers),
+		m.reportRole(group, "gone", fmt.Sprintf("The group has no decode engine: %d terminated, %d prefill engines are left.", loss.LostDecoders, loss.PrefillEngines),
 			map[string]string{
-				"ended": fmt.Sprint(loss.Lost), "changing": fmt.Sprint(loss.Changing), "readers": fmt.Sprint(loss.Readers),
-				"expected_in_ms": fmt.Sprint(time.Until(loss.Back).Milliseconds()),
+				"ended": fmt.Sprint(loss.LostDecoders), "changing": fmt.Sprint(loss.Changing), "readers": fmt.Sprint(loss.PrefillEngines),
+				"expected_in_ms": fmt.Sprint(time.Until(loss.ExpectedAt).Milliseconds()),
 			})
 	}
 	for group, since := range m.lostSince {
@@ -231,7 +231,7 @@
 				map[string]string{"after_ms": fmt.Sprint(now.Sub(since).Milliseconds())})
 		}
 	}
-	for _, returned := range m.gateway.dispatcher.Returned() {
+	for _, returned := range m.gateway.dispatcher.TakeReturned() {
 		m.reportRole(returned.Worker.RoleGroup(), "back", "An engine that had terminated is registered again.", map[string]string{
 			"worker": returned.Worker.ID, "address": returned.Worker.Address, "role": string(returned.Worker.Role),
 			"after_ms": fmt.Sprint(returned.Away.Milliseconds()),
--- a/internal/gateway/entries.go
+++ b/internal/gateway/entries.go
@@ -229,7 +229,7 @@
 	if !standby {
 		sharers = retrybudget.Sharers(standby, min(entries+uncertain, serving), serving)
 	}
-	g.dispatcher.SetSharers(sharers)
+	g.dispatcher.SetGatewayCount(sharers)
 	if sharers == g.entries.retrySharers {
 		return
 	}
--- a/internal/gateway/entrysizing.go
+++ b/internal/gateway/entrysizing.go
@@ -51,7 +51,7 @@
 
 // entryUtilization returns the utilization of each entry.
 func (g *Gateway) entryUtilization() []member.Busy {
-	utilization := g.dispatcher.PeersBusy()
+	utilization := g.dispatcher.PeerUtilization()
 	utilization[g.settings.Name] = g.utilization.peak()
 	var busy []member.Busy
 	for _, entry := range g.Entries() {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -48,7 +48,7 @@
 	Capacity capacity.Orderer
 	// KeptParts queries engines for the prompt parts in their caches; if nil, these are learned only from served
 	// requests.
-	KeptParts forward.KeptParts
+	KeptParts forward.CacheQuerier
 	// Prober checks whether a worker's process has terminated.
 	Prober poison.Prober
 	// Identify returns the ID of the worker that answers the health path at the address of the given one.
@@ -144,15 +144,15 @@
 	dispatch.Budget = budgetSettings(settings)
 	g.dispatcher = forward.NewDispatcher(dispatch, time.Now)
 	g.dispatcher.ShareLimits(settings.Name)
-	g.dispatcher.WatchBudgets(g.logBudgetExhausted)
-	g.dispatcher.WatchChoices(g.metrics.observeChoice)
+	g.dispatcher.OnBudgetExhausted(g.logBudgetExhausted)
+	g.dispatcher.OnPlacement(g.metrics.observeChoice)
 	g.handler = forward.NewHandler(forward.DefaultSettings(), ports.Protocol, ports.Workers, g.dispatcher, g.metrics)
 	g.handler.SetFreshness(func() bool { return g.view.IsFresh(settings.ConfigurationAge) })
-	g.handler.NameClosers(callers.CloserOf)
+	g.handler.SetCloserFunc(callers.CloserOf)
 	g.callers = callers.NewServer(callers.UntilCallerLeaves(g.handler), &g.utilization.traffic, g.metrics, logging.Part(logger, "gateway"))
 	g.barSyncer = newBarSyncer(g, ports.Prober)
-	g.handler.GuardWorkers(g.barSyncer.guard)
-	g.handler.ChooseForSuspects(g.ownsKey)
+	g.handler.SetGuard(g.barSyncer.guard)
+	g.handler.SetSuspectElection(g.ownsKey)
 	if ports.Labelled != nil {
 		g.handler.ServeLabelled(ports.Labelled)
 	}
@@ -263,7 +263,7 @@
 func (g *Gateway) controlHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/", changefeed.Handler(g.replica, g.feedEntries))
-	mux.Handle("GET "+keptshare.Path, keptshare.Handler(g.dispatcher.Kept))
+	mux.Handle("GET "+keptshare.Path, keptshare.Handler(g.dispatcher.CachedSegments))
 	return mux
 }
 
@@ -276,7 +276,7 @@
 		return err
 	}
 	g.loadExchange = exchange
-	g.dispatcher.ShareWith(exchange.Changed)
+	g.dispatcher.NotifyUpdates(exchange.Changed)
 	g.barSyncer.guard.ShareWith(exchange.Changed)
 	g.notices.setNotify(exchange.Changed)
 	g.workerLimits.setNotify(exchange.Changed)
@@ -287,7 +287,7 @@
 
 // TakeUpdate implements loadshare.Source.
 func (g *Gateway) TakeUpdate(full bool) loadshare.Message {
-	message := g.dispatcher.Drain(full)
+	message := g.dispatcher.TakeUpdate(full)
 	if full {
 		message.Utilization = g.utilization.peak()
 	}
@@ -305,7 +305,7 @@
 	}
 	g.tenantUsage.merge(message)
 	g.barSyncer.guard.Hear(message.Poison)
-	g.dispatcher.Hear(message)
+	g.dispatcher.ApplyUpdate(message)
 }
 
 // listen opens a listener and serves it in the background.
@@ -354,7 +354,7 @@
 	log := logging.Part(g.logger, "gateway")
 	log.Info("Stopping.")
 	g.leaving.Store(true)
-	g.handler.Leave()
+	g.handler.CloseConnections()
 	g.view.Leave()
 	g.registration.Leave()
 	g.controller.Resign()
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -141,7 +141,7 @@
 // from an earlier deployment, so the store must also indicate a new fleet.
 func (g *Gateway) Confirmed(at time.Time, fleetIsNew bool) {
 	if g.settings.FirstStart && fleetIsNew {
-		g.dispatcher.BeginFirst(at)
+		g.dispatcher.ConfirmFirstStart(at)
 		return
 	}
 	g.dispatcher.ConfirmShare(at)
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -148,11 +148,11 @@
 	if m.notices == nil {
 		return
 	}
-	for _, try := range report.Tries {
+	for _, try := range report.Attempts {
 		for _, send := range []struct {
 			worker string
 			at     time.Time
-		}{{try.Reader, try.Begun}, {try.Worker, try.Begun.Add(try.ReadIn)}} {
+		}{{try.PrefillEngine, try.Start}, {try.Worker, try.Start.Add(try.PrefillTime)}} {
 			if m.workerLimits.countAttempt(send.worker, send.at) {
 				m.set.GetOrCreateCounter(fmt.Sprintf(`%s{group=%q}`, metricTriesUnderLimit, report.Group)).Inc()
 			}
@@ -176,7 +176,7 @@
 		metrics.WriteCounterUint64(w, fmt.Sprintf(`%s{group=%q,outcome="granted"}`, metricRepeats, budget.Group), uint64(budget.Granted))
 		metrics.WriteCounterUint64(w, fmt.Sprintf(`%s{group=%q,outcome="denied"}`, metricRepeats, budget.Group), uint64(budget.Denied))
 		metrics.WriteGaugeFloat64(w, fmt.Sprintf(`%s{group=%q}`, metricRepeatsLeft, budget.Group), budget.Left)
-		metrics.WriteGaugeUint64(w, fmt.Sprintf(`%s{group=%q}`, metricRepeatsSharers, budget.Group), uint64(budget.Sharers))
+		metrics.WriteGaugeUint64(w, fmt.Sprintf(`%s{group=%q}`, metricRepeatsSharers, budget.Group), uint64(budget.GatewayCount))
 	}
 }
 
@@ -236,7 +236,7 @@
 		name = fmt.Sprintf(`%s{rule=%q}`, metricFirstByte, report.Rule)
 		m.set.GetOrCreateHistogram(name).Update(report.FirstByte.Sub(report.Arrived).Seconds())
 	}
-	for _, try := range report.Tries {
+	for _, try := range report.Attempts {
 		name = fmt.Sprintf(`%s{group=%q,failure=%q}`, metricTries, report.Group, try.Failure)
 		m.set.GetOrCreateCounter(name).Inc()
 		if try.Deferred {
--- a/internal/gateway/metrics_test.go
+++ b/internal/gateway/metrics_test.go
@@ -18,7 +18,7 @@
 	logger.SetOutput(io.Discard)
 	m := newGatewayMetrics(decisionlog.New("a", 16), logger)
 	m.RestedOut()
-	for _, closer := range []forward.Closer{forward.CloserCaller, forward.CloserHead, forward.CloserStop} {
+	for _, closer := range []forward.Closer{forward.CloserCaller, forward.CloserHeaderTimeout, forward.CloserShutdown} {
 		m.HeadUnanswered(closer, "127.0.0.1:1", time.Second)
 	}
 	var text strings.Builder
--- a/internal/gateway/retrybudget_test.go
+++ b/internal/gateway/retrybudget_test.go
@@ -35,7 +35,7 @@
 		// A lower number of sharers takes effect only later, so each case needs its own gateway.
 		g = newBudgetGateway(g.settings)
 		g.setRetrySharers(test.standby, test.entries, test.suspects, test.serving)
-		if got := g.dispatcher.Budgets()[0].Sharers; got != test.want {
+		if got := g.dispatcher.Budgets()[0].GatewayCount; got != test.want {
 			t.Errorf("%+v: sharers are %d", test, got)
 		}
 	}
--- a/internal/gateway/supplement.go
+++ b/internal/gateway/supplement.go
@@ -4,7 +4,7 @@
 
 // TakeSupplement implements loadshare.Source.
 func (g *Gateway) TakeSupplement(full bool) loadshare.Supplement {
-	asks, loans := g.dispatcher.DrainLoans()
+	asks, loans := g.dispatcher.TakeLoans()
 	return loadshare.Supplement{Leaving: g.notices.drain(full), Limits: g.workerLimits.drain(full), Asks: asks, Loans: loans}
 }
 
@@ -17,5 +17,5 @@
 		}
 	}
 	g.workerLimits.handlePeer(supplement.Limits)
-	g.dispatcher.HearLoans(supplement.Asks, supplement.Loans)
+	g.dispatcher.ApplyLoans(supplement.Asks, supplement.Loans)
 }
--- a/internal/gateway/tenantusage.go
+++ b/internal/gateway/tenantusage.go
@@ -29,7 +29,7 @@
 		return u
 	}
 	u.tally = usage.NewTally(g.settings.Name, g.startedAt.UnixNano())
-	g.handler.CountUsage(func(tenant string) { u.tally.Add(usage.WindowAt(u.clock.Now(), u.window), tenant) })
+	g.handler.OnTenantStart(func(tenant string) { u.tally.Add(usage.WindowAt(u.clock.Now(), u.window), tenant) })
 	if g.ports.Usage == nil {
 		return u
 	}
--- a/internal/gateway/workerlimits.go
+++ b/internal/gateway/workerlimits.go
@@ -105,7 +105,7 @@
 		return false
 	}
 	delete(t.ended, id)
-	news := t.gateway.dispatcher.Limit(id, perSecond, ago)
+	news := t.gateway.dispatcher.SetLimit(id, perSecond, ago)
 	limit, found := t.active[id]
 	if !found {
 		limit = &workerLimit{since: statedAt}
@@ -137,7 +137,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	limit := t.active[id]
-	if limit == nil || !t.gateway.dispatcher.Unlimit(id, ago) {
+	if limit == nil || !t.gateway.dispatcher.RemoveLimit(id, ago) {
 		return workerLimit{}, false
 	}
 	delete(t.active, id)
