--- a/internal/cluster/view.go
+++ b/internal/cluster/view.go
@@ -126,7 +126,7 @@
 	var workers []*backend.Worker
 	var bars []store.Item
 	for _, item := range items {
-		if strings.HasPrefix(item.Key, poison.Prefix) {
+		if strings.HasPrefix(item.Key, poison.BarPrefix) {
 			bars = append(bars, item)
 		}
 		if item.Key == v.ownKey {
@@ -209,7 +209,7 @@
 		if !event.Deleted {
 			v.applyConfiguration(event.Item)
 		}
-		if strings.HasPrefix(event.Key, poison.Prefix) {
+		if strings.HasPrefix(event.Key, poison.BarPrefix) {
 			v.listener.BarChanged(event)
 		}
 		if event.Key == roles.Key {
--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -48,7 +48,7 @@
 			return c.giveUp(failureDeadline, c.attempts.final(failureDeadline))
 		}
 		status, bar := c.guarded.status()
-		if status == poison.Judged || status == poison.Barred {
+		if status == poison.Pending || status == poison.Barred {
 			return c.refuseSuspect(ReasonVerdictPending)
 		}
 		if !c.mayRunExclusively(status, bar) {
@@ -84,7 +84,7 @@
 }
 
 // placeOptions returns the placement constraints for the next attempt. Suspect requests are kept on separate workers.
-func (c *call) placeOptions(status poison.Standing) PlaceOptions {
+func (c *call) placeOptions(status poison.Status) PlaceOptions {
 	options := PlaceOptions{Excluded: c.attempts.excluded, Colocated: c.mustColocate()}
 	if status == poison.Suspected {
 		options.SuspectKey = c.guarded.requestDigest().String()
--- a/internal/forward/exclusive.go
+++ b/internal/forward/exclusive.go
@@ -65,11 +65,11 @@
 }
 
 // mayRunExclusively reports whether the call may be placed now with regard to other copies of the same request.
-func (c *call) mayRunExclusively(status poison.Standing, bar poison.Bar) bool {
-	if status != poison.Suspected || bar.Moments < exclusiveFromCrashes {
+func (c *call) mayRunExclusively(status poison.Status, bar poison.Bar) bool {
+	if status != poison.Suspected || bar.DistinctCrashes < exclusiveFromCrashes {
 		return true
 	}
-	if !c.handler.exclusive.hasTurn(c.guarded.requestDigest(), c.handler.guard.HeardAgo(bar)) {
+	if !c.handler.exclusive.hasTurn(c.guarded.requestDigest(), c.handler.guard.SinceLastReport(bar)) {
 		return false
 	}
 	c.isExclusive = c.isExclusive || c.handler.exclusive.begin(c.guarded.requestDigest())
--- a/internal/forward/guarded.go
+++ b/internal/forward/guarded.go
@@ -40,15 +40,15 @@
 }
 
 // status returns the guard's status of the request, and its bar if it is barred.
-func (g *guardedRequest) status() (poison.Standing, poison.Bar) {
-	if g.guard == nil || !g.guard.Watches() {
+func (g *guardedRequest) status() (poison.Status, poison.Bar) {
+	if g.guard == nil || !g.guard.HasSuspects() {
 		return poison.Clear, poison.Bar{}
 	}
-	return g.guard.Standing(g.requestDigest())
+	return g.guard.Status(g.requestDigest())
 }
 
 // hasStatus reports whether the request has one of the statuses.
-func (g *guardedRequest) hasStatus(statuses ...poison.Standing) bool {
+func (g *guardedRequest) hasStatus(statuses ...poison.Status) bool {
 	status, _ := g.status()
 	return slices.Contains(statuses, status)
 }
@@ -63,9 +63,9 @@
 	switch {
 	case failed == failureBroken && errors.As(err, &transport):
 		g.connectionBroke = true
-		g.probeDone = g.guard.Broke(worker, g.requestDigest(), g.rule, g.request.Tenant)
+		g.probeDone = g.guard.ConnectionBroke(worker, g.requestDigest(), g.rule, g.request.Tenant)
 	case failed == failureSilent:
-		g.guard.Left(worker, g.requestDigest(), g.rule, g.request.Tenant)
+		g.guard.Abandoned(worker, g.requestDigest(), g.rule, g.request.Tenant)
 	}
 }
 
@@ -98,6 +98,6 @@
 // reportSuccess tells the guard that the request completed.
 func (g *guardedRequest) reportSuccess() {
 	if !g.hasStatus(poison.Clear) {
-		g.guard.EndedWell(g.requestDigest())
+		g.guard.RecordSuccess(g.requestDigest())
 	}
 }
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -220,7 +220,7 @@
 	guarded := &guardedRequest{guard: h.guard, request: request, rule: match.Rule.Name}
 	guardStatus, bar := guarded.status()
 	switch guardStatus {
-	case poison.Judged:
+	case poison.Pending:
 		return respondRetryAfter(writer, report, ReasonVerdictPending, h.settings.VerdictRetryAfter)
 	case poison.Barred:
 		report.RequestDigest = &guarded.digest
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -39,7 +39,7 @@
 
 // digest returns the digest that identifies equal requests.
 func (r *Request) digest() poison.Digest {
-	return poison.Asked{Tenant: r.Tenant, Method: r.Method, Host: r.Host, Target: r.Target, Body: r.Body}.Digest()
+	return poison.Request{Tenant: r.Tenant, Method: r.Method, Host: r.Host, Target: r.Target, Body: r.Body}.Digest()
 }
 
 // Protocol is the protocol of the callers.
--- a/internal/forward/suspect_test.go
+++ b/internal/forward/suspect_test.go
@@ -22,8 +22,8 @@
 	delay   time.Duration
 }
 
-// Refuses implements poison.Prober.
-func (p *crashProber) Refuses(_ context.Context, worker *backend.Worker) (bool, error) {
+// RefusesConnections implements poison.Prober.
+func (p *crashProber) RefusesConnections(_ context.Context, worker *backend.Worker) (bool, error) {
 	time.Sleep(p.delay)
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -49,8 +49,8 @@
 	}
 	f := newFixture(t, fixtureOptions{rule: rule, allowance: 10}, workers)
 	f.handler.SetGuard(poison.NewGuard(poison.DefaultSettings(), prober, time.Now, func(event poison.Event) {
-		if ended, is := event.(poison.WorkerEnded); is {
-			f.handler.dispatcher.RecordCrash(ended.Worker.ID, ended.Ago)
+		if ended, is := event.(poison.WorkerCrashed); is {
+			f.handler.dispatcher.RecordCrash(ended.Worker.ID, ended.Age)
 		}
 	}))
 	return f
--- a/internal/gateway/barsyncer.go
+++ b/internal/gateway/barsyncer.go
@@ -75,21 +75,21 @@
 // handleEvent logs and records an event of the guard and schedules the resulting change of the store.
 func (b *barSyncer) handleEvent(event poison.Event) {
 	switch e := event.(type) {
-	case poison.WorkerEnded:
-		b.gateway.dispatcher.RecordCrash(e.Worker.ID, e.Ago)
-		digests := strings.Join(lo.Map(e.Asked, func(d poison.Digest, _ int) string { return d.String() }), ",")
-		b.logger.WithFields(logrus.Fields{"worker": e.Worker.ID, "peer": e.Worker.Address, "by": e.By, "requests": len(e.Asked)}).
+	case poison.WorkerCrashed:
+		b.gateway.dispatcher.RecordCrash(e.Worker.ID, e.Age)
+		digests := strings.Join(lo.Map(e.Requests, func(d poison.Digest, _ int) string { return d.String() }), ",")
+		b.logger.WithFields(logrus.Fields{"worker": e.Worker.ID, "peer": e.Worker.Address, "by": e.Evidence, "requests": len(e.Requests)}).
 			Warn("A worker ended under requests.")
 		b.gateway.metrics.countWorkerEnd(e.Worker.Group)
 		b.gateway.dispatcher.RecordRefused(e.Worker.ID)
 		b.gateway.recordDecision(decision.Record{
 			Kind: decision.KindBar, Subject: e.Worker.ID, Outcome: "suspected",
-			Reason: fmt.Sprintf("The worker crashed: %s. Any of the requests running there may be the cause.", e.By),
+			Reason: fmt.Sprintf("The worker crashed: %s. Any of the requests running there may be the cause.", e.Evidence),
 			Inputs: map[string]string{"asked": digests},
 		})
-	case poison.EndHeard:
-		b.gateway.dispatcher.RecordCrash(e.Worker, e.Ago)
-	case poison.Made:
+	case poison.CrashReceived:
+		b.gateway.dispatcher.RecordCrash(e.Worker, e.Age)
+	case poison.BarCreated:
 		b.logger.WithFields(barFields(e.Bar)).Warn("Request barred: workers crashed while running it.")
 		b.recordDecision(e.Bar, "barred", "Several workers crashed while running the request, one after another, and it never completed.")
 		due := time.Now()
@@ -99,12 +99,12 @@
 			due = due.Add(remoteBarDelay)
 		}
 		b.schedule(pendingBar{bar: e.Bar, due: due})
-	case poison.Heard:
+	case poison.BarReceived:
 		b.logger.WithFields(barFields(e.Bar)).Info("Request barred by the store or another gateway.")
 		b.recordDecision(e.Bar, "told", "The store or another gateway reported the request as barred.")
 		b.schedule(pendingBar{bar: e.Bar, due: time.Now().Add(remoteBarDelay)})
 	case poison.Cleared:
-		bar := poison.Bar{Asked: e.Asked}
+		bar := poison.Bar{Digest: e.Digest}
 		b.recordDecision(bar, "cleared", "The request completed without crashing the worker.")
 		if e.WasBarred {
 			b.schedule(pendingBar{bar: bar, remove: true, due: time.Now()})
@@ -115,14 +115,14 @@
 // barFields returns the log fields of a bar.
 func barFields(bar poison.Bar) logrus.Fields {
 	return logrus.Fields{
-		"asked": bar.Asked, "rule": bar.Rule, "tenant": bar.Tenant, "workers": strings.Join(bar.Workers, ","), "times": bar.Times,
+		"asked": bar.Digest, "rule": bar.Rule, "tenant": bar.Tenant, "workers": strings.Join(bar.Workers, ","), "times": bar.Times,
 		"until": bar.Until.UTC().Format(time.RFC3339),
 	}
 }
 
 // recordDecision records a decision about a request.
 func (b *barSyncer) recordDecision(bar poison.Bar, outcome, reason string) {
-	record := decision.Record{Kind: decision.KindBar, Subject: bar.Asked.String(), Outcome: outcome, Reason: reason}
+	record := decision.Record{Kind: decision.KindBar, Subject: bar.Digest.String(), Outcome: outcome, Reason: reason}
 	if len(bar.Workers) > 0 {
 		record.Inputs = map[string]string{
 			"workers": strings.Join(bar.Workers, ","), "times": fmt.Sprint(bar.Times), "until": bar.Until.UTC().Format(time.RFC3339),
@@ -135,7 +135,7 @@
 // schedule queues a change for the store.
 func (b *barSyncer) schedule(change pendingBar) {
 	b.mu.Lock()
-	b.pending[change.bar.Asked] = change
+	b.pending[change.bar.Digest] = change
 	b.mu.Unlock()
 	select {
 	case b.wake <- struct{}{}:
@@ -202,14 +202,14 @@
 // errors the change is retried. A bar that is no longer in force, because the request completed or was released, is not
 // written.
 func (b *barSyncer) apply(ctx context.Context, change pendingBar) {
-	if state, _ := b.guard.Standing(change.bar.Asked); !change.remove && state != poison.Barred {
+	if state, _ := b.guard.Status(change.bar.Digest); !change.remove && state != poison.Barred {
 		return
 	}
 	err := b.commit(ctx, change)
 	if err == nil || errors.Is(err, store.ErrConflict) {
 		return
 	}
-	b.logger.WithError(err).WithField("asked", change.bar.Asked).Warn("Writing the bar of a request to the store failed; retrying.")
+	b.logger.WithError(err).WithField("asked", change.bar.Digest).Warn("Writing the bar of a request to the store failed; retrying.")
 	change.due = time.Now().Add(barRetryDelay)
 	b.schedule(change)
 }
@@ -218,9 +218,9 @@
 func (b *barSyncer) commit(ctx context.Context, change pendingBar) error {
 	ctx, cancel := context.WithTimeout(ctx, barCommitTimeout)
 	defer cancel()
-	key := poison.KeyOf(change.bar.Asked)
+	key := poison.BarKey(change.bar.Digest)
 	b.mu.Lock()
-	transaction := store.Transaction{Conditions: []store.Condition{{Key: key, Revision: b.stored[change.bar.Asked].revision}}}
+	transaction := store.Transaction{Conditions: []store.Condition{{Key: key, Revision: b.stored[change.bar.Digest].revision}}}
 	b.mu.Unlock()
 	if change.remove {
 		transaction.Deletes = []string{key}
@@ -244,7 +244,7 @@
 	defer b.mu.Unlock()
 	for digest, stored := range b.stored {
 		if time.Since(stored.until) > barRetention {
-			b.pending[digest] = pendingBar{bar: poison.Bar{Asked: digest}, remove: true}
+			b.pending[digest] = pendingBar{bar: poison.Bar{Digest: digest}, remove: true}
 		}
 	}
 }
@@ -259,7 +259,7 @@
 		// A write may be under way. The other gateways are told of the release as if the request had completed.
 		return b.handleRemoved(digest), nil
 	}
-	if err := b.commit(ctx, pendingBar{bar: poison.Bar{Asked: digest}, remove: true}); err != nil {
+	if err := b.commit(ctx, pendingBar{bar: poison.Bar{Digest: digest}, remove: true}); err != nil {
 		return false, err
 	}
 	b.handleRemoved(digest)
@@ -274,7 +274,7 @@
 	wasBarred := b.guard.Release(digest)
 	if wasBarred {
 		b.logger.WithField("asked", digest).Info("Request released.")
-		b.recordDecision(poison.Bar{Asked: digest}, "released", "The bar of the request was removed from the store.")
+		b.recordDecision(poison.Bar{Digest: digest}, "released", "The bar of the request was removed from the store.")
 	}
 	return wasBarred
 }
@@ -283,7 +283,7 @@
 func (a admin) Barred() []adminapi.BarredStatus {
 	return lo.Map(a.barSyncer.guard.Bars(), func(bar poison.Bar, _ int) adminapi.BarredStatus {
 		return adminapi.BarredStatus{
-			Asked: bar.Asked.String(), Rule: bar.Rule, Tenant: bar.Tenant, Workers: bar.Workers, Times: bar.Times, Until: bar.Until,
+			Asked: bar.Digest.String(), Rule: bar.Rule, Tenant: bar.Tenant, Workers: bar.Workers, Times: bar.Times, Until: bar.Until,
 		}
 	})
 }
@@ -316,7 +316,7 @@
 		g.barSyncer.handleStored(event.Item)
 		return
 	}
-	digest, err := poison.AskedOf(event.Key)
+	digest, err := poison.DigestFromKey(event.Key)
 	if err != nil {
 		g.barSyncer.logger.WithError(err).Error("Cannot decode the key of a removed bar.")
 		return
@@ -344,8 +344,8 @@
 		return poison.Digest{}, false
 	}
 	b.mu.Lock()
-	b.stored[bar.Asked] = storedBar{revision: item.Revision, until: bar.Until}
+	b.stored[bar.Digest] = storedBar{revision: item.Revision, until: bar.Until}
 	b.mu.Unlock()
-	b.guard.Bar(bar)
-	return bar.Asked, true
+	b.guard.ApplyBar(bar)
+	return bar.Digest, true
 }
--- a/internal/gateway/barsyncer_test.go
+++ b/internal/gateway/barsyncer_test.go
@@ -42,9 +42,9 @@
 }
 
 // remoteBar returns a bar as reported by another gateway.
-func remoteBar(digest poison.Digest) poison.Told {
-	return poison.Told{Bars: []poison.ToldBar{{
-		Asked: digest, Rule: "quick", Workers: []string{"w1", "w2", "w3"}, Times: 1, AgoMs: 100, LeftMs: time.Hour.Milliseconds(),
+func remoteBar(digest poison.Digest) poison.Update {
+	return poison.Update{Bars: []poison.BarUpdate{{
+		Digest: digest, Rule: "quick", Workers: []string{"w1", "w2", "w3"}, Times: 1, AgoMs: 100, LeftMs: time.Hour.Milliseconds(),
 	}}}
 }
 
@@ -52,10 +52,10 @@
 // it.
 func TestBarWrittenOnlyWhileInForce(t *testing.T) {
 	b, recording := newTestBarSyncer()
-	barred, cleared := poison.Asked{Target: "/barred"}.Digest(), poison.Asked{Target: "/cleared"}.Digest()
-	b.guard.Hear(remoteBar(barred))
-	b.guard.Hear(remoteBar(cleared))
-	b.guard.Hear(poison.Told{EndedWell: []poison.ToldGood{{Asked: cleared}}})
+	barred, cleared := poison.Request{Target: "/barred"}.Digest(), poison.Request{Target: "/cleared"}.Digest()
+	b.guard.ApplyUpdate(remoteBar(barred))
+	b.guard.ApplyUpdate(remoteBar(cleared))
+	b.guard.ApplyUpdate(poison.Update{Successes: []poison.SuccessUpdate{{Digest: cleared}}})
 	for _, change := range b.takeDue(time.Now().Add(remoteBarDelay)) {
 		b.apply(t.Context(), change)
 	}
@@ -67,12 +67,12 @@
 // TestReleaseOfBarNotYetStored guards against writing a bar that was released before it reached the store.
 func TestReleaseOfBarNotYetStored(t *testing.T) {
 	b, recording := newTestBarSyncer()
-	digest := poison.Asked{Target: "/x"}.Digest()
-	b.guard.Hear(remoteBar(digest))
+	digest := poison.Request{Target: "/x"}.Digest()
+	b.guard.ApplyUpdate(remoteBar(digest))
 	if wasBarred, err := b.release(t.Context(), digest); !wasBarred || err != nil {
 		t.Errorf("release returned %t, %v", wasBarred, err)
 	}
-	if state, _ := b.guard.Standing(digest); state != poison.Clear {
+	if state, _ := b.guard.Status(digest); state != poison.Clear {
 		t.Errorf("standing is %d", state)
 	}
 	for _, change := range b.takeDue(time.Now().Add(remoteBarDelay)) {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -277,7 +277,7 @@
 	}
 	g.loadExchange = exchange
 	g.dispatcher.NotifyUpdates(exchange.Changed)
-	g.barSyncer.guard.ShareWith(exchange.Changed)
+	g.barSyncer.guard.NotifyUpdates(exchange.Changed)
 	g.notices.setNotify(exchange.Changed)
 	g.workerLimits.setNotify(exchange.Changed)
 	g.tasks.Go(func() { exchange.Send(ctx) })
@@ -291,7 +291,7 @@
 	if full {
 		message.Utilization = g.utilization.peak()
 	}
-	message.Poison = g.barSyncer.guard.Tell(full)
+	message.Poison = g.barSyncer.guard.TakeUpdate(full)
 	g.tenantUsage.addTo(&message, full, !g.isEntry())
 	return message
 }
@@ -304,7 +304,7 @@
 		g.view.Heard(message.Sender)
 	}
 	g.tenantUsage.merge(message)
-	g.barSyncer.guard.Hear(message.Poison)
+	g.barSyncer.guard.ApplyUpdate(message.Poison)
 	g.dispatcher.ApplyUpdate(message)
 }
 
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -46,7 +46,7 @@
 	changes.Apply(g.workers)
 	g.dispatcher.ChangeWorkers(g.configuration.SelectChanges(changes))
 	g.markWorkersKnown()
-	g.barSyncer.guard.ChangeWorkers(changes)
+	g.barSyncer.guard.UpdateWorkers(changes)
 	logging.Part(g.logger, "gateway").WithField("workers", len(g.workers)).Debug("Workers changed.")
 }
 
--- a/internal/loadshare/board.go
+++ b/internal/loadshare/board.go
@@ -108,7 +108,7 @@
 	// Used is the usage of tenants.
 	Used []usage.Count
 	// Poison is the sender's knowledge of requests that may crash workers.
-	Poison poison.Told
+	Poison poison.Update
 }
 
 // Encode returns the encoding of a message.
--- a/internal/poison/barring.go
+++ b/internal/poison/barring.go
@@ -86,7 +86,7 @@
 
 // Bar describes a request that is not sent to workers for a time.
 type Bar struct {
-	Asked Digest
+	Digest Digest
 	// Rule is the routing rule that the request matches, and Tenant its caller, for operators.
 	Rule, Tenant string
 	// Workers are the ids of the worker incarnations that crashed under the request.
@@ -97,8 +97,8 @@
 	Since, Until time.Time
 	// LastReport is when a crash or a bar was reported last; zero in bars received from other gateways.
 	LastReport time.Time
-	// Moments is the number of distinct crashes, set for suspected requests only.
-	Moments int
+	// DistinctCrashes is the number of distinct crashes, set for suspected requests only.
+	DistinctCrashes int
 }
 
 // earlier returns the earlier of two times.
@@ -130,6 +130,6 @@
 			bars = append(bars, entry.bar(digest))
 		}
 	}
-	slices.SortFunc(bars, func(a, b Bar) int { return cmp.Or(a.Until.Compare(b.Until), slices.Compare(a.Asked[:], b.Asked[:])) })
+	slices.SortFunc(bars, func(a, b Bar) int { return cmp.Or(a.Until.Compare(b.Until), slices.Compare(a.Digest[:], b.Digest[:])) })
 	return bars
 }
--- a/internal/poison/digest.go
+++ b/internal/poison/digest.go
@@ -18,8 +18,8 @@
 // Digest identifies the content of a request. Requests with the same digest are the same to a worker, whatever their ids.
 type Digest [digestBytes]byte
 
-// Asked is the content of a request that its digest covers.
-type Asked struct {
+// Request is the content of a request that its digest covers.
+type Request struct {
 	// Tenant of the caller, as workers receive it; empty if the configuration defines none.
 	Tenant string
 	Method string
@@ -30,7 +30,7 @@
 }
 
 // Digest returns the digest of the request.
-func (a Asked) Digest() Digest {
+func (a Request) Digest() Digest {
 	sum := sha256.New()
 	for _, field := range [][]byte{[]byte(a.Tenant), []byte(a.Method), []byte(a.Host), []byte(a.Target), a.Body} {
 		// Length prefixes keep the field boundaries unambiguous.
--- a/internal/poison/digest_test.go
+++ b/internal/poison/digest_test.go
@@ -8,9 +8,9 @@
 
 // TestDigestsDistinguishRequests guards against equal digests of requests whose bytes are split differently between the fields.
 func TestDigestsDistinguishRequests(t *testing.T) {
-	drawRequest := func(t *rapid.T) Asked {
+	drawRequest := func(t *rapid.T) Request {
 		short := rapid.StringMatching(`[ab/]{0,3}`)
-		return Asked{
+		return Request{
 			Tenant: short.Draw(t, "tenant"), Method: short.Draw(t, "method"), Host: short.Draw(t, "host"), Target: short.Draw(t, "target"),
 			Body: []byte(short.Draw(t, "body")),
 		}
--- a/internal/poison/guard.go
+++ b/internal/poison/guard.go
@@ -11,49 +11,49 @@
 
 // Prober checks whether the process of a worker still runs.
 type Prober interface {
-	// Refuses reports whether nothing listens at the worker's address any more. It returns an error if that cannot be determined.
-	Refuses(ctx context.Context, worker *backend.Worker) (bool, error)
+	// RefusesConnections reports whether nothing listens at the worker's address any more. It returns an error if that cannot be determined.
+	RefusesConnections(ctx context.Context, worker *backend.Worker) (bool, error)
 }
 
-// Event is a change that a guard reports: WorkerEnded, EndHeard, Made, Heard or Cleared.
+// Event is a change that a guard reports: WorkerCrashed, CrashReceived, Made, Heard or Cleared.
 type Event interface{ isEvent() }
 
-// WorkerEnded reports that a worker crashed while running requests of this gateway.
-type WorkerEnded struct {
+// WorkerCrashed reports that a worker crashed while running requests of this gateway.
+type WorkerCrashed struct {
 	Worker *backend.Worker
-	// Asked are the requests of this gateway that the worker was running.
-	Asked []Digest
-	// By is the evidence for the crash, and Ago how long ago the first connection broke.
-	By  string
-	Ago time.Duration
+	// Requests are the requests of this gateway that the worker was running.
+	Requests []Digest
+	// Evidence is the evidence for the crash, and Age how long ago the first connection broke.
+	Evidence string
+	Age      time.Duration
 }
 
-// EndHeard reports a crash that another gateway shared. The same crash may be reported several times.
-type EndHeard struct {
+// CrashReceived reports a crash that another gateway shared. The same crash may be reported several times.
+type CrashReceived struct {
 	// Worker is the id of the worker's incarnation.
 	Worker string
-	// Ago is how long ago the worker's connections broke.
-	Ago time.Duration
+	// Age is how long ago the worker's connections broke.
+	Age time.Duration
 }
 
-// Made reports a bar that this gateway created, and Heard a bar received from the store or another gateway.
+// BarCreated reports a bar that this gateway created, and BarReceived a bar received from the store or another gateway.
 type (
-	Made  struct{ Bar Bar }
-	Heard struct{ Bar Bar }
+	BarCreated  struct{ Bar Bar }
+	BarReceived struct{ Bar Bar }
 )
 
 // Cleared reports that a suspected or barred request succeeded.
 type Cleared struct {
-	Asked Digest
+	Digest Digest
 	// WasBarred is set if the success lifted a bar.
 	WasBarred bool
 }
 
-func (WorkerEnded) isEvent() {}
-func (EndHeard) isEvent()    {}
-func (Made) isEvent()        {}
-func (Heard) isEvent()       {}
-func (Cleared) isEvent()     {}
+func (WorkerCrashed) isEvent() {}
+func (CrashReceived) isEvent() {}
+func (BarCreated) isEvent()    {}
+func (BarReceived) isEvent()   {}
+func (Cleared) isEvent()       {}
 
 // Timeouts of a guard.
 const (
@@ -112,30 +112,30 @@
 	return &Guard{prober: prober, now: now, emit: emit, table: NewTable(settings), disconnected: map[string]*disconnectedWorker{}}
 }
 
-// ShareWith sets the function that is called when there is news for the other gateways. It must not block.
-func (g *Guard) ShareWith(notify func(urgent bool)) {
+// NotifyUpdates sets the function that is called when there is news for the other gateways. It must not block.
+func (g *Guard) NotifyUpdates(notify func(urgent bool)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.notify = notify
 }
 
-// Watches reports whether any request is suspected or barred. If not, callers need not compute digests.
-func (g *Guard) Watches() bool { return g.hasSuspects.Load() }
+// HasSuspects reports whether any request is suspected or barred. If not, callers need not compute digests.
+func (g *Guard) HasSuspects() bool { return g.hasSuspects.Load() }
 
-// Standing returns the standing of a request, and its bar or the evidence against it.
-func (g *Guard) Standing(digest Digest) (Standing, Bar) {
+// Status returns the standing of a request, and its bar or the evidence against it.
+func (g *Guard) Status(digest Digest) (Status, Bar) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.table.Standing(g.now(), digest)
+	return g.table.Status(g.now(), digest)
 }
 
-// HeardAgo returns how long ago the last crash or bar of the request was reported.
-func (g *Guard) HeardAgo(bar Bar) time.Duration { return g.now().Sub(bar.LastReport) }
+// SinceLastReport returns how long ago the last crash or bar of the request was reported.
+func (g *Guard) SinceLastReport(bar Bar) time.Duration { return g.now().Sub(bar.LastReport) }
 
-// Broke records that the connection to a worker broke while it ran the request, and probes in the background whether the worker crashed.
+// ConnectionBroke records that the connection to a worker broke while it ran the request, and probes in the background whether the worker crashed.
 // The returned channel is closed when the probe completes; it is nil if the outcome is known already. The exit of a worker that
 // drains, or that removed its record, is planned and not counted.
-func (g *Guard) Broke(worker *backend.Worker, digest Digest, rule, tenant string) <-chan struct{} {
+func (g *Guard) ConnectionBroke(worker *backend.Worker, digest Digest, rule, tenant string) <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.isPlannedExit(worker) {
@@ -156,8 +156,8 @@
 	return entry.probeDone
 }
 
-// Left records that a request abandoned a silent worker. If the worker turns out to have crashed, the crash counts against the request.
-func (g *Guard) Left(worker *backend.Worker, digest Digest, rule, tenant string) {
+// Abandoned records that a request abandoned a silent worker. If the worker turns out to have crashed, the crash counts against the request.
+func (g *Guard) Abandoned(worker *backend.Worker, digest Digest, rule, tenant string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.isPlannedExit(worker) {
@@ -195,7 +195,7 @@
 func (g *Guard) probe(entry *disconnectedWorker) {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
-	refuses, err := g.prober.Refuses(ctx, entry.worker)
+	refuses, err := g.prober.RefusesConnections(ctx, entry.worker)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	// Waiting callers read the standing next, so the crash is recorded before the channel is closed.
@@ -214,8 +214,8 @@
 	}
 }
 
-// ChangeWorkers applies changes of the registered workers. The removal of the record of a disconnected worker counts as a crash.
-func (g *Guard) ChangeWorkers(changes backend.Changes) {
+// UpdateWorkers applies changes of the registered workers. The removal of the record of a disconnected worker counts as a crash.
+func (g *Guard) UpdateWorkers(changes backend.Changes) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.registered == nil {
@@ -242,9 +242,9 @@
 	if entry.brokenAt.IsZero() {
 		entry.brokenAt = g.now()
 	}
-	event := WorkerEnded{Worker: entry.worker, By: evidence, Ago: g.now().Sub(entry.brokenAt)}
+	event := WorkerCrashed{Worker: entry.worker, Evidence: evidence, Age: g.now().Sub(entry.brokenAt)}
 	for digest, info := range entry.requests {
-		event.Asked = append(event.Asked, digest)
+		event.Requests = append(event.Requests, digest)
 		g.table.RecordCrash(g.now(), entry.brokenAt, Crash{Digest: digest, Worker: entry.worker.ID}, info.rule, info.tenant)
 	}
 	clear(entry.requests)
@@ -280,7 +280,7 @@
 	g.evaluationScheduled = false
 	bars := g.table.Evaluate(g.now())
 	for _, bar := range bars {
-		g.emit(Made{bar})
+		g.emit(BarCreated{bar})
 	}
 	if len(bars) > 0 && g.notify != nil {
 		g.notify(true)
@@ -288,8 +288,8 @@
 	g.scheduleEvaluation()
 }
 
-// EndedWell records that a request succeeded.
-func (g *Guard) EndedWell(digest Digest) {
+// Successes records that a request succeeded.
+func (g *Guard) RecordSuccess(digest Digest) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
@@ -297,16 +297,16 @@
 	if before == Clear {
 		return
 	}
-	g.emit(Cleared{Asked: digest, WasBarred: before == Barred})
+	g.emit(Cleared{Digest: digest, WasBarred: before == Barred})
 	g.notifyChange()
 }
 
-// Bar applies a bar read from the store.
-func (g *Guard) Bar(bar Bar) {
+// ApplyBar applies a bar read from the store.
+func (g *Guard) ApplyBar(bar Bar) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.now().Before(bar.Until) && g.table.ApplyBar(g.now(), bar) {
-		g.emit(Heard{bar})
+		g.emit(BarReceived{bar})
 	}
 	g.hasSuspects.Store(!g.table.Empty())
 }
@@ -330,8 +330,8 @@
 // expiryInterval is the interval at which expired entries are removed.
 const expiryInterval = 10 * time.Second
 
-// Tell returns the update for the other gateways: the changes since the last one, or the full state.
-func (g *Guard) Tell(full bool) Told {
+// TakeUpdate returns the update for the other gateways: the changes since the last one, or the full state.
+func (g *Guard) TakeUpdate(full bool) Update {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
@@ -353,18 +353,18 @@
 	g.hasSuspects.Store(!g.table.Empty())
 }
 
-// Hear merges an update of another gateway.
-func (g *Guard) Hear(update Told) {
-	if len(update.Crashes)+len(update.EndedWell)+len(update.Bars) == 0 {
+// ApplyUpdate merges an update of another gateway.
+func (g *Guard) ApplyUpdate(update Update) {
+	if len(update.Crashes)+len(update.Successes)+len(update.Bars) == 0 {
 		return
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for _, bar := range g.table.MergeUpdate(g.now(), update) {
-		g.emit(Heard{bar})
+	for _, bar := range g.table.ApplyUpdate(g.now(), update) {
+		g.emit(BarReceived{bar})
 	}
 	for _, crash := range update.Crashes {
-		g.emit(EndHeard{Worker: crash.Worker, Ago: time.Duration(crash.AgoMs) * time.Millisecond})
+		g.emit(CrashReceived{Worker: crash.Worker, Age: time.Duration(crash.AgoMs) * time.Millisecond})
 	}
 	g.scheduleEvaluation()
 }
--- a/internal/poison/guard_test.go
+++ b/internal/poison/guard_test.go
@@ -24,8 +24,8 @@
 // errNoAnswer is the result for a silent worker, which neither accepts nor refuses connections.
 var errNoAnswer = errors.New("no answer")
 
-// Refuses implements Prober.
-func (p *fakeProber) Refuses(_ context.Context, worker *backend.Worker) (bool, error) {
+// RefusesConnections implements Prober.
+func (p *fakeProber) RefusesConnections(_ context.Context, worker *backend.Worker) (bool, error) {
 	time.Sleep(time.Millisecond)
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -70,7 +70,7 @@
 }
 
 // setWorkers replaces the registered workers.
-func setWorkers(g *testGuard, workers backend.Set) { g.ChangeWorkers(workers.Diff(g.registered)) }
+func setWorkers(g *testGuard, workers backend.Set) { g.UpdateWorkers(workers.Diff(g.registered)) }
 
 // workerSet returns workers with the given ids.
 func workerSet(ids ...string) backend.Set {
@@ -89,16 +89,16 @@
 		for id, worker := range workers {
 			time.Sleep(2 * DefaultSettings().MinCrashInterval)
 			g.prober.crash(id)
-			g.Broke(worker, killer, "rule", "")
+			g.ConnectionBroke(worker, killer, "rule", "")
 			if id == "w1" {
-				g.Broke(worker, harmless, "rule", "")
+				g.ConnectionBroke(worker, harmless, "rule", "")
 			}
 		}
 		waitForEvaluation()
-		if got, _ := g.Standing(killer); got != Barred {
+		if got, _ := g.Status(killer); got != Barred {
 			t.Errorf("after three crashes: standing %d, want Barred", got)
 		}
-		if got, _ := g.Standing(harmless); got != Clear {
+		if got, _ := g.Status(harmless); got != Clear {
 			t.Errorf("harmless request: standing %d, want Clear", got)
 		}
 		if g.prober.probes != 3 {
@@ -124,13 +124,13 @@
 		setWorkers(g, backend.Set{"lives": workers["lives"], "silent": workers["silent"], "says-so": &leaving})
 		digest := digestNamed("asked")
 		for _, worker := range workers {
-			g.Broke(worker, digest, "rule", "")
+			g.ConnectionBroke(worker, digest, "rule", "")
 		}
 		waitForEvaluation()
 		time.Sleep(2 * recordTimeout)
 		setWorkers(g, backend.Set{"lives": workers["lives"]})
 		waitForEvaluation()
-		if got, bar := g.Standing(digest); got != Clear || g.Watches() {
+		if got, bar := g.Status(digest); got != Clear || g.HasSuspects() {
 			t.Errorf("standing %d, bar %+v", got, bar)
 		}
 	})
@@ -143,17 +143,17 @@
 		g := newTestGuard(workers)
 		g.prober.silent["w1"] = true
 		digest := digestNamed("asked")
-		g.Broke(workers["w1"], digest, "rule", "")
+		g.ConnectionBroke(workers["w1"], digest, "rule", "")
 		waitForEvaluation()
-		if got, _ := g.Standing(digest); got != Clear {
+		if got, _ := g.Status(digest); got != Clear {
 			t.Errorf("before the record was removed: standing %d, want Clear", got)
 		}
 		setWorkers(g, backend.Set{})
-		if got, _ := g.Standing(digest); got != Suspected {
+		if got, _ := g.Status(digest); got != Suspected {
 			t.Errorf("after the record was removed: standing %d, want Suspected", got)
 		}
-		g.EndedWell(digest)
-		if got, _ := g.Standing(digest); got != Clear {
+		g.RecordSuccess(digest)
+		if got, _ := g.Status(digest); got != Clear {
 			t.Errorf("after a success: standing %d, want Clear", got)
 		}
 	})
@@ -168,13 +168,13 @@
 			guards = append(guards, newTestGuard(workers))
 		}
 		for i, g := range guards {
-			g.ShareWith(func(bool) {
+			g.NotifyUpdates(func(bool) {
 				go func() {
 					time.Sleep(5 * time.Millisecond)
-					update := g.Tell(false)
+					update := g.TakeUpdate(false)
 					for _, other := range guards {
 						if other != g {
-							other.Hear(update)
+							other.ApplyUpdate(update)
 						}
 					}
 				}()
@@ -184,21 +184,21 @@
 		killer, bystander := digestNamed("killer"), digestNamed("unlucky")
 		for i, g := range guards {
 			worker := workers[fmt.Sprint("w", i+1)]
-			g.Broke(worker, killer, "rule", "")
+			g.ConnectionBroke(worker, killer, "rule", "")
 			// The bystander runs beside the killer twice, each time through another gateway.
 			if i < 2 {
 				other := guards[(i+1)%3]
 				other.prober.crash(worker.ID)
-				other.Broke(worker, bystander, "rule", "")
+				other.ConnectionBroke(worker, bystander, "rule", "")
 			}
 			time.Sleep(40 * time.Millisecond)
 		}
 		waitForEvaluation()
 		for i, g := range guards {
-			if got, _ := g.Standing(killer); got != Barred {
+			if got, _ := g.Status(killer); got != Barred {
 				t.Errorf("gateway %d: killer has standing %d, want Barred", i, got)
 			}
-			if got, _ := g.Standing(bystander); got != Clear {
+			if got, _ := g.Status(bystander); got != Clear {
 				t.Errorf("gateway %d: bystander has standing %d, want Clear", i, got)
 			}
 		}
@@ -213,18 +213,18 @@
 		g.prober.crash("w1")
 		abandoned, crashing := digestNamed("slow"), digestNamed("other")
 		for _, worker := range workers {
-			g.Left(worker, abandoned, "rule", "")
+			g.Abandoned(worker, abandoned, "rule", "")
 		}
 		time.Sleep(time.Second)
-		g.Broke(workers["w1"], crashing, "rule", "")
+		g.ConnectionBroke(workers["w1"], crashing, "rule", "")
 		waitForEvaluation()
 		setWorkers(g, backend.Set{"w1": workers["w1"], "lives": workers["lives"]})
-		if got, bar := g.Standing(abandoned); got != Suspected || fmt.Sprint(bar.Workers) != "[w1 w2]" {
+		if got, bar := g.Status(abandoned); got != Suspected || fmt.Sprint(bar.Workers) != "[w1 w2]" {
 			t.Errorf("standing %d, bar %+v", got, bar)
 		}
 		time.Sleep(2 * recordTimeout)
 		setWorkers(g, backend.Set{"w1": workers["w1"]})
-		if _, bar := g.Standing(abandoned); len(bar.Workers) != 2 {
+		if _, bar := g.Status(abandoned); len(bar.Workers) != 2 {
 			t.Errorf("a record removed long after the request counts as a crash: %+v", bar)
 		}
 	})
@@ -238,10 +238,10 @@
 		g.prober.crash("w1")
 		for i := range 5 {
 			digest := digestNamed(fmt.Sprint(i))
-			g.Broke(workers["w1"], digest, "rule", "")
+			g.ConnectionBroke(workers["w1"], digest, "rule", "")
 			time.Sleep(3 * time.Millisecond)
 			synctest.Wait()
-			if got, _ := g.Standing(digest); got != Suspected {
+			if got, _ := g.Status(digest); got != Suspected {
 				t.Errorf("request %d: standing %d, want Suspected", i, got)
 			}
 		}
--- a/internal/poison/record.go
+++ b/internal/poison/record.go
@@ -8,11 +8,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Prefix of the store keys of bars. The keys have no lease, because a bar must survive a restart of all gateways.
-const Prefix = "barred/"
+// BarPrefix of the store keys of bars. The keys have no lease, because a bar must survive a restart of all gateways.
+const BarPrefix = "barred/"
 
-// KeyOf returns the store key of the bar of a request.
-func KeyOf(digest Digest) string { return Prefix + digest.String() }
+// BarKey returns the store key of the bar of a request.
+func BarKey(digest Digest) string { return BarPrefix + digest.String() }
 
 // record is the stored form of a bar. Its key contains the digest.
 type record struct {
@@ -32,15 +32,15 @@
 	return value, errors.Wrap(err, "step encode a bar")
 }
 
-// AskedOf returns the digest in the key of a bar.
-func AskedOf(key string) (Digest, error) {
-	digest, err := ParseDigest(strings.TrimPrefix(key, Prefix))
+// DigestFromKey returns the digest in the key of a bar.
+func DigestFromKey(key string) (Digest, error) {
+	digest, err := ParseDigest(strings.TrimPrefix(key, BarPrefix))
 	return digest, errors.Wrapf(err, "step read a bar, key %s", key)
 }
 
 // DecodeBar decodes a stored bar.
 func DecodeBar(key string, value []byte) (Bar, error) {
-	digest, err := AskedOf(key)
+	digest, err := DigestFromKey(key)
 	if err != nil {
 		return Bar{}, err
 	}
@@ -49,6 +49,6 @@
 		return Bar{}, errors.Wrapf(err, "step read a bar, key %s", key)
 	}
 	return Bar{
-		Asked: digest, Rule: read.Rule, Tenant: read.Tenant, Workers: read.Workers, Times: read.Times, Since: read.Since, Until: read.Until,
+		Digest: digest, Rule: read.Rule, Tenant: read.Tenant, Workers: read.Workers, Times: read.Times, Since: read.Since, Until: read.Until,
 	}, nil
 }
--- a/internal/poison/simulation_test.go
+++ b/internal/poison/simulation_test.go
@@ -48,7 +48,7 @@
 
 // assign sends a request to a random worker.
 func (s *simulation) assign(run attempt) {
-	if standing, _ := s.table.Standing(s.now, run.digest); standing >= Judged || run.triesLeft == 0 {
+	if standing, _ := s.table.Status(s.now, run.digest); standing >= Pending || run.triesLeft == 0 {
 		return
 	}
 	run.triesLeft--
@@ -133,7 +133,7 @@
 			s.step(index)
 		}
 		for _, bar := range s.table.Evaluate(s.now) {
-			s.barred[bar.Asked] = true
+			s.barred[bar.Digest] = true
 		}
 	}
 }
--- a/internal/poison/strategies_test.go
+++ b/internal/poison/strategies_test.go
@@ -233,11 +233,11 @@
 
 // try routes a request at its gateway.
 func (s *simulation) try(request *simRequest) {
-	standing, _ := request.gateway.table.Standing(s.now, request.digest)
+	standing, _ := request.gateway.table.Status(s.now, request.digest)
 	switch {
 	case s.now.Sub(request.arrived) >= requestTimeout || standing == poison.Barred:
 		s.fail(request)
-	case standing == poison.Judged:
+	case standing == poison.Pending:
 		s.waitOrRefuse(request)
 	case standing == poison.Suspected:
 		s.trySuspect(request)
@@ -332,7 +332,7 @@
 // succeed records the success of a request.
 func (s *simulation) succeed(request *simRequest) {
 	gateway := request.gateway
-	if standing, _ := gateway.table.Standing(s.now, request.digest); standing != poison.Clear {
+	if standing, _ := gateway.table.Status(s.now, request.digest); standing != poison.Clear {
 		gateway.table.RecordSuccess(s.now, s.now, request.digest)
 		s.shareUpdate(gateway)
 	}
@@ -345,7 +345,7 @@
 
 // fail records a failed try at a gateway. The caller retries once unless the request is barred.
 func (s *simulation) fail(request *simRequest) {
-	if standing, _ := request.gateway.table.Standing(s.now, request.digest); !request.resent && standing != poison.Barred {
+	if standing, _ := request.gateway.table.Status(s.now, request.digest); !request.resent && standing != poison.Barred {
 		request.resent = true
 		s.schedule(callerRetryDelay, func() { s.arrive(request, s.randomGateway()) })
 		return
@@ -437,7 +437,7 @@
 		}
 		delay := minShareDelay + time.Duration(s.random.Int64N(int64(maxShareDelay-minShareDelay)))
 		s.schedule(delay, func() {
-			other.table.MergeUpdate(s.now, update)
+			other.table.ApplyUpdate(s.now, update)
 			for _, crash := range update.Crashes {
 				other.balancer.RecordCrash(s.now, sent, crash.Worker)
 				other.lastCrashReport = s.now
@@ -457,8 +457,8 @@
 	s.schedule(max(next.Sub(s.now), 0)+time.Millisecond, func() {
 		bars := gateway.table.Evaluate(s.now)
 		for _, bar := range bars {
-			if s.harmless[bar.Asked] {
-				s.falseBars[bar.Asked] = true
+			if s.harmless[bar.Digest] {
+				s.falseBars[bar.Digest] = true
 			} else if s.barredAt.IsZero() {
 				s.barredAt = s.now
 			}
@@ -481,7 +481,7 @@
 		if s.random.Float64() < popularShare {
 			name = "popular"
 		}
-		request := &simRequest{digest: poison.Asked{Target: name}.Digest(), arrived: s.now}
+		request := &simRequest{digest: poison.Request{Target: name}.Digest(), arrived: s.now}
 		s.harmless[request.digest] = true
 		s.arrive(request, s.randomGateway())
 		if s.now.Sub(s.startedAt) < simDuration {
@@ -493,7 +493,7 @@
 
 // scheduleKillers lets a killer request arrive repeatedly.
 func (s *simulation) scheduleKillers() {
-	digest := poison.Asked{Target: "killer"}.Digest()
+	digest := poison.Request{Target: "killer"}.Digest()
 	at := time.Second
 	for number := 0; at < simDuration-time.Second; number++ {
 		copies := 1
--- a/internal/poison/table.go
+++ b/internal/poison/table.go
@@ -43,20 +43,20 @@
 	}
 }
 
-// Standing classifies a request by the evidence against it.
-type Standing int
+// Status classifies a request by the evidence against it.
+type Status int
 
 // Standings in ascending order of evidence.
 const (
 	// Clear means that there is no evidence against the request.
-	Clear Standing = iota
+	Clear Status = iota
 	// Excused means that each crash coincided with that of a worker where the request did not run, as when a rack or zone fails. The crashes
 	// count, but the request is routed normally until it reaches a limit.
 	Excused
 	// Suspected means that a worker crashed while running the request.
 	Suspected
-	// Judged means that the request reached a crash limit and is barred after SettleDelay unless reports of other gateways clear it.
-	Judged
+	// Pending means that the request reached a crash limit and is barred after SettleDelay unless reports of other gateways clear it.
+	Pending
 	// Barred means that the request is sent to no worker.
 	Barred
 )
@@ -80,7 +80,7 @@
 // bar returns the state of the suspect as a Bar.
 func (s *suspect) bar(digest Digest) Bar {
 	return Bar{
-		Asked: digest, Rule: s.rule, Tenant: s.tenant, Workers: slices.Sorted(maps.Keys(s.crashes)), Times: s.barCount, Since: s.barredSince, Until: s.barredUntil,
+		Digest: digest, Rule: s.rule, Tenant: s.tenant, Workers: slices.Sorted(maps.Keys(s.crashes)), Times: s.barCount, Since: s.barredSince, Until: s.barredUntil,
 		LastReport: s.lastReport,
 	}
 }
@@ -117,8 +117,8 @@
 // Empty reports whether the table has no entries.
 func (t *Table) Empty() bool { return len(t.suspects) == 0 }
 
-// Standing returns the standing of a request, and its bar or the evidence against it.
-func (t *Table) Standing(now time.Time, digest Digest) (Standing, Bar) {
+// Status returns the standing of a request, and its bar or the evidence against it.
+func (t *Table) Status(now time.Time, digest Digest) (Status, Bar) {
 	entry, found := t.suspects[digest]
 	if !found {
 		return Clear, Bar{}
@@ -128,13 +128,13 @@
 	case now.Before(entry.barredUntil):
 		return Barred, entry.bar(digest)
 	case t.pending[digest] && t.shouldBar(digest, entry):
-		return Judged, entry.bar(digest)
+		return Pending, entry.bar(digest)
 	case entry.barCount > 0 || len(t.unattributed(digest, entry)) > 0:
 		if entry.barCount == 0 && t.allCrashesCorrelated(entry) {
 			return Excused, entry.bar(digest)
 		}
 		bar := entry.bar(digest)
-		bar.Moments = t.distinctCrashes(entry, slices.Clone(bar.Workers))
+		bar.DistinctCrashes = t.distinctCrashes(entry, slices.Clone(bar.Workers))
 		return Suspected, bar
 	default:
 		return Clear, Bar{}
@@ -232,19 +232,19 @@
 
 // RecordSuccess records that a request succeeded at the given time, which voids earlier evidence against it. It returns the standing that
 // was cleared, or Clear if the standing was not affected.
-func (t *Table) RecordSuccess(now, at time.Time, digest Digest) Standing {
+func (t *Table) RecordSuccess(now, at time.Time, digest Digest) Status {
 	entry, found := t.suspects[digest]
 	if !found || !at.After(entry.succeededAt) || (len(entry.crashes) == 0 && entry.barCount == 0) {
 		return Clear
 	}
-	before, _ := t.Standing(now, digest)
+	before, _ := t.Status(now, digest)
 	for other := range t.clearUntil(at, digest, entry) {
 		if otherEntry := t.suspects[other]; otherEntry.barCount == 0 {
 			// With this suspect cleared, the crashes may be attributable to the other one.
 			t.pending[other] = true
 		}
 	}
-	if after, _ := t.Standing(now, digest); after != Clear {
+	if after, _ := t.Status(now, digest); after != Clear {
 		return Clear
 	}
 	return before
@@ -292,7 +292,7 @@
 
 // ApplyBar applies a bar received from another gateway or the store. It reports whether it newly bars the request.
 func (t *Table) ApplyBar(now time.Time, bar Bar) bool {
-	entry, found := t.suspects[bar.Asked]
+	entry, found := t.suspects[bar.Digest]
 	if found && entry.barCount > 0 && entry.rule == "" {
 		// This gateway was not told the rule when it barred the request.
 		entry.rule, entry.tenant = bar.Rule, bar.Tenant
@@ -304,7 +304,7 @@
 	if !found {
 		t.evict(now)
 		entry = &suspect{crashes: map[string]time.Time{}}
-		t.suspects[bar.Asked] = entry
+		t.suspects[bar.Digest] = entry
 	}
 	isNew := !now.Before(entry.barredUntil)
 	entry.barCount, entry.barredSince, entry.barredUntil = max(bar.Times, 1), earlier(bar.Since, now), bar.Until
@@ -315,10 +315,10 @@
 	}
 	for _, worker := range bar.Workers {
 		if _, known := entry.crashes[worker]; !known {
-			t.addCrash(bar.Since, bar.Asked, entry, worker)
+			t.addCrash(bar.Since, bar.Digest, entry, worker)
 		}
 	}
-	delete(t.pending, bar.Asked)
+	delete(t.pending, bar.Digest)
 	return isNew
 }
 
--- a/internal/poison/table_test.go
+++ b/internal/poison/table_test.go
@@ -18,7 +18,7 @@
 }
 
 // digestNamed returns the digest of a request with the given name.
-func digestNamed(name string) Digest { return Asked{Target: name}.Digest() }
+func digestNamed(name string) Digest { return Request{Target: name}.Digest() }
 
 // evaluate advances the time by SettleDelay and evaluates the table.
 func (r *scriptRunner) evaluate() {
@@ -55,18 +55,18 @@
 		if err := errors.Join(ageErr, remainingErr); err != nil {
 			return err.Error()
 		}
-		r.table.MergeUpdate(r.now, Told{Bars: []ToldBar{{
-			Asked: digestNamed(names[0]), Workers: []string{"far"}, Times: 1, AgoMs: age.Milliseconds(), LeftMs: remaining.Milliseconds(),
+		r.table.ApplyUpdate(r.now, Update{Bars: []BarUpdate{{
+			Digest: digestNamed(names[0]), Workers: []string{"far"}, Times: 1, AgoMs: age.Milliseconds(), LeftMs: remaining.Milliseconds(),
 		}}})
 	case "share":
 		update := r.table.TakeUpdate(r.now, len(names) > 0)
 		r.table = NewTable(DefaultSettings())
-		r.table.MergeUpdate(r.now, update)
+		r.table.ApplyUpdate(r.now, update)
 		r.evaluate()
 	case "clear", "excused", "suspected", "barred":
-		want := map[string]Standing{"clear": Clear, "excused": Excused, "suspected": Suspected, "barred": Barred}[command]
+		want := map[string]Status{"clear": Clear, "excused": Excused, "suspected": Suspected, "barred": Barred}[command]
 		for _, name := range names {
-			if got, bar := r.table.Standing(r.now, digestNamed(name)); got != want {
+			if got, bar := r.table.Status(r.now, digestNamed(name)); got != want {
 				return fmt.Sprintf("%s has standing %d: %+v", name, got, bar)
 			}
 		}
@@ -123,14 +123,14 @@
 			default:
 				update := table.TakeUpdate(now, rapid.Bool().Draw(t, "full"))
 				for range rapid.IntRange(0, 2).Draw(t, "copies") {
-					tables[rapid.IntRange(0, 2).Draw(t, "hearer")].MergeUpdate(now, update)
+					tables[rapid.IntRange(0, 2).Draw(t, "hearer")].ApplyUpdate(now, update)
 				}
 			}
 			table.Evaluate(now)
 			for i, other := range tables {
 				for _, bar := range other.Bars(now) {
-					if len(crashedWorkers[bar.Asked]) < settings.CrashLimit {
-						t.Fatalf("table %d bars %v after crashes of only %v", i, bar, crashedWorkers[bar.Asked])
+					if len(crashedWorkers[bar.Digest]) < settings.CrashLimit {
+						t.Fatalf("table %d bars %v after crashes of only %v", i, bar, crashedWorkers[bar.Digest])
 					}
 				}
 			}
@@ -147,14 +147,14 @@
 	for i := range settings.CrashLimit {
 		now = now.Add(settings.MinCrashInterval)
 		witness.RecordCrash(now, now, Crash{Digest: digest, Worker: fmt.Sprint(i)}, "rule", "tenant")
-		informed.MergeUpdate(now, witness.TakeUpdate(now, false))
+		informed.ApplyUpdate(now, witness.TakeUpdate(now, false))
 	}
 	now = now.Add(settings.SettleDelay)
 	if bars := informed.Evaluate(now); len(bars) != 1 {
 		t.Fatalf("the gateway that was informed created %d bars, want 1", len(bars))
 	}
-	witness.MergeUpdate(now, informed.TakeUpdate(now, false))
-	informed.MergeUpdate(now, witness.TakeUpdate(now, true))
+	witness.ApplyUpdate(now, informed.TakeUpdate(now, false))
+	informed.ApplyUpdate(now, witness.TakeUpdate(now, true))
 	for name, table := range map[string]*Table{"saw the crashes": witness, "was informed": informed} {
 		bars := table.Bars(now)
 		if len(bars) != 1 || bars[0].Rule != "rule" || bars[0].Tenant != "tenant" {
@@ -182,7 +182,7 @@
 	if suspects, bars := len(table.suspects), len(table.Bars(now)); suspects > 96 || bars > 32 || len(table.suspectsByWorker) > 3*96 {
 		t.Errorf("%d suspects, %d bars and %d workers are kept", suspects, bars, len(table.suspectsByWorker))
 	}
-	last, _ := table.Standing(now, digestNamed("1997"))
+	last, _ := table.Status(now, digestNamed("1997"))
 	if last != Barred {
 		t.Error("the latest bar was evicted")
 	}
@@ -193,17 +193,17 @@
 
 // TestBarRoundTrip encodes and decodes a bar, and rejects malformed ones.
 func TestBarRoundTrip(t *testing.T) {
-	bar := Bar{Asked: digestNamed("a"), Rule: "quick", Tenant: "cafes", Workers: []string{"w1", "w2"}, Times: 2,
+	bar := Bar{Digest: digestNamed("a"), Rule: "quick", Tenant: "cafes", Workers: []string{"w1", "w2"}, Times: 2,
 		Since: time.Unix(1_699_999_400, 0).UTC(), Until: time.Unix(1_700_000_000, 0).UTC()}
 	value, err := bar.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
-	read, err := DecodeBar(KeyOf(bar.Asked), value)
+	read, err := DecodeBar(BarKey(bar.Digest), value)
 	if err != nil || fmt.Sprint(read) != fmt.Sprint(bar) {
 		t.Errorf("%+v was decoded as %+v: %v", bar, read, err)
 	}
-	for key, value := range map[string]string{KeyOf(bar.Asked): "{", Prefix + "xyz": "{}"} {
+	for key, value := range map[string]string{BarKey(bar.Digest): "{", BarPrefix + "xyz": "{}"} {
 		if _, err := DecodeBar(key, []byte(value)); err == nil {
 			t.Errorf("DecodeBar accepted key %s with value %q", key, value)
 		}
--- a/internal/poison/update.go
+++ b/internal/poison/update.go
@@ -16,10 +16,10 @@
 	AgoMs int64
 }
 
-// ToldBar is a bar as it is sent between gateways, with relative times because their clocks may differ.
-type ToldBar struct {
+// BarUpdate is a bar as it is sent between gateways, with relative times because their clocks may differ.
+type BarUpdate struct {
 	_       struct{} `cbor:",toarray"`
-	Asked   Digest
+	Digest  Digest
 	Rule    string
 	Tenant  string
 	Workers []string
@@ -28,27 +28,27 @@
 	AgoMs, LeftMs int64
 }
 
-// ToldGood is the success of a suspected request, or its release.
-type ToldGood struct {
-	_     struct{} `cbor:",toarray"`
-	Asked Digest
+// SuccessUpdate is the success of a suspected request, or its release.
+type SuccessUpdate struct {
+	_      struct{} `cbor:",toarray"`
+	Digest Digest
 	// AgoMs is the age of the success when it is sent, in milliseconds.
 	AgoMs int64
 }
 
-// Told is an update about suspected requests that a gateway sends to the others. Full updates make up for lost messages.
-type Told struct {
+// Update is an update about suspected requests that a gateway sends to the others. Full updates make up for lost messages.
+type Update struct {
 	_       struct{} `cbor:",toarray"`
 	Crashes []Crash
-	// EndedWell are requests that succeeded or were released.
-	EndedWell []ToldGood
-	Bars      []ToldBar
+	// Successes are requests that succeeded or were released.
+	Successes []SuccessUpdate
+	Bars      []BarUpdate
 }
 
 // TakeUpdate returns the changes since the last call, or all recent state if full is set. The changes include crashes received from other
 // gateways, which may be gone by now.
-func (t *Table) TakeUpdate(now time.Time, full bool) Told {
-	var update Told
+func (t *Table) TakeUpdate(now time.Time, full bool) Update {
+	var update Update
 	if t.Empty() || (!full && len(t.unsentCrashes)+len(t.unsentChanges) == 0) {
 		return update
 	}
@@ -67,13 +67,13 @@
 		}
 	}
 	for digest, entry := range t.suspects {
-		if ago := now.Sub(entry.succeededAt); ago < t.settings.SuccessShareTime && (full || t.unsentChanges[digest]) && len(update.EndedWell) < t.settings.MaxPerUpdate {
-			update.EndedWell = append(update.EndedWell, ToldGood{Asked: digest, AgoMs: ago.Milliseconds()})
+		if ago := now.Sub(entry.succeededAt); ago < t.settings.SuccessShareTime && (full || t.unsentChanges[digest]) && len(update.Successes) < t.settings.MaxPerUpdate {
+			update.Successes = append(update.Successes, SuccessUpdate{Digest: digest, AgoMs: ago.Milliseconds()})
 		}
 	}
 	bars := t.Bars(now)
 	for _, bar := range bars[max(len(bars)-t.settings.MaxPerUpdate, 0):] {
-		if full || t.unsentChanges[bar.Asked] {
+		if full || t.unsentChanges[bar.Digest] {
 			update.Bars = append(update.Bars, barUpdate(now, bar))
 		}
 	}
@@ -83,9 +83,9 @@
 }
 
 // barUpdate returns a bar in the form that is sent.
-func barUpdate(now time.Time, bar Bar) ToldBar {
-	return ToldBar{
-		Asked: bar.Asked, Rule: bar.Rule, Tenant: bar.Tenant, Workers: bar.Workers, Times: bar.Times,
+func barUpdate(now time.Time, bar Bar) BarUpdate {
+	return BarUpdate{
+		Digest: bar.Digest, Rule: bar.Rule, Tenant: bar.Tenant, Workers: bar.Workers, Times: bar.Times,
 		AgoMs: now.Sub(bar.Since).Milliseconds(), LeftMs: bar.Until.Sub(now).Milliseconds(),
 	}
 }
@@ -115,16 +115,16 @@
 	return crashes
 }
 
-// MergeUpdate merges an update of another gateway, and returns the bars that are new.
-func (t *Table) MergeUpdate(now time.Time, update Told) []Bar {
+// ApplyUpdate merges an update of another gateway, and returns the bars that are new.
+func (t *Table) ApplyUpdate(now time.Time, update Update) []Bar {
 	ago := func(ms int64) time.Time { return now.Add(-time.Duration(ms) * time.Millisecond) }
 	var newBars []Bar
-	for _, success := range update.EndedWell {
-		t.RecordSuccess(now, ago(success.AgoMs), success.Asked)
+	for _, success := range update.Successes {
+		t.RecordSuccess(now, ago(success.AgoMs), success.Digest)
 	}
 	for _, received := range update.Bars {
 		bar := Bar{
-			Asked: received.Asked, Rule: received.Rule, Tenant: received.Tenant, Workers: received.Workers, Times: received.Times,
+			Digest: received.Digest, Rule: received.Rule, Tenant: received.Tenant, Workers: received.Workers, Times: received.Times,
 			Since: ago(received.AgoMs), Until: ago(-received.LeftMs),
 		}
 		if t.ApplyBar(now, bar) {
--- a/internal/poison/update_test.go
+++ b/internal/poison/update_test.go
@@ -33,18 +33,18 @@
 	update := table.TakeUpdate(now, true)
 	encoded, err := cbor.Marshal(update)
 	if err != nil || len(encoded) > maxUpdateBytes {
-		t.Errorf("%d bytes encode %d crashes, %d successes and %d bars: %v", len(encoded), len(update.Crashes), len(update.EndedWell), len(update.Bars), err)
+		t.Errorf("%d bytes encode %d crashes, %d successes and %d bars: %v", len(encoded), len(update.Crashes), len(update.Successes), len(update.Bars), err)
 	}
-	if unsent := table.TakeUpdate(now, false); len(unsent.Crashes)+len(unsent.EndedWell)+len(unsent.Bars) > 0 {
+	if unsent := table.TakeUpdate(now, false); len(unsent.Crashes)+len(unsent.Successes)+len(unsent.Bars) > 0 {
 		t.Errorf("an incremental update repeats known state: %+v", unsent)
 	}
-	t.Logf("%d bytes encode %d crashes, %d successes and %d bars", len(encoded), len(update.Crashes), len(update.EndedWell), len(update.Bars))
+	t.Logf("%d bytes encode %d crashes, %d successes and %d bars", len(encoded), len(update.Crashes), len(update.Successes), len(update.Bars))
 }
 
 func BenchmarkDigest(b *testing.B) {
 	for _, size := range []int{400, 15000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			digest := Asked{Method: "POST", Host: "shop.example", Target: "/stream/x", Body: make([]byte, size)}
+			digest := Request{Method: "POST", Host: "shop.example", Target: "/stream/x", Body: make([]byte, size)}
 			for b.Loop() {
 				digest.Digest()
 			}
--- a/internal/soak/traffic.go
+++ b/internal/soak/traffic.go
@@ -178,8 +178,8 @@
 
 // isBlocked reports whether the store lists a request as blocked.
 func (s *system) isBlocked(path, body string) bool {
-	digest := poison.Asked{Method: http.MethodPost, Host: fleet.Host, Target: path, Body: []byte(body)}.Digest()
-	return slices.Contains(s.fleet.Store.Keys(poison.Prefix), poison.KeyOf(digest))
+	digest := poison.Request{Method: http.MethodPost, Host: fleet.Host, Target: path, Body: []byte(body)}.Digest()
+	return slices.Contains(s.fleet.Store.Keys(poison.BarPrefix), poison.BarKey(digest))
 }
 
 // callSlack is how long after its deadline a client still waits.
