--- a/internal/cluster/view.go
+++ b/internal/cluster/view.go
@@ -143,7 +143,7 @@
 	v.mutex.Lock()
 	if v.listedAt.IsZero() {
 		v.listedAt = v.now()
-		v.fleetIsNew = !slices.ContainsFunc(items, func(item store.Item) bool { return item.Key == roles.HistoryKey })
+		v.fleetIsNew = !slices.ContainsFunc(items, func(item store.Item) bool { return item.Key == roles.ControllerHistoryKey })
 	}
 	v.reportUnreadable(v.gateways.Reset(v.now(), items))
 	v.mutex.Unlock()
@@ -193,7 +193,7 @@
 // publishController passes the controller key to the listener.
 func (v *View) publishController(items []store.Item) {
 	for _, item := range items {
-		if item.Key == roles.Key {
+		if item.Key == roles.ControllerKey {
 			v.listener.ControllerChanged(item.Value, item.Revision)
 			return
 		}
@@ -212,7 +212,7 @@
 		if strings.HasPrefix(event.Key, poison.BarPrefix) {
 			v.listener.BarChanged(event)
 		}
-		if event.Key == roles.Key {
+		if event.Key == roles.ControllerKey {
 			v.listener.ControllerChanged(event.Value, event.Revision)
 		}
 		if event.Key == usage.Key && !event.Deleted {
--- a/internal/cluster/view_test.go
+++ b/internal/cluster/view_test.go
@@ -123,11 +123,11 @@
 
 func TestOwnRegistrationAndControllerAreWatched(t *testing.T) {
 	view, recorded := newTestView()
-	view.Reset([]store.Item{putEvent(ownKey, "{}").Item, putEvent(roles.Key, "holder").Item})
+	view.Reset([]store.Item{putEvent(ownKey, "{}").Item, putEvent(roles.ControllerKey, "holder").Item})
 	if recorded.unregistered != 0 || recorded.controller != "holder" {
 		t.Errorf("got %+v", recorded)
 	}
-	view.Apply([]store.Event{{Item: store.Item{Key: ownKey}, Deleted: true}, {Item: store.Item{Key: roles.Key}, Deleted: true}})
+	view.Apply([]store.Event{{Item: store.Item{Key: ownKey}, Deleted: true}, {Item: store.Item{Key: roles.ControllerKey}, Deleted: true}})
 	if recorded.unregistered != 1 || recorded.controller != "" {
 		t.Errorf("got %+v", recorded)
 	}
@@ -195,7 +195,7 @@
 // TestFleetIsNewWithoutControllerHistory checks that a fleet is new if there was no controller history when the store
 // was first listed.
 func TestFleetIsNewWithoutControllerHistory(t *testing.T) {
-	history := putEvent(roles.HistoryKey, "{}")
+	history := putEvent(roles.ControllerHistoryKey, "{}")
 	for _, test := range []struct {
 		name     string
 		history  bool
--- a/internal/forward/enginestate_test.go
+++ b/internal/forward/enginestate_test.go
@@ -109,7 +109,7 @@
 func countGone(engines []roles.Engine) int {
 	count := 0
 	for _, engine := range engines {
-		if engine.Gone {
+		if engine.Ended {
 			count++
 		}
 	}
--- a/internal/forward/rolechange.go
+++ b/internal/forward/rolechange.go
@@ -33,7 +33,7 @@
 			group, found := groups[name]
 			if !found {
 				group = &roles.Group{
-					Engines: make([]roles.Engine, 0, d.balancer.Count(service)), ReadingDemand: d.prefillDemand(name, service), Wrote: d.engineState.hadDecoders[name], RoleChange: engine.RoleChangeTime,
+					Engines: make([]roles.Engine, 0, d.balancer.Count(service)), PrefillDemand: d.prefillDemand(name, service), HadDecode: d.engineState.hadDecoders[name], RoleChangeTime: engine.RoleChangeTime,
 				}
 				groups[name] = group
 			}
@@ -64,11 +64,11 @@
 func (d *Dispatcher) engineSnapshot(now time.Time, worker *backend.Worker, status balance.WorkerStatus) roles.Engine {
 	engine := roles.Engine{Worker: worker, Load: status.Load, Usable: status.Usable}
 	if change, found := d.engineState.pendingRoles[worker.ID]; found && now.Before(change.expiresAt) {
-		engine.Becoming = change.role
+		engine.TargetRole = change.role
 	}
-	_, engine.Gone = d.engineState.absences.Absent(now, worker.ID)
+	_, engine.Ended = d.engineState.absences.Absent(now, worker.ID)
 	if at, learnt := d.engineState.absences.ExpectedReturn(worker.ID); learnt {
-		engine.BackAt = at
+		engine.ExpectedAt = at
 	}
 	return engine
 }
--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -55,7 +55,7 @@
 		Gateway: a.settings.Name, Zone: a.settings.Zone, Version: command.Version(), StartedAt: a.startedAt, Time: time.Now(),
 		Ready: a.Ready(), Stopping: a.leaving.Load(), StoreAgeMillis: a.view.Staleness().Milliseconds(),
 		Gateways: len(serving), Entries: len(entries), Entry: isListed(entries, a.settings.Name),
-		GivesOrders: a.controller.GivesOrders(), InHand: a.handler.Active(),
+		GivesOrders: a.controller.HasAuthority(), InHand: a.handler.Active(),
 		Workers: lo.CountValuesBy(a.Workers(), func(w adminapi.WorkerStatus) string { return w.State }),
 	}
 	if table := a.handler.Table(); table != nil {
--- a/internal/gateway/barsyncer.go
+++ b/internal/gateway/barsyncer.go
@@ -237,7 +237,7 @@
 
 // removeExpired schedules the removal of old bars if this gateway is the leader.
 func (b *barSyncer) removeExpired() {
-	if !b.gateway.controller.GivesOrders() {
+	if !b.gateway.controller.HasAuthority() {
 		return
 	}
 	b.mu.Lock()
--- a/internal/gateway/capacity.go
+++ b/internal/gateway/capacity.go
@@ -24,7 +24,7 @@
 // CapacityGroups implements capacity.Fleet.
 func (g *Gateway) CapacityGroups() []capacity.Group {
 	table := g.handler.Table()
-	if table == nil || !(g.isEntry() || g.controller.GivesOrders()) {
+	if table == nil || !(g.isEntry() || g.controller.HasAuthority()) {
 		return nil
 	}
 	var groups []capacity.Group
--- a/internal/gateway/enginemonitor.go
+++ b/internal/gateway/enginemonitor.go
@@ -119,7 +119,7 @@
 	if len(candidates) == 0 {
 		return nil
 	}
-	leads := m.gateway.controller.GivesOrders()
+	leads := m.gateway.controller.HasAuthority()
 	var due []forward.EngineQuery
 	for _, candidate := range candidates {
 		id := candidate.Worker.ID
@@ -169,7 +169,7 @@
 	switch {
 	case err == nil:
 		m.gateway.dispatcher.RecordResponse(worker.ID, state.Role, state.Busy)
-	case errors.Is(err, roles.ErrOtherWorker), errors.As(err, &transport) && transport.Refused():
+	case errors.Is(err, roles.ErrWorkerReplaced), errors.As(err, &transport) && transport.Refused():
 		m.gateway.dispatcher.RecordRefused(worker.ID)
 	default:
 		m.logger.WithError(err).WithField("engine", worker.ID).Debug("Probing an engine failed.")
@@ -191,7 +191,7 @@
 	}
 	id, err := m.gateway.ports.Identify(ctx, worker, path)
 	if err == nil && id != worker.RecordName() {
-		return roles.ErrOtherWorker
+		return roles.ErrWorkerReplaced
 	}
 	return err
 }
--- a/internal/gateway/entries.go
+++ b/internal/gateway/entries.go
@@ -268,7 +268,7 @@
 	if ttl > g.settings.LeaseTTL {
 		lease = 0
 	}
-	g.controller.Leased(start, lease, ttl)
+	g.controller.LeaseRenewed(start, lease, ttl)
 }
 
 // audienceOf returns the recipients of a gateway's load messages: the entries, the uncertain gateways and the leader.
--- a/internal/gateway/entrysizing.go
+++ b/internal/gateway/entrysizing.go
@@ -34,7 +34,7 @@
 			return
 		case <-timer.C:
 		}
-		if !g.controller.GivesOrders() {
+		if !g.controller.HasAuthority() {
 			timer.Reset(idleSizingInterval)
 			continue
 		}
--- a/internal/gateway/restore.go
+++ b/internal/gateway/restore.go
@@ -20,7 +20,7 @@
 // until the store has confirmed the key holder, which is requested at once.
 func (g *Gateway) handleEra(era int64) {
 	g.editsMayBeLost.Store(true)
-	g.controller.Restored(boottime.Now(), era)
+	g.controller.StoreRestored(boottime.Now(), era)
 	g.replica.Renew()
 }
 
@@ -32,7 +32,7 @@
 		Kind: decision.KindStore, Subject: "store", Outcome: fmt.Sprintf("era %d", era),
 		Reason: "The store was restored from an older copy. Gateways and workers write lost data again.",
 	})
-	g.controller.Restored(boottime.Now(), era)
+	g.controller.StoreRestored(boottime.Now(), era)
 	g.barSyncer.rewriteAll()
 	select {
 	case g.restoreTrigger <- struct{}{}:
--- a/internal/roles/controller.go
+++ b/internal/roles/controller.go
@@ -18,8 +18,8 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// Key is the store key whose holder may give orders.
-const Key = "controller"
+// ControllerKey is the store key whose holder may give orders.
+const ControllerKey = "controller"
 
 // Order tells an engine to take a role.
 type Order struct {
@@ -28,9 +28,9 @@
 	// Holder is the process that gives the order, and Fence the fencing token of its authority.
 	Holder string
 	Fence  int64
-	// Expected is the number of orders that the engine has accepted so far. The engine refuses the order if the numbers differ, so a
+	// ExpectedOrders is the number of orders that the engine has accepted so far. The engine refuses the order if the numbers differ, so a
 	// delayed order has no effect.
-	Expected int64
+	ExpectedOrders int64
 }
 
 // EngineState is the state that an engine reports.
@@ -42,8 +42,8 @@
 	Busy bool
 }
 
-// ErrOtherWorker is returned if another worker answers at the address of an engine, which means that the engine has ended.
-var ErrOtherWorker = errors.New("another worker answers at the address")
+// ErrWorkerReplaced is returned if another worker answers at the address of an engine, which means that the engine has ended.
+var ErrWorkerReplaced = errors.New("another worker answers at the address")
 
 // Orderer sends orders to engines.
 type Orderer interface {
@@ -138,8 +138,8 @@
 	c.minEngines = minEngines
 }
 
-// GivesOrders reports whether this process has the authority.
-func (c *Controller) GivesOrders() bool {
+// HasAuthority reports whether this process has the authority.
+func (c *Controller) HasAuthority() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.authority.Holds()
@@ -152,8 +152,8 @@
 	return c.authority.MayCall(c.settings.Now())
 }
 
-// Leased records that a call that began at startedAt granted or renewed the lease of the process.
-func (c *Controller) Leased(startedAt time.Time, lease int64, ttl time.Duration) {
+// LeaseRenewed records that a call that began at startedAt granted or renewed the lease of the process.
+func (c *Controller) LeaseRenewed(startedAt time.Time, lease int64, ttl time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.lease == 0 && lease != 0 {
@@ -186,8 +186,8 @@
 	}
 }
 
-// Restored records that the store was restored from an older copy, which began a new era. A call of KeyChanged follows.
-func (c *Controller) Restored(now time.Time, era int64) {
+// StoreRestored records that the store was restored from an older copy, which began a new era. A call of KeyChanged follows.
+func (c *Controller) StoreRestored(now time.Time, era int64) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if era <= c.era {
--- a/internal/roles/controller_test.go
+++ b/internal/roles/controller_test.go
@@ -34,7 +34,7 @@
 	if s.history == nil {
 		return nil, s.revision, nil
 	}
-	return []store.Item{{Key: HistoryKey, Value: s.history, Revision: s.revision}}, s.revision, nil
+	return []store.Item{{Key: ControllerHistoryKey, Value: s.history, Revision: s.revision}}, s.revision, nil
 }
 
 func (s *fakeStore) Commit(_ context.Context, transaction store.Transaction) (store.Revision, error) {
@@ -81,7 +81,7 @@
 }
 
 func (f *busyPrefillFleet) Groups() map[string]*Group {
-	return map[string]*Group{"g": {Engines: newEngines(5, 7, 1), ReadingDemand: 5}}
+	return map[string]*Group{"g": {Engines: newEngines(5, 7, 1), PrefillDemand: 5}}
 }
 
 func (f *busyPrefillFleet) SetRoleChange(_ string, role backend.Role) {
@@ -118,13 +118,13 @@
 	if len(orderer.orders) != 0 {
 		t.Fatal("an order was sent without a lease")
 	}
-	controller.Leased(boottime.Now(), 5, time.Minute)
+	controller.LeaseRenewed(boottime.Now(), 5, time.Minute)
 	runSteps(controller, 4)
 	if len(orderer.orders) == 0 {
 		t.Fatal("no order was sent although prefill engines are busy")
 	}
 	first := orderer.orders[0]
-	if first.Holder != "a" || first.Fence != 42 || first.Expected != 7 || first.Role != backend.RolePrefill {
+	if first.Holder != "a" || first.Fence != 42 || first.ExpectedOrders != 7 || first.Role != backend.RolePrefill {
 		t.Errorf("first order: %+v", first)
 	}
 	before := len(orderer.orders)
@@ -138,7 +138,7 @@
 func TestLostCommitResponseIsResolvedByWatch(t *testing.T) {
 	keys, orderer := &fakeStore{revision: 9, loseResponse: true}, &recordingOrderer{state: EngineState{Role: backend.RoleDecode}}
 	controller := newTestController(keys, orderer, &busyPrefillFleet{})
-	controller.Leased(boottime.Now(), 5, time.Minute)
+	controller.LeaseRenewed(boottime.Now(), 5, time.Minute)
 	controller.KeyChanged(boottime.Now(), nil, 0, 0)
 	runSteps(controller, 3)
 	if len(orderer.orders) != 0 {
@@ -159,7 +159,7 @@
 	orderer := &recordingOrderer{state: EngineState{Role: backend.RoleDecode}, err: errors.New("refused")}
 	fleet := &busyPrefillFleet{}
 	controller := newTestController(&fakeStore{}, orderer, fleet)
-	controller.Leased(boottime.Now(), 5, time.Minute)
+	controller.LeaseRenewed(boottime.Now(), 5, time.Minute)
 	controller.KeyChanged(boottime.Now(), nil, 0, 0)
 	runSteps(controller, 4)
 	if len(fleet.changing) < 2 || fleet.changing[0] != backend.RolePrefill || fleet.changing[1] != backend.RoleDecode {
@@ -170,7 +170,7 @@
 func TestBusyEngineGetsNoOrder(t *testing.T) {
 	orderer := &recordingOrderer{state: EngineState{Role: backend.RoleDecode, Busy: true}}
 	controller := newTestController(&fakeStore{}, orderer, &busyPrefillFleet{})
-	controller.Leased(boottime.Now(), 5, time.Minute)
+	controller.LeaseRenewed(boottime.Now(), 5, time.Minute)
 	controller.KeyChanged(boottime.Now(), nil, 0, 0)
 	runSteps(controller, 4)
 	if len(orderer.orders) != 0 {
@@ -221,7 +221,7 @@
 		logger := logrus.New()
 		logger.SetOutput(io.Discard)
 		c := NewController(settings, keys, &recordingOrderer{}, &busyPrefillFleet{}, logger, func(decision.Record) {})
-		c.Leased(boottime.Now(), 5, time.Hour)
+		c.LeaseRenewed(boottime.Now(), 5, time.Hour)
 		c.KeyChanged(boottime.Now(), nil, 0, 0)
 		c.step(context.Background())
 		_, immediate := c.Authority()
--- a/internal/roles/holder.go
+++ b/internal/roles/holder.go
@@ -12,8 +12,8 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// HistoryKey is the store key of the recent holders of Key. It has no lease.
-const HistoryKey = "controllers"
+// ControllerHistoryKey is the store key of the recent holders of Key. It has no lease.
+const ControllerHistoryKey = "controllers"
 
 // maxHistory is the number of holders kept, which exceeds the number that can alternate within a lease.
 const maxHistory = 4
@@ -81,7 +81,7 @@
 	c.keyRevision = revision
 	c.logger.WithField("fence", fence).Info("This gateway gives the orders.")
 	c.recordDecision(decision.Record{
-		Kind: decision.KindAuthority, Subject: Key, Outcome: c.settings.Holder, Fence: fence,
+		Kind: decision.KindAuthority, Subject: ControllerKey, Outcome: c.settings.Holder, Fence: fence,
 		Reason: "The controller key was free, and this gateway acquired it.",
 	})
 }
@@ -89,13 +89,13 @@
 // claim returns the previous holders, and the transaction that acquires the key.
 func (c *Controller) claim(ctx context.Context, lease int64) (history, store.Transaction, error) {
 	var previous history
-	items, listed, err := c.store.List(ctx, HistoryKey)
+	items, listed, err := c.store.List(ctx, ControllerHistoryKey)
 	if err != nil {
 		return previous, store.Transaction{}, errors.Wrap(err, "step read the history of holders")
 	}
 	revision := store.Revision(0)
 	for _, item := range items {
-		if item.Key != HistoryKey {
+		if item.Key != ControllerHistoryKey {
 			continue
 		}
 		revision = item.Revision
@@ -106,8 +106,8 @@
 	holder, holderErr := json.Marshal(keyHolder{Holder: c.settings.Holder, Lease: lease})
 	current, currentErr := json.Marshal(previous.with(c.settings.Holder, listed.Era()))
 	return previous, store.Transaction{
-		Conditions: []store.Condition{{Key: Key}, {Key: HistoryKey, Revision: revision}},
-		Puts:       []store.Put{{Key: Key, Value: holder, Lease: lease}, {Key: HistoryKey, Value: current}},
+		Conditions: []store.Condition{{Key: ControllerKey}, {Key: ControllerHistoryKey, Revision: revision}},
+		Puts:       []store.Put{{Key: ControllerKey, Value: holder, Lease: lease}, {Key: ControllerHistoryKey, Value: current}},
 	}, errors.Join(holderErr, currentErr)
 }
 
@@ -128,7 +128,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, c.settings.OrderTimeout)
 	defer cancel()
-	_, err := c.store.Commit(ctx, store.Transaction{Conditions: []store.Condition{{Key: Key, Revision: revision}}, Deletes: []string{Key}})
+	_, err := c.store.Commit(ctx, store.Transaction{Conditions: []store.Condition{{Key: ControllerKey, Revision: revision}}, Deletes: []string{ControllerKey}})
 	if err != nil {
 		c.logger.WithError(err).Warn("The controller key was not released; it expires with its lease.")
 		return
--- a/internal/roles/orders.go
+++ b/internal/roles/orders.go
@@ -111,6 +111,6 @@
 		return errNoAuthority
 	}
 	return c.orderer.Order(ctx, Order{
-		Worker: change.Worker, Role: change.Role, Holder: c.settings.Holder, Fence: fence, Expected: state.Orders,
+		Worker: change.Worker, Role: change.Role, Holder: c.settings.Holder, Fence: fence, ExpectedOrders: state.Orders,
 	})
 }
--- a/internal/roles/planner.go
+++ b/internal/roles/planner.go
@@ -19,17 +19,17 @@
 	Load backend.Load
 	// Usable is set if the engine accepts work now.
 	Usable bool
-	// Becoming is the role that the engine was ordered to take, or empty.
-	Becoming backend.Role
-	// Gone is set if this gateway saw that the engine's process has ended. BackAt is when a replacement is expected, zero if unknown.
-	Gone   bool
-	BackAt time.Time
+	// TargetRole is the role that the engine was ordered to take, or empty.
+	TargetRole backend.Role
+	// Ended is set if this gateway saw that the engine's process has ended. ExpectedAt is when a replacement is expected, zero if unknown.
+	Ended      bool
+	ExpectedAt time.Time
 }
 
 // targetRole returns the role that the engine has or was ordered to take.
 func (e Engine) targetRole() backend.Role {
-	if e.Becoming != backend.RoleNone {
-		return e.Becoming
+	if e.TargetRole != backend.RoleNone {
+		return e.TargetRole
 	}
 	return e.Worker.Role
 }
@@ -37,19 +37,19 @@
 // Group is the state of the engines whose roles are planned together.
 type Group struct {
 	Engines []Engine
-	// ReadingDemand is the number of prefill engines that the offered prompts would keep busy.
-	ReadingDemand float64
-	// Wrote is set once the group had decode engines. Before that, their records may not have arrived yet.
-	Wrote bool
-	// RoleChange is how long an engine takes to change its role.
-	RoleChange time.Duration
+	// PrefillDemand is the number of prefill engines that the offered prompts would keep busy.
+	PrefillDemand float64
+	// HadDecode is set once the group had decode engines. Before that, their records may not have arrived yet.
+	HadDecode bool
+	// RoleChangeTime is how long an engine takes to change its role.
+	RoleChangeTime time.Duration
 }
 
 // applyChange marks the engine of a planned change as changing.
 func (g *Group) applyChange(change *Change) {
 	for i := range g.Engines {
 		if engine := &g.Engines[i]; engine.Worker.ID == change.Worker.ID {
-			engine.Becoming, engine.Usable = change.Role, false
+			engine.TargetRole, engine.Usable = change.Role, false
 			return
 		}
 	}
@@ -160,7 +160,7 @@
 		}
 		summary.count++
 		summary.slots += engine.Worker.Slots
-		if !engine.Gone || (now.Before(engine.BackAt) && engine.BackAt.Before(now.Add(group.RoleChange))) {
+		if !engine.Ended || (now.Before(engine.ExpectedAt) && engine.ExpectedAt.Before(now.Add(group.RoleChangeTime))) {
 			summary.live++
 		} else {
 			summary.gone++
@@ -182,7 +182,7 @@
 	slots := float64(decode.slots) / float64(decode.count)
 	decodeLoad := p.decodeLoad.update(now, float64(decode.runs)/slots, p.settings.SmoothingTime)
 	decodePeak := p.decodePeak.update(now, decodeLoad, p.settings.PeakDecay)
-	prefillPeak := p.prefillPeak.update(now, group.ReadingDemand, p.settings.PeakDecay)
+	prefillPeak := p.prefillPeak.update(now, group.PrefillDemand, p.settings.PeakDecay)
 	if now.Before(p.nextChange) {
 		return nil
 	}
--- a/internal/roles/planner_test.go
+++ b/internal/roles/planner_test.go
@@ -51,7 +51,7 @@
 	}
 	for range seconds * 4 {
 		s.now = s.now.Add(250 * time.Millisecond)
-		s.group.ReadingDemand = prefillDemand
+		s.group.PrefillDemand = prefillDemand
 		s.applyLoad(runs)
 		for change := s.planner.Next(s.now, s.group); change != nil; change = s.planner.Next(s.now, s.group) {
 			s.changes = append(s.changes, string(change.Role))
@@ -67,7 +67,7 @@
 	for i := range s.group.Engines {
 		engine := &s.group.Engines[i]
 		done, changing := s.changingUntil[engine.Worker.ID]
-		engine.Usable, engine.Becoming, engine.Load = !changing, backend.RoleNone, backend.Load{}
+		engine.Usable, engine.TargetRole, engine.Load = !changing, backend.RoleNone, backend.Load{}
 		otherRole := backend.RolePrefill
 		if engine.Worker.Role == backend.RolePrefill {
 			otherRole = backend.RoleDecode
@@ -77,7 +77,7 @@
 			delete(s.changingUntil, engine.Worker.ID)
 			engine.Worker.Role, engine.Usable = otherRole, true
 		case changing:
-			engine.Becoming = otherRole
+			engine.TargetRole = otherRole
 		}
 		if engine.Worker.Role == backend.RoleDecode {
 			decode = append(decode, i)
@@ -145,7 +145,7 @@
 			for i := range engines {
 				engines[i].Load.Running = rapid.IntRange(0, 40).Draw(t, "running")
 			}
-			change := planner.Next(now, &Group{Engines: engines, ReadingDemand: rapid.Float64Range(0, 20).Draw(t, "reading")})
+			change := planner.Next(now, &Group{Engines: engines, PrefillDemand: rapid.Float64Range(0, 20).Draw(t, "reading")})
 			if change == nil {
 				continue
 			}
@@ -169,7 +169,7 @@
 	settings.MinEngines = map[backend.Role]int{backend.RoleDecode: 4}
 	for decode, want := range map[int]bool{4: false, 5: true} {
 		planner := NewPlanner(settings)
-		group := &Group{Engines: newEngines(20, decode, 0), ReadingDemand: 15}
+		group := &Group{Engines: newEngines(20, decode, 0), PrefillDemand: 15}
 		if change := planner.Next(epoch.Add(time.Second), group); (change != nil) != want {
 			t.Errorf("%d decode engines with a minimum of 4: change %+v", decode, change)
 		}
--- a/internal/roles/recovery.go
+++ b/internal/roles/recovery.go
@@ -79,7 +79,7 @@
 	prefill, decode := summarize(now, group, backend.RolePrefill), summarize(now, group, backend.RoleDecode)
 	live := prefill.live + decode.live
 	minDecode := p.minEngines(decode.role, live)
-	if !group.Wrote || 2*decode.live > minDecode {
+	if !group.HadDecode || 2*decode.live > minDecode {
 		return nil
 	}
 	minPrefill := p.minEngines(prefill.role, live)
--- a/internal/roles/recovery_test.go
+++ b/internal/roles/recovery_test.go
@@ -41,18 +41,18 @@
 			for i := range engines {
 				writer := i - c.prefill
 				if writer >= 0 && writer < c.gone {
-					engines[i].Gone, engines[i].Usable = true, false
+					engines[i].Ended, engines[i].Usable = true, false
 					if c.backIn != 0 {
-						engines[i].BackAt = epoch.Add(c.backIn)
+						engines[i].ExpectedAt = epoch.Add(c.backIn)
 					}
 				}
 				if i < c.changing {
-					engines[i].Becoming, engines[i].Usable = backend.RoleDecode, false
+					engines[i].TargetRole, engines[i].Usable = backend.RoleDecode, false
 				}
 			}
 			planner := NewPlanner(settings)
 			planner.delayNextChange(epoch)
-			got := planner.Recover(epoch, &Group{Engines: engines, Wrote: true, RoleChange: time.Second})
+			got := planner.Recover(epoch, &Group{Engines: engines, HadDecode: true, RoleChangeTime: time.Second})
 			if len(got) != c.want {
 				t.Fatalf("%d orders, want %d: %+v", len(got), c.want, got)
 			}
@@ -86,17 +86,17 @@
 		for i := range engines {
 			engine := &engines[i]
 			if at%period == 0 && engine.Worker.Role == backend.RoleDecode {
-				engine.Gone, engine.Usable = true, false
+				engine.Ended, engine.Usable = true, false
 			}
-			if at%period == downtime && engine.Gone {
-				engine.Gone, engine.Usable = false, true
+			if at%period == downtime && engine.Ended {
+				engine.Ended, engine.Usable = false, true
 			}
 			if done, changing := changingUntil[engine.Worker.ID]; changing && !now.Before(done) {
 				delete(changingUntil, engine.Worker.ID)
-				engine.Worker.Role, engine.Becoming, engine.Usable = engine.Becoming, backend.RoleNone, true
+				engine.Worker.Role, engine.TargetRole, engine.Usable = engine.TargetRole, backend.RoleNone, true
 			}
 		}
-		group := &Group{Engines: engines, ReadingDemand: 5, Wrote: true, RoleChange: time.Second}
+		group := &Group{Engines: engines, PrefillDemand: 5, HadDecode: true, RoleChangeTime: time.Second}
 		changes := planner.Recover(now, group)
 		if change := planner.Next(now, group); len(changes) == 0 && change != nil {
 			changes = append(changes, *change)
@@ -106,13 +106,13 @@
 			changingUntil[change.Worker.ID] = now.Add(time.Second)
 			for i := range engines {
 				if engines[i].Worker.ID == change.Worker.ID {
-					engines[i].Becoming, engines[i].Usable = change.Role, false
+					engines[i].TargetRole, engines[i].Usable = change.Role, false
 				}
 			}
 		}
 		ticks++
 		for _, engine := range engines {
-			if engine.Worker.Role == backend.RoleDecode && !engine.Gone {
+			if engine.Worker.Role == backend.RoleDecode && !engine.Ended {
 				available++
 				break
 			}
@@ -131,9 +131,9 @@
 func BenchmarkRecover(b *testing.B) {
 	engines := newEngines(2600, 2600, 5)
 	for i := range engines {
-		engines[i].Gone = engines[i].Worker.Role == backend.RoleDecode
+		engines[i].Ended = engines[i].Worker.Role == backend.RoleDecode
 	}
-	group := &Group{Engines: engines, Wrote: true, RoleChange: time.Second}
+	group := &Group{Engines: engines, HadDecode: true, RoleChangeTime: time.Second}
 	b.ReportAllocs()
 	b.ResetTimer()
 	for i := range b.N {
@@ -149,10 +149,10 @@
 func TestFailedEnginesAreTriedLast(t *testing.T) {
 	engines := newEngines(8, 4, 0)
 	for i := range engines {
-		engines[i].Gone = engines[i].Worker.Role == backend.RoleDecode
+		engines[i].Ended = engines[i].Worker.Role == backend.RoleDecode
 	}
 	planner := NewPlanner(DefaultSettings())
-	group := &Group{Engines: engines, Wrote: true, RoleChange: time.Second}
+	group := &Group{Engines: engines, HadDecode: true, RoleChangeTime: time.Second}
 	ordered := map[string]bool{}
 	now := epoch
 	for range 2 {
--- a/internal/roles/suspended_test.go
+++ b/internal/roles/suspended_test.go
@@ -17,7 +17,7 @@
 	c := newTestController(&fakeStore{}, orderer, &busyPrefillFleet{})
 	// A test cannot suspend the machine, so it sets the clock forward.
 	c.settings.Now = now
-	c.Leased(now(), 5, 3*time.Second)
+	c.LeaseRenewed(now(), 5, 3*time.Second)
 	c.KeyChanged(now(), nil, 0, 0)
 	c.step(context.Background())
 	if _, may := c.Authority(); !may {
