--- a/internal/capacity/estimator.go
+++ b/internal/capacity/estimator.go
@@ -78,13 +78,13 @@
 // ordered since.
 func (e *Estimator) trackInitial(now time.Time, group Group) {
 	if e.current == 0 && e.stableSince.IsZero() {
-		e.newFleet, e.stableSince = group.New, now
+		e.newFleet, e.stableSince = group.NewFleet, now
 	}
 	baseline := group.Present.WithoutLargestSpotZone()
 	if e.newFleet {
-		baseline = group.Present.Kept()
+		baseline = group.Present.OnDemand()
 	}
-	if baseline > e.current || baseline == 0 || !group.Certain {
+	if baseline > e.current || baseline == 0 || !group.RecordsComplete {
 		e.current, e.stableSince = max(baseline, e.current), now
 	}
 }
--- a/internal/capacity/executor.go
+++ b/internal/capacity/executor.go
@@ -12,8 +12,8 @@
 	"github.com/granitebay/granitebay/internal/decision"
 )
 
-// ErrRefused is returned by an Orderer if no workers of this kind are available in the zone now.
-var ErrRefused = errors.New("no workers of this kind are available now")
+// ErrUnavailable is returned by an Orderer if no workers of this kind are available in the zone now.
+var ErrUnavailable = errors.New("no workers of this kind are available now")
 
 // Order sets the number of workers of one kind in a zone.
 type Order struct {
@@ -27,7 +27,7 @@
 
 // Orderer sends orders to the platform.
 type Orderer interface {
-	// OrderWorkers returns nil if the order was accepted. After an error other than ErrRefused, the order may still be carried out later.
+	// OrderWorkers returns nil if the order was accepted. After an error other than ErrUnavailable, the order may still be carried out later.
 	OrderWorkers(ctx context.Context, order Order) error
 }
 
@@ -35,16 +35,16 @@
 type Group struct {
 	Name  string
 	Offer Offer
-	// Boot is the time from an order until the worker serves requests.
-	Boot time.Duration
+	// BootTime is the time from an order until the worker serves requests.
+	BootTime time.Duration
 	// Present workers by zone, without those that are draining.
 	Present Plan
-	// Certain is set while the records of the workers are known to be complete.
-	Certain bool
-	// New is set while the whole fleet is starting, so that there are no spot workers without a record yet.
-	New bool
-	// Shown is set once most workers have had the time to register.
-	Shown bool
+	// RecordsComplete is set while the records of the workers are known to be complete.
+	RecordsComplete bool
+	// NewFleet is set while the whole fleet is starting, so that there are no spot workers without a record yet.
+	NewFleet bool
+	// MostRegistered is set once most workers have had the time to register.
+	MostRegistered bool
 	// Busy is the number of workers that the current demand keeps busy.
 	Busy float64
 }
@@ -212,7 +212,7 @@
 			Group: group.Name, Busy: group.Busy, Need: need, Present: group.Present, Plan: plan, Offer: group.Offer,
 		})
 		if mayOrder {
-			e.reconcile(ctx, now, group, plan, need, known && group.Certain)
+			e.reconcile(ctx, now, group, plan, need, known && group.RecordsComplete)
 		}
 	}
 	e.mu.Lock()
@@ -251,7 +251,7 @@
 	offer.Zones = lo.Map(offer.Zones, func(zone Zone, _ int) Zone {
 		state, found := e.pools[poolKey{group.Name, zone.Name, true}]
 		if found && state.isUnavailable(now, e.settings.SpotTimeout) {
-			zone.NoSpot, offer.SpotLost = true, true
+			zone.SpotUnavailable, offer.SpotLost = true, true
 		}
 		return zone
 	})
--- a/internal/capacity/executor_test.go
+++ b/internal/capacity/executor_test.go
@@ -36,10 +36,10 @@
 				case "at":
 					end := epoch.Add(time.Duration(parseNumber(t, words[1]) * float64(time.Second)))
 					for ; now.Before(end); now = now.Add(tick) {
-						got, known = estimator.Update(now, Group{Busy: busy, Present: Plan{"z": {Kept: present}}, Certain: true, New: true})
+						got, known = estimator.Update(now, Group{Busy: busy, Present: Plan{"z": {OnDemand: present}}, RecordsComplete: true, NewFleet: true})
 					}
 					busy, present = parseNumber(t, words[3]), int(parseNumber(t, words[5]))
-					got, known = estimator.Update(now, Group{Busy: busy, Present: Plan{"z": {Kept: present}}, Certain: true, New: true})
+					got, known = estimator.Update(now, Group{Busy: busy, Present: Plan{"z": {OnDemand: present}}, RecordsComplete: true, NewFleet: true})
 				case "unknown":
 					if known {
 						t.Errorf("need %d is known, want unknown", got)
@@ -103,7 +103,7 @@
 	for zone, count := range p.present {
 		present[zone] = count
 	}
-	return []Group{{Name: "g", Offer: p.offer, Boot: bootTime, Present: present, Busy: p.busy, Shown: true, Certain: !p.recordsIncomplete, New: p.newFleet && p.now.Sub(epoch) < 5*time.Second}}
+	return []Group{{Name: "g", Offer: p.offer, BootTime: bootTime, Present: present, Busy: p.busy, MostRegistered: true, RecordsComplete: !p.recordsIncomplete, NewFleet: p.newFleet && p.now.Sub(epoch) < 5*time.Second}}
 }
 
 func (p *fakePlatform) OrderWorkers(_ context.Context, order Order) error {
@@ -127,11 +127,11 @@
 	count := p.ordered[order.Zone]
 	if order.Spot {
 		if p.now.Before(p.unavailableUntil[order.Zone]) && order.Workers > count.Spot {
-			return ErrRefused
+			return ErrUnavailable
 		}
 		count.Spot = order.Workers
 	} else {
-		count.Kept = order.Workers
+		count.OnDemand = order.Workers
 	}
 	p.ordered[order.Zone] = count
 	return nil
@@ -161,14 +161,14 @@
 	if spot {
 		count.Spot += n
 	} else {
-		count.Kept += n
+		count.OnDemand += n
 	}
 	p.present[zone] = count
 }
 
 // advancePool boots or removes workers of one kind in a zone.
 func (p *fakePlatform) advancePool(zone string, spot bool) {
-	have, want := p.present[zone].Kept, p.ordered[zone].Kept
+	have, want := p.present[zone].OnDemand, p.ordered[zone].OnDemand
 	if spot {
 		have, want = p.present[zone].Spot, p.ordered[zone].Spot
 	}
@@ -186,7 +186,7 @@
 			total++
 		}
 	}
-	for range min(want-have, p.offer.Most-total) {
+	for range min(want-have, p.offer.MaxPerZone-total) {
 		p.booting = append(p.booting, bootingWorker{zone, spot, p.now.Add(bootTime)})
 	}
 }
@@ -195,7 +195,7 @@
 	if spot {
 		return p.present[zone].Spot
 	}
-	return p.present[zone].Kept
+	return p.present[zone].OnDemand
 }
 
 // reclaim removes the spot workers of a zone and makes them unavailable for a while.
@@ -203,19 +203,19 @@
 	count := p.ordered[zone]
 	count.Spot = 0
 	p.ordered[zone] = count
-	p.present[zone] = Count{Kept: p.present[zone].Kept}
+	p.present[zone] = Count{OnDemand: p.present[zone].OnDemand}
 	p.unavailableUntil[zone] = p.now.Add(duration)
 }
 
 func newFakePlatform(t *rapid.T) *fakePlatform {
 	p := &fakePlatform{
 		t: t, now: epoch, ordered: Plan{}, present: Plan{}, unavailableUntil: map[string]time.Time{}, newFleet: true,
-		offer: Offer{Least: 1, Most: 36, SpotPrice: 0.22},
+		offer: Offer{MinPerZone: 1, MaxPerZone: 36, SpotPrice: 0.22},
 	}
 	for i, price := range []float64{1, 0.8, 1.25, 0.9} {
 		name := fmt.Sprint("z", i)
 		p.offer.Zones = append(p.offer.Zones, Zone{Name: name, Price: price})
-		p.ordered[name], p.present[name] = Count{Kept: 18}, Count{Kept: 18}
+		p.ordered[name], p.present[name] = Count{OnDemand: 18}, Count{OnDemand: 18}
 	}
 	return p
 }
@@ -290,7 +290,7 @@
 				t.Fatalf("only %d of 72 workers are present after %s", total, p.now.Sub(epoch))
 			}
 		}
-		if spot := p.present["z0"].Spot; spot == 0 || p.present["z0"].Kept != 1 {
+		if spot := p.present["z0"].Spot; spot == 0 || p.present["z0"].OnDemand != 1 {
 			t.Fatalf("present: %v", p.present)
 		}
 	})
@@ -327,19 +327,19 @@
 		for i := range 16 {
 			p.recordsIncomplete = i < 14
 			for zone, count := range started {
-				registered := count.Kept
+				registered := count.OnDemand
 				if p.recordsIncomplete {
-					registered = rapid.IntRange(0, count.Kept).Draw(t, "shown")
+					registered = rapid.IntRange(0, count.OnDemand).Draw(t, "shown")
 				}
-				if registered > p.present[zone].Kept {
-					p.present[zone] = Count{Kept: registered, Spot: p.present[zone].Spot}
+				if registered > p.present[zone].OnDemand {
+					p.present[zone] = Count{OnDemand: registered, Spot: p.present[zone].Spot}
 				}
 			}
 			p.now = p.now.Add(tick)
 			e.Step(context.Background(), p.now)
 			for zone, count := range p.ordered {
-				if count.Kept < started[zone].Kept {
-					t.Fatalf("%d kept workers of zone %s were ordered before all were registered", count.Kept, zone)
+				if count.OnDemand < started[zone].OnDemand {
+					t.Fatalf("%d kept workers of zone %s were ordered before all were registered", count.OnDemand, zone)
 				}
 			}
 		}
@@ -381,15 +381,15 @@
 		p.reliable = true
 		p.newFleet = false
 		for _, zone := range p.offer.Zones {
-			p.ordered[zone.Name] = Count{Kept: 1, Spot: 25}
-			p.present[zone.Name] = Count{Kept: rapid.IntRange(0, 1).Draw(t, "kept"), Spot: rapid.IntRange(0, 25).Draw(t, "spot")}
+			p.ordered[zone.Name] = Count{OnDemand: 1, Spot: 25}
+			p.present[zone.Name] = Count{OnDemand: rapid.IntRange(0, 1).Draw(t, "kept"), Spot: rapid.IntRange(0, 25).Draw(t, "spot")}
 		}
 		e := newTestExecutor(p, func() (int64, bool) { return 2, true })
 		for i := range 20 {
 			p.recordsIncomplete = i < 14
 			if !p.recordsIncomplete {
 				for _, zone := range p.offer.Zones {
-					p.present[zone.Name] = Count{Kept: 1, Spot: 25}
+					p.present[zone.Name] = Count{OnDemand: 1, Spot: 25}
 				}
 			}
 			p.now = p.now.Add(tick)
@@ -425,7 +425,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		p := newFakePlatform(t)
 		p.reliable = true
-		p.offer.Most = 30
+		p.offer.MaxPerZone = 30
 		registered := 0
 		e := newTestExecutor(p, func() (int64, bool) { return 1, true })
 		maxima := map[string]int{}
@@ -433,8 +433,8 @@
 			p.recordsIncomplete = i < 14
 			registered = min(registered+rapid.IntRange(1, 9).Draw(t, "shown"), 50)
 			for _, zone := range p.offer.Zones {
-				p.ordered[zone.Name] = Count{Kept: 50, Spot: p.ordered[zone.Name].Spot}
-				p.present[zone.Name] = Count{Kept: registered, Spot: p.ordered[zone.Name].Spot}
+				p.ordered[zone.Name] = Count{OnDemand: 50, Spot: p.ordered[zone.Name].Spot}
+				p.present[zone.Name] = Count{OnDemand: registered, Spot: p.ordered[zone.Name].Spot}
 			}
 			p.now = p.now.Add(tick)
 			e.Step(context.Background(), p.now)
@@ -453,9 +453,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		p := newFakePlatform(t)
 		p.reliable = true
-		p.offer.Most = 1600
+		p.offer.MaxPerZone = 1600
 		for _, zone := range p.offer.Zones {
-			p.ordered[zone.Name], p.present[zone.Name] = Count{Kept: 800}, Count{Kept: 800}
+			p.ordered[zone.Name], p.present[zone.Name] = Count{OnDemand: 800}, Count{OnDemand: 800}
 		}
 		e := newTestExecutor(p, func() (int64, bool) { return 1, true })
 		before := map[string]Count{}
@@ -468,7 +468,7 @@
 			e.Step(context.Background(), p.now)
 			changed := 0
 			for zone, count := range p.ordered {
-				changed += distance(count.Kept, before[zone].Kept) + distance(count.Spot, before[zone].Spot)
+				changed += distance(count.OnDemand, before[zone].OnDemand) + distance(count.Spot, before[zone].Spot)
 			}
 			if limit := pace * (1 + tick.Seconds()*float64(i+1)); float64(changed) > limit {
 				t.Fatalf("%d workers changed in %s", changed, time.Duration(i+1)*tick)
--- a/internal/capacity/plan.go
+++ b/internal/capacity/plan.go
@@ -17,15 +17,15 @@
 	Name string
 	// Price of a kept worker per second.
 	Price float64
-	// NoSpot is set if spot workers are unavailable in the zone.
-	NoSpot bool
+	// SpotUnavailable is set if spot workers are unavailable in the zone.
+	SpotUnavailable bool
 }
 
 // Offer describes the workers that may be ordered for a group.
 type Offer struct {
 	Zones []Zone
-	// Least and Most bound the workers of a zone, both kinds together.
-	Least, Most int
+	// MinPerZone and MaxPerZone bound the workers of a zone, both kinds together.
+	MinPerZone, MaxPerZone int
 	// SpotPrice is the price of a spot worker relative to a kept one.
 	SpotPrice float64
 	// SpotLost is set while a zone has lost its spot workers. The loss of a second zone at the same time is not planned for.
@@ -58,7 +58,9 @@
 
 // zoneWithFewestSpot returns the zone with the fewest spot workers among those that may have more.
 func zoneWithFewestSpot(plan Plan, offer Offer) (string, bool) {
-	zones := lo.Filter(offer.Zones, func(zone Zone, _ int) bool { return !zone.NoSpot && plan[zone.Name].Total() < offer.Most })
+	zones := lo.Filter(offer.Zones, func(zone Zone, _ int) bool {
+		return !zone.SpotUnavailable && plan[zone.Name].Total() < offer.MaxPerZone
+	})
 	if len(zones) == 0 {
 		return "", false
 	}
@@ -69,14 +71,14 @@
 
 // equal reports whether two offers are equal.
 func (o Offer) equal(other Offer) bool {
-	return o.SpotLost == other.SpotLost && o.Least == other.Least && o.Most == other.Most && o.SpotPrice == other.SpotPrice && slices.Equal(o.Zones, other.Zones)
+	return o.SpotLost == other.SpotLost && o.MinPerZone == other.MinPerZone && o.MaxPerZone == other.MaxPerZone && o.SpotPrice == other.SpotPrice && slices.Equal(o.Zones, other.Zones)
 }
 
 // Count is the number of workers of each kind.
-type Count struct{ Kept, Spot int }
+type Count struct{ OnDemand, Spot int }
 
 // Total returns the number of workers of both kinds.
-func (c Count) Total() int { return c.Kept + c.Spot }
+func (c Count) Total() int { return c.OnDemand + c.Spot }
 
 // Plan maps each zone to its number of workers.
 type Plan map[string]Count
@@ -84,8 +86,8 @@
 // Total returns the number of workers in all zones.
 func (p Plan) Total() int { return lo.SumBy(lo.Values(p), Count.Total) }
 
-// Kept returns the number of kept workers in all zones.
-func (p Plan) Kept() int { return lo.SumBy(lo.Values(p), func(c Count) int { return c.Kept }) }
+// OnDemand returns the number of kept workers in all zones.
+func (p Plan) OnDemand() int { return lo.SumBy(lo.Values(p), func(c Count) int { return c.OnDemand }) }
 
 // WithoutLargestSpotZone returns the number of workers that remain if the zone with the most spot workers loses them.
 func (p Plan) WithoutLargestSpotZone() int {
@@ -97,7 +99,7 @@
 func (p Plan) Cost(offer Offer) float64 {
 	cost := 0.0
 	for _, zone := range offer.Zones {
-		cost += zone.Price * (float64(p[zone.Name].Kept) + offer.SpotPrice*float64(p[zone.Name].Spot))
+		cost += zone.Price * (float64(p[zone.Name].OnDemand) + offer.SpotPrice*float64(p[zone.Name].Spot))
 	}
 	return cost
 }
@@ -108,7 +110,7 @@
 // Invariants: each zone has between Least and Most workers, and a larger need never results in fewer workers.
 func NewPlan(offer Offer, need int) Plan {
 	var best Plan
-	for spotLimit := range offer.Most + 1 {
+	for spotLimit := range offer.MaxPerZone + 1 {
 		plan := planWithLimit(offer, need, spotLimit)
 		if best == nil || better(plan, best, offer, need) {
 			best = plan
@@ -127,26 +129,26 @@
 func planWithLimit(offer Offer, need, spotLimit int) Plan {
 	plan := Plan{}
 	for _, zone := range offer.Zones {
-		plan[zone.Name] = Count{Kept: offer.Least}
+		plan[zone.Name] = Count{OnDemand: offer.MinPerZone}
 	}
 	byPrice := slices.SortedStableFunc(slices.Values(offer.Zones), func(a, b Zone) int { return cmp.Compare(a.Price, b.Price) })
 	// Add spot workers up to the limit, as long as they add to the workers that remain after a loss.
 	for _, zone := range byPrice {
-		if zone.NoSpot {
+		if zone.SpotUnavailable {
 			continue
 		}
-		spot := min(spotLimit, offer.Most-offer.Least, need+spotLimit-plan.Total())
+		spot := min(spotLimit, offer.MaxPerZone-offer.MinPerZone, need+spotLimit-plan.Total())
 		if offer.SpotLost {
 			spot = min(spot, need-plan.Total())
 		}
 		if spot > 0 {
-			plan[zone.Name] = Count{Kept: offer.Least, Spot: spot}
+			plan[zone.Name] = Count{OnDemand: offer.MinPerZone, Spot: spot}
 		}
 	}
 	for _, zone := range byPrice {
 		count := plan[zone.Name]
 		if missing := need - offer.remaining(plan); missing > 0 {
-			count.Kept += min(missing, offer.Most-count.Total())
+			count.OnDemand += min(missing, offer.MaxPerZone-count.Total())
 			plan[zone.Name] = count
 		}
 	}
--- a/internal/capacity/plan_test.go
+++ b/internal/capacity/plan_test.go
@@ -10,11 +10,11 @@
 // drawOffer draws an offer.
 func drawOffer(t *rapid.T) Offer {
 	offer := Offer{SpotPrice: rapid.Float64Range(0.05, 1.2).Draw(t, "spot price")}
-	offer.Least = rapid.IntRange(0, 4).Draw(t, "least")
-	offer.Most = offer.Least + rapid.IntRange(0, 30).Draw(t, "room")
+	offer.MinPerZone = rapid.IntRange(0, 4).Draw(t, "least")
+	offer.MaxPerZone = offer.MinPerZone + rapid.IntRange(0, 30).Draw(t, "room")
 	for i := range rapid.IntRange(1, 6).Draw(t, "zones") {
 		offer.Zones = append(offer.Zones, Zone{
-			Name: fmt.Sprint("z", i), Price: rapid.Float64Range(0.5, 2).Draw(t, "price"), NoSpot: rapid.IntRange(0, 4).Draw(t, "no spot") == 0,
+			Name: fmt.Sprint("z", i), Price: rapid.Float64Range(0.5, 2).Draw(t, "price"), SpotUnavailable: rapid.IntRange(0, 4).Draw(t, "no spot") == 0,
 		})
 	}
 	return offer
@@ -25,10 +25,10 @@
 		offer := drawOffer(t)
 		need := rapid.IntRange(0, 150).Draw(t, "need")
 		plan := NewPlan(offer, need)
-		possible := offer.Most * len(offer.Zones)
+		possible := offer.MaxPerZone * len(offer.Zones)
 		for _, zone := range offer.Zones {
 			count := plan[zone.Name]
-			if count.Total() < offer.Least || count.Total() > offer.Most || (zone.NoSpot && count.Spot > 0) {
+			if count.Total() < offer.MinPerZone || count.Total() > offer.MaxPerZone || (zone.SpotUnavailable && count.Spot > 0) {
 				t.Fatalf("zone %s violates the offer: %+v", zone.Name, count)
 			}
 		}
@@ -42,9 +42,9 @@
 		}
 		kept := Plan{}
 		for _, zone := range offer.Zones {
-			kept[zone.Name] = Count{Kept: offer.Least}
+			kept[zone.Name] = Count{OnDemand: offer.MinPerZone}
 		}
-		if need <= offer.Least*len(offer.Zones) && plan.Cost(offer) > kept.Cost(offer)+1e-9 {
+		if need <= offer.MinPerZone*len(offer.Zones) && plan.Cost(offer) > kept.Cost(offer)+1e-9 {
 			t.Fatalf("%v costs more than the minimum, which covers the need", plan)
 		}
 	})
@@ -52,8 +52,8 @@
 
 func TestSpotWorkersAreUsedWhereCheaper(t *testing.T) {
 	offer := Offer{
-		Zones: []Zone{{Name: "a", Price: 1}, {Name: "b", Price: 0.8}, {Name: "c", Price: 1.25}, {Name: "d", Price: 0.9}},
-		Least: 1, Most: 36, SpotPrice: 0.22,
+		Zones:      []Zone{{Name: "a", Price: 1}, {Name: "b", Price: 0.8}, {Name: "c", Price: 1.25}, {Name: "d", Price: 0.9}},
+		MinPerZone: 1, MaxPerZone: 36, SpotPrice: 0.22,
 	}
 	for _, c := range []struct {
 		desc       string
@@ -65,10 +65,10 @@
 		{"expensive spot workers", func(o *Offer) { o.SpotPrice = 0.9 }, 71, 71, 0},
 		{"no spot workers available", func(o *Offer) {
 			for i := range o.Zones {
-				o.Zones[i].NoSpot = true
+				o.Zones[i].SpotUnavailable = true
 			}
 		}, 71, 71, 0},
-		{"spot workers in two zones only", func(o *Offer) { o.Zones[0].NoSpot, o.Zones[1].NoSpot = true, true }, 40, 5, 70},
+		{"spot workers in two zones only", func(o *Offer) { o.Zones[0].SpotUnavailable, o.Zones[1].SpotUnavailable = true, true }, 40, 5, 70},
 	} {
 		t.Run(c.desc, func(t *testing.T) {
 			changed := offer
@@ -77,7 +77,7 @@
 			plan := NewPlan(changed, c.need)
 			kept, spot := 0, 0
 			for _, count := range plan {
-				kept, spot = kept+count.Kept, spot+count.Spot
+				kept, spot = kept+count.OnDemand, spot+count.Spot
 			}
 			if kept != c.kept || spot != c.spot {
 				t.Errorf("got %d kept and %d spot workers, want %d and %d: %v", kept, spot, c.kept, c.spot, plan)
--- a/internal/capacity/reconcile.go
+++ b/internal/capacity/reconcile.go
@@ -19,16 +19,16 @@
 	for _, zone := range group.Offer.Zones {
 		current, target := group.Present[zone.Name], plan[zone.Name]
 		// Workers that are still to be removed occupy places of new ones.
-		target.Spot = min(target.Spot, max(group.Offer.Most-current.Kept, 0))
+		target.Spot = min(target.Spot, max(group.Offer.MaxPerZone-current.OnDemand, 0))
 		if !e.estimators[group.Name].mayRemoveSurplus(now) {
 			// New spot workers stay until the demand is known.
 			target.Spot = max(target.Spot, current.Spot)
 		}
-		if certain || (group.Shown && e.estimators[group.Name].newFleet && target.Spot > current.Spot) {
+		if certain || (group.MostRegistered && e.estimators[group.Name].newFleet && target.Spot > current.Spot) {
 			e.adjustPool(ctx, now, group, poolKey{group.Name, zone.Name, true}, current.Spot, target.Spot, &surplus)
 		}
 		if certain {
-			e.adjustPool(ctx, now, group, poolKey{group.Name, zone.Name, false}, current.Kept, target.Kept, &surplus)
+			e.adjustPool(ctx, now, group, poolKey{group.Name, zone.Name, false}, current.OnDemand, target.OnDemand, &surplus)
 		}
 	}
 }
@@ -64,9 +64,9 @@
 	callCtx, cancel := context.WithTimeout(ctx, e.settings.CallTimeout)
 	defer cancel()
 	err := e.orderer.OrderWorkers(callCtx, order)
-	state.nextRetry = now.Add(group.Boot + e.settings.RetryDelay)
+	state.nextRetry = now.Add(group.BootTime + e.settings.RetryDelay)
 	state.nextChange = now.Add(e.settings.ChangeInterval)
-	state.refused = errors.Is(err, ErrRefused)
+	state.refused = errors.Is(err, ErrUnavailable)
 	if err != nil {
 		state.nextRetry = now.Add(e.settings.FailedRetryDelay)
 		state.nextChange = state.nextRetry
--- a/internal/gateway/capacity.go
+++ b/internal/gateway/capacity.go
@@ -39,12 +39,12 @@
 // capacityGroup returns the observed workers and the scaling limits of a group.
 func (g *Gateway) capacityGroup(group routing.Group) capacity.Group {
 	observed := capacity.Group{
-		Name: group.Name, Boot: group.Scaling.BootTime, Present: capacity.Plan{}, Busy: g.dispatcher.Utilization(group.Name),
-		Shown: g.view.Steady() > initialRecordTime, Certain: g.view.Steady() > recordRecoveryTime, New: g.view.IsNew(newFleetPeriod),
-		Offer: capacity.Offer{Least: group.Scaling.Min, Most: group.Scaling.Max, SpotPrice: group.Scaling.SpotPrice},
+		Name: group.Name, BootTime: group.Scaling.BootTime, Present: capacity.Plan{}, Busy: g.dispatcher.Utilization(group.Name),
+		MostRegistered: g.view.Steady() > initialRecordTime, RecordsComplete: g.view.Steady() > recordRecoveryTime, NewFleet: g.view.IsNew(newFleetPeriod),
+		Offer: capacity.Offer{MinPerZone: group.Scaling.Min, MaxPerZone: group.Scaling.Max, SpotPrice: group.Scaling.SpotPrice},
 	}
 	for zone, price := range group.Scaling.ZonePrices {
-		observed.Offer.Zones = append(observed.Offer.Zones, capacity.Zone{Name: zone, Price: price, NoSpot: group.Scaling.SpotPrice <= 0})
+		observed.Offer.Zones = append(observed.Offer.Zones, capacity.Zone{Name: zone, Price: price, SpotUnavailable: group.Scaling.SpotPrice <= 0})
 	}
 	slices.SortFunc(observed.Offer.Zones, func(a, b capacity.Zone) int { return strings.Compare(a.Name, b.Name) })
 	for _, view := range g.dispatcher.Workers() {
@@ -56,7 +56,7 @@
 		if worker.Spot {
 			count.Spot++
 		} else {
-			count.Kept++
+			count.OnDemand++
 		}
 		observed.Present[worker.Zone] = count
 	}
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -221,7 +221,7 @@
 				name := func(kind string) string {
 					return fmt.Sprintf(`%s{group=%q,zone=%q,kind=%q,state=%q}`, metricWorkers, group.Group, zone.Name, kind, state)
 				}
-				metrics.WriteGaugeUint64(w, name("kept"), uint64(count.Kept))
+				metrics.WriteGaugeUint64(w, name("kept"), uint64(count.OnDemand))
 				metrics.WriteGaugeUint64(w, name("spot"), uint64(count.Spot))
 			}
 		}
