--- a/internal/demo/system.go
+++ b/internal/demo/system.go
@@ -90,7 +90,7 @@
 
 // awaitReady waits until each gateway has a configuration and workers.
 func (s *system) awaitReady(ctx context.Context) error {
-	for !lo.EveryBy(s.gateways, func(each *gateway.Gateway) bool { return each.Serves() }) {
+	for !lo.EveryBy(s.gateways, func(each *gateway.Gateway) bool { return each.IsServing() }) {
 		select {
 		case <-ctx.Done():
 			s.stop()
--- a/internal/gateway/cachedparts.go
+++ b/internal/gateway/cachedparts.go
@@ -33,7 +33,7 @@
 // Entries that already serve know the parts; if there are none, each entry queries its share of the engines and then the
 // other entries.
 func (g *Gateway) learnCachedParts(ctx context.Context) {
-	if g.ports.KeptParts == nil {
+	if g.ports.PromptCache == nil {
 		return
 	}
 	select {
@@ -139,7 +139,7 @@
 func (g *Gateway) learnFromEngine(ctx context.Context, engine *backend.Worker) {
 	ctx, cancel := context.WithTimeout(ctx, engineQueryTimeout)
 	defer cancel()
-	parts, err := g.ports.KeptParts.CachedSegments(ctx, engine)
+	parts, err := g.ports.PromptCache.CachedSegments(ctx, engine)
 	if err != nil {
 		logging.Part(g.logger, "gateway").WithError(err).Debug("Querying an engine for cached prompt parts failed.")
 		return
--- a/internal/gateway/cachedparts_test.go
+++ b/internal/gateway/cachedparts_test.go
@@ -37,7 +37,7 @@
 			logger.SetOutput(io.Discard)
 			counter := &cacheQueryCounter{}
 			settings := Settings{Name: "a", LeaseTTL: time.Second, RetryWindow: time.Second}
-			g := New(settings, Ports{Decoder: nopDecoder{}, KeptParts: counter}, logger)
+			g := New(settings, Dependencies{Decoder: nopDecoder{}, PromptCache: counter}, logger)
 			g.dispatcher.SetGroups([]routing.Group{{Name: "g", Engine: &routing.Engine{}}})
 			g.configuration = &routing.Configuration{}
 			g.WorkersChanged(backend.Changes{Updated: []*backend.Worker{{ID: "w", Group: "g", Role: backend.RoleDecode, Address: "x:1"}}})
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -33,8 +33,8 @@
 	"github.com/granitebay/granitebay/internal/usage"
 )
 
-// Ports holds the external dependencies of a Gateway.
-type Ports struct {
+// Dependencies holds the external dependencies of a Gateway.
+type Dependencies struct {
 	Store    store.Store
 	Decoder  cluster.Decoder
 	Protocol forward.Protocol
@@ -46,9 +46,9 @@
 	Usage usage.Sender
 	// Capacity takes orders for workers; nil disables them.
 	Capacity capacity.Orderer
-	// KeptParts queries engines for the prompt parts in their caches; if nil, these are learned only from served
+	// PromptCache queries engines for the prompt parts in their caches; if nil, these are learned only from served
 	// requests.
-	KeptParts forward.CacheQuerier
+	PromptCache forward.CacheQuerier
 	// Prober checks whether a worker's process has terminated.
 	Prober poison.Prober
 	// Identify returns the ID of the worker that answers the health path at the address of the given one.
@@ -56,10 +56,10 @@
 	// WatchNotices registers a callback for the notices in workers' answers, with an error for those that cannot be
 	// parsed. May be nil.
 	WatchNotices func(handle func(worker *backend.Worker, notice backend.Notice, err error))
-	// WatchEra registers a callback for store responses that report a restore from an older copy. May be nil.
-	WatchEra func(handle func(era int64))
-	// ForgetAddress closes idle connections to an address that no worker uses any more.
-	ForgetAddress func(address string)
+	// WatchStoreRestores registers a callback for store responses that report a restore from an older copy. May be nil.
+	WatchStoreRestores func(handle func(era int64))
+	// CloseIdleConnections closes idle connections to an address that no worker uses any more.
+	CloseIdleConnections func(address string)
 	// ReadyHandler returns the handler of the readiness endpoint.
 	ReadyHandler func(ready func() bool) http.Handler
 	// DirectoryHandler returns the handler that tells callers of a zone which gateways to connect to.
@@ -69,7 +69,7 @@
 // Gateway accepts requests of callers and forwards them to workers, as one member of a fleet of gateways.
 type Gateway struct {
 	settings Settings
-	ports    Ports
+	ports    Dependencies
 	logger   *logrus.Logger
 
 	handler       *forward.Handler
@@ -123,7 +123,7 @@
 }
 
 // New returns a gateway that does nothing until Start is called.
-func New(settings Settings, ports Ports, logger *logrus.Logger) *Gateway {
+func New(settings Settings, ports Dependencies, logger *logrus.Logger) *Gateway {
 	g := &Gateway{settings: settings, ports: ports, logger: logger}
 	g.startedAt = time.Now()
 	g.accepting = accepting.New(logging.Part(logger, "gateway"))
@@ -162,7 +162,7 @@
 	}
 	control := roles.DefaultControllerSettings()
 	control.Holder = settings.Name
-	control.Authority.ResumeDelay = settings.ThawPause
+	control.Authority.ResumeDelay = settings.ResumeDelay
 	g.controller = roles.NewController(control, ports.Store, ports.Orderer, g.dispatcher, logging.Part(logger, "roles"), g.recordDecision)
 	g.engineMonitor = newEngineMonitor(g)
 	g.notices = newNoticeTracker(g)
@@ -197,8 +197,8 @@
 		settings.Holder = g.settings.Name
 		g.capacity = capacity.NewExecutor(settings, g, ports.Capacity, g.controller.Authority, logging.Part(logger, "capacity"), g.recordDecision)
 	}
-	if ports.WatchEra != nil {
-		ports.WatchEra(g.handleEra)
+	if ports.WatchStoreRestores != nil {
+		ports.WatchStoreRestores(g.handleEra)
 	}
 	g.metrics.registerGauges(g)
 	g.metrics.registerFleetTasks(g.tenantUsage.reporter, g.capacity)
@@ -382,8 +382,8 @@
 	g.tasks.Wait()
 }
 
-// Serves reports whether the gateway is ready and knows workers that can run requests.
-func (g *Gateway) Serves() bool {
+// IsServing reports whether the gateway is ready and knows workers that can run requests.
+func (g *Gateway) IsServing() bool {
 	g.workersMu.Lock()
 	defer g.workersMu.Unlock()
 	return g.Ready() && len(g.workers) > 0
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -50,11 +50,11 @@
 	ConfigurationAge time.Duration
 	// DrainTime is how long a leaving worker accepts requests that are already on their way.
 	DrainTime time.Duration
-	// ThawPause is how long no orders are given after the process was suspended or stalled.
-	ThawPause time.Duration
-	// DutiesAddress is the host:port of the platform service that takes the calls which only the leader makes; empty
+	// ResumeDelay is how long no orders are given after the process was suspended or stalled.
+	ResumeDelay time.Duration
+	// PlatformAddress is the host:port of the platform service that takes the calls which only the leader makes; empty
 	// disables them.
-	DutiesAddress string
+	PlatformAddress string
 	// UsageWindow is the length of the windows for which the usage of tenants is reported, zero for none. UsageDue is
 	// how long after its end the report of a window is due.
 	UsageWindow, UsageDue time.Duration
@@ -76,7 +76,7 @@
 		// Deployments require a configuration to be in force within this time.
 		ConfigurationAge: 3 * time.Second,
 		DrainTime:        2 * time.Second,
-		ThawPause:        300 * time.Millisecond,
+		ResumeDelay:      300 * time.Millisecond,
 		LogLevel:         "info",
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -102,7 +102,7 @@
 			Grace: strictyaml.Duration(settings.Grace), AddressTTL: strictyaml.Duration(settings.AddressTTL),
 			MaximumAddressTTL: strictyaml.Duration(settings.MaxAddressTTL), Lease: strictyaml.Duration(settings.LeaseTTL),
 			Configuration: strictyaml.Duration(settings.ConfigurationAge),
-			Drain:         strictyaml.Duration(settings.DrainTime), Thaw: strictyaml.Duration(settings.ThawPause),
+			Drain:         strictyaml.Duration(settings.DrainTime), Thaw: strictyaml.Duration(settings.ResumeDelay),
 		},
 		Retries:  retrySettings{Ratio: settings.RetryRatio, Allowance: settings.RetryAllowance, Window: strictyaml.Duration(settings.RetryWindow)},
 		LogLevel: settings.LogLevel,
@@ -139,12 +139,12 @@
 	s.ListenPeers, s.ListenControl, s.ListenAdmin = f.Listen.Peers, f.Listen.Control, f.Listen.Admin
 	s.Seeds = slices.DeleteFunc(slices.Clone(f.Seeds), func(seed string) bool { return seed == f.Listen.Control })
 	s.FirstStart, s.StoreAddress = f.FirstStart, f.Store
-	s.Grace, s.DrainTime, s.ThawPause = f.Timings.Grace.Std(), f.Timings.Drain.Std(), f.Timings.Thaw.Std()
+	s.Grace, s.DrainTime, s.ResumeDelay = f.Timings.Grace.Std(), f.Timings.Drain.Std(), f.Timings.Thaw.Std()
 	s.AddressTTL, s.MaxAddressTTL = f.Timings.AddressTTL.Std(), f.Timings.MaximumAddressTTL.Std()
 	s.LeaseTTL = max(f.Timings.Lease.Std(), f.Timings.MinimumLease.Std())
 	s.RetryRatio, s.RetryAllowance, s.RetryWindow = f.Retries.Ratio, f.Retries.Allowance, f.Retries.Window.Std()
 	s.ConfigurationAge = f.Timings.Configuration.Std()
-	s.DutiesAddress, s.UsageWindow, s.UsageDue = f.Duties.Address, f.Duties.UsageWindow.Std(), f.Duties.UsageDue.Std()
+	s.PlatformAddress, s.UsageWindow, s.UsageDue = f.Duties.Address, f.Duties.UsageWindow.Std(), f.Duties.UsageDue.Std()
 	s.LogLevel = f.LogLevel
 	return s
 }
