--- a/internal/completions/completions.go
+++ b/internal/completions/completions.go
@@ -42,8 +42,8 @@
 // DefaultMaxTokens is the limit on the length of an answer if the request sets none.
 const DefaultMaxTokens = 16
 
-// Body is the JSON body of a request.
-type Body struct {
+// RequestBody is the JSON body of a request.
+type RequestBody struct {
 	Model  string `json:"model"`
 	Prompt string `json:"prompt"`
 	// MaxTokens limits the length of the answer.
@@ -54,21 +54,21 @@
 	SharedPrefixTokens int `json:"shared_prefix_tokens,omitempty"`
 }
 
-// Callers parses requests of the API. It implements forward.LabelledProtocol.
-type Callers struct{}
+// Protocol parses requests of the API. It implements forward.LabelledProtocol.
+type Protocol struct{}
 
 // bearerPrefix precedes the API key in the Authorization header.
 const bearerPrefix = "Bearer "
 
 // Key implements forward.Protocol.
-func (Callers) Key(r *http.Request) string {
+func (Protocol) Key(r *http.Request) string {
 	key, _ := strings.CutPrefix(r.Header.Get("Authorization"), bearerPrefix)
 	return key
 }
 
 // Labels implements forward.LabelledProtocol. It omits invalid labels, which Read reports. The tenant that owns the API
 // key overrides the tenant header.
-func (Callers) Labels(r *http.Request, owner *tenant.Tenant) (map[string]string, bool) {
+func (Protocol) Labels(r *http.Request, owner *tenant.Tenant) (map[string]string, bool) {
 	if r.Method != http.MethodPost || r.URL.Path != Path {
 		return nil, false
 	}
@@ -94,14 +94,14 @@
 }
 
 // TruncationEvent implements forward.LabelledProtocol.
-func (Callers) TruncationEvent(reason forward.Reason) []byte {
+func (Protocol) TruncationEvent(reason forward.Reason) []byte {
 	// Marshaling a string cannot fail.
 	data, _ := json.Marshal(StreamError{Error: string(reason)})
 	return []byte("event: " + EventError + "\ndata: " + string(data) + "\n\n")
 }
 
 // Read implements forward.Protocol. The error lists all invalid headers.
-func (Callers) Read(r *http.Request) (*forward.Request, error) {
+func (Protocol) Read(r *http.Request) (*forward.Request, error) {
 	_, labelErr := parseLabels(r.Header.Get(HeaderLabels))
 	repeatable, repeatableErr := parseRepeatable(r.Header.Get(HeaderRepeatable))
 	deadline, deadlineErr := parseDeadline(r.Header.Get(HeaderDeadline))
@@ -126,8 +126,8 @@
 }
 
 // Complete implements forward.Protocol.
-func (Callers) Complete(request *forward.Request) error {
-	var body Body
+func (Protocol) Complete(request *forward.Request) error {
+	var body RequestBody
 	if err := json.Unmarshal(request.Body, &body); err != nil {
 		return errors.Wrap(err, "step read the body")
 	}
@@ -140,7 +140,7 @@
 }
 
 // validate returns an error that lists each invalid field with its value and what is allowed.
-func (b *Body) validate() error {
+func (b *RequestBody) validate() error {
 	var errs []error
 	if b.Model == "" {
 		errs = append(errs, errors.Newf("field model: %q is not allowed; the name of a model is needed", b.Model))
@@ -156,7 +156,7 @@
 
 // demand returns the resources that the request needs. Tokens are approximated by words: workers count tokens
 // themselves, and placement needs only the order of magnitude.
-func (b *Body) demand() backend.Demand {
+func (b *RequestBody) demand() backend.Demand {
 	words := strings.Fields(b.Prompt)
 	demand := backend.Demand{Model: b.Model, PromptTokens: len(words), OutputTokens: DefaultMaxTokens}
 	if b.MaxTokens != nil {
--- a/internal/completions/completions_test.go
+++ b/internal/completions/completions_test.go
@@ -22,14 +22,14 @@
 		name, value, _ := strings.Cut(strings.TrimSpace(line), ": ")
 		r.Header.Set(name, value)
 	}
-	labelSet, matched := Callers{}.Labels(r, nil)
+	labelSet, matched := Protocol{}.Labels(r, nil)
 	if !matched {
 		return "error not a request of this protocol"
 	}
-	request, err := Callers{}.Read(r)
+	request, err := Protocol{}.Read(r)
 	if err == nil {
 		request.Body = []byte(body)
-		err = Callers{}.Complete(request)
+		err = Protocol{}.Complete(request)
 	}
 	if err != nil {
 		return "error " + strings.ReplaceAll(err.Error(), "\n", "\nerror ")
@@ -66,7 +66,7 @@
 	for _, r := range []*http.Request{
 		httptest.NewRequest(http.MethodGet, Path, nil), httptest.NewRequest(http.MethodPost, "/v1/other", nil),
 	} {
-		if _, matched := (Callers{}).Labels(r, nil); matched {
+		if _, matched := (Protocol{}).Labels(r, nil); matched {
 			t.Errorf("%s %s is accepted", r.Method, r.URL)
 		}
 	}
@@ -74,7 +74,7 @@
 
 func TestSharedPrefixDeterminesAffinityKey(t *testing.T) {
 	affinityKey := func(prompt string) string {
-		body := Body{Model: "m", Prompt: prompt, SharedPrefixTokens: 2}
+		body := RequestBody{Model: "m", Prompt: prompt, SharedPrefixTokens: 2}
 		return body.demand().AffinityKey()
 	}
 	if affinityKey("a b c") != affinityKey("a b d") || affinityKey("a b c") == affinityKey("a c c") {
@@ -91,9 +91,9 @@
 	r := httptest.NewRequest(http.MethodPost, Path, nil)
 	r.Header.Set(HeaderTenant, "cafes")
 	r.Header.Set("Authorization", "Bearer key-1")
-	owner, _ := table.Find(Callers{}.Key(r))
+	owner, _ := table.Find(Protocol{}.Key(r))
 	for want, owner := range map[string]*tenant.Tenant{"roasters": owner, "cafes": nil} {
-		if labels, _ := (Callers{}).Labels(r, owner); labels[configuration.LabelTenant] != want {
+		if labels, _ := (Protocol{}).Labels(r, owner); labels[configuration.LabelTenant] != want {
 			t.Errorf("got %v, want tenant %s", labels, want)
 		}
 	}
--- a/internal/demo/call.go
+++ b/internal/demo/call.go
@@ -93,7 +93,7 @@
 
 // send sends the HTTP request and returns the response.
 func (c caller) send(ctx context.Context, req request) (*http.Response, error) {
-	body, err := json.Marshal(completions.Body{
+	body, err := json.Marshal(completions.RequestBody{
 		Model: req.model, Prompt: req.prompt, MaxTokens: &req.answerTokens, Stream: true, SharedPrefixTokens: req.class.sharedTokens,
 	})
 	if err != nil {
