--- a/internal/changefeed/changefeed.go
+++ b/internal/changefeed/changefeed.go
@@ -141,7 +141,7 @@
 	era := int64(0)
 	if request.EraUnknown = query.Get(paramEra) == ""; !request.EraUnknown {
 		var err error
-		if era, err = strconv.ParseInt(query.Get(paramEra), 10, 64); err != nil || era < 0 || era >= store.MostEras {
+		if era, err = strconv.ParseInt(query.Get(paramEra), 10, 64); err != nil || era < 0 || era >= store.MaxEras {
 			return request, errBadRequest
 		}
 	}
@@ -196,7 +196,7 @@
 	defer timer.Stop()
 	var changes store.Changes
 	err := c.get(ctx, address, pathChanges+"?"+encodeRequest(request).Encode(), &changes, func() { timer.Reset(bodyTimeout) })
-	changes.Adopt(request.After.Era())
+	changes.ResolveEra(request.After.Era())
 	return changes, errors.Wrapf(err, "request changes, peer %s", address)
 }
 
--- a/internal/changefeed/snapshot.go
+++ b/internal/changefeed/snapshot.go
@@ -80,6 +80,6 @@
 	if s.get(ctx, address, pathSnapshot, &snapshot, nil) != nil {
 		return nil
 	}
-	snapshot.Adopt(0)
+	snapshot.ResolveEra(0)
 	return &snapshot
 }
--- a/internal/cluster/view.go
+++ b/internal/cluster/view.go
@@ -242,8 +242,8 @@
 	return true
 }
 
-// Lost implements store.Consumer.
-func (v *View) Lost(err error) {
+// StoreUnavailable implements store.Consumer.
+func (v *View) StoreUnavailable(err error) {
 	if v.storeLostSince.IsZero() {
 		v.storeLostSince = v.now()
 		v.logger.WithError(err).Warn("The store is unavailable; continuing with the known state.")
@@ -257,8 +257,8 @@
 	v.gateways.Outage(v.storeLostAt)
 }
 
-// Current implements store.Consumer.
-func (v *View) Current(asOf time.Time) {
+// UpToDate implements store.Consumer.
+func (v *View) UpToDate(asOf time.Time) {
 	if !v.storeLostSince.IsZero() {
 		v.logger.WithField("after_ms", v.now().Sub(v.storeLostSince).Milliseconds()).Info("The store is available again.")
 		v.storeLostSince = time.Time{}
--- a/internal/cluster/view_test.go
+++ b/internal/cluster/view_test.go
@@ -105,7 +105,7 @@
 func TestWorkersWithoutRecordsExpireAfterOutage(t *testing.T) {
 	view, recorded := newTestView()
 	view.Reset([]store.Item{putEvent("worker/1", "x").Item})
-	view.Lost(errors.New("unavailable"))
+	view.StoreUnavailable(errors.New("unavailable"))
 	view.Reset(nil)
 	workerCount := func() int {
 		view.rosterMutex.Lock()
@@ -159,7 +159,7 @@
 	expect := func(when string, asOf, want time.Time) {
 		t.Helper()
 		recorded.confirmed = time.Time{}
-		view.Current(asOf)
+		view.UpToDate(asOf)
 		if !recorded.confirmed.Equal(want) {
 			t.Errorf("%s: confirmed as of %v, want %v", when, recorded.confirmed, want)
 		}
@@ -177,7 +177,7 @@
 	expect("listed again at the same revision", now.Add(-time.Millisecond), now.Add(-time.Millisecond))
 	view.Apply([]store.Event{own(7)})
 	expect("written again, as of before that", now.Add(-time.Millisecond), time.Time{})
-	view.Lost(errors.New("unavailable"))
+	view.StoreUnavailable(errors.New("unavailable"))
 	advance()
 	expect("while the store is unavailable", now.Add(-time.Second), now.Add(-time.Second))
 	view.Apply([]store.Event{{Item: store.Item{Key: ownKey, Revision: 9}, Deleted: true}})
@@ -208,7 +208,7 @@
 		}
 		view.Reset(items)
 		view.Apply([]store.Event{history})
-		view.Current(view.now())
+		view.UpToDate(view.now())
 		if recorded.confirmed.IsZero() || recorded.fleetIsNew != test.expected {
 			t.Errorf("%s: fleet is new: %v", test.name, recorded.fleetIsNew)
 		}
@@ -221,13 +221,13 @@
 	view, _ := newTestView()
 	now := time.Unix(1000, 0)
 	view.now = func() time.Time { return now }
-	view.Current(now)
+	view.UpToDate(now)
 	now = now.Add(4 * time.Second)
 	view.Connected(false)
 	if view.IsFresh(3 * time.Second) {
 		t.Error("a response to a standby gateway made the configuration fresh")
 	}
-	view.Current(now)
+	view.UpToDate(now)
 	if !view.IsFresh(3 * time.Second) {
 		t.Error("changes did not make the configuration fresh")
 	}
--- a/internal/gateway/entries.go
+++ b/internal/gateway/entries.go
@@ -174,10 +174,10 @@
 	}
 	g.entries.current, g.entries.suspects, g.entries.servingCount, g.entries.peers = entries, suspects, serving, audience.Peers
 	g.updateEntryRole(!audience.Standby, len(entries), serving)
-	g.replica.SetReaders(serving)
-	g.replica.SetCalm(audience.Standby)
+	g.replica.SetReaderCount(serving)
+	g.replica.SetStandby(audience.Standby)
 	if entriesChanged {
-		g.replica.Wake()
+		g.replica.NotifyWaiters()
 	}
 	g.feedFollower.SetTellers(lo.Map(entries, func(entry member.Gateway, _ int) changefeed.Teller {
 		return changefeed.Teller{Name: entry.Name, Zone: entry.Zone, Address: entry.ControlAddress}
@@ -264,7 +264,7 @@
 // key, because a successor would have to wait too long for its expiry.
 func (g *Gateway) handleLease(start time.Time, lease int64, ttl time.Duration) {
 	g.view.Connected(g.isEntry())
-	g.replica.Answered()
+	g.replica.RecordStoreResponse()
 	if ttl > g.settings.LeaseTTL {
 		lease = 0
 	}
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -135,7 +135,7 @@
 	g.cacheAsker = keptshare.New()
 	g.decisions = decisionlog.New(settings.Name, maxDecisions)
 	g.metrics = newGatewayMetrics(g.decisions, logger)
-	g.ports.Store = store.Counted(ports.Store, g.metrics.countStoreCall)
+	g.ports.Store = store.Instrumented(ports.Store, g.metrics.countStoreCall)
 	ports.Store = g.ports.Store
 	g.gracePeriod.Store(int64(settings.Grace))
 	g.addressTTL.Store(int64(min(settings.AddressTTL, settings.MaxAddressTTL)))
@@ -174,23 +174,23 @@
 	registrationSettings := member.DefaultRegistrationSettings()
 	registrationSettings.TTL = settings.LeaseTTL
 	g.registration = member.NewRegistration(registrationSettings, ports.Store, self,
-		logging.Part(logger, "member"), func() { g.replica.Renew() }, g.handleLease)
+		logging.Part(logger, "member"), func() { g.replica.RestartWatch() }, g.handleLease)
 	g.view = cluster.NewView(ports.Decoder, g, member.NewList(self), backend.NewRoster(rosterSettings(settings)), g.registration.Key(), logging.Part(logger, "cluster"))
 	replication := store.DefaultReplicaSettings()
-	replication.Unhurried = member.IsRegistration
+	replication.Deferrable = member.IsRegistration
 	replication.Sharded = func(key string) bool {
 		_, isWorker := ports.Decoder.WorkerID(key)
 		return isWorker
 	}
-	replication.Seat = rendezvous.Hash(settings.Name)
+	replication.ShardHash = rendezvous.Hash(settings.Name)
 	g.replica = store.NewReplica(ports.Store, allKeys, replication, g.view,
 		changefeed.NewSeeds(settings.Seeds).Fetch)
 	g.feedFollower = changefeed.NewFollower(settings.Name, settings.Zone, g.receiveFeedEntries)
 	g.feedFollower.SetBound(settings.ConfigurationAge)
 	g.replica.SetFeed(g.feedFollower)
 	g.replica.SetLister(g.lister)
-	g.replica.SetKnownWithin(settings.ConfigurationAge)
-	g.replica.SetFreshFor(retrybudget.MaxListAge(settings.RetryWindow))
+	g.replica.SetPropagationBound(settings.ConfigurationAge)
+	g.replica.SetMaxStaleness(retrybudget.MaxListAge(settings.RetryWindow))
 	g.tenantUsage = newTenantUsage(g)
 	if ports.Capacity != nil {
 		settings := capacity.DefaultSettings()
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -92,7 +92,7 @@
 	g.gracePeriod.Store(int64(settings.Grace))
 	g.addressTTL.Store(int64(min(settings.AddressTTL, settings.MaxAddressTTL)))
 	g.dispatcher.SetBudget(budgetSettings(settings))
-	g.replica.SetFreshFor(retrybudget.MaxListAge(settings.RetryWindow))
+	g.replica.SetMaxStaleness(retrybudget.MaxListAge(settings.RetryWindow))
 	logging.Part(g.logger, "gateway").Info("Settings in force.")
 }
 
@@ -148,7 +148,7 @@
 }
 
 // Registered implements cluster.Listener. It shortens the next watch, so that the registration is confirmed soon.
-func (g *Gateway) Registered() { g.replica.Hasten() }
+func (g *Gateway) Registered() { g.replica.ShortenNextWatch() }
 
 // Unregistered implements cluster.Listener.
 func (g *Gateway) Unregistered() { g.registration.Again() }
--- a/internal/gateway/restore.go
+++ b/internal/gateway/restore.go
@@ -21,7 +21,7 @@
 func (g *Gateway) handleEra(era int64) {
 	g.editsMayBeLost.Store(true)
 	g.controller.StoreRestored(boottime.Now(), era)
-	g.replica.Renew()
+	g.replica.RestartWatch()
 }
 
 // StoreRestored implements cluster.Listener.
--- a/internal/gateway/retrybudget_test.go
+++ b/internal/gateway/retrybudget_test.go
@@ -86,11 +86,11 @@
 // nopConsumer ignores all updates.
 type nopConsumer struct{}
 
-func (nopConsumer) Reset([]store.Item)  {}
-func (nopConsumer) Restored(int64)      {}
-func (nopConsumer) Apply([]store.Event) {}
-func (nopConsumer) Lost(error)          {}
-func (nopConsumer) Current(time.Time)   {}
+func (nopConsumer) Reset([]store.Item)     {}
+func (nopConsumer) Restored(int64)         {}
+func (nopConsumer) Apply([]store.Event)    {}
+func (nopConsumer) StoreUnavailable(error) {}
+func (nopConsumer) UpToDate(time.Time)     {}
 
 func TestRegisteredShortensNextWatch(t *testing.T) {
 	for _, registered := range []bool{false, true} {
--- a/internal/store/counted.go
+++ b/internal/store/counted.go
@@ -18,8 +18,8 @@
 	CallRevoke Call = "revoke"
 )
 
-// Counted wraps a store and reports each completed call to observe, which must be safe for concurrent use.
-func Counted(store Store, observe func(call Call, took time.Duration, err error)) Store {
+// Instrumented wraps a store and reports each completed call to observe, which must be safe for concurrent use.
+func Instrumented(store Store, observe func(call Call, took time.Duration, err error)) Store {
 	return counted{store, observe}
 }
 
--- a/internal/store/era.go
+++ b/internal/store/era.go
@@ -21,8 +21,8 @@
 	r.gapStart, r.gapEnd = 0, 0
 }
 
-// Adopt adds the era to all revisions, which are encoded without it: the era that the sender named, or else localEra.
-func (c *Changes) Adopt(localEra int64) {
+// ResolveEra adds the era to all revisions, which are encoded without it: the era that the sender named, or else localEra.
+func (c *Changes) ResolveEra(localEra int64) {
 	era := resolveEra(c.Era, localEra)
 	c.Revision = c.Revision.withEra(era)
 	if c.GapEnd != 0 {
@@ -33,8 +33,8 @@
 	}
 }
 
-// Adopt adds the era to all revisions, which are encoded without it: the era that the sender named, or else localEra.
-func (s *Snapshot) Adopt(localEra int64) {
+// ResolveEra adds the era to all revisions, which are encoded without it: the era that the sender named, or else localEra.
+func (s *Snapshot) ResolveEra(localEra int64) {
 	era := resolveEra(s.Era, localEra)
 	s.Revision = s.Revision.withEra(era)
 	s.Items = slices.Clone(s.Items)
@@ -45,7 +45,7 @@
 
 // resolveEra returns the received era if it is present and valid, or else the local one.
 func resolveEra(received *int64, localEra int64) int64 {
-	if received == nil || *received < 0 || *received >= MostEras {
+	if received == nil || *received < 0 || *received >= MaxEras {
 		return localEra
 	}
 	return *received
--- a/internal/store/era_test.go
+++ b/internal/store/era_test.go
@@ -14,7 +14,7 @@
 func TestRevisionOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(name string) (era, number int64, revision Revision) {
-			era = rapid.Int64Range(0, MostEras-1).Draw(t, name+" era")
+			era = rapid.Int64Range(0, MaxEras-1).Draw(t, name+" era")
 			number = rapid.Int64Range(0, 1<<numberBits-1).Draw(t, name+" number")
 			return era, number, NewRevision(era, number)
 		}
@@ -107,7 +107,7 @@
 	if err := json.Unmarshal(must(json.Marshal(sent)), &received); err != nil {
 		t.Fatal(err)
 	}
-	received.Adopt(1)
+	received.ResolveEra(1)
 	if received.Revision != sent.Revision || received.GapStart != sent.GapStart || received.GapEnd != sent.GapEnd || received.Changed[0].Revision != sent.Changed[0].Revision {
 		t.Errorf("got %+v", received)
 	}
@@ -115,7 +115,7 @@
 	if err := json.Unmarshal([]byte(`{"revision":9,"changed":[{"key":"a","revision":8}],"entries":[]}`), &old); err != nil {
 		t.Fatal(err)
 	}
-	old.Adopt(2)
+	old.ResolveEra(2)
 	if old.Revision != NewRevision(2, 9) || old.Changed[0].Revision != NewRevision(2, 8) || old.GapEnd != 0 {
 		t.Errorf("from a build without eras: got %+v", old)
 	}
@@ -124,7 +124,7 @@
 	if err := json.Unmarshal(must(json.Marshal(snapshot)), &receivedSnapshot); err != nil {
 		t.Fatal(err)
 	}
-	if receivedSnapshot.Adopt(0); receivedSnapshot.Revision != snapshot.Revision || receivedSnapshot.Items[0].Revision != snapshot.Items[0].Revision {
+	if receivedSnapshot.ResolveEra(0); receivedSnapshot.Revision != snapshot.Revision || receivedSnapshot.Items[0].Revision != snapshot.Items[0].Revision {
 		t.Errorf("got snapshot %+v", receivedSnapshot)
 	}
 }
--- a/internal/store/feed.go
+++ b/internal/store/feed.go
@@ -117,7 +117,7 @@
 func (r *Replica) newRequest(wait time.Duration) ChangesRequest {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return ChangesRequest{After: r.revision, Wait: wait, Shards: r.shardCount, ShardHash: r.settings.Seat, ListedThrough: r.listedThrough, AllShards: !r.standby.Load()}
+	return ChangesRequest{After: r.revision, Wait: wait, Shards: r.shardCount, ShardHash: r.settings.ShardHash, ListedThrough: r.listedThrough, AllShards: !r.standby.Load()}
 }
 
 // applyChanges applies the response to a request that was sent at started. It returns false if the response is of an
@@ -131,7 +131,7 @@
 	}
 	r.feedAnsweredAt = boottime.Now()
 	if changes.StoreUnavailable {
-		r.consumer.Lost(errUpstreamLostStore)
+		r.consumer.StoreUnavailable(errUpstreamLostStore)
 	}
 	if changes.Full || changes.FullShard {
 		r.replace(r.snapshotOf(changes))
@@ -141,7 +141,7 @@
 	if !changes.StoreUnavailable {
 		// The upstream sent all changes after the local revision, including any that a failed watch missed.
 		r.mustList = false
-		r.consumer.Current(r.advanceCurrentAsOf(changes.currentAsOf(started)))
+		r.consumer.UpToDate(r.advanceCurrentAsOf(changes.currentAsOf(started)))
 	}
 	return true
 }
@@ -275,7 +275,7 @@
 // isDeferrableForStandbys reports whether an event may be sent to standby gateways late: the first change of a worker
 // record or of a key that Unhurried selects. The caller holds the mutex.
 func (r *Replica) isDeferrableForStandbys(event Event) bool {
-	isEligible := r.isSharded(event.Key) || (r.settings.Unhurried != nil && r.settings.Unhurried(event.Key))
+	isEligible := r.isSharded(event.Key) || (r.settings.Deferrable != nil && r.settings.Deferrable(event.Key))
 	return isEligible && !event.Deleted && r.table.isFirstChange(event.Key)
 }
 
@@ -312,8 +312,8 @@
 	return r.changed
 }
 
-// Wake notifies those waiting on Changed, because other data that they send has changed.
-func (r *Replica) Wake() {
+// NotifyWaiters notifies those waiting on Changed, because other data that they send has changed.
+func (r *Replica) NotifyWaiters() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.notifyWaiters()
--- a/internal/store/feed_test.go
+++ b/internal/store/feed_test.go
@@ -58,7 +58,7 @@
 		return Changes{Revision: 4}, nil
 	})
 	replica.SetFeed(feed)
-	replica.SetCalm(true)
+	replica.SetStandby(true)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
--- a/internal/store/freshness_test.go
+++ b/internal/store/freshness_test.go
@@ -46,14 +46,14 @@
 	asOf []time.Time
 }
 
-func (r *asOfRecorder) Current(asOf time.Time) { r.asOf = append(r.asOf, asOf) }
+func (r *asOfRecorder) UpToDate(asOf time.Time) { r.asOf = append(r.asOf, asOf) }
 
 // TestIdleStoreIsWatchedWithinMaxStaleness checks the waits of watches and the times passed to Current when nothing
 // changes.
 func TestIdleStoreIsWatchedWithinMaxStaleness(t *testing.T) {
 	idle, recorded := &idleStore{}, &asOfRecorder{}
 	replica := NewReplica(idle, "", DefaultReplicaSettings(), recorded, nil)
-	replica.SetFreshFor(300 * time.Millisecond)
+	replica.SetMaxStaleness(300 * time.Millisecond)
 	started := boottime.Now()
 	for range 3 {
 		if err := replica.step(t.Context()); err != nil {
@@ -69,8 +69,8 @@
 	if first, second := recorded.asOf[1].Sub(started), recorded.asOf[2].Sub(started); first < minWatchWait || second < 350*time.Millisecond || recorded.asOf[2].After(boottime.Now()) {
 		t.Errorf("current as of %s and %s after the start", first, second)
 	}
-	replica.SetFreshFor(0)
-	replica.Hasten()
+	replica.SetMaxStaleness(0)
+	replica.ShortenNextWatch()
 	if err := replica.step(t.Context()); err != nil || idle.waits[2] != minWatchWait {
 		t.Errorf("after Hasten a watch waited %s: %v", idle.waits[2], err)
 	}
--- a/internal/store/pause.go
+++ b/internal/store/pause.go
@@ -44,7 +44,7 @@
 	if r.standby.Load() {
 		return true
 	}
-	if r.settings.Unhurried != nil && r.settings.Unhurried(event.Key) {
+	if r.settings.Deferrable != nil && r.settings.Deferrable(event.Key) {
 		return true
 	}
 	r.mutex.Lock()
--- a/internal/store/replica.go
+++ b/internal/store/replica.go
@@ -17,8 +17,8 @@
 	Wait time.Duration
 	// BatchPause is the pause after changes, so that later ones are read in batches.
 	BatchPause time.Duration
-	// Unhurried reports whether changes of a key may be delayed. Nil means none.
-	Unhurried func(key string) bool
+	// Deferrable reports whether changes of a key may be delayed. Nil means none.
+	Deferrable func(key string) bool
 	// DeferrablePausePerReader is the pause after changes that are all deferrable, for each process that watches the
 	// store. MaxDeferrablePause limits the total.
 	DeferrablePausePerReader time.Duration
@@ -28,8 +28,8 @@
 	MaxRetryPause time.Duration
 	// Sharded reports whether a key is sharded. Standby processes hold only one shard of these. Nil means none.
 	Sharded func(key string) bool
-	// Seat is a hash of the process's identity that selects its shard for any number of shards.
-	Seat uint64
+	// ShardHash is a hash of the process's identity that selects its shard for any number of shards.
+	ShardHash uint64
 	// MinFeedInterval is the minimum time between requests to the feed. It batches changes and limits the requests when
 	// a fleet of hundreds of gateways starts.
 	MinFeedInterval time.Duration
@@ -60,11 +60,11 @@
 	Restored(era int64)
 	// Apply passes changes in the order of their revisions.
 	Apply(events []Event)
-	// Lost reports that the store failed; the items may be out of date from now on.
-	Lost(err error)
-	// Current reports that all changes that the store sent have been passed on, and the time by boottime as of which
+	// StoreUnavailable reports that the store failed; the items may be out of date from now on.
+	StoreUnavailable(err error)
+	// UpToDate reports that all changes that the store sent have been passed on, and the time by boottime as of which
 	// these are certainly complete, allowing for responses that were delayed. The time is zero while unknown.
-	Current(asOf time.Time)
+	UpToDate(asOf time.Time)
 }
 
 // Replica keeps a consumer up to date with the items below a prefix. It lists them once, then watches them, and lists
@@ -134,37 +134,37 @@
 	}
 }
 
-// Answered records that the store answered a call of this process, whether the call was made by the replica or not.
-func (r *Replica) Answered() {
+// RecordStoreResponse records that the store answered a call of this process, whether the call was made by the replica or not.
+func (r *Replica) RecordStoreResponse() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.storeAnsweredAt = boottime.Now()
 }
 
-// SetReaders sets the number of processes that watch the store. The more there are, the longer each batches changes and
+// SetReaderCount sets the number of processes that watch the store. The more there are, the longer each batches changes and
 // waits after failures, which limits the load on the store.
-func (r *Replica) SetReaders(count int) { r.readers.Store(int64(count)) }
+func (r *Replica) SetReaderCount(count int) { r.readers.Store(int64(count)) }
 
-// SetCalm sets whether this process is standby and may receive any change late, by up to MaxDeferrablePause. A standby
+// SetStandby sets whether this process is standby and may receive any change late, by up to MaxDeferrablePause. A standby
 // process follows its feed if it has one, and calls the store only while the feed provides nothing.
-func (r *Replica) SetCalm(standby bool) { r.standby.Store(standby) }
+func (r *Replica) SetStandby(standby bool) { r.standby.Store(standby) }
 
-// SetFreshFor bounds how old the time passed to Consumer.Current may become while the store answers and this process
+// SetMaxStaleness bounds how old the time passed to Consumer.UpToDate may become while the store answers and this process
 // watches it, by limiting the wait of a watch. A bound below that wait costs an idle store one call per bound.
-func (r *Replica) SetFreshFor(bound time.Duration) { r.maxStaleness.Store(int64(bound)) }
+func (r *Replica) SetMaxStaleness(bound time.Duration) { r.maxStaleness.Store(int64(bound)) }
 
-// SetKnownWithin sets the time within which all processes must know a change.
-func (r *Replica) SetKnownWithin(bound time.Duration) { r.propagationBound.Store(int64(bound)) }
+// SetPropagationBound sets the time within which all processes must know a change.
+func (r *Replica) SetPropagationBound(bound time.Duration) { r.propagationBound.Store(int64(bound)) }
 
-// Hasten shortens the next watch, which soon confirms that there are no further changes. A pending watch is not
+// ShortenNextWatch shortens the next watch, which soon confirms that there are no further changes. A pending watch is not
 // affected.
-func (r *Replica) Hasten() { r.shortenNextWatch.Store(true) }
+func (r *Replica) ShortenNextWatch() { r.shortenNextWatch.Store(true) }
 
 // pausePerReader is the time in which the store answers two calls.
 const pausePerReader = time.Millisecond
 
-// Renew restarts a pending watch, for example after a network change.
-func (r *Replica) Renew() {
+// RestartWatch restarts a pending watch, for example after a network change.
+func (r *Replica) RestartWatch() {
 	select {
 	case r.restartWatch <- struct{}{}:
 	default:
@@ -197,7 +197,7 @@
 			continue
 		}
 		r.setStoreUnavailable(true)
-		r.consumer.Lost(err)
+		r.consumer.StoreUnavailable(err)
 		if r.table == nil && r.loadFallback(ctx) {
 			continue
 		}
@@ -301,7 +301,7 @@
 	if err != nil {
 		return err
 	}
-	r.Answered()
+	r.RecordStoreResponse()
 	if !complete {
 		r.startWithoutShard(r.unshardedItems(items), revision, listedThrough)
 		return nil
@@ -309,7 +309,7 @@
 	r.replace(Snapshot{Items: items, Revision: revision})
 	r.mustList = false
 	// A list may be a few seconds old; the following watch returns later changes.
-	r.consumer.Current(r.advanceCurrentAsOf(time.Time{}))
+	r.consumer.UpToDate(r.advanceCurrentAsOf(time.Time{}))
 	return nil
 }
 
@@ -354,12 +354,12 @@
 	case err != nil:
 		return err
 	}
-	r.Answered()
+	r.RecordStoreResponse()
 	pause := r.batchPause(events)
 	if newer := r.recordNewer(events, revision); len(newer) > 0 {
 		r.consumer.Apply(newer)
 	}
-	r.consumer.Current(r.advanceCurrentAsOf(completeAsOf(started, boottime.Now(), wait, len(events))))
+	r.consumer.UpToDate(r.advanceCurrentAsOf(completeAsOf(started, boottime.Now(), wait, len(events))))
 	sleep(ctx, pause)
 	return nil
 }
--- a/internal/store/replica_test.go
+++ b/internal/store/replica_test.go
@@ -82,13 +82,13 @@
 	}
 }
 
-func (r *recorder) Lost(error) {
+func (r *recorder) StoreUnavailable(error) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.losses++
 }
 
-func (r *recorder) Current(time.Time) {}
+func (r *recorder) UpToDate(time.Time) {}
 
 // String lists the items by key.
 func (r *recorder) String() string {
@@ -211,7 +211,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	replica.Renew()
+	replica.RestartWatch()
 	for range 300 {
 		if watches() > 1 {
 			if recorded.losses != 0 {
@@ -240,7 +240,7 @@
 // TestBatchPauseGrowsWithReaders guards against the calls of a starting fleet growing with the square of its size.
 func TestBatchPauseGrowsWithReaders(t *testing.T) {
 	settings := DefaultReplicaSettings()
-	settings.Unhurried = func(key string) bool { return strings.HasPrefix(key, "registrations/") }
+	settings.Deferrable = func(key string) bool { return strings.HasPrefix(key, "registrations/") }
 	deferrable := Event{Item: Item{Key: "registrations/a"}}
 	urgent := Event{Item: Item{Key: "configuration"}}
 	added := Event{Item: Item{Key: "workers/new"}}
@@ -258,12 +258,12 @@
 		{"one urgent change", 300, []Event{deferrable, urgent}, 300 * time.Millisecond},
 	} {
 		replica := NewReplica(nil, "", settings, &recorder{}, nil)
-		replica.SetReaders(test.readers)
+		replica.SetReaderCount(test.readers)
 		replica.replace(Snapshot{Items: []Item{urgent.Item}})
 		if got := replica.batchPause(test.events); got != test.want {
 			t.Errorf("%s: the pause is %s, want %s", test.name, got, test.want)
 		}
-		replica.SetCalm(true)
+		replica.SetStandby(true)
 		if got := replica.batchPause(test.events); len(test.events) > 0 && got != max(test.want, min(time.Duration(test.readers)*10*time.Millisecond, time.Second)) {
 			t.Errorf("%s: the pause of a standby process is %s", test.name, got)
 		}
--- a/internal/store/revision.go
+++ b/internal/store/revision.go
@@ -13,11 +13,11 @@
 const (
 	// numberBits allows a thousand changes per second for thirty years.
 	numberBits = 40
-	// MostEras keeps revisions below 2^53, the range of exact integers in common JSON implementations.
-	MostEras = 1 << 13
+	// MaxEras keeps revisions below 2^53, the range of exact integers in common JSON implementations.
+	MaxEras = 1 << 13
 )
 
-// NewRevision returns the revision with a number in an era, which must be less than MostEras.
+// NewRevision returns the revision with a number in an era, which must be less than MaxEras.
 func NewRevision(era, number int64) Revision { return Revision(era<<numberBits | number) }
 
 // Era returns the era of the revision.
--- a/internal/store/shard_test.go
+++ b/internal/store/shard_test.go
@@ -17,7 +17,7 @@
 // newShardedReplica returns a replica with sharded worker keys and its recorder.
 func newShardedReplica(store Store, shardHash uint64) (*Replica, *recorder) {
 	settings := DefaultReplicaSettings()
-	settings.MinFeedInterval, settings.BatchPause, settings.Sharded, settings.Seat = 0, time.Millisecond, isWorkerKey, shardHash
+	settings.MinFeedInterval, settings.BatchPause, settings.Sharded, settings.ShardHash = 0, time.Millisecond, isWorkerKey, shardHash
 	recorded := &recorder{}
 	return NewReplica(store, "", settings, recorded, nil), recorded
 }
@@ -56,7 +56,7 @@
 		shardHash := rapid.Uint64().Draw(t, "shard hash")
 		follower, recorded := newShardedReplica(nil, shardHash)
 		follower.startWithoutShard(nil, 0, "")
-		follower.SetCalm(true)
+		follower.SetStandby(true)
 		poll := func(upstream *Replica) {
 			follower.feed = changesFunc(upstream.Changes)
 			if err := follower.pollFeed(context.Background(), 0); err != nil && upstream.table != nil {
@@ -90,7 +90,7 @@
 			case 6:
 				poll(upstreams[index])
 			case 7:
-				follower.SetCalm(!follower.standby.Load())
+				follower.SetStandby(!follower.standby.Load())
 			}
 		}
 		list(upstreams[0])
@@ -168,7 +168,7 @@
 
 func (s *standbyOnApply) Apply(events []Event) {
 	s.recorder.Apply(events)
-	s.replica.SetCalm(true)
+	s.replica.SetStandby(true)
 }
 
 // TestStandbyDoesNotListWorkers checks that a starting process that becomes standby after the first pages of its list
@@ -229,7 +229,7 @@
 // deferrable.
 func TestNewRecordsAreDeferrable(t *testing.T) {
 	upstream, _ := newShardedReplica(nil, 0)
-	upstream.settings.Unhurried = func(key string) bool { return strings.HasPrefix(key, "gateways/") }
+	upstream.settings.Deferrable = func(key string) bool { return strings.HasPrefix(key, "gateways/") }
 	upstream.replace(Snapshot{Items: []Item{item("configuration", 1), item("workers/0", 2)}, Revision: 2})
 	for i, test := range []struct {
 		event Event
@@ -260,8 +260,8 @@
 		want    time.Duration
 	}{{12, 5 * time.Second, 40 * time.Millisecond}, {300, 5 * time.Second, 300 * time.Millisecond}, {5000, 5 * time.Second, 500 * time.Millisecond}, {5000, 0, 5 * time.Second}} {
 		replica, _ := newShardedReplica(nil, 0)
-		replica.SetReaders(test.readers)
-		replica.SetKnownWithin(test.bound)
+		replica.SetReaderCount(test.readers)
+		replica.SetPropagationBound(test.bound)
 		if got := replica.stretchPause(40 * time.Millisecond); got != test.want {
 			t.Errorf("%d readers: the pause is %s, want %s", test.readers, got, test.want)
 		}
@@ -353,15 +353,15 @@
 			return items, 1_000, nil
 		}}}, 3)
 		replica.startWithoutShard(nil, 0, "")
-		replica.SetCalm(true)
+		replica.SetStandby(true)
 		replica.SetFeed(changesFunc(upstream.Changes))
 		if err := replica.pollFeed(t.Context(), 0); err != nil || replica.shardCount != 8 {
 			t.Fatalf("the replica holds one of %d shards, error %v", replica.shardCount, err)
 		}
 		if !entriesAnswer {
-			upstream.SetCalm(true)
+			upstream.SetStandby(true)
 		}
-		replica.SetCalm(false)
+		replica.SetStandby(false)
 		if err := replica.step(t.Context()); err != nil || replica.shardCount != 1 || replica.shardedItems != 1_000 || (lists == 0) != entriesAnswer {
 			t.Errorf("entries answer: %t; one of %d shards, %d records, %d lists, error %v", entriesAnswer, replica.shardCount, replica.shardedItems, lists, err)
 		}
@@ -378,9 +378,9 @@
 		return []Item{item("a", 3)}, 8, nil
 	}}
 	replica, _ := newShardedReplica(store, 0)
-	replica.SetKnownWithin(250 * time.Millisecond)
+	replica.SetPropagationBound(250 * time.Millisecond)
 	replica.replace(Snapshot{Items: []Item{item("a", 3)}, Revision: 5})
-	replica.SetCalm(true)
+	replica.SetStandby(true)
 	lost := Changes{Revision: 5, Shards: 1, StoreUnavailable: true}
 	replica.SetFeed(feedFunc(func(ChangesRequest) (Changes, error) { return lost, nil }))
 	if err := replica.pollFeed(t.Context(), 0); err != nil {
--- a/internal/store/snapshot.go
+++ b/internal/store/snapshot.go
@@ -120,7 +120,7 @@
 			listed[event.Key] = event.Revision
 		}
 		for event := range r.table.after(snapshot.Revision) {
-			isOwn := !r.isSharded(event.Key) || inShard(event.Key, r.settings.Seat, snapshot.Shards)
+			isOwn := !r.isSharded(event.Key) || inShard(event.Key, r.settings.ShardHash, snapshot.Shards)
 			if isOwn && event.Revision > listed[event.Key] {
 				events = append(events, event)
 			}
@@ -185,7 +185,7 @@
 	var newer []Event
 	for _, event := range events {
 		previous := r.table.get(event.Key)
-		inOtherShard := r.isSharded(event.Key) && !inShard(event.Key, r.settings.Seat, r.shardCount)
+		inOtherShard := r.isSharded(event.Key) && !inShard(event.Key, r.settings.ShardHash, r.shardCount)
 		if event.Revision <= previous.Revision || inOtherShard {
 			continue
 		}
