--- a/internal/changefeed/changefeed_test.go
+++ b/internal/changefeed/changefeed_test.go
@@ -82,7 +82,7 @@
 }
 
 // newFollower returns a follower in zone a, and a function that returns the entries it reported.
-func newFollower(tellers ...changefeed.Teller) (*changefeed.Follower, func() []string) {
+func newFollower(tellers ...changefeed.Upstream) (*changefeed.Follower, func() []string) {
 	var mutex sync.Mutex
 	var reported []string
 	follower := changefeed.NewFollower("me", "a", func(entries, live []string) {
@@ -90,7 +90,7 @@
 		defer mutex.Unlock()
 		reported = append(slices.Clone(entries), live...)
 	})
-	follower.SetTellers(tellers)
+	follower.SetUpstreams(tellers)
 	return follower, func() []string {
 		mutex.Lock()
 		defer mutex.Unlock()
@@ -100,7 +100,7 @@
 
 func TestRequestReturnsAtFirstChange(t *testing.T) {
 	source := newSource(changeAt(4))
-	follower, entries := newFollower(changefeed.Teller{Name: "x", Zone: "a", Address: serve(t, source)})
+	follower, entries := newFollower(changefeed.Upstream{Name: "x", Zone: "a", Address: serve(t, source)})
 	changes, err := follower.Next(t.Context(), requestAfter(3, time.Second))
 	if err != nil || changes.Revision != 4 || len(changes.Changed) != 1 {
 		t.Fatalf("got %+v, %v", changes, err)
@@ -121,10 +121,10 @@
 func TestUpstreamsOfOwnZoneAlternateAndFailOver(t *testing.T) {
 	sameZone, otherSameZone, otherZone := newSource(changeAt(4)), newSource(changeAt(4)), newSource(changeAt(4))
 	follower, _ := newFollower(
-		changefeed.Teller{Name: "near", Zone: "a", Address: serve(t, sameZone)},
-		changefeed.Teller{Name: "otherNear", Zone: "a", Address: serve(t, otherSameZone)},
-		changefeed.Teller{Name: "far", Zone: "b", Address: serve(t, otherZone)},
-		changefeed.Teller{Name: "me", Zone: "a", Address: "127.0.0.1:1"},
+		changefeed.Upstream{Name: "near", Zone: "a", Address: serve(t, sameZone)},
+		changefeed.Upstream{Name: "otherNear", Zone: "a", Address: serve(t, otherSameZone)},
+		changefeed.Upstream{Name: "far", Zone: "b", Address: serve(t, otherZone)},
+		changefeed.Upstream{Name: "me", Zone: "a", Address: "127.0.0.1:1"},
 	)
 	request := func(times int) {
 		t.Helper()
@@ -153,7 +153,7 @@
 	lost.StoreUnavailable = true
 	address := serve(t, newSource(lost))
 	follower, _ := newFollower(
-		changefeed.Teller{Name: "x", Zone: "a", Address: address}, changefeed.Teller{Name: "y", Zone: "a", Address: serve(t, newSource(lost))},
+		changefeed.Upstream{Name: "x", Zone: "a", Address: address}, changefeed.Upstream{Name: "y", Zone: "a", Address: serve(t, newSource(lost))},
 	)
 	if _, err := follower.Next(t.Context(), requestAfter(3, 0)); !errors.Is(err, store.ErrNoUpstream) {
 		t.Errorf("first request: got error %v, want an attempt to use the store", err)
@@ -197,11 +197,11 @@
 	silentFor := func(ms int64) store.Changes { return store.Changes{Revision: 4, StoreSilence: &ms} }
 	sameZone, otherSameZone, otherZone := newSource(silentFor(500)), newSource(silentFor(500)), newSource(changeAt(9))
 	follower, _ := newFollower(
-		changefeed.Teller{Name: "near", Zone: "a", Address: serve(t, sameZone)},
-		changefeed.Teller{Name: "otherNear", Zone: "a", Address: serve(t, otherSameZone)},
-		changefeed.Teller{Name: "far", Zone: "b", Address: serve(t, otherZone)},
+		changefeed.Upstream{Name: "near", Zone: "a", Address: serve(t, sameZone)},
+		changefeed.Upstream{Name: "otherNear", Zone: "a", Address: serve(t, otherSameZone)},
+		changefeed.Upstream{Name: "far", Zone: "b", Address: serve(t, otherZone)},
 	)
-	follower.SetBound(2 * time.Second)
+	follower.SetPropagationBound(2 * time.Second)
 	if changes, err := follower.Next(t.Context(), requestAfter(4, 0)); err != nil || changes.Revision != 4 {
 		t.Errorf("store silent for 0.5 s: got %+v, %v", changes, err)
 	}
@@ -223,7 +223,7 @@
 // requester.
 func TestUnrelatedChangesDoNotEndRequest(t *testing.T) {
 	source := newSource(changeAt(4))
-	follower, _ := newFollower(changefeed.Teller{Name: "x", Zone: "a", Address: serve(t, source)})
+	follower, _ := newFollower(changefeed.Upstream{Name: "x", Zone: "a", Address: serve(t, source)})
 	time.AfterFunc(30*time.Millisecond, func() { source.set(store.Changes{Revision: 4}) })
 	started := time.Now()
 	changes, err := follower.Next(t.Context(), requestAfter(4, 150*time.Millisecond))
--- a/internal/changefeed/follower.go
+++ b/internal/changefeed/follower.go
@@ -12,8 +12,8 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// Teller is a gateway that serves changes.
-type Teller struct {
+// Upstream is a gateway that serves changes.
+type Upstream struct {
 	Name string
 	Zone string
 	// Address is the address of the control interface, host:port.
@@ -31,7 +31,7 @@
 
 	// mu protects the following fields.
 	mu        sync.Mutex
-	upstreams []Teller
+	upstreams []Upstream
 	// failedUntil holds until when to skip upstreams that failed, by address.
 	failedUntil map[string]time.Time
 	// storeLostUntil holds until when to prefer others to upstreams that cannot reach the store, by address.
@@ -67,8 +67,8 @@
 	return int(hash.Sum32() >> 1)
 }
 
-// SetTellers sets the gateways to request changes from. Those without an address and this gateway are ignored.
-func (f *Follower) SetTellers(upstreams []Teller) {
+// SetUpstreams sets the gateways to request changes from. Those without an address and this gateway are ignored.
+func (f *Follower) SetUpstreams(upstreams []Upstream) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.upstreams = nil
@@ -84,8 +84,8 @@
 // rest of the bound suffices to query another one.
 const storeSilenceFraction = 0.75
 
-// SetBound sets the time within which all gateways must know a change.
-func (f *Follower) SetBound(bound time.Duration) {
+// SetPropagationBound sets the time within which all gateways must know a change.
+func (f *Follower) SetPropagationBound(bound time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.maxStoreSilence = time.Duration(storeSilenceFraction * float64(bound))
@@ -153,11 +153,11 @@
 // pickUpstream returns the upstream with a name, or for an empty name the next in turn: from the own zone if possible,
 // otherwise from any. It skips upstreams that failed recently, and returns one that cannot reach the store only if
 // there is no other.
-func (f *Follower) pickUpstream(now time.Time, name string) (Teller, bool) {
+func (f *Follower) pickUpstream(now time.Time, name string) (Upstream, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.turn++
-	var sameZone, otherZones, storeLost []Teller
+	var sameZone, otherZones, storeLost []Upstream
 	for _, upstream := range f.upstreams {
 		switch {
 		case now.Before(f.failedUntil[upstream.Address]):
@@ -170,23 +170,23 @@
 			otherZones = append(otherZones, upstream)
 		}
 	}
-	for _, candidates := range [][]Teller{sameZone, otherZones, storeLost} {
+	for _, candidates := range [][]Upstream{sameZone, otherZones, storeLost} {
 		if len(candidates) > 0 {
 			return candidates[f.turn%len(candidates)], true
 		}
 	}
-	return Teller{}, false
+	return Upstream{}, false
 }
 
 // markStoreLost makes the follower prefer other upstreams for a while.
-func (f *Follower) markStoreLost(upstream Teller) {
+func (f *Follower) markStoreLost(upstream Upstream) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.storeLostUntil[upstream.Address] = time.Now().Add(storeLostPause)
 }
 
 // markFailed makes the follower skip an upstream for a while after an error.
-func (f *Follower) markFailed(upstream Teller, err error) {
+func (f *Follower) markFailed(upstream Upstream, err error) {
 	now, pause := time.Now(), failurePause
 	if errors.Is(err, errUnavailable) {
 		pause = startupPause
--- a/internal/gateway/entries.go
+++ b/internal/gateway/entries.go
@@ -179,8 +179,8 @@
 	if entriesChanged {
 		g.replica.NotifyWaiters()
 	}
-	g.feedFollower.SetTellers(lo.Map(entries, func(entry member.Gateway, _ int) changefeed.Teller {
-		return changefeed.Teller{Name: entry.Name, Zone: entry.Zone, Address: entry.ControlAddress}
+	g.feedFollower.SetUpstreams(lo.Map(entries, func(entry member.Gateway, _ int) changefeed.Upstream {
+		return changefeed.Upstream{Name: entry.Name, Zone: entry.Zone, Address: entry.ControlAddress}
 	}))
 	g.setRetrySharers(audience.Standby, len(entries), len(suspects)+len(claimants), serving)
 	g.loadExchange.SetAudience(audience)
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -186,7 +186,7 @@
 	g.replica = store.NewReplica(ports.Store, allKeys, replication, g.view,
 		changefeed.NewSeeds(settings.Seeds).Fetch)
 	g.feedFollower = changefeed.NewFollower(settings.Name, settings.Zone, g.receiveFeedEntries)
-	g.feedFollower.SetBound(settings.ConfigurationAge)
+	g.feedFollower.SetPropagationBound(settings.ConfigurationAge)
 	g.replica.SetFeed(g.feedFollower)
 	g.replica.SetLister(g.lister)
 	g.replica.SetPropagationBound(settings.ConfigurationAge)
