--- a/internal/cluster/gateways.go
+++ b/internal/cluster/gateways.go
@@ -7,9 +7,9 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// Connected records that the store answered this process. If this process follows the store itself, its configuration
+// StoreAnswered records that the store answered this process. If this process follows the store itself, its configuration
 // is then up to date; a standby gateway may get answers from the store but no changes from its upstreams.
-func (v *View) Connected(followsStore bool) {
+func (v *View) StoreAnswered(followsStore bool) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	now := v.now()
@@ -19,8 +19,8 @@
 	v.gateways.Connected(now)
 }
 
-// Told records the entries named by another gateway, and those of them that it received heartbeats from.
-func (v *View) Told(entries, live []string) {
+// EntriesReported records the entries named by another gateway, and those of them that it received heartbeats from.
+func (v *View) EntriesReported(entries, live []string) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	v.gateways.Told(v.now(), entries, live)
@@ -34,24 +34,24 @@
 	return !v.configurationCheckedAt.IsZero() && v.now().Sub(v.configurationCheckedAt) < within
 }
 
-// IsNew reports whether the whole fleet was started within the given time: there had never been a controller when this
+// IsNewFleet reports whether the whole fleet was started within the given time: there had never been a controller when this
 // process first listed the store.
-func (v *View) IsNew(within time.Duration) bool {
+func (v *View) IsNewFleet(within time.Duration) bool {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	return v.fleetIsNew && v.now().Sub(v.listedAt) < within
 }
 
-// Steady returns how long the store has been available to this process or its upstreams. Records that expired during an
+// TimeSinceStoreLoss returns how long the store has been available to this process or its upstreams. Records that expired during an
 // outage are written again within a few seconds.
-func (v *View) Steady() time.Duration {
+func (v *View) TimeSinceStoreLoss() time.Duration {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	return v.now().Sub(v.storeLostAt)
 }
 
-// Named returns the gateways that callers are directed to.
-func (v *View) Named() []member.Gateway {
+// AdvertisedGateways returns the gateways that callers are directed to.
+func (v *View) AdvertisedGateways() []member.Gateway {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	return v.gateways.Named(v.now())
@@ -71,8 +71,8 @@
 	return v.gateways.Entries(v.now())
 }
 
-// Registered returns the entries as determined by the store alone, regardless of heartbeats.
-func (v *View) Registered() []member.Gateway {
+// RegisteredEntries returns the entries as determined by the store alone, regardless of heartbeats.
+func (v *View) RegisteredEntries() []member.Gateway {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	return v.gateways.Registered(v.now())
@@ -120,15 +120,15 @@
 	return v.gateways.Reachable(v.now())
 }
 
-// Heard records a heartbeat of another gateway.
-func (v *View) Heard(name string) {
+// HeartbeatReceived records a heartbeat of another gateway.
+func (v *View) HeartbeatReceived(name string) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	v.gateways.Heard(v.now(), name)
 }
 
-// Unheard records that another gateway is now standby and stops sending heartbeats.
-func (v *View) Unheard(name string) {
+// BecameStandby records that another gateway is now standby and stops sending heartbeats.
+func (v *View) BecameStandby(name string) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	v.gateways.Unheard(name)
--- a/internal/cluster/view.go
+++ b/internal/cluster/view.go
@@ -45,8 +45,8 @@
 	GatewaysChanged()
 	// ControllerChanged passes the value and revision of the controller key; nil if no gateway holds it.
 	ControllerChanged(value []byte, revision store.Revision)
-	// UsageAgreed passes the usage ledger.
-	UsageAgreed(value []byte)
+	// UsageLedgerChanged passes the usage ledger.
+	UsageLedgerChanged(value []byte)
 	// BarsListed passes all bars of requests, and BarChanged a change of one.
 	BarsListed(items []store.Item)
 	BarChanged(event store.Event)
@@ -56,10 +56,10 @@
 	StoreRestored(era int64)
 	// Registered reports that the registration of this gateway was seen for the first time or with a new revision.
 	Registered()
-	// Confirmed reports that the store held the registration of this gateway at a time by boottime, and that all
+	// RegistrationConfirmed reports that the store held the registration of this gateway at a time by boottime, and that all
 	// changes of the list of gateways up to that time have been passed. The fleet is new if there had never been a
 	// controller when the store was first listed.
-	Confirmed(at time.Time, fleetIsNew bool)
+	RegistrationConfirmed(at time.Time, fleetIsNew bool)
 }
 
 // View is a store.Consumer that maintains the view. The methods of store.Consumer must be called from a single
@@ -136,7 +136,7 @@
 			workers = append(workers, worker)
 		}
 		if item.Key == usage.Key {
-			v.listener.UsageAgreed(item.Value)
+			v.listener.UsageLedgerChanged(item.Value)
 		}
 	}
 	v.listener.BarsListed(bars)
@@ -216,7 +216,7 @@
 			v.listener.ControllerChanged(event.Value, event.Revision)
 		}
 		if event.Key == usage.Key && !event.Deleted {
-			v.listener.UsageAgreed(event.Value)
+			v.listener.UsageLedgerChanged(event.Value)
 		}
 		if event.Key == v.ownKey {
 			v.updateRegistration(!event.Deleted, event.Revision)
@@ -270,7 +270,7 @@
 	isListed, fleetIsNew := v.gateways.IsListed(), v.fleetIsNew
 	v.mutex.Unlock()
 	if isListed && !v.registrationSeenAt.IsZero() && !asOf.Before(v.registrationSeenAt) {
-		v.listener.Confirmed(asOf, fleetIsNew)
+		v.listener.RegistrationConfirmed(asOf, fleetIsNew)
 	}
 }
 
@@ -294,9 +294,9 @@
 	return true
 }
 
-// WorkerLeaves records that a worker incarnation announced its shutdown before its record shows it, and reports whether
+// WorkerLeaving records that a worker incarnation announced its shutdown before its record shows it, and reports whether
 // that is new.
-func (v *View) WorkerLeaves(id string) bool {
+func (v *View) WorkerLeaving(id string) bool {
 	v.rosterMutex.Lock()
 	changed := v.roster.AnnounceLeaving(v.now(), id)
 	v.rosterMutex.Unlock()
--- a/internal/cluster/view_test.go
+++ b/internal/cluster/view_test.go
@@ -58,11 +58,11 @@
 func (r *recorder) StoreRestored(int64)                              {}
 func (r *recorder) GatewaysChanged()                                 {}
 func (r *recorder) ControllerChanged(value []byte, _ store.Revision) { r.controller = string(value) }
-func (r *recorder) UsageAgreed([]byte)                               {}
+func (r *recorder) UsageLedgerChanged([]byte)                        {}
 func (r *recorder) BarsListed([]store.Item)                          {}
 func (r *recorder) BarChanged(store.Event)                           {}
 func (r *recorder) Unregistered()                                    { r.unregistered++ }
-func (r *recorder) Confirmed(at time.Time, fleetIsNew bool) {
+func (r *recorder) RegistrationConfirmed(at time.Time, fleetIsNew bool) {
 	r.confirmed, r.fleetIsNew = at, fleetIsNew
 }
 func (r *recorder) Registered() { r.registered++ }
@@ -223,7 +223,7 @@
 	view.now = func() time.Time { return now }
 	view.UpToDate(now)
 	now = now.Add(4 * time.Second)
-	view.Connected(false)
+	view.StoreAnswered(false)
 	if view.IsFresh(3 * time.Second) {
 		t.Error("a response to a standby gateway made the configuration fresh")
 	}
@@ -232,7 +232,7 @@
 		t.Error("changes did not make the configuration fresh")
 	}
 	now = now.Add(4 * time.Second)
-	view.Connected(true)
+	view.StoreAnswered(true)
 	if !view.IsFresh(3 * time.Second) {
 		t.Error("a response to a gateway that follows the store did not make the configuration fresh")
 	}
--- a/internal/gateway/capacity.go
+++ b/internal/gateway/capacity.go
@@ -40,7 +40,7 @@
 func (g *Gateway) capacityGroup(group routing.Group) capacity.Group {
 	observed := capacity.Group{
 		Name: group.Name, BootTime: group.Scaling.BootTime, Present: capacity.Plan{}, Busy: g.dispatcher.Utilization(group.Name),
-		MostRegistered: g.view.Steady() > initialRecordTime, RecordsComplete: g.view.Steady() > recordRecoveryTime, NewFleet: g.view.IsNew(newFleetPeriod),
+		MostRegistered: g.view.TimeSinceStoreLoss() > initialRecordTime, RecordsComplete: g.view.TimeSinceStoreLoss() > recordRecoveryTime, NewFleet: g.view.IsNewFleet(newFleetPeriod),
 		Offer: capacity.Offer{MinPerZone: group.Scaling.Min, MaxPerZone: group.Scaling.Max, SpotPrice: group.Scaling.SpotPrice},
 	}
 	for zone, price := range group.Scaling.ZonePrices {
--- a/internal/gateway/entries.go
+++ b/internal/gateway/entries.go
@@ -116,7 +116,7 @@
 	g.entries.mu.Lock()
 	defer g.entries.mu.Unlock()
 	if now := boottime.Now(); now.Sub(g.entries.advertisedAt) >= advertisedTTL {
-		g.entries.advertised, g.entries.advertisedAt = g.view.Named(), now
+		g.entries.advertised, g.entries.advertisedAt = g.view.AdvertisedGateways(), now
 	}
 	return g.entries.advertised
 }
@@ -128,7 +128,7 @@
 
 // receiveFeedEntries applies the entries that another gateway sent along with its change feed.
 func (g *Gateway) receiveFeedEntries(names, live []string) {
-	g.view.Told(names, live)
+	g.view.EntriesReported(names, live)
 	if !slices.Equal(names, g.entryNames()) {
 		g.GatewaysChanged()
 	}
@@ -159,7 +159,7 @@
 	g.entries.mu.Lock()
 	defer g.entries.mu.Unlock()
 	g.entries.advertisedAt = time.Time{}
-	g.dispatcher.SetHolders(gatewayNames(g.view.Registered()))
+	g.dispatcher.SetHolders(gatewayNames(g.view.RegisteredEntries()))
 	entries, suspects := g.view.Entries()
 	serving := g.view.ServingCount()
 	claimants := g.view.Claimants()
@@ -263,7 +263,7 @@
 // handleLease passes a renewed lease to the controller. A standby gateway does not offer its lease for the controller
 // key, because a successor would have to wait too long for its expiry.
 func (g *Gateway) handleLease(start time.Time, lease int64, ttl time.Duration) {
-	g.view.Connected(g.isEntry())
+	g.view.StoreAnswered(g.isEntry())
 	g.replica.RecordStoreResponse()
 	if ttl > g.settings.LeaseTTL {
 		lease = 0
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -299,9 +299,9 @@
 // ApplyUpdate implements loadshare.Source.
 func (g *Gateway) ApplyUpdate(message *loadshare.Message) {
 	if message.Standby {
-		g.view.Unheard(message.Sender)
+		g.view.BecameStandby(message.Sender)
 	} else {
-		g.view.Heard(message.Sender)
+		g.view.HeartbeatReceived(message.Sender)
 	}
 	g.tenantUsage.merge(message)
 	g.barSyncer.guard.ApplyUpdate(message.Poison)
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -137,9 +137,9 @@
 	}
 }
 
-// Confirmed implements cluster.Listener. The set of entries is up to date at this point. FirstStart may be left over
+// RegistrationConfirmed implements cluster.Listener. The set of entries is up to date at this point. FirstStart may be left over
 // from an earlier deployment, so the store must also indicate a new fleet.
-func (g *Gateway) Confirmed(at time.Time, fleetIsNew bool) {
+func (g *Gateway) RegistrationConfirmed(at time.Time, fleetIsNew bool) {
 	if g.settings.FirstStart && fleetIsNew {
 		g.dispatcher.ConfirmFirstStart(at)
 		return
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -84,7 +84,7 @@
 	if !notice.Leaving && notice.BackOff == 0 {
 		return
 	}
-	if notice.Leaving && t.gateway.view.WorkerLeaves(worker.ID) {
+	if notice.Leaving && t.gateway.view.WorkerLeaving(worker.ID) {
 		t.announceLeaving(worker.ID)
 	}
 	if notice.BackOff > 0 {
--- a/internal/gateway/retrybudget_test.go
+++ b/internal/gateway/retrybudget_test.go
@@ -56,7 +56,7 @@
 		want                   float64
 	}{{true, true, 1}, {true, false, 0}, {false, true, 0}, {false, false, 0}} {
 		g := newBudgetGateway(Settings{RetryRatio: 0.2, RetryAllowance: 54, RetryWindow: 10 * time.Second, FirstStart: test.firstStart})
-		g.Confirmed(boottime.Now(), test.fleetIsNew)
+		g.RegistrationConfirmed(boottime.Now(), test.fleetIsNew)
 		if got := g.dispatcher.Budgets()[0].Share; got != test.want {
 			t.Errorf("%+v: share is %v", test, got)
 		}
--- a/internal/gateway/supplement.go
+++ b/internal/gateway/supplement.go
@@ -12,7 +12,7 @@
 // gateway got no notice from them.
 func (g *Gateway) ApplySupplement(supplement *loadshare.Supplement) {
 	for _, id := range supplement.Leaving {
-		if g.view.WorkerLeaves(id) {
+		if g.view.WorkerLeaving(id) {
 			g.notices.reportRemoteLeaving(id)
 		}
 	}
--- a/internal/gateway/tenantusage.go
+++ b/internal/gateway/tenantusage.go
@@ -69,8 +69,8 @@
 	u.tally.Merge(time.Now(), message.Sender, message.Used)
 }
 
-// UsageAgreed implements cluster.Listener.
-func (g *Gateway) UsageAgreed(value []byte) {
+// UsageLedgerChanged implements cluster.Listener.
+func (g *Gateway) UsageLedgerChanged(value []byte) {
 	if g.tenantUsage.tally == nil {
 		return
 	}
