--- a/internal/cluster/gateways.go
+++ b/internal/cluster/gateways.go
@@ -16,14 +16,14 @@
 	if followsStore {
 		v.configurationCheckedAt = now
 	}
-	v.gateways.Connected(now)
+	v.gateways.StoreAnswered(now)
 }
 
 // EntriesReported records the entries named by another gateway, and those of them that it received heartbeats from.
 func (v *View) EntriesReported(entries, live []string) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	v.gateways.Told(v.now(), entries, live)
+	v.gateways.EntriesReported(v.now(), entries, live)
 }
 
 // IsFresh reports whether the store, or another gateway that can reach it, answered within the given time. Otherwise
@@ -54,7 +54,7 @@
 func (v *View) AdvertisedGateways() []member.Gateway {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	return v.gateways.Named(v.now())
+	return v.gateways.AdvertisedGateways(v.now())
 }
 
 // Resumed records that this process was suspended.
@@ -75,7 +75,7 @@
 func (v *View) RegisteredEntries() []member.Gateway {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	return v.gateways.Registered(v.now())
+	return v.gateways.RegisteredEntries(v.now())
 }
 
 // Claimants returns the gateways that consider themselves entries while this one does not.
@@ -124,14 +124,14 @@
 func (v *View) HeartbeatReceived(name string) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	v.gateways.Heard(v.now(), name)
+	v.gateways.HeartbeatReceived(v.now(), name)
 }
 
 // BecameStandby records that another gateway is now standby and stops sending heartbeats.
 func (v *View) BecameStandby(name string) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	v.gateways.Unheard(name)
+	v.gateways.BecameStandby(name)
 }
 
 // Leave removes this gateway from the list.
--- a/internal/cluster/view.go
+++ b/internal/cluster/view.go
@@ -266,7 +266,7 @@
 	v.mutex.Lock()
 	v.currentAt = v.now()
 	v.configurationCheckedAt = v.currentAt
-	v.gateways.Connected(v.currentAt)
+	v.gateways.StoreAnswered(v.currentAt)
 	isListed, fleetIsNew := v.gateways.IsListed(), v.fleetIsNew
 	v.mutex.Unlock()
 	if isListed && !v.registrationSeenAt.IsZero() && !asOf.Before(v.registrationSeenAt) {
--- a/internal/gateway/agreement_test.go
+++ b/internal/gateway/agreement_test.go
@@ -92,7 +92,7 @@
 	g.lastRan = s.now
 	// An entry gets answers from the store; a standby gateway gets its state from an entry.
 	if g.isEntry {
-		g.list.Connected(s.now)
+		g.list.StoreAnswered(s.now)
 	} else if !s.now.Before(g.nextQuery) {
 		g.nextQuery = s.now.Add(queryInterval)
 		s.query(g)
@@ -111,7 +111,7 @@
 	if entry == g || !s.isRunning(entry) || !entry.isEntry {
 		return
 	}
-	g.list.Told(s.now, gatewayNames(entry.entries), gatewayNames(entry.list.Named(s.now)))
+	g.list.EntriesReported(s.now, gatewayNames(entry.entries), gatewayNames(entry.list.AdvertisedGateways(s.now)))
 }
 
 // announce tells a gateway's audience whether it is an entry.
@@ -119,9 +119,9 @@
 	for _, name := range g.audience {
 		if other := s.gateway(name); s.isRunning(other) {
 			if g.isEntry {
-				other.list.Heard(s.now, g.name)
+				other.list.HeartbeatReceived(s.now, g.name)
 			} else {
-				other.list.Unheard(g.name)
+				other.list.BecameStandby(g.name)
 			}
 		}
 	}
--- a/internal/gateway/entries.go
+++ b/internal/gateway/entries.go
@@ -254,9 +254,9 @@
 	g.entries.mu.Unlock()
 	switch {
 	case isEntry && roleAge >= shortLeaseDelay:
-		g.registration.SetBrief(true)
+		g.registration.SetEntry(true)
 	case !isEntry && roleAge >= longLeaseDelay:
-		g.registration.SetBrief(false)
+		g.registration.SetEntry(false)
 	}
 }
 
--- a/internal/gateway/entrysizing.go
+++ b/internal/gateway/entrysizing.go
@@ -50,12 +50,12 @@
 }
 
 // entryUtilization returns the utilization of each entry.
-func (g *Gateway) entryUtilization() []member.Busy {
+func (g *Gateway) entryUtilization() []member.EntryLoad {
 	utilization := g.dispatcher.PeerUtilization()
 	utilization[g.settings.Name] = g.utilization.peak()
-	var busy []member.Busy
+	var busy []member.EntryLoad
 	for _, entry := range g.Entries() {
-		busy = append(busy, member.Busy{Cores: entry.Cores, Share: utilization[entry.Name]})
+		busy = append(busy, member.EntryLoad{Cores: entry.Cores, Utilization: utilization[entry.Name]})
 	}
 	return busy
 }
@@ -65,11 +65,11 @@
 	ctx, cancel := context.WithTimeout(ctx, sizingInterval)
 	defer cancel()
 	log := logging.Part(g.logger, "member").WithFields(logrus.Fields{"cores": fmt.Sprintf("%.1f", cores)})
-	value, err := json.Marshal(member.Need{Cores: cores})
+	value, err := json.Marshal(member.EntryNeed{Cores: cores})
 	if err == nil {
 		_, err = g.ports.Store.Commit(ctx, store.Transaction{
-			Conditions: []store.Condition{{Key: member.NeedKey, Revision: revision}},
-			Puts:       []store.Put{{Key: member.NeedKey, Value: value}},
+			Conditions: []store.Condition{{Key: member.EntryNeedKey, Revision: revision}},
+			Puts:       []store.Put{{Key: member.EntryNeedKey, Value: value}},
 		})
 	}
 	if err != nil {
@@ -78,7 +78,7 @@
 	}
 	log.Info("Changed the required entry capacity.")
 	g.recordDecision(decision.Record{
-		Kind: decision.KindEntry, Subject: member.NeedKey, Outcome: fmt.Sprintf("%.1f cores", cores),
+		Kind: decision.KindEntry, Subject: member.EntryNeedKey, Outcome: fmt.Sprintf("%.1f cores", cores),
 		Reason: "The CPU, network and descriptor utilization of the entries requires this capacity.",
 	})
 }
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -151,4 +151,4 @@
 func (g *Gateway) Registered() { g.replica.ShortenNextWatch() }
 
 // Unregistered implements cluster.Listener.
-func (g *Gateway) Unregistered() { g.registration.Again() }
+func (g *Gateway) Unregistered() { g.registration.Rewrite() }
--- a/internal/member/list.go
+++ b/internal/member/list.go
@@ -104,7 +104,7 @@
 	previousCores := l.neededCores
 	l.neededCores, l.needRevision = 0, 0
 	for _, item := range items {
-		if item.Key == NeedKey {
+		if item.Key == EntryNeedKey {
 			errs = append(errs, l.putNeed(item))
 		}
 	}
@@ -124,10 +124,10 @@
 // Apply applies a change of an item.
 func (l *List) Apply(now time.Time, event store.Event) error {
 	switch {
-	case event.Key == NeedKey && event.Deleted:
+	case event.Key == EntryNeedKey && event.Deleted:
 		l.neededCores, l.needRevision = 0, event.Revision
 		return nil
-	case event.Key == NeedKey:
+	case event.Key == EntryNeedKey:
 		return l.putNeed(event.Item)
 	case !IsRegistration(event.Key):
 		return nil
@@ -141,7 +141,7 @@
 
 // putNeed sets the number of cores that the entries need.
 func (l *List) putNeed(item store.Item) error {
-	var need Need
+	var need EntryNeed
 	if err := json.Unmarshal(item.Value, &need); err != nil {
 		return errors.Wrapf(err, "decode need %s", item.Key)
 	}
@@ -162,8 +162,8 @@
 	l.isRestored = true
 }
 
-// Heard records a heartbeat of another gateway, which claims to be an entry.
-func (l *List) Heard(now time.Time, name string) {
+// HeartbeatReceived records a heartbeat of another gateway, which claims to be an entry.
+func (l *List) HeartbeatReceived(now time.Time, name string) {
 	l.lastClaimed[name] = now
 	l.recordAlive(now, name)
 }
@@ -221,8 +221,8 @@
 	return l.ranking.without(suspected), byName(suspects)
 }
 
-// Unheard records that a gateway is now standby and stops sending heartbeats.
-func (l *List) Unheard(name string) {
+// BecameStandby records that a gateway is now standby and stops sending heartbeats.
+func (l *List) BecameStandby(name string) {
 	delete(l.lastHeard, name)
 	delete(l.lastClaimed, name)
 	delete(l.liveUntil, name)
@@ -333,7 +333,7 @@
 }
 
 // IsListKey reports whether the list depends on a key.
-func IsListKey(key string) bool { return key == NeedKey || IsRegistration(key) }
+func IsListKey(key string) bool { return key == EntryNeedKey || IsRegistration(key) }
 
 // IsRegistration reports whether a key is that of a registration.
 func IsRegistration(key string) bool {
--- a/internal/member/list_test.go
+++ b/internal/member/list_test.go
@@ -76,11 +76,11 @@
 func TestSilentGatewaysAreUnreachableUnlessMostAre(t *testing.T) {
 	list := newTestList(t, "b", "c", "d", "e")
 	for _, name := range []string{"b", "c", "d"} {
-		list.Heard(startTime, name)
+		list.HeartbeatReceived(startTime, name)
 	}
 	later := startTime.Add(heartbeatTimeout + time.Millisecond)
-	list.Heard(later, "c")
-	list.Heard(later, "d")
+	list.HeartbeatReceived(later, "c")
+	list.HeartbeatReceived(later, "d")
 	// Gateway e never sent a heartbeat and is listed because of its registration.
 	if got := gatewayNames(list.Reachable(later)); got != "[a c d e]" {
 		t.Errorf("one silent: %s", got)
@@ -95,11 +95,11 @@
 func TestStandbyGatewaysAreNotSuspected(t *testing.T) {
 	list := newTestList(t, "b", "c", "d", "e", "f", "g")
 	for _, name := range []string{"b", "c", "d"} {
-		list.Heard(startTime, name)
+		list.HeartbeatReceived(startTime, name)
 	}
-	list.Unheard("d")
+	list.BecameStandby("d")
 	later := startTime.Add(heartbeatTimeout + time.Millisecond)
-	list.Heard(later, "c")
+	list.HeartbeatReceived(later, "c")
 	if got := gatewayNames(list.Reachable(later)); got != "[a c d e f g]" {
 		t.Errorf("one entry silent: %s", got)
 	}
--- a/internal/member/liveness.go
+++ b/internal/member/liveness.go
@@ -21,8 +21,8 @@
 	reportedLiveWindow = 2500 * time.Millisecond
 )
 
-// Connected records that the store, or another gateway that follows it, answered this process.
-func (l *List) Connected(now time.Time) { l.connectedAt = now }
+// StoreAnswered records that the store, or another gateway that follows it, answered this process.
+func (l *List) StoreAnswered(now time.Time) { l.connectedAt = now }
 
 // isConnected reports whether this process got a response recently.
 func (l *List) isConnected(now time.Time) bool {
@@ -53,19 +53,19 @@
 	return entries, suspects
 }
 
-// Registered returns the entries by name as determined by the store alone. All processes with the same registrations
+// RegisteredEntries returns the entries by name as determined by the store alone. All processes with the same registrations
 // agree on them.
-func (l *List) Registered(now time.Time) []Gateway {
+func (l *List) RegisteredEntries(now time.Time) []Gateway {
 	if l.ServingCount(now) <= l.settings.MaxAllEntries {
 		return byName(slices.Collect(l.ranking.all()))
 	}
 	return selectEntries(l.ranking.all(), l.ranking.zones, l.neededCores, l.settings)
 }
 
-// Told records the entries that another gateway reported, and those of them that it received heartbeats from.
+// EntriesReported records the entries that another gateway reported, and those of them that it received heartbeats from.
 // Heartbeats of any other gateways are no longer expected.
-func (l *List) Told(now time.Time, entries, live []string) {
-	l.Connected(now)
+func (l *List) EntriesReported(now time.Time, entries, live []string) {
+	l.StoreAnswered(now)
 	clear(l.lastHeard)
 	for _, name := range entries {
 		l.recordAlive(now, name)
@@ -81,10 +81,10 @@
 	}
 }
 
-// Named returns the gateways that callers are directed to, by name: the entries known to be live. If there is none, it
+// AdvertisedGateways returns the gateways that callers are directed to, by name: the entries known to be live. If there is none, it
 // returns the own gateway, which can serve as well. A registration does not prove that a gateway is live, as that of a
 // standby gateway expires late.
-func (l *List) Named(now time.Time) []Gateway {
+func (l *List) AdvertisedGateways(now time.Time) []Gateway {
 	entries, _ := l.Entries(now)
 	named := slices.DeleteFunc(entries, func(entry Gateway) bool {
 		return entry.Name != l.own.Name && now.After(l.liveUntil[entry.Name])
--- a/internal/member/liveness_test.go
+++ b/internal/member/liveness_test.go
@@ -27,9 +27,9 @@
 
 // hearFrom connects the list and records heartbeats of gateways.
 func hearFrom(list *List, now time.Time, names ...string) {
-	list.Connected(now)
+	list.StoreAnswered(now)
 	for _, name := range names {
-		list.Heard(now, name)
+		list.HeartbeatReceived(now, name)
 	}
 }
 
@@ -75,13 +75,13 @@
 
 func TestAllEntriesAreReplacedOnlyWhileConnected(t *testing.T) {
 	list := largeList("g20")
-	list.Told(startTime, []string{"g00", "g01", "g02", "g03", "g04", "g05"}, nil)
+	list.EntriesReported(startTime, []string{"g00", "g01", "g02", "g03", "g04", "g05"}, nil)
 	list.Entries(startTime)
 	later := startTime.Add(connectedWindow + time.Millisecond)
 	if got := gatewayNames(entriesAt(list, later)); got != allEntries {
 		t.Errorf("not connected: %s", got)
 	}
-	list.Connected(later)
+	list.StoreAnswered(later)
 	if got := gatewayNames(entriesAt(list, later)); got != "[g06 g07 g08 g09 g10 g11]" {
 		t.Errorf("connected to the store: %s", got)
 	}
@@ -89,9 +89,9 @@
 
 func TestStandbyFollowsReportedEntries(t *testing.T) {
 	list := largeList("g20")
-	list.Told(startTime, []string{"g00", "g01", "g02", "g03", "g04", "g05"}, nil)
+	list.EntriesReported(startTime, []string{"g00", "g01", "g02", "g03", "g04", "g05"}, nil)
 	list.Entries(startTime)
-	list.Told(startTime, []string{"g00", "g02", "g03", "g04", "g05", "g07"}, nil)
+	list.EntriesReported(startTime, []string{"g00", "g02", "g03", "g04", "g05", "g07"}, nil)
 	if got := gatewayNames(entriesAt(list, startTime)); got != "[g00 g02 g03 g04 g05 g07]" {
 		t.Errorf("after the report that g01 was replaced: %s", got)
 	}
@@ -107,24 +107,24 @@
 // expire late.
 func TestOnlyLiveGatewaysAreNamed(t *testing.T) {
 	entry := largeList("g00")
-	if got := gatewayNames(entry.Named(startTime)); got != "[g00]" {
+	if got := gatewayNames(entry.AdvertisedGateways(startTime)); got != "[g00]" {
 		t.Errorf("without heartbeats: %s", got)
 	}
 	hearFrom(entry, startTime, "g01", "g02", "g03", "g04", "g05")
-	if got := gatewayNames(entry.Named(startTime)); got != allEntries {
+	if got := gatewayNames(entry.AdvertisedGateways(startTime)); got != allEntries {
 		t.Errorf("with heartbeats of all entries: %s", got)
 	}
 	later := startTime.Add(heartbeatTimeout + time.Millisecond)
 	hearFrom(entry, later, "g02", "g03", "g04", "g05")
-	if got := gatewayNames(entry.Named(later)); got != "[g00 g02 g03 g04 g05]" {
+	if got := gatewayNames(entry.AdvertisedGateways(later)); got != "[g00 g02 g03 g04 g05]" {
 		t.Errorf("g07 replaced g01 and sent no heartbeat yet: %s", got)
 	}
 	standby := largeList("g20")
-	standby.Told(startTime, []string{"g00", "g02", "g03", "g04", "g05", "g07"}, []string{"g00", "g02", "g03", "g04", "g05"})
-	if got := gatewayNames(standby.Named(startTime)); got != "[g00 g02 g03 g04 g05]" {
+	standby.EntriesReported(startTime, []string{"g00", "g02", "g03", "g04", "g05", "g07"}, []string{"g00", "g02", "g03", "g04", "g05"})
+	if got := gatewayNames(standby.AdvertisedGateways(startTime)); got != "[g00 g02 g03 g04 g05]" {
 		t.Errorf("after the report that g07 sent no heartbeat yet: %s", got)
 	}
-	if got := gatewayNames(standby.Named(startTime.Add(reportedLiveWindow + time.Millisecond))); got != "[g20]" {
+	if got := gatewayNames(standby.AdvertisedGateways(startTime.Add(reportedLiveWindow + time.Millisecond))); got != "[g20]" {
 		t.Errorf("without further reports: %s", got)
 	}
 }
@@ -135,7 +135,7 @@
 	list.Entries(startTime)
 	later := startTime.Add(time.Minute)
 	list.Resumed(later)
-	list.Connected(later)
+	list.StoreAnswered(later)
 	if got := gatewayNames(entriesAt(list, later)); got != allEntries {
 		t.Errorf("after resuming: %s", got)
 	}
@@ -156,10 +156,10 @@
 		const checkInterval, perZone = 100 * time.Millisecond, 10
 		for range perZone * int(entryAnswerTimeout/checkInterval+2) {
 			now = now.Add(checkInterval)
-			list.Connected(now)
+			list.StoreAnswered(now)
 			for _, entry := range entriesAt(list, now) {
 				if alive[entry.Name] {
-					list.Heard(now, entry.Name)
+					list.HeartbeatReceived(now, entry.Name)
 				}
 			}
 		}
@@ -194,7 +194,7 @@
 			entriesAt(one, now)
 			entriesAt(other, now)
 		}
-		if a, b := fmt.Sprint(one.Registered(now)), fmt.Sprint(other.Registered(now)); a != b {
+		if a, b := fmt.Sprint(one.RegisteredEntries(now)), fmt.Sprint(other.RegisteredEntries(now)); a != b {
 			t.Fatalf("got %s and %s", a, b)
 		}
 	})
--- a/internal/member/registration.go
+++ b/internal/member/registration.go
@@ -71,13 +71,13 @@
 // Key returns the key of the registration.
 func (r *Registration) Key() string { return KeyPrefix + r.own.Name }
 
-// Again writes the registration again, for example because it has disappeared.
-func (r *Registration) Again() { signal(r.rewrite) }
+// Rewrite writes the registration again, for example because it has disappeared.
+func (r *Registration) Rewrite() { signal(r.rewrite) }
 
-// SetBrief sets whether the gateway is an entry, whose loss the others must notice soon. Initially it is not.
-func (r *Registration) SetBrief(isEntry bool) {
+// SetEntry sets whether the gateway is an entry, whose loss the others must notice soon. Initially it is not.
+func (r *Registration) SetEntry(isEntry bool) {
 	if r.isEntry.Swap(isEntry) != isEntry {
-		r.Again()
+		r.Rewrite()
 	}
 }
 
--- a/internal/member/registration_test.go
+++ b/internal/member/registration_test.go
@@ -107,7 +107,7 @@
 	leases.expired = true
 	leases.mutex.Unlock()
 	eventually("registered with a new lease", func(_ Gateway, lease int64, _ int) bool { return lease == 2 })
-	registration.Again()
+	registration.Rewrite()
 	eventually("registered again", func(_ Gateway, _ int64, puts int) bool { return puts == 3 })
 	registration.Leave()
 	eventually("left", func(gateway Gateway, _ int64, _ int) bool { return gateway.Leaving })
@@ -133,7 +133,7 @@
 		<-done
 	}()
 	for i, want := range []time.Duration{settings.TTL * settings.StandbyFactor, settings.TTL, settings.TTL * settings.StandbyFactor} {
-		registration.SetBrief(i%2 == 1)
+		registration.SetEntry(i%2 == 1)
 		select {
 		case got := <-ttls:
 			if got != want {
--- a/internal/member/sizer.go
+++ b/internal/member/sizer.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// NeedKey is the key under which the controller writes how many cores the entries need.
-const NeedKey = "entries"
+// EntryNeedKey is the key under which the controller writes how many cores the entries need.
+const EntryNeedKey = "entries"
 
-// Need is the value of NeedKey.
-type Need struct {
+// EntryNeed is the value of EntryNeedKey.
+type EntryNeed struct {
 	// Cores is the minimum total number of cores of the entries.
 	Cores float64 `json:"cores"`
 }
@@ -39,11 +39,11 @@
 	}
 }
 
-// Busy is the utilization of an entry.
-type Busy struct {
+// EntryLoad is the utilization of an entry.
+type EntryLoad struct {
 	Cores float64
-	// Share is the utilization of its most used resource, as a fraction of the limit.
-	Share float64
+	// Utilization is the utilization of its most used resource, as a fraction of the limit.
+	Utilization float64
 }
 
 // Sizer determines how many cores the entries need. It is a pure state machine.
@@ -65,10 +65,10 @@
 
 // Next returns the cores that the entries need, given their utilization and the current need, and whether the need
 // changes.
-func (s *Sizer) Next(now time.Time, entries []Busy, need float64) (float64, bool) {
+func (s *Sizer) Next(now time.Time, entries []EntryLoad, need float64) (float64, bool) {
 	utilization, cores := 0.0, 0.0
 	for _, entry := range entries {
-		utilization += entry.Cores * entry.Share
+		utilization += entry.Cores * entry.Utilization
 		cores += entry.Cores
 	}
 	if cores == 0 {
--- a/internal/member/sizer_test.go
+++ b/internal/member/sizer_test.go
@@ -26,19 +26,19 @@
 func runSizerScript(t *testing.T, script string) {
 	sizer := NewSizer(DefaultSizerSettings())
 	now, need, changes := startTime, 0.0, 0
-	var entries []Busy
+	var entries []EntryLoad
 	for line := range strings.Lines(script) {
 		line = strings.TrimSpace(line)
 		var count, seconds, wantChanges int
 		var share, wantNeed float64
 		switch {
 		case scanLine(line, "entries %d", &count):
-			entries = make([]Busy, count)
+			entries = make([]EntryLoad, count)
 		case scanLine(line, "for %ds utilization %g", &seconds, &share):
 			for range seconds {
 				now = now.Add(time.Second)
 				for i := range entries {
-					entries[i] = Busy{Cores: 0.8, Share: share}
+					entries[i] = EntryLoad{Cores: 0.8, Utilization: share}
 				}
 				next, changed := sizer.Next(now, entries, need)
 				if changed {
@@ -66,7 +66,7 @@
 // TestNeedInStoreDeterminesEntries checks the number of entries for a need that is written and deleted.
 func TestNeedInStoreDeterminesEntries(t *testing.T) {
 	list := largeList("g00")
-	item := store.Item{Key: NeedKey, Value: []byte(`{"cores":3.9}`), Revision: 7}
+	item := store.Item{Key: EntryNeedKey, Value: []byte(`{"cores":3.9}`), Revision: 7}
 	if err := list.Apply(startTime, store.Event{Item: item}); err != nil {
 		t.Fatal(err)
 	}
@@ -76,7 +76,7 @@
 	if _, revision := list.Need(); revision != 7 {
 		t.Errorf("got revision %d of the need", revision)
 	}
-	if err := list.Apply(startTime, store.Event{Item: store.Item{Key: NeedKey, Revision: 8}, Deleted: true}); err != nil {
+	if err := list.Apply(startTime, store.Event{Item: store.Item{Key: EntryNeedKey, Revision: 8}, Deleted: true}); err != nil {
 		t.Fatal(err)
 	}
 	if got := gatewayNames(entriesAt(list, startTime)); got != allEntries {
