--- a/internal/callers/conn.go
+++ b/internal/callers/conn.go
@@ -165,7 +165,7 @@
 	if !c.closed.Swap(true) {
 		c.server.remove(c)
 		if elapsed, notStarted := c.requestProgress(); !notStarted && !c.inHandler.Load() && !c.responseStarted.Load() {
-			c.server.observer.HeadUnanswered(c.closedBy(), c.RemoteAddr().String(), elapsed)
+			c.server.observer.RequestNotHandled(c.closedBy(), c.RemoteAddr().String(), elapsed)
 		}
 	}
 	return c.Conn.Close()
--- a/internal/callers/deadlines.go
+++ b/internal/callers/deadlines.go
@@ -25,7 +25,7 @@
 		c.closer.Store(int32(forward.CloserHeaderTimeout))
 	default:
 		c.closer.Store(int32(forward.CloserIdleTimeout))
-		c.server.observer.RestedOut()
+		c.server.observer.IdleTimeout()
 	}
 	return true
 }
--- a/internal/callers/disconnect.go
+++ b/internal/callers/disconnect.go
@@ -14,10 +14,10 @@
 // made only once data of the next request has arrived.
 const disconnectPollInterval = 200 * time.Millisecond
 
-// UntilCallerLeaves returns a handler that cancels the context of a request when its caller closes the connection.
+// CancelOnDisconnect returns a handler that cancels the context of a request when its caller closes the connection.
 // net/http detects that only until the first byte of the next request arrives, because it then stops reading until the
 // first request is answered.
-func UntilCallerLeaves(handler http.Handler) http.Handler {
+func CancelOnDisconnect(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		conn, ok := r.Context().Value(connKey{}).(*connection)
 		if !ok {
--- a/internal/callers/server.go
+++ b/internal/callers/server.go
@@ -23,11 +23,11 @@
 
 // Observer receives events about connections.
 type Observer interface {
-	// RestedOut reports a connection closed by the idle timeout.
-	RestedOut()
-	// HeadUnanswered reports a connection that was closed before a request header was complete or reached the handler,
+	// IdleTimeout reports a connection closed by the idle timeout.
+	IdleTimeout()
+	// RequestNotHandled reports a connection that was closed before a request header was complete or reached the handler,
 	// with the side that closed it and how long the request had been arriving.
-	HeadUnanswered(closedBy forward.Closer, peer string, elapsed time.Duration)
+	RequestNotHandled(closedBy forward.Closer, peer string, elapsed time.Duration)
 }
 
 // Traffic counts bytes received and sent, and open connections.
@@ -89,10 +89,10 @@
 	}
 }
 
-// NewSideServer returns a server for other gateways, operators and endpoint discovery. Its connections have no idle
+// NewInternalServer returns a server for other gateways, operators and endpoint discovery. Its connections have no idle
 // timeout and are not counted as caller traffic. At shutdown the contexts of its requests are cancelled, so that long
 // polls are answered.
-func NewSideServer(handler http.Handler, observer Observer, logger *logrus.Entry) *Server {
+func NewInternalServer(handler http.Handler, observer Observer, logger *logrus.Entry) *Server {
 	ctx, cancel := context.WithCancel(context.Background())
 	server := newHTTPServer(handler, logger)
 	server.BaseContext = func(net.Listener) context.Context { return ctx }
@@ -158,10 +158,10 @@
 // transit. Shutdown does not wait for any other idle connection.
 const newConnGrace = 300 * time.Millisecond
 
-// ShutDown closes the listeners and idle connections of the servers, and waits until a deadline for connections on which
+// Shutdown closes the listeners and idle connections of the servers, and waits until a deadline for connections on which
 // a request has started to arrive. It waits at least newConnGrace. No connection is closed from this side before the
 // call, because a request may be in transit on any of them.
-func ShutDown(deadline time.Time, servers ...*Server) {
+func Shutdown(deadline time.Time, servers ...*Server) {
 	if earliest := time.Now().Add(newConnGrace); deadline.Before(earliest) {
 		deadline = earliest
 	}
--- a/internal/callers/shutdown_test.go
+++ b/internal/callers/shutdown_test.go
@@ -109,7 +109,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		side := NewSideServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		side := NewInternalServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			<-r.Context().Done()
 			_, _ = io.WriteString(w, "no changes")
 		}), &recordingObserver{}, logrus.NewEntry(logger))
@@ -144,7 +144,7 @@
 		<-handled
 		for _, grace := range []time.Duration{longRequest, -longRequest} {
 			start := time.Now()
-			ShutDown(start.Add(grace), s.Server)
+			Shutdown(start.Add(grace), s.Server)
 			earliest := max(grace, newConnGrace)
 			if took := time.Since(start); took < earliest || took > earliest+newConnGrace {
 				t.Errorf("with %v until the deadline, shutdown took %v", grace, took)
@@ -171,7 +171,7 @@
 func TestShutdownAnswersReceivedInternalRequests(t *testing.T) {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
-	side := NewSideServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "told") }),
+	side := NewInternalServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "told") }),
 		&recordingObserver{}, logrus.NewEntry(logger))
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
--- a/internal/callers/testserver_test.go
+++ b/internal/callers/testserver_test.go
@@ -108,11 +108,11 @@
 	events []string
 }
 
-// RestedOut implements Observer.
-func (c *recordingObserver) RestedOut() { c.add("idle timeout") }
+// IdleTimeout implements Observer.
+func (c *recordingObserver) IdleTimeout() { c.add("idle timeout") }
 
-// HeadUnanswered implements Observer.
-func (c *recordingObserver) HeadUnanswered(closedBy forward.Closer, _ string, _ time.Duration) {
+// RequestNotHandled implements Observer.
+func (c *recordingObserver) RequestNotHandled(closedBy forward.Closer, _ string, _ time.Duration) {
 	c.add("closed by " + closedBy.String())
 }
 
@@ -175,7 +175,7 @@
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		ShutDown(time.Now().Add(testTimeout), s.Server)
+		Shutdown(time.Now().Add(testTimeout), s.Server)
 		s.Close()
 	}()
 	return done
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -149,7 +149,7 @@
 	g.handler = forward.NewHandler(forward.DefaultSettings(), ports.Protocol, ports.Workers, g.dispatcher, g.metrics)
 	g.handler.SetFreshness(func() bool { return g.view.IsFresh(settings.ConfigurationAge) })
 	g.handler.SetCloserFunc(callers.CloserOf)
-	g.callers = callers.NewServer(callers.UntilCallerLeaves(g.handler), &g.utilization.traffic, g.metrics, logging.Part(logger, "gateway"))
+	g.callers = callers.NewServer(callers.CancelOnDisconnect(g.handler), &g.utilization.traffic, g.metrics, logging.Part(logger, "gateway"))
 	g.barSyncer = newBarSyncer(g, ports.Prober)
 	g.handler.SetGuard(g.barSyncer.guard)
 	g.handler.SetSuspectElection(g.ownsKey)
@@ -229,7 +229,7 @@
 		if service.address == "" {
 			continue
 		}
-		server := callers.NewSideServer(service.handler, g.metrics, logging.Part(g.logger, "gateway"))
+		server := callers.NewInternalServer(service.handler, g.metrics, logging.Part(g.logger, "gateway"))
 		if err := g.listen(service.address, server.Serve); err != nil {
 			g.close()
 			return err
@@ -364,7 +364,7 @@
 	for g.handler.Active() > 0 && time.Now().Before(deadline) {
 		time.Sleep(stopPollInterval)
 	}
-	callers.ShutDown(deadline, append(g.sideServers, g.callers)...)
+	callers.Shutdown(deadline, append(g.sideServers, g.callers)...)
 	log.WithField("unfinished", g.handler.Active()).Info("Stopped.")
 	g.close()
 }
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -295,8 +295,8 @@
 	return fields
 }
 
-// RestedOut implements callers.Observer.
-func (m *gatewayMetrics) RestedOut() { m.set.GetOrCreateCounter(metricRestedOut).Inc() }
+// IdleTimeout implements callers.Observer.
+func (m *gatewayMetrics) IdleTimeout() { m.set.GetOrCreateCounter(metricRestedOut).Inc() }
 
 // countUnanswered counts a request whose caller got no complete answer.
 func (m *gatewayMetrics) countUnanswered(closedBy forward.Closer) {
@@ -329,8 +329,8 @@
 	return forward.Reason("unanswered: " + closedBy.String())
 }
 
-// HeadUnanswered implements callers.Observer.
-func (m *gatewayMetrics) HeadUnanswered(closedBy forward.Closer, peer string, elapsed time.Duration) {
+// RequestNotHandled implements callers.Observer.
+func (m *gatewayMetrics) RequestNotHandled(closedBy forward.Closer, peer string, elapsed time.Duration) {
 	m.countUnanswered(closedBy)
 	if !m.allowLog(unansweredReason(closedBy)) {
 		return
--- a/internal/gateway/metrics_test.go
+++ b/internal/gateway/metrics_test.go
@@ -17,9 +17,9 @@
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	m := newGatewayMetrics(decisionlog.New("a", 16), logger)
-	m.RestedOut()
+	m.IdleTimeout()
 	for _, closer := range []forward.Closer{forward.CloserCaller, forward.CloserHeaderTimeout, forward.CloserShutdown} {
-		m.HeadUnanswered(closer, "127.0.0.1:1", time.Second)
+		m.RequestNotHandled(closer, "127.0.0.1:1", time.Second)
 	}
 	var text strings.Builder
 	m.set.WritePrometheus(&text)
