--- a/internal/accepting/accepting.go
+++ b/internal/accepting/accepting.go
@@ -89,8 +89,8 @@
 	}
 }
 
-// Able reports whether connections are accepted at the moment, and logs changes.
-func (l *Loop) Able(now time.Time) bool {
+// Accepting reports whether connections are accepted at the moment, and logs changes.
+func (l *Loop) Accepting(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	err := l.check(now)
--- a/internal/accepting/accepting_test.go
+++ b/internal/accepting/accepting_test.go
@@ -21,7 +21,7 @@
 	}
 	t.Cleanup(func() { _ = listener.Close() })
 	loop := New(logrus.NewEntry(logrus.New()))
-	if loop.Able(time.Now()) {
+	if loop.Accepting(time.Now()) {
 		t.Error("connections are accepted before anything listens")
 	}
 	return loop, loop.Watch(listener), listener.(*net.TCPListener)
@@ -31,7 +31,7 @@
 func (l *Loop) waitFor(t *testing.T, want bool, within time.Duration) {
 	t.Helper()
 	for start := time.Now(); time.Since(start) < within; time.Sleep(5 * time.Millisecond) {
-		if l.Able(time.Now()) == want {
+		if l.Accepting(time.Now()) == want {
 			return
 		}
 	}
@@ -72,12 +72,12 @@
 		if _, err := failing.Accept(); !errors.Is(err, syscall.EMFILE) {
 			t.Fatalf("got %v", err)
 		}
-		if loop.Able(time.Now()) {
+		if loop.Accepting(time.Now()) {
 			t.Error("Able returned true right after a failed Accept")
 		}
 	}
 	loop.setWaiting(true, nil)
-	if !loop.Able(time.Now()) {
+	if !loop.Accepting(time.Now()) {
 		t.Error("Able returned false for a loop that waits in Accept")
 	}
 }
@@ -100,7 +100,7 @@
 	}
 	// The loop is marked as waiting, so that only the queue shows that nothing is accepted.
 	loop.setWaiting(true, nil)
-	if !loop.Able(time.Now()) {
+	if !loop.Accepting(time.Now()) {
 		t.Error("Able returned false with an empty backlog")
 	}
 	for range backlog + 1 {
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -325,7 +325,7 @@
 
 // Ready reports whether the gateway accepts connections and requests.
 func (g *Gateway) Ready() bool {
-	return g.handler.Table() != nil && !g.leaving.Load() && g.accepting.Able(time.Now())
+	return g.handler.Table() != nil && !g.leaving.Load() && g.accepting.Accepting(time.Now())
 }
 
 // resolve returns the addresses that callers connect to and how long to cache them.
