--- a/internal/forward/availability.go
+++ b/internal/forward/availability.go
@@ -53,7 +53,7 @@
 	}
 	// The jitter keeps waiting requests from reaching the first worker at once and being refused again.
 	jitter := time.Duration(hashFraction(c.request.ID) * float64(wakeJitter))
-	if !pause.For(ctx, min(expected.expectedAt.Sub(now)+jitter, latest.Sub(now))) {
+	if !pause.Sleep(ctx, min(expected.expectedAt.Sub(now)+jitter, latest.Sub(now))) {
 		return false
 	}
 	c.attempts.reincludeRefused()
--- a/internal/gateway/restore.go
+++ b/internal/gateway/restore.go
@@ -58,11 +58,11 @@
 			return
 		case <-g.restoreTrigger:
 		}
-		if !g.isEntry() || !pause.For(ctx, time.Duration(g.entryRank())*restoreStagger) {
+		if !g.isEntry() || !pause.Sleep(ctx, time.Duration(g.entryRank())*restoreStagger) {
 			continue
 		}
 		for !g.restoreDocument(ctx) {
-			if !pause.For(ctx, restoreRetryDelay) {
+			if !pause.Sleep(ctx, restoreRetryDelay) {
 				return
 			}
 		}
@@ -112,7 +112,7 @@
 	for {
 		if g.editsMayBeLost.Load() && !g.restoreDocument(ctx) {
 			g.editsMayBeLost.Store(true)
-			if !pause.For(ctx, restoreRetryDelay) {
+			if !pause.Sleep(ctx, restoreRetryDelay) {
 				return configuration.ProposeResult{Err: ctx.Err()}
 			}
 			continue
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// For sleeps for a duration or until ctx ends, and reports whether ctx is still valid. It does not sleep if duration is
+// Sleep sleeps for a duration or until ctx ends, and reports whether ctx is still valid. It does not sleep if duration is
 // zero or negative.
-func For(ctx context.Context, duration time.Duration) bool {
+func Sleep(ctx context.Context, duration time.Duration) bool {
 	if duration <= 0 {
 		return ctx.Err() == nil
 	}
--- a/internal/soak/command.go
+++ b/internal/soak/command.go
@@ -255,4 +255,4 @@
 const timeFormat = "15:04:05.000"
 
 // sleep waits for a duration or the end of the context.
-func sleep(ctx context.Context, duration time.Duration) { pause.For(ctx, duration) }
+func sleep(ctx context.Context, duration time.Duration) { pause.Sleep(ctx, duration) }
--- a/internal/store/pause.go
+++ b/internal/store/pause.go
@@ -58,4 +58,4 @@
 }
 
 // sleep waits for a duration or until the context ends.
-func sleep(ctx context.Context, lasting time.Duration) { pause.For(ctx, lasting) }
+func sleep(ctx context.Context, lasting time.Duration) { pause.Sleep(ctx, lasting) }
