--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -48,18 +48,18 @@
 	return r.monotonic.Round(0).Add(elapsed)
 }
 
-// Watch detects that the machine was suspended. It is not safe for concurrent use.
-type Watch struct {
+// SuspendDetector detects that the machine was suspended. It is not safe for concurrent use.
+type SuspendDetector struct {
 	read func() reading
 	last reading
 }
 
 // NewWatch returns a Watch that starts now.
-func NewWatch() *Watch { return &Watch{read: read, last: read()} }
+func NewWatch() *SuspendDetector { return &SuspendDetector{read: read, last: read()} }
 
-// Slept returns how long the machine was suspended since the last call: the difference between CLOCK_BOOTTIME and the
+// Suspended returns how long the machine was suspended since the last call: the difference between CLOCK_BOOTTIME and the
 // monotonic clock.
-func (w *Watch) Slept() time.Duration {
+func (w *SuspendDetector) Suspended() time.Duration {
 	now := w.read()
 	defer func() { w.last = now }()
 	return max(w.last.timeAt(now).Sub(w.last.monotonic.Round(0))-now.monotonic.Sub(w.last.monotonic), 0)
--- a/internal/boottime/boottime_test.go
+++ b/internal/boottime/boottime_test.go
@@ -23,18 +23,18 @@
 // TestSlept lets the two clocks diverge.
 func TestSlept(t *testing.T) {
 	clocks := reading{boot: time.Hour, monotonic: time.Now()}
-	w := &Watch{read: func() reading { return clocks }, last: clocks}
+	w := &SuspendDetector{read: func() reading { return clocks }, last: clocks}
 	advance := func(awake, asleep time.Duration) {
 		clocks = reading{boot: clocks.boot + awake + asleep, monotonic: clocks.monotonic.Add(awake)}
 	}
 	for _, test := range []struct{ awake, asleep time.Duration }{{time.Second, 0}, {time.Second, 4 * time.Second}, {0, time.Minute}, {time.Hour, 0}} {
 		advance(test.awake, test.asleep)
-		if got := w.Slept(); got != test.asleep {
+		if got := w.Suspended(); got != test.asleep {
 			t.Errorf("after %s awake and %s asleep got %s", test.awake, test.asleep, got)
 		}
 	}
 	clocks.boot = 0
-	if got := w.Slept(); got != 0 {
+	if got := w.Suspended(); got != 0 {
 		t.Errorf("without CLOCK_BOOTTIME got %s", got)
 	}
 }
--- a/internal/gateway/entries.go
+++ b/internal/gateway/entries.go
@@ -82,7 +82,7 @@
 		case <-timer.C:
 		}
 		now := boottime.Now()
-		if suspended := suspensions.Slept(); suspended > minLoggedSuspension {
+		if suspended := suspensions.Suspended(); suspended > minLoggedSuspension {
 			logging.Part(g.logger, "gateway").WithField("for_ms", suspended.Milliseconds()).Warn("The machine was suspended.")
 		}
 		if now.Sub(lastCheck) > interval+stallThreshold {
