--- a/internal/httpclient/client.go
+++ b/internal/httpclient/client.go
@@ -58,17 +58,17 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Belongs reports whether a response belongs to this request. Others are read and discarded. Nil accepts any
+	// MatchResponse reports whether a response belongs to this request. Others are read and discarded. Nil accepts any
 	// response.
-	Belongs func(status int, header http.Header) bool
+	MatchResponse func(status int, header http.Header) bool
 }
 
 // Settings configures a Client.
 type Settings struct {
 	// ConnectTimeout limits the time to open a connection.
 	ConnectTimeout time.Duration
-	// UnansweredTimeout limits how long sent data may stay unacknowledged before the connection is closed.
-	UnansweredTimeout time.Duration
+	// UnacknowledgedTimeout limits how long sent data may stay unacknowledged before the connection is closed.
+	UnacknowledgedTimeout time.Duration
 	// IdleTimeout limits the idle time of a connection if the worker sends no Keep-Alive header.
 	IdleTimeout time.Duration
 	// IdleMargin is subtracted from the idle timeout that the worker announces.
@@ -80,11 +80,11 @@
 // DefaultSettings returns settings for workers in the same region.
 func DefaultSettings() Settings {
 	return Settings{
-		ConnectTimeout:    300 * time.Millisecond,
-		UnansweredTimeout: 2 * time.Second,
-		IdleTimeout:       5 * time.Second,
-		IdleMargin:        300 * time.Millisecond,
-		MaxIdlePerAddress: 32,
+		ConnectTimeout:        300 * time.Millisecond,
+		UnacknowledgedTimeout: 2 * time.Second,
+		IdleTimeout:           5 * time.Second,
+		IdleMargin:            300 * time.Millisecond,
+		MaxIdlePerAddress:     32,
 	}
 }
 
@@ -99,11 +99,11 @@
 	return &Client{settings: settings, pool: newPool(settings)}
 }
 
-// Forget closes the idle connections to an address.
-func (c *Client) Forget(address string) { c.pool.forget(address) }
+// CloseIdle closes the idle connections to an address.
+func (c *Client) CloseIdle(address string) { c.pool.forget(address) }
 
-// Opened returns the number of connections opened so far.
-func (c *Client) Opened() int64 { return c.pool.opened.Load() }
+// ConnectionsOpened returns the number of connections opened so far.
+func (c *Client) ConnectionsOpened() int64 { return c.pool.opened.Load() }
 
 // Do sends a request and returns the response header. The body must be closed; the connection is kept only if the body
 // was read to its end. If ctx ends, the connection is closed immediately, also while the body is read. Errors are of
@@ -124,11 +124,11 @@
 // errClosedImmediately is returned for an address that accepts connections and closes them immediately.
 var errClosedImmediately = errors.New("connections are accepted and closed immediately")
 
-// Refuses reports whether an address refuses connections, that is, nothing listens there. A connection that is accepted
+// RefusesConnections reports whether an address refuses connections, that is, nothing listens there. A connection that is accepted
 // is kept for a later request. If it is closed immediately, a second attempt is made, because the process may be
 // exiting. An error means neither: the connection could not be opened for another reason, or was closed immediately
 // twice, for example because the process has too many connections or something else listens at the address.
-func (c *Client) Refuses(ctx context.Context, address string) (bool, error) {
+func (c *Client) RefusesConnections(ctx context.Context, address string) (bool, error) {
 	for attempt := 0; ; attempt++ {
 		conn, err := c.pool.open(ctx, address)
 		if errors.Is(err, syscall.ECONNREFUSED) {
--- a/internal/httpclient/client_test.go
+++ b/internal/httpclient/client_test.go
@@ -51,7 +51,7 @@
 	defer cancel()
 	response, err := client.Do(ctx, address, &Request{
 		Method: http.MethodPost, Target: "/a//b?c=%20d", Host: "host.example", Header: http.Header{"Id": {id}}, Body: []byte(body),
-		Belongs: func(_ int, header http.Header) bool { return header.Get("Id") == id },
+		MatchResponse: func(_ int, header http.Header) bool { return header.Get("Id") == id },
 	})
 	if err != nil {
 		return "", err
@@ -82,8 +82,8 @@
 			t.Fatalf("got %.60q, %v", got, err)
 		}
 	}
-	if client.Opened() != 1 {
-		t.Errorf("opened %d connections, want 1", client.Opened())
+	if client.ConnectionsOpened() != 1 {
+		t.Errorf("opened %d connections, want 1", client.ConnectionsOpened())
 	}
 }
 
@@ -223,7 +223,7 @@
 	}
 	// One initial connection, one after the worker closed it, one after the limit; the last request reused its
 	// connection.
-	if client.Opened() != 3 {
-		t.Errorf("opened %d connections, want 3", client.Opened())
+	if client.ConnectionsOpened() != 3 {
+		t.Errorf("opened %d connections, want 3", client.ConnectionsOpened())
 	}
 }
--- a/internal/httpclient/exchange.go
+++ b/internal/httpclient/exchange.go
@@ -61,7 +61,7 @@
 		if err != nil {
 			return nil, e.fail(StepAwait, err)
 		}
-		if e.request.Belongs == nil || e.request.Belongs(head.StatusCode, head.Header) {
+		if e.request.MatchResponse == nil || e.request.MatchResponse(head.StatusCode, head.Header) {
 			return e.response(head), nil
 		}
 		if _, err := io.Copy(io.Discard, head.Body); err != nil {
--- a/internal/httpclient/pool.go
+++ b/internal/httpclient/pool.go
@@ -44,7 +44,7 @@
 func newPool(settings Settings) *pool {
 	return &pool{
 		settings: settings,
-		dialer:   netdial.New(settings.ConnectTimeout, settings.UnansweredTimeout),
+		dialer:   netdial.New(settings.ConnectTimeout, settings.UnacknowledgedTimeout),
 		idle:     map[string][]*connection{},
 
 		idleLimits: map[string]time.Duration{},
