--- a/cmd/granitebay-gateway/main.go
+++ b/cmd/granitebay-gateway/main.go
@@ -64,7 +64,7 @@
 func reload(path string, program *gateway.Gateway, logger *logrus.Logger) {
 	config, err := settings.Load(path)
 	if err != nil {
-		logging.Part(logger, "gateway").WithError(err).Error("The settings can't be loaded; the previous settings stay in use.")
+		logging.Component(logger, "gateway").WithError(err).Error("The settings can't be loaded; the previous settings stay in use.")
 		return
 	}
 	program.Reload(*config)
--- a/internal/docscheck/operations_test.go
+++ b/internal/docscheck/operations_test.go
@@ -134,7 +134,7 @@
 	messagePrefix = regexp.MustCompile(`^([a-z][a-z -]*:) `)
 )
 
-// logPrefixes returns the log prefixes of a package, with the colon: the arguments of logging.Part and the prefixes of
+// logPrefixes returns the log prefixes of a package, with the colon: the arguments of logging.Component and the prefixes of
 // messages.
 func logPrefixes(t *testing.T, directory string) []string {
 	files := parsePackage(t, directory)
--- a/internal/gateway/barsyncer.go
+++ b/internal/gateway/barsyncer.go
@@ -65,7 +65,7 @@
 // newBarSyncer returns a syncer with its guard.
 func newBarSyncer(g *Gateway, prober poison.Prober) *barSyncer {
 	b := &barSyncer{
-		gateway: g, logger: logging.Part(g.logger, "poison"), stored: map[poison.Digest]storedBar{}, pending: map[poison.Digest]pendingBar{},
+		gateway: g, logger: logging.Component(g.logger, "poison"), stored: map[poison.Digest]storedBar{}, pending: map[poison.Digest]pendingBar{},
 		wake: make(chan struct{}, 1),
 	}
 	b.guard = poison.NewGuard(poison.DefaultSettings(), prober, boottime.Now, b.handleEvent)
--- a/internal/gateway/cachedparts.go
+++ b/internal/gateway/cachedparts.go
@@ -73,14 +73,14 @@
 		queries.Go(func() {
 			parts, err := g.cacheAsker.Query(ctx, address)
 			if err != nil {
-				logging.Part(g.logger, "gateway").WithError(err).Debug("Querying a gateway for cached prompt parts failed.")
+				logging.Component(g.logger, "gateway").WithError(err).Debug("Querying a gateway for cached prompt parts failed.")
 				return
 			}
 			learned.Add(int64(g.dispatcher.MergeCache(parts)))
 		})
 	}
 	queries.Wait()
-	logging.Part(g.logger, "gateway").WithField("parts", learned.Load()).Info("Learned cached prompt parts from other gateways.")
+	logging.Component(g.logger, "gateway").WithField("parts", learned.Load()).Info("Learned cached prompt parts from other gateways.")
 	return int(learned.Load())
 }
 
@@ -141,7 +141,7 @@
 	defer cancel()
 	parts, err := g.ports.PromptCache.CachedSegments(ctx, engine)
 	if err != nil {
-		logging.Part(g.logger, "gateway").WithError(err).Debug("Querying an engine for cached prompt parts failed.")
+		logging.Component(g.logger, "gateway").WithError(err).Debug("Querying an engine for cached prompt parts failed.")
 		return
 	}
 	g.dispatcher.RecordCache(engine.ID, parts)
--- a/internal/gateway/enginemonitor.go
+++ b/internal/gateway/enginemonitor.go
@@ -50,7 +50,7 @@
 // newEngineMonitor returns a monitor that the dispatcher wakes.
 func newEngineMonitor(g *Gateway) *engineMonitor {
 	m := &engineMonitor{
-		gateway: g, logger: logging.Part(g.logger, "engines"), wake: make(chan struct{}, 1), lastProbed: map[string]time.Time{},
+		gateway: g, logger: logging.Component(g.logger, "engines"), wake: make(chan struct{}, 1), lastProbed: map[string]time.Time{},
 		firstProbed: map[string]time.Time{}, lostSince: map[string]time.Time{},
 	}
 	g.dispatcher.OnEngineChange(func() {
--- a/internal/gateway/entries.go
+++ b/internal/gateway/entries.go
@@ -83,7 +83,7 @@
 		}
 		now := boottime.Now()
 		if suspended := suspensions.Suspended(); suspended > minLoggedSuspension {
-			logging.Part(g.logger, "gateway").WithField("for_ms", suspended.Milliseconds()).Warn("The machine was suspended.")
+			logging.Component(g.logger, "gateway").WithField("for_ms", suspended.Milliseconds()).Warn("The machine was suspended.")
 		}
 		if now.Sub(lastCheck) > interval+stallThreshold {
 			g.view.Resumed()
@@ -214,7 +214,7 @@
 		outcome = "takes requests"
 		g.triggerLearning()
 	}
-	logging.Part(g.logger, "member").WithFields(logrus.Fields{"entries": entries, "gateways": serving}).
+	logging.Component(g.logger, "member").WithFields(logrus.Fields{"entries": entries, "gateways": serving}).
 		Infof("This gateway %s.", outcome)
 	g.recordDecision(decision.Record{
 		Kind: decision.KindEntry, Subject: g.settings.Name, Outcome: outcome,
@@ -233,7 +233,7 @@
 	if sharers == g.entries.retrySharers {
 		return
 	}
-	logging.Part(g.logger, "budget").WithFields(logrus.Fields{
+	logging.Component(g.logger, "budget").WithFields(logrus.Fields{
 		"divided_by": sharers, "before": g.entries.retrySharers, "stands_by": standby, "entries": entries, "in_doubt": uncertain, "gateways": serving,
 	}).Info("The share of the allowance of repeats has changed.")
 	g.entries.retrySharers = sharers
@@ -241,7 +241,7 @@
 
 // logBudgetExhausted logs that a group has no retries left.
 func (g *Gateway) logBudgetExhausted(group string, view retrybudget.View) {
-	logging.Part(g.logger, "budget").WithFields(logrus.Fields{
+	logging.Component(g.logger, "budget").WithFields(logrus.Fields{
 		"group": group, "granted": view.Granted, "denied": view.Denied, "share": view.Share,
 	}).Warn("The budget of repeats is used up.")
 }
--- a/internal/gateway/entrysizing.go
+++ b/internal/gateway/entrysizing.go
@@ -64,7 +64,7 @@
 func (g *Gateway) writeNeed(ctx context.Context, cores float64, revision store.Revision) {
 	ctx, cancel := context.WithTimeout(ctx, sizingInterval)
 	defer cancel()
-	log := logging.Part(g.logger, "member").WithFields(logrus.Fields{"cores": fmt.Sprintf("%.1f", cores)})
+	log := logging.Component(g.logger, "member").WithFields(logrus.Fields{"cores": fmt.Sprintf("%.1f", cores)})
 	value, err := json.Marshal(member.EntryNeed{Cores: cores})
 	if err == nil {
 		_, err = g.ports.Store.Commit(ctx, store.Transaction{
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -126,7 +126,7 @@
 func New(settings Settings, ports Dependencies, logger *logrus.Logger) *Gateway {
 	g := &Gateway{settings: settings, ports: ports, logger: logger}
 	g.startedAt = time.Now()
-	g.accepting = accepting.New(logging.Part(logger, "gateway"))
+	g.accepting = accepting.New(logging.Component(logger, "gateway"))
 	g.utilization = newUtilization(settings)
 	g.workersKnown = make(chan struct{})
 	g.workers, g.workersAtAddress = backend.Set{}, map[string]int{}
@@ -149,7 +149,7 @@
 	g.handler = forward.NewHandler(forward.DefaultSettings(), ports.Protocol, ports.Workers, g.dispatcher, g.metrics)
 	g.handler.SetFreshness(func() bool { return g.view.IsFresh(settings.ConfigurationAge) })
 	g.handler.SetCloserFunc(callers.CloserOf)
-	g.callers = callers.NewServer(callers.CancelOnDisconnect(g.handler), &g.utilization.traffic, g.metrics, logging.Part(logger, "gateway"))
+	g.callers = callers.NewServer(callers.CancelOnDisconnect(g.handler), &g.utilization.traffic, g.metrics, logging.Component(logger, "gateway"))
 	g.barSyncer = newBarSyncer(g, ports.Prober)
 	g.handler.SetGuard(g.barSyncer.guard)
 	g.handler.SetSuspectElection(g.ownsKey)
@@ -163,7 +163,7 @@
 	control := roles.DefaultControllerSettings()
 	control.Holder = settings.Name
 	control.Authority.ResumeDelay = settings.ResumeDelay
-	g.controller = roles.NewController(control, ports.Store, ports.Orderer, g.dispatcher, logging.Part(logger, "roles"), g.recordDecision)
+	g.controller = roles.NewController(control, ports.Store, ports.Orderer, g.dispatcher, logging.Component(logger, "roles"), g.recordDecision)
 	g.engineMonitor = newEngineMonitor(g)
 	g.notices = newNoticeTracker(g)
 	g.workerLimits = newLimitTracker(g)
@@ -174,8 +174,8 @@
 	registrationSettings := member.DefaultRegistrationSettings()
 	registrationSettings.TTL = settings.LeaseTTL
 	g.registration = member.NewRegistration(registrationSettings, ports.Store, self,
-		logging.Part(logger, "member"), func() { g.replica.RestartWatch() }, g.handleLease)
-	g.view = cluster.NewView(ports.Decoder, g, member.NewList(self), backend.NewRoster(rosterSettings(settings)), g.registration.Key(), logging.Part(logger, "cluster"))
+		logging.Component(logger, "member"), func() { g.replica.RestartWatch() }, g.handleLease)
+	g.view = cluster.NewView(ports.Decoder, g, member.NewList(self), backend.NewRoster(rosterSettings(settings)), g.registration.Key(), logging.Component(logger, "cluster"))
 	replication := store.DefaultReplicaSettings()
 	replication.Deferrable = member.IsRegistration
 	replication.Sharded = func(key string) bool {
@@ -195,7 +195,7 @@
 	if ports.Capacity != nil {
 		settings := capacity.DefaultSettings()
 		settings.Holder = g.settings.Name
-		g.capacity = capacity.NewExecutor(settings, g, ports.Capacity, g.controller.Authority, logging.Part(logger, "capacity"), g.recordDecision)
+		g.capacity = capacity.NewExecutor(settings, g, ports.Capacity, g.controller.Authority, logging.Component(logger, "capacity"), g.recordDecision)
 	}
 	if ports.WatchStoreRestores != nil {
 		ports.WatchStoreRestores(g.handleEra)
@@ -229,7 +229,7 @@
 		if service.address == "" {
 			continue
 		}
-		server := callers.NewInternalServer(service.handler, g.metrics, logging.Part(g.logger, "gateway"))
+		server := callers.NewInternalServer(service.handler, g.metrics, logging.Component(g.logger, "gateway"))
 		if err := g.listen(service.address, server.Serve); err != nil {
 			g.close()
 			return err
@@ -255,7 +255,7 @@
 	if g.tenantUsage.reporter != nil {
 		g.tasks.Go(func() { g.tenantUsage.reporter.Run(ctx) })
 	}
-	logging.Part(g.logger, "gateway").WithField("name", g.settings.Name).Info("Started.")
+	logging.Component(g.logger, "gateway").WithField("name", g.settings.Name).Info("Started.")
 	return nil
 }
 
@@ -271,7 +271,7 @@
 func (g *Gateway) startLoadExchange(ctx context.Context) error {
 	settings := loadshare.DefaultSettings()
 	settings.Name, settings.Listen = g.settings.Name, g.settings.ListenPeers
-	exchange, err := loadshare.NewExchange(settings, g, logging.Part(g.logger, "loadshare"))
+	exchange, err := loadshare.NewExchange(settings, g, logging.Component(g.logger, "loadshare"))
 	if err != nil {
 		return err
 	}
@@ -351,7 +351,7 @@
 // after drainPeriod rejects new requests as not executed.
 func (g *Gateway) Stop() {
 	start := time.Now()
-	log := logging.Part(g.logger, "gateway")
+	log := logging.Component(g.logger, "gateway")
 	log.Info("Stopping.")
 	g.leaving.Store(true)
 	g.handler.CloseConnections()
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -21,12 +21,12 @@
 	g.handler.SetTable(routing.NewTable(changed, g.handler.Table()))
 	g.controller.SetGroups(changed.Groups)
 	g.callers.SetTimeouts(changed.Limits.IdleTimeout, changed.Limits.HeaderTimeout)
-	logging.Part(g.logger, "gateway").WithFields(logrus.Fields{
+	logging.Component(g.logger, "gateway").WithFields(logrus.Fields{
 		"version": changed.Version, "revision": changed.Revision,
 		"idle_ms": changed.Limits.IdleTimeout.Milliseconds(), "header_ms": changed.Limits.HeaderTimeout.Milliseconds(),
 	}).Info("Configuration in force.")
 	if duplicates := changed.Tenants.Doubled(); duplicates > 0 {
-		logging.Part(g.logger, "gateway").WithField("keys", duplicates).Warn("Some keys are assigned to two tenants; the first one keeps them.")
+		logging.Component(g.logger, "gateway").WithField("keys", duplicates).Warn("Some keys are assigned to two tenants; the first one keeps them.")
 	}
 	g.recordDecision(decision.Record{
 		Kind: decision.KindConfiguration, Subject: "configuration", Outcome: fmt.Sprintf("version %d", changed.Version),
@@ -47,7 +47,7 @@
 	g.dispatcher.ChangeWorkers(g.configuration.SelectChanges(changes))
 	g.markWorkersKnown()
 	g.barSyncer.guard.UpdateWorkers(changes)
-	logging.Part(g.logger, "gateway").WithField("workers", len(g.workers)).Debug("Workers changed.")
+	logging.Component(g.logger, "gateway").WithField("workers", len(g.workers)).Debug("Workers changed.")
 }
 
 // updateAddresses counts the workers at each address before changes are applied, and closes connections to addresses
@@ -93,7 +93,7 @@
 	g.addressTTL.Store(int64(min(settings.AddressTTL, settings.MaxAddressTTL)))
 	g.dispatcher.SetBudget(budgetSettings(settings))
 	g.replica.SetMaxStaleness(retrybudget.MaxListAge(settings.RetryWindow))
-	logging.Part(g.logger, "gateway").Info("Settings in force.")
+	logging.Component(g.logger, "gateway").Info("Settings in force.")
 }
 
 // outageMemory is how long after a store outage missing worker records are attributed to it.
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -65,7 +65,7 @@
 func newGatewayMetrics(decisions *decisionlog.Log, logger *logrus.Logger) *gatewayMetrics {
 	set := metrics.NewSet()
 	return &gatewayMetrics{
-		set: set, decisions: decisions, logger: logging.Part(logger, "request"), logLimiters: map[forward.Reason]*rate.Limiter{},
+		set: set, decisions: decisions, logger: logging.Component(logger, "request"), logLimiters: map[forward.Reason]*rate.Limiter{},
 		choice: set.NewHistogram(metricChoice), candidates: set.NewHistogram(metricCandidates),
 	}
 }
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -65,7 +65,7 @@
 // newNoticeTracker returns a tracker without notices.
 func newNoticeTracker(g *Gateway) *noticeTracker {
 	return &noticeTracker{
-		gateway: g, logger: logging.Part(g.logger, "notices"), states: map[string]*noticeState{},
+		gateway: g, logger: logging.Component(g.logger, "notices"), states: map[string]*noticeState{},
 		logLimiter: rate.NewLimiter(logLinesPerSecond, logLinesBurst),
 	}
 }
--- a/internal/gateway/restore.go
+++ b/internal/gateway/restore.go
@@ -26,7 +26,7 @@
 
 // StoreRestored implements cluster.Listener.
 func (g *Gateway) StoreRestored(era int64) {
-	logging.Part(g.logger, "cluster").WithField("era", era).Warn("The store has come back from an older copy.")
+	logging.Component(g.logger, "cluster").WithField("era", era).Warn("The store has come back from an older copy.")
 	g.metrics.countStoreRestore()
 	g.recordDecision(decision.Record{
 		Kind: decision.KindStore, Subject: "store", Outcome: fmt.Sprintf("era %d", era),
@@ -89,7 +89,7 @@
 	if known.Revision == 0 {
 		return true
 	}
-	log := logging.Part(g.logger, "cluster").WithFields(logrus.Fields{"revision": known.Revision})
+	log := logging.Component(g.logger, "cluster").WithFields(logrus.Fields{"revision": known.Revision})
 	written, err := configuration.Restore(ctx, g.ports.Store, known)
 	switch {
 	case errors.Is(err, configuration.ErrDiverged):
--- a/internal/gateway/tenantusage.go
+++ b/internal/gateway/tenantusage.go
@@ -36,7 +36,7 @@
 	settings := usage.DefaultSettings()
 	settings.Holder, settings.Window, settings.LateAfter = g.settings.Name, u.window, g.settings.UsageDue
 	u.reporter = usage.NewReporter(settings, g.ports.Store, g.ports.Usage, u.tally, u.clock.Now, g.controller.Authority,
-		logging.Part(g.logger, "usage"), g.recordDecision)
+		logging.Component(g.logger, "usage"), g.recordDecision)
 	return u
 }
 
@@ -76,7 +76,7 @@
 	}
 	ledger, err := usage.DecodeLedger(value)
 	if err != nil {
-		logging.Part(g.logger, "usage").WithError(err).Error("Cannot decode the usage ledger.")
+		logging.Component(g.logger, "usage").WithError(err).Error("Cannot decode the usage ledger.")
 		return
 	}
 	g.tenantUsage.tally.Finalized(ledger.Next)
--- a/internal/logging/logging.go
+++ b/internal/logging/logging.go
@@ -58,8 +58,8 @@
 	return logger, nil
 }
 
-// Part returns the logger of a component. Its lines begin with the name of the component.
-func Part(logger logrus.FieldLogger, part string) *logrus.Entry {
+// Component returns the logger of a component. Its lines begin with the name of the component.
+func Component(logger logrus.FieldLogger, part string) *logrus.Entry {
 	return logger.WithField(fieldPart, part)
 }
 
--- a/internal/logging/logging_test.go
+++ b/internal/logging/logging_test.go
@@ -24,7 +24,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			Part(logger, "transport").WithError(errors.New("step send: x")).WithField("peer", "router-a-1").Info("Lost the stream to a peer.")
+			Component(logger, "transport").WithError(errors.New("step send: x")).WithField("peer", "router-a-1").Info("Lost the stream to a peer.")
 			if !strings.Contains(output.String(), test.want) || (test.want == "") != (output.Len() == 0) {
 				t.Fatalf("got %q, want %q", output.String(), test.want)
 			}
