--- a/internal/adminapi/api_test.go
+++ b/internal/adminapi/api_test.go
@@ -294,8 +294,8 @@
 	for _, test := range tests {
 		client := NewClient([]string{startServer(t, &fakeBackend{kept: test.kept})}, http.DefaultClient)
 		explanation, err := client.Explain(t.Context(), "req-1")
-		if err != nil || !explanation.KeptSince.Equal(test.want) {
-			t.Errorf("%s: got %s, %v, want %s", test.desc, explanation.KeptSince, err, test.want)
+		if err != nil || !explanation.RetainedSince.Equal(test.want) {
+			t.Errorf("%s: got %s, %v, want %s", test.desc, explanation.RetainedSince, err, test.want)
 		}
 	}
 }
--- a/internal/adminapi/register.go
+++ b/internal/adminapi/register.go
@@ -113,7 +113,7 @@
 		since = kept[0].Time
 	}
 	return Explanation{
-		Request: request, Gateway: status.Gateway, KeptSince: since, Decisions: DecisionFilter{Request: request}.Select(kept),
+		Request: request, Gateway: status.Gateway, RetainedSince: since, Decisions: DecisionFilter{Request: request}.Select(kept),
 	}
 }
 
--- a/internal/adminapi/types.go
+++ b/internal/adminapi/types.go
@@ -32,8 +32,8 @@
 	Workers map[string]int `json:"workers"`
 	// GivesOrders is set at the gateway that currently may order workers to change roles.
 	GivesOrders bool `json:"givesOrders"`
-	// InHand is the number of requests in progress at this gateway.
-	InHand int64 `json:"inHand"`
+	// InProgress is the number of requests in progress at this gateway.
+	InProgress int64 `json:"inHand"`
 	// Warnings about the configuration.
 	Warnings []string `json:"warnings"`
 }
@@ -42,8 +42,8 @@
 const (
 	StateReady    = "ready"
 	StateDraining = "draining"
-	// StateSetAside: excluded after recent failures. StateChanging: changing its role.
-	StateSetAside = "set-aside"
+	// StateEjected: excluded after recent failures. StateChanging: changing its role.
+	StateEjected = "set-aside"
 	// StateBackOff: the worker asked this gateway to send no requests for some time.
 	StateBackOff  = "back-off"
 	StateChanging = "changing"
@@ -73,11 +73,11 @@
 
 // LimitStatus is the request limit that a worker announced in responses.
 type LimitStatus struct {
-	// PerSecond is the limit for all gateways together, and Part the share of it that this gateway may use, from 0 to 1.
+	// PerSecond is the limit for all gateways together, and Share the share of it that this gateway may use, from 0 to 1.
 	PerSecond float64 `json:"perSecond"`
-	Part      float64 `json:"part"`
-	// HeardAgoMs is the time since the worker last announced it, to this gateway or another, in milliseconds.
-	HeardAgoMs int64 `json:"heardAgoMs"`
+	Share     float64 `json:"part"`
+	// AgeMs is the time since the worker last announced it, to this gateway or another, in milliseconds.
+	AgeMs int64 `json:"heardAgoMs"`
 }
 
 // GroupStatus is a group of workers as a gateway sees it.
@@ -130,11 +130,11 @@
 type CapacityStatus struct {
 	Group string `json:"group"`
 	Zone  string `json:"zone"`
-	// Kept and Spot count the existing non-spot and spot workers, WantedKept and WantedSpot the wanted ones.
-	Kept       int `json:"kept"`
-	Spot       int `json:"spot"`
-	WantedKept int `json:"wantedKept"`
-	WantedSpot int `json:"wantedSpot"`
+	// OnDemand and Spot count the existing non-spot and spot workers, WantedOnDemand and WantedSpot the wanted ones.
+	OnDemand       int `json:"kept"`
+	Spot           int `json:"spot"`
+	WantedOnDemand int `json:"wantedKept"`
+	WantedSpot     int `json:"wantedSpot"`
 	// Price of a kept worker in this zone for one second.
 	Price float64 `json:"price"`
 	// Busy is the number of workers of the whole group that current demand uses, Needed the number it requires.
@@ -205,8 +205,8 @@
 type Explanation struct {
 	Request string `json:"request"`
 	Gateway string `json:"gateway"`
-	// KeptSince is the time since which the gateway has retained all its decisions.
-	KeptSince time.Time `json:"keptSince,omitzero"`
+	// RetainedSince is the time since which the gateway has retained all its decisions.
+	RetainedSince time.Time `json:"keptSince,omitzero"`
 	// Decisions about the request, oldest first.
 	Decisions []decision.Record `json:"decisions"`
 }
@@ -218,9 +218,9 @@
 
 // BarredStatus is a request that is not sent to workers.
 type BarredStatus struct {
-	// Asked is the digest of the request. Release takes it.
-	Asked string `json:"asked"`
-	Rule  string `json:"rule"`
+	// Digest is the digest of the request. Release takes it.
+	Digest string `json:"asked"`
+	Rule   string `json:"rule"`
 	// Tenant of the caller; empty if no tenants are configured.
 	Tenant string `json:"tenant"`
 	// Workers that exited while serving it, by ID.
--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -55,7 +55,7 @@
 		Gateway: a.settings.Name, Zone: a.settings.Zone, Version: command.Version(), StartedAt: a.startedAt, Time: time.Now(),
 		Ready: a.Ready(), Stopping: a.leaving.Load(), StoreAgeMillis: a.view.Staleness().Milliseconds(),
 		Gateways: len(serving), Entries: len(entries), Entry: isListed(entries, a.settings.Name),
-		GivesOrders: a.controller.HasAuthority(), InHand: a.handler.Active(),
+		GivesOrders: a.controller.HasAuthority(), InProgress: a.handler.Active(),
 		Workers: lo.CountValuesBy(a.Workers(), func(w adminapi.WorkerStatus) string { return w.State }),
 	}
 	if table := a.handler.Table(); table != nil {
@@ -78,7 +78,7 @@
 		w := view.Worker
 		var limit *adminapi.LimitStatus
 		if quota := view.Quota; quota != nil {
-			limit = &adminapi.LimitStatus{PerSecond: quota.PerSecond, Part: quota.Share, HeardAgoMs: time.Since(quota.ReportedAt).Milliseconds()}
+			limit = &adminapi.LimitStatus{PerSecond: quota.PerSecond, Share: quota.Share, AgeMs: time.Since(quota.ReportedAt).Milliseconds()}
 		}
 		return adminapi.WorkerStatus{
 			Address: w.Address, ID: w.ID, Service: w.Group, Groups: w.Selected, Zone: w.Zone, Labels: w.Labels, Role: string(w.Role),
@@ -101,7 +101,7 @@
 	case view.BackingOff:
 		return adminapi.StateBackOff
 	case view.Ejected:
-		return adminapi.StateSetAside
+		return adminapi.StateEjected
 	default:
 		return adminapi.StateReady
 	}
--- a/internal/gateway/admin_tenants.go
+++ b/internal/gateway/admin_tenants.go
@@ -33,7 +33,7 @@
 			present, wanted := group.Present[zone.Name], group.Plan[zone.Name]
 			statuses = append(statuses, adminapi.CapacityStatus{
 				Group: group.Group, Zone: zone.Name, Price: zone.Price, Busy: group.Busy, Needed: group.Need,
-				Kept: present.OnDemand, Spot: present.Spot, WantedKept: wanted.OnDemand, WantedSpot: wanted.Spot,
+				OnDemand: present.OnDemand, Spot: present.Spot, WantedOnDemand: wanted.OnDemand, WantedSpot: wanted.Spot,
 			})
 		}
 	}
--- a/internal/gateway/barsyncer.go
+++ b/internal/gateway/barsyncer.go
@@ -283,7 +283,7 @@
 func (a admin) Barred() []adminapi.BarredStatus {
 	return lo.Map(a.barSyncer.guard.Bars(), func(bar poison.Bar, _ int) adminapi.BarredStatus {
 		return adminapi.BarredStatus{
-			Asked: bar.Digest.String(), Rule: bar.Rule, Tenant: bar.Tenant, Workers: bar.Workers, Times: bar.Times, Until: bar.Until,
+			Digest: bar.Digest.String(), Rule: bar.Rule, Tenant: bar.Tenant, Workers: bar.Workers, Times: bar.Times, Until: bar.Until,
 		}
 	})
 }
--- a/internal/operator/barred.go
+++ b/internal/operator/barred.go
@@ -20,7 +20,7 @@
 	header := table.Row{"Request", "Rule", "Tenant", "Exited workers", "Times", "Until"}
 	return showTable(s, s.client.Barred, header, func(bar adminapi.BarredStatus) table.Row {
 		return table.Row{
-			bar.Asked, orDash(bar.Rule), orDash(bar.Tenant), strings.Join(bar.Workers, ","), bar.Times, bar.Until.UTC().Format(time.RFC3339),
+			bar.Digest, orDash(bar.Rule), orDash(bar.Tenant), strings.Join(bar.Workers, ","), bar.Times, bar.Until.UTC().Format(time.RFC3339),
 		}
 	})
 }
--- a/internal/operator/explain.go
+++ b/internal/operator/explain.go
@@ -77,11 +77,11 @@
 func retentionGap(request string, explanation adminapi.Explanation) []string {
 	_, unique, _ := strings.Cut(request, "/")
 	id, err := ulid.ParseStrict(unique)
-	if err != nil || !explanation.KeptSince.After(ulid.Time(id.Time())) {
+	if err != nil || !explanation.RetainedSince.After(ulid.Time(id.Time())) {
 		return nil
 	}
 	return []string{fmt.Sprintf("%s has decisions only since %s, which is after the request arrived",
-		explanation.Gateway, explanation.KeptSince.UTC().Format(time.RFC3339))}
+		explanation.Gateway, explanation.RetainedSince.UTC().Format(time.RFC3339))}
 }
 
 // target is a gateway to query.
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -41,7 +41,7 @@
 	return []adminapi.WorkerStatus{{Address: "w1", Groups: []string{"counter"}, Role: "prefill", Running: 3}}
 }
 func (g *fakeGateway) Barred() []adminapi.BarredStatus {
-	return []adminapi.BarredStatus{{Asked: barredRequest, Rule: "quick", Workers: []string{"i-1", "i-2", "i-3"}, Times: 1, Until: time.Unix(1_700_000_000, 0)}}
+	return []adminapi.BarredStatus{{Digest: barredRequest, Rule: "quick", Workers: []string{"i-1", "i-2", "i-3"}, Times: 1, Until: time.Unix(1_700_000_000, 0)}}
 }
 func (g *fakeGateway) Release(_ context.Context, asked poison.Digest) (bool, error) {
 	return asked.String() == barredRequest, nil
--- a/internal/operator/resources.go
+++ b/internal/operator/resources.go
@@ -31,7 +31,7 @@
 	header := table.Row{"Group", "Zone", "Kept", "Wanted", "Spot", "Wanted", "Price", "Busy", "Needed"}
 	return showTable(s, s.client.Capacity, header, func(c adminapi.CapacityStatus) table.Row {
 		return table.Row{
-			c.Group, c.Zone, c.Kept, c.WantedKept, c.Spot, c.WantedSpot, c.Price, fmt.Sprintf("%.1f", c.Busy), c.Needed,
+			c.Group, c.Zone, c.OnDemand, c.WantedOnDemand, c.Spot, c.WantedSpot, c.Price, fmt.Sprintf("%.1f", c.Busy), c.Needed,
 		}
 	})
 }
--- a/internal/operator/show.go
+++ b/internal/operator/show.go
@@ -28,7 +28,7 @@
 			lo.Ternary(status.Entry, ", including this one", ""))
 		fmt.Fprintf(writer, "workers         %s\n", formatCounts(status.Workers))
 		fmt.Fprintf(writer, "orders          %s\n", lo.Ternary(status.GivesOrders, "sent by this gateway", "sent by another gateway"))
-		fmt.Fprintf(writer, "requests        %d in progress at this gateway\n", status.InHand)
+		fmt.Fprintf(writer, "requests        %d in progress at this gateway\n", status.InProgress)
 		printList(writer, "warnings", status.Warnings)
 		return nil
 	})
@@ -92,8 +92,8 @@
 	if status == nil {
 		return orDash("")
 	}
-	age := time.Duration(status.HeardAgoMs) * time.Millisecond
-	return fmt.Sprintf("%.3g/s, %.3g here, %s ago", status.PerSecond, status.PerSecond*status.Part, age.Round(100*time.Millisecond))
+	age := time.Duration(status.AgeMs) * time.Millisecond
+	return fmt.Sprintf("%.3g/s, %.3g here, %s ago", status.PerSecond, status.PerSecond*status.Share, age.Round(100*time.Millisecond))
 }
 
 type getGroups struct{}
