--- a/internal/adminapi/api_test.go
+++ b/internal/adminapi/api_test.go
@@ -19,7 +19,7 @@
 type fakeBackend struct {
 	Backend
 	document configuration.Document
-	proposed configuration.ProposeResult
+	proposed configuration.ProposalResult
 	kept     []decision.Record
 	stream   chan decision.Record
 }
@@ -37,7 +37,7 @@
 func (b *fakeBackend) KnownRequests() []map[string]string {
 	return []map[string]string{{"class": "quick", "repeatable": "true"}}
 }
-func (b *fakeBackend) Propose(_ context.Context, request configuration.EditRequest) configuration.ProposeResult {
+func (b *fakeBackend) Propose(_ context.Context, request configuration.EditRequest) configuration.ProposalResult {
 	result := b.proposed
 	result.ChangeID = request.ChangeID
 	return result
@@ -74,18 +74,18 @@
 	unknownGroup.Name, unknownGroup.Groups, unknownGroup.Precedence = "urgent", []configuration.GroupShare{{Group: "nowhere", Weight: 1}}, 99
 	tests := []struct {
 		desc     string
-		proposed configuration.ProposeResult
+		proposed configuration.ProposalResult
 		request  configuration.EditRequest
 		dryRun   bool
 		want     EditOutcome
 	}{
-		{desc: "accepted", proposed: configuration.ProposeResult{Accepted: true, Revision: 4}, want: EditAccepted},
-		{desc: "nothing to change", proposed: configuration.ProposeResult{Accepted: true, Unchanged: true}, want: EditUnchanged},
-		{desc: "conflict", proposed: configuration.ProposeResult{Conflicts: []configuration.Conflict{{ChangeID: "other"}}}, want: EditConflict},
-		{desc: "old base", proposed: configuration.ProposeResult{Err: configuration.ErrUnknownBase}, want: EditConflict},
-		{desc: "invalid", proposed: configuration.ProposeResult{Err: configuration.FieldErrors{{Field: "spec"}}}, want: EditInvalid},
-		{desc: "store down", proposed: configuration.ProposeResult{Err: configuration.ErrStoreUnavailable}, want: EditUnavailable},
-		{desc: "outcome unknown", proposed: configuration.ProposeResult{Err: configuration.ErrOutcomeUnknown}, want: EditUnknown},
+		{desc: "accepted", proposed: configuration.ProposalResult{Accepted: true, Revision: 4}, want: EditAccepted},
+		{desc: "nothing to change", proposed: configuration.ProposalResult{Accepted: true, Unchanged: true}, want: EditUnchanged},
+		{desc: "conflict", proposed: configuration.ProposalResult{Conflicts: []configuration.Conflict{{ChangeID: "other"}}}, want: EditConflict},
+		{desc: "old base", proposed: configuration.ProposalResult{Err: configuration.ErrUnknownBase}, want: EditConflict},
+		{desc: "invalid", proposed: configuration.ProposalResult{Err: configuration.FieldErrors{{Field: "spec"}}}, want: EditInvalid},
+		{desc: "store down", proposed: configuration.ProposalResult{Err: configuration.ErrStoreUnavailable}, want: EditUnavailable},
+		{desc: "outcome unknown", proposed: configuration.ProposalResult{Err: configuration.ErrOutcomeUnknown}, want: EditUnknown},
 		{desc: "dry run", dryRun: true, request: configuration.EditRequest{BaseRevision: 3, Edits: label}, want: EditPreview},
 		{
 			desc: "dry run of an invalid edit", dryRun: true, want: EditInvalid,
@@ -119,10 +119,10 @@
 }
 
 func TestEditWithSeveralGateways(t *testing.T) {
-	unavailable := configuration.ProposeResult{Err: configuration.ErrStoreUnavailable}
-	unknown := configuration.ProposeResult{Err: configuration.ErrOutcomeUnknown}
-	accepted := configuration.ProposeResult{Accepted: true, Revision: 4}
-	answering := func(result configuration.ProposeResult) func(*testing.T) string {
+	unavailable := configuration.ProposalResult{Err: configuration.ErrStoreUnavailable}
+	unknown := configuration.ProposalResult{Err: configuration.ErrOutcomeUnknown}
+	accepted := configuration.ProposalResult{Accepted: true, Revision: 4}
+	answering := func(result configuration.ProposalResult) func(*testing.T) string {
 		return func(t *testing.T) string { return startServer(t, &fakeBackend{proposed: result}) }
 	}
 	unreachable := func(*testing.T) string { return "127.0.0.1:1" }
--- a/internal/adminapi/backend.go
+++ b/internal/adminapi/backend.go
@@ -28,7 +28,7 @@
 	// Document returns the current label configuration, or the zero document if there is none yet.
 	Document() configuration.Document
 	// Propose writes an edit to the store and waits for the result.
-	Propose(ctx context.Context, request configuration.EditRequest) configuration.ProposeResult
+	Propose(ctx context.Context, request configuration.EditRequest) configuration.ProposalResult
 	// KnownWorkers returns the workers with the labels they report themselves, and KnownRequests the distinct label sets
 	// of recent requests. Previews of edits use them.
 	KnownWorkers() []configuration.WorkerInfo
--- a/internal/adminapi/edits.go
+++ b/internal/adminapi/edits.go
@@ -60,7 +60,7 @@
 	if err != nil {
 		return errorResult(result, err)
 	}
-	consequences, err := configuration.WhatIf(current, next, backend.KnownWorkers(), backend.KnownRequests())
+	consequences, err := configuration.PreviewEffects(current, next, backend.KnownWorkers(), backend.KnownRequests())
 	if err != nil {
 		return errorResult(result, err)
 	}
--- a/internal/configuration/merge_test.go
+++ b/internal/configuration/merge_test.go
@@ -171,7 +171,7 @@
 	for i := range 4 {
 		workers = append(workers, WorkerInfo{Address: fmt.Sprintf("w%d", i+1), Service: "roastmind"})
 	}
-	consequences, err := WhatIf(before, after, workers, []map[string]string{
+	consequences, err := PreviewEffects(before, after, workers, []map[string]string{
 		{"class": "quick", "tenant": "cafe", "repeatable": "true"}, {"class": "quick", "tenant": "mill", "repeatable": "true"},
 	})
 	if err != nil {
--- a/internal/configuration/propose.go
+++ b/internal/configuration/propose.go
@@ -45,8 +45,8 @@
 	Edits []Edit `json:"edits"`
 }
 
-// ProposeResult is the outcome of an EditRequest.
-type ProposeResult struct {
+// ProposalResult is the outcome of an EditRequest.
+type ProposalResult struct {
 	ChangeID string
 	Accepted bool
 	// Unchanged is set together with Accepted if the edit changes nothing.
@@ -105,14 +105,14 @@
 
 // Propose applies an edit to the document in the store with optimistic concurrency control: it reads the document, merges
 // the edit and writes the result if the document is unchanged since. It retries until the context ends.
-func Propose(ctx context.Context, target store.Store, request EditRequest) ProposeResult {
+func Propose(ctx context.Context, target store.Store, request EditRequest) ProposalResult {
 	return propose(ctx, target, request, retryInterval)
 }
 
 // propose is Propose with a configurable retry interval.
-func propose(ctx context.Context, target store.Store, request EditRequest, interval time.Duration) ProposeResult {
+func propose(ctx context.Context, target store.Store, request EditRequest, interval time.Duration) ProposalResult {
 	if request.ChangeID == "" {
-		return ProposeResult{Err: ErrNoChangeID}
+		return ProposalResult{Err: ErrNoChangeID}
 	}
 	p := &proposal{store: target, request: request}
 	for ctx.Err() == nil {
@@ -125,20 +125,20 @@
 		case <-time.After(interval):
 		}
 	}
-	return ProposeResult{ChangeID: request.ChangeID, Err: lo.Ternary(p.outcomeUnknown, ErrOutcomeUnknown, ErrStoreUnavailable)}
+	return ProposalResult{ChangeID: request.ChangeID, Err: lo.Ternary(p.outcomeUnknown, ErrOutcomeUnknown, ErrStoreUnavailable)}
 }
 
 // attempt reads, merges and writes once, and reports whether the result is final.
-func (p *proposal) attempt(ctx context.Context) (ProposeResult, bool) {
+func (p *proposal) attempt(ctx context.Context) (ProposalResult, bool) {
 	current, revision, err := Read(ctx, p.store)
 	if errors.Is(err, ErrUnreadable) {
-		return ProposeResult{Err: err}, true
+		return ProposalResult{Err: err}, true
 	}
 	if err != nil {
-		return ProposeResult{}, false
+		return ProposalResult{}, false
 	}
 	if change, found := current.FindChange(p.request.ChangeID); found {
-		return ProposeResult{Accepted: true, Revision: change.Revision}, true
+		return ProposalResult{Accepted: true, Revision: change.Revision}, true
 	}
 	if revision != p.expectedRevision {
 		// The key has been written since, so a write conditional on the older revision can no longer take effect.
@@ -147,21 +147,21 @@
 	next, conflicts, err := Preview(current, p.request, time.Now())
 	switch {
 	case err != nil || len(conflicts) > 0:
-		return ProposeResult{Revision: current.Revision, Conflicts: conflicts, Err: err}, true
+		return ProposalResult{Revision: current.Revision, Conflicts: conflicts, Err: err}, true
 	case next.Revision == current.Revision:
-		return ProposeResult{Accepted: true, Unchanged: true, Revision: current.Revision}, true
+		return ProposalResult{Accepted: true, Unchanged: true, Revision: current.Revision}, true
 	}
 	return p.write(ctx, next, revision)
 }
 
 // write replaces the document if it is still at the given revision.
-func (p *proposal) write(ctx context.Context, next Document, revision store.Revision) (ProposeResult, bool) {
+func (p *proposal) write(ctx context.Context, next Document, revision store.Revision) (ProposalResult, bool) {
 	snapshot, err := Compile(next)
 	if err == nil && len(snapshot.encoded) > MaximumDocumentBytes {
 		err = ErrTooLarge
 	}
 	if err != nil {
-		return ProposeResult{Revision: next.Revision, Err: err}, true
+		return ProposalResult{Revision: next.Revision, Err: err}, true
 	}
 	_, err = p.store.Commit(ctx, store.Transaction{
 		Conditions: []store.Condition{{Key: StoreKey, Revision: revision}},
@@ -169,12 +169,12 @@
 	})
 	switch {
 	case err == nil:
-		return ProposeResult{Accepted: true, Revision: next.Revision}, true
+		return ProposalResult{Accepted: true, Revision: next.Revision}, true
 	case errors.Is(err, store.ErrConflict) || errors.Is(err, store.ErrBusy):
-		return ProposeResult{}, false
+		return ProposalResult{}, false
 	default:
 		p.outcomeUnknown, p.expectedRevision = true, revision
-		return ProposeResult{}, false
+		return ProposalResult{}, false
 	}
 }
 
--- a/internal/configuration/what_if.go
+++ b/internal/configuration/what_if.go
@@ -32,9 +32,9 @@
 	Warnings []string `json:"warnings"`
 }
 
-// WhatIf returns the effects of replacing one document by another on the given workers and classes of requests. The error is
+// PreviewEffects returns the effects of replacing one document by another on the given workers and classes of requests. The error is
 // FieldErrors if the new document is invalid.
-func WhatIf(before, after Document, workers []WorkerInfo, requests []map[string]string) (Consequences, error) {
+func PreviewEffects(before, after Document, workers []WorkerInfo, requests []map[string]string) (Consequences, error) {
 	newSnapshot, err := Compile(after)
 	if err != nil {
 		return Consequences{}, err
--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -174,7 +174,7 @@
 func (a admin) Document() configuration.Document { return a.view.Document() }
 
 // Propose implements adminapi.Backend.
-func (a admin) Propose(ctx context.Context, request configuration.EditRequest) configuration.ProposeResult {
+func (a admin) Propose(ctx context.Context, request configuration.EditRequest) configuration.ProposalResult {
 	return a.propose(ctx, request)
 }
 
--- a/internal/gateway/restore.go
+++ b/internal/gateway/restore.go
@@ -108,12 +108,12 @@
 
 // propose submits an edit to the store. After a restore of the store, it first waits until earlier edits are written
 // again.
-func (g *Gateway) propose(ctx context.Context, request configuration.EditRequest) configuration.ProposeResult {
+func (g *Gateway) propose(ctx context.Context, request configuration.EditRequest) configuration.ProposalResult {
 	for {
 		if g.editsMayBeLost.Load() && !g.restoreDocument(ctx) {
 			g.editsMayBeLost.Store(true)
 			if !pause.Sleep(ctx, restoreRetryDelay) {
-				return configuration.ProposeResult{Err: ctx.Err()}
+				return configuration.ProposalResult{Err: ctx.Err()}
 			}
 			continue
 		}
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -52,11 +52,11 @@
 	defer g.mutex.Unlock()
 	return g.document
 }
-func (g *fakeGateway) Propose(_ context.Context, request configuration.EditRequest) configuration.ProposeResult {
+func (g *fakeGateway) Propose(_ context.Context, request configuration.EditRequest) configuration.ProposalResult {
 	g.mutex.Lock()
 	defer g.mutex.Unlock()
 	next, conflicts, err := configuration.Preview(g.document, request, time.Unix(1_700_000_000, 0))
-	result := configuration.ProposeResult{ChangeID: request.ChangeID, Conflicts: conflicts, Err: err}
+	result := configuration.ProposalResult{ChangeID: request.ChangeID, Conflicts: conflicts, Err: err}
 	if err == nil && len(conflicts) == 0 {
 		result.Accepted, result.Unchanged = true, next.Revision == g.document.Revision
 		g.document = next
