--- a/internal/completions/completions_test.go
+++ b/internal/completions/completions_test.go
@@ -84,7 +84,7 @@
 
 // TestTenantOfKeyOverridesHeader guards against selecting rules by a tenant that the caller merely claims to be.
 func TestTenantOfKeyOverridesHeader(t *testing.T) {
-	table, err := tenant.NewTable([]tenant.Grant{{Name: "roasters", Keys: []string{"key-1"}}})
+	table, err := tenant.NewTable([]tenant.KeyGrant{{Name: "roasters", Keys: []string{"key-1"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/forward/keys_test.go
+++ b/internal/forward/keys_test.go
@@ -73,10 +73,10 @@
 	changed.Rules[0].Public = k.public
 	changed.Tenants = nil
 	if words[0] != "-" {
-		var grants []tenant.Grant
+		var grants []tenant.KeyGrant
 		for _, word := range words {
 			name, keys, _ := strings.Cut(word, "=")
-			grants = append(grants, tenant.Grant{Name: name, Keys: strings.FieldsFunc(keys, func(r rune) bool { return r == ',' })})
+			grants = append(grants, tenant.KeyGrant{Name: name, Keys: strings.FieldsFunc(keys, func(r rune) bool { return r == ',' })})
 		}
 		table, err := tenant.NewTable(grants)
 		if err != nil {
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -25,7 +25,7 @@
 		"version": changed.Version, "revision": changed.Revision,
 		"idle_ms": changed.Limits.IdleTimeout.Milliseconds(), "header_ms": changed.Limits.HeaderTimeout.Milliseconds(),
 	}).Info("Configuration in force.")
-	if duplicates := changed.Tenants.Doubled(); duplicates > 0 {
+	if duplicates := changed.Tenants.DuplicateKeys(); duplicates > 0 {
 		logging.Component(g.logger, "gateway").WithField("keys", duplicates).Warn("Some keys are assigned to two tenants; the first one keeps them.")
 	}
 	g.recordDecision(decision.Record{
--- a/internal/tenant/tenant.go
+++ b/internal/tenant/tenant.go
@@ -13,8 +13,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// Grant lists the keys of a tenant. Tables do not retain them.
-type Grant struct {
+// KeyGrant lists the keys of a tenant. Tables do not retain them.
+type KeyGrant struct {
 	Name string
 	Keys []string
 	// Priority of the tenant's requests, 0 being the most urgent; nil uses the priority of the rule.
@@ -54,7 +54,7 @@
 }
 
 // NewTable returns a table of the grants. The error identifies the invalid tenant but never contains a key.
-func NewTable(grants []Grant) (*Table, error) {
+func NewTable(grants []KeyGrant) (*Table, error) {
 	table := &Table{byDigest: map[keyDigest]*Tenant{}}
 	names := map[string]bool{}
 	for _, grant := range grants {
@@ -101,9 +101,9 @@
 	return found, known
 }
 
-// Doubled returns the number of grants of keys that already belong to another tenant. Each key belongs to the first tenant that
+// DuplicateKeys returns the number of grants of keys that already belong to another tenant. Each key belongs to the first tenant that
 // lists it.
-func (t *Table) Doubled() int {
+func (t *Table) DuplicateKeys() int {
 	if t == nil {
 		return 0
 	}
--- a/internal/tenant/tenant_test.go
+++ b/internal/tenant/tenant_test.go
@@ -10,7 +10,7 @@
 
 func TestFindReturnsTenantOfKey(t *testing.T) {
 	urgent := 0
-	table, err := NewTable([]Grant{{Name: "b", Keys: []string{"k3"}, Priority: &urgent}, {Name: "a", Keys: []string{"k1", "k2"}}})
+	table, err := NewTable([]KeyGrant{{Name: "b", Keys: []string{"k3"}, Priority: &urgent}, {Name: "a", Keys: []string{"k1", "k2"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -32,15 +32,15 @@
 }
 
 func TestNoKeyCanBeReadFromATableOrAnError(t *testing.T) {
-	table, err := NewTable([]Grant{{Name: "a", Keys: []string{"secret-key-1"}}, {Name: "b", Keys: []string{"secret-key-1", "secret-key-2"}}})
-	if err != nil || table.Doubled() != 1 {
-		t.Fatalf("got %v, %d", err, table.Doubled())
+	table, err := NewTable([]KeyGrant{{Name: "a", Keys: []string{"secret-key-1"}}, {Name: "b", Keys: []string{"secret-key-1", "secret-key-2"}}})
+	if err != nil || table.DuplicateKeys() != 1 {
+		t.Fatalf("got %v, %d", err, table.DuplicateKeys())
 	}
 	found, _ := table.Find("secret-key-1")
 	dump := fmt.Sprintf("%+v %#v %v %+v", table, table, table.byDigest, *found)
-	_, duplicateName := NewTable([]Grant{{Name: "a", Keys: []string{"secret-key-1"}}, {Name: "a", Keys: []string{"secret-key-2"}}})
-	_, emptyKey := NewTable([]Grant{{Name: "a", Keys: []string{"secret-key-1", ""}}})
-	_, unnamed := NewTable([]Grant{{Keys: []string{"secret-key-1"}}})
+	_, duplicateName := NewTable([]KeyGrant{{Name: "a", Keys: []string{"secret-key-1"}}, {Name: "a", Keys: []string{"secret-key-2"}}})
+	_, emptyKey := NewTable([]KeyGrant{{Name: "a", Keys: []string{"secret-key-1", ""}}})
+	_, unnamed := NewTable([]KeyGrant{{Keys: []string{"secret-key-1"}}})
 	if duplicateName == nil || emptyKey == nil || unnamed == nil {
 		t.Error("invalid grants are accepted")
 	}
@@ -57,9 +57,9 @@
 		for key, owner := range owners {
 			keys[owner] = append(keys[owner], key)
 		}
-		var grants []Grant
+		var grants []KeyGrant
 		for owner, tenantKeys := range keys {
-			grants = append(grants, Grant{Name: owner, Keys: tenantKeys})
+			grants = append(grants, KeyGrant{Name: owner, Keys: tenantKeys})
 		}
 		table, err := NewTable(grants)
 		if err != nil {
@@ -77,9 +77,9 @@
 }
 
 func BenchmarkFind(b *testing.B) {
-	var grants []Grant
+	var grants []KeyGrant
 	for i := range 500 {
-		grants = append(grants, Grant{Name: fmt.Sprint("t", i), Keys: []string{fmt.Sprint("k", i), fmt.Sprint("l", i), fmt.Sprint("m", i)}})
+		grants = append(grants, KeyGrant{Name: fmt.Sprint("t", i), Keys: []string{fmt.Sprint("k", i), fmt.Sprint("l", i), fmt.Sprint("m", i)}})
 	}
 	table, err := NewTable(grants)
 	if err != nil {
@@ -91,9 +91,9 @@
 }
 
 func BenchmarkNewTable(b *testing.B) {
-	var grants []Grant
+	var grants []KeyGrant
 	for i := range 500 {
-		grants = append(grants, Grant{Name: fmt.Sprint("t", i), Keys: []string{fmt.Sprint("k", i), fmt.Sprint("l", i), fmt.Sprint("m", i)}})
+		grants = append(grants, KeyGrant{Name: fmt.Sprint("t", i), Keys: []string{fmt.Sprint("k", i), fmt.Sprint("l", i), fmt.Sprint("m", i)}})
 	}
 	for b.Loop() {
 		if _, err := NewTable(grants); err != nil {
