--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -25,8 +25,8 @@
 	Zone string
 	// Pool is the label value by which the groups of the example configuration select the worker.
 	Pool string
-	// Reads is set for engines that start in the prefill role; all others start in the decode role.
-	Reads bool
+	// Prefill is set for engines that start in the prefill role; all others start in the decode role.
+	Prefill bool
 }
 
 // Deployment is one fleet.
@@ -53,7 +53,7 @@
 	return Deployment{
 		Name: NameFes, Title: "Fès Roasters' Subscription Router Fleet", Zones: zones, GatewaysPerZone: 1,
 		Service: "roastmind", Model: "roast-verdict", Configuration: configuration.ExampleFes,
-		Workers: workers(zones, []Worker{{Pool: "counter", Reads: true}, {Pool: "counter"}, {Pool: "counter"}}),
+		Workers: workers(zones, []Worker{{Pool: "counter", Prefill: true}, {Pool: "counter"}, {Pool: "counter"}}),
 	}
 }
 
@@ -64,7 +64,7 @@
 		Name: NameMagnolia, Title: "Magnolia Pallet Commons Dispatch Router Fleet", Zones: zones, GatewaysPerZone: 1,
 		Service: "dispatch-llm", Model: "dispatch", Configuration: configuration.ExampleMagnolia,
 		Workers: workers(zones, []Worker{
-			{Pool: "dock", Reads: true}, {Pool: "dock", Reads: true}, {Pool: "dock"}, {Pool: "dock"}, {Pool: "rates", Reads: true}, {Pool: "rates"},
+			{Pool: "dock", Prefill: true}, {Pool: "dock", Prefill: true}, {Pool: "dock"}, {Pool: "dock"}, {Pool: "rates", Prefill: true}, {Pool: "rates"},
 		}),
 	}
 }
--- a/internal/labfleet/labfleet.go
+++ b/internal/labfleet/labfleet.go
@@ -78,7 +78,7 @@
 	model.StepPerRun = time.Duration(float64(model.StepPerRun) / options.Speed)
 	return fleet.WorkerOptions{
 		ID: spec.Name + ".1", Service: options.Deployment.Service, Zone: spec.Zone, Slots: engineSlots, Model: model,
-		Stage: string(lo.Ternary(spec.Reads, backend.RolePrefill, backend.RoleDecode)),
+		Stage: string(lo.Ternary(spec.Prefill, backend.RolePrefill, backend.RoleDecode)),
 	}
 }
 
