--- a/internal/docscheck/operations_test.go
+++ b/internal/docscheck/operations_test.go
@@ -157,9 +157,9 @@
 			return
 		}
 		last := call.Args[len(call.Args)-1]
-		if owner, ok := selector.X.(*ast.Ident); ok && owner.Name == "logging" && selector.Sel.Name == "Part" {
+		if owner, ok := selector.X.(*ast.Ident); ok && owner.Name == "logging" && selector.Sel.Name == "Component" {
 			if text(last) == "" {
-				t.Errorf("%s: the prefix of logging.Part is neither a literal nor a constant of the package", directory)
+				t.Errorf("%s: the prefix of logging.Component is neither a literal nor a constant of the package", directory)
 			}
 			prefixes = append(prefixes, text(last)+":")
 			return
