--- a/internal/forward/demand.go
+++ b/internal/forward/demand.go
@@ -3,13 +3,13 @@
 import (
 	"github.com/granitebay/granitebay/internal/backend"
 	"github.com/granitebay/granitebay/internal/enginemodel"
-	"github.com/granitebay/granitebay/internal/loadshare"
+	"github.com/granitebay/granitebay/internal/peersync"
 )
 
 // demandCounter counts the prefill work that callers request from the engines of one group through this gateway.
 type demandCounter struct {
 	tokens int64
-	rate   loadshare.Rate
+	rate   peersync.Rate
 }
 
 // countDemand adds the work of prefilling one prompt. It is called once per request, with the mutex held.
@@ -24,10 +24,10 @@
 }
 
 // demandToSend returns the counters for the other gateways. The mutex is held.
-func (d *Dispatcher) demandToSend() []loadshare.OfferedLoad {
-	var demand []loadshare.OfferedLoad
+func (d *Dispatcher) demandToSend() []peersync.OfferedLoad {
+	var demand []peersync.OfferedLoad
 	for group, counter := range d.demand {
-		demand = append(demand, loadshare.OfferedLoad{Group: group, Tokens: counter.tokens})
+		demand = append(demand, peersync.OfferedLoad{Group: group, Tokens: counter.tokens})
 	}
 	return demand
 }
--- a/internal/forward/enginestate.go
+++ b/internal/forward/enginestate.go
@@ -10,7 +10,7 @@
 	"github.com/granitebay/granitebay/internal/backend"
 	"github.com/granitebay/granitebay/internal/balance"
 	"github.com/granitebay/granitebay/internal/httpclient"
-	"github.com/granitebay/granitebay/internal/loadshare"
+	"github.com/granitebay/granitebay/internal/peersync"
 	"github.com/granitebay/granitebay/internal/routing"
 )
 
@@ -210,7 +210,7 @@
 	}
 	d.acceptReportedRole(worker, role)
 	if d.peers.notify != nil && len(d.peers.newRoles) < maxPendingNotices {
-		d.peers.newRoles = append(d.peers.newRoles, loadshare.RoleReport{Worker: id, Role: string(role)})
+		d.peers.newRoles = append(d.peers.newRoles, peersync.RoleReport{Worker: id, Role: string(role)})
 		d.peers.notify(true)
 	}
 }
@@ -244,7 +244,7 @@
 }
 
 // applyPeerEngines applies the engine state that another gateway sent. The mutex is held.
-func (d *Dispatcher) applyPeerEngines(message *loadshare.Message) {
+func (d *Dispatcher) applyPeerEngines(message *peersync.Message) {
 	now := d.now()
 	for _, id := range message.Refused {
 		d.recordRefused(id, false)
--- a/internal/forward/enginestate_test.go
+++ b/internal/forward/enginestate_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/granitebay/granitebay/internal/backend"
 	"github.com/granitebay/granitebay/internal/httpclient"
-	"github.com/granitebay/granitebay/internal/loadshare"
+	"github.com/granitebay/granitebay/internal/peersync"
 	"github.com/granitebay/granitebay/internal/roles"
 	"github.com/granitebay/granitebay/internal/routing"
 )
@@ -329,7 +329,7 @@
 	b.ResetTimer()
 	for i := range b.N {
 		for gateway := range 320 {
-			dispatcher.ApplyUpdate(&loadshare.Message{Sender: fmt.Sprint(gateway), Epoch: 1, Sequence: uint64(i + 1), Refused: refused})
+			dispatcher.ApplyUpdate(&peersync.Message{Sender: fmt.Sprint(gateway), Epoch: 1, Sequence: uint64(i + 1), Refused: refused})
 		}
 	}
 }
--- a/internal/forward/loans_test.go
+++ b/internal/forward/loans_test.go
@@ -4,12 +4,12 @@
 	"testing"
 	"time"
 
-	"github.com/granitebay/granitebay/internal/loadshare"
+	"github.com/granitebay/granitebay/internal/peersync"
 	"github.com/granitebay/granitebay/internal/routing"
 )
 
 // askForLoans returns a dispatcher that holds no share of its workers' limits, after it has asked for loans.
-func askForLoans(t *testing.T) (*Dispatcher, loadshare.LoanRequest, <-chan struct{}) {
+func askForLoans(t *testing.T) (*Dispatcher, peersync.LoanRequest, <-chan struct{}) {
 	t.Helper()
 	f := newFixture(t, fixtureOptions{rule: routing.Rule{Kind: routing.KindRepeatable}}, &fakeWorkers{})
 	d := f.handler.dispatcher
@@ -35,21 +35,21 @@
 func TestLoanIsUsedOnceByAsker(t *testing.T) {
 	for _, test := range []struct {
 		desc  string
-		alter func(loan *loadshare.Loan)
+		alter func(loan *peersync.Loan)
 		wait  time.Duration
 		used  int
 	}{
-		{desc: "delivered twice", alter: func(*loadshare.Loan) {}, used: 2},
-		{desc: "for another gateway", alter: func(l *loadshare.Loan) { l.Asker = "third" }},
-		{desc: "for an earlier request", alter: func(l *loadshare.Loan) { l.Serial-- }},
-		{desc: "too late", alter: func(*loadshare.Loan) {}, wait: 600 * time.Millisecond},
+		{desc: "delivered twice", alter: func(*peersync.Loan) {}, used: 2},
+		{desc: "for another gateway", alter: func(l *peersync.Loan) { l.Asker = "third" }},
+		{desc: "for an earlier request", alter: func(l *peersync.Loan) { l.Serial-- }},
+		{desc: "too late", alter: func(*peersync.Loan) {}, wait: 600 * time.Millisecond},
 	} {
 		d, ask, loanArrived := askForLoans(t)
 		worker := ask.Workers[0]
-		loan := loadshare.Loan{Asker: ask.Asker, Serial: ask.Serial, Lender: "other", Worker: worker, Count: 2}
+		loan := peersync.Loan{Asker: ask.Asker, Serial: ask.Serial, Lender: "other", Worker: worker, Count: 2}
 		test.alter(&loan)
 		time.Sleep(test.wait)
-		d.ApplyLoans(nil, []loadshare.Loan{loan, loan})
+		d.ApplyLoans(nil, []peersync.Loan{loan, loan})
 		select {
 		case <-loanArrived:
 		default:
@@ -74,7 +74,7 @@
 	d.ShareLimits("one")
 	id := d.balancer.IDs()[0]
 	d.SetLimit(id, 5, 0)
-	d.ApplyLoans([]loadshare.LoanRequest{{Asker: "other", Serial: 1, Workers: []string{id, "nobody"}, MaxRequests: 4}}, nil)
+	d.ApplyLoans([]peersync.LoanRequest{{Asker: "other", Serial: 1, Workers: []string{id, "nobody"}, MaxRequests: 4}}, nil)
 	if _, loans := d.TakeLoans(); len(loans) != 0 {
 		t.Errorf("a gateway that holds nothing lent %+v", loans)
 	}
@@ -83,7 +83,7 @@
 	d.ConfirmShare(now.Add(-8 * time.Second))
 	d.ConfirmShare(now.Add(-time.Second))
 	time.Sleep(250 * time.Millisecond)
-	d.ApplyLoans([]loadshare.LoanRequest{{Asker: "other", Serial: 1, Workers: []string{id}, MaxRequests: 4}}, nil)
+	d.ApplyLoans([]peersync.LoanRequest{{Asker: "other", Serial: 1, Workers: []string{id}, MaxRequests: 4}}, nil)
 	if _, loans := d.TakeLoans(); len(loans) != 1 || loans[0].Count != 1 || loans[0].Lender != "one" || loans[0].Asker != "other" {
 		t.Errorf("a gateway that holds one request lent %+v", loans)
 	}
--- a/internal/forward/peers.go
+++ b/internal/forward/peers.go
@@ -5,23 +5,23 @@
 
 	"github.com/granitebay/granitebay/internal/backend"
 	"github.com/granitebay/granitebay/internal/balance"
-	"github.com/granitebay/granitebay/internal/loadshare"
+	"github.com/granitebay/granitebay/internal/peersync"
 )
 
 // peerExchange collects updates for the other gateways and holds the state received from them. It is guarded by the mutex of the
 // dispatcher.
 type peerExchange struct {
-	board *loadshare.Board
+	board *peersync.Board
 	// changedLoads are the workers whose load has changed since the last update.
 	changedLoads   map[string]bool
-	cachedPrefixes []loadshare.CachedSegment
+	cachedPrefixes []peersync.CachedSegment
 	// roleChanges are the role changes that this gateway has ordered.
 	roleChanges map[string]roleChange
 	// ejected are the workers whose ejection other gateways are told of.
 	ejected []string
 	// refused are engines that refused a connection, answering those that respond again, and newRoles those that reported a new role.
 	refused, answering []string
-	newRoles           []loadshare.RoleReport
+	newRoles           []peersync.RoleReport
 	// notify signals that there is something to send; nil if nothing is sent.
 	notify func(urgent bool)
 }
@@ -31,7 +31,7 @@
 
 // newPeerExchange returns an exchange that sends nothing.
 func newPeerExchange() *peerExchange {
-	return &peerExchange{board: loadshare.NewBoard(), changedLoads: map[string]bool{}, roleChanges: map[string]roleChange{}}
+	return &peerExchange{board: peersync.NewBoard(), changedLoads: map[string]bool{}, roleChanges: map[string]roleChange{}}
 }
 
 // peerLoad implements balance.Elsewhere.
@@ -47,7 +47,7 @@
 }
 
 // prefixCached records that a worker has cached a prefix.
-func (p *peerExchange) prefixCached(cached loadshare.CachedSegment) {
+func (p *peerExchange) prefixCached(cached peersync.CachedSegment) {
 	if p.notify == nil || len(p.cachedPrefixes) >= maxPendingNotices {
 		return
 	}
@@ -75,15 +75,15 @@
 }
 
 // TakeUpdate returns the changes since the last call, or the complete state.
-func (d *Dispatcher) TakeUpdate(full bool) loadshare.Message {
+func (d *Dispatcher) TakeUpdate(full bool) peersync.Message {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	message := loadshare.Message{
+	message := peersync.Message{
 		Kept: d.peers.cachedPrefixes, Failed: d.peers.ejected, Changing: d.pendingRoleChanges(), Changed: d.peers.newRoles,
 		Refused: d.peers.refused, Recovered: d.peers.answering,
 	}
 	for _, worker := range d.loadsToSend(full) {
-		message.Loads = append(message.Loads, loadshare.NewLoad(worker, d.balancer.Load(worker)))
+		message.Loads = append(message.Loads, peersync.NewLoad(worker, d.balancer.Load(worker)))
 	}
 	if full {
 		message.Offered = d.demandToSend()
@@ -94,8 +94,8 @@
 }
 
 // pendingRoleChanges returns the unfinished role changes that this gateway has ordered. The mutex is held.
-func (d *Dispatcher) pendingRoleChanges() []loadshare.RoleChange {
-	var pending []loadshare.RoleChange
+func (d *Dispatcher) pendingRoleChanges() []peersync.RoleChange {
+	var pending []peersync.RoleChange
 	now := d.now()
 	for id, change := range d.peers.roleChanges {
 		worker, found := d.balancer.Worker(id)
@@ -103,7 +103,7 @@
 			delete(d.peers.roleChanges, id)
 			continue
 		}
-		pending = append(pending, loadshare.RoleChange{
+		pending = append(pending, peersync.RoleChange{
 			Worker: id, Role: string(change.role), ForMs: change.expiresAt.Sub(now).Milliseconds(),
 			ReadyMs: max(change.readyAt.Sub(now).Milliseconds(), 0),
 		})
@@ -132,7 +132,7 @@
 }
 
 // ApplyUpdate applies an update of another gateway.
-func (d *Dispatcher) ApplyUpdate(message *loadshare.Message) {
+func (d *Dispatcher) ApplyUpdate(message *peersync.Message) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if !d.peers.board.Apply(d.now(), message) {
--- a/internal/forward/placement.go
+++ b/internal/forward/placement.go
@@ -5,7 +5,7 @@
 
 	"github.com/granitebay/granitebay/internal/backend"
 	"github.com/granitebay/granitebay/internal/balance"
-	"github.com/granitebay/granitebay/internal/loadshare"
+	"github.com/granitebay/granitebay/internal/peersync"
 	"github.com/granitebay/granitebay/internal/routing"
 )
 
@@ -243,7 +243,7 @@
 func (d *Dispatcher) recordCached(worker *backend.Worker, demand backend.Demand, ready bool) {
 	shared := sharedPrefixOf(demand, d.settings.MinSharedTokens)
 	for i, segment := range shared.segments {
-		cached := loadshare.CachedSegment{Worker: worker.ID, Key: segment.key, Tokens: segment.tokens, Ready: ready}
+		cached := peersync.CachedSegment{Worker: worker.ID, Key: segment.key, Tokens: segment.tokens, Ready: ready}
 		if ready && i == len(shared.segments)-1 {
 			cached.PrivateTokens = demand.PromptTokens - shared.tokens
 		}
@@ -253,7 +253,7 @@
 }
 
 // addCached adds a cached prefix to the table. The mutex is held.
-func (d *Dispatcher) addCached(worker *backend.Worker, cached loadshare.CachedSegment) {
+func (d *Dispatcher) addCached(worker *backend.Worker, cached peersync.CachedSegment) {
 	d.residency.Add(worker.ID, d.cacheCapacity(worker), cached.Key, cached.Tokens, cached.Ready)
 	d.residency.AddAnonymous(worker.ID, cached.PrivateTokens)
 }
--- a/internal/forward/placement_test.go
+++ b/internal/forward/placement_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/granitebay/granitebay/internal/backend"
 	"github.com/granitebay/granitebay/internal/balance"
-	"github.com/granitebay/granitebay/internal/loadshare"
+	"github.com/granitebay/granitebay/internal/peersync"
 	"github.com/granitebay/granitebay/internal/routing"
 )
 
@@ -31,9 +31,9 @@
 
 // hearLoad delivers the load of another gateway.
 func hearLoad(dispatcher *Dispatcher, role backend.Role, running, readingTokens int) {
-	message := &loadshare.Message{Sender: "other", Epoch: int64(running*1000 + readingTokens), Sequence: 1, Full: true}
+	message := &peersync.Message{Sender: "other", Epoch: int64(running*1000 + readingTokens), Sequence: 1, Full: true}
 	for i := range 3 {
-		message.Loads = append(message.Loads, loadshare.Load{Worker: fmt.Sprint(role, i), Running: running, PrefillTokens: readingTokens})
+		message.Loads = append(message.Loads, peersync.Load{Worker: fmt.Sprint(role, i), Running: running, PrefillTokens: readingTokens})
 	}
 	dispatcher.ApplyUpdate(message)
 }
@@ -59,9 +59,9 @@
 		t.Run(c.desc, func(t *testing.T) {
 			dispatcher := newEngineDispatcher()
 			hearLoad(dispatcher, backend.RoleDecode, c.decoding, c.decodeTokens)
-			message := &loadshare.Message{Sender: "third", Epoch: 1, Sequence: 1}
+			message := &peersync.Message{Sender: "third", Epoch: 1, Sequence: 1}
 			for i := range 3 {
-				message.Loads = append(message.Loads, loadshare.Load{Worker: fmt.Sprint(backend.RolePrefill, i), PrefillTokens: c.prefillTokens})
+				message.Loads = append(message.Loads, peersync.Load{Worker: fmt.Sprint(backend.RolePrefill, i), PrefillTokens: c.prefillTokens})
 			}
 			dispatcher.ApplyUpdate(message)
 			placement, found := dispatcher.Place(&Request{ID: "r", Demand: c.demand}, engineGroup, PlaceOptions{})
@@ -85,8 +85,8 @@
 	if again.Prefill.Worker != first.Prefill.Worker || again.FetchFrom != nil {
 		t.Fatalf("the engine that has cached the part was not picked: %+v", again)
 	}
-	busy := &loadshare.Message{Sender: "other", Epoch: 1, Sequence: 1}
-	busy.Loads = []loadshare.Load{{Worker: first.Prefill.Worker.ID, PrefillTokens: 100_000}}
+	busy := &peersync.Message{Sender: "other", Epoch: 1, Sequence: 1}
+	busy.Loads = []peersync.Load{{Worker: first.Prefill.Worker.ID, PrefillTokens: 100_000}}
 	dispatcher.ApplyUpdate(busy)
 	another, _ := dispatcher.Place(&Request{ID: "t", Demand: demand}, engineGroup, PlaceOptions{})
 	if another.Prefill == nil || another.Prefill.Worker == first.Prefill.Worker || another.FetchFrom != first.Prefill.Worker {
@@ -200,9 +200,9 @@
 		t.Run(c.desc, func(t *testing.T) {
 			dispatcher := newEngineDispatcher()
 			hearLoad(dispatcher, backend.RolePrefill, 0, c.waiting)
-			message := &loadshare.Message{Sender: "third", Epoch: 1, Sequence: 1}
+			message := &peersync.Message{Sender: "third", Epoch: 1, Sequence: 1}
 			for i := range 3 {
-				message.Loads = append(message.Loads, loadshare.Load{Worker: fmt.Sprint(backend.RoleDecode, i), Running: 20, PrefillTokens: c.waiting})
+				message.Loads = append(message.Loads, peersync.Load{Worker: fmt.Sprint(backend.RoleDecode, i), Running: 20, PrefillTokens: c.waiting})
 			}
 			dispatcher.ApplyUpdate(message)
 			demand := backend.Demand{PromptTokens: c.tokens, Segments: []backend.Segment{{ID: "own", Tokens: c.tokens}}}
@@ -220,10 +220,10 @@
 // TestDeferredPromptsDoNotDelayOthers checks that deferred prompts do not count as queue for other prompts.
 func TestDeferredPromptsDoNotDelayOthers(t *testing.T) {
 	dispatcher := newEngineDispatcher()
-	message := &loadshare.Message{Sender: "other", Epoch: 1, Sequence: 1}
+	message := &peersync.Message{Sender: "other", Epoch: 1, Sequence: 1}
 	for _, role := range []backend.Role{backend.RolePrefill, backend.RoleDecode} {
 		for i := range 3 {
-			message.Loads = append(message.Loads, loadshare.Load{Worker: fmt.Sprint(role, i), Running: 1, Prefilling: 1, DeferredTokens: 500_000})
+			message.Loads = append(message.Loads, peersync.Load{Worker: fmt.Sprint(role, i), Running: 1, Prefilling: 1, DeferredTokens: 500_000})
 		}
 	}
 	dispatcher.ApplyUpdate(message)
--- a/internal/forward/prefixcache.go
+++ b/internal/forward/prefixcache.go
@@ -4,7 +4,7 @@
 	"context"
 
 	"github.com/granitebay/granitebay/internal/backend"
-	"github.com/granitebay/granitebay/internal/loadshare"
+	"github.com/granitebay/granitebay/internal/peersync"
 )
 
 // CachedSegment is a prompt part that an engine has cached.
@@ -35,21 +35,21 @@
 }
 
 // CachedSegments returns up to limit cached parts that this gateway knows of, for each engine the most recently used last.
-func (d *Dispatcher) CachedSegments(limit int) []loadshare.CachedSegment {
+func (d *Dispatcher) CachedSegments(limit int) []peersync.CachedSegment {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	var all []loadshare.CachedSegment
+	var all []peersync.CachedSegment
 	for worker, part := range d.residency.All() {
 		if len(all) >= limit {
 			break
 		}
-		all = append(all, loadshare.CachedSegment{Worker: worker, Key: part.Key, Tokens: part.Tokens, Ready: part.Cached})
+		all = append(all, peersync.CachedSegment{Worker: worker, Key: part.Key, Tokens: part.Tokens, Ready: part.Cached})
 	}
 	return all
 }
 
 // MergeCache records the cached parts that another gateway knows of, and returns how many were new.
-func (d *Dispatcher) MergeCache(parts []loadshare.CachedSegment) int {
+func (d *Dispatcher) MergeCache(parts []peersync.CachedSegment) int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	added := 0
--- a/internal/forward/ratelimits.go
+++ b/internal/forward/ratelimits.go
@@ -4,7 +4,7 @@
 	"context"
 	"time"
 
-	"github.com/granitebay/granitebay/internal/loadshare"
+	"github.com/granitebay/granitebay/internal/peersync"
 	"github.com/granitebay/granitebay/internal/quota"
 	"github.com/granitebay/granitebay/internal/retrybudget"
 	"github.com/granitebay/granitebay/internal/routing"
@@ -21,8 +21,8 @@
 	// loans from other gateways, by worker id.
 	loans map[string]*quota.Loans
 	// outgoingAsks and outgoingLoans are to be sent to the other gateways.
-	outgoingAsks  []loadshare.LoanRequest
-	outgoingLoans []loadshare.Loan
+	outgoingAsks  []peersync.LoanRequest
+	outgoingLoans []peersync.Loan
 	// loanArrived is closed and replaced when a loan arrives.
 	loanArrived chan struct{}
 }
@@ -164,13 +164,13 @@
 		return nil, false
 	}
 	workers := d.balancer.OutOfQuota(d.now(), group.Name, runnerRole(group), maxWorkersPerAsk)
-	d.limits.outgoingAsks = append(d.limits.outgoingAsks, loadshare.LoanRequest{Asker: d.limits.name, Serial: serial, Workers: workers, MaxRequests: requestsPerAsk})
+	d.limits.outgoingAsks = append(d.limits.outgoingAsks, peersync.LoanRequest{Asker: d.limits.name, Serial: serial, Workers: workers, MaxRequests: requestsPerAsk})
 	d.peers.notify(true)
 	return d.limits.loanArrived, true
 }
 
 // TakeLoans returns the requests for loans, and the loans, that are to be sent to the other gateways.
-func (d *Dispatcher) TakeLoans() ([]loadshare.LoanRequest, []loadshare.Loan) {
+func (d *Dispatcher) TakeLoans() ([]peersync.LoanRequest, []peersync.Loan) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.limits == nil {
@@ -182,7 +182,7 @@
 }
 
 // ApplyLoans handles requests for loans and loans from another gateway.
-func (d *Dispatcher) ApplyLoans(asks []loadshare.LoanRequest, loans []loadshare.Loan) {
+func (d *Dispatcher) ApplyLoans(asks []peersync.LoanRequest, loans []peersync.Loan) {
 	if len(asks) == 0 && len(loans) == 0 {
 		return
 	}
@@ -205,10 +205,10 @@
 }
 
 // lend lends unused capacity to the gateway that asked for it. The mutex is held.
-func (d *Dispatcher) lend(ask loadshare.LoanRequest) {
+func (d *Dispatcher) lend(ask peersync.LoanRequest) {
 	for _, worker := range ask.Workers[:min(len(ask.Workers), maxWorkersPerAsk)] {
 		if count := d.balancer.Lend(d.now(), worker, min(ask.MaxRequests, requestsPerAsk)); count > 0 {
-			d.limits.outgoingLoans = append(d.limits.outgoingLoans, loadshare.Loan{
+			d.limits.outgoingLoans = append(d.limits.outgoingLoans, peersync.Loan{
 				Asker: ask.Asker, Serial: ask.Serial, Lender: d.limits.name, Worker: worker, Count: count,
 			})
 		}
@@ -216,7 +216,7 @@
 }
 
 // acceptLoan adds a loan if it answers the outstanding request. The mutex is held.
-func (d *Dispatcher) acceptLoan(loan loadshare.Loan) {
+func (d *Dispatcher) acceptLoan(loan peersync.Loan) {
 	until, isAnswer := d.limits.asks.Answer(d.limits.now(), loan.Serial, loan.Lender, loan.Worker)
 	if !isAnswer {
 		return
--- a/internal/forward/scale_test.go
+++ b/internal/forward/scale_test.go
@@ -7,7 +7,7 @@
 
 	"github.com/granitebay/granitebay/internal/backend"
 	"github.com/granitebay/granitebay/internal/balance"
-	"github.com/granitebay/granitebay/internal/loadshare"
+	"github.com/granitebay/granitebay/internal/peersync"
 	"github.com/granitebay/granitebay/internal/routing"
 )
 
@@ -103,7 +103,7 @@
 	for _, size := range fleetSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			dispatcher := newFleetDispatcher(fleetOf(size))
-			dispatcher.ApplyUpdate(&loadshare.Message{Sender: "other", Epoch: 1, Sequence: 1})
+			dispatcher.ApplyUpdate(&peersync.Message{Sender: "other", Epoch: 1, Sequence: 1})
 			b.ReportAllocs()
 			b.ResetTimer()
 			for range b.N {
--- a/internal/gateway/entries.go
+++ b/internal/gateway/entries.go
@@ -13,9 +13,9 @@
 	"github.com/granitebay/granitebay/internal/boottime"
 	"github.com/granitebay/granitebay/internal/changefeed"
 	"github.com/granitebay/granitebay/internal/decision"
-	"github.com/granitebay/granitebay/internal/loadshare"
 	"github.com/granitebay/granitebay/internal/logging"
 	"github.com/granitebay/granitebay/internal/member"
+	"github.com/granitebay/granitebay/internal/peersync"
 	"github.com/granitebay/granitebay/internal/rendezvous"
 	"github.com/granitebay/granitebay/internal/retrybudget"
 )
@@ -274,10 +274,10 @@
 // audienceOf returns the recipients of a gateway's load messages: the entries, the uncertain gateways and the leader.
 // Uncertain gateways are suspects, which otherwise would not learn that they are heard again, and gateways that consider
 // themselves entries while this one does not, which otherwise would not learn of the other entries.
-func audienceOf(ownName string, entries, uncertain, leader []member.Gateway) loadshare.Receivers {
+func audienceOf(ownName string, entries, uncertain, leader []member.Gateway) peersync.Receivers {
 	isEntry := slices.ContainsFunc(entries, func(entry member.Gateway) bool { return entry.Name == ownName })
 	recipients := lo.UniqBy(slices.Concat(entries, uncertain, leader), func(gateway member.Gateway) string { return gateway.Name })
-	return loadshare.Receivers{Peers: peerAddresses(ownName, recipients), Standby: !isEntry}
+	return peersync.Receivers{Peers: peerAddresses(ownName, recipients), Standby: !isEntry}
 }
 
 // peerAddresses returns the peer addresses of the gateways other than ownName.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -20,10 +20,10 @@
 	"github.com/granitebay/granitebay/internal/decisionlog"
 	"github.com/granitebay/granitebay/internal/forward"
 	"github.com/granitebay/granitebay/internal/keptshare"
-	"github.com/granitebay/granitebay/internal/loadshare"
 	"github.com/granitebay/granitebay/internal/logging"
 	"github.com/granitebay/granitebay/internal/member"
 	"github.com/granitebay/granitebay/internal/netdial"
+	"github.com/granitebay/granitebay/internal/peersync"
 	"github.com/granitebay/granitebay/internal/poison"
 	"github.com/granitebay/granitebay/internal/rendezvous"
 	"github.com/granitebay/granitebay/internal/retrybudget"
@@ -81,7 +81,7 @@
 	callers       *callers.Server
 	accepting     *accepting.Loop
 	metrics       *gatewayMetrics
-	loadExchange  *loadshare.Exchange
+	loadExchange  *peersync.Exchange
 	feedFollower  *changefeed.Follower
 	entries       entryState
 	utilization   *utilization
@@ -269,9 +269,9 @@
 
 // startLoadExchange starts exchanging load and notices with the other gateways.
 func (g *Gateway) startLoadExchange(ctx context.Context) error {
-	settings := loadshare.DefaultSettings()
+	settings := peersync.DefaultSettings()
 	settings.Name, settings.Listen = g.settings.Name, g.settings.ListenPeers
-	exchange, err := loadshare.NewExchange(settings, g, logging.Component(g.logger, "loadshare"))
+	exchange, err := peersync.NewExchange(settings, g, logging.Component(g.logger, "loadshare"))
 	if err != nil {
 		return err
 	}
@@ -285,8 +285,8 @@
 	return nil
 }
 
-// TakeUpdate implements loadshare.Source.
-func (g *Gateway) TakeUpdate(full bool) loadshare.Message {
+// TakeUpdate implements peersync.Source.
+func (g *Gateway) TakeUpdate(full bool) peersync.Message {
 	message := g.dispatcher.TakeUpdate(full)
 	if full {
 		message.Utilization = g.utilization.peak()
@@ -296,8 +296,8 @@
 	return message
 }
 
-// ApplyUpdate implements loadshare.Source.
-func (g *Gateway) ApplyUpdate(message *loadshare.Message) {
+// ApplyUpdate implements peersync.Source.
+func (g *Gateway) ApplyUpdate(message *peersync.Message) {
 	if message.Standby {
 		g.view.BecameStandby(message.Sender)
 	} else {
--- a/internal/gateway/supplement.go
+++ b/internal/gateway/supplement.go
@@ -1,16 +1,16 @@
 package gateway
 
-import "github.com/granitebay/granitebay/internal/loadshare"
+import "github.com/granitebay/granitebay/internal/peersync"
 
-// TakeSupplement implements loadshare.Source.
-func (g *Gateway) TakeSupplement(full bool) loadshare.Supplement {
+// TakeSupplement implements peersync.Source.
+func (g *Gateway) TakeSupplement(full bool) peersync.Supplement {
 	asks, loans := g.dispatcher.TakeLoans()
-	return loadshare.Supplement{Leaving: g.notices.drain(full), Limits: g.workerLimits.drain(full), Asks: asks, Loans: loans}
+	return peersync.Supplement{Leaving: g.notices.drain(full), Limits: g.workerLimits.drain(full), Asks: asks, Loans: loans}
 }
 
-// ApplySupplement implements loadshare.Source. Workers announced as leaving are drained here as well, even if this
+// ApplySupplement implements peersync.Source. Workers announced as leaving are drained here as well, even if this
 // gateway got no notice from them.
-func (g *Gateway) ApplySupplement(supplement *loadshare.Supplement) {
+func (g *Gateway) ApplySupplement(supplement *peersync.Supplement) {
 	for _, id := range supplement.Leaving {
 		if g.view.WorkerLeaving(id) {
 			g.notices.reportRemoteLeaving(id)
--- a/internal/gateway/tenantusage.go
+++ b/internal/gateway/tenantusage.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"github.com/granitebay/granitebay/internal/loadshare"
 	"github.com/granitebay/granitebay/internal/logging"
+	"github.com/granitebay/granitebay/internal/peersync"
 	"github.com/granitebay/granitebay/internal/usage"
 )
 
@@ -42,7 +42,7 @@
 
 // addTo adds usage counts to a message: all of them if full is set, else changed ones. A standby gateway may not send
 // again for a long time, so its changes are added immediately.
-func (u *tenantUsage) addTo(message *loadshare.Message, full, standby bool) {
+func (u *tenantUsage) addTo(message *peersync.Message, full, standby bool) {
 	if u.tally == nil {
 		return
 	}
@@ -59,7 +59,7 @@
 }
 
 // merge applies the counts of another gateway.
-func (u *tenantUsage) merge(message *loadshare.Message) {
+func (u *tenantUsage) merge(message *peersync.Message) {
 	if u.tally == nil {
 		return
 	}
--- a/internal/gateway/workerlimits.go
+++ b/internal/gateway/workerlimits.go
@@ -10,7 +10,7 @@
 	"github.com/samber/lo"
 
 	"github.com/granitebay/granitebay/internal/backend"
-	"github.com/granitebay/granitebay/internal/loadshare"
+	"github.com/granitebay/granitebay/internal/peersync"
 )
 
 // limitTracker tracks the request limits that workers state in their answers and passes them on to the other gateways
@@ -76,7 +76,7 @@
 }
 
 // handlePeer processes limits reported by another gateway.
-func (t *limitTracker) handlePeer(limits []loadshare.Limit) {
+func (t *limitTracker) handlePeer(limits []peersync.Limit) {
 	for _, limit := range limits {
 		ago := time.Duration(max(limit.AgeMs, 0)) * time.Millisecond
 		switch {
@@ -166,10 +166,10 @@
 }
 
 // drain returns the limits to send to other gateways: urgent ones or, if full is set, all with sends remaining.
-func (t *limitTracker) drain(full bool) []loadshare.Limit {
+func (t *limitTracker) drain(full bool) []peersync.Limit {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var announced []loadshare.Limit
+	var announced []peersync.Limit
 	for _, limits := range []map[string]*workerLimit{t.active, t.ended} {
 		for id, limit := range limits {
 			if limit.remainingSends == 0 || (!full && !limit.urgent) || len(announced) >= maxAnnouncements {
@@ -182,7 +182,7 @@
 			if !limit.isLocal {
 				continue
 			}
-			announced = append(announced, loadshare.Limit{Worker: id, PerSecond: limit.perSecond, AgeMs: time.Since(limit.statedAt).Milliseconds()})
+			announced = append(announced, peersync.Limit{Worker: id, PerSecond: limit.perSecond, AgeMs: time.Since(limit.statedAt).Milliseconds()})
 		}
 	}
 	t.ended = lo.OmitBy(t.ended, func(_ string, limit *workerLimit) bool { return limit.remainingSends == 0 })
--- a/internal/keptshare/keptshare.go
+++ b/internal/keptshare/keptshare.go
@@ -15,7 +15,7 @@
 	"github.com/fxamacker/cbor/v2"
 
 	"github.com/granitebay/granitebay/internal/httpclient"
-	"github.com/granitebay/granitebay/internal/loadshare"
+	"github.com/granitebay/granitebay/internal/peersync"
 )
 
 // Path is the path at which gateways serve the cached parts.
@@ -33,7 +33,7 @@
 )
 
 // Handler serves the cached parts that source returns, of each engine the least recently used first.
-func Handler(source func(maxParts int) []loadshare.CachedSegment) http.Handler {
+func Handler(source func(maxParts int) []peersync.CachedSegment) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		encoded, err := cbor.Marshal(source(maxSegments))
 		if err != nil {
@@ -53,7 +53,7 @@
 func New() *Client { return &Client{httpclient.New(httpclient.DefaultSettings())} }
 
 // Query returns the cached parts that the gateway at the address knows.
-func (a *Client) Query(ctx context.Context, address string) ([]loadshare.CachedSegment, error) {
+func (a *Client) Query(ctx context.Context, address string) ([]peersync.CachedSegment, error) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	response, err := a.client.Do(ctx, address, &httpclient.Request{Method: http.MethodGet, Target: Path, Host: address, Header: http.Header{}})
@@ -65,7 +65,7 @@
 	if err != nil || response.Status != http.StatusOK {
 		return nil, errors.Newf("step query cached parts, peer %s: status %d, read error %v", address, response.Status, err)
 	}
-	var parts []loadshare.CachedSegment
+	var parts []peersync.CachedSegment
 	err = cbor.Unmarshal(content, &parts)
 	return parts, errors.Wrapf(err, "step query cached parts, peer %s: decode response, limited to %d bytes", address, maxResponseBytes)
 }
--- a/internal/keptshare/keptshare_test.go
+++ b/internal/keptshare/keptshare_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"github.com/granitebay/granitebay/internal/loadshare"
+	"github.com/granitebay/granitebay/internal/peersync"
 )
 
 // startServer starts a server with the handler and returns its address.
@@ -19,8 +19,8 @@
 }
 
 func TestAskReturnsCachedParts(t *testing.T) {
-	known := []loadshare.CachedSegment{{Worker: "w", Key: "k", Tokens: 13_300, Ready: true}, {Worker: "v", Key: "l", Tokens: 700}}
-	got, err := New().Query(t.Context(), startServer(t, Handler(func(int) []loadshare.CachedSegment { return known })))
+	known := []peersync.CachedSegment{{Worker: "w", Key: "k", Tokens: 13_300, Ready: true}, {Worker: "v", Key: "l", Tokens: 700}}
+	got, err := New().Query(t.Context(), startServer(t, Handler(func(int) []peersync.CachedSegment { return known })))
 	if err != nil || !reflect.DeepEqual(got, known) {
 		t.Errorf("got %+v, %v", got, err)
 	}
--- a/internal/loadshare/board.go
+++ b/internal/peersync/board.go
@@ -1,10 +1,10 @@
-// Package loadshare exchanges load between gateways over UDP: how much work each gateway has at which workers, and
+// Package peersync exchanges load between gateways over UDP: how much work each gateway has at which workers, and
 // which prompt segments the workers cache. A gateway sees only its own part of the traffic; with the load of its peers
 // it knows the queue of every worker.
 //
 // The messages are hints: one that is lost, late or duplicated leads to a worse choice of worker, never to a wrong
 // result.
-package loadshare
+package peersync
 
 import (
 	"time"
--- a/internal/loadshare/rate.go
+++ b/internal/peersync/rate.go
@@ -1,4 +1,4 @@
-package loadshare
+package peersync
 
 import "time"
 
