--- a/internal/absence/absence.go
+++ b/internal/enginehealth/enginehealth.go
@@ -1,7 +1,7 @@
-// Package absence tracks engines that have ended although their records still exist. A record expires seconds after
+// Package enginehealth tracks engines that have ended although their records still exist. A record expires seconds after
 // its process ended, when the engine may already be running again; a refused connection shows the same within
 // milliseconds.
-package absence
+package enginehealth
 
 import (
 	"time"
--- a/internal/absence/absence_test.go
+++ b/internal/enginehealth/enginehealth_test.go
@@ -1,4 +1,4 @@
-package absence
+package enginehealth
 
 import (
 	"fmt"
--- a/internal/forward/enginestate.go
+++ b/internal/forward/enginestate.go
@@ -6,9 +6,9 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/granitebay/granitebay/internal/absence"
 	"github.com/granitebay/granitebay/internal/backend"
 	"github.com/granitebay/granitebay/internal/balance"
+	"github.com/granitebay/granitebay/internal/enginehealth"
 	"github.com/granitebay/granitebay/internal/httpclient"
 	"github.com/granitebay/granitebay/internal/peersync"
 	"github.com/granitebay/granitebay/internal/routing"
@@ -17,11 +17,11 @@
 // engineState is what this gateway knows of engines beyond their records in the store: which have ended, and which have changed their roles
 // or are about to. It is guarded by the mutex of the dispatcher.
 type engineState struct {
-	absences *absence.Table
+	absences *enginehealth.Table
 	// pendingRoles are role changes in progress, ordered by any gateway. reportedRoles are roles that engines reported but that their
 	// records do not show yet.
 	pendingRoles, reportedRoles map[string]roleChange
-	returns                     []absence.Return
+	returns                     []enginehealth.Return
 	// recovered is closed and replaced when an engine accepts requests again.
 	recovered chan struct{}
 	// lossCache caches the lost role of each group, because computing it iterates over all engines of the group.
@@ -36,7 +36,7 @@
 // newEngineState returns an empty state.
 func newEngineState() *engineState {
 	return &engineState{
-		absences: absence.New(absence.DefaultSettings()), pendingRoles: map[string]roleChange{}, reportedRoles: map[string]roleChange{},
+		absences: enginehealth.New(enginehealth.DefaultSettings()), pendingRoles: map[string]roleChange{}, reportedRoles: map[string]roleChange{},
 		recovered: make(chan struct{}), lossCache: map[string]cachedLoss{}, hadDecoders: map[string]bool{},
 	}
 }
@@ -286,7 +286,7 @@
 }
 
 // TakeReturned returns the engines that registered again since the last call.
-func (d *Dispatcher) TakeReturned() []absence.Return {
+func (d *Dispatcher) TakeReturned() []enginehealth.Return {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	returned := d.engineState.returns
