--- a/internal/forward/dispatcher.go
+++ b/internal/forward/dispatcher.go
@@ -8,7 +8,7 @@
 	"github.com/granitebay/granitebay/internal/balance"
 	"github.com/granitebay/granitebay/internal/boottime"
 	"github.com/granitebay/granitebay/internal/enginemodel"
-	"github.com/granitebay/granitebay/internal/residency"
+	"github.com/granitebay/granitebay/internal/prefixcache"
 	"github.com/granitebay/granitebay/internal/retrybudget"
 	"github.com/granitebay/granitebay/internal/routing"
 )
@@ -59,7 +59,7 @@
 	mutex       sync.Mutex
 	model       *enginemodel.Model
 	balancer    *balance.Balancer
-	residency   *residency.Table
+	residency   *prefixcache.Table
 	peers       *peerExchange
 	retries     *retryBudgets
 	engineState *engineState
@@ -92,7 +92,7 @@
 		now:           now,
 		model:         model,
 		balancer:      balance.New(settings.Balance, model, peers.peerLoad),
-		residency:     residency.New(),
+		residency:     prefixcache.New(),
 		peers:         peers,
 		retries:       newRetryBudgets(settings.Budget, sinceBoot),
 		engineState:   newEngineState(),
--- a/internal/residency/residency.go
+++ b/internal/prefixcache/prefixcache.go
@@ -1,6 +1,6 @@
-// Package residency tracks which engines have the KV cache of which shared prompt parts, as far as it results from
+// Package prefixcache tracks which engines have the KV cache of which shared prompt parts, as far as it results from
 // requests of the gateways. Like the engines, the table evicts the least recently used parts when a cache is full.
-package residency
+package prefixcache
 
 import (
 	"container/list"
--- a/internal/residency/residency_test.go
+++ b/internal/prefixcache/prefixcache_test.go
@@ -1,4 +1,4 @@
-package residency_test
+package prefixcache_test
 
 import (
 	"fmt"
@@ -7,7 +7,7 @@
 
 	"pgregory.net/rapid"
 
-	"github.com/granitebay/granitebay/internal/residency"
+	"github.com/granitebay/granitebay/internal/prefixcache"
 )
 
 // Cache capacities in tokens.
@@ -23,7 +23,7 @@
 	ready  bool
 }
 
-// referenceTable is a simple implementation of residency.Table, with the most recently used part of each engine
+// referenceTable is a simple implementation of prefixcache.Table, with the most recently used part of each engine
 // first.
 type referenceTable map[string][]referencePart
 
@@ -63,12 +63,12 @@
 }
 
 // holders implements Table.Holders, sorted by worker.
-func (m referenceTable) holders(key string) []residency.Holder {
-	var found []residency.Holder
+func (m referenceTable) holders(key string) []prefixcache.Holder {
+	var found []prefixcache.Holder
 	for worker, parts := range m {
 		for _, part := range parts {
 			if part.key == key {
-				found = append(found, residency.Holder{Worker: worker, Cached: part.ready})
+				found = append(found, prefixcache.Holder{Worker: worker, Cached: part.ready})
 			}
 		}
 	}
@@ -85,8 +85,8 @@
 }
 
 // sortHolders sorts holders by worker.
-func sortHolders(holders []residency.Holder) []residency.Holder {
-	slices.SortFunc(holders, func(a, b residency.Holder) int {
+func sortHolders(holders []prefixcache.Holder) []prefixcache.Holder {
+	slices.SortFunc(holders, func(a, b prefixcache.Holder) int {
 		if a.Worker < b.Worker {
 			return -1
 		}
@@ -100,7 +100,7 @@
 	workers := []string{"w0", "w1", "w2"}
 	keys := []string{"k0", "k1", "k2", "k3", "k4", "k5"}
 	rapid.Check(t, func(t *rapid.T) {
-		table, reference := residency.New(), referenceTable{}
+		table, reference := prefixcache.New(), referenceTable{}
 		for range rapid.IntRange(1, 60).Draw(t, "changes") {
 			worker := rapid.SampledFrom(workers).Draw(t, "worker")
 			key := rapid.SampledFrom(keys).Draw(t, "key")
@@ -132,12 +132,12 @@
 
 // TestHoldersAreInCachingOrder checks that using a part again does not change the order.
 func TestHoldersAreInCachingOrder(t *testing.T) {
-	table := residency.New()
+	table := prefixcache.New()
 	for _, worker := range []string{"w2", "w0", "w1"} {
 		table.Add(worker, capacity, "k", 10, true)
 	}
 	table.Add("w2", capacity, "k", 10, true)
-	want := []residency.Holder{{Worker: "w2", Cached: true}, {Worker: "w0", Cached: true}, {Worker: "w1", Cached: true}}
+	want := []prefixcache.Holder{{Worker: "w2", Cached: true}, {Worker: "w0", Cached: true}, {Worker: "w1", Cached: true}}
 	if got := table.Holders("k"); !slices.Equal(got, want) {
 		t.Errorf("got %v, want %v", got, want)
 	}
@@ -145,7 +145,7 @@
 
 // TestSmallFillsAreMerged guards against a table that grows with every request.
 func TestSmallFillsAreMerged(t *testing.T) {
-	table := residency.New()
+	table := prefixcache.New()
 	table.Add("w", largeCapacity, "first", 1000, true)
 	for range 180 {
 		table.AddAnonymous("w", 100)
