--- a/internal/keptshare/keptshare.go
+++ b/internal/cachesync/cachesync.go
@@ -1,9 +1,9 @@
-// Package keptshare lets a gateway that starts serving requests learn from other gateways which prompt parts the
+// Package cachesync lets a gateway that starts serving requests learn from other gateways which prompt parts the
 // engines have cached. Broadcast updates only reach gateways that are serving when they are sent, and querying
 // thousands of engines takes longer than clients wait.
 //
 // The information is a hint: if an engine has evicted a part, the part is prefilled again.
-package keptshare
+package cachesync
 
 import (
 	"context"
--- a/internal/keptshare/keptshare_test.go
+++ b/internal/cachesync/cachesync_test.go
@@ -1,4 +1,4 @@
-package keptshare
+package cachesync
 
 import (
 	"net/http"
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -13,13 +13,13 @@
 
 	"github.com/granitebay/granitebay/internal/accepting"
 	"github.com/granitebay/granitebay/internal/backend"
+	"github.com/granitebay/granitebay/internal/cachesync"
 	"github.com/granitebay/granitebay/internal/callers"
 	"github.com/granitebay/granitebay/internal/capacity"
 	"github.com/granitebay/granitebay/internal/changefeed"
 	"github.com/granitebay/granitebay/internal/cluster"
 	"github.com/granitebay/granitebay/internal/decisionlog"
 	"github.com/granitebay/granitebay/internal/forward"
-	"github.com/granitebay/granitebay/internal/keptshare"
 	"github.com/granitebay/granitebay/internal/logging"
 	"github.com/granitebay/granitebay/internal/member"
 	"github.com/granitebay/granitebay/internal/netdial"
@@ -114,7 +114,7 @@
 	restoreTrigger chan struct{}
 	// editsMayBeLost is set while the store may lack operators' edits that are in force here.
 	editsMayBeLost atomic.Bool
-	cacheAsker     *keptshare.Client
+	cacheAsker     *cachesync.Client
 
 	leaving     atomic.Bool
 	sideServers []*callers.Server
@@ -132,7 +132,7 @@
 	g.workers, g.workersAtAddress = backend.Set{}, map[string]int{}
 	g.learnTrigger = make(chan struct{}, 1)
 	g.restoreTrigger = make(chan struct{}, 1)
-	g.cacheAsker = keptshare.New()
+	g.cacheAsker = cachesync.New()
 	g.decisions = decisionlog.New(settings.Name, maxDecisions)
 	g.metrics = newGatewayMetrics(g.decisions, logger)
 	g.ports.Store = store.Instrumented(ports.Store, g.metrics.countStoreCall)
@@ -263,7 +263,7 @@
 func (g *Gateway) controlHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/", changefeed.Handler(g.replica, g.feedEntries))
-	mux.Handle("GET "+keptshare.Path, keptshare.Handler(g.dispatcher.CachedSegments))
+	mux.Handle("GET "+cachesync.Path, cachesync.Handler(g.dispatcher.CachedSegments))
 	return mux
 }
 
