--- a/internal/pause/pause.go
+++ b/internal/ctxsleep/ctxsleep.go
@@ -1,5 +1,5 @@
-// Package pause provides a sleep that a context can end early.
-package pause
+// Package ctxsleep provides a sleep that a context can end early.
+package ctxsleep
 
 import (
 	"context"
--- a/internal/pause/pause_test.go
+++ b/internal/ctxsleep/ctxsleep_test.go
@@ -1,4 +1,4 @@
-package pause
+package ctxsleep
 
 import (
 	"context"
--- a/internal/forward/availability.go
+++ b/internal/forward/availability.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"github.com/granitebay/granitebay/internal/balance"
-	"github.com/granitebay/granitebay/internal/pause"
+	"github.com/granitebay/granitebay/internal/ctxsleep"
 )
 
 // availability says why no worker accepts a request now, and when one is expected to.
@@ -53,7 +53,7 @@
 	}
 	// The jitter keeps waiting requests from reaching the first worker at once and being refused again.
 	jitter := time.Duration(hashFraction(c.request.ID) * float64(wakeJitter))
-	if !pause.Sleep(ctx, min(expected.expectedAt.Sub(now)+jitter, latest.Sub(now))) {
+	if !ctxsleep.Sleep(ctx, min(expected.expectedAt.Sub(now)+jitter, latest.Sub(now))) {
 		return false
 	}
 	c.attempts.reincludeRefused()
--- a/internal/gateway/restore.go
+++ b/internal/gateway/restore.go
@@ -10,9 +10,9 @@
 
 	"github.com/granitebay/granitebay/internal/boottime"
 	"github.com/granitebay/granitebay/internal/configuration"
+	"github.com/granitebay/granitebay/internal/ctxsleep"
 	"github.com/granitebay/granitebay/internal/decision"
 	"github.com/granitebay/granitebay/internal/logging"
-	"github.com/granitebay/granitebay/internal/pause"
 	"github.com/granitebay/granitebay/internal/store"
 )
 
@@ -58,11 +58,11 @@
 			return
 		case <-g.restoreTrigger:
 		}
-		if !g.isEntry() || !pause.Sleep(ctx, time.Duration(g.entryRank())*restoreStagger) {
+		if !g.isEntry() || !ctxsleep.Sleep(ctx, time.Duration(g.entryRank())*restoreStagger) {
 			continue
 		}
 		for !g.restoreDocument(ctx) {
-			if !pause.Sleep(ctx, restoreRetryDelay) {
+			if !ctxsleep.Sleep(ctx, restoreRetryDelay) {
 				return
 			}
 		}
@@ -112,7 +112,7 @@
 	for {
 		if g.editsMayBeLost.Load() && !g.restoreDocument(ctx) {
 			g.editsMayBeLost.Store(true)
-			if !pause.Sleep(ctx, restoreRetryDelay) {
+			if !ctxsleep.Sleep(ctx, restoreRetryDelay) {
 				return configuration.ProposalResult{Err: ctx.Err()}
 			}
 			continue
--- a/internal/soak/command.go
+++ b/internal/soak/command.go
@@ -16,7 +16,7 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/granitebay/granitebay/internal/pause"
+	"github.com/granitebay/granitebay/internal/ctxsleep"
 )
 
 // Command is the command line of the soak.
@@ -255,4 +255,4 @@
 const timeFormat = "15:04:05.000"
 
 // sleep waits for a duration or the end of the context.
-func sleep(ctx context.Context, duration time.Duration) { pause.Sleep(ctx, duration) }
+func sleep(ctx context.Context, duration time.Duration) { ctxsleep.Sleep(ctx, duration) }
--- a/internal/store/pause.go
+++ b/internal/store/pause.go
@@ -5,7 +5,7 @@
 	"math/rand/v2"
 	"time"
 
-	"github.com/granitebay/granitebay/internal/pause"
+	"github.com/granitebay/granitebay/internal/ctxsleep"
 )
 
 // maxPauseFraction bounds the pause by the number of readers to a fraction of the propagation bound, which it would
@@ -58,4 +58,4 @@
 }
 
 // sleep waits for a duration or until the context ends.
-func sleep(ctx context.Context, lasting time.Duration) { pause.Sleep(ctx, lasting) }
+func sleep(ctx context.Context, lasting time.Duration) { ctxsleep.Sleep(ctx, lasting) }
