--- a/internal/balance/limits.go
+++ b/internal/balance/limits.go
@@ -32,8 +32,8 @@
 type limits struct {
 	byWorker map[string]*workerLimit
 	shares   QuotaShares
-	// nextLacking is where Lacking continues.
-	nextLacking int
+	// nextOutOfQuota is where OutOfQuota continues.
+	nextOutOfQuota int
 }
 
 // workerLimit is the rate limit of a worker and the local quota of it.
@@ -133,17 +133,17 @@
 // rotate through the workers.
 func (b *Balancer) OutOfQuota(now time.Time, group string, role backend.Role, maxWorkers int) []string {
 	workers := b.index.byGroup[group]
-	var lacking []string
+	var ids []string
 	for i := range workers {
-		state := workers[(b.limits.nextLacking+i)%len(workers)]
+		state := workers[(b.limits.nextOutOfQuota+i)%len(workers)]
 		if state.worker.Role == role && state.inService(now) && !state.backingOff(now) && !state.hasQuota(now) {
-			if lacking = append(lacking, state.worker.ID); len(lacking) == maxWorkers {
+			if ids = append(ids, state.worker.ID); len(ids) == maxWorkers {
 				break
 			}
 		}
 	}
-	b.limits.nextLacking += maxWorkers
-	return lacking
+	b.limits.nextOutOfQuota += maxWorkers
+	return ids
 }
 
 // Quota is the limit of a worker and the share of this gateway.
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -74,7 +74,7 @@
 func NewHandler(settings Settings, protocol Protocol, workers Workers, dispatcher *Dispatcher, observer Observer) *Handler {
 	return &Handler{
 		settings: settings, protocol: protocol, workers: workers, dispatcher: dispatcher, observer: observer,
-		tenants: tenantlimit.New(dispatcher.placesOf),
+		tenants: tenantlimit.New(dispatcher.concurrencyShareOf),
 	}
 }
 
--- a/internal/forward/loans_test.go
+++ b/internal/forward/loans_test.go
@@ -21,18 +21,18 @@
 	}
 	group := routing.Group{Name: "g"}
 	loanArrived, asked := d.requestLoans(&group)
-	asks, _ := d.TakeLoans()
-	if !asked || len(asks) != 1 || len(asks[0].Workers) == 0 {
-		t.Fatalf("asked: %t, got %+v", asked, asks)
+	requests, _ := d.TakeLoans()
+	if !asked || len(requests) != 1 || len(requests[0].Workers) == 0 {
+		t.Fatalf("asked: %t, got %+v", asked, requests)
 	}
 	if _, again := d.requestLoans(&group); again {
 		t.Error("the dispatcher asked again immediately")
 	}
-	return d, asks[0], loanArrived
+	return d, requests[0], loanArrived
 }
 
-// TestLoanIsUsedOnceByAsker delivers loans twice. Those for other gateways, for earlier requests and late ones must not be used.
-func TestLoanIsUsedOnceByAsker(t *testing.T) {
+// TestLoanIsUsedOnceByBorrower delivers loans twice. Those for other gateways, for earlier requests and late ones must not be used.
+func TestLoanIsUsedOnceByBorrower(t *testing.T) {
 	for _, test := range []struct {
 		desc  string
 		alter func(loan *peersync.Loan)
@@ -40,13 +40,13 @@
 		used  int
 	}{
 		{desc: "delivered twice", alter: func(*peersync.Loan) {}, used: 2},
-		{desc: "for another gateway", alter: func(l *peersync.Loan) { l.Asker = "third" }},
+		{desc: "for another gateway", alter: func(l *peersync.Loan) { l.Borrower = "third" }},
 		{desc: "for an earlier request", alter: func(l *peersync.Loan) { l.Serial-- }},
 		{desc: "too late", alter: func(*peersync.Loan) {}, wait: 600 * time.Millisecond},
 	} {
-		d, ask, loanArrived := askForLoans(t)
-		worker := ask.Workers[0]
-		loan := peersync.Loan{Asker: ask.Asker, Serial: ask.Serial, Lender: "other", Worker: worker, Count: 2}
+		d, request, loanArrived := askForLoans(t)
+		worker := request.Workers[0]
+		loan := peersync.Loan{Borrower: request.Borrower, Serial: request.Serial, Lender: "other", Worker: worker, Count: 2}
 		test.alter(&loan)
 		time.Sleep(test.wait)
 		d.ApplyLoans(nil, []peersync.Loan{loan, loan})
@@ -74,7 +74,7 @@
 	d.ShareLimits("one")
 	id := d.balancer.IDs()[0]
 	d.SetLimit(id, 5, 0)
-	d.ApplyLoans([]peersync.LoanRequest{{Asker: "other", Serial: 1, Workers: []string{id, "nobody"}, MaxRequests: 4}}, nil)
+	d.ApplyLoans([]peersync.LoanRequest{{Borrower: "other", Serial: 1, Workers: []string{id, "nobody"}, MaxRequests: 4}}, nil)
 	if _, loans := d.TakeLoans(); len(loans) != 0 {
 		t.Errorf("a gateway that holds nothing lent %+v", loans)
 	}
@@ -83,8 +83,8 @@
 	d.ConfirmShare(now.Add(-8 * time.Second))
 	d.ConfirmShare(now.Add(-time.Second))
 	time.Sleep(250 * time.Millisecond)
-	d.ApplyLoans([]peersync.LoanRequest{{Asker: "other", Serial: 1, Workers: []string{id}, MaxRequests: 4}}, nil)
-	if _, loans := d.TakeLoans(); len(loans) != 1 || loans[0].Count != 1 || loans[0].Lender != "one" || loans[0].Asker != "other" {
+	d.ApplyLoans([]peersync.LoanRequest{{Borrower: "other", Serial: 1, Workers: []string{id}, MaxRequests: 4}}, nil)
+	if _, loans := d.TakeLoans(); len(loans) != 1 || loans[0].Count != 1 || loans[0].Lender != "one" || loans[0].Borrower != "other" {
 		t.Errorf("a gateway that holds one request lent %+v", loans)
 	}
 	if d.AllowHealthCheck(id) {
--- a/internal/forward/ratelimits.go
+++ b/internal/forward/ratelimits.go
@@ -15,14 +15,14 @@
 type limitHoldings struct {
 	name string
 	// now includes the time while the machine is suspended, because other gateways keep using their shares meanwhile.
-	now     func() time.Time
-	holders *quota.Holders
-	asks    *quota.LoanRequests
+	now          func() time.Time
+	holders      *quota.Holders
+	loanRequests *quota.LoanRequests
 	// loans from other gateways, by worker id.
 	loans map[string]*quota.Loans
-	// outgoingAsks and outgoingLoans are to be sent to the other gateways.
-	outgoingAsks  []peersync.LoanRequest
-	outgoingLoans []peersync.Loan
+	// outgoingRequests and outgoingLoans are to be sent to the other gateways.
+	outgoingRequests []peersync.LoanRequest
+	outgoingLoans    []peersync.Loan
 	// loanArrived is closed and replaced when a loan arrives.
 	loanArrived chan struct{}
 }
@@ -35,7 +35,7 @@
 // Loans implements balance.Holdings.
 func (h *limitHoldings) Loans(worker string) int {
 	if loans := h.loans[worker]; loans != nil {
-		return loans.Left(h.now())
+		return loans.Available(h.now())
 	}
 	return 0
 }
@@ -46,7 +46,7 @@
 	if loans == nil || !loans.Spend(h.now()) {
 		return false
 	}
-	if loans.Left(h.now()) == 0 {
+	if loans.Available(h.now()) == 0 {
 		delete(h.loans, worker)
 	}
 	return true
@@ -57,7 +57,7 @@
 func (d *Dispatcher) ShareLimits(name string) {
 	now := d.retries.now
 	d.limits = &limitHoldings{
-		name: name, now: now, holders: quota.NewHolders(name, retrybudget.ConfirmationTTL(d.settings.Budget.Window)), asks: quota.NewLoanRequests(now()),
+		name: name, now: now, holders: quota.NewHolders(name, retrybudget.ConfirmationTTL(d.settings.Budget.Window)), loanRequests: quota.NewLoanRequests(now()),
 		loans: map[string]*quota.Loans{}, loanArrived: make(chan struct{}),
 	}
 	d.balancer.ShareLimits(d.limits)
@@ -89,7 +89,7 @@
 }
 
 // placesOf returns this gateway's share of a concurrency limit.
-func (d *Dispatcher) placesOf(key string, bound int) int {
+func (d *Dispatcher) concurrencyShareOf(key string, bound int) int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if d.limits == nil {
@@ -125,11 +125,11 @@
 
 // Parameters of requests for loans.
 const (
-	// maxWorkersPerAsk bounds the number of workers in one message, and so its size.
-	maxWorkersPerAsk = 8
-	// requestsPerAsk is the number of requests asked for per worker: about as many as a busy gateway receives within the lifetime of a
+	// maxWorkersPerLoanRequest bounds the number of workers in one message, and so its size.
+	maxWorkersPerLoanRequest = 8
+	// requestsPerLoan is the number of requests asked for per worker: about as many as a busy gateway receives within the lifetime of a
 	// loan.
-	requestsPerAsk = 16
+	requestsPerLoan = 16
 	// loanWait is how long a request waits for a loan: a round trip between regions.
 	loanWait = 50 * time.Millisecond
 )
@@ -137,8 +137,8 @@
 // borrow asks the other gateways for unused capacity of the rate-limited workers of a group, unless it asked recently. It reports whether a
 // loan arrived in time.
 func (d *Dispatcher) borrow(ctx context.Context, group *routing.Group) bool {
-	loanArrived, asked := d.requestLoans(group)
-	if !asked {
+	loanArrived, requested := d.requestLoans(group)
+	if !requested {
 		return false
 	}
 	timer := time.NewTimer(loanWait)
@@ -159,12 +159,12 @@
 	if d.limits == nil || d.peers.notify == nil || d.gatewayCount() == 1 {
 		return nil, false
 	}
-	serial, allowed := d.limits.asks.Ask(d.limits.now(), d.gatewayCount())
+	serial, allowed := d.limits.loanRequests.Start(d.limits.now(), d.gatewayCount())
 	if !allowed {
 		return nil, false
 	}
-	workers := d.balancer.OutOfQuota(d.now(), group.Name, runnerRole(group), maxWorkersPerAsk)
-	d.limits.outgoingAsks = append(d.limits.outgoingAsks, peersync.LoanRequest{Asker: d.limits.name, Serial: serial, Workers: workers, MaxRequests: requestsPerAsk})
+	workers := d.balancer.OutOfQuota(d.now(), group.Name, runnerRole(group), maxWorkersPerLoanRequest)
+	d.limits.outgoingRequests = append(d.limits.outgoingRequests, peersync.LoanRequest{Borrower: d.limits.name, Serial: serial, Workers: workers, MaxRequests: requestsPerLoan})
 	d.peers.notify(true)
 	return d.limits.loanArrived, true
 }
@@ -176,14 +176,14 @@
 	if d.limits == nil {
 		return nil, nil
 	}
-	asks, loans := d.limits.outgoingAsks, d.limits.outgoingLoans
-	d.limits.outgoingAsks, d.limits.outgoingLoans = nil, nil
-	return asks, loans
+	requests, loans := d.limits.outgoingRequests, d.limits.outgoingLoans
+	d.limits.outgoingRequests, d.limits.outgoingLoans = nil, nil
+	return requests, loans
 }
 
 // ApplyLoans handles requests for loans and loans from another gateway.
-func (d *Dispatcher) ApplyLoans(asks []peersync.LoanRequest, loans []peersync.Loan) {
-	if len(asks) == 0 && len(loans) == 0 {
+func (d *Dispatcher) ApplyLoans(requests []peersync.LoanRequest, loans []peersync.Loan) {
+	if len(requests) == 0 && len(loans) == 0 {
 		return
 	}
 	d.mutex.Lock()
@@ -191,11 +191,11 @@
 	if d.limits == nil {
 		return
 	}
-	for _, ask := range asks {
-		d.lend(ask)
+	for _, request := range requests {
+		d.lend(request)
 	}
 	for _, loan := range loans {
-		if loan.Asker == d.limits.name {
+		if loan.Borrower == d.limits.name {
 			d.acceptLoan(loan)
 		}
 	}
@@ -205,11 +205,11 @@
 }
 
 // lend lends unused capacity to the gateway that asked for it. The mutex is held.
-func (d *Dispatcher) lend(ask peersync.LoanRequest) {
-	for _, worker := range ask.Workers[:min(len(ask.Workers), maxWorkersPerAsk)] {
-		if count := d.balancer.Lend(d.now(), worker, min(ask.MaxRequests, requestsPerAsk)); count > 0 {
+func (d *Dispatcher) lend(request peersync.LoanRequest) {
+	for _, worker := range request.Workers[:min(len(request.Workers), maxWorkersPerLoanRequest)] {
+		if count := d.balancer.Lend(d.now(), worker, min(request.MaxRequests, requestsPerLoan)); count > 0 {
 			d.limits.outgoingLoans = append(d.limits.outgoingLoans, peersync.Loan{
-				Asker: ask.Asker, Serial: ask.Serial, Lender: d.limits.name, Worker: worker, Count: count,
+				Borrower: request.Borrower, Serial: request.Serial, Lender: d.limits.name, Worker: worker, Count: count,
 			})
 		}
 	}
@@ -217,8 +217,8 @@
 
 // acceptLoan adds a loan if it answers the outstanding request. The mutex is held.
 func (d *Dispatcher) acceptLoan(loan peersync.Loan) {
-	until, isAnswer := d.limits.asks.Answer(d.limits.now(), loan.Serial, loan.Lender, loan.Worker)
-	if !isAnswer {
+	until, accepted := d.limits.loanRequests.Accept(d.limits.now(), loan.Serial, loan.Lender, loan.Worker)
+	if !accepted {
 		return
 	}
 	if d.limits.loans[loan.Worker] == nil {
--- a/internal/forward/retrybudget.go
+++ b/internal/forward/retrybudget.go
@@ -72,7 +72,7 @@
 	defer d.mutex.Unlock()
 	now := d.retries.now()
 	d.retries.accrue(now)
-	d.retries.share.SetSharers(now, count)
+	d.retries.share.SetGatewayCount(now, count)
 	d.retries.accrue(now)
 }
 
@@ -142,10 +142,10 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := d.retries.now()
-	share, sharers := d.retries.share.At(now), d.retries.share.Sharers(now)
+	share, gatewayCount := d.retries.share.At(now), d.retries.share.GatewayCount(now)
 	var views []BudgetView
 	for _, group := range slices.Sorted(maps.Keys(d.retries.budgets)) {
-		views = append(views, BudgetView{Group: group, View: d.retries.budgets[group].View(now, share), GatewayCount: sharers})
+		views = append(views, BudgetView{Group: group, View: d.retries.budgets[group].View(now, share), GatewayCount: gatewayCount})
 	}
 	return views
 }
--- a/internal/forward/retrybudget_sim_test.go
+++ b/internal/forward/retrybudget_sim_test.go
@@ -210,7 +210,7 @@
 		entries = min(f.entries, serving)
 	}
 	isStandby := slices.Index(registered, i) >= entries
-	machine.process.dispatcher.SetGatewayCount(retrybudget.Sharers(isStandby, entries, serving))
+	machine.process.dispatcher.SetGatewayCount(retrybudget.EffectiveGatewayCount(isStandby, entries, serving))
 }
 
 // countWithin counts the times in [from, to).
--- a/internal/gateway/entries.go
+++ b/internal/gateway/entries.go
@@ -35,8 +35,8 @@
 	// isEntry is set while this gateway is an entry, and roleSince is when that last changed.
 	isEntry   bool
 	roleSince time.Time
-	// retrySharers is the number by which the retry allowance was last divided.
-	retrySharers int
+	// retryGatewayCount is the number by which the retry allowance was last divided.
+	retryGatewayCount int
 	// advertised caches the gateways named to callers; a zero advertisedAt invalidates it.
 	advertised   []member.Gateway
 	advertisedAt time.Time
@@ -182,7 +182,7 @@
 	g.feedFollower.SetUpstreams(lo.Map(entries, func(entry member.Gateway, _ int) changefeed.Upstream {
 		return changefeed.Upstream{Name: entry.Name, Zone: entry.Zone, Address: entry.ControlAddress}
 	}))
-	g.setRetrySharers(audience.Standby, len(entries), len(suspects)+len(claimants), serving)
+	g.setRetryGatewayCount(audience.Standby, len(entries), len(suspects)+len(claimants), serving)
 	g.loadExchange.SetAudience(audience)
 }
 
@@ -222,21 +222,21 @@
 	})
 }
 
-// setRetrySharers divides the retry allowance and logs a changed divisor. Entries also count uncertain gateways, which
+// setRetryGatewayCount divides the retry allowance and logs a changed divisor. Entries also count uncertain gateways, which
 // may still accept requests and spend retries. The mutex of entries must be held.
-func (g *Gateway) setRetrySharers(standby bool, entries, uncertain, serving int) {
-	sharers := retrybudget.Sharers(standby, entries, serving)
+func (g *Gateway) setRetryGatewayCount(standby bool, entries, uncertain, serving int) {
+	gatewayCount := retrybudget.EffectiveGatewayCount(standby, entries, serving)
 	if !standby {
-		sharers = retrybudget.Sharers(standby, min(entries+uncertain, serving), serving)
+		gatewayCount = retrybudget.EffectiveGatewayCount(standby, min(entries+uncertain, serving), serving)
 	}
-	g.dispatcher.SetGatewayCount(sharers)
-	if sharers == g.entries.retrySharers {
+	g.dispatcher.SetGatewayCount(gatewayCount)
+	if gatewayCount == g.entries.retryGatewayCount {
 		return
 	}
 	logging.Component(g.logger, "budget").WithFields(logrus.Fields{
-		"divided_by": sharers, "before": g.entries.retrySharers, "stands_by": standby, "entries": entries, "in_doubt": uncertain, "gateways": serving,
+		"divided_by": gatewayCount, "before": g.entries.retryGatewayCount, "stands_by": standby, "entries": entries, "in_doubt": uncertain, "gateways": serving,
 	}).Info("The share of the allowance of repeats has changed.")
-	g.entries.retrySharers = sharers
+	g.entries.retryGatewayCount = gatewayCount
 }
 
 // logBudgetExhausted logs that a group has no retries left.
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -165,18 +165,18 @@
 
 // Names of retry budget metrics.
 const (
-	metricRepeats        = "granitebay_repeats_total"
-	metricRepeatsLeft    = "granitebay_repeats_left"
-	metricRepeatsSharers = "granitebay_repeats_divided_by"
+	metricRetries          = "granitebay_repeats_total"
+	metricRetriesLeft      = "granitebay_repeats_left"
+	metricRetriesDividedBy = "granitebay_repeats_divided_by"
 )
 
 // writeBudgets writes the granted, denied and remaining retries of each budget.
 func writeBudgets(w io.Writer, budgets []forward.BudgetView) {
 	for _, budget := range budgets {
-		metrics.WriteCounterUint64(w, fmt.Sprintf(`%s{group=%q,outcome="granted"}`, metricRepeats, budget.Group), uint64(budget.Granted))
-		metrics.WriteCounterUint64(w, fmt.Sprintf(`%s{group=%q,outcome="denied"}`, metricRepeats, budget.Group), uint64(budget.Denied))
-		metrics.WriteGaugeFloat64(w, fmt.Sprintf(`%s{group=%q}`, metricRepeatsLeft, budget.Group), budget.Left)
-		metrics.WriteGaugeUint64(w, fmt.Sprintf(`%s{group=%q}`, metricRepeatsSharers, budget.Group), uint64(budget.GatewayCount))
+		metrics.WriteCounterUint64(w, fmt.Sprintf(`%s{group=%q,outcome="granted"}`, metricRetries, budget.Group), uint64(budget.Granted))
+		metrics.WriteCounterUint64(w, fmt.Sprintf(`%s{group=%q,outcome="denied"}`, metricRetries, budget.Group), uint64(budget.Denied))
+		metrics.WriteGaugeFloat64(w, fmt.Sprintf(`%s{group=%q}`, metricRetriesLeft, budget.Group), budget.Left)
+		metrics.WriteGaugeUint64(w, fmt.Sprintf(`%s{group=%q}`, metricRetriesDividedBy, budget.Group), uint64(budget.GatewayCount))
 	}
 }
 
--- a/internal/gateway/supplement.go
+++ b/internal/gateway/supplement.go
@@ -4,8 +4,8 @@
 
 // TakeSupplement implements peersync.Source.
 func (g *Gateway) TakeSupplement(full bool) peersync.Supplement {
-	asks, loans := g.dispatcher.TakeLoans()
-	return peersync.Supplement{Leaving: g.notices.drain(full), Limits: g.workerLimits.drain(full), Asks: asks, Loans: loans}
+	requests, loans := g.dispatcher.TakeLoans()
+	return peersync.Supplement{Leaving: g.notices.drain(full), Limits: g.workerLimits.drain(full), LoanRequests: requests, Loans: loans}
 }
 
 // ApplySupplement implements peersync.Source. Workers announced as leaving are drained here as well, even if this
@@ -17,5 +17,5 @@
 		}
 	}
 	g.workerLimits.handlePeer(supplement.Limits)
-	g.dispatcher.ApplyLoans(supplement.Asks, supplement.Loans)
+	g.dispatcher.ApplyLoans(supplement.LoanRequests, supplement.Loans)
 }
--- a/internal/peersync/supplement.go
+++ b/internal/peersync/supplement.go
@@ -13,16 +13,16 @@
 	Leaving []string `cbor:"1,keyasint,omitempty"`
 	// Limits lists workers that set or revoked a rate limit in responses to the sender.
 	Limits []Limit `cbor:"2,keyasint,omitempty"`
-	// Asks are the sender's questions for loans of requests at workers with limits, and Loans are its loans to others.
-	Asks  []LoanRequest `cbor:"3,keyasint,omitempty"`
-	Loans []Loan        `cbor:"4,keyasint,omitempty"`
+	// LoanRequests are the sender's requests for loans at workers with limits, and Loans are its loans to others.
+	LoanRequests []LoanRequest `cbor:"3,keyasint,omitempty"`
+	Loans        []Loan        `cbor:"4,keyasint,omitempty"`
 }
 
 // LoanRequest asks the other gateways for a loan of requests at workers with limits.
 type LoanRequest struct {
-	_     struct{} `cbor:",toarray"`
-	Asker string
-	// Serial identifies a question of an asker, also across its restarts.
+	_        struct{} `cbor:",toarray"`
+	Borrower string
+	// Serial identifies a request of a borrower, also across its restarts.
 	Serial  int64
 	Workers []string
 	// MaxRequests is the maximum number of requests per worker.
@@ -31,12 +31,12 @@
 
 // Loan lends requests at a worker to the gateway that asked for them. The lender does not use them anymore.
 type Loan struct {
-	_      struct{} `cbor:",toarray"`
-	Asker  string
-	Serial int64
-	Lender string
-	Worker string
-	Count  int
+	_        struct{} `cbor:",toarray"`
+	Borrower string
+	Serial   int64
+	Lender   string
+	Worker   string
+	Count    int
 }
 
 // Limit is the number of requests per second that a worker accepts from all gateways together, according to a response
@@ -53,7 +53,7 @@
 
 // Empty reports whether there is nothing to send.
 func (s *Supplement) Empty() bool {
-	return len(s.Leaving) == 0 && len(s.Limits) == 0 && len(s.Asks) == 0 && len(s.Loans) == 0
+	return len(s.Leaving) == 0 && len(s.Limits) == 0 && len(s.LoanRequests) == 0 && len(s.Loans) == 0
 }
 
 // Encode returns the encoding of a supplement.
--- a/internal/quota/holders.go
+++ b/internal/quota/holders.go
@@ -127,16 +127,16 @@
 
 // ConcurrencyShare returns how many concurrent requests of a concurrency limit this gateway may admit. The gateways together
 // admit the limit, or one request each if the limit is smaller than the number of gateways: callers may use any
-// gateway, and one without places would reject tenants that have no request in progress. Like serving itself, it works
+// gateway, and one without a share would reject tenants that have no request in progress. Like serving itself, it works
 // without the store.
 func (h *Holders) ConcurrencyShare(now time.Time, key string, limit int) int {
 	h.dropExpired(now)
 	gateways := max(len(h.members), 1)
-	places := limit / gateways
+	share := limit / gateways
 	if rank := h.rank(key); rank >= 0 && rank < limit%gateways {
-		places++
+		share++
 	}
-	return max(places, 1)
+	return max(share, 1)
 }
 
 // MemberCount returns how many gateways count.
--- a/internal/quota/loans.go
+++ b/internal/quota/loans.go
@@ -2,30 +2,30 @@
 
 import "time"
 
-// loanTTL is how long after the question a loan may be used and answers are accepted. The lender counts lent requests
+// loanTTL is how long after the loan request a loan may be used and answers are accepted. The lender counts lent requests
 // as sent, so any window may contain the requests of a window that is longer by loanTTL.
 const loanTTL = 500 * time.Millisecond
 
-// Intervals between questions for loans. The interval doubles while nothing is lent, since no gateway may have
-// requests to spare. Each question goes to every gateway that takes requests, so the maximum grows with their number
+// Intervals between loan requests. The interval doubles while nothing is lent, since no gateway may have
+// requests to spare. Each loan request goes to every gateway that takes requests, so the maximum grows with their number
 // to bound the traffic: 64 gateways that all lack requests send each other 32 datagrams of about 200 bytes per second.
 const (
-	initialAskInterval    = 100 * time.Millisecond
-	maxAskInterval        = loanTTL / 2
-	askIntervalPerGateway = 30 * time.Millisecond
+	initialRequestInterval    = 100 * time.Millisecond
+	maxRequestInterval        = loanTTL / 2
+	requestIntervalPerGateway = 30 * time.Millisecond
 )
 
-// LoanRequests tracks this gateway's questions for loans. It is a pure state machine and not safe for concurrent use.
+// LoanRequests tracks the requests of this gateway for loans. It is a pure state machine and not safe for concurrent use.
 //
-// Invariant: a loan is used at most once, within loanTTL of the question that it answers. A lost answer loses the
+// Invariant: a loan is used at most once, within loanTTL of the loan request that it answers. A lost answer loses the
 // loan; answers that are late, duplicated or meant for an earlier process of this gateway are rejected.
 type LoanRequests struct {
-	// serial and askedAt describe the last question; answered holds the answers accepted for it, one per lender and
+	// serial and requestedAt describe the last loan request; answered holds the answers accepted for it, one per lender and
 	// limit.
-	serial   int64
-	askedAt  time.Time
-	answered map[answer]bool
-	interval time.Duration
+	serial      int64
+	requestedAt time.Time
+	answered    map[answer]bool
+	interval    time.Duration
 }
 
 // answer identifies the loan of one lender for one limit.
@@ -36,25 +36,25 @@
 	return &LoanRequests{serial: now.UnixNano(), answered: map[answer]bool{}}
 }
 
-// Ask starts a question to the given number of gateways and returns its serial, or false if it is too early.
-func (a *LoanRequests) Ask(now time.Time, gateways int) (int64, bool) {
-	if !a.askedAt.IsZero() && now.Sub(a.askedAt) < a.interval {
+// Start starts a loan request to the given number of gateways and returns its serial, or false if it is too early.
+func (a *LoanRequests) Start(now time.Time, gateways int) (int64, bool) {
+	if !a.requestedAt.IsZero() && now.Sub(a.requestedAt) < a.interval {
 		return 0, false
 	}
 	if len(a.answered) > 0 || a.interval == 0 {
-		a.interval = initialAskInterval
+		a.interval = initialRequestInterval
 	} else {
-		a.interval = min(2*a.interval, max(maxAskInterval, time.Duration(gateways)*askIntervalPerGateway))
+		a.interval = min(2*a.interval, max(maxRequestInterval, time.Duration(gateways)*requestIntervalPerGateway))
 	}
-	a.serial, a.askedAt = a.serial+1, now
+	a.serial, a.requestedAt = a.serial+1, now
 	clear(a.answered)
 	return a.serial, true
 }
 
-// Answer returns when a loan that answers a question expires, or false if the loan must not be used.
-func (a *LoanRequests) Answer(now time.Time, serial int64, lender, key string) (time.Time, bool) {
-	expiry := a.askedAt.Add(loanTTL)
-	if serial != a.serial || a.askedAt.IsZero() || !now.Before(expiry) || a.answered[answer{lender, key}] {
+// Accept returns when a loan that answers a loan request expires, or false if the loan must not be used.
+func (a *LoanRequests) Accept(now time.Time, serial int64, lender, key string) (time.Time, bool) {
+	expiry := a.requestedAt.Add(loanTTL)
+	if serial != a.serial || a.requestedAt.IsZero() || !now.Before(expiry) || a.answered[answer{lender, key}] {
 		return time.Time{}, false
 	}
 	a.answered[answer{lender, key}] = true
@@ -83,8 +83,8 @@
 // maxLoanSize bounds the requests accepted from one answer, which is input from another process.
 const maxLoanSize = 64
 
-// Left returns how many lent requests may be used now.
-func (l *Loans) Left(now time.Time) int {
+// Available returns how many lent requests may be used now.
+func (l *Loans) Available(now time.Time) int {
 	for len(l.expiries) > 0 && !now.Before(l.expiries[0]) {
 		l.expiries = l.expiries[1:]
 	}
@@ -93,7 +93,7 @@
 
 // Spend uses one lent request and reports whether there was one.
 func (l *Loans) Spend(now time.Time) bool {
-	if l.Left(now) == 0 {
+	if l.Available(now) == 0 {
 		return false
 	}
 	l.expiries = l.expiries[1:]
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -29,19 +29,19 @@
 	sentAt []time.Time
 }
 
-// message is a question for a loan, or the answer to one if lent is positive.
+// message is a loan request, or the answer to one if lent is positive.
 type message struct {
-	asker, lender string
-	serial        int64
-	lent          int
+	borrower, lender string
+	serial           int64
+	lent             int
 }
 
-// ask sends a question for a loan to all other gateways.
-func (f *fleet) ask(g *gateway) {
-	if serial, allowed := g.asks.Ask(f.now, len(f.gateways)); allowed && !g.frozen {
+// requestLoan sends a loan request to all other gateways.
+func (f *fleet) requestLoan(g *gateway) {
+	if serial, allowed := g.loanRequests.Start(f.now, len(f.gateways)); allowed && !g.frozen {
 		for _, other := range f.gateways {
 			if other != g {
-				f.messages = append(f.messages, message{asker: g.name, lender: other.name, serial: serial})
+				f.messages = append(f.messages, message{borrower: g.name, lender: other.name, serial: serial})
 			}
 		}
 	}
@@ -53,7 +53,7 @@
 	m := f.messages[index]
 	to := m.lender
 	if m.lent > 0 {
-		to = m.asker
+		to = m.borrower
 	}
 	receiver := slices.IndexFunc(f.gateways, func(g *gateway) bool { return g.name == to && !g.frozen })
 	if receiver < 0 {
@@ -64,7 +64,7 @@
 	}
 	g := f.gateways[receiver]
 	if m.lent > 0 {
-		if expiry, accepted := g.asks.Answer(f.now, m.serial, m.lender, "worker"); accepted {
+		if expiry, accepted := g.loanRequests.Accept(f.now, m.serial, m.lender, "worker"); accepted {
 			g.loans.Add(m.lent, expiry)
 		}
 		return
@@ -76,11 +76,11 @@
 
 // gateway is one simulated gateway.
 type gateway struct {
-	name    string
-	holders *Holders
-	quota   *Quota
-	asks    *LoanRequests
-	loans   Loans
+	name         string
+	holders      *Holders
+	quota        *Quota
+	loanRequests *LoanRequests
+	loans        Loans
 	// frozen gateways do nothing; partitioned ones cannot reach the store.
 	frozen, partitioned bool
 	// knownRate is the last rate of the limit that it has learned.
@@ -92,7 +92,7 @@
 	name := fmt.Sprint("g", f.started)
 	f.started++
 	g := &gateway{name: name, holders: NewHolders(name, confirmationTTL), knownRate: f.rate}
-	g.quota, g.asks = New(f.now, g.knownRate, 0), NewLoanRequests(f.now)
+	g.quota, g.loanRequests = New(f.now, g.knownRate, 0), NewLoanRequests(f.now)
 	f.gateways = append(f.gateways, g)
 	return g
 }
@@ -138,7 +138,7 @@
 	pick := func() *gateway { return rapid.SampledFrom(f.gateways).Draw(t, "gateway") }
 	switch rapid.IntRange(0, 17).Draw(t, "event") {
 	case 15:
-		f.ask(pick())
+		f.requestLoan(pick())
 	case 16, 17:
 		for range min(len(f.messages), 4) {
 			f.deliver(rapid.IntRange(0, len(f.messages)-1).Draw(t, "message"), rapid.IntRange(0, 5).Draw(t, "duplicate") == 0)
@@ -299,8 +299,8 @@
 	}
 }
 
-// TestPlacesSumToLimit guards against concurrency limits whose shares do not add up to the limit.
-func TestPlacesSumToLimit(t *testing.T) {
+// TestConcurrencySharesSumToLimit guards against concurrency limits whose shares do not add up to the limit.
+func TestConcurrencySharesSumToLimit(t *testing.T) {
 	for _, gateways := range []int{1, 3, 9, 60} {
 		f := settledFleet(gateways, 1)
 		for _, limit := range []int{1, 2, 9, 10, 17, 64, 200} {
@@ -316,7 +316,7 @@
 }
 
 // TestLoansServeDemandAtOneGateway guards against a limit that stays unused while all demand arrives at one gateway.
-// Messages take 5 ms. The result is only asserted for up to nine gateways: at 60 the questions are too rare.
+// Messages take 5 ms. The result is only asserted for up to nine gateways: at 60 the loan requests are too rare.
 func TestLoansServeDemandAtOneGateway(t *testing.T) {
 	for _, gateways := range []int{3, 9, 60} {
 		for _, rate := range []float64{0.4, 1.1, 2, 20, 200} {
@@ -331,7 +331,7 @@
 					f.deliver(0, false)
 				}
 				f.sendAll(f.gateways[0])
-				f.ask(f.gateways[0])
+				f.requestLoan(f.gateways[0])
 				f.now = f.now.Add(step)
 				if f.now.Sub(epoch)%time.Second == 0 {
 					for _, g := range f.gateways {
--- a/internal/retrybudget/retrybudget_test.go
+++ b/internal/retrybudget/retrybudget_test.go
@@ -125,9 +125,9 @@
 }
 
 // confirmedShare returns the share of one of several sharers, confirmed every second up to lastConfirmation.
-func confirmedShare(sharers int, lastConfirmation time.Duration) *Share {
+func confirmedShare(gatewayCount int, lastConfirmation time.Duration) *Share {
 	share := NewShare(10 * time.Second)
-	share.SetSharers(epoch, sharers)
+	share.SetGatewayCount(epoch, gatewayCount)
 	for offset := time.Duration(0); offset <= lastConfirmation; offset += time.Second {
 		share.Confirm(epoch.Add(offset))
 	}
@@ -149,7 +149,7 @@
 
 func TestFirstStartGetsShareImmediately(t *testing.T) {
 	share := NewShare(10 * time.Second)
-	share.SetSharers(epoch, 4)
+	share.SetGatewayCount(epoch, 4)
 	if got := share.At(epoch); got != 0 {
 		t.Errorf("share %v before the first confirmation, want 0", got)
 	}
@@ -184,16 +184,16 @@
 func TestSharesOfDepartedGatewaysStayReserved(t *testing.T) {
 	share := confirmedShare(9, 40*time.Second)
 	left := epoch.Add(20 * time.Second)
-	share.SetSharers(left, 3)
-	if sharers := share.Sharers(left.Add(13 * time.Second)); sharers != 9 {
-		t.Errorf("%d sharers while partitioned gateways may still retry, want 9", sharers)
+	share.SetGatewayCount(left, 3)
+	if gatewayCount := share.GatewayCount(left.Add(13 * time.Second)); gatewayCount != 9 {
+		t.Errorf("%d sharers while partitioned gateways may still retry, want 9", gatewayCount)
 	}
-	if sharers := share.Sharers(left.Add(14 * time.Second)); sharers != 3 {
-		t.Errorf("%d sharers after their shares have expired, want 3", sharers)
+	if gatewayCount := share.GatewayCount(left.Add(14 * time.Second)); gatewayCount != 3 {
+		t.Errorf("%d sharers after their shares have expired, want 3", gatewayCount)
 	}
-	share.SetSharers(left.Add(15*time.Second), 9)
-	if sharers := share.Sharers(left.Add(15 * time.Second)); sharers != 9 {
-		t.Errorf("%d sharers after they came back, want 9", sharers)
+	share.SetGatewayCount(left.Add(15*time.Second), 9)
+	if gatewayCount := share.GatewayCount(left.Add(15 * time.Second)); gatewayCount != 9 {
+		t.Errorf("%d sharers after they came back, want 9", gatewayCount)
 	}
 }
 
@@ -201,8 +201,8 @@
 // or waste much of it.
 func TestSharesSumToAtMostTheAllowance(t *testing.T) {
 	for _, fleet := range []struct{ entries, serving int }{{1, 1}, {12, 12}, {6, 13}, {8, 88}, {12, 295}} {
-		sum := float64(fleet.entries)/float64(Sharers(false, fleet.entries, fleet.serving)) +
-			float64(fleet.serving-fleet.entries)/float64(Sharers(true, fleet.entries, fleet.serving))
+		sum := float64(fleet.entries)/float64(EffectiveGatewayCount(false, fleet.entries, fleet.serving)) +
+			float64(fleet.serving-fleet.entries)/float64(EffectiveGatewayCount(true, fleet.entries, fleet.serving))
 		if sum > 1 || sum < 0.9 {
 			t.Errorf("the shares of %d entries among %d gateways sum to %.2f of the allowance", fleet.entries, fleet.serving, sum)
 		}
--- a/internal/retrybudget/share.go
+++ b/internal/retrybudget/share.go
@@ -25,13 +25,13 @@
 // the store. A gateway that cannot confirm its registration gives up its share before the others divide by fewer. So a
 // partition never makes a share larger.
 type Share struct {
-	window  time.Duration
-	sharers int
-	// pendingSharers replaces sharers at pendingAt, if it is smaller.
-	pendingSharers int
-	pendingAt      time.Time
-	// sharersSince is when sharers last changed.
-	sharersSince time.Time
+	window       time.Duration
+	gatewayCount int
+	// pendingCount replaces gatewayCount at pendingAt, if it is smaller.
+	pendingCount int
+	pendingAt    time.Time
+	// countSince is when gatewayCount last changed.
+	countSince time.Time
 	// confirmedSince is the start of the uninterrupted confirmations of the registration, and lastConfirmed the last
 	// one.
 	confirmedSince, lastConfirmed time.Time
@@ -39,7 +39,7 @@
 
 // NewShare returns the share of a gateway that no other gateway knows yet.
 func NewShare(window time.Duration) *Share {
-	return &Share{window: window, sharers: 1, pendingSharers: 1}
+	return &Share{window: window, gatewayCount: 1, pendingCount: 1}
 }
 
 // confirmationTTL is how long a confirmation remains valid.
@@ -54,7 +54,7 @@
 // older list. A share that was never confirmed then applies at once, and the returned fraction of the total storable
 // credit is what its budgets start with; otherwise it is 0.
 //
-// The fractions of all gateways sum to at most 1: the k-th gateway to register sees at least k sharers, and 1/2 + 1/6
+// The fractions of all gateways sum to at most 1: the k-th gateway to register sees at least k gateways, and 1/2 + 1/6
 // + 1/12 + ... is 1. Starting with 1/k would be too much, as gateways that registered slightly earlier may have spent
 // what they stored under larger shares.
 func (s *Share) ConfirmFirstStart(at time.Time) float64 {
@@ -63,32 +63,32 @@
 		return 0
 	}
 	s.confirmedSince, s.lastConfirmed = at.Add(-s.confirmationTTL()), at
-	return 1 / float64(s.sharers*(s.sharers+1))
+	return 1 / float64(s.gatewayCount*(s.gatewayCount+1))
 }
 
 // SetWindow changes the window.
 func (s *Share) SetWindow(window time.Duration) { s.window = window }
 
-// SetSharers sets the number of gateways that divide the allowance. A decrease takes effect later: the last
+// SetGatewayCount sets the number of gateways that divide the allowance. A decrease takes effect later: the last
 // confirmation of a gateway that left the list remains valid for one confirmation TTL, and it may be listed again
 // unnoticed for another.
-func (s *Share) SetSharers(now time.Time, sharers int) {
-	sharers = max(sharers, 1)
+func (s *Share) SetGatewayCount(now time.Time, gatewayCount int) {
+	gatewayCount = max(gatewayCount, 1)
 	s.applyPending(now)
 	switch {
-	case sharers > s.sharers:
-		s.sharers, s.pendingSharers, s.sharersSince = sharers, sharers, now
-	case sharers == s.sharers:
-		s.pendingSharers = sharers
-	case sharers != s.pendingSharers:
-		s.pendingSharers, s.pendingAt = sharers, now.Add(2*s.confirmationTTL())
+	case gatewayCount > s.gatewayCount:
+		s.gatewayCount, s.pendingCount, s.countSince = gatewayCount, gatewayCount, now
+	case gatewayCount == s.gatewayCount:
+		s.pendingCount = gatewayCount
+	case gatewayCount != s.pendingCount:
+		s.pendingCount, s.pendingAt = gatewayCount, now.Add(2*s.confirmationTTL())
 	}
 }
 
 // applyPending applies a pending decrease when it is due.
 func (s *Share) applyPending(now time.Time) {
-	if s.pendingSharers != s.sharers && !now.Before(s.pendingAt) {
-		s.sharers, s.sharersSince = s.pendingSharers, s.pendingAt
+	if s.pendingCount != s.gatewayCount && !now.Before(s.pendingAt) {
+		s.gatewayCount, s.countSince = s.pendingCount, s.pendingAt
 	}
 }
 
@@ -103,10 +103,10 @@
 	}
 }
 
-// Sharers returns the number of gateways that divide the allowance.
-func (s *Share) Sharers(now time.Time) int {
+// GatewayCount returns the number of gateways that divide the allowance.
+func (s *Share) GatewayCount(now time.Time) int {
 	s.applyPending(now)
-	return s.sharers
+	return s.gatewayCount
 }
 
 // At returns the share at the given time.
@@ -117,7 +117,7 @@
 		s.lastConfirmed.Sub(s.confirmedSince) < s.confirmationTTL() || now.Sub(s.lastConfirmed) > s.confirmationTTL() {
 		return 0
 	}
-	return 1 / float64(s.sharers)
+	return 1 / float64(s.gatewayCount)
 }
 
 // Since returns when the share at the given time took effect, or that time if there is no share.
@@ -126,8 +126,8 @@
 		return now
 	}
 	effectiveSince := s.confirmedSince.Add(s.confirmationTTL())
-	if s.sharersSince.After(effectiveSince) {
-		effectiveSince = s.sharersSince
+	if s.countSince.After(effectiveSince) {
+		effectiveSince = s.countSince
 	}
 	return effectiveSince
 }
@@ -136,9 +136,9 @@
 // for callers that reach a standby gateway at an old address.
 const entriesFraction = 0.75
 
-// Sharers returns the number of sharers that gives the share of a standby or an entry gateway, of a total of serving
+// EffectiveGatewayCount returns the divisor that gives the share of a standby or an entry gateway, of a total of serving
 // gateways. The shares of all gateways sum to at most 1.
-func Sharers(standby bool, entries, total int) int {
+func EffectiveGatewayCount(standby bool, entries, total int) int {
 	switch {
 	case entries >= total:
 		return total
