--- a/internal/cachesync/cachesync.go
+++ b/internal/cachesync/cachesync.go
@@ -1,8 +1,8 @@
-// Package cachesync lets a gateway that starts serving requests learn from other gateways which prompt parts the
+// Package cachesync lets a gateway that starts serving requests learn from other gateways which prompt segments the
 // engines have cached. Broadcast updates only reach gateways that are serving when they are sent, and querying
 // thousands of engines takes longer than clients wait.
 //
-// The information is a hint: if an engine has evicted a part, the part is prefilled again.
+// The information is a hint: if an engine has evicted a segment, the segment is prefilled again.
 package cachesync
 
 import (
@@ -18,12 +18,12 @@
 	"github.com/granitebay/granitebay/internal/peersync"
 )
 
-// Path is the path at which gateways serve the cached parts.
+// Path is the path at which gateways serve the cached segments.
 const Path = "/kept"
 
 // Limits of a request.
 const (
-	// maxSegments is the maximum number of parts in a response, which is about 4 MB for ten thousand engines.
+	// maxSegments is the maximum number of segments in a response, which is about 4 MB for ten thousand engines.
 	maxSegments = 100_000
 	// maxResponseBytes limits the size of a response.
 	maxResponseBytes = 16 << 20
@@ -32,7 +32,7 @@
 	requestTimeout = 500 * time.Millisecond
 )
 
-// Handler serves the cached parts that source returns, of each engine the least recently used first.
+// Handler serves the cached segments that source returns, of each engine the least recently used first.
 func Handler(source func(maxParts int) []peersync.CachedSegment) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		encoded, err := cbor.Marshal(source(maxSegments))
@@ -52,20 +52,20 @@
 // New returns an Asker.
 func New() *Client { return &Client{httpclient.New(httpclient.DefaultSettings())} }
 
-// Query returns the cached parts that the gateway at the address knows.
+// Query returns the cached segments that the gateway at the address knows.
 func (a *Client) Query(ctx context.Context, address string) ([]peersync.CachedSegment, error) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
 	response, err := a.client.Do(ctx, address, &httpclient.Request{Method: http.MethodGet, Target: Path, Host: address, Header: http.Header{}})
 	if err != nil {
-		return nil, errors.Wrapf(err, "step query cached parts, peer %s", address)
+		return nil, errors.Wrapf(err, "step query cached segments, peer %s", address)
 	}
 	defer response.Body.Close()
 	content, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil || response.Status != http.StatusOK {
-		return nil, errors.Newf("step query cached parts, peer %s: status %d, read error %v", address, response.Status, err)
+		return nil, errors.Newf("step query cached segments, peer %s: status %d, read error %v", address, response.Status, err)
 	}
-	var parts []peersync.CachedSegment
-	err = cbor.Unmarshal(content, &parts)
-	return parts, errors.Wrapf(err, "step query cached parts, peer %s: decode response, limited to %d bytes", address, maxResponseBytes)
+	var segments []peersync.CachedSegment
+	err = cbor.Unmarshal(content, &segments)
+	return segments, errors.Wrapf(err, "step query cached segments, peer %s: decode response, limited to %d bytes", address, maxResponseBytes)
 }
--- a/internal/cachesync/cachesync_test.go
+++ b/internal/cachesync/cachesync_test.go
@@ -18,7 +18,7 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-func TestAskReturnsCachedParts(t *testing.T) {
+func TestQueryReturnsCachedSegments(t *testing.T) {
 	known := []peersync.CachedSegment{{Worker: "w", Key: "k", Tokens: 13_300, Ready: true}, {Worker: "v", Key: "l", Tokens: 700}}
 	got, err := New().Query(t.Context(), startServer(t, Handler(func(int) []peersync.CachedSegment { return known })))
 	if err != nil || !reflect.DeepEqual(got, known) {
@@ -32,8 +32,8 @@
 		"not CBOR":        func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("nonsense")) },
 		"other CBOR type": func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte{0x05}) },
 	} {
-		if parts, err := New().Query(t.Context(), startServer(t, handler)); err == nil || len(parts) > 0 || !strings.Contains(err.Error(), "query cached parts") {
-			t.Errorf("%s: got parts %v, error %v", name, parts, err)
+		if segments, err := New().Query(t.Context(), startServer(t, handler)); err == nil || len(segments) > 0 || !strings.Contains(err.Error(), "query cached segments") {
+			t.Errorf("%s: got parts %v, error %v", name, segments, err)
 		}
 	}
 }
--- a/internal/changefeed/changefeed_test.go
+++ b/internal/changefeed/changefeed_test.go
@@ -82,7 +82,7 @@
 }
 
 // newFollower returns a follower in zone a, and a function that returns the entries it reported.
-func newFollower(tellers ...changefeed.Upstream) (*changefeed.Follower, func() []string) {
+func newFollower(upstreams ...changefeed.Upstream) (*changefeed.Follower, func() []string) {
 	var mutex sync.Mutex
 	var reported []string
 	follower := changefeed.NewFollower("me", "a", func(entries, live []string) {
@@ -90,7 +90,7 @@
 		defer mutex.Unlock()
 		reported = append(slices.Clone(entries), live...)
 	})
-	follower.SetUpstreams(tellers)
+	follower.SetUpstreams(upstreams)
 	return follower, func() []string {
 		mutex.Lock()
 		defer mutex.Unlock()
--- a/internal/completions/completions_test.go
+++ b/internal/completions/completions_test.go
@@ -34,13 +34,13 @@
 	if err != nil {
 		return "error " + strings.ReplaceAll(err.Error(), "\n", "\nerror ")
 	}
-	var parts []string
-	for _, part := range request.Demand.Segments {
-		parts = append(parts, fmt.Sprint(part.Tokens))
+	var segments []string
+	for _, segment := range request.Demand.Segments {
+		segments = append(segments, fmt.Sprint(segment.Tokens))
 	}
 	return fmt.Sprintf("labels %s\nid %s tenant %s patience %s once %t whole %t\ntokens %d,%d parts %s",
 		labels.Set(labelSet), request.ID, request.Tenant, request.CallerTimeout, request.RunOnce, request.Unstreamed,
-		request.Demand.PromptTokens, request.Demand.OutputTokens, strings.Join(parts, ","))
+		request.Demand.PromptTokens, request.Demand.OutputTokens, strings.Join(segments, ","))
 }
 
 func TestReadRequests(t *testing.T) {
--- a/internal/forward/dispatcher.go
+++ b/internal/forward/dispatcher.go
@@ -59,7 +59,7 @@
 	mutex       sync.Mutex
 	model       *enginemodel.Model
 	balancer    *balance.Balancer
-	residency   *prefixcache.Table
+	prefixCache *prefixcache.Table
 	peers       *peerExchange
 	retries     *retryBudgets
 	engineState *engineState
@@ -92,7 +92,7 @@
 		now:           now,
 		model:         model,
 		balancer:      balance.New(settings.Balance, model, peers.peerLoad),
-		residency:     prefixcache.New(),
+		prefixCache:   prefixcache.New(),
 		peers:         peers,
 		retries:       newRetryBudgets(settings.Budget, sinceBoot),
 		engineState:   newEngineState(),
@@ -137,15 +137,15 @@
 	changes.Updated = d.engineState.applyReportedRoles(now, changes.Updated, changes.Removed)
 	d.engineState.expirePendingRoles(now, d.balancer)
 	d.engineState.recordDecoders(changes.Updated)
-	d.engineState.returns = append(d.engineState.returns, d.engineState.absences.ApplyChanges(now, changes)...)
+	d.engineState.returns = append(d.engineState.returns, d.engineState.engineHealth.ApplyChanges(now, changes)...)
 	d.balancer.Change(changes)
 	d.engineState.signalRecovered()
-	if len(d.engineState.pendingRoles) > 0 || len(d.engineState.absences.Engines()) > 0 {
+	if len(d.engineState.pendingRoles) > 0 || len(d.engineState.engineHealth.Engines()) > 0 {
 		d.engineState.notifyChange()
 	}
 	d.balancer.MatchReplacements(now)
 	for _, id := range changes.Removed {
-		d.residency.ForgetWorker(id)
+		d.prefixCache.ForgetWorker(id)
 		d.model.ForgetWorker(id)
 	}
 }
--- a/internal/forward/enginestate.go
+++ b/internal/forward/enginestate.go
@@ -17,7 +17,7 @@
 // engineState is what this gateway knows of engines beyond their records in the store: which have ended, and which have changed their roles
 // or are about to. It is guarded by the mutex of the dispatcher.
 type engineState struct {
-	absences *enginehealth.Table
+	engineHealth *enginehealth.Table
 	// pendingRoles are role changes in progress, ordered by any gateway. reportedRoles are roles that engines reported but that their
 	// records do not show yet.
 	pendingRoles, reportedRoles map[string]roleChange
@@ -36,7 +36,7 @@
 // newEngineState returns an empty state.
 func newEngineState() *engineState {
 	return &engineState{
-		absences: enginehealth.New(enginehealth.DefaultSettings()), pendingRoles: map[string]roleChange{}, reportedRoles: map[string]roleChange{},
+		engineHealth: enginehealth.New(enginehealth.DefaultSettings()), pendingRoles: map[string]roleChange{}, reportedRoles: map[string]roleChange{},
 		recovered: make(chan struct{}), lossCache: map[string]cachedLoss{}, hadDecoders: map[string]bool{},
 	}
 }
@@ -144,8 +144,8 @@
 	defer d.mutex.Unlock()
 	now := d.now()
 	var questions []EngineQuery
-	for _, worker := range d.engineState.absences.Engines() {
-		_, confirmed := d.engineState.absences.Absent(now, worker.ID)
+	for _, worker := range d.engineState.engineHealth.Engines() {
+		_, confirmed := d.engineState.engineHealth.Absent(now, worker.ID)
 		questions = append(questions, EngineQuery{Worker: worker, Absent: true, Confirmed: confirmed})
 	}
 	for id, change := range d.engineState.pendingRoles {
@@ -181,8 +181,8 @@
 		return
 	}
 	now := d.now()
-	isNew := d.engineState.absences.Refused(now, worker, firsthand)
-	d.balancer.SetUnreachable(now, id, d.engineState.absences.Until(id))
+	isNew := d.engineState.engineHealth.Refused(now, worker, firsthand)
+	d.balancer.SetUnreachable(now, id, d.engineState.engineHealth.Until(id))
 	if firsthand && d.peers.notify != nil && len(d.peers.refused) < maxPendingNotices {
 		d.peers.refused = append(d.peers.refused, id)
 		d.peers.notify(isNew)
@@ -218,7 +218,7 @@
 // markAlive clears the assumption that an engine has ended, and reports whether there was one. The mutex is held.
 func (d *Dispatcher) markAlive(worker *backend.Worker) bool {
 	now := d.now()
-	if !d.engineState.absences.Responded(now, worker) {
+	if !d.engineState.engineHealth.Responded(now, worker) {
 		return false
 	}
 	d.balancer.SetUnreachable(now, worker.ID, time.Time{})
@@ -254,12 +254,12 @@
 			d.markAlive(worker)
 		}
 	}
-	for _, changed := range message.Changed {
+	for _, changed := range message.RoleReports {
 		if worker, found := d.balancer.Worker(changed.Worker); found {
 			d.acceptReportedRole(worker, backend.Role(changed.Role))
 		}
 	}
-	for _, changing := range message.Changing {
+	for _, changing := range message.RoleChanges {
 		worker, found := d.balancer.Worker(changing.Worker)
 		if !found || worker.Role == backend.Role(changing.Role) {
 			continue
@@ -350,14 +350,14 @@
 	loss := RoleLoss{Recovered: d.engineState.recovered}
 	var changeDone, returnsAt time.Time
 	for worker := range d.balancer.OfGroup(group) {
-		absent, _ := d.engineState.absences.Absent(now, worker.ID)
+		absent, _ := d.engineState.engineHealth.Absent(now, worker.ID)
 		change, isPending := d.engineState.pendingRoles[worker.ID]
 		switch {
 		case worker.Draining:
 		case worker.Role == backend.RoleDecode && absent:
 			loss.LostDecoders++
-			loss.Since = laterOf(loss.Since, d.engineState.absences.Since(worker.ID))
-			at, _ := d.engineState.absences.ExpectedReturn(worker.ID)
+			loss.Since = laterOf(loss.Since, d.engineState.engineHealth.Since(worker.ID))
+			at, _ := d.engineState.engineHealth.ExpectedReturn(worker.ID)
 			returnsAt = earliestSet(returnsAt, at)
 		case worker.Role == backend.RoleDecode && !isPending:
 			return RoleLoss{}, false
--- a/internal/forward/fleet_load_test.go
+++ b/internal/forward/fleet_load_test.go
@@ -137,7 +137,7 @@
 func (s *loadSimulation) exchange() {
 	for i, gateway := range s.gateways {
 		message := gateway.TakeUpdate(false)
-		if len(message.Loads) == 0 && len(message.Kept) == 0 {
+		if len(message.Loads) == 0 && len(message.CachedSegments) == 0 {
 			continue
 		}
 		s.sequence++
--- a/internal/forward/peers.go
+++ b/internal/forward/peers.go
@@ -79,7 +79,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	message := peersync.Message{
-		Kept: d.peers.cachedPrefixes, Failed: d.peers.ejected, Changing: d.pendingRoleChanges(), Changed: d.peers.newRoles,
+		CachedSegments: d.peers.cachedPrefixes, Failed: d.peers.ejected, RoleChanges: d.pendingRoleChanges(), RoleReports: d.peers.newRoles,
 		Refused: d.peers.refused, Recovered: d.peers.answering,
 	}
 	for _, worker := range d.loadsToSend(full) {
@@ -115,7 +115,7 @@
 func (d *Dispatcher) PeerUtilization() map[string]float64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.peers.board.Busy(d.now())
+	return d.peers.board.Utilization(d.now())
 }
 
 // loadsToSend returns the workers whose load is to be sent, in order: all with load, or those whose load has changed. The mutex is held.
@@ -138,7 +138,7 @@
 	if !d.peers.board.Apply(d.now(), message) {
 		return
 	}
-	for _, cached := range message.Kept {
+	for _, cached := range message.CachedSegments {
 		if worker, found := d.balancer.Worker(cached.Worker); found {
 			d.addCached(worker, cached)
 		}
--- a/internal/forward/placement.go
+++ b/internal/forward/placement.go
@@ -254,8 +254,8 @@
 
 // addCached adds a cached prefix to the table. The mutex is held.
 func (d *Dispatcher) addCached(worker *backend.Worker, cached peersync.CachedSegment) {
-	d.residency.Add(worker.ID, d.cacheCapacity(worker), cached.Key, cached.Tokens, cached.Ready)
-	d.residency.AddAnonymous(worker.ID, cached.PrivateTokens)
+	d.prefixCache.Add(worker.ID, d.cacheCapacity(worker), cached.Key, cached.Tokens, cached.Ready)
+	d.prefixCache.AddAnonymous(worker.ID, cached.PrivateTokens)
 }
 
 // RecordPrefilled records that an engine has prefilled the prompt of a request and has cached it.
@@ -270,9 +270,9 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	for _, segment := range sharedPrefixOf(request.Demand, d.settings.MinSharedTokens).segments {
-		for _, holder := range d.residency.Holders(segment.key) {
+		for _, holder := range d.prefixCache.Holders(segment.key) {
 			if holder.Worker == worker.ID && !holder.Cached {
-				d.residency.Remove(worker.ID, segment.key)
+				d.prefixCache.Remove(worker.ID, segment.key)
 			}
 		}
 	}
--- a/internal/forward/placement_test.go
+++ b/internal/forward/placement_test.go
@@ -102,7 +102,7 @@
 	placement, _ := sender.Place(request, engineGroup, PlaceOptions{})
 	sender.RecordPrefilled(placement.Prefill.Worker, request)
 	message := sender.TakeUpdate(false)
-	if notified == 0 || len(message.Loads) == 0 || len(message.Kept) == 0 {
+	if notified == 0 || len(message.Loads) == 0 || len(message.CachedSegments) == 0 {
 		t.Fatalf("got update %+v after %d notifications", message, notified)
 	}
 	message.Sender, message.Epoch, message.Sequence = "one", 1, 1
@@ -113,7 +113,7 @@
 	if holders := receiver.usableHolders([]prefixSegment{{key: "a", tokens: 8000}}); len(holders) != 1 || holders[placement.Prefill.Worker.ID].readyTokens != 8000 {
 		t.Errorf("the cached part was not applied: %v", holders)
 	}
-	if again := sender.TakeUpdate(false); len(again.Loads)+len(again.Kept) != 0 {
+	if again := sender.TakeUpdate(false); len(again.Loads)+len(again.CachedSegments) != 0 {
 		t.Error("an update was sent twice")
 	}
 	runner, _ := sender.PlaceRunner(request, engineGroup, nil, placement.Prefill)
@@ -234,8 +234,8 @@
 	}
 }
 
-// TestPrefillReusesLongestCachedPrefix checks that shared parts form a tree: an engine that has cached the root prefills only what follows,
-// and one that has cached a part without its root prefills everything.
+// TestPrefillReusesLongestCachedPrefix checks that shared segments form a tree: an engine that has cached the root prefills only what follows,
+// and one that has cached a segment without its root prefills everything.
 func TestPrefillReusesLongestCachedPrefix(t *testing.T) {
 	chain := func(ids ...string) backend.Demand {
 		demand := backend.Demand{}
--- a/internal/forward/prompt.go
+++ b/internal/forward/prompt.go
@@ -116,25 +116,25 @@
 	// key identifies prompts that should run at the same engines.
 	key    string
 	tokens int
-	// segments are the parts that are long enough to be tracked per engine.
+	// segments are the segments that are long enough to be tracked per engine.
 	segments []prefixSegment
 }
 
-// prefixSegment is a part of a shared prefix, including short parts before it.
+// prefixSegment is a segment of a shared prefix, including short segments before it.
 type prefixSegment struct {
 	key    string
 	tokens int
 }
 
-// sharedPrefixOf returns the shared prefix of a prompt. Parts with fewer than minTokens have no segment of their own.
+// sharedPrefixOf returns the shared prefix of a prompt. Segments with fewer than minTokens are joined with the next.
 func sharedPrefixOf(demand backend.Demand, minTokens int) sharedPrefix {
 	shared := sharedPrefix{key: demand.AffinityKey()}
 	pending := 0
-	for _, part := range demand.SharedSegments() {
-		shared.tokens += part.Tokens
-		pending += part.Tokens
-		if part.Tokens >= minTokens {
-			shared.segments = append(shared.segments, prefixSegment{key: part.ID, tokens: pending})
+	for _, segment := range demand.SharedSegments() {
+		shared.tokens += segment.Tokens
+		pending += segment.Tokens
+		if segment.Tokens >= minTokens {
+			shared.segments = append(shared.segments, prefixSegment{key: segment.ID, tokens: pending})
 			pending = 0
 		}
 	}
@@ -153,7 +153,7 @@
 	holders := map[string]cacheHolder{}
 	before := 0
 	for _, segment := range segments {
-		for _, cached := range d.residency.Holders(segment.key) {
+		for _, cached := range d.prefixCache.Holders(segment.key) {
 			holder, found := holders[cached.Worker]
 			if !found && before == 0 {
 				holder.worker, found = d.balancer.Worker(cached.Worker)
--- a/internal/forward/ratelimits.go
+++ b/internal/forward/ratelimits.go
@@ -88,7 +88,7 @@
 	return max(d.limits.holders.MemberCount(d.limits.now()), 1)
 }
 
-// placesOf returns this gateway's share of a concurrency limit.
+// concurrencyShareOf returns this gateway's share of a concurrency limit.
 func (d *Dispatcher) concurrencyShareOf(key string, bound int) int {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/forward/retrybudget_sim_test.go
+++ b/internal/forward/retrybudget_sim_test.go
@@ -185,7 +185,7 @@
 	}
 }
 
-// applyRegistrations sets the number of sharers at a gateway that has received registrations up to the given index.
+// applyRegistrations sets the number of gateways at a gateway that has received registrations up to the given index.
 func (f *simFleet) applyRegistrations(machine *simMachine, seen int) {
 	i := slices.Index(f.machines, machine)
 	for k := machine.process.seen + 1; k <= seen; k++ {
--- a/internal/forward/rolechange.go
+++ b/internal/forward/rolechange.go
@@ -66,8 +66,8 @@
 	if change, found := d.engineState.pendingRoles[worker.ID]; found && now.Before(change.expiresAt) {
 		engine.TargetRole = change.role
 	}
-	_, engine.Ended = d.engineState.absences.Absent(now, worker.ID)
-	if at, learnt := d.engineState.absences.ExpectedReturn(worker.ID); learnt {
+	_, engine.Ended = d.engineState.engineHealth.Absent(now, worker.ID)
+	if at, learnt := d.engineState.engineHealth.ExpectedReturn(worker.ID); learnt {
 		engine.ExpectedAt = at
 	}
 	return engine
--- a/internal/forward/scale_test.go
+++ b/internal/forward/scale_test.go
@@ -160,7 +160,7 @@
 		if placement.Prefill != nil {
 			prefill = placement.Prefill
 		}
-		if placement.FetchFrom == nil && !source.residency.Has(prefill.Worker.ID, request.Demand.Segments[0].ID) {
+		if placement.FetchFrom == nil && !source.prefixCache.Has(prefill.Worker.ID, request.Demand.Segments[0].ID) {
 			t.Errorf("document %d is prefilled again at %s", i, prefill.Worker.ID)
 		}
 	}
--- a/internal/gateway/barsyncer.go
+++ b/internal/gateway/barsyncer.go
@@ -231,7 +231,7 @@
 		}
 		transaction.Puts = []store.Put{{Key: key, Value: value}}
 	}
-	_, err := b.gateway.ports.Store.Commit(ctx, transaction)
+	_, err := b.gateway.dependencies.Store.Commit(ctx, transaction)
 	return errors.Wrap(err, "update bar of request in store")
 }
 
--- a/internal/gateway/barsyncer_test.go
+++ b/internal/gateway/barsyncer_test.go
@@ -35,7 +35,7 @@
 	recording := &recordingStore{}
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
-	g := &Gateway{ports: Dependencies{Store: recording}, logger: logger, decisions: decisionlog.New("a", 16)}
+	g := &Gateway{dependencies: Dependencies{Store: recording}, logger: logger, decisions: decisionlog.New("a", 16)}
 	g.metrics = newGatewayMetrics(g.decisions, logger)
 	g.barSyncer = newBarSyncer(g, nil)
 	return g.barSyncer, recording
--- a/internal/gateway/cachedparts.go
+++ b/internal/gateway/cachedsegments.go
@@ -23,17 +23,17 @@
 	maxEnginesQueried = 1024
 	// maxConcurrentQueries bounds concurrent engine queries.
 	maxConcurrentQueries = 16
-	// maxGatewaysQueried is how many gateways to query. Any entry knows all cached parts, but some may have just become
+	// maxGatewaysQueried is how many gateways to query. Any entry knows all cached segments, but some may have just become
 	// entries themselves.
 	maxGatewaysQueried = 4
 )
 
-// learnCachedParts learns which prompt parts engines cache, once the engines are known and whenever this gateway becomes
-// an entry. Without it, a restart would make engines process shared prompt parts again although these are cached.
-// Entries that already serve know the parts; if there are none, each entry queries its share of the engines and then the
+// learnCachedSegments learns which prompt segments engines cache, once the engines are known and whenever this gateway becomes
+// an entry. Without it, a restart would make engines process shared prompt segments again although these are cached.
+// Entries that already serve know the segments; if there are none, each entry queries its share of the engines and then the
 // other entries.
-func (g *Gateway) learnCachedParts(ctx context.Context) {
-	if g.ports.PromptCache == nil {
+func (g *Gateway) learnCachedSegments(ctx context.Context) {
+	if g.dependencies.PromptCache == nil {
 		return
 	}
 	select {
@@ -64,19 +64,19 @@
 	}
 }
 
-// learnFromGateways queries some current and previous entries for cached prompt parts and returns how many parts were
+// learnFromGateways queries some current and previous entries for cached prompt segments and returns how many segments were
 // new.
 func (g *Gateway) learnFromGateways(ctx context.Context) int {
 	var queries sync.WaitGroup
 	var learned atomic.Int64
 	for _, address := range g.gatewaysToQuery() {
 		queries.Go(func() {
-			parts, err := g.cacheAsker.Query(ctx, address)
+			segments, err := g.cacheClient.Query(ctx, address)
 			if err != nil {
 				logging.Component(g.logger, "gateway").WithError(err).Debug("Querying a gateway for cached prompt parts failed.")
 				return
 			}
-			learned.Add(int64(g.dispatcher.MergeCache(parts)))
+			learned.Add(int64(g.dispatcher.MergeCache(segments)))
 		})
 	}
 	queries.Wait()
@@ -105,7 +105,7 @@
 	return addresses
 }
 
-// learnFromEngines queries engines for their cached prompt parts.
+// learnFromEngines queries engines for their cached prompt segments.
 func (g *Gateway) learnFromEngines(ctx context.Context) {
 	slots := make(chan struct{}, maxConcurrentQueries)
 	var queries sync.WaitGroup
@@ -135,14 +135,14 @@
 	return engines[:min(len(engines), maxEnginesQueried)]
 }
 
-// learnFromEngine queries one engine. Failures are not retried, because cached parts also become known as they are used.
+// learnFromEngine queries one engine. Failures are not retried, because cached segments also become known as they are used.
 func (g *Gateway) learnFromEngine(ctx context.Context, engine *backend.Worker) {
 	ctx, cancel := context.WithTimeout(ctx, engineQueryTimeout)
 	defer cancel()
-	parts, err := g.ports.PromptCache.CachedSegments(ctx, engine)
+	segments, err := g.dependencies.PromptCache.CachedSegments(ctx, engine)
 	if err != nil {
 		logging.Component(g.logger, "gateway").WithError(err).Debug("Querying an engine for cached prompt parts failed.")
 		return
 	}
-	g.dispatcher.RecordCache(engine.ID, parts)
+	g.dispatcher.RecordCache(engine.ID, segments)
 }
--- a/internal/gateway/cachedparts_test.go
+++ b/internal/gateway/cachedsegments_test.go
@@ -43,7 +43,7 @@
 			g.WorkersChanged(backend.Changes{Updated: []*backend.Worker{{ID: "w", Group: "g", Role: backend.RoleDecode, Address: "x:1"}}})
 			g.entries.isEntry = isEntry
 			ctx, cancel := context.WithCancel(t.Context())
-			go g.learnCachedParts(ctx)
+			go g.learnCachedSegments(ctx)
 			g.triggerLearning()
 			synctest.Wait()
 			if got := counter.queries.Load() > 0; got != isEntry {
--- a/internal/gateway/enginemonitor.go
+++ b/internal/gateway/enginemonitor.go
@@ -161,7 +161,7 @@
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	worker := candidate.Worker
-	state, err := m.gateway.ports.Orderer.Inspect(ctx, worker)
+	state, err := m.gateway.dependencies.Orderer.Inspect(ctx, worker)
 	if err == nil && candidate.Absent {
 		err = m.verifyIdentity(ctx, worker)
 	}
@@ -183,13 +183,13 @@
 // replacement, possibly of another service, which is ignored until it has a record.
 func (m *engineMonitor) verifyIdentity(ctx context.Context, worker *backend.Worker) error {
 	path := m.gateway.healthPath(worker.Group)
-	if path == "" || m.gateway.ports.Identify == nil {
+	if path == "" || m.gateway.dependencies.Identify == nil {
 		return nil
 	}
 	if !m.gateway.dispatcher.AllowHealthCheck(worker.ID) {
 		return errWorkerLimitReached
 	}
-	id, err := m.gateway.ports.Identify(ctx, worker, path)
+	id, err := m.gateway.dependencies.Identify(ctx, worker, path)
 	if err == nil && id != worker.RecordName() {
 		return roles.ErrWorkerReplaced
 	}
--- a/internal/gateway/entrysizing.go
+++ b/internal/gateway/entrysizing.go
@@ -67,7 +67,7 @@
 	log := logging.Component(g.logger, "member").WithFields(logrus.Fields{"cores": fmt.Sprintf("%.1f", cores)})
 	value, err := json.Marshal(member.EntryNeed{Cores: cores})
 	if err == nil {
-		_, err = g.ports.Store.Commit(ctx, store.Transaction{
+		_, err = g.dependencies.Store.Commit(ctx, store.Transaction{
 			Conditions: []store.Condition{{Key: member.EntryNeedKey, Revision: revision}},
 			Puts:       []store.Put{{Key: member.EntryNeedKey, Value: value}},
 		})
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -46,7 +46,7 @@
 	Usage usage.Sender
 	// Capacity takes orders for workers; nil disables them.
 	Capacity capacity.Orderer
-	// PromptCache queries engines for the prompt parts in their caches; if nil, these are learned only from served
+	// PromptCache queries engines for the prompt segments in their caches; if nil, these are learned only from served
 	// requests.
 	PromptCache forward.CacheQuerier
 	// Prober checks whether a worker's process has terminated.
@@ -68,9 +68,9 @@
 
 // Gateway accepts requests of callers and forwards them to workers, as one member of a fleet of gateways.
 type Gateway struct {
-	settings Settings
-	ports    Dependencies
-	logger   *logrus.Logger
+	settings     Settings
+	dependencies Dependencies
+	logger       *logrus.Logger
 
 	handler       *forward.Handler
 	dispatcher    *forward.Dispatcher
@@ -108,13 +108,13 @@
 	// workersKnown is closed once the first workers are assigned to groups.
 	workersKnown     chan struct{}
 	workersKnownOnce sync.Once
-	// learnTrigger starts learning which prompt parts engines cache; cacheAsker queries other gateways for them.
+	// learnTrigger starts learning which prompt segments engines cache; cacheClient queries other gateways for them.
 	learnTrigger chan struct{}
 	// restoreTrigger requests that data lost by the store be written again.
 	restoreTrigger chan struct{}
 	// editsMayBeLost is set while the store may lack operators' edits that are in force here.
 	editsMayBeLost atomic.Bool
-	cacheAsker     *cachesync.Client
+	cacheClient    *cachesync.Client
 
 	leaving     atomic.Bool
 	sideServers []*callers.Server
@@ -123,8 +123,8 @@
 }
 
 // New returns a gateway that does nothing until Start is called.
-func New(settings Settings, ports Dependencies, logger *logrus.Logger) *Gateway {
-	g := &Gateway{settings: settings, ports: ports, logger: logger}
+func New(settings Settings, dependencies Dependencies, logger *logrus.Logger) *Gateway {
+	g := &Gateway{settings: settings, dependencies: dependencies, logger: logger}
 	g.startedAt = time.Now()
 	g.accepting = accepting.New(logging.Component(logger, "gateway"))
 	g.utilization = newUtilization(settings)
@@ -132,11 +132,11 @@
 	g.workers, g.workersAtAddress = backend.Set{}, map[string]int{}
 	g.learnTrigger = make(chan struct{}, 1)
 	g.restoreTrigger = make(chan struct{}, 1)
-	g.cacheAsker = cachesync.New()
+	g.cacheClient = cachesync.New()
 	g.decisions = decisionlog.New(settings.Name, maxDecisions)
 	g.metrics = newGatewayMetrics(g.decisions, logger)
-	g.ports.Store = store.Instrumented(ports.Store, g.metrics.countStoreCall)
-	ports.Store = g.ports.Store
+	g.dependencies.Store = store.Instrumented(dependencies.Store, g.metrics.countStoreCall)
+	dependencies.Store = g.dependencies.Store
 	g.gracePeriod.Store(int64(settings.Grace))
 	g.addressTTL.Store(int64(min(settings.AddressTTL, settings.MaxAddressTTL)))
 	dispatch := forward.DefaultDispatchSettings()
@@ -146,15 +146,15 @@
 	g.dispatcher.ShareLimits(settings.Name)
 	g.dispatcher.OnBudgetExhausted(g.logBudgetExhausted)
 	g.dispatcher.OnPlacement(g.metrics.observeChoice)
-	g.handler = forward.NewHandler(forward.DefaultSettings(), ports.Protocol, ports.Workers, g.dispatcher, g.metrics)
+	g.handler = forward.NewHandler(forward.DefaultSettings(), dependencies.Protocol, dependencies.Workers, g.dispatcher, g.metrics)
 	g.handler.SetFreshness(func() bool { return g.view.IsFresh(settings.ConfigurationAge) })
 	g.handler.SetCloserFunc(callers.CloserOf)
 	g.callers = callers.NewServer(callers.CancelOnDisconnect(g.handler), &g.utilization.traffic, g.metrics, logging.Component(logger, "gateway"))
-	g.barSyncer = newBarSyncer(g, ports.Prober)
+	g.barSyncer = newBarSyncer(g, dependencies.Prober)
 	g.handler.SetGuard(g.barSyncer.guard)
 	g.handler.SetSuspectElection(g.ownsKey)
-	if ports.Labelled != nil {
-		g.handler.ServeLabelled(ports.Labelled)
+	if dependencies.Labelled != nil {
+		g.handler.ServeLabelled(dependencies.Labelled)
 	}
 	self := member.Gateway{
 		Name: settings.Name, Address: settings.ListenCallers, PeerAddress: settings.ListenPeers, Zone: settings.Zone,
@@ -163,27 +163,27 @@
 	control := roles.DefaultControllerSettings()
 	control.Holder = settings.Name
 	control.Authority.ResumeDelay = settings.ResumeDelay
-	g.controller = roles.NewController(control, ports.Store, ports.Orderer, g.dispatcher, logging.Component(logger, "roles"), g.recordDecision)
+	g.controller = roles.NewController(control, dependencies.Store, dependencies.Orderer, g.dispatcher, logging.Component(logger, "roles"), g.recordDecision)
 	g.engineMonitor = newEngineMonitor(g)
 	g.notices = newNoticeTracker(g)
 	g.workerLimits = newLimitTracker(g)
 	g.metrics.notices, g.metrics.workerLimits = g.notices, g.workerLimits
-	if ports.WatchNotices != nil {
-		ports.WatchNotices(g.notices.handle)
+	if dependencies.WatchNotices != nil {
+		dependencies.WatchNotices(g.notices.handle)
 	}
 	registrationSettings := member.DefaultRegistrationSettings()
 	registrationSettings.TTL = settings.LeaseTTL
-	g.registration = member.NewRegistration(registrationSettings, ports.Store, self,
+	g.registration = member.NewRegistration(registrationSettings, dependencies.Store, self,
 		logging.Component(logger, "member"), func() { g.replica.RestartWatch() }, g.handleLease)
-	g.view = cluster.NewView(ports.Decoder, g, member.NewList(self), backend.NewRoster(rosterSettings(settings)), g.registration.Key(), logging.Component(logger, "cluster"))
+	g.view = cluster.NewView(dependencies.Decoder, g, member.NewList(self), backend.NewRoster(rosterSettings(settings)), g.registration.Key(), logging.Component(logger, "cluster"))
 	replication := store.DefaultReplicaSettings()
 	replication.Deferrable = member.IsRegistration
 	replication.Sharded = func(key string) bool {
-		_, isWorker := ports.Decoder.WorkerID(key)
+		_, isWorker := dependencies.Decoder.WorkerID(key)
 		return isWorker
 	}
 	replication.ShardHash = rendezvous.Hash(settings.Name)
-	g.replica = store.NewReplica(ports.Store, allKeys, replication, g.view,
+	g.replica = store.NewReplica(dependencies.Store, allKeys, replication, g.view,
 		changefeed.NewSeeds(settings.Seeds).Fetch)
 	g.feedFollower = changefeed.NewFollower(settings.Name, settings.Zone, g.receiveFeedEntries)
 	g.feedFollower.SetPropagationBound(settings.ConfigurationAge)
@@ -192,13 +192,13 @@
 	g.replica.SetPropagationBound(settings.ConfigurationAge)
 	g.replica.SetMaxStaleness(retrybudget.MaxListAge(settings.RetryWindow))
 	g.tenantUsage = newTenantUsage(g)
-	if ports.Capacity != nil {
+	if dependencies.Capacity != nil {
 		settings := capacity.DefaultSettings()
 		settings.Holder = g.settings.Name
-		g.capacity = capacity.NewExecutor(settings, g, ports.Capacity, g.controller.Authority, logging.Component(logger, "capacity"), g.recordDecision)
+		g.capacity = capacity.NewExecutor(settings, g, dependencies.Capacity, g.controller.Authority, logging.Component(logger, "capacity"), g.recordDecision)
 	}
-	if ports.WatchStoreRestores != nil {
-		ports.WatchStoreRestores(g.handleEra)
+	if dependencies.WatchStoreRestores != nil {
+		dependencies.WatchStoreRestores(g.handleEra)
 	}
 	g.metrics.registerGauges(g)
 	g.metrics.registerFleetTasks(g.tenantUsage.reporter, g.capacity)
@@ -216,8 +216,8 @@
 		address string
 		handler http.Handler
 	}{
-		{g.settings.ListenReady, g.ports.ReadyHandler(g.Ready)},
-		{g.settings.ListenDirectory, g.ports.DirectoryHandler(g.resolve)},
+		{g.settings.ListenReady, g.dependencies.ReadyHandler(g.Ready)},
+		{g.settings.ListenDirectory, g.dependencies.DirectoryHandler(g.resolve)},
 		{g.settings.ListenAdmin, g.adminHandler()},
 		{g.settings.ListenControl, g.controlHandler()},
 	}
@@ -245,7 +245,7 @@
 	g.tasks.Go(func() { g.controller.Run(ctx) })
 	g.tasks.Go(func() { g.watchEntries(ctx) })
 	g.tasks.Go(func() { g.sizeEntries(ctx) })
-	g.tasks.Go(func() { g.learnCachedParts(ctx) })
+	g.tasks.Go(func() { g.learnCachedSegments(ctx) })
 	g.tasks.Go(func() { g.barSyncer.run(ctx) })
 	g.tasks.Go(func() { g.engineMonitor.run(ctx) })
 	g.tasks.Go(func() { g.runDocumentRestore(ctx) })
@@ -259,7 +259,7 @@
 	return nil
 }
 
-// controlHandler serves other gateways: the contents of the store, and the prompt parts that engines cache.
+// controlHandler serves other gateways: the contents of the store, and the prompt segments that engines cache.
 func (g *Gateway) controlHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/", changefeed.Handler(g.replica, g.feedEntries))
--- a/internal/gateway/listener.go
+++ b/internal/gateway/listener.go
@@ -69,7 +69,7 @@
 	for _, id := range changes.Removed {
 		release(id)
 		if previous := g.workers[id]; previous != nil && g.workersAtAddress[previous.Address] == 0 {
-			g.ports.CloseIdleConnections(previous.Address)
+			g.dependencies.CloseIdleConnections(previous.Address)
 		}
 	}
 }
--- a/internal/gateway/restore.go
+++ b/internal/gateway/restore.go
@@ -90,7 +90,7 @@
 		return true
 	}
 	log := logging.Component(g.logger, "cluster").WithFields(logrus.Fields{"revision": known.Revision})
-	written, err := configuration.Restore(ctx, g.ports.Store, known)
+	written, err := configuration.Restore(ctx, g.dependencies.Store, known)
 	switch {
 	case errors.Is(err, configuration.ErrDiverged):
 		log.WithError(err).Error("Edits of the groups and rules are lost, because another edit was made after the store was restored. Apply them again.")
@@ -117,7 +117,7 @@
 			}
 			continue
 		}
-		result := configuration.Propose(ctx, g.ports.Store, request)
+		result := configuration.Propose(ctx, g.dependencies.Store, request)
 		if result.Accepted || !g.editsMayBeLost.Load() {
 			return result
 		}
--- a/internal/gateway/retrybudget_test.go
+++ b/internal/gateway/retrybudget_test.go
@@ -32,11 +32,11 @@
 		entries, suspects, serving int
 		want                       int
 	}{{false, 6, 0, 13, 8}, {false, 6, 3, 13, 12}, {false, 6, 9, 13, 13}, {true, 6, 3, 13, 28}} {
-		// A lower number of sharers takes effect only later, so each case needs its own gateway.
+		// A lower number of gateways takes effect only later, so each case needs its own gateway.
 		g = newBudgetGateway(g.settings)
 		g.setRetryGatewayCount(test.standby, test.entries, test.suspects, test.serving)
 		if got := g.dispatcher.Budgets()[0].GatewayCount; got != test.want {
-			t.Errorf("%+v: sharers are %d", test, got)
+			t.Errorf("%+v: gateways are %d", test, got)
 		}
 	}
 }
--- a/internal/gateway/tenantusage.go
+++ b/internal/gateway/tenantusage.go
@@ -30,12 +30,12 @@
 	}
 	u.tally = usage.NewTally(g.settings.Name, g.startedAt.UnixNano())
 	g.handler.OnTenantStart(func(tenant string) { u.tally.Add(usage.WindowAt(u.clock.Now(), u.window), tenant) })
-	if g.ports.Usage == nil {
+	if g.dependencies.Usage == nil {
 		return u
 	}
 	settings := usage.DefaultSettings()
 	settings.Holder, settings.Window, settings.LateAfter = g.settings.Name, u.window, g.settings.UsageDue
-	u.reporter = usage.NewReporter(settings, g.ports.Store, g.ports.Usage, u.tally, u.clock.Now, g.controller.Authority,
+	u.reporter = usage.NewReporter(settings, g.dependencies.Store, g.dependencies.Usage, u.tally, u.clock.Now, g.controller.Authority,
 		logging.Component(g.logger, "usage"), g.recordDecision)
 	return u
 }
--- a/internal/peersync/board.go
+++ b/internal/peersync/board.go
@@ -86,18 +86,18 @@
 	Epoch    int64
 	Sequence uint64
 	// Full is set if the sender has no load at the workers that are not listed.
-	Full  bool
-	Loads []Load
-	Kept  []CachedSegment
+	Full           bool
+	Loads          []Load
+	CachedSegments []CachedSegment
 	// Offered is the work offered per group. It is sent in full messages only.
 	Offered []OfferedLoad
 	// Changing lists workers that are changing their role, according to the controlling gateway.
-	Changing []RoleChange
+	RoleChanges []RoleChange
 	// Failed lists workers that the sender excluded since the last message because they did not respond.
 	Failed []string
 	// Changed lists workers with a new role. Refused lists engines whose addresses refuse connections, and Recovered
 	// lists engines that were suspected of that but respond.
-	Changed            []RoleReport
+	RoleReports        []RoleReport
 	Refused, Recovered []string
 	// Utilization is the utilization of the sender's most used resource limit. It is sent in full messages only.
 	Utilization float64
@@ -196,7 +196,7 @@
 }
 
 // Busy returns the utilization of the other gateways by name.
-func (b *Board) Busy(now time.Time) map[string]float64 {
+func (b *Board) Utilization(now time.Time) map[string]float64 {
 	b.expirePeers(now)
 	busy := make(map[string]float64, len(b.peers))
 	for name, peer := range b.peers {
--- a/internal/peersync/exchange.go
+++ b/internal/peersync/exchange.go
@@ -57,15 +57,15 @@
 
 // Exchange sends and receives updates as datagrams.
 type Exchange struct {
-	settings Settings
-	source   Source
-	logger   logrus.FieldLogger
-	socket   *net.UDPConn
-	urgent   chan struct{}
-	changed  chan struct{}
-	audience chan Receivers
-	epoch    int64
-	sequence uint64
+	settings  Settings
+	source    Source
+	logger    logrus.FieldLogger
+	socket    *net.UDPConn
+	urgent    chan struct{}
+	changed   chan struct{}
+	receivers chan Receivers
+	epoch     int64
+	sequence  uint64
 
 	// The following fields are used only by the goroutine that runs Send.
 	peers    []*net.UDPAddr
@@ -86,7 +86,7 @@
 	}
 	return &Exchange{
 		settings: settings, source: source, logger: logger, socket: socket, epoch: time.Now().UnixNano(),
-		urgent: make(chan struct{}, 1), changed: make(chan struct{}, 1), audience: make(chan Receivers, 1),
+		urgent: make(chan struct{}, 1), changed: make(chan struct{}, 1), receivers: make(chan Receivers, 1),
 	}, nil
 }
 
@@ -103,15 +103,15 @@
 }
 
 // SetAudience replaces the receivers.
-func (e *Exchange) SetAudience(audience Receivers) {
+func (e *Exchange) SetAudience(receivers Receivers) {
 	for {
 		select {
-		case e.audience <- audience:
+		case e.receivers <- receivers:
 			return
 		default:
 		}
 		select {
-		case <-e.audience:
+		case <-e.receivers:
 		default:
 		}
 	}
@@ -170,7 +170,7 @@
 		select {
 		case <-ctx.Done():
 			return
-		case audience := <-e.audience:
+		case audience := <-e.receivers:
 			e.applyAudience(audience)
 			continue
 		case <-e.urgent:
@@ -201,13 +201,13 @@
 
 // applyAudience applies new receivers. A gateway that becomes standby first tells the peers that received its
 // heartbeats.
-func (e *Exchange) applyAudience(audience Receivers) {
-	becameStandby := audience.Standby && !e.standby
-	e.standby = audience.Standby
+func (e *Exchange) applyAudience(receivers Receivers) {
+	becameStandby := receivers.Standby && !e.standby
+	e.standby = receivers.Standby
 	if becameStandby {
 		e.sendMessage(Message{})
 	}
-	e.peers = e.resolve(audience.Peers)
+	e.peers = e.resolve(receivers.Peers)
 }
 
 // resolve returns the UDP addresses of the given host:port addresses, and skips invalid ones.
--- a/internal/peersync/peersync_test.go
+++ b/internal/peersync/peersync_test.go
@@ -16,14 +16,14 @@
 func TestMessageRoundTrip(t *testing.T) {
 	message := &Message{
 		Sender: "a", Epoch: 3, Sequence: 9, Full: true,
-		Loads: []Load{{Worker: "w", Running: 2, PrefillTokens: 300}}, Kept: []CachedSegment{{Worker: "w", Key: "k", Tokens: 9, Ready: true}},
+		Loads: []Load{{Worker: "w", Running: 2, PrefillTokens: 300}}, CachedSegments: []CachedSegment{{Worker: "w", Key: "k", Tokens: 9, Ready: true}},
 	}
 	encoded, err := message.Encode()
 	if err != nil {
 		t.Fatal(err)
 	}
 	decoded, err := Decode(encoded)
-	if err != nil || decoded.Sender != "a" || !decoded.Full || decoded.Loads[0].PrefillTokens != 300 || !decoded.Kept[0].Ready {
+	if err != nil || decoded.Sender != "a" || !decoded.Full || decoded.Loads[0].PrefillTokens != 300 || !decoded.CachedSegments[0].Ready {
 		t.Fatalf("got %+v, %v", decoded, err)
 	}
 	if _, err := Decode([]byte("nonsense")); err == nil {
--- a/internal/prefixcache/prefixcache.go
+++ b/internal/prefixcache/prefixcache.go
@@ -1,5 +1,5 @@
-// Package prefixcache tracks which engines have the KV cache of which shared prompt parts, as far as it results from
-// requests of the gateways. Like the engines, the table evicts the least recently used parts when a cache is full.
+// Package prefixcache tracks which engines have the KV cache of which shared prompt segments, as far as it results from
+// requests of the gateways. Like the engines, the table evicts the least recently used segments when a cache is full.
 package prefixcache
 
 import (
@@ -7,33 +7,33 @@
 	"iter"
 )
 
-// Holder is an engine that has a part in its cache.
+// Holder is an engine that has a segment in its cache.
 type Holder struct {
 	Worker string
-	// Cached is set once the part has been prefilled or fetched, and not while that is still in progress.
+	// Cached is set once the segment has been prefilled or fetched, and not while that is still in progress.
 	Cached bool
 }
 
 // Table is the state of all engine caches. It is a pure state machine and not safe for concurrent use.
 type Table struct {
 	workers map[string]*engineCache
-	// holders maps the key of a part to the workers that have it, in the order in which they got it.
+	// holders maps the key of a segment to the workers that have it, in the order in which they got it.
 	holders map[string][]string
 }
 
-// engineCache is the cache of one engine, the most recently used part first.
+// engineCache is the cache of one engine, the most recently used segment first.
 type engineCache struct {
 	capacity int
 	tokens   int
 	lru      *list.List
-	parts    map[string]*list.Element
+	segments map[string]*list.Element
 }
 
-// part is a cached part. A part without a key can't be used by other requests.
+// segment is a cached segment. A segment without a key can't be used by other requests.
 type segment struct {
 	key    string
 	tokens int
-	ready  bool
+	cached bool
 }
 
 // New returns an empty table.
@@ -41,32 +41,32 @@
 	return &Table{workers: map[string]*engineCache{}, holders: map[string][]string{}}
 }
 
-// Add records that an engine with the given cache capacity in tokens has a part, or is about to have it, and marks
-// the part as used.
-func (t *Table) Add(worker string, capacity int, key string, tokens int, ready bool) {
+// Add records that an engine with the given cache capacity in tokens has a segment, or is about to have it, and marks
+// the segment as used.
+func (t *Table) Add(worker string, capacity int, key string, tokens int, cached bool) {
 	cache, exists := t.workers[worker]
 	if !exists {
-		cache = &engineCache{lru: list.New(), parts: map[string]*list.Element{}}
+		cache = &engineCache{lru: list.New(), segments: map[string]*list.Element{}}
 		t.workers[worker] = cache
 	}
 	cache.capacity = capacity
-	if element, found := cache.parts[key]; found {
+	if element, found := cache.segments[key]; found {
 		cache.lru.MoveToFront(element)
 		existing := element.Value.(*segment)
-		existing.ready = existing.ready || ready
+		existing.cached = existing.cached || cached
 		return
 	}
-	cache.parts[key] = cache.lru.PushFront(&segment{key: key, tokens: tokens, ready: ready})
+	cache.segments[key] = cache.lru.PushFront(&segment{key: key, tokens: tokens, cached: cached})
 	cache.tokens += tokens
 	t.holders[key] = append(t.holders[key], worker)
 	t.evict(worker, cache)
 }
 
-// maxAnonymousTokens limits the size of a merged part without a key.
+// maxAnonymousTokens limits the size of a merged segment without a key.
 const maxAnonymousTokens = 5000
 
 // AddAnonymous records that a request has filled the cache of an engine with tokens that no other request can use. They are
-// evicted like parts.
+// evicted like segments.
 func (t *Table) AddAnonymous(worker string, tokens int) {
 	cache, exists := t.workers[worker]
 	if !exists || tokens <= 0 {
@@ -81,25 +81,25 @@
 	t.evict(worker, cache)
 }
 
-// canAbsorb reports whether the part has no key and room for more tokens.
+// canAbsorb reports whether the segment has no key and room for more tokens.
 func (p *segment) canAbsorb(tokens int) bool {
 	return p.key == "" && p.tokens+tokens <= maxAnonymousTokens
 }
 
-// evict removes the least recently used parts until the rest fits. It keeps at least one part.
+// evict removes the least recently used segments until the rest fits. It keeps at least one segment.
 func (t *Table) evict(worker string, cache *engineCache) {
 	for cache.tokens > cache.capacity && cache.lru.Len() > 1 {
 		t.remove(worker, cache, cache.lru.Back())
 	}
 }
 
-// Remove records that an engine does not have a part.
+// Remove records that an engine does not have a segment.
 func (t *Table) Remove(worker, key string) {
 	cache, exists := t.workers[worker]
 	if !exists {
 		return
 	}
-	if element, found := cache.parts[key]; found {
+	if element, found := cache.segments[key]; found {
 		t.remove(worker, cache, element)
 	}
 }
@@ -116,29 +116,29 @@
 	delete(t.workers, worker)
 }
 
-// Has reports whether an engine has a part, or is about to have it.
+// Has reports whether an engine has a segment, or is about to have it.
 func (t *Table) Has(worker, key string) bool {
 	cache, exists := t.workers[worker]
-	return exists && cache.parts[key] != nil
+	return exists && cache.segments[key] != nil
 }
 
-// Holders returns the engines that have a part, in the order in which they got it.
+// Holders returns the engines that have a segment, in the order in which they got it.
 func (t *Table) Holders(key string) []Holder {
 	var holders []Holder
 	for _, worker := range t.holders[key] {
-		element := t.workers[worker].parts[key]
-		holders = append(holders, Holder{Worker: worker, Cached: element.Value.(*segment).ready})
+		element := t.workers[worker].segments[key]
+		holders = append(holders, Holder{Worker: worker, Cached: element.Value.(*segment).cached})
 	}
 	return holders
 }
 
-// All returns the cached parts of all engines, of each engine the least recently used first.
+// All returns the cached segments of all engines, of each engine the least recently used first.
 func (t *Table) All() iter.Seq2[string, CachedSegment] {
 	return func(yield func(string, CachedSegment) bool) {
 		for worker, cache := range t.workers {
 			for element := cache.lru.Back(); element != nil; element = element.Prev() {
 				cached := element.Value.(*segment)
-				if cached.key != "" && !yield(worker, CachedSegment{Key: cached.key, Tokens: cached.tokens, Cached: cached.ready}) {
+				if cached.key != "" && !yield(worker, CachedSegment{Key: cached.key, Tokens: cached.tokens, Cached: cached.cached}) {
 					return
 				}
 			}
@@ -146,21 +146,21 @@
 	}
 }
 
-// CachedSegment is a part that an engine has, or is about to have.
+// CachedSegment is a segment that an engine has, or is about to have.
 type CachedSegment struct {
 	Key    string
 	Tokens int
 	Cached bool
 }
 
-// remove removes one part from the cache of an engine.
+// remove removes one segment from the cache of an engine.
 func (t *Table) remove(worker string, cache *engineCache, element *list.Element) {
 	removed := cache.lru.Remove(element).(*segment)
 	cache.tokens -= removed.tokens
 	if removed.key == "" {
 		return
 	}
-	delete(cache.parts, removed.key)
+	delete(cache.segments, removed.key)
 	holders := t.holders[removed.key]
 	for i, holder := range holders {
 		if holder == worker {
--- a/internal/prefixcache/prefixcache_test.go
+++ b/internal/prefixcache/prefixcache_test.go
@@ -16,33 +16,33 @@
 	largeCapacity = 20_000
 )
 
-// referencePart is a cached part in the reference implementation.
-type referencePart struct {
+// referenceSegment is a cached segment in the reference implementation.
+type referenceSegment struct {
 	key    string
 	tokens int
 	ready  bool
 }
 
-// referenceTable is a simple implementation of prefixcache.Table, with the most recently used part of each engine
+// referenceTable is a simple implementation of prefixcache.Table, with the most recently used segment of each engine
 // first.
-type referenceTable map[string][]referencePart
+type referenceTable map[string][]referenceSegment
 
 // keep implements Table.Add.
 func (m referenceTable) keep(worker, key string, tokens int, ready bool) {
-	parts := m[worker]
-	i := slices.IndexFunc(parts, func(p referencePart) bool { return p.key == key })
+	segments := m[worker]
+	i := slices.IndexFunc(segments, func(p referenceSegment) bool { return p.key == key })
 	if i >= 0 {
-		existing := parts[i]
+		existing := segments[i]
 		existing.ready = existing.ready || ready
-		parts = slices.Delete(parts, i, i+1)
-		m[worker] = slices.Insert(parts, 0, existing)
+		segments = slices.Delete(segments, i, i+1)
+		m[worker] = slices.Insert(segments, 0, existing)
 		return
 	}
-	parts = slices.Insert(parts, 0, referencePart{key: key, tokens: tokens, ready: ready})
-	for len(parts) > 1 && totalTokens(parts) > largeCapacity {
-		parts = parts[:len(parts)-1]
+	segments = slices.Insert(segments, 0, referenceSegment{key: key, tokens: tokens, ready: ready})
+	for len(segments) > 1 && totalTokens(segments) > largeCapacity {
+		segments = segments[:len(segments)-1]
 	}
-	m[worker] = parts
+	m[worker] = segments
 }
 
 // fill implements Table.AddAnonymous, for fills that are too large to be merged.
@@ -50,36 +50,36 @@
 	if _, exists := m[worker]; !exists {
 		return
 	}
-	parts := slices.Insert(m[worker], 0, referencePart{tokens: tokens})
-	for len(parts) > 1 && totalTokens(parts) > largeCapacity {
-		parts = parts[:len(parts)-1]
+	segments := slices.Insert(m[worker], 0, referenceSegment{tokens: tokens})
+	for len(segments) > 1 && totalTokens(segments) > largeCapacity {
+		segments = segments[:len(segments)-1]
 	}
-	m[worker] = parts
+	m[worker] = segments
 }
 
 // forget implements Table.Remove.
 func (m referenceTable) forget(worker, key string) {
-	m[worker] = slices.DeleteFunc(m[worker], func(p referencePart) bool { return p.key == key })
+	m[worker] = slices.DeleteFunc(m[worker], func(p referenceSegment) bool { return p.key == key })
 }
 
 // holders implements Table.Holders, sorted by worker.
 func (m referenceTable) holders(key string) []prefixcache.Holder {
 	var found []prefixcache.Holder
-	for worker, parts := range m {
-		for _, part := range parts {
-			if part.key == key {
-				found = append(found, prefixcache.Holder{Worker: worker, Cached: part.ready})
+	for worker, segments := range m {
+		for _, segment := range segments {
+			if segment.key == key {
+				found = append(found, prefixcache.Holder{Worker: worker, Cached: segment.ready})
 			}
 		}
 	}
 	return sortHolders(found)
 }
 
-// totalTokens returns the sum of the tokens of the parts.
-func totalTokens(parts []referencePart) int {
+// totalTokens returns the sum of the tokens of the segments.
+func totalTokens(segments []referenceSegment) int {
 	sum := 0
-	for _, part := range parts {
-		sum += part.tokens
+	for _, segment := range segments {
+		sum += segment.tokens
 	}
 	return sum
 }
@@ -130,7 +130,7 @@
 	})
 }
 
-// TestHoldersAreInCachingOrder checks that using a part again does not change the order.
+// TestHoldersAreInCachingOrder checks that using a segment again does not change the order.
 func TestHoldersAreInCachingOrder(t *testing.T) {
 	table := prefixcache.New()
 	for _, worker := range []string{"w2", "w0", "w1"} {
--- a/internal/retrybudget/retrybudget_test.go
+++ b/internal/retrybudget/retrybudget_test.go
@@ -124,7 +124,7 @@
 	}
 }
 
-// confirmedShare returns the share of one of several sharers, confirmed every second up to lastConfirmation.
+// confirmedShare returns the share of one of several gateways, confirmed every second up to lastConfirmation.
 func confirmedShare(gatewayCount int, lastConfirmation time.Duration) *Share {
 	share := NewShare(10 * time.Second)
 	share.SetGatewayCount(epoch, gatewayCount)
@@ -186,14 +186,14 @@
 	left := epoch.Add(20 * time.Second)
 	share.SetGatewayCount(left, 3)
 	if gatewayCount := share.GatewayCount(left.Add(13 * time.Second)); gatewayCount != 9 {
-		t.Errorf("%d sharers while partitioned gateways may still retry, want 9", gatewayCount)
+		t.Errorf("%d gateways while partitioned gateways may still retry, want 9", gatewayCount)
 	}
 	if gatewayCount := share.GatewayCount(left.Add(14 * time.Second)); gatewayCount != 3 {
-		t.Errorf("%d sharers after their shares have expired, want 3", gatewayCount)
+		t.Errorf("%d gateways after their shares have expired, want 3", gatewayCount)
 	}
 	share.SetGatewayCount(left.Add(15*time.Second), 9)
 	if gatewayCount := share.GatewayCount(left.Add(15 * time.Second)); gatewayCount != 9 {
-		t.Errorf("%d sharers after they came back, want 9", gatewayCount)
+		t.Errorf("%d gateways after they came back, want 9", gatewayCount)
 	}
 }
 
@@ -210,7 +210,7 @@
 }
 
 // TestShortRegistrationGivesNoShare guards against a share for a gateway whose registration was lost soon after it was
-// made: other gateways may not have read it and divide the allowance by fewer sharers.
+// made: other gateways may not have read it and divide the allowance by fewer gateways.
 func TestShortRegistrationGivesNoShare(t *testing.T) {
 	share := confirmedShare(4, 6*time.Second)
 	for offset := 7 * time.Second; offset <= 14*time.Second; offset += time.Second {
--- a/internal/retrybudget/share.go
+++ b/internal/retrybudget/share.go
@@ -20,7 +20,7 @@
 
 // Share is this gateway's share of the common allowance. It is not safe for concurrent use.
 //
-// The share is 1/n for the largest recent number of sharers n, and 0 while other gateways may not know this one. A
+// The share is 1/n for the largest recent number of gateways n, and 0 while other gateways may not know this one. A
 // gateway that starts or returns waits until every other gateway that still has a share has read its registration in
 // the store. A gateway that cannot confirm its registration gives up its share before the others divide by fewer. So a
 // partition never makes a share larger.
--- a/internal/standin/fleet/model.go
+++ b/internal/standin/fleet/model.go
@@ -47,8 +47,8 @@
 	prefilledTokens int
 }
 
-// promptPart is a part of a prompt.
-type promptPart struct {
+// promptSegment is a segment of a prompt.
+type promptSegment struct {
 	id     string
 	tokens int
 }
@@ -58,64 +58,64 @@
 	return &engineModel{options: options, prefillSlot: make(chan struct{}, 1), cached: map[string]*list.Element{}, lru: list.New()}
 }
 
-// parsePromptParts parses the parts of a prompt, a comma-separated list of ID:TOKENS.
-func parsePromptParts(header string) []promptPart {
-	var parts []promptPart
+// parsePromptSegments parses the segments of a prompt, a comma-separated list of ID:TOKENS.
+func parsePromptSegments(header string) []promptSegment {
+	var segments []promptSegment
 	for _, each := range strings.Split(header, ",") {
 		id, count, found := strings.Cut(strings.TrimSpace(each), ":")
 		tokens, err := strconv.Atoi(count)
 		if found && err == nil {
-			parts = append(parts, promptPart{id: id, tokens: tokens})
+			segments = append(segments, promptSegment{id: id, tokens: tokens})
 		}
 	}
-	return parts
+	return segments
 }
 
-// uncachedTokens returns the number of prompt tokens that are not cached. Only parts of a contiguous cached prefix count as
+// uncachedTokens returns the number of prompt tokens that are not cached. Only segments of a contiguous cached prefix count as
 // cached.
-func (m *engineModel) uncachedTokens(parts []promptPart) int {
+func (m *engineModel) uncachedTokens(segments []promptSegment) int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	tokens, missed := 0, false
-	for _, part := range parts {
-		element, found := m.cached[part.id]
+	for _, segment := range segments {
+		element, found := m.cached[segment.id]
 		if found && !missed {
 			m.lru.MoveToFront(element)
 			continue
 		}
 		missed = true
-		tokens += part.tokens
+		tokens += segment.tokens
 	}
 	return tokens
 }
 
-// addToCache adds the parts of a prompt to the cache and evicts the least recently used parts beyond its capacity.
-func (m *engineModel) addToCache(parts []promptPart) {
+// addToCache adds the segments of a prompt to the cache and evicts the least recently used segments beyond its capacity.
+func (m *engineModel) addToCache(segments []promptSegment) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for _, part := range parts {
-		if _, found := m.cached[part.id]; found {
+	for _, segment := range segments {
+		if _, found := m.cached[segment.id]; found {
 			continue
 		}
-		m.cached[part.id] = m.lru.PushFront(part)
-		m.cachedTokens += part.tokens
+		m.cached[segment.id] = m.lru.PushFront(segment)
+		m.cachedTokens += segment.tokens
 	}
 	for m.cachedTokens > m.options.MemoryTokens && m.lru.Len() > 0 {
-		evicted := m.lru.Remove(m.lru.Back()).(promptPart)
+		evicted := m.lru.Remove(m.lru.Back()).(promptSegment)
 		delete(m.cached, evicted.id)
 		m.cachedTokens -= evicted.tokens
 	}
 }
 
-// cachedParts returns the cached parts, the most recently used ones last.
-func (m *engineModel) cachedParts() []promptPart {
+// cachedSegments returns the cached segments, the most recently used ones last.
+func (m *engineModel) cachedSegments() []promptSegment {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	var parts []promptPart
+	var segments []promptSegment
 	for element := m.lru.Back(); element != nil; element = element.Prev() {
-		parts = append(parts, element.Value.(promptPart))
+		segments = append(segments, element.Value.(promptSegment))
 	}
-	return parts
+	return segments
 }
 
 // prefill waits for its turn and for the time that a number of prompt tokens takes. It reports whether the client is still
--- a/internal/standin/fleet/serving.go
+++ b/internal/standin/fleet/serving.go
@@ -75,15 +75,15 @@
 	_ = json.NewEncoder(writer).Encode(report)
 }
 
-// writeCacheEvents writes the cached prompt parts as cache events, the most recently used ones last.
+// writeCacheEvents writes the cached prompt segments as cache events, the most recently used ones last.
 func (w *Worker) writeCacheEvents(writer http.ResponseWriter) {
 	if w.model == nil {
 		writer.WriteHeader(http.StatusNotFound)
 		return
 	}
 	events := [][]any{}
-	for number, part := range w.model.cachedParts() {
-		events = append(events, []any{number + 1, "+", "", part.id, part.tokens, ""})
+	for number, segment := range w.model.cachedSegments() {
+		events = append(events, []any{number + 1, "+", "", segment.id, segment.tokens, ""})
 	}
 	answer := jsonObject{"epoch": 1, "nextToken": len(events), "lost": false, "events": events}
 	_ = json.NewEncoder(writer).Encode(answer)
