--- a/internal/adminapi/register.go
+++ b/internal/adminapi/register.go
@@ -83,7 +83,7 @@
 
 // releaseInput identifies a request by its digest.
 type releaseInput struct {
-	Asked string `path:"asked" doc:"Digest of the request, as the list of barred ones has it."`
+	Digest string `path:"asked" doc:"Digest of the request, as the list of barred ones has it."`
 }
 
 // registerRelease adds the handler that releases a barred request.
@@ -92,7 +92,7 @@
 		OperationID: "release", Method: http.MethodDelete, Path: PathBarred + "/{asked}", Summary: "Release a barred request",
 	}
 	huma.Register(api, operation, func(ctx context.Context, input *releaseInput) (*typedBody[ReleaseResult], error) {
-		digest, err := poison.ParseDigest(input.Asked)
+		digest, err := poison.ParseDigest(input.Digest)
 		if err != nil {
 			return nil, huma.Error422UnprocessableEntity(err.Error())
 		}
@@ -100,7 +100,7 @@
 		if err != nil {
 			return nil, huma.Error503ServiceUnavailable("the store did not take the release", err)
 		}
-		return &typedBody[ReleaseResult]{Body: ReleaseResult{Digest: input.Asked, WasBarred: wasBarred}}, nil
+		return &typedBody[ReleaseResult]{Body: ReleaseResult{Digest: input.Digest, WasBarred: wasBarred}}, nil
 	})
 }
 
--- a/internal/adminapi/types.go
+++ b/internal/adminapi/types.go
@@ -62,10 +62,10 @@
 	Labels map[string]string `json:"labels"`
 	Role   string            `json:"role"`
 	State  string            `json:"state"`
-	// Running is the number of running requests of all gateways, ReadingTokens their prompt tokens still to be
+	// Running is the number of running requests of all gateways, PrefillTokens their prompt tokens still to be
 	// processed.
 	Running       int `json:"running"`
-	ReadingTokens int `json:"readingTokens"`
+	PrefillTokens int `json:"readingTokens"`
 	Slots         int `json:"slots"`
 	// Limit is the request limit that the worker announced; nil if none.
 	Limit *LimitStatus `json:"limit,omitempty"`
@@ -89,7 +89,7 @@
 	Workers       int            `json:"workers"`
 	Roles         map[string]int `json:"roles"`
 	Running       int            `json:"running"`
-	ReadingTokens int            `json:"readingTokens"`
+	PrefillTokens int            `json:"readingTokens"`
 }
 
 // RuleStatus is a rule of the current configuration.
@@ -135,7 +135,7 @@
 	Spot           int `json:"spot"`
 	WantedOnDemand int `json:"wantedKept"`
 	WantedSpot     int `json:"wantedSpot"`
-	// Price of a kept worker in this zone for one second.
+	// Price of an on-demand worker in this zone for one second.
 	Price float64 `json:"price"`
 	// Busy is the number of workers of the whole group that current demand uses, Needed the number it requires.
 	Busy   float64 `json:"busy"`
@@ -147,7 +147,7 @@
 	Gateway string `json:"gateway"`
 	// Agreed and Sent count windows, Late those sent late, Failed counts failed calls, and Superseded how often another
 	// gateway had taken over.
-	Agreed     int `json:"agreed"`
+	Finalized  int `json:"agreed"`
 	Sent       int `json:"sent"`
 	Late       int `json:"late"`
 	Failed     int `json:"failed"`
--- a/internal/capacity/executor_test.go
+++ b/internal/capacity/executor_test.go
@@ -277,7 +277,7 @@
 	})
 }
 
-// TestWorkersAreRemovedOnlyAfterReplacement guards against a loss of capacity while kept workers are replaced by spot workers.
+// TestWorkersAreRemovedOnlyAfterReplacement guards against a loss of capacity while on-demand workers are replaced by spot workers.
 func TestWorkersAreRemovedOnlyAfterReplacement(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newFakePlatform(t)
@@ -339,7 +339,7 @@
 			e.Step(context.Background(), p.now)
 			for zone, count := range p.ordered {
 				if count.OnDemand < started[zone].OnDemand {
-					t.Fatalf("%d kept workers of zone %s were ordered before all were registered", count.OnDemand, zone)
+					t.Fatalf("%d on-demand workers of zone %s were ordered before all were registered", count.OnDemand, zone)
 				}
 			}
 		}
@@ -403,7 +403,7 @@
 	})
 }
 
-// TestPlanIsReachedSoon checks how fast a fleet of kept workers gets the spot workers of the plan.
+// TestPlanIsReachedSoon checks how fast a fleet of on-demand workers gets the spot workers of the plan.
 func TestPlanIsReachedSoon(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newFakePlatform(t)
@@ -419,7 +419,7 @@
 	})
 }
 
-// TestNewSpotWorkersAreNotRemoved guards against the removal of spot workers, ordered while more kept workers register than a zone may have,
+// TestNewSpotWorkersAreNotRemoved guards against the removal of spot workers, ordered while more on-demand workers register than a zone may have,
 // before the demand is known.
 func TestNewSpotWorkersAreNotRemoved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/capacity/plan.go
+++ b/internal/capacity/plan.go
@@ -1,4 +1,4 @@
-// Package capacity decides how many workers each zone should have, and orders them. There are two kinds: kept workers, which run until they
+// Package capacity decides how many workers each zone should have, and orders them. There are two kinds: on-demand workers, which run until they
 // are removed, and spot workers, which cost less but may be reclaimed, all of a zone at once.
 //
 // Estimator determines the number of workers needed from the demand, Plan distributes them over the zones, and Executor orders them.
@@ -15,7 +15,7 @@
 // Zone is a location where workers of a group may run.
 type Zone struct {
 	Name string
-	// Price of a kept worker per second.
+	// Price of an on-demand worker per second.
 	Price float64
 	// SpotUnavailable is set if spot workers are unavailable in the zone.
 	SpotUnavailable bool
@@ -26,7 +26,7 @@
 	Zones []Zone
 	// MinPerZone and MaxPerZone bound the workers of a zone, both kinds together.
 	MinPerZone, MaxPerZone int
-	// SpotPrice is the price of a spot worker relative to a kept one.
+	// SpotPrice is the price of a spot worker relative to an on-demand one.
 	SpotPrice float64
 	// SpotLost is set while a zone has lost its spot workers. The loss of a second zone at the same time is not planned for.
 	SpotLost bool
@@ -86,7 +86,7 @@
 // Total returns the number of workers in all zones.
 func (p Plan) Total() int { return lo.SumBy(lo.Values(p), Count.Total) }
 
-// OnDemand returns the number of kept workers in all zones.
+// OnDemand returns the number of on-demand workers in all zones.
 func (p Plan) OnDemand() int { return lo.SumBy(lo.Values(p), func(c Count) int { return c.OnDemand }) }
 
 // WithoutLargestSpotZone returns the number of workers that remain if the zone with the most spot workers loses them.
--- a/internal/capacity/reconcile.go
+++ b/internal/capacity/reconcile.go
@@ -13,7 +13,7 @@
 
 // reconcile sends the orders that bring the workers of a group closer to the plan. Workers are removed only if enough others are present,
 // and only while the records are certain: an order sets a total number, so one based on incomplete records would remove workers. A new
-// fleet may order spot workers earlier, while its kept workers register.
+// fleet may order spot workers earlier, while its on-demand workers register.
 func (e *Executor) reconcile(ctx context.Context, now time.Time, group Group, plan Plan, need int, certain bool) {
 	surplus := max(group.Present.Total()-need, 0)
 	for _, zone := range group.Offer.Zones {
--- a/internal/forward/ratelimits.go
+++ b/internal/forward/ratelimits.go
@@ -10,7 +10,7 @@
 	"github.com/granitebay/granitebay/internal/routing"
 )
 
-// limitHoldings is this gateway's share of the workers' rate limits, including loans from other gateways. It implements balance.Holdings
+// limitHoldings is this gateway's share of the workers' rate limits, including loans from other gateways. It implements balance.QuotaShares
 // and is guarded by the mutex of the dispatcher.
 type limitHoldings struct {
 	name string
@@ -27,12 +27,12 @@
 	loanArrived chan struct{}
 }
 
-// Share implements balance.Holdings.
+// Share implements balance.QuotaShares.
 func (h *limitHoldings) Share(worker string, perSecond float64) float64 {
 	return h.holders.Share(h.now(), worker, perSecond)
 }
 
-// Loans implements balance.Holdings.
+// Loans implements balance.QuotaShares.
 func (h *limitHoldings) Loans(worker string) int {
 	if loans := h.loans[worker]; loans != nil {
 		return loans.Available(h.now())
@@ -40,7 +40,7 @@
 	return 0
 }
 
-// UseLoan implements balance.Holdings.
+// UseLoan implements balance.QuotaShares.
 func (h *limitHoldings) UseLoan(worker string) bool {
 	loans := h.loans[worker]
 	if loans == nil || !loans.Spend(h.now()) {
--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -82,7 +82,7 @@
 		}
 		return adminapi.WorkerStatus{
 			Address: w.Address, ID: w.ID, Service: w.Group, Groups: w.Selected, Zone: w.Zone, Labels: w.Labels, Role: string(w.Role),
-			State: stateOf(view), Running: view.Load.Running, ReadingTokens: view.Load.PrefillTokens, Slots: w.Slots, Limit: limit,
+			State: stateOf(view), Running: view.Load.Running, PrefillTokens: view.Load.PrefillTokens, Slots: w.Slots, Limit: limit,
 		}
 	})
 	slices.SortFunc(statuses, func(x, y adminapi.WorkerStatus) int {
@@ -122,7 +122,7 @@
 			}
 			status.Workers++
 			status.Running += view.Load.Running
-			status.ReadingTokens += view.Load.PrefillTokens
+			status.PrefillTokens += view.Load.PrefillTokens
 			if view.Worker.Role != backend.RoleNone {
 				status.Roles[string(view.Worker.Role)]++
 			}
--- a/internal/gateway/admin_tenants.go
+++ b/internal/gateway/admin_tenants.go
@@ -45,7 +45,7 @@
 	status := adminapi.UsageStatus{Gateway: a.settings.Name, Open: []adminapi.OpenWindow{}}
 	if a.tenantUsage.reporter != nil {
 		counts := a.tenantUsage.reporter.Stats()
-		status.Agreed, status.Sent, status.Late, status.Failed, status.Superseded = counts.Finalized, counts.Sent, counts.Late, counts.Failed, counts.Superseded
+		status.Finalized, status.Sent, status.Late, status.Failed, status.Superseded = counts.Finalized, counts.Sent, counts.Late, counts.Failed, counts.Superseded
 	}
 	if a.tenantUsage.tally != nil {
 		for _, window := range a.tenantUsage.tally.OpenWindows() {
--- a/internal/gateway/barsyncer_test.go
+++ b/internal/gateway/barsyncer_test.go
@@ -73,7 +73,7 @@
 		t.Errorf("release returned %t, %v", wasBarred, err)
 	}
 	if state, _ := b.guard.Status(digest); state != poison.Clear {
-		t.Errorf("standing is %d", state)
+		t.Errorf("status is %d", state)
 	}
 	for _, change := range b.takeDue(time.Now().Add(remoteBarDelay)) {
 		b.apply(t.Context(), change)
--- a/internal/operator/resources.go
+++ b/internal/operator/resources.go
@@ -42,7 +42,7 @@
 func (getUsage) Run(s *session) error {
 	return show(s, s.client.Usage, func(w io.Writer, usage adminapi.UsageStatus) error {
 		fmt.Fprintf(w, "gateway %s: %d windows agreed on, %d sent, %d of them late, %d calls failed, superseded %d times\n",
-			usage.Gateway, usage.Agreed, usage.Sent, usage.Late, usage.Failed, usage.Superseded)
+			usage.Gateway, usage.Finalized, usage.Sent, usage.Late, usage.Failed, usage.Superseded)
 		return printTable(w, table.Row{"Open window", "Requests", "Tenants"}, lo.Map(usage.Open, func(o adminapi.OpenWindow, _ int) table.Row {
 			return table.Row{o.Window, o.Requests, o.Tenants}
 		}))
--- a/internal/operator/show.go
+++ b/internal/operator/show.go
@@ -78,7 +78,7 @@
 	return showTable(s, s.client.Workers, header, func(worker adminapi.WorkerStatus) table.Row {
 		row := table.Row{
 			worker.Address, worker.Service, orDash(strings.Join(worker.Groups, ",")), worker.Zone, worker.State, orDash(worker.Role),
-			worker.Running, worker.ReadingTokens, worker.Slots, formatLimit(worker.Limit), worker.ID,
+			worker.Running, worker.PrefillTokens, worker.Slots, formatLimit(worker.Limit), worker.ID,
 		}
 		if g.ShowLabels {
 			row = append(row, formatLabels(worker.Labels))
@@ -102,7 +102,7 @@
 func (getGroups) Run(s *session) error {
 	header := table.Row{"Name", "Service", "Workers", "Roles", "Running", "Reading"}
 	return showTable(s, s.client.Groups, header, func(group adminapi.GroupStatus) table.Row {
-		return table.Row{group.Name, orDash(group.Of), group.Workers, formatCounts(group.Roles), group.Running, group.ReadingTokens}
+		return table.Row{group.Name, orDash(group.Of), group.Workers, formatCounts(group.Roles), group.Running, group.PrefillTokens}
 	})
 }
 
--- a/internal/poison/guard.go
+++ b/internal/poison/guard.go
@@ -122,7 +122,7 @@
 // HasSuspects reports whether any request is suspected or barred. If not, callers need not compute digests.
 func (g *Guard) HasSuspects() bool { return g.hasSuspects.Load() }
 
-// Status returns the standing of a request, and its bar or the evidence against it.
+// Status returns the status of a request, and its bar or the evidence against it.
 func (g *Guard) Status(digest Digest) (Status, Bar) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -198,7 +198,7 @@
 	refuses, err := g.prober.RefusesConnections(ctx, entry.worker)
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	// Waiting callers read the standing next, so the crash is recorded before the channel is closed.
+	// Waiting callers read the status next, so the crash is recorded before the channel is closed.
 	defer func(done chan struct{}) {
 		entry.probeDone = nil
 		close(done)
--- a/internal/poison/guard_test.go
+++ b/internal/poison/guard_test.go
@@ -96,10 +96,10 @@
 		}
 		waitForEvaluation()
 		if got, _ := g.Status(killer); got != Barred {
-			t.Errorf("after three crashes: standing %d, want Barred", got)
+			t.Errorf("after three crashes: status %d, want Barred", got)
 		}
 		if got, _ := g.Status(harmless); got != Clear {
-			t.Errorf("harmless request: standing %d, want Clear", got)
+			t.Errorf("harmless request: status %d, want Clear", got)
 		}
 		if g.prober.probes != 3 {
 			t.Errorf("%d probes, want 3", g.prober.probes)
@@ -131,7 +131,7 @@
 		setWorkers(g, backend.Set{"lives": workers["lives"]})
 		waitForEvaluation()
 		if got, bar := g.Status(digest); got != Clear || g.HasSuspects() {
-			t.Errorf("standing %d, bar %+v", got, bar)
+			t.Errorf("status %d, bar %+v", got, bar)
 		}
 	})
 }
@@ -146,15 +146,15 @@
 		g.ConnectionBroke(workers["w1"], digest, "rule", "")
 		waitForEvaluation()
 		if got, _ := g.Status(digest); got != Clear {
-			t.Errorf("before the record was removed: standing %d, want Clear", got)
+			t.Errorf("before the record was removed: status %d, want Clear", got)
 		}
 		setWorkers(g, backend.Set{})
 		if got, _ := g.Status(digest); got != Suspected {
-			t.Errorf("after the record was removed: standing %d, want Suspected", got)
+			t.Errorf("after the record was removed: status %d, want Suspected", got)
 		}
 		g.RecordSuccess(digest)
 		if got, _ := g.Status(digest); got != Clear {
-			t.Errorf("after a success: standing %d, want Clear", got)
+			t.Errorf("after a success: status %d, want Clear", got)
 		}
 	})
 }
@@ -196,10 +196,10 @@
 		waitForEvaluation()
 		for i, g := range guards {
 			if got, _ := g.Status(killer); got != Barred {
-				t.Errorf("gateway %d: killer has standing %d, want Barred", i, got)
+				t.Errorf("gateway %d: killer has status %d, want Barred", i, got)
 			}
 			if got, _ := g.Status(bystander); got != Clear {
-				t.Errorf("gateway %d: bystander has standing %d, want Clear", i, got)
+				t.Errorf("gateway %d: bystander has status %d, want Clear", i, got)
 			}
 		}
 	})
@@ -220,7 +220,7 @@
 		waitForEvaluation()
 		setWorkers(g, backend.Set{"w1": workers["w1"], "lives": workers["lives"]})
 		if got, bar := g.Status(abandoned); got != Suspected || fmt.Sprint(bar.Workers) != "[w1 w2]" {
-			t.Errorf("standing %d, bar %+v", got, bar)
+			t.Errorf("status %d, bar %+v", got, bar)
 		}
 		time.Sleep(2 * recordTimeout)
 		setWorkers(g, backend.Set{"w1": workers["w1"]})
@@ -242,7 +242,7 @@
 			time.Sleep(3 * time.Millisecond)
 			synctest.Wait()
 			if got, _ := g.Status(digest); got != Suspected {
-				t.Errorf("request %d: standing %d, want Suspected", i, got)
+				t.Errorf("request %d: status %d, want Suspected", i, got)
 			}
 		}
 		if got := fmt.Sprint(g.events); got != "[poison.WorkerEnded]" {
--- a/internal/poison/table.go
+++ b/internal/poison/table.go
@@ -117,7 +117,7 @@
 // Empty reports whether the table has no entries.
 func (t *Table) Empty() bool { return len(t.suspects) == 0 }
 
-// Status returns the standing of a request, and its bar or the evidence against it.
+// Status returns the status of a request, and its bar or the evidence against it.
 func (t *Table) Status(now time.Time, digest Digest) (Status, Bar) {
 	entry, found := t.suspects[digest]
 	if !found {
@@ -230,8 +230,8 @@
 	return false
 }
 
-// RecordSuccess records that a request succeeded at the given time, which voids earlier evidence against it. It returns the standing that
-// was cleared, or Clear if the standing was not affected.
+// RecordSuccess records that a request succeeded at the given time, which voids earlier evidence against it. It returns the status that
+// was cleared, or Clear if the status was not affected.
 func (t *Table) RecordSuccess(now, at time.Time, digest Digest) Status {
 	entry, found := t.suspects[digest]
 	if !found || !at.After(entry.succeededAt) || (len(entry.crashes) == 0 && entry.barCount == 0) {
--- a/internal/poison/table_test.go
+++ b/internal/poison/table_test.go
@@ -67,7 +67,7 @@
 		want := map[string]Status{"clear": Clear, "excused": Excused, "suspected": Suspected, "barred": Barred}[command]
 		for _, name := range names {
 			if got, bar := r.table.Status(r.now, digestNamed(name)); got != want {
-				return fmt.Sprintf("%s has standing %d: %+v", name, got, bar)
+				return fmt.Sprintf("%s has status %d: %+v", name, got, bar)
 			}
 		}
 	default:
--- a/internal/store/replica_test.go
+++ b/internal/store/replica_test.go
@@ -197,7 +197,7 @@
 	recorded.eventually(t, "a=3 b=5")
 }
 
-func TestRenewRestartsPendingWatch(t *testing.T) {
+func TestRestartWatchEndsPendingWatch(t *testing.T) {
 	store := &fakeStore{lists: []func() ([]Item, Revision, error){listResult(5)}, events: make(chan func(Revision) ([]Event, Revision, error))}
 	replica, recorded := runReplica(t, store, nil)
 	watches := func() int {
