--- a/internal/gateway/entries.go
+++ b/internal/gateway/entries.go
@@ -59,7 +59,7 @@
 	// sequence.
 	minLoggedSuspension = 50 * time.Millisecond
 	// shortLeaseDelay is how long a gateway is an entry before it renews a short lease, and longLeaseDelay how long it
-	// stands by before it renews a long one. Each change costs two store calls, and roles may change several times while
+	// is a standby before it renews a long one. Each change costs two store calls, and roles may change several times while
 	// a fleet starts.
 	shortLeaseDelay = time.Second
 	longLeaseDelay  = 5 * time.Second
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -1,7 +1,7 @@
 // Package gateway implements the gateway process. It serves the directory in which callers look up gateways, forwards
 // their requests to workers, and coordinates with the other gateways of the fleet.
 //
-// A few gateways, the entries, receive the requests of callers; the others stand by. The leader is the gateway that
+// A few gateways, the entries, receive the requests of callers; the others are standbys. The leader is the gateway that
 // holds the controller key in the store and gives orders to the platform and to engines.
 package gateway
 
