--- a/internal/accepting/accepting_test.go
+++ b/internal/accepting/accepting_test.go
@@ -35,7 +35,7 @@
 			return
 		}
 	}
-	t.Errorf("within %s Able did not return %t; last check: %v", within, want, l.lastCheck)
+	t.Errorf("within %s Accepting did not return %t; last check: %v", within, want, l.lastCheck)
 }
 
 // TestStalledAcceptLoopIsReported blocks the accept loop of a server after it accepted a connection.
@@ -73,12 +73,12 @@
 			t.Fatalf("got %v", err)
 		}
 		if loop.Accepting(time.Now()) {
-			t.Error("Able returned true right after a failed Accept")
+			t.Error("Accepting returned true right after a failed Accept")
 		}
 	}
 	loop.setWaiting(true, nil)
 	if !loop.Accepting(time.Now()) {
-		t.Error("Able returned false for a loop that waits in Accept")
+		t.Error("Accepting returned false for a loop that waits in Accept")
 	}
 }
 
@@ -101,7 +101,7 @@
 	// The loop is marked as waiting, so that only the queue shows that nothing is accepted.
 	loop.setWaiting(true, nil)
 	if !loop.Accepting(time.Now()) {
-		t.Error("Able returned false with an empty backlog")
+		t.Error("Accepting returned false with an empty backlog")
 	}
 	for range backlog + 1 {
 		conn, err := net.Dial("tcp4", listener.Addr().String())
--- a/internal/backend/roster_test.go
+++ b/internal/backend/roster_test.go
@@ -37,7 +37,7 @@
 		t.Errorf("the next retained worker expires at %s, want %s", next, want)
 	}
 	if countInUse(roster, next) != 0 {
-		t.Error("a worker without a record is in use after FadeTime")
+		t.Error("a worker without a record is in use after OutageGrace")
 	}
 	roster.Put(epoch, ready)
 	if countInUse(roster, next) != 1 {
--- a/internal/balance/suspects_test.go
+++ b/internal/balance/suspects_test.go
@@ -75,7 +75,7 @@
 		t.Fatal("a suspect runs while one of four workers is missing")
 	}
 	if wait := balancer.SuspectWait(epoch.Add(time.Second), suspectQuery("a")); wait != settings.MissingTimeout-time.Second {
-		t.Errorf("RunsIn = %s, want the time until the worker no longer counts as missing", wait)
+		t.Errorf("SuspectWait = %s, want the time until the worker no longer counts as missing", wait)
 	}
 	set = set.Clone()
 	set["again"] = &backend.Worker{ID: "again", Group: "g", Address: set["decode-1"].Address, Role: backend.RoleDecode, Slots: 8}
@@ -91,7 +91,7 @@
 			choice, found := balancer.Pick(now, query)
 			wait := balancer.SuspectWait(now, query)
 			if found != (wait == 0) || wait >= settings.Round() {
-				t.Fatalf("%s: found = %t, RunsIn = %s", query.SuspectKey, found, wait)
+				t.Fatalf("%s: found = %t, SuspectWait = %s", query.SuspectKey, found, wait)
 			}
 			if found {
 				turns[query.SuspectKey]++
@@ -111,7 +111,7 @@
 	}
 	balancer.RecordCrash(replacedAt, replacedAt, "decode-2")
 	if wait := balancer.SuspectWait(replacedAt, suspectQuery("a")); wait != 3*time.Second {
-		t.Errorf("RunsIn after the next crash = %s, want the last recovery time of 3s", wait)
+		t.Errorf("SuspectWait after the next crash = %s, want the last recovery time of 3s", wait)
 	}
 }
 
@@ -160,7 +160,7 @@
 		t.Errorf("picked %s although another worker is missing", again.Worker.ID)
 	}
 	if wait := b.SuspectWait(now, query); wait <= 0 {
-		t.Errorf("RunsIn = %s, want more than zero", wait)
+		t.Errorf("SuspectWait = %s, want more than zero", wait)
 	}
 }
 
@@ -170,10 +170,10 @@
 	choice, _ := b.Pick(now, query)
 	query.Excluded = []string{choice.Worker.ID}
 	if !b.SuspectExhausted(now, query) {
-		t.Error("Tried = false although every allowed worker is excluded")
+		t.Error("SuspectExhausted = false although every allowed worker is excluded")
 	}
 	query.Excluded = nil
 	if b.SuspectExhausted(now, query) {
-		t.Error("Tried = true although no worker is excluded")
+		t.Error("SuspectExhausted = true although no worker is excluded")
 	}
 }
--- a/internal/peersync/peersync_test.go
+++ b/internal/peersync/peersync_test.go
@@ -168,7 +168,7 @@
 	time.Sleep(100 * time.Millisecond)
 	messages := received()
 	if len(messages) != count || !messages[count-1].Standby {
-		t.Errorf("%d messages after %d, StandsBy of the last one: %t", len(messages), count, messages[count-1].Standby)
+		t.Errorf("%d messages after %d, Standby of the last one: %t", len(messages), count, messages[count-1].Standby)
 	}
 	exchanges[0].Changed(true)
 	waitForMessages(t, sources[1], count+1)
--- a/internal/poison/guard_test.go
+++ b/internal/poison/guard_test.go
@@ -104,7 +104,7 @@
 		if g.prober.probes != 3 {
 			t.Errorf("%d probes, want 3", g.prober.probes)
 		}
-		if got := fmt.Sprint(g.events); got != "[poison.WorkerEnded poison.WorkerEnded poison.WorkerEnded poison.Made]" {
+		if got := fmt.Sprint(g.events); got != "[poison.WorkerCrashed poison.WorkerCrashed poison.WorkerCrashed poison.BarCreated]" {
 			t.Errorf("events: %s", got)
 		}
 	})
@@ -245,7 +245,7 @@
 				t.Errorf("request %d: status %d, want Suspected", i, got)
 			}
 		}
-		if got := fmt.Sprint(g.events); got != "[poison.WorkerEnded]" {
+		if got := fmt.Sprint(g.events); got != "[poison.WorkerCrashed]" {
 			t.Errorf("events: %s", got)
 		}
 	})
--- a/internal/roles/controller_test.go
+++ b/internal/roles/controller_test.go
@@ -163,7 +163,7 @@
 	controller.KeyChanged(boottime.Now(), nil, 0, 0)
 	runSteps(controller, 4)
 	if len(fleet.changing) < 2 || fleet.changing[0] != backend.RolePrefill || fleet.changing[1] != backend.RoleDecode {
-		t.Errorf("SetChanging was called with %v, want prefill and then decode", fleet.changing)
+		t.Errorf("SetRoleChange was called with %v, want prefill and then decode", fleet.changing)
 	}
 }
 
@@ -202,7 +202,7 @@
 			}
 			controller.confirm(context.Background(), epoch.Add(confirmInterval))
 			if len(fleet.changing) != 1 || fleet.changing[0] != c.want {
-				t.Errorf("SetChanging was called with %v, want %s", fleet.changing, c.want)
+				t.Errorf("SetRoleChange was called with %v, want %s", fleet.changing, c.want)
 			}
 		})
 	}
--- a/internal/store/freshness_test.go
+++ b/internal/store/freshness_test.go
@@ -72,7 +72,7 @@
 	replica.SetMaxStaleness(0)
 	replica.ShortenNextWatch()
 	if err := replica.step(t.Context()); err != nil || idle.waits[2] != minWatchWait {
-		t.Errorf("after Hasten a watch waited %s: %v", idle.waits[2], err)
+		t.Errorf("after ShortenNextWatch a watch waited %s: %v", idle.waits[2], err)
 	}
 	idle.fail = true
 	if replica.step(t.Context()) == nil || replica.step(t.Context()) != nil {
