--- a/internal/balance/backoff.go
+++ b/internal/balance/backoff.go
@@ -9,7 +9,7 @@
 	MaxDuration time.Duration
 }
 
-// DefaultBackOffSettings returns the default settings. The limit is longer than a worker takes to load a model.
+// DefaultBackOffSettings returns the default settings.
 func DefaultBackOffSettings() BackOffSettings { return BackOffSettings{MaxDuration: 10 * time.Minute} }
 
 // backOffs maps the ID of a worker to the time until which it has asked for no requests. Entries outlive the
@@ -38,8 +38,8 @@
 	return until
 }
 
-// BackOffUntil returns when the back-off of a worker ends. The time is in the past or zero if the worker accepts
-// requests.
+// BackOffUntil returns when the back-off of a worker ends. The time is in the past or zero if the worker is not
+// backing off.
 func (b *Balancer) BackOffUntil(id string) time.Time { return b.backOffs[id] }
 
 // backingOff reports whether the worker has asked for no requests.
--- a/internal/balance/backoff_test.go
+++ b/internal/balance/backoff_test.go
@@ -25,9 +25,8 @@
 	share float64
 }
 
-// outcomesByName maps the outcomes in scripts.
 var outcomesByName = map[string]Outcome{
-	"good": OutcomeGood, "full": OutcomeRefused, "silent": OutcomeTimeout, "broken": OutcomeMalformed,
+	"good": OutcomeGood, "refused": OutcomeRefused, "timeout": OutcomeTimeout, "malformed": OutcomeMalformed,
 }
 
 // duration parses a duration of a script.
@@ -111,13 +110,15 @@
 			return fmt.Sprintf("accepts in %s, all full: %t", got, allFull)
 		}
 	default:
-		return "unknown step"
+		return fmt.Sprintf("unknown step %q", verb)
 	}
 	return ""
 }
 
+// TestBackOffScripts guards against requests to a worker during its back-off, and against a back-off that ends early.
 func TestBackOffScripts(t *testing.T) { runScripts(t, "testdata/backoff.txtar") }
 
+// TestLimitScripts guards against requests to a worker above its rate limit, and against a limit that is lost.
 func TestLimitScripts(t *testing.T) { runScripts(t, "testdata/limits.txtar") }
 
 // runScripts runs the scripts of a file.
@@ -150,7 +151,8 @@
 	}
 }
 
-// TestBackingOffWorkerIsNeverPicked covers small and large roles, and suspects.
+// TestBackingOffWorkerIsNeverPicked guards against requests to workers during their back-off, in small and large
+// roles, with and without a suspect key.
 func TestBackingOffWorkerIsNeverPicked(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := DefaultSettings()
@@ -168,15 +170,15 @@
 			}
 		}
 		now := epoch.Add(time.Duration(rapid.IntRange(0, 5000).Draw(t, "later")) * time.Millisecond)
-		query := Query{Group: "g", Role: backend.RoleDecode, Request: rapid.String().Draw(t, "request"), SuspectKey: rapid.SampledFrom([]string{"", "a"}).Draw(t, "apart")}
+		query := Query{Group: "g", Role: backend.RoleDecode, Request: rapid.String().Draw(t, "request"), SuspectKey: rapid.SampledFrom([]string{"", "a"}).Draw(t, "suspect key")}
 		if choice, found := balancer.Pick(now, query); found && now.Before(until[choice.Worker.ID]) {
 			t.Fatalf("picked %s, which backs off for %s", choice.Worker.ID, until[choice.Worker.ID].Sub(now))
 		}
 	})
 }
 
-// TestLimitedWorkerGetsNoMoreThanItsLimit covers small and large roles, and suspects. Each worker may get at most the
-// share of this gateway in its limit.
+// TestLimitedWorkerGetsNoMoreThanItsLimit guards against more requests to a worker than the share of this gateway in
+// its limit, in small and large roles, with and without a suspect key.
 func TestLimitedWorkerGetsNoMoreThanItsLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := DefaultSettings()
@@ -195,7 +197,7 @@
 		const seconds = 3
 		for step := range seconds * 50 {
 			now := epoch.Add(time.Duration(step) * 20 * time.Millisecond)
-			query := Query{Group: "g", Role: backend.RoleDecode, Request: fmt.Sprint(step), SuspectKey: rapid.SampledFrom([]string{"", "a"}).Draw(t, "apart")}
+			query := Query{Group: "g", Role: backend.RoleDecode, Request: fmt.Sprint(step), SuspectKey: rapid.SampledFrom([]string{"", "a"}).Draw(t, "suspect key")}
 			choice, found := balancer.Pick(now, query)
 			if !found {
 				continue
--- a/internal/balance/balance.go
+++ b/internal/balance/balance.go
@@ -3,8 +3,8 @@
 //
 // Scores are in seconds of expected delay, so the value of a prefix cache hit is the prefill time that it saves. A
 // Balancer is a pure state machine: it has no clock, no goroutine and no randomness, and it is not safe for
-// concurrent use. Gateways with the same workers pick the same one for a prompt without communication, because ties
-// are broken by rendezvous hashing.
+// concurrent use. Ties are broken by rendezvous hashing, or by a consistent hash ring in large roles, so gateways with
+// the same workers pick the same one for a prompt without communication if the costs are equal.
 package balance
 
 import (
@@ -23,8 +23,8 @@
 	Request string
 	Group   string
 	Role    backend.Role
-	// Key is the affinity key: prompts with the same key share a cacheable prefix. It breaks ties between workers.
-	// Empty means no preference.
+	// Key is the affinity key: prompts with the same key share a cacheable prefix. It breaks ties between workers;
+	// if it is empty, Request does.
 	Key string
 	// PrefillCost estimates the prefill cost of the prompt at a worker. Nil means no cost.
 	PrefillCost func(worker *backend.Worker) PrefillCost
@@ -32,17 +32,17 @@
 	Deferred bool
 	// Zone is the preferred zone.
 	Zone string
-	// Holders lists the IDs of workers that have a part of the prompt cached. They are candidates even if the role is
+	// Holders lists the IDs of workers that have some segments of the prompt cached. They are candidates even if the role is
 	// sampled.
 	Holders []string
-	// Concentrate concentrates prompts whose key is not worth a worker of its own on a few workers of the zone, to limit
-	// the number of connections.
+	// Concentrate routes requests without shared segments to a few workers of the zone, to limit the number of
+	// connections.
 	Concentrate bool
 	// Excluded lists workers that must not be tried again.
 	Excluded []string
-	// SuspectKey is set for a suspect: a request that may crash its worker. Suspects are restricted to as many workers as
-	// the role can afford to lose. Among those whose cost is close to the cheapest, this key selects one, so that
-	// suspects that ran on the same worker are separated on the next and can be told apart.
+	// SuspectKey is set for a suspect, a request that may crash its worker. Among the workers that may serve suspects and
+	// whose cost is close to the cheapest, the key selects one, so that suspects that shared a worker are placed on
+	// different ones next. RiskSettings limits how many workers may serve suspects.
 	SuspectKey string
 	// Prefilled is set for a suspect that has been prefilled in its turn and now needs a worker for decoding.
 	Prefilled bool
@@ -52,8 +52,8 @@
 type PrefillCost struct {
 	// Tokens is the number of tokens that the worker must prefill.
 	Tokens int
-	// TransferSeconds is the time to transfer the rest from the caches of other workers, and the cost of recomputing
-	// what they have cached.
+	// TransferSeconds is the time to transfer cached tokens from another worker or, if they can't be transferred, the
+	// cost of recomputing them.
 	TransferSeconds float64
 }
 
@@ -65,12 +65,12 @@
 	// adds to the responses that the worker is decoding.
 	Prefill      float64
 	Interference float64
-	// Transfer is the cost of transferring cached tokens from other workers.
+	// Transfer is the cost of transferring or recomputing tokens that other workers have cached.
 	Transfer float64
 	// ZoneCost is the cost of crossing zones.
 	ZoneCost float64
-	// TimeToFirstToken is the expected time to the first token, and QueueWait is the part of it that is spent queueing. They are not
-	// part of the total.
+	// TimeToFirstToken is the expected time to the first token, and QueueWait is the part of it that is spent queueing.
+	// They are not part of the total.
 	TimeToFirstToken, QueueWait float64
 	// EjectedPenalty is the penalty of an ejected worker that is used because too few healthy workers are left.
 	EjectedPenalty float64
@@ -94,8 +94,8 @@
 	// SecondsPerRequest is the delay that each running request adds at an engine. For plain workers the estimated
 	// service time is used instead.
 	SecondsPerRequest float64
-	// InterferenceWeight scales the delay that prefill adds to the responses being decoded. An engine does one thing
-	// at a time, so a second of prefill delays each response by up to a second.
+	// InterferenceWeight is the share of the prefill time by which each response that the worker is decoding is delayed,
+	// between 0 and 1.
 	InterferenceWeight float64
 	// OtherZoneSeconds is the cost of a worker in another zone.
 	OtherZoneSeconds float64
@@ -142,11 +142,11 @@
 	// load is the load that this gateway has placed on the worker.
 	load   backend.Load
 	health health
-	// unreachableUntil is until when the worker is skipped because its address refuses connections.
+	// The worker is skipped until unreachableUntil because its address refuses connections.
 	unreachableUntil time.Time
-	// roleChangeUntil is until when the worker is skipped because it is changing its role.
+	// The worker is skipped until roleChangeUntil because it is changing its role.
 	roleChangeUntil time.Time
-	// backOffUntil is until when the worker has asked for no requests.
+	// The worker has asked for no requests until backOffUntil.
 	backOffUntil time.Time
 	// limit is the request rate limit that the worker has announced, or nil.
 	limit *workerLimit
@@ -265,8 +265,8 @@
 	return state.health.record(now, outcome, &b.settings.Health)
 }
 
-// RemoteEjection records that another gateway has ejected a worker. It counts as one failure: reports from two gateways, or
-// one report and one local failure, eject the worker here too.
+// RemoteEjection records that another gateway has ejected a worker. It counts as one timeout: two reports, or one
+// report and one local timeout or malformed response, eject the worker here too.
 func (b *Balancer) RemoteEjection(now time.Time, id string) {
 	if state, found := b.workers[id]; found {
 		state.health.record(now, OutcomeTimeout, &b.settings.Health)
@@ -299,14 +299,14 @@
 	return state.load.Plus(b.remoteLoad(state.worker.ID))
 }
 
-// Usable reports whether a worker is in service, not backing off and not ejected.
+// Usable reports whether a worker is in service, not backing off and not ejected. A spent quota does not make it
+// unusable.
 func (b *Balancer) Usable(now time.Time, id string) bool {
 	state, found := b.workers[id]
 	return found && state.usable(now)
 }
 
-// usable reports whether the worker is in service, not backing off and not ejected. A spent quota does not make it
-// unusable.
+// usable implements Usable.
 func (s *workerState) usable(now time.Time) bool {
 	return s.inService(now) && !s.backingOff(now) && !s.health.ejected(now)
 }
@@ -332,8 +332,8 @@
 	return state.health.ejected(now) || state.unreachable(now), state.changingRole(now)
 }
 
-// SetUnreachable marks a worker as unreachable until the given time. A time that has passed marks it as reachable and clears
-// its health record.
+// SetUnreachable marks a worker as unreachable until the given time. A time that has passed marks it as reachable and
+// clears its health record.
 func (b *Balancer) SetUnreachable(now time.Time, id string, until time.Time) {
 	state, found := b.workers[id]
 	if !found {
--- a/internal/balance/balance_test.go
+++ b/internal/balance/balance_test.go
@@ -38,7 +38,7 @@
 			query.Request = "request of " + zone
 			choice, found := balancer.Pick(epoch, query)
 			if !found {
-				t.Fatal("no worker was picked")
+				t.Fatalf("no worker was picked for %+v", query)
 			}
 			chosen[choice.Worker.ID] = true
 		}
@@ -73,11 +73,11 @@
 			return
 		}
 		if choice.Worker.Draining {
-			t.Fatal("a draining worker was picked")
+			t.Fatalf("picked %s, which is draining", choice.Worker.ID)
 		}
 		for _, id := range excluded {
 			if choice.Worker.ID == id {
-				t.Fatal("an excluded worker was picked")
+				t.Fatalf("picked %s, which is excluded", id)
 			}
 		}
 	})
@@ -88,15 +88,15 @@
 	balancer.SetWorkers(engines(backend.RoleNone, 2))
 	query := Query{Request: "r", Group: "g", Zone: "z0"}
 	if choice, _ := balancer.Pick(epoch, query); choice.Worker.Zone != "z0" {
-		t.Fatalf("the worker in the same zone was not preferred: %+v", choice)
+		t.Fatalf("picked %s in zone %q, want the worker in zone z0", choice.Worker.ID, choice.Worker.Zone)
 	}
 	balancer.Begin("-0", LoadOf(0, false))
 	balancer.End(epoch, "-0", OutcomeUnreachable)
 	if choice, _ := balancer.Pick(epoch, query); choice.Worker.ID == "-0" {
-		t.Fatal("an unreachable worker was picked")
+		t.Fatalf("picked %s, which is ejected", choice.Worker.ID)
 	}
 	if choice, _ := balancer.Pick(epoch.Add(2*time.Second), query); choice.Worker.ID != "-0" {
-		t.Fatal("the worker was not used again after its ejection")
+		t.Fatalf("picked %s after the ejection of -0 ended, want -0", choice.Worker.ID)
 	}
 }
 
@@ -109,7 +109,7 @@
 		balancer.End(epoch, id, OutcomeUnreachable)
 	}
 	if _, found := balancer.Pick(epoch, Query{Request: "r", Group: "g", Role: backend.RoleDecode}); !found {
-		t.Fatal("no worker was picked")
+		t.Fatal("no worker was picked of 4 ejected ones, want any")
 	}
 }
 
@@ -120,12 +120,12 @@
 	balancer.Begin("decode-0", LoadOf(100, false))
 	balancer.SetWorkers(set.Clone())
 	if balancer.workers["decode-0"].load.Running != 1 {
-		t.Fatal("the running request was lost")
+		t.Fatalf("decode-0 has %d running requests, want 1", balancer.workers["decode-0"].load.Running)
 	}
 	balancer.End(epoch, "decode-0", OutcomeGood)
 	balancer.End(epoch, "decode-0", OutcomeGood)
 	if balancer.workers["decode-0"].load.Running != 0 {
-		t.Fatal("the load is not zero after more requests ended than began")
+		t.Fatalf("decode-0 has %d running requests after more ended than began, want 0", balancer.workers["decode-0"].load.Running)
 	}
 }
 
@@ -144,20 +144,21 @@
 	}
 }
 
-func TestOneReportFromAnotherGatewayDoesNotEject(t *testing.T) {
+func TestSecondReportFromOtherGatewaysEjects(t *testing.T) {
 	balancer := New(DefaultSettings(), enginemodel.New(), nil)
 	balancer.SetWorkers(engines(backend.RoleDecode, 4))
 	balancer.RemoteEjection(epoch, "decode-0")
 	if !balancer.Usable(epoch, "decode-0") {
-		t.Error("one report ejected the worker")
+		t.Error("decode-0 is ejected after one report")
 	}
 	balancer.RemoteEjection(epoch, "decode-0")
 	if balancer.Usable(epoch, "decode-0") {
-		t.Error("two reports did not eject the worker")
+		t.Error("decode-0 is not ejected after two reports")
 	}
 }
 
-// TestRefusingWorkerDoesNotAttractEveryRequest covers a worker that refuses everything and therefore looks idle.
+// TestRefusingWorkerDoesNotAttractEveryRequest guards against sending every request to a worker that refuses them all
+// and therefore looks idle.
 func TestRefusingWorkerDoesNotAttractEveryRequest(t *testing.T) {
 	balancer := New(DefaultSettings(), enginemodel.New(), func(worker string) backend.Load {
 		if worker == "decode-0" {
@@ -179,7 +180,7 @@
 		balancer.End(now, choice.Worker.ID, outcome)
 	}
 	if refused == 0 || refused > 6 {
-		t.Errorf("%d of 100 requests went to the refusing worker", refused)
+		t.Errorf("%d of 100 requests went to the refusing worker, want 1 to 6", refused)
 	}
 }
 
@@ -204,13 +205,12 @@
 	}
 }
 
-// TestSuspectsAreSpreadOverCheapWorkers checks that suspects go to a quarter of the engines, except to the one that
-// is much costlier.
+// TestSuspectsAreSpreadOverCheapWorkers guards against suspects that all go to one worker, or to a much costlier one.
 func TestSuspectsAreSpreadOverCheapWorkers(t *testing.T) {
 	balancer := New(DefaultSettings(), enginemodel.New(), nil)
 	balancer.SetWorkers(engines(backend.RoleDecode, 32))
 	suspect := func(i int) Query {
-		return Query{Group: "g", Role: backend.RoleDecode, Key: "one prompt of all", SuspectKey: fmt.Sprint("digest ", i)}
+		return Query{Group: "g", Role: backend.RoleDecode, Key: "shared prompt", SuspectKey: fmt.Sprint("digest ", i)}
 	}
 	busy, _ := balancer.Pick(epoch, suspect(0))
 	balancer.Begin(busy.Worker.ID, backend.Load{Running: 1, Prefilling: 1, PrefillTokens: 500_000})
@@ -228,9 +228,9 @@
 		pickedForSuspects[first.Worker.ID]++
 	}
 	if len(pickedWithoutSpread) != 1 {
-		t.Errorf("queries without a suspect key go to %v", pickedWithoutSpread)
+		t.Errorf("queries without a suspect key go to %v, want one worker", pickedWithoutSpread)
 	}
 	if len(pickedForSuspects) != 7 || pickedForSuspects[busy.Worker.ID] > 0 {
-		t.Errorf("suspects go to %v", pickedForSuspects)
+		t.Errorf("suspects go to %v, want 7 workers without %s", pickedForSuspects, busy.Worker.ID)
 	}
 }
--- a/internal/balance/health.go
+++ b/internal/balance/health.go
@@ -34,7 +34,7 @@
 	InitialEjection time.Duration
 	// MaxEjection limits the duration of an ejection.
 	MaxEjection time.Duration
-	// InitialRefusalPause is how long a worker is skipped after it refused a request; it doubles with each
+	// InitialRefusalPause is how long a worker is ejected after it refused a request; it doubles with each
 	// consecutive refusal, up to MaxRefusalPause. Without the pause, a refusing worker would look idle and attract
 	// every request.
 	InitialRefusalPause time.Duration
@@ -45,7 +45,8 @@
 	EjectedPenaltySeconds float64
 }
 
-// DefaultHealthSettings returns settings that eject a worker after about two consecutive failures.
+// DefaultHealthSettings returns settings that eject a worker after one failed connection attempt, two consecutive
+// timeouts or malformed responses, or four consecutive error responses.
 func DefaultHealthSettings() HealthSettings {
 	return HealthSettings{
 		FailureRateSmoothing:  0.3,
@@ -69,14 +70,15 @@
 	OutcomeUnreachable: 1,
 }
 
-// unreachableSmoothing is the weight of a failed connection attempt: a single one ejects the worker.
+// unreachableSmoothing is the weight of a failed connection attempt. It exceeds the default EjectionThreshold, so a
+// single one ejects the worker.
 const unreachableSmoothing = 0.6
 
 // health tracks the recent outcomes of one worker.
 type health struct {
 	failureRate  float64
-	ejections    int
-	refusals     int
+	consecutiveEjections    int
+	consecutiveRefusals     int
 	ejectedUntil time.Time
 }
 
@@ -93,14 +95,14 @@
 	if !counts {
 		return false
 	}
-	h.refusals = 0
+	h.consecutiveRefusals = 0
 	smoothing := settings.FailureRateSmoothing
 	if outcome == OutcomeUnreachable {
 		smoothing = unreachableSmoothing
 	}
 	h.failureRate += smoothing * (severity - h.failureRate)
 	if outcome == OutcomeGood && h.failureRate < settings.EjectionThreshold/2 {
-		h.ejections = 0
+		h.consecutiveEjections = 0
 	}
 	if h.failureRate <= settings.EjectionThreshold || h.ejected(now) {
 		return false
@@ -109,19 +111,19 @@
 	return true
 }
 
-// recordRefusal skips the worker for a pause that grows with consecutive refusals.
+// recordRefusal ejects the worker for a pause that grows with consecutive refusals.
 func (h *health) recordRefusal(now time.Time, settings *HealthSettings) {
 	if h.ejected(now) {
 		return
 	}
-	h.ejectedUntil = now.Add(min(settings.InitialRefusalPause<<min(h.refusals, 8), settings.MaxRefusalPause))
-	h.refusals++
+	h.ejectedUntil = now.Add(min(settings.InitialRefusalPause<<min(h.consecutiveRefusals, 8), settings.MaxRefusalPause))
+	h.consecutiveRefusals++
 }
 
 // eject ejects the worker and lowers its failure rate so that one more failure ejects it again.
 func (h *health) eject(now time.Time, settings *HealthSettings) {
-	pause := min(settings.InitialEjection<<min(h.ejections, 8), settings.MaxEjection)
+	pause := min(settings.InitialEjection<<min(h.consecutiveEjections, 8), settings.MaxEjection)
 	h.ejectedUntil = now.Add(pause)
-	h.ejections++
+	h.consecutiveEjections++
 	h.failureRate = settings.EjectionThreshold * (1 - settings.FailureRateSmoothing)
 }
--- a/internal/balance/index.go
+++ b/internal/balance/index.go
@@ -12,7 +12,7 @@
 // workerIndex indexes the workers, so that an update or a pick does not visit all of them.
 //
 // Invariant: each worker is listed once under its address, once under each of its groups, and in two rings of each
-// group: that of its role, and that of its role and zone.
+// group: that of its role, and that of its role and zone. A worker without a zone is listed twice in the first one.
 type workerIndex struct {
 	// byGroup holds the workers of each group, ordered by ID.
 	byGroup map[string][]*workerState
--- a/internal/balance/index_test.go
+++ b/internal/balance/index_test.go
@@ -12,8 +12,8 @@
 	"github.com/granitebay/granitebay/internal/enginemodel"
 )
 
-// TestIncrementalChangesMatchSetWorkers compares the index after many single changes with that of a balancer that is
-// given the final workers at once.
+// TestIncrementalChangesMatchSetWorkers guards against an index that differs after single changes from that of a
+// balancer that is given the final workers at once.
 func TestIncrementalChangesMatchSetWorkers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		incremental, replaced := New(DefaultSettings(), enginemodel.New(), nil), New(DefaultSettings(), enginemodel.New(), nil)
@@ -35,7 +35,7 @@
 		}
 		replaced.SetWorkers(set)
 		if got, want := indexContents(incremental), indexContents(replaced); !maps.EqualFunc(got, want, slices.Equal) {
-			t.Fatalf("after single changes %v, set at once %v", got, want)
+			t.Fatalf("index after single changes: %v, want %v", got, want)
 		}
 	})
 }
--- a/internal/balance/limits.go
+++ b/internal/balance/limits.go
@@ -11,9 +11,9 @@
 type QuotaShares interface {
 	// Share returns the share of this gateway in the limit of a worker, given the limit in requests per second.
 	Share(worker string, perSecond float64) float64
-	// Loans returns how many requests to a worker this gateway may send on loan from other gateways. UseLoan uses one
-	// of them, and reports whether there was one.
+	// Loans returns how many requests to a worker this gateway may send on loan from other gateways.
 	Loans(worker string) int
+	// UseLoan takes one of the loans, and reports whether there was one.
 	UseLoan(worker string) bool
 }
 
@@ -27,13 +27,13 @@
 // limits holds the workers that have announced a request rate limit, which applies to all gateways together, by
 // worker ID. Entries outlive the registration of the worker.
 //
-// Invariant: a limit ends only when the worker withdraws it, to any gateway, or restarts. Every request to a limited
-// worker spends the local quota. Successes, failures and ejections have no effect on it.
+// Invariant: a limit ends only when the worker withdraws it, to any gateway, or restarts, or limitTTL after the last
+// announcement if the worker is not registered. Every request to a limited worker spends the local quota. Successes, failures and ejections have no effect on it.
 type limits struct {
 	byWorker map[string]*workerLimit
 	shares   QuotaShares
-	// nextOutOfQuota is where OutOfQuota continues.
-	nextOutOfQuota int
+	// nextOutOfQuotaIndex is the position in the group from which OutOfQuota continues.
+	nextOutOfQuotaIndex int
 }
 
 // workerLimit is the rate limit of a worker and the local quota of it.
@@ -48,8 +48,7 @@
 // share returns the share of this gateway.
 func (l *workerLimit) share() float64 { return l.shares.Share(l.id, l.quota.Rate()) }
 
-// limitTTL is how long the limit of a removed worker is kept: longer than an overloaded worker takes to recover or to
-// be replaced.
+// limitTTL is how long after its last announcement the limit of a removed worker is kept at least.
 const limitTTL = 10 * time.Minute
 
 // ShareLimits sets the shares of this gateway in rate limits; by default it has the whole. It must be called before
@@ -82,9 +81,9 @@
 	return true
 }
 
-// RemoveLimit records that a worker announced no limit in the response to a request sent at the given time, and reports
-// whether that removes its limit. A limit that was announced later is kept, because responses may arrive out of
-// order.
+// RemoveLimit records that a worker announced no limit in the response to a request sent at the given time, and
+// reports whether that removes its limit. A limit that was announced later is kept, because responses may arrive out
+// of order.
 func (b *Balancer) RemoveLimit(id string, sentAt time.Time) bool {
 	limit := b.limits.byWorker[id]
 	if limit == nil || !sentAt.After(limit.reportedAt) {
@@ -129,20 +128,20 @@
 	return limit.quota.Lend(now, limit.share(), count)
 }
 
-// OutOfQuota returns up to maxWorkers workers of a role that are available but for the local quota. Successive calls
-// rotate through the workers.
+// OutOfQuota returns up to maxWorkers workers of a role that would accept a request if this gateway had quota left.
+// Successive calls rotate through the workers.
 func (b *Balancer) OutOfQuota(now time.Time, group string, role backend.Role, maxWorkers int) []string {
 	workers := b.index.byGroup[group]
 	var ids []string
 	for i := range workers {
-		state := workers[(b.limits.nextOutOfQuota+i)%len(workers)]
+		state := workers[(b.limits.nextOutOfQuotaIndex+i)%len(workers)]
 		if state.worker.Role == role && state.inService(now) && !state.backingOff(now) && !state.hasQuota(now) {
 			if ids = append(ids, state.worker.ID); len(ids) == maxWorkers {
 				break
 			}
 		}
 	}
-	b.limits.nextOutOfQuota += maxWorkers
+	b.limits.nextOutOfQuotaIndex += maxWorkers
 	return ids
 }
 
@@ -188,14 +187,14 @@
 
 // RoleFull describes a role of which no worker in service accepts requests now.
 type RoleFull struct {
-	// Until is when the first of them accepts requests again.
+	// Until is when the first worker in service accepts requests again.
 	Until time.Time
 	// PerSecond is the sum of the limits of these workers, zero if none has one.
 	PerSecond float64
 }
 
-// RoleFullUntil returns when a full role accepts requests again. It returns false if a worker of the role accepts requests
-// now, or if none is in service.
+// RoleFullUntil returns when a full role accepts requests again. It returns false if a worker of the role accepts
+// requests now, or if none is in service.
 func (b *Balancer) RoleFullUntil(now time.Time, group string, role backend.Role) (RoleFull, bool) {
 	var full RoleFull
 	for _, state := range b.index.byGroup[group] {
--- a/internal/balance/pick.go
+++ b/internal/balance/pick.go
@@ -39,7 +39,8 @@
 	return b.shortlistWorkers(now, query)
 }
 
-// spreadSuspect returns the candidate that the suspect key prefers among those whose cost is close to the cheapest.
+// spreadSuspect returns the candidate that the suspect key selects among those whose cost is at most
+// SuspectSpreadSeconds above the cheapest.
 func (b *Balancer) spreadSuspect(
 	now time.Time, query Query, candidates []*workerState, cheapest Score, estimate enginemodel.Estimate,
 ) (*workerState, Score) {
@@ -143,7 +144,8 @@
 	s.Transfer = prefill.TransferSeconds
 }
 
-// slotWaitSeconds returns how long a new request waits for a slot.
+// slotWaitSeconds returns the expected time until a decode engine that decodes the given number of requests has a free
+// slot for another one.
 func slotWaitSeconds(estimate enginemodel.Estimate, running, slots int) float64 {
 	excess := running + 1 - slots
 	if excess <= 0 || slots <= 0 {
--- a/internal/balance/ring.go
+++ b/internal/balance/ring.go
@@ -8,8 +8,8 @@
 )
 
 // ring is a consistent hash ring (Karger et al., 1997) of workers ordered by the hash of their addresses. Gateways
-// with the same workers find the same ones behind the hash of a key, and removing a worker moves only its own keys. A
-// lookup takes logarithmic time, where rendezvous hashing takes linear time.
+// with the same workers find the same successors of a key, and removing a worker moves only its own keys. A lookup
+// takes logarithmic time, where rendezvous hashing takes linear time.
 type ring struct{ members []*workerState }
 
 // add inserts a worker.
@@ -30,7 +30,7 @@
 	return cmp.Or(cmp.Compare(a.ringPosition, b.ringPosition), strings.Compare(a.worker.ID, b.worker.ID))
 }
 
-// startingAt returns each worker once, in ring order from a position on.
+// startingAt returns each member once, in ring order from a position on.
 func (r *ring) startingAt(position uint64) iter.Seq[*workerState] {
 	return func(yield func(*workerState) bool) {
 		first, _ := slices.BinarySearchFunc(r.members, position, func(state *workerState, target uint64) int { return cmp.Compare(state.ringPosition, target) })
--- a/internal/balance/shortlist.go
+++ b/internal/balance/shortlist.go
@@ -11,13 +11,13 @@
 type ShortlistSettings struct {
 	// ScanLimit is the maximum size of a role of which all workers are considered.
 	ScanLimit int
-	// Affinity is the number of workers that follow the key of the prompt on the ring of the zone and on that of all
-	// zones. All gateways consider the same ones, which leads to prefix cache hits.
+	// Affinity is the number of workers that follow the key of the prompt on the ring of the zone, and on that of all
+	// zones. All gateways of a zone consider the same ones, which leads to prefix cache hits.
 	Affinity int
-	// Random is the number of further workers, from random positions on the same rings. The probability that all are
-	// busy falls exponentially with their number, whatever the size of the fleet (Mitzenmacher, 2001).
+	// Random is the number of further workers of each ring, consecutive from a position that is derived from the request
+	// ID. They take the load that the workers of a frequent key can't.
 	Random int
-	// Holders is the maximum number of workers that have a part of the prompt cached.
+	// Holders is the maximum number of workers that have segments of the prompt cached.
 	Holders int
 	// SearchFactor limits how many ring positions are visited, as a multiple of the workers wanted, so that some are
 	// found even if most of the fleet is unavailable.
@@ -46,15 +46,15 @@
 	return b.sampleRole(now, query, all)
 }
 
-// sampleRole returns some workers of a large role: those with a part of the prompt cached, those that follow its key
-// on the ring, and random ones.
+// sampleRole returns some workers of a large role: those with segments of the prompt cached, those that follow its
+// key on the ring, and random ones.
 func (b *Balancer) sampleRole(now time.Time, query Query, all *ring) shortlist {
 	settings := b.settings.Shortlist
 	zone := all
 	if query.Zone != "" {
 		zone = b.index.ring(ringKey{group: query.Group, role: query.Role, zone: query.Zone})
 	}
-	collected := collector{now: now, query: &query, searchFactor: settings.SearchFactor}
+	collected := candidateCollector{now: now, query: &query, searchFactor: settings.SearchFactor}
 	for _, id := range query.Holders[:min(len(query.Holders), settings.Holders)] {
 		if state := b.workers[id]; state != nil && state.worker.Role == query.Role && slices.Contains(state.worker.Groups(), query.Group) {
 			collected.add(state)
@@ -66,6 +66,7 @@
 	}
 	affinityStart := hashPosition(key)
 	if query.Concentrate {
+		// These prompts all start at the position of the zone.
 		affinityStart = hashPosition(query.Zone)
 	}
 	randomStart := hashPosition(query.Request + "/random")
@@ -86,7 +87,7 @@
 func hashPosition(key string) uint64 { return xxhash.Sum64String(key) }
 
 // collector collects eligible workers, each once.
-type collector struct {
+type candidateCollector struct {
 	now              time.Time
 	query            *Query
 	searchFactor     int
@@ -94,7 +95,7 @@
 }
 
 // walk adds up to count eligible workers in ring order from a position on, and returns the first of them.
-func (c *collector) walk(r *ring, position uint64, count int) *workerState {
+func (c *candidateCollector) walk(r *ring, position uint64, count int) *workerState {
 	visited, added := 0, 0
 	var first *workerState
 	for state := range r.startingAt(position) {
@@ -114,7 +115,7 @@
 }
 
 // add records a worker that can accept the request, and reports whether it is also healthy.
-func (c *collector) add(state *workerState) bool {
+func (c *candidateCollector) add(state *workerState) bool {
 	switch {
 	case !state.acceptsNow(c.now) || slices.Contains(c.query.Excluded, state.worker.ID):
 		return false
--- a/internal/balance/shortlist_test.go
+++ b/internal/balance/shortlist_test.go
@@ -23,7 +23,7 @@
 	return set
 }
 
-// TestCandidatesAreBoundedForAnyFleetSize checks that the number of candidates does not grow with the fleet.
+// TestCandidatesAreBoundedForAnyFleetSize guards against a number of candidates that grows with the fleet.
 func TestCandidatesAreBoundedForAnyFleetSize(t *testing.T) {
 	settings := DefaultShortlistSettings()
 	maxCandidates := settings.Holders + 2*(settings.Affinity+settings.Random)
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestGatewaysOfALargeFleetPickTheSameWorkerForAKey checks that gateways of all zones, which only share the list of
-// workers, have the worker of a key among their candidates. Without a zone cost all of them pick it.
+// TestGatewaysOfALargeFleetPickTheSameWorkerForAKey guards against gateways of different zones that pick different
+// workers for a key although crossing zones costs nothing.
 func TestGatewaysOfALargeFleetPickTheSameWorkerForAKey(t *testing.T) {
 	settings := DefaultSettings()
 	settings.OtherZoneSeconds = 0
@@ -57,12 +57,13 @@
 			chosen[choice.Worker.ID] = true
 		}
 		if len(chosen) != 1 {
-			t.Errorf("prompts with key k%d went to %v", number, chosen)
+			t.Errorf("prompts with key k%d went to %v, want one worker", number, chosen)
 		}
 	}
 }
 
-// TestPickFindsTheFewAvailableWorkersOfALargeFleet makes most workers draining, failing or excluded.
+// TestPickFindsTheFewAvailableWorkersOfALargeFleet guards against finding no worker although some are available, while
+// most are draining, ejected or excluded.
 func TestPickFindsTheFewAvailableWorkersOfALargeFleet(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		set := decodeFleet(1_200)
@@ -73,12 +74,12 @@
 		balancer := New(DefaultSettings(), enginemodel.New(), nil)
 		balancer.SetWorkers(set)
 		var excluded []string
-		for range rapid.IntRange(0, 20).Draw(t, "tries") {
+		for range rapid.IntRange(0, 20).Draw(t, "attempts") {
 			query := Query{Request: rapid.String().Draw(t, "request"), Group: "g", Role: backend.RoleDecode, Zone: "z1", Excluded: excluded}
-			query.Concentrate = rapid.Bool().Draw(t, "gather")
+			query.Concentrate = rapid.Bool().Draw(t, "concentrate")
 			choice, found := balancer.Pick(epoch, query)
 			if !found || choice.Worker.Draining || slices.Contains(excluded, choice.Worker.ID) {
-				t.Fatalf("picked %+v, excluded %v", choice, excluded)
+				t.Fatalf("picked %+v (found: %t), want an available worker other than %v", choice, found, excluded)
 			}
 			excluded = append(excluded, choice.Worker.ID)
 			balancer.Begin(choice.Worker.ID, LoadOf(0, false))
@@ -87,9 +88,8 @@
 	})
 }
 
-// TestShortPromptsOfALargeFleetUseFewWorkers sends short prompts, of which up to three run at a time, through one
-// gateway of a large fleet. They must be concentrated on a few workers, to open few connections, without overloading
-// any.
+// TestShortPromptsOfALargeFleetUseFewWorkers guards against short prompts that open connections to many workers of a
+// large fleet, or overload the few that they are concentrated on.
 func TestShortPromptsOfALargeFleetUseFewWorkers(t *testing.T) {
 	balancer := New(DefaultSettings(), enginemodel.New(), nil)
 	balancer.SetWorkers(decodeFleet(10_000))
@@ -101,7 +101,7 @@
 		})
 		balancer.Begin(choice.Worker.ID, LoadOf(0, false))
 		if load := balancer.Load(choice.Worker.ID); load.Running > 2 {
-			t.Fatalf("%d requests run at %s while thousands of workers are idle", load.Running, choice.Worker.ID)
+			t.Fatalf("%s has %d running requests, want at most 2", choice.Worker.ID, load.Running)
 		}
 		used[choice.Worker.ID] = true
 		if running = append(running, choice.Worker.ID); len(running) > 3 {
@@ -110,12 +110,11 @@
 		}
 	}
 	if len(used) > 2*DefaultShortlistSettings().Affinity {
-		t.Errorf("%d workers were used, which is too many", len(used))
+		t.Errorf("%d workers were used, want at most %d", len(used), 2*DefaultShortlistSettings().Affinity)
 	}
 }
 
-// TestRandomCandidatesAbsorbLoadOfAHotKey checks that random candidates take the load that the affinity candidates of
-// one key can't.
+// TestRandomCandidatesAbsorbLoadOfAHotKey guards against overloading the affinity candidates of one frequent key.
 func TestRandomCandidatesAbsorbLoadOfAHotKey(t *testing.T) {
 	balancer := New(DefaultSettings(), enginemodel.New(), nil)
 	balancer.SetWorkers(decodeFleet(10_000))
@@ -125,8 +124,8 @@
 		balancer.Begin(choice.Worker.ID, LoadOf(0, false))
 		maxRunning = max(maxRunning, balancer.Load(choice.Worker.ID).Running)
 	}
-	// Random placement within the 1,667 workers of the zone alone would give some of them six or more requests.
+	// Without random candidates, the 24 affinity candidates would get more than 80 requests each.
 	if maxRunning > 8 {
-		t.Errorf("one worker has %d of 2,000 requests", maxRunning)
+		t.Errorf("one worker has %d of 2,000 requests, want at most 8", maxRunning)
 	}
 }
--- a/internal/balance/suspects.go
+++ b/internal/balance/suspects.go
@@ -9,22 +9,23 @@
 	"github.com/granitebay/granitebay/internal/rendezvous"
 )
 
-// RiskSettings limits the damage that suspects, requests that may crash their worker, can do to a role.
+// RiskSettings limits how many workers of a role suspects may crash. Query.SuspectKey marks a suspect.
 type RiskSettings struct {
-	// Share is the share of a role that may be missing or serving suspects at any one time. One worker is always
-	// allowed, so that suspects can be cleared or confirmed in small roles too.
+	// Share is the share of a role that may be missing or serving suspects at any one time. It allows at least
+	// one worker, so that suspects can be cleared or confirmed in small roles too.
 	Share float64
 	// MissingTimeout is how long a crashed worker that has not been replaced counts as missing. Afterwards the role is
-	// considered smaller. It exceeds the time in which a worker registration expires, so that a worker that restarts
-	// at once is back before.
+	// considered smaller. It exceeds the lifetime of a registration, so that a worker that restarts at once is back
+	// before it stops counting as missing.
 	MissingTimeout time.Duration
-	// CrashMemory is how long the address of a crashed worker is tried last. Otherwise a worker that keeps crashing
-	// by itself would get harmless requests blocked.
+	// For CrashMemory after a crash, suspects try the address of the worker last. Otherwise a worker that crashes
+	// repeatedly by itself would get harmless requests barred.
 	CrashMemory time.Duration
-	// Sets is the number of sets into which suspects are divided, so that a suspect that crashes workers runs beside
-	// few of the others. If fewer workers may serve suspects, the sets take turns. Turn is the length of a turn,
-	// somewhat longer than a suspect needs to crash its worker.
+	// Sets is the maximum number of sets into which suspects are divided. If n workers may serve suspects, they are
+	// divided into Sets/n sets, rounded up, which take turns, so that a suspect that crashes workers runs beside few of
+	// the others.
 	Sets int
+	// Turn is the length of a turn, somewhat longer than a suspect needs to crash its worker.
 	Turn time.Duration
 }
 
@@ -51,12 +52,12 @@
 	lastRecovery time.Duration
 	// added holds the workers that were added since the last call of MatchReplacements.
 	added []*workerState
-	// initialized is set once the initial workers are known, so that later ones can be told from them.
+	// initialized is set once the first workers have been added. These replace no crashed worker.
 	initialized bool
 }
 
-// RecordCrash records that a worker crashed at the given time, as its connections or other gateways report. Repeated calls
-// have no effect.
+// RecordCrash records that a worker crashed at the given time, as its connections or other gateways report. Repeated
+// calls have no effect.
 func (b *Balancer) RecordCrash(now, at time.Time, id string) {
 	state, found := b.workers[id]
 	if b.crashes.byWorker[id] != nil || !found {
@@ -70,8 +71,8 @@
 	b.crashes.byWorker[id] = &crash{worker: state.worker, at: at}
 }
 
-// MatchReplacements matches added workers with the crashed workers that they replace. It must be called after each change of
-// the workers.
+// MatchReplacements matches added workers with the crashed workers that they replace. It must be called after each
+// change of the workers.
 func (b *Balancer) MatchReplacements(now time.Time) {
 	for _, crash := range b.crashes.byWorker {
 		if crash.replaced {
@@ -122,7 +123,7 @@
 }
 
 // liveAndMissing returns the live workers of a role by address, and since when the missing ones are missing. A worker
-// whose address refuses connections counts as missing from now on if its crash has not been reported.
+// whose address refuses connections, and which has not crashed within MissingTimeout, counts as missing since now.
 func (b *Balancer) liveAndMissing(now time.Time, query Query) (map[string]*workerState, []time.Time) {
 	live := map[string]*workerState{}
 	var missingSince []time.Time
@@ -151,14 +152,14 @@
 	return c.worker.Role == query.Role && slices.Contains(c.worker.Groups(), query.Group)
 }
 
-// suspectCapacity returns how many workers of a role may serve suspects.
+// suspectCapacity returns how many workers of a role may serve suspects. It is not positive if none may.
 func (b *Balancer) suspectCapacity(live, missing int) int {
 	return max(int(b.settings.Risk.Share*float64(live+missing)), 1) - missing
 }
 
 // suspectCandidates returns the workers that may serve the suspect now: as many as the role can lose in addition to
-// those that are missing. Gateways that know the same crashes return the same workers, so that together they put no
-// more at risk.
+// those that are missing. Gateways that know the same crashes return the same workers, so that together they expose no
+// more workers than one gateway.
 func (b *Balancer) suspectCandidates(now time.Time, query Query) []*workerState {
 	live, missingSince := b.liveAndMissing(now, query)
 	capacity := b.suspectCapacity(len(live), len(missingSince))
@@ -195,9 +196,8 @@
 	return max(first.acceptsFrom(now).Sub(now), 0)
 }
 
-// untilTurn returns the time until the turn of the suspect when that many workers serve suspects, zero if it is its
-// turn. Turns are counted from the last crash in the role, which all gateways learn within milliseconds, and each
-// crash reshuffles the sets.
+// untilTurn returns the time until the turn of the suspect, or zero if it is its turn, given the number of workers that
+// may serve suspects. Turns are counted from the last crash in the role, and each crash reshuffles the sets.
 func (b *Balancer) untilTurn(now time.Time, query Query, workers int) time.Duration {
 	sets := (b.settings.Risk.Sets + workers - 1) / workers
 	lastCrash := ""
--- a/internal/balance/suspects_test.go
+++ b/internal/balance/suspects_test.go
@@ -27,8 +27,8 @@
 	return Query{Group: "g", Role: backend.RoleDecode, SuspectKey: name}
 }
 
-// TestSuspectsAreBoundedByRiskShare reports the same crashes to several gateways in different orders, with different
-// ejections. The missing workers and those that serve suspects must not exceed a quarter of the role, or one.
+// TestSuspectsAreBoundedByRiskShare guards against gateways that know the same crashes but together expose more workers
+// to suspects than the role can lose. The order of the reports and the ejections differ.
 func TestSuspectsAreBoundedByRiskShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.IntRange(1, 40).Draw(t, "workers")
@@ -47,7 +47,7 @@
 			balancer.End(now, ejected, OutcomeUnreachable)
 			for number := range 20 {
 				query := suspectQuery(fmt.Sprint(gateway, "-", number))
-				query.Prefilled = rapid.Bool().Draw(t, "begun")
+				query.Prefilled = rapid.Bool().Draw(t, "prefilled")
 				query.Excluded = rapid.SliceOfN(rapid.SampledFrom(ids), 0, 2).Draw(t, "excluded")
 				choice, found := balancer.Pick(now, query)
 				if !found {
@@ -60,12 +60,13 @@
 			}
 		}
 		if maxExposed := max(size/4, 1); len(exposed) > 0 && len(crashed)+len(exposed) > maxExposed {
-			t.Fatalf("%d of %d workers are missing, and suspects run at %v", len(crashed), size, exposed)
+			t.Fatalf("%d of %d workers are missing, and suspects run at %v, want at most %d in total", len(crashed), size, exposed, maxExposed)
 		}
 	})
 }
 
-// TestEverySuspectGetsATurn uses a role that can lose one worker, after one has crashed and been replaced.
+// TestEverySuspectGetsATurn guards against suspects that never run, that run outside their turn, or that run while no
+// further worker may be lost.
 func TestEverySuspectGetsATurn(t *testing.T) {
 	settings := DefaultRiskSettings()
 	set := engines(backend.RoleDecode, 4)
@@ -75,7 +76,7 @@
 		t.Fatal("a suspect runs while one of four workers is missing")
 	}
 	if wait := balancer.SuspectWait(epoch.Add(time.Second), suspectQuery("a")); wait != settings.MissingTimeout-time.Second {
-		t.Errorf("RunsIn = %s, want the time until the worker no longer counts as missing", wait)
+		t.Errorf("SuspectWait = %s, want %s, until the worker no longer counts as missing", wait, settings.MissingTimeout-time.Second)
 	}
 	set = set.Clone()
 	set["again"] = &backend.Worker{ID: "again", Group: "g", Address: set["decode-1"].Address, Role: backend.RoleDecode, Slots: 8}
@@ -91,7 +92,7 @@
 			choice, found := balancer.Pick(now, query)
 			wait := balancer.SuspectWait(now, query)
 			if found != (wait == 0) || wait >= settings.Round() {
-				t.Fatalf("%s: found = %t, RunsIn = %s", query.SuspectKey, found, wait)
+				t.Fatalf("%s: found = %t, SuspectWait = %s", query.SuspectKey, found, wait)
 			}
 			if found {
 				turns[query.SuspectKey]++
@@ -103,7 +104,7 @@
 	}
 	for suspect, steps := range turns {
 		if steps != int(settings.Turn/(10*time.Millisecond)) {
-			t.Errorf("%s can run in %d steps", suspect, steps)
+			t.Errorf("%s can run in %d steps, want %d", suspect, steps, int(settings.Turn/(10*time.Millisecond)))
 		}
 	}
 	if len(turns) != 20 {
@@ -111,11 +112,12 @@
 	}
 	balancer.RecordCrash(replacedAt, replacedAt, "decode-2")
 	if wait := balancer.SuspectWait(replacedAt, suspectQuery("a")); wait != 3*time.Second {
-		t.Errorf("RunsIn after the next crash = %s, want the last recovery time of 3s", wait)
+		t.Errorf("SuspectWait after the next crash = %s, want the last recovery time of 3s", wait)
 	}
 }
 
-// TestNewWorkerReplacesCrashedWorker has replacements start at other addresses, as container schedulers do.
+// TestNewWorkerReplacesCrashedWorker guards against crashed workers that count as missing although replacements
+// registered at other addresses, or although MissingTimeout has passed.
 func TestNewWorkerReplacesCrashedWorker(t *testing.T) {
 	set := engines(backend.RoleDecode, 4)
 	balancer := newBalancer(set)
@@ -137,7 +139,7 @@
 		balancer.SetWorkers(current)
 		balancer.MatchReplacements(epoch.Add(time.Second))
 		if _, found := balancer.Pick(epoch.Add(time.Second), query); found != (count == 4) {
-			t.Errorf("%d replacements: a suspect runs: %t", count, found)
+			t.Errorf("%d of 4 replacements: a suspect runs: %t, want %t", count, found, count == 4)
 		}
 	}
 	balancer = newBalancer(set)
@@ -147,8 +149,8 @@
 	}
 }
 
-// TestUnreachableWorkerCountsAsMissingForSuspects makes the only worker that may serve suspects refuse connections
-// before its crash is reported. No other worker may be put at risk, and SuspectWait must ask for a retry.
+// TestUnreachableWorkerCountsAsMissingForSuspects guards against exposing another worker to suspects while the
+// only one that may serve them refuses connections and its crash is not reported yet.
 func TestUnreachableWorkerCountsAsMissingForSuspects(t *testing.T) {
 	b, now, query := newBalancer(engines(backend.RoleDecode, 4)), epoch, suspectQuery("a")
 	choice, found := b.Pick(now, query)
@@ -160,20 +162,21 @@
 		t.Errorf("picked %s although another worker is missing", again.Worker.ID)
 	}
 	if wait := b.SuspectWait(now, query); wait <= 0 {
-		t.Errorf("RunsIn = %s, want more than zero", wait)
+		t.Errorf("SuspectWait = %s, want more than zero", wait)
 	}
 }
 
-// TestSuspectTriedOnEveryAllowedWorker guards against telling a suspect to wait that no worker is left for.
-func TestSuspectTriedOnEveryAllowedWorker(t *testing.T) {
+// TestSuspectTriedOnEveryAllowedWorker guards against holding a suspect back although no worker is
+// left for it.
+func TestSuspectIsExhaustedAfterEveryAllowedWorker(t *testing.T) {
 	b, now, query := newBalancer(engines(backend.RoleDecode, 4)), epoch, suspectQuery("a")
 	choice, _ := b.Pick(now, query)
 	query.Excluded = []string{choice.Worker.ID}
 	if !b.SuspectExhausted(now, query) {
-		t.Error("Tried = false although every allowed worker is excluded")
+		t.Error("SuspectExhausted = false although every allowed worker is excluded")
 	}
 	query.Excluded = nil
 	if b.SuspectExhausted(now, query) {
-		t.Error("Tried = true although no worker is excluded")
+		t.Error("SuspectExhausted = true although no worker is excluded")
 	}
 }
