--- a/internal/balance/health.go
+++ b/internal/balance/health.go
@@ -76,10 +76,10 @@
 
 // health tracks the recent outcomes of one worker.
 type health struct {
-	failureRate  float64
-	consecutiveEjections    int
-	consecutiveRefusals     int
-	ejectedUntil time.Time
+	failureRate          float64
+	consecutiveEjections int
+	consecutiveRefusals  int
+	ejectedUntil         time.Time
 }
 
 // ejected reports whether the worker is ejected.
