--- a/internal/roles/average.go
+++ b/internal/roles/average.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// decay returns the remaining weight at time to of a value known at time from, for exponential decay; 0 if from is zero.
+// decay returns the weight that a value from time from has at time to under exponential decay, or 0 if from is zero.
 func decay(from, to time.Time, timeConstant time.Duration) float64 {
 	if from.IsZero() {
 		return 0
--- a/internal/roles/controller.go
+++ b/internal/roles/controller.go
@@ -18,7 +18,7 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// ControllerKey is the store key whose holder may give orders.
+// ControllerKey is the store key whose holder may give orders. Its holder has the authority over the fleet.
 const ControllerKey = "controller"
 
 // Order tells an engine to take a role.
@@ -28,7 +28,7 @@
 	// Holder is the process that gives the order, and Fence the fencing token of its authority.
 	Holder string
 	Fence  int64
-	// ExpectedOrders is the number of orders that the engine has accepted so far. The engine refuses the order if the numbers differ, so a
+	// ExpectedOrders is the number of orders that the engine has accepted so far. The engine refuses the order if its count differs, so a
 	// delayed order has no effect.
 	ExpectedOrders int64
 }
@@ -88,7 +88,7 @@
 	}
 }
 
-// Controller gives orders while it has the authority. At most one process of the fleet has it.
+// Controller gives orders while it holds the controller key. At most one process of the fleet may give orders at a time.
 type Controller struct {
 	settings       ControllerSettings
 	store          store.Store
@@ -100,18 +100,18 @@
 	recordDecision func(decision.Record)
 	// wake triggers the next step immediately.
 	wake chan struct{}
-	// resigned is set when the process shuts down: it releases the key and does not acquire it again.
+	// resigned is set when the process shuts down: it releases the controller key and does not acquire it again.
 	resigned atomic.Bool
 
 	mutex     sync.Mutex
 	authority *authority.Authority
-	// keyRevision is the revision of the key that this process holds, and era the latest known era of the store.
+	// keyRevision is the revision of the controller key when this process holds it, and era the latest known era of the store.
 	keyRevision store.Revision
 	era         int64
 	lease       int64
 	// minEngines are the configured minimums of engines per role, by group.
 	minEngines map[string]map[backend.Role]int
-	// keyFree is set while nobody holds the key. This process may acquire it from acquireAfter on.
+	// keyFree is set while no process holds the controller key. This process may acquire it from acquireAfter on.
 	keyFree      bool
 	acquireAfter time.Time
 }
@@ -138,21 +138,21 @@
 	c.minEngines = minEngines
 }
 
-// HasAuthority reports whether this process has the authority.
+// HasAuthority reports whether this process holds the controller key. It may not be allowed to give orders yet.
 func (c *Controller) HasAuthority() bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.authority.Holds()
 }
 
-// Authority reports whether this process may make calls on behalf of the fleet now, and returns its fencing token.
+// Authority returns the fencing token of this process, and whether it may make calls on behalf of the fleet now.
 func (c *Controller) Authority() (fence int64, mayCall bool) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.authority.MayCall(c.settings.Now())
 }
 
-// LeaseRenewed records that a call that began at startedAt granted or renewed the lease of the process.
+// LeaseRenewed records the lease of the process, which was granted or renewed by a call that began at startedAt.
 func (c *Controller) LeaseRenewed(startedAt time.Time, lease int64, ttl time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -163,7 +163,8 @@
 	c.authority.Leased(startedAt, lease, ttl)
 }
 
-// KeyChanged records a new value of the key; nil means that it is free. Rank staggers the processes that try to acquire a free key.
+// KeyChanged records a new value of the controller key; nil means that it is free. Rank staggers the processes that try to acquire a free
+// key.
 func (c *Controller) KeyChanged(now time.Time, value []byte, revision store.Revision, rank int) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -176,6 +177,7 @@
 	}
 	switch {
 	case holder.Lease != c.lease:
+		// An earlier process of the same name holds the key.
 	case !c.authority.Holds():
 		// This also covers an acquisition whose response was lost.
 		c.authority.Acquired(now, holder.Lease, revision.Fence(), authority.Returning)
@@ -200,14 +202,13 @@
 // rankDelay separates the attempts of processes with consecutive ranks to acquire a free key.
 const rankDelay = 700 * time.Millisecond
 
-// keyHolder is the value of the key.
+// keyHolder is the value of the controller key.
 type keyHolder struct {
 	Holder string `json:"holder"`
 	Lease  int64  `json:"lease"`
 }
 
-// idleTickFactor lengthens the tick of processes that neither hold the key nor may acquire it: a large fleet has hundreds of them, and
-// each wake-up costs as much as one of the holder.
+// idleTickFactor lengthens the tick of processes that have no lease and don't hold the controller key.
 const idleTickFactor = 8
 
 // Run gives orders until the context ends.
@@ -244,7 +245,8 @@
 	}
 }
 
-// step acquires a free key, or plans and sends the next orders.
+// step releases the controller key after Resign, acquires a free key, or, if this process may give orders, recovers lost roles or confirms
+// pending changes and makes the next ones.
 func (c *Controller) step(ctx context.Context) {
 	if c.resigned.Load() {
 		c.release(ctx)
@@ -289,11 +291,11 @@
 	return changes
 }
 
-// maxChangesPerStep bounds the changes of one step. In a group of a thousand engines, this many are due within a tick.
+// maxChangesPerStep limits the planned changes and the inspections of one step.
 const maxChangesPerStep = 16
 
 // plan returns the changes that are due, and stops routing to the engines. Planned changes are applied to the given groups, because
-// gathering the groups again is slow in a fleet of thousands.
+// gathering the groups again is slow in a large fleet.
 func (c *Controller) plan(now time.Time, groups map[string]*Group) []Change {
 	var changes []Change
 	for len(changes) < maxChangesPerStep {
@@ -329,4 +331,4 @@
 var errNoAuthority = errors.New("the authority ended before the order was sent")
 
 // errChanging is returned if the engine already has or is taking the role.
-var errChanging = errors.New("the engine already has or is taking the role")
+var errRoleInPlace = errors.New("the engine already has or is taking the role")
--- a/internal/roles/controller_test.go
+++ b/internal/roles/controller_test.go
@@ -17,7 +17,7 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// fakeStore stores only the key and its history.
+// fakeStore stores only the controller key and its history.
 type fakeStore struct {
 	store.Store
 	mutex    sync.Mutex
@@ -50,7 +50,7 @@
 	s.revision++
 	s.value, s.history = transaction.Puts[0].Value, transaction.Puts[1].Value
 	if s.loseResponse {
-		return 0, errors.New("no answer")
+		return 0, errors.New("no response")
 	}
 	return s.revision, nil
 }
@@ -76,8 +76,9 @@
 
 // busyPrefillFleet is a fleet whose prefill engines are busy.
 type busyPrefillFleet struct {
-	mutex    sync.Mutex
-	changing []backend.Role
+	mutex sync.Mutex
+	// roleChanges holds the roles of all calls of SetRoleChange.
+	roleChanges []backend.Role
 }
 
 func (f *busyPrefillFleet) Groups() map[string]*Group {
@@ -87,7 +88,7 @@
 func (f *busyPrefillFleet) SetRoleChange(_ string, role backend.Role) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
-	f.changing = append(f.changing, role)
+	f.roleChanges = append(f.roleChanges, role)
 }
 
 // newTestController returns a controller without delays.
@@ -110,6 +111,8 @@
 	}
 }
 
+// TestOrdersCarryFenceAndOrderCount guards against orders without the fence or the order count, and against orders from a process that
+// does not hold the controller key.
 func TestOrdersCarryFenceAndOrderCount(t *testing.T) {
 	keys, orderer, fleet := &fakeStore{revision: 41}, &recordingOrderer{state: EngineState{Role: backend.RoleDecode, Orders: 7}}, &busyPrefillFleet{}
 	controller := newTestController(keys, orderer, fleet)
@@ -125,7 +128,7 @@
 	}
 	first := orderer.orders[0]
 	if first.Holder != "a" || first.Fence != 42 || first.ExpectedOrders != 7 || first.Role != backend.RolePrefill {
-		t.Errorf("first order: %+v", first)
+		t.Errorf("first order: %+v, want holder a, fence 42, 7 expected orders and role prefill", first)
 	}
 	before := len(orderer.orders)
 	controller.KeyChanged(boottime.Now(), []byte(`{"holder":"b","lease":9}`), 50, 0)
@@ -135,7 +138,7 @@
 	}
 }
 
-func TestLostCommitResponseIsResolvedByWatch(t *testing.T) {
+func TestLostCommitResponseIsResolvedByKeyChange(t *testing.T) {
 	keys, orderer := &fakeStore{revision: 9, loseResponse: true}, &recordingOrderer{state: EngineState{Role: backend.RoleDecode}}
 	controller := newTestController(keys, orderer, &busyPrefillFleet{})
 	controller.LeaseRenewed(boottime.Now(), 5, time.Minute)
@@ -146,12 +149,12 @@
 	}
 	var held keyHolder
 	if err := json.Unmarshal(keys.value, &held); err != nil || held.Lease != 5 {
-		t.Fatalf("the value of the key is %s", keys.value)
+		t.Fatalf("the value of the controller key is %s, want lease 5", keys.value)
 	}
 	controller.KeyChanged(boottime.Now(), keys.value, keys.revision, 0)
 	runSteps(controller, 3)
 	if len(orderer.orders) == 0 || orderer.orders[0].Fence != 10 {
-		t.Errorf("orders: %+v", orderer.orders)
+		t.Errorf("orders: %+v, want at least one with fence 10", orderer.orders)
 	}
 }
 
@@ -162,8 +165,8 @@
 	controller.LeaseRenewed(boottime.Now(), 5, time.Minute)
 	controller.KeyChanged(boottime.Now(), nil, 0, 0)
 	runSteps(controller, 4)
-	if len(fleet.changing) < 2 || fleet.changing[0] != backend.RolePrefill || fleet.changing[1] != backend.RoleDecode {
-		t.Errorf("SetChanging was called with %v, want prefill and then decode", fleet.changing)
+	if len(fleet.roleChanges) < 2 || fleet.roleChanges[0] != backend.RolePrefill || fleet.roleChanges[1] != backend.RoleDecode {
+		t.Errorf("SetRoleChange was called with %v, want prefill and then decode", fleet.roleChanges)
 	}
 }
 
@@ -174,12 +177,12 @@
 	controller.KeyChanged(boottime.Now(), nil, 0, 0)
 	runSteps(controller, 4)
 	if len(orderer.orders) != 0 {
-		t.Errorf("orders: %+v", orderer.orders)
+		t.Errorf("orders: %+v, want none", orderer.orders)
 	}
 }
 
-// TestChangingEngineGetsNoWork guards against routing to an engine that accepted an order but first finishes its long requests: it refuses
-// new work meanwhile.
+// TestChangingEngineGetsNoWork guards against routing to an engine that accepted an order and refuses new work while it finishes its
+// requests.
 func TestChangingEngineGetsNoWork(t *testing.T) {
 	cases := []struct {
 		desc  string
@@ -197,20 +200,20 @@
 			change := Change{Worker: &backend.Worker{ID: "w0", Role: backend.RoleDecode}, Role: backend.RolePrefill}
 			controller.pendingChanges.add(epoch, change)
 			controller.confirm(context.Background(), epoch.Add(confirmInterval/2))
-			if len(fleet.changing) != 0 {
-				t.Fatalf("inspected before confirmInterval: %v", fleet.changing)
+			if len(fleet.roleChanges) != 0 {
+				t.Fatalf("SetRoleChange was called with %v before confirmInterval", fleet.roleChanges)
 			}
 			controller.confirm(context.Background(), epoch.Add(confirmInterval))
-			if len(fleet.changing) != 1 || fleet.changing[0] != c.want {
-				t.Errorf("SetChanging was called with %v, want %s", fleet.changing, c.want)
+			if len(fleet.roleChanges) != 1 || fleet.roleChanges[0] != c.want {
+				t.Errorf("SetRoleChange was called with %v, want %s", fleet.roleChanges, c.want)
 			}
 		})
 	}
 }
 
-// TestHandoverDelayOfNewHolder guards against calls on behalf of the fleet while the previous holder may still call. The first holder need
-// not wait, one that succeeds itself or is new waits shortly, and a returning one waits for the full handover. So does a holder that finds
-// no history of the era of the store.
+// TestHandoverDelayOfNewHolder guards against calls on behalf of the fleet while the previous holder may still call. The first holder
+// may call at once, and one that succeeds itself or is new soon, after CallHandover. A returning one, or one that finds no history of the
+// present era of the store, may call late, after Handover.
 func TestHandoverDelayOfNewHolder(t *testing.T) {
 	keys := &fakeStore{}
 	takeOver := func(name string) string {
--- a/internal/roles/holder.go
+++ b/internal/roles/holder.go
@@ -12,13 +12,13 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// ControllerHistoryKey is the store key of the recent holders of ControllerKey. It has no lease.
+// ControllerHistoryKey is the store key of the recent holders of ControllerKey. Its entry has no lease.
 const ControllerHistoryKey = "controllers"
 
-// maxHistory is the number of holders kept, which exceeds the number that can alternate within a lease.
+// maxHistory is the maximum number of holders in the history.
 const maxHistory = 4
 
-// HolderOf returns the name of the holder from the value of the key, or an empty string if the key is free.
+// HolderOf returns the name of the holder from the value of the controller key, or an empty string if the key is free.
 func HolderOf(value []byte) string {
 	var holder keyHolder
 	if value == nil || json.Unmarshal(value, &holder) != nil {
@@ -27,17 +27,19 @@
 	return holder.Holder
 }
 
-// history lists the recent holders of the key, latest first.
+// history lists the recent holders of the controller key, latest first.
 type history struct {
 	Holders []string `json:"holders"`
-	// Era of the store in which the entry was written. An entry of an earlier era may lack the last holders, because the store was restored.
+	// Era is the era of the store in which the entry was written. An entry of an earlier era may lack the last holders, because the store
+	// was restored.
 	Era int64 `json:"era,omitempty"`
 }
 
-// maxInitialEra is the highest era of a store that was never restored: eras are counted from zero or one.
+// maxInitialEra is the highest era of a store that was never restored, which is 0 or 1.
 const maxInitialEra = 1
 
-// succession classifies a process relative to the previous holders. A process that succeeds itself is not a returning holder.
+// succession classifies a process relative to the previous holders. It is a returning holder if another process has held the key since,
+// or if the store was restored and the history was written in an earlier era.
 func (h history) succession(name string, era int64) authority.Succession {
 	switch {
 	case era > maxInitialEra && h.Era != era:
@@ -58,13 +60,13 @@
 	return history{Holders: holders[:min(len(holders), maxHistory)], Era: era}
 }
 
-// acquire tries to acquire the key.
+// acquire tries to acquire the controller key.
 func (c *Controller) acquire(ctx context.Context, lease int64) {
 	ctx, cancel := context.WithTimeout(ctx, c.settings.OrderTimeout)
 	defer cancel()
 	previous, transaction, err := c.claim(ctx, lease)
 	if err != nil {
-		c.logger.WithError(err).Warn("The history of controller key holders could not be read.")
+		c.logger.WithError(err).Warn("The transaction that acquires the controller key could not be prepared.")
 		return
 	}
 	revision, err := c.store.Commit(ctx, transaction)
@@ -86,12 +88,12 @@
 	})
 }
 
-// claim returns the previous holders, and the transaction that acquires the key.
+// claim returns the previous holders, and the transaction that acquires the controller key.
 func (c *Controller) claim(ctx context.Context, lease int64) (history, store.Transaction, error) {
 	var previous history
 	items, listed, err := c.store.List(ctx, ControllerHistoryKey)
 	if err != nil {
-		return previous, store.Transaction{}, errors.Wrap(err, "step read the history of holders")
+		return previous, store.Transaction{}, errors.Wrap(err, "read the history of controller key holders")
 	}
 	revision := store.Revision(0)
 	for _, item := range items {
@@ -100,7 +102,7 @@
 		}
 		revision = item.Revision
 		if err := json.Unmarshal(item.Value, &previous); err != nil {
-			return previous, store.Transaction{}, errors.Wrap(err, "step decode the history of holders")
+			return previous, store.Transaction{}, errors.Wrap(err, "decode the history of controller key holders")
 		}
 	}
 	holder, holderErr := json.Marshal(keyHolder{Holder: c.settings.Holder, Lease: lease})
@@ -111,13 +113,13 @@
 	}, errors.Join(holderErr, currentErr)
 }
 
-// Resign makes the controller release the key after its current step, so that the next holder need not wait for the lease to expire.
+// Resign makes the controller release the controller key after its current step, so that the next holder need not wait for the lease to expire.
 func (c *Controller) Resign() {
 	c.resigned.Store(true)
 	c.Wake()
 }
 
-// release deletes the key. If that fails, the key expires with its lease.
+// release deletes the controller key. If that fails, the key expires with its lease.
 func (c *Controller) release(ctx context.Context) {
 	c.mutex.Lock()
 	revision, isHolder := c.keyRevision, c.authority.Holds()
--- a/internal/roles/orders.go
+++ b/internal/roles/orders.go
@@ -11,10 +11,11 @@
 	"github.com/granitebay/granitebay/internal/decision"
 )
 
-// maxConcurrentOrders bounds the concurrent orders. Recovering a role in a fleet of thousands takes hundreds.
+// maxConcurrentOrders limits the orders that are in progress at a time.
 const maxConcurrentOrders = 64
 
-// execute sends orders after DrainDelay. Urgent orders are sent at once, because without the lost role no request completes.
+// execute sends orders after DrainDelay. Urgent orders are sent at once, because without the lost role no request completes. The changes
+// must all be urgent, or none.
 func (c *Controller) execute(ctx context.Context, changes []Change) {
 	if len(changes) == 0 {
 		return
@@ -47,13 +48,14 @@
 	}
 }
 
-// reportRecovery tells the planners which engines failed their recovery orders, and which groups accepted none.
+// reportRecovery tells the planners for which engines the recovery order was not sent or not accepted, and in which groups no engine
+// accepted one.
 func (c *Controller) reportRecovery(changes []Change, errs []error) {
 	now := c.settings.Now()
 	recovered := map[string]bool{}
 	for i, change := range changes {
 		group := change.Worker.RoleGroup()
-		accepted := errs[i] == nil || errors.Is(errs[i], errChanging)
+		accepted := errs[i] == nil || errors.Is(errs[i], errRoleInPlace)
 		recovered[group] = recovered[group] || accepted
 		if !accepted {
 			c.planner(group).OrderFailed(now, change.Worker.ID)
@@ -66,18 +68,18 @@
 	}
 }
 
-// finishOrder handles the result of an order.
+// finishOrder records the result of an order, and resumes routing to the engine if the order failed.
 func (c *Controller) finishOrder(change Change, err error) {
 	log := c.logger.WithFields(logrus.Fields{"engine": change.Worker.ID, "peer": change.Worker.Address, "role": change.Role})
-	if errors.Is(err, errChanging) {
+	if errors.Is(err, errRoleInPlace) {
 		c.pendingChanges.add(c.settings.Now(), change)
-		log.Info("An engine already has or is taking its role.")
+		log.Info("An engine already has or is taking the ordered role.")
 		return
 	}
 	if err != nil {
 		c.fleet.SetRoleChange(change.Worker.ID, change.Worker.Role)
-		log.WithError(err).Warn("An engine did not accept an order.")
-		c.recordChange(change, "not taken", "The engine did not accept the order: "+err.Error()+".")
+		log.WithError(err).Warn("An order was not sent or not accepted.")
+		c.recordChange(change, "not taken", "The order was not sent or not accepted: "+err.Error()+".")
 		return
 	}
 	c.pendingChanges.add(c.settings.Now(), change)
@@ -102,7 +104,7 @@
 		return err
 	}
 	if state.Busy || state.Role == change.Role {
-		return errChanging
+		return errRoleInPlace
 	}
 	c.mutex.Lock()
 	fence, mayOrder := c.authority.MayOrder(c.settings.Now())
--- a/internal/roles/planner.go
+++ b/internal/roles/planner.go
@@ -1,5 +1,5 @@
 // Package roles assigns the prefill and decode roles to engines, so that the roles match the mix of requests. Planner decides on the
-// changes, and Controller sends the orders from the one process that holds the authority.
+// changes, and Controller sends the orders from the process that holds the controller key.
 package roles
 
 import (
@@ -17,12 +17,13 @@
 	Worker *backend.Worker
 	// Load is the combined load from all gateways.
 	Load backend.Load
-	// Usable is set if the engine accepts work now.
+	// Usable is set if the engine is in service, not backing off and not ejected.
 	Usable bool
 	// TargetRole is the role that the engine was ordered to take, or empty.
 	TargetRole backend.Role
-	// Ended is set if this gateway saw that the engine's process has ended. ExpectedAt is when a replacement is expected, zero if unknown.
-	Ended      bool
+	// Ended is set if this gateway saw that the engine's process has ended.
+	Ended bool
+	// ExpectedAt is when a replacement of an ended engine is expected, zero if unknown.
 	ExpectedAt time.Time
 }
 
@@ -39,7 +40,8 @@
 	Engines []Engine
 	// PrefillDemand is the number of prefill engines that the offered prompts would keep busy.
 	PrefillDemand float64
-	// HadDecode is set once the group had decode engines. Before that, their records may not have arrived yet.
+	// HadDecode is set once the group had decode engines. Until then missing ones don't count as lost, because their records may not have
+	// arrived yet.
 	HadDecode bool
 	// RoleChangeTime is how long an engine takes to change its role.
 	RoleChangeTime time.Duration
@@ -55,7 +57,7 @@
 	}
 }
 
-// Change is a role that an engine should take.
+// Change is an engine and the role that it should take.
 type Change struct {
 	Worker *backend.Worker
 	Role   backend.Role
@@ -68,16 +70,17 @@
 type Settings struct {
 	// SmoothingTime is the time constant of the averaged decode load.
 	SmoothingTime time.Duration
-	// PeakDecay is the time after which a peak of the demand has decayed to 1/e.
+	// PeakDecay is the time after which a peak of the prefill demand or the decode load has decayed to 1/e.
 	PeakDecay time.Duration
-	// Headroom is the required ratio of the decode capacity to its peak demand.
+	// Headroom is the required ratio of the decode capacity to the peak decode load.
 	Headroom float64
-	// MinPrefillUse is the utilization of prefill engines above which more are added, and MaxDecodeUse the slot utilization of decode
-	// engines above which more are added.
-	MinPrefillUse float64
+	// MaxPrefillUse is the utilization of prefill engines above which more are added, and MaxDecodeUse the slot utilization of decode
+	// engines above which more of those are added.
+	MaxPrefillUse float64
 	MaxDecodeUse  float64
-	// MinShare is the minimum share of the engines per role. MinEngines replaces it if configured.
-	MinShare   float64
+	// MinShare is the minimum share of the engines per role.
+	MinShare float64
+	// MinEngines is the minimum number of engines per role. It replaces MinShare if it is not empty.
 	MinEngines map[backend.Role]int
 	// ChangeInterval is the minimum interval between changes in groups of up to ChangeIntervalEngines engines. In larger groups it shrinks
 	// in proportion, so that groups of any size adapt in the same time.
@@ -85,10 +88,12 @@
 	ChangeIntervalEngines int
 	// TickInterval is how often the planner runs. Changes that become due in between are made together.
 	TickInterval time.Duration
-	// RecoveryHold is how long decode engines keep their role after a recovery, unless no prefill engine is left. It doubles with each further
-	// loss up to MaxRecoveryHold, and is reset after a period of twice its length without one. It bounds the orders when decode engines crash
-	// repeatedly. Decode engines can process prompts meanwhile.
-	RecoveryHold, MaxRecoveryHold time.Duration
+	// RecoveryHold is how long decode engines keep their role after a recovery, unless no prefill engine is left. This limits the orders
+	// when decode engines crash repeatedly; decode engines can process prompts meanwhile.
+	RecoveryHold time.Duration
+	// MaxRecoveryHold is the maximum hold. The hold doubles with each further loss, and is reset to RecoveryHold if there is none for twice
+	// its length.
+	MaxRecoveryHold time.Duration
 }
 
 // DefaultSettings returns the default settings of a planner.
@@ -97,7 +102,7 @@
 		SmoothingTime:         time.Second,
 		PeakDecay:             20 * time.Second,
 		Headroom:              1.4,
-		MinPrefillUse:         0.4,
+		MaxPrefillUse:         0.4,
 		MaxDecodeUse:          0.9,
 		MinShare:              1.0 / 3,
 		ChangeInterval:        700 * time.Millisecond,
@@ -110,13 +115,13 @@
 
 // Planner plans the roles of the engines of one group. The decode role gets enough engines for its peak load plus headroom. Other engines
 // become prefill engines if prompts keep those busy, because prefill engines serve all prompts whereas an idle decode engine serves none.
-// Until any demand is seen, there are at least as many prefill as decode engines. It is a pure state machine and not safe for concurrent
-// use.
+// Until any demand is seen, prefill engines are added up to half of the group, unless that takes too many changes. It is a pure state
+// machine and not safe for concurrent use.
 //
-// Invariant: a change leaves each role its minimum number of usable engines, and at least one.
+// Invariant: a change returned by Next leaves the role that gives up an engine its minimum number of live engines, and at least one.
 type Planner struct {
 	settings Settings
-	// prefillPeak and decodePeak are the peak demands, in engines.
+	// prefillPeak and decodePeak are the peaks of the prefill demand and the decode load, in engines.
 	prefillPeak, decodePeak decayingPeak
 	// decodeLoad is the averaged number of busy decode engines.
 	decodeLoad movingAverage
@@ -140,9 +145,9 @@
 	// ended engines have ended and are not expected back that soon.
 	ended int
 	slots int
-	// runs are the requests that the engines decode, or that wait there for a slot.
-	runs int
-	// ready engines have the role and accept work, so one of them can change. Engines that are ejected for failures are not ready, but
+	// requests is the number of requests that the engines decode, or that wait there for a slot.
+	requests int
+	// ready engines have the role and are usable, so one of them can change. Engines that are ejected for failures are not ready, but
 	// are counted, because they come back.
 	ready []Engine
 }
@@ -153,7 +158,7 @@
 	for _, engine := range group.Engines {
 		if engine.Worker.Role == role {
 			// Engines that are about to change finish their requests.
-			summary.runs += engine.Load.Decoding()
+			summary.requests += engine.Load.Decoding()
 		}
 		if engine.targetRole() != role || engine.Worker.Draining {
 			continue
@@ -180,14 +185,14 @@
 		return nil
 	}
 	slots := float64(decode.slots) / float64(decode.count)
-	decodeLoad := p.decodeLoad.update(now, float64(decode.runs)/slots, p.settings.SmoothingTime)
+	decodeLoad := p.decodeLoad.update(now, float64(decode.requests)/slots, p.settings.SmoothingTime)
 	decodePeak := p.decodePeak.update(now, decodeLoad, p.settings.PeakDecay)
 	prefillPeak := p.prefillPeak.update(now, group.PrefillDemand, p.settings.PeakDecay)
 	if now.Before(p.nextChange) {
 		return nil
 	}
 	noDemand := prefillPeak == 0 && decodePeak == 0
-	prefillBusy := prefillPeak > p.settings.MinPrefillUse*float64(prefill.count)
+	prefillBusy := prefillPeak > p.settings.MaxPrefillUse*float64(prefill.count)
 	decodeHasHeadroom := float64(decode.live-1) >= p.settings.Headroom*decodePeak && !p.recovery.holds(now)
 	decodeFull := decodeLoad > p.settings.MaxDecodeUse*float64(decode.count)
 	switch {
@@ -206,12 +211,12 @@
 	}
 }
 
-// earlyChangeFactor times the square root of the group size bounds the changes made before any demand is seen. Random demand varies with
-// the square root of its mean, as in square-root staffing.
+// earlyChangeFactor limits the changes made before any demand is seen to this multiple of the square root of the group size, as in
+// square-root staffing.
 const earlyChangeFactor = 1.5
 
 // allowEarlyChange reports whether a change may be made before any demand is seen, and counts it. The changes remaining until both roles
-// have half of the engines must stay within the bound: in a large group a part of them would make little difference.
+// have half of the engines must stay within the limit, because in a large group some of them would make little difference.
 func (p *Planner) allowEarlyChange(remaining int) bool {
 	if float64(p.earlyChanges+remaining) > earlyChangeFactor*math.Sqrt(float64(p.groupSize)) {
 		return false
@@ -225,7 +230,7 @@
 	return summary.count < p.minEngines(summary.role, summary.count+other.count)
 }
 
-// minEngines returns the minimum number of engines of a role.
+// minEngines returns the minimum number of engines of a role in a group with the given number of engines.
 func (p *Planner) minEngines(role backend.Role, engines int) int {
 	if len(p.settings.MinEngines) > 0 {
 		return max(p.settings.MinEngines[role], 1)
@@ -247,16 +252,17 @@
 	return &Change{Worker: idlest.Worker, Role: role, Reason: reason}
 }
 
-// delayNextChange applies the change interval for the size of the group.
+// delayNextChange applies the change interval for the size of the group. An interval shorter than a tick is counted from the time at which
+// the previous one ended, but at most one tick back, so that the changes due within a tick are made together.
 func (p *Planner) delayNextChange(now time.Time) {
 	pause := p.settings.ChangeInterval
 	if p.groupSize > p.settings.ChangeIntervalEngines {
 		pause = pause * time.Duration(p.settings.ChangeIntervalEngines) / time.Duration(p.groupSize)
 	}
 	from := now
-	if due := now.Add(-p.settings.TickInterval); pause < p.settings.TickInterval {
-		from = due
-		if p.nextChange.After(due) {
+	if earliest := now.Add(-p.settings.TickInterval); pause < p.settings.TickInterval {
+		from = earliest
+		if p.nextChange.After(earliest) {
 			from = p.nextChange
 		}
 	}
--- a/internal/roles/planner_test.go
+++ b/internal/roles/planner_test.go
@@ -41,28 +41,28 @@
 	changes       []string
 }
 
-// run runs a line: a period with a prefill demand, in engines, and a number of running requests.
+// run runs a "for" line of the script.
 func (s *scenario) run(line string) {
 	var seconds int
 	var prefillDemand float64
-	var runs int
-	if _, err := fmt.Sscanf(line, "for %ds prefill-demand %g runs %d", &seconds, &prefillDemand, &runs); err != nil {
+	var requests int
+	if _, err := fmt.Sscanf(line, "for %ds prefill-demand %g requests %d", &seconds, &prefillDemand, &requests); err != nil {
 		s.t.Fatalf("%q: %v", line, err)
 	}
 	for range seconds * 4 {
 		s.now = s.now.Add(250 * time.Millisecond)
 		s.group.PrefillDemand = prefillDemand
-		s.applyLoad(runs)
+		s.applyLoad(requests)
 		for change := s.planner.Next(s.now, s.group); change != nil; change = s.planner.Next(s.now, s.group) {
 			s.changes = append(s.changes, string(change.Role))
 			s.changingUntil[change.Worker.ID] = s.now.Add(2 * time.Second)
-			s.applyLoad(runs)
+			s.applyLoad(requests)
 		}
 	}
 }
 
 // applyLoad distributes the requests over the decode engines, and completes changes.
-func (s *scenario) applyLoad(runs int) {
+func (s *scenario) applyLoad(requests int) {
 	var decode []int
 	for i := range s.group.Engines {
 		engine := &s.group.Engines[i]
@@ -83,12 +83,12 @@
 			decode = append(decode, i)
 		}
 	}
-	for i := range runs {
+	for i := range requests {
 		s.group.Engines[decode[i%len(decode)]].Load.Running++
 	}
 }
 
-// TestPlannerScenarios runs the scripts in testdata/scenarios.txtar.
+// TestPlannerScenarios guards against unneeded, missing or repeated role changes.
 func TestPlannerScenarios(t *testing.T) {
 	archive, err := txtar.ParseFile("testdata/scenarios.txtar")
 	if err != nil {
@@ -103,7 +103,7 @@
 				if want, found := strings.CutPrefix(line, "changes "); found {
 					want = expandCounts(want)
 					if got := strings.Join(append(s.changes, "."), " "); got != want {
-						t.Errorf("changes: %s, want %s", got, want)
+						t.Errorf("changes at %s: %s, want %s", s.now.Sub(epoch), got, want)
 					}
 					s.changes = nil
 				} else if _, err := fmt.Sscanf(line, "engines prefill %d decode %d", &prefill, &decode); err == nil {
@@ -138,14 +138,14 @@
 	rapid.Check(t, func(t *rapid.T) {
 		settings := DefaultSettings()
 		planner := NewPlanner(settings)
-		engines := newEngines(rapid.IntRange(1, 9).Draw(t, "readers"), rapid.IntRange(1, 9).Draw(t, "writers"), 0)
+		engines := newEngines(rapid.IntRange(1, 9).Draw(t, "prefill engines"), rapid.IntRange(1, 9).Draw(t, "decode engines"), 0)
 		now := epoch
 		for range 60 {
 			now = now.Add(250 * time.Millisecond)
 			for i := range engines {
 				engines[i].Load.Running = rapid.IntRange(0, 40).Draw(t, "running")
 			}
-			change := planner.Next(now, &Group{Engines: engines, PrefillDemand: rapid.Float64Range(0, 20).Draw(t, "reading")})
+			change := planner.Next(now, &Group{Engines: engines, PrefillDemand: rapid.Float64Range(0, 20).Draw(t, "prefill demand")})
 			if change == nil {
 				continue
 			}
@@ -158,20 +158,21 @@
 				}
 			}
 			if remaining < 1 || float64(remaining) < settings.MinShare*float64(len(engines)) {
-				t.Fatalf("only %d of %d engines keep the role %s", remaining, len(engines), from)
+				t.Fatalf("%d of %d engines keep the role %s, want a share of at least %.2f", remaining, len(engines), from, settings.MinShare)
 			}
 		}
 	})
 }
 
-func TestConfiguredMinimumHolds(t *testing.T) {
+// TestConfiguredMinimumStopsChanges guards against a change that leaves a role less than its configured minimum.
+func TestConfiguredMinimumStopsChanges(t *testing.T) {
 	settings := DefaultSettings()
 	settings.MinEngines = map[backend.Role]int{backend.RoleDecode: 4}
 	for decode, want := range map[int]bool{4: false, 5: true} {
 		planner := NewPlanner(settings)
 		group := &Group{Engines: newEngines(20, decode, 0), PrefillDemand: 15}
 		if change := planner.Next(epoch.Add(time.Second), group); (change != nil) != want {
-			t.Errorf("%d decode engines with a minimum of 4: change %+v", decode, change)
+			t.Errorf("%d decode engines with a minimum of 4: change %+v, want a change: %t", decode, change, want)
 		}
 	}
 }
--- a/internal/roles/recovery.go
+++ b/internal/roles/recovery.go
@@ -12,16 +12,17 @@
 
 // recoveryState tracks the recoveries of lost decode engines.
 type recoveryState struct {
+	// lastAt is the time of the latest recovery, zero if there was none.
 	lastAt time.Time
 	// hold is how long decode engines keep their role after lastAt.
 	hold time.Duration
-	// failedUntil ranks engines that failed an order after the others until the given time, by id.
+	// failedUntil maps the IDs of engines that failed an order to the time until which the others are tried first.
 	failedUntil map[string]time.Time
 	// previous is the state before the latest recovery.
 	previous *recoveryState
 }
 
-// orderFailureTimeout is how long an engine that failed an order is ranked last: as long as two orders that time out.
+// orderFailureTimeout is how long an engine that failed an order is tried after the others.
 const orderFailureTimeout = 3 * time.Second
 
 // OrderFailed records that an engine failed a recovery order, so that other engines are tried next.
@@ -37,7 +38,7 @@
 	p.recovery.failedUntil[worker] = now.Add(orderFailureTimeout)
 }
 
-// RecoveryFailed reverts the latest recovery, because no engine accepted its order.
+// RecoveryFailed restores the hold from before the latest recovery, because no engine accepted its order.
 func (p *Planner) RecoveryFailed() {
 	if p.recovery.previous != nil {
 		p.recovery.lastAt, p.recovery.hold, p.recovery.previous = p.recovery.previous.lastAt, p.recovery.previous.hold, nil
@@ -70,7 +71,7 @@
 }
 
 // Recover returns the changes that restore the decode role when at most half of its minimum is live, regardless of ChangeInterval. Lost
-// prefill engines need no recovery, because decode engines can process prompts, and few lost decode engines are left to Next. The prefill
+// prefill engines need no recovery, because decode engines can process prompts, and Next replaces decode engines if fewer are lost. The prefill
 // role keeps its minimum unless no decode engine is live: then all but one prefill engine may change.
 //
 // Engines that are expected back before another one could change its role count as live, and engines that are changing count with their
--- a/internal/roles/recovery_test.go
+++ b/internal/roles/recovery_test.go
@@ -8,29 +8,29 @@
 	"github.com/granitebay/granitebay/internal/backend"
 )
 
-// TestRecoverLostDecodeEngines checks how many prefill engines get orders when decode engines are lost.
+// TestRecoverLostDecodeEngines guards against too few or too many orders to prefill engines when decode engines are lost.
 func TestRecoverLostDecodeEngines(t *testing.T) {
 	for _, c := range []struct {
-		desc                  string
-		prefill, decode, gone int
-		changing              int
-		backIn                time.Duration
-		minEngines            map[backend.Role]int
-		want                  int
+		desc                   string
+		prefill, decode, ended int
+		changing               int
+		expectedIn             time.Duration
+		minEngines             map[backend.Role]int
+		want                   int
 	}{
 		{desc: "none lost", prefill: 8, decode: 4, want: 0},
-		{desc: "one of four lost", prefill: 8, decode: 4, gone: 1, want: 0},
-		{desc: "two of four lost: the minimum is a third of the ten live engines", prefill: 8, decode: 4, gone: 2, want: 2},
-		{desc: "all lost", prefill: 8, decode: 4, gone: 4, want: 3},
-		{desc: "all lost, two engines are changing already", prefill: 8, decode: 4, gone: 4, changing: 2, want: 0},
-		{desc: "all lost, back sooner than a change takes", prefill: 8, decode: 4, gone: 4, backIn: 500 * time.Millisecond, want: 0},
-		{desc: "all lost, back later than a change takes", prefill: 8, decode: 4, gone: 4, backIn: 2 * time.Second, want: 3},
-		{desc: "all lost, overdue to be back", prefill: 8, decode: 4, gone: 4, backIn: -time.Second, want: 3},
-		{desc: "all lost, one of two prefill engines changes", prefill: 2, decode: 4, gone: 4, want: 1},
-		{desc: "all lost, the only prefill engine stays", prefill: 1, decode: 4, gone: 4, want: 0},
-		{desc: "all lost, the prefill minimum is ignored", prefill: 8, decode: 4, gone: 4,
+		{desc: "one of four lost", prefill: 8, decode: 4, ended: 1, want: 0},
+		{desc: "two of four lost: the minimum is a third of the ten live engines", prefill: 8, decode: 4, ended: 2, want: 2},
+		{desc: "all lost", prefill: 8, decode: 4, ended: 4, want: 3},
+		{desc: "all lost, two engines are changing already", prefill: 8, decode: 4, ended: 4, changing: 2, want: 0},
+		{desc: "all lost, back sooner than a change takes", prefill: 8, decode: 4, ended: 4, expectedIn: 500 * time.Millisecond, want: 0},
+		{desc: "all lost, back later than a change takes", prefill: 8, decode: 4, ended: 4, expectedIn: 2 * time.Second, want: 3},
+		{desc: "all lost, overdue to be back", prefill: 8, decode: 4, ended: 4, expectedIn: -time.Second, want: 3},
+		{desc: "all lost, one of two prefill engines changes", prefill: 2, decode: 4, ended: 4, want: 1},
+		{desc: "all lost, the only prefill engine stays", prefill: 1, decode: 4, ended: 4, want: 0},
+		{desc: "all lost, the prefill minimum is ignored", prefill: 8, decode: 4, ended: 4,
 			minEngines: map[backend.Role]int{backend.RolePrefill: 8, backend.RoleDecode: 3}, want: 3},
-		{desc: "one decode engine live, the prefill minimum holds", prefill: 8, decode: 4, gone: 3,
+		{desc: "one decode engine live, the prefill minimum holds", prefill: 8, decode: 4, ended: 3,
 			minEngines: map[backend.Role]int{backend.RolePrefill: 8, backend.RoleDecode: 3}, want: 0},
 		{desc: "all lost with their records", prefill: 8, decode: 0, want: 3},
 	} {
@@ -39,11 +39,11 @@
 			settings.MinEngines = c.minEngines
 			engines := newEngines(c.prefill, c.decode, 0)
 			for i := range engines {
-				writer := i - c.prefill
-				if writer >= 0 && writer < c.gone {
+				decodeIndex := i - c.prefill
+				if decodeIndex >= 0 && decodeIndex < c.ended {
 					engines[i].Ended, engines[i].Usable = true, false
-					if c.backIn != 0 {
-						engines[i].ExpectedAt = epoch.Add(c.backIn)
+					if c.expectedIn != 0 {
+						engines[i].ExpectedAt = epoch.Add(c.expectedIn)
 					}
 				}
 				if i < c.changing {
@@ -59,7 +59,7 @@
 			seen := map[string]bool{}
 			for _, change := range got {
 				if !change.Urgent || change.Role != backend.RoleDecode || change.Worker.Role != backend.RolePrefill || seen[change.Worker.ID] {
-					t.Errorf("change: %+v", change)
+					t.Errorf("change: %+v, want an urgent one of another prefill engine to decode", change)
 				}
 				seen[change.Worker.ID] = true
 			}
@@ -69,7 +69,7 @@
 
 func TestNoRecoveryBeforeFirstDecodeRecord(t *testing.T) {
 	if got := NewPlanner(DefaultSettings()).Recover(epoch, &Group{Engines: newEngines(8, 0, 0)}); len(got) > 0 {
-		t.Errorf("%d orders before any decode engine had a record", len(got))
+		t.Errorf("%d orders before any decode engine had a record, want 0", len(got))
 	}
 }
 
@@ -118,16 +118,16 @@
 			}
 		}
 	}
-	// There are 75 losses. Without RecoveryHold, each could cause three orders and three back.
+	// Without RecoveryHold, each of the 75 losses could cause three orders and three back.
 	if orders > 60 {
-		t.Errorf("%d orders in %s", orders, duration)
+		t.Errorf("%d orders in %s, want at most 60", orders, duration)
 	}
 	if share := float64(available) / float64(ticks); share < 0.5 {
-		t.Errorf("decode engines were available for %.2f of the time", share)
+		t.Errorf("decode engines were available for %.2f of the time, want at least 0.5", share)
 	}
 }
 
-// BenchmarkRecover recovers from the loss of all decode engines among 5,200 engines.
+// BenchmarkRecover measures the recovery from the loss of all decode engines among 5,200 engines.
 func BenchmarkRecover(b *testing.B) {
 	engines := newEngines(2600, 2600, 5)
 	for i := range engines {
@@ -138,8 +138,9 @@
 	b.ResetTimer()
 	for i := range b.N {
 		planner := NewPlanner(DefaultSettings())
+		// The minimum is a third of the 2,600 live engines, rounded up.
 		if changes := planner.Recover(epoch.Add(time.Duration(i)), group); len(changes) != 867 {
-			b.Fatal(fmt.Sprint(len(changes), " orders"))
+			b.Fatal(fmt.Sprint(len(changes), " orders, want 867"))
 		}
 	}
 }
@@ -158,11 +159,11 @@
 	for range 2 {
 		changes := planner.Recover(now, group)
 		if len(changes) != 3 {
-			t.Fatalf("%d orders", len(changes))
+			t.Fatalf("%d orders, want 3", len(changes))
 		}
 		for _, change := range changes {
 			if ordered[change.Worker.ID] {
-				t.Errorf("%s was ordered again", change.Worker.ID)
+				t.Errorf("%s got another order after it failed one", change.Worker.ID)
 			}
 			ordered[change.Worker.ID] = true
 			planner.OrderFailed(now, change.Worker.ID)
--- a/internal/roles/suspended_test.go
+++ b/internal/roles/suspended_test.go
@@ -25,13 +25,13 @@
 	}
 	suspended = 4 * time.Second
 	if fence, may := c.Authority(); may {
-		t.Errorf("it may call with fence %d after a suspension of 4 s with a lease of 3 s", fence)
+		t.Errorf("the holder may call with fence %d after a suspension of 4 s with a lease of 3 s", fence)
 	}
 	before := len(orderer.orders)
 	for range 5 {
 		c.step(context.Background())
 	}
 	if len(orderer.orders) > before {
-		t.Error("it sent an order after the suspension")
+		t.Error("the holder sent an order after the suspension")
 	}
 }
--- a/internal/roles/transitions.go
+++ b/internal/roles/transitions.go
@@ -8,16 +8,18 @@
 	"github.com/granitebay/granitebay/internal/backend"
 )
 
-// confirmInterval is how often a changing engine is inspected. Routing to it stays off for longer than that after each confirmation.
+// confirmInterval is how often an engine with a pending change is inspected. Each confirmation must stop routing to the engine for longer
+// than this.
 const confirmInterval = 3 * time.Second
 
-// pendingChanges holds the accepted changes that are not yet visible in the records of the engines. An engine first finishes its running
-// requests. It is used by the control loop only.
+// pendingChanges holds the changes that engines have accepted but their records don't show yet, because the engines first finish their
+// running requests. It is used by the control loop only.
 type pendingChanges struct{ changes map[string]*pendingChange }
 
 // pendingChange is a change that an engine has accepted.
 type pendingChange struct {
-	change      Change
+	change Change
+	// confirmedAt is when the engine accepted the change or was last inspected.
 	confirmedAt time.Time
 }
 
@@ -26,7 +28,7 @@
 	p.changes[change.Worker.ID] = &pendingChange{change: change, confirmedAt: now}
 }
 
-// removeFinished removes the changes whose engine has its new role, or is gone.
+// removeFinished removes the changes whose engine has its new role or no record any more.
 func (p *pendingChanges) removeFinished(groups map[string]*Group) {
 	currentRoles := map[string]backend.Role{}
 	for _, group := range groups {
@@ -41,7 +43,7 @@
 	}
 }
 
-// due returns the changes to confirm.
+// due returns the changes to confirm, at most maxChangesPerStep.
 func (p *pendingChanges) due(now time.Time) []*pendingChange {
 	var due []*pendingChange
 	for _, pending := range p.changes {
@@ -69,7 +71,7 @@
 	}
 }
 
-// handleState handles the state of an engine with a pending change.
+// handleState keeps routing to an engine stopped while its pending change continues, and resumes it if the engine does not change its role.
 func (c *Controller) handleState(pending *pendingChange, state EngineState, err error) {
 	worker, role := pending.change.Worker, pending.change.Role
 	switch {
