--- a/internal/capacity/estimator.go
+++ b/internal/capacity/estimator.go
@@ -7,16 +7,16 @@
 
 // EstimatorSettings configures an estimator.
 type EstimatorSettings struct {
-	// TargetUtilization is the utilization of the workers at the peak of the demand. Above it, queues grow.
+	// TargetUtilization is the intended utilization of the workers at the peak of the demand.
 	TargetUtilization float64
-	// StableTime is how long the number of workers must be stable after a start to count as the provided number.
+	// StableTime is how long the number of workers must not grow after a start until it is taken as the initial number.
 	StableTime time.Duration
-	// ObservationTime is how long demand must be observed before the need may fall below the provided number.
+	// ObservationTime is how long after the first demand the need may not fall.
 	ObservationTime time.Duration
 	// PeakRetention is how long a peak of the demand counts.
 	PeakRetention time.Duration
-	// MinDecrease is the minimum relative decrease of the need before workers are removed, because the remaining workers have to compute the
-	// cached prefixes of removed ones again.
+	// MinDecrease is the minimum relative decrease of the need before workers are removed, because the remaining workers have to recompute the
+	// prefixes that removed ones had cached.
 	MinDecrease float64
 }
 
@@ -25,14 +25,15 @@
 	return EstimatorSettings{TargetUtilization: 0.6, StableTime: 1500 * time.Millisecond, ObservationTime: 20 * time.Second, PeakRetention: 40 * time.Second, MinDecrease: 0.15}
 }
 
-// Estimator estimates how many workers a group needs. Until the demand is known, that is the number provided at the start. It is a pure
-// state machine and not safe for concurrent use.
+// Estimator estimates how many workers a group needs. Until the demand is known, that is at least the number present at the start. It
+// is a pure state machine and not safe for concurrent use.
 type Estimator struct {
 	settings EstimatorSettings
-	// stableSince is since when the initial number of workers has not grown, and demandSince since when there is demand.
+	// stableSince is since when the initial number of workers has not grown, and demandSince is when demand was first seen.
 	stableSince, demandSince time.Time
 	peaks                    []peakBucket
-	current                  int
+	// need is the number of workers that the group needs.
+	need int
 	// newFleet is set if the fleet was new at the first update.
 	newFleet bool
 }
@@ -49,10 +50,11 @@
 // NewEstimator returns an estimator without observations.
 func NewEstimator(settings EstimatorSettings) *Estimator { return &Estimator{settings: settings} }
 
-// Update adds an observation of the group. It returns the number of workers needed, and whether it is known yet.
+// Update adds an observation of the group. It returns the number of workers needed, and whether the number of initial workers, which
+// limits it, is known yet.
 func (e *Estimator) Update(now time.Time, group Group) (int, bool) {
 	required := int(math.Ceil(e.peakDemand(now, group.Busy) / e.settings.TargetUtilization))
-	if !e.stable(now) {
+	if !e.initialKnown(now) {
 		e.trackInitial(now, group)
 	}
 	if e.demandSince.IsZero() && group.Busy > 0 {
@@ -60,42 +62,42 @@
 	}
 	switch {
 	case !e.observed(now):
-		e.current = max(e.current, required)
-	case required > e.current:
-		e.current = required
-	case float64(required) < (1-e.settings.MinDecrease)*float64(e.current):
-		e.current = required
+		e.need = max(e.need, required)
+	case required > e.need:
+		e.need = required
+	case float64(required) < (1-e.settings.MinDecrease)*float64(e.need):
+		e.need = required
 	}
-	return e.current, e.stable(now)
+	return e.need, e.initialKnown(now)
 }
 
-// stable reports whether the provided number of workers is known.
-func (e *Estimator) stable(now time.Time) bool {
+// initialKnown reports whether the number of initial workers is known.
+func (e *Estimator) initialKnown(now time.Time) bool {
 	return !e.stableSince.IsZero() && now.Sub(e.stableSince) >= e.settings.StableTime
 }
 
-// trackInitial tracks the number of workers provided at the start. In a new fleet spot workers do not count, because they may have been
-// ordered since.
+// trackInitial tracks the number of workers present at the start. In a new fleet spot workers do not count, because they may have been
+// ordered since. In others the largest number of spot workers of a zone does not count, because plans allow for their loss.
 func (e *Estimator) trackInitial(now time.Time, group Group) {
-	if e.current == 0 && e.stableSince.IsZero() {
+	if e.need == 0 && e.stableSince.IsZero() {
 		e.newFleet, e.stableSince = group.NewFleet, now
 	}
 	baseline := group.Present.WithoutLargestSpotZone()
 	if e.newFleet {
 		baseline = group.Present.OnDemand()
 	}
-	if baseline > e.current || baseline == 0 || !group.RecordsComplete {
-		e.current, e.stableSince = max(baseline, e.current), now
+	if baseline > e.need || baseline == 0 || !group.RecordsComplete {
+		e.need, e.stableSince = max(baseline, e.need), now
 	}
 }
 
-// observed reports whether demand was observed for long enough.
+// observed reports whether demand was first seen at least ObservationTime ago.
 func (e *Estimator) observed(now time.Time) bool {
 	return !e.demandSince.IsZero() && now.Sub(e.demandSince) >= e.settings.ObservationTime
 }
 
-// mayRemoveSurplus reports whether workers beyond the plan may be removed: after demand was observed for long enough, or was absent for as
-// long. Otherwise a group without demand would keep the replacements of lost spot workers forever.
+// mayRemoveSurplus reports whether workers beyond the plan may be removed: ObservationTime after the first demand, or as long after the
+// start if there was none. The second case lets a group without demand drop the replacements of lost spot workers.
 func (e *Estimator) mayRemoveSurplus(now time.Time) bool {
 	if e.demandSince.IsZero() {
 		return !e.stableSince.IsZero() && now.Sub(e.stableSince) >= e.settings.ObservationTime
--- a/internal/capacity/executor.go
+++ b/internal/capacity/executor.go
@@ -37,7 +37,7 @@
 	Offer Offer
 	// BootTime is the time from an order until the worker serves requests.
 	BootTime time.Duration
-	// Present workers by zone, without those that are draining.
+	// Present is the number of workers by zone, without those that are draining.
 	Present Plan
 	// RecordsComplete is set while the records of the workers are known to be complete.
 	RecordsComplete bool
@@ -49,8 +49,8 @@
 	Busy float64
 }
 
-// Fleet provides the groups whose workers may be ordered. It provides none in a process that does not receive the load of all gateways,
-// because a standby process sees only a part of the demand.
+// Fleet provides the groups whose workers may be ordered. It provides none in a standby process, which does not receive the load of all
+// gateways.
 type Fleet interface{ CapacityGroups() []Group }
 
 // Settings configures an executor.
@@ -60,19 +60,21 @@
 	Estimator EstimatorSettings
 	// TickInterval is how often the executor runs.
 	TickInterval time.Duration
-	// CallTimeout bounds one call.
+	// CallTimeout limits the duration of one order to the platform.
 	CallTimeout time.Duration
-	// RetryDelay is how long after the boot time an order is repeated if its workers are missing, FailedRetryDelay how long after a failed
-	// order the next one is sent, and ChangeInterval the minimum interval between orders for different numbers.
-	RetryDelay, FailedRetryDelay, ChangeInterval time.Duration
-	// SpotTimeout is how long the spot workers of a zone may be missing before others are ordered as a replacement, if the present ones are
-	// too few.
+	// RetryDelay is how long after the boot time an order is repeated if its workers are missing.
+	RetryDelay time.Duration
+	// FailedRetryDelay is how long after a failed order the next one is sent.
+	FailedRetryDelay time.Duration
+	// ChangeInterval is the minimum interval between orders for different numbers.
+	ChangeInterval time.Duration
+	// SpotTimeout is how long spot workers of a zone may be missing before other workers are ordered instead. It applies only while fewer
+	// workers are present than needed.
 	SpotTimeout time.Duration
-	// MaxChangeRate bounds the workers ordered or removed per second in all groups, because the record of each is sent to every gateway,
-	// also over the slowest links.
+	// MaxChangeRate limits the workers ordered or removed per second in all groups, because the record of each is sent to every gateway.
 	MaxChangeRate float64
-	// ReserveShare is the share of the need that is ordered as additional spot workers if they were free; it shrinks as their price rises.
-	// The reserve covers what the loss of a zone does not: crashes, drains, and bursts until new workers have booted.
+	// ReserveShare determines the number of additional spot workers, which is ReserveShare*(1-SpotPrice) of the need. They cover crashes,
+	// drains, and bursts until new workers have booted.
 	ReserveShare float64
 }
 
@@ -87,9 +89,7 @@
 		ChangeInterval:   500 * time.Millisecond,
 		SpotTimeout:      5 * time.Second,
 		ReserveShare:     0.4,
-		// The two records per worker, about 600 bytes each, take a twentieth of a link of 10 Mbit/s. Faster changes
-		// would delay configuration updates.
-		MaxChangeRate: 60,
+		MaxChangeRate:    60,
 	}
 }
 
@@ -103,16 +103,17 @@
 	logger         logrus.FieldLogger
 	recordDecision func(decision.Record)
 
-	// The estimators, plans and pools are used by the control loop only.
+	// The fields before mutex are used by the control loop only.
 	estimators map[string]*Estimator
 	plans      map[string]cachedPlan
 	pools      map[poolKey]*poolState
-	fence      int64
+	// fence is the fencing token of the orders in pools.
+	fence int64
 	// budget is the number of workers that could be ordered or removed at budgetUpdatedAt.
 	budget          float64
 	budgetUpdatedAt time.Time
 
-	mu     sync.Mutex
+	mutex  sync.Mutex
 	status []Status
 }
 
@@ -128,13 +129,14 @@
 	lastOrdered int
 	// nextChange is when the next order may be sent, and nextRetry when one for the same number may.
 	nextChange, nextRetry time.Time
-	// refused is set if the last order was refused.
+	// refused is set if the last order returned ErrUnavailable.
 	refused bool
 	// missingSince is since when fewer workers are present than wanted; zero if none are missing.
 	missingSince time.Time
 }
 
-// isUnavailable reports whether workers are missing for longer than the given time, although the last order was refused or is overdue.
+// isUnavailable reports whether workers are missing for longer than the given time, and the last order was refused or is overdue for as
+// long.
 func (s *poolState) isUnavailable(now time.Time, after time.Duration) bool {
 	return !s.missingSince.IsZero() && now.Sub(s.missingSince) > after && (s.refused || now.Sub(s.nextRetry) > after)
 }
@@ -167,8 +169,8 @@
 
 // Status returns the state of each group.
 func (e *Executor) Status() []Status {
-	e.mu.Lock()
-	defer e.mu.Unlock()
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
 	return e.status
 }
 
@@ -185,7 +187,7 @@
 			return
 		case <-ticker.C:
 		}
-		// Processes without the authority only track the need, so that they can take over.
+		// Processes that may not order workers run less often, to have estimates when they take over.
 		if _, mayOrder := e.authority(); mayOrder || tick%idleTickFactor == 0 {
 			e.Step(ctx, time.Now())
 		}
@@ -202,7 +204,7 @@
 	var status []Status
 	groups := e.fleet.CapacityGroups()
 	if len(groups) == 0 {
-		// This process does not receive the load of all gateways. Its estimates start again when it does.
+		// No group is scaled, or this process does not receive the load of all gateways. Its estimates start again when it does.
 		clear(e.estimators)
 	}
 	for _, group := range groups {
@@ -215,12 +217,12 @@
 			e.reconcile(ctx, now, group, plan, need, known && group.RecordsComplete)
 		}
 	}
-	e.mu.Lock()
-	defer e.mu.Unlock()
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
 	e.status = status
 }
 
-// estimate returns the number of workers that a group needs, and whether it is known.
+// estimate updates the estimator of a group, and returns the result.
 func (e *Executor) estimate(now time.Time, group Group) (int, bool) {
 	estimator, found := e.estimators[group.Name]
 	if !found {
--- a/internal/capacity/executor_test.go
+++ b/internal/capacity/executor_test.go
@@ -17,10 +17,13 @@
 	"github.com/granitebay/granitebay/internal/decision"
 )
 
+// epoch is the start time of the tests.
 var epoch = time.Unix(1000, 0)
 
+// tick is the time between the steps of an executor.
 const tick = 250 * time.Millisecond
 
+// TestEstimator guards against a need that falls before the demand is known, or that does not follow the demand afterwards.
 func TestEstimator(t *testing.T) {
 	archive, err := txtar.ParseFile("testdata/estimator.txtar")
 	if err != nil {
@@ -42,11 +45,11 @@
 					got, known = estimator.Update(now, Group{Busy: busy, Present: Plan{"z": {OnDemand: present}}, RecordsComplete: true, NewFleet: true})
 				case "unknown":
 					if known {
-						t.Errorf("need %d is known, want unknown", got)
+						t.Errorf("at %s: need %d is known, want unknown", now.Sub(epoch), got)
 					}
 				case "need":
 					if want := int(parseNumber(t, words[1])); got != want || !known {
-						t.Errorf("need %d, known %v, want %d at %s", got, known, want, now.Sub(epoch))
+						t.Errorf("at %s: need %d (known: %t), want %d", now.Sub(epoch), got, known, want)
 					}
 				default:
 					t.Fatalf("unknown command %q", line)
@@ -65,12 +68,12 @@
 	return value
 }
 
-// fakePlatform accepts orders and simulates the workers. Calls may be lost or delayed.
+// fakePlatform accepts orders and simulates the workers. Orders may be lost or delayed.
 type fakePlatform struct {
 	t     *rapid.T
 	now   time.Time
 	offer Offer
-	// ordered holds the numbers in force, and present the running workers.
+	// ordered holds the numbers of the orders that were carried out, and present those of the running workers.
 	ordered, present Plan
 	booting          []bootingWorker
 	delayed          []Order
@@ -111,7 +114,7 @@
 	if p.reliable {
 		return p.apply(order)
 	}
-	switch rapid.SampledFrom([]string{"done", "done", "done", "lost", "late", "unanswered"}).Draw(p.t, "call") {
+	switch rapid.SampledFrom([]string{"done", "done", "done", "lost", "late", "unanswered"}).Draw(p.t, "order") {
 	case "done":
 		return p.apply(order)
 	case "late":
@@ -119,7 +122,7 @@
 	case "unanswered":
 		_ = p.apply(order)
 	}
-	return errors.New("no answer")
+	return errors.New("no response")
 }
 
 // apply carries out an order.
@@ -150,13 +153,13 @@
 			booting = append(booting, worker)
 			continue
 		}
-		p.addPresent(worker.zone, worker.spot, 1)
+		p.changePresent(worker.zone, worker.spot, 1)
 	}
 	p.booting = booting
 }
 
-// addPresent changes the number of present workers.
-func (p *fakePlatform) addPresent(zone string, spot bool, n int) {
+// changePresent changes the number of present workers.
+func (p *fakePlatform) changePresent(zone string, spot bool, n int) {
 	count := p.present[zone]
 	if spot {
 		count.Spot += n
@@ -178,7 +181,7 @@
 		}
 	}
 	if want < have {
-		p.addPresent(zone, spot, max(want-have, -p.presentCount(zone, spot)))
+		p.changePresent(zone, spot, max(want-have, -p.presentCount(zone, spot)))
 	}
 	total := p.present[zone].Total()
 	for _, worker := range p.booting {
@@ -248,7 +251,7 @@
 				holder, fence = 1-holder, fence+1
 			case 1:
 				zone := rapid.SampledFrom(p.offer.Zones).Draw(t, "zone").Name
-				p.reclaim(zone, time.Duration(rapid.IntRange(0, 12).Draw(t, "dry"))*time.Second)
+				p.reclaim(zone, time.Duration(rapid.IntRange(0, 12).Draw(t, "seconds without spot workers"))*time.Second)
 			case 2:
 				p.busy = rapid.Float64Range(0, 45).Draw(t, "busy")
 			case 3:
@@ -269,10 +272,10 @@
 		}
 		status := executors[holder].Status()[0]
 		if fmt.Sprint(p.present) != fmt.Sprint(status.Plan) {
-			t.Fatalf("present %v, planned %v for a need of %d", p.present, status.Plan, status.Need)
+			t.Fatalf("present %v, want the plan %v for a need of %d", p.present, status.Plan, status.Need)
 		}
 		if p.calls != calls {
-			t.Fatalf("%d calls after the plan was reached", p.calls-calls)
+			t.Fatalf("%d orders after the plan was reached, want 0", p.calls-calls)
 		}
 	})
 }
@@ -291,7 +294,7 @@
 			}
 		}
 		if spot := p.present["z0"].Spot; spot == 0 || p.present["z0"].OnDemand != 1 {
-			t.Fatalf("present: %v", p.present)
+			t.Fatalf("present: %v, want 1 on-demand worker and some spot workers in z0", p.present)
 		}
 	})
 }
@@ -311,7 +314,7 @@
 			e.Step(context.Background(), p.now)
 		}
 		if total := p.present.Total(); total < 50 || p.present["z0"].Spot != 0 {
-			t.Fatalf("present: %v", p.present)
+			t.Fatalf("present: %v, want at least 50 workers and no spot workers in z0", p.present)
 		}
 	})
 }
@@ -321,15 +324,15 @@
 	rapid.Check(t, func(t *rapid.T) {
 		p := newFakePlatform(t)
 		p.reliable = true
-		started := p.present
+		initial := p.present
 		p.present = Plan{}
 		e := newTestExecutor(p, func() (int64, bool) { return 1, true })
 		for i := range 16 {
 			p.recordsIncomplete = i < 14
-			for zone, count := range started {
+			for zone, count := range initial {
 				registered := count.OnDemand
 				if p.recordsIncomplete {
-					registered = rapid.IntRange(0, count.OnDemand).Draw(t, "shown")
+					registered = rapid.IntRange(0, count.OnDemand).Draw(t, "registered")
 				}
 				if registered > p.present[zone].OnDemand {
 					p.present[zone] = Count{OnDemand: registered, Spot: p.present[zone].Spot}
@@ -338,15 +341,16 @@
 			p.now = p.now.Add(tick)
 			e.Step(context.Background(), p.now)
 			for zone, count := range p.ordered {
-				if count.OnDemand < started[zone].OnDemand {
-					t.Fatalf("%d on-demand workers of zone %s were ordered before all were registered", count.OnDemand, zone)
+				if count.OnDemand < initial[zone].OnDemand {
+					t.Fatalf("%d on-demand workers of zone %s were ordered before all were registered, want at least %d", count.OnDemand, zone, initial[zone].OnDemand)
 				}
 			}
 		}
 	})
 }
 
-// TestNewHolderRemovesNoWorkers guards against a new holder that removes workers because it has seen only the demand of its own callers.
+// TestNewHolderRemovesNoWorkers guards against a new holder of the controller key that removes workers because it has seen only the demand
+// of its own callers.
 func TestNewHolderRemovesNoWorkers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newFakePlatform(t)
@@ -367,14 +371,14 @@
 			p.advance()
 			second.Step(context.Background(), p.now)
 			if p.present.Total() < before {
-				t.Fatalf("only %d workers of %d are present", p.present.Total(), before)
+				t.Fatalf("%d workers are present, want at least %d", p.present.Total(), before)
 			}
 		}
 	})
 }
 
-// TestWorkersWithLapsedRecordsAreNotRemoved guards against a new holder that removes workers whose records were lost in an outage of the
-// store.
+// TestWorkersWithLapsedRecordsAreNotRemoved guards against a new holder of the controller key that removes workers whose records expired in
+// an outage of the store.
 func TestWorkersWithLapsedRecordsAreNotRemoved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newFakePlatform(t)
@@ -382,7 +386,7 @@
 		p.newFleet = false
 		for _, zone := range p.offer.Zones {
 			p.ordered[zone.Name] = Count{OnDemand: 1, Spot: 25}
-			p.present[zone.Name] = Count{OnDemand: rapid.IntRange(0, 1).Draw(t, "kept"), Spot: rapid.IntRange(0, 25).Draw(t, "spot")}
+			p.present[zone.Name] = Count{OnDemand: rapid.IntRange(0, 1).Draw(t, "on-demand"), Spot: rapid.IntRange(0, 25).Draw(t, "spot")}
 		}
 		e := newTestExecutor(p, func() (int64, bool) { return 2, true })
 		for i := range 20 {
@@ -396,14 +400,14 @@
 			e.Step(context.Background(), p.now)
 			for zone, count := range p.ordered {
 				if count.Total() < 25 {
-					t.Fatalf("workers were removed: %+v ordered in zone %s", count, zone)
+					t.Fatalf("%+v ordered in zone %s of group g, want at least 25 workers", count, zone)
 				}
 			}
 		}
 	})
 }
 
-// TestPlanIsReachedSoon checks how fast a fleet of on-demand workers gets the spot workers of the plan.
+// TestPlanIsReachedSoon guards against taking longer than 11.5 s until a fleet of on-demand workers has the spot workers of the plan.
 func TestPlanIsReachedSoon(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newFakePlatform(t)
@@ -419,8 +423,8 @@
 	})
 }
 
-// TestNewSpotWorkersAreNotRemoved guards against the removal of spot workers, ordered while more on-demand workers register than a zone may have,
-// before the demand is known.
+// TestNewSpotWorkersAreNotRemoved guards against removing new spot workers before the demand is known, while a zone has more on-demand
+// workers than it may.
 func TestNewSpotWorkersAreNotRemoved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newFakePlatform(t)
@@ -428,10 +432,10 @@
 		p.offer.MaxPerZone = 30
 		registered := 0
 		e := newTestExecutor(p, func() (int64, bool) { return 1, true })
-		maxima := map[string]int{}
+		maxSpot := map[string]int{}
 		for i := range int(18 * time.Second / tick) {
 			p.recordsIncomplete = i < 14
-			registered = min(registered+rapid.IntRange(1, 9).Draw(t, "shown"), 50)
+			registered = min(registered+rapid.IntRange(1, 9).Draw(t, "registered"), 50)
 			for _, zone := range p.offer.Zones {
 				p.ordered[zone.Name] = Count{OnDemand: 50, Spot: p.ordered[zone.Name].Spot}
 				p.present[zone.Name] = Count{OnDemand: registered, Spot: p.ordered[zone.Name].Spot}
@@ -439,10 +443,10 @@
 			p.now = p.now.Add(tick)
 			e.Step(context.Background(), p.now)
 			for zone, count := range p.ordered {
-				if count.Spot < maxima[zone] {
-					t.Fatalf("zone %s keeps only %d of %d spot workers", zone, count.Spot, maxima[zone])
+				if count.Spot < maxSpot[zone] {
+					t.Fatalf("zone %s has %d spot workers ordered, want at least %d", zone, count.Spot, maxSpot[zone])
 				}
-				maxima[zone] = count.Spot
+				maxSpot[zone] = count.Spot
 			}
 		}
 	})
@@ -462,7 +466,7 @@
 		for zone, count := range p.ordered {
 			before[zone] = count
 		}
-		pace := DefaultSettings().MaxChangeRate
+		maxRate := DefaultSettings().MaxChangeRate
 		for i := range int(20 * time.Second / tick) {
 			p.advance()
 			e.Step(context.Background(), p.now)
@@ -470,12 +474,12 @@
 			for zone, count := range p.ordered {
 				changed += distance(count.OnDemand, before[zone].OnDemand) + distance(count.Spot, before[zone].Spot)
 			}
-			if limit := pace * (1 + tick.Seconds()*float64(i+1)); float64(changed) > limit {
-				t.Fatalf("%d workers changed in %s", changed, time.Duration(i+1)*tick)
+			if limit := maxRate * (1 + tick.Seconds()*float64(i+1)); float64(changed) > limit {
+				t.Fatalf("%d workers changed in %s, want at most %.0f", changed, time.Duration(i+1)*tick, limit)
 			}
 		}
 		if p.ordered["z1"].Spot == 0 {
-			t.Fatal("no spot workers were ordered")
+			t.Fatal("no spot workers were ordered in zone z1")
 		}
 	})
 }
--- a/internal/capacity/plan.go
+++ b/internal/capacity/plan.go
@@ -1,5 +1,5 @@
-// Package capacity decides how many workers each zone should have, and orders them. There are two kinds: on-demand workers, which run until they
-// are removed, and spot workers, which cost less but may be reclaimed, all of a zone at once.
+// Package capacity decides how many workers each zone should have, and orders them. There are two kinds: on-demand workers, which run until
+// they are removed, and spot workers, which cost less but may be reclaimed by the provider, possibly all of a zone at once.
 //
 // Estimator determines the number of workers needed from the demand, Plan distributes them over the zones, and Executor orders them.
 package capacity
@@ -15,7 +15,7 @@
 // Zone is a location where workers of a group may run.
 type Zone struct {
 	Name string
-	// Price of an on-demand worker per second.
+	// Price is the price of an on-demand worker per second.
 	Price float64
 	// SpotUnavailable is set if spot workers are unavailable in the zone.
 	SpotUnavailable bool
@@ -28,11 +28,12 @@
 	MinPerZone, MaxPerZone int
 	// SpotPrice is the price of a spot worker relative to an on-demand one.
 	SpotPrice float64
-	// SpotLost is set while a zone has lost its spot workers. The loss of a second zone at the same time is not planned for.
+	// SpotLost is set while a zone has lost its spot workers. Plans then don't allow for the loss of another zone.
 	SpotLost bool
 }
 
-// remaining returns the number of workers of a plan that remain after the planned-for loss of a zone.
+// remaining returns the number of workers of a plan that remain after the loss that the offer requires plans to allow
+// for: that of the spot workers of one zone, or none while SpotLost is set.
 func (o Offer) remaining(plan Plan) int {
 	if o.SpotLost {
 		return plan.Total()
@@ -104,28 +105,29 @@
 	return cost
 }
 
-// NewPlan returns the cheapest plan that provides the needed workers even if one zone loses its spot workers. If the offer is too small, it
-// provides as many as possible.
+// NewPlan returns a cheap plan that provides the needed workers even if one zone loses its spot workers, or without such a loss while
+// SpotLost is set. If the offer is too small, it provides as many as possible.
 //
-// Invariants: each zone has between MinPerZone and MaxPerZone workers, and a larger need never results in fewer workers.
+// Invariants: each zone has between MinPerZone and MaxPerZone workers, and the plan for a larger need also covers a smaller one, as far as
+// the offer allows.
 func NewPlan(offer Offer, need int) Plan {
 	var best Plan
 	for spotLimit := range offer.MaxPerZone + 1 {
 		plan := planWithLimit(offer, need, spotLimit)
-		if best == nil || better(plan, best, offer, need) {
+		if best == nil || isBetterPlan(plan, best, offer, need) {
 			best = plan
 		}
 	}
 	return best
 }
 
-// better reports whether a plan covers more of the need than another one, or the same at a lower cost.
-func better(plan, other Plan, offer Offer, need int) bool {
+// isBetterPlan reports whether a plan covers more of the need than another one, or the same at a lower cost.
+func isBetterPlan(plan, other Plan, offer Offer, need int) bool {
 	covered, otherCovered := min(offer.remaining(plan), need), min(offer.remaining(other), need)
 	return cmp.Or(cmp.Compare(otherCovered, covered), cmp.Compare(plan.Cost(offer), other.Cost(offer))) < 0
 }
 
-// planWithLimit returns the cheapest plan with at most spotLimit spot workers per zone.
+// planWithLimit returns a plan with at most spotLimit spot workers per zone, which fills the zones in the order of their prices.
 func planWithLimit(offer Offer, need, spotLimit int) Plan {
 	plan := Plan{}
 	for _, zone := range offer.Zones {
--- a/internal/capacity/plan_test.go
+++ b/internal/capacity/plan_test.go
@@ -7,19 +7,21 @@
 	"pgregory.net/rapid"
 )
 
-// drawOffer draws an offer.
+// drawOffer returns a random offer.
 func drawOffer(t *rapid.T) Offer {
 	offer := Offer{SpotPrice: rapid.Float64Range(0.05, 1.2).Draw(t, "spot price")}
-	offer.MinPerZone = rapid.IntRange(0, 4).Draw(t, "least")
-	offer.MaxPerZone = offer.MinPerZone + rapid.IntRange(0, 30).Draw(t, "room")
+	offer.MinPerZone = rapid.IntRange(0, 4).Draw(t, "minimum per zone")
+	offer.MaxPerZone = offer.MinPerZone + rapid.IntRange(0, 30).Draw(t, "maximum per zone above the minimum")
 	for i := range rapid.IntRange(1, 6).Draw(t, "zones") {
 		offer.Zones = append(offer.Zones, Zone{
-			Name: fmt.Sprint("z", i), Price: rapid.Float64Range(0.5, 2).Draw(t, "price"), SpotUnavailable: rapid.IntRange(0, 4).Draw(t, "no spot") == 0,
+			Name: fmt.Sprint("z", i), Price: rapid.Float64Range(0.5, 2).Draw(t, "price"), SpotUnavailable: rapid.IntRange(0, 4).Draw(t, "spot unavailable") == 0,
 		})
 	}
 	return offer
 }
 
+// TestPlanRespectsOfferAndZoneLoss guards against plans outside the offer, below the need after a loss, or costlier than necessary if the
+// minimum covers the need.
 func TestPlanRespectsOfferAndZoneLoss(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		offer := drawOffer(t)
@@ -32,24 +34,25 @@
 				t.Fatalf("zone %s violates the offer: %+v", zone.Name, count)
 			}
 		}
-		// On-demand workers alone can cover the need.
+		// On-demand workers alone can cover the need as far as the offer allows, so every plan must.
 		if remaining := plan.WithoutLargestSpotZone(); remaining < min(need, possible) {
 			t.Fatalf("%d workers remain after a loss, of %d needed and %d possible: %v", remaining, need, possible, plan)
 		}
 		more := NewPlan(offer, need+rapid.IntRange(1, 20).Draw(t, "more"))
 		if more.WithoutLargestSpotZone() < min(plan.WithoutLargestSpotZone(), need) {
-			t.Fatalf("a larger need results in fewer workers: %v, %v", plan, more)
+			t.Fatalf("a larger need results in fewer workers after a loss: %v, %v", plan, more)
 		}
 		onDemand := Plan{}
 		for _, zone := range offer.Zones {
 			onDemand[zone.Name] = Count{OnDemand: offer.MinPerZone}
 		}
 		if need <= offer.MinPerZone*len(offer.Zones) && plan.Cost(offer) > onDemand.Cost(offer)+1e-9 {
-			t.Fatalf("%v costs more than the minimum, which covers the need", plan)
+			t.Fatalf("%v costs %g, more than the minimum that covers the need, which costs %g", plan, plan.Cost(offer), onDemand.Cost(offer))
 		}
 	})
 }
 
+// TestSpotWorkersAreUsedWhereCheaper guards against on-demand workers where spot workers are cheaper, and the reverse.
 func TestSpotWorkersAreUsedWhereCheaper(t *testing.T) {
 	offer := Offer{
 		Zones:      []Zone{{Name: "a", Price: 1}, {Name: "b", Price: 0.8}, {Name: "c", Price: 1.25}, {Name: "d", Price: 0.9}},
@@ -80,7 +83,7 @@
 				onDemand, spot = onDemand+count.OnDemand, spot+count.Spot
 			}
 			if onDemand != c.onDemand || spot != c.spot {
-				t.Errorf("got %d kept and %d spot workers, want %d and %d: %v", onDemand, spot, c.onDemand, c.spot, plan)
+				t.Errorf("got %d on-demand and %d spot workers, want %d and %d: %v", onDemand, spot, c.onDemand, c.spot, plan)
 			}
 		})
 	}
--- a/internal/capacity/reconcile.go
+++ b/internal/capacity/reconcile.go
@@ -11,14 +11,17 @@
 	"github.com/granitebay/granitebay/internal/decision"
 )
 
-// reconcile sends the orders that bring the workers of a group closer to the plan. Workers are removed only if enough others are present,
-// and only while the records are certain: an order sets a total number, so one based on incomplete records would remove workers. A new
-// fleet may order spot workers earlier, while its on-demand workers register.
+// reconcile sends the orders that bring the workers of a group closer to the plan. Workers are removed only if enough others are present.
+//
+// Certain is set while the need is known and the records of the workers are complete. Otherwise nothing is ordered, because an order sets a
+// total number, so one based on incomplete records would remove workers. The exception is a new fleet, for which additional spot workers are
+// ordered while its on-demand workers register.
 func (e *Executor) reconcile(ctx context.Context, now time.Time, group Group, plan Plan, need int, certain bool) {
+	// surplus is the number of workers of the group beyond the need.
 	surplus := max(group.Present.Total()-need, 0)
 	for _, zone := range group.Offer.Zones {
 		current, target := group.Present[zone.Name], plan[zone.Name]
-		// Workers that are still to be removed occupy places of new ones.
+		// The limit of a zone includes workers that are not removed yet.
 		target.Spot = min(target.Spot, max(group.Offer.MaxPerZone-current.OnDemand, 0))
 		if !e.estimators[group.Name].mayRemoveSurplus(now) {
 			// New spot workers stay until the demand is known.
@@ -33,7 +36,7 @@
 	}
 }
 
-// adjustPool sends an order for a pool if one is due, and deducts removed workers from the surplus.
+// adjustPool sends an order for a pool if one is due. It removes workers only up to the surplus of the group, and deducts them from it.
 func (e *Executor) adjustPool(ctx context.Context, now time.Time, group Group, key poolKey, current, target int, surplus *int) {
 	state, found := e.pools[key]
 	if !found {
@@ -50,9 +53,10 @@
 	if upToDate || now.Before(state.nextChange) || (target == state.lastOrdered && now.Before(state.nextRetry)) {
 		return
 	}
-	base := state.numberInForce(current)
+	base := state.lastAccepted(current)
 	wantedTarget := target
 	if target = e.limitChange(now, base, wantedTarget); target == base && wantedTarget != base {
+		// The change budget is used up.
 		return
 	}
 	fence, mayOrder := e.authority()
@@ -76,7 +80,7 @@
 	e.recordOrder(group, order, current, err)
 }
 
-// limitChange returns the number closest to the target that the change budget allows, starting from the number in force.
+// limitChange accrues the change budget, and returns the number closest to the target that it allows, starting from base.
 func (e *Executor) limitChange(now time.Time, base, target int) int {
 	if !e.budgetUpdatedAt.IsZero() {
 		e.budget += e.settings.MaxChangeRate * now.Sub(e.budgetUpdatedAt).Seconds()
@@ -86,18 +90,18 @@
 	return min(max(target, base-step), base+step)
 }
 
-// numberInForce returns the last accepted number, or else the number of present workers.
-func (s *poolState) numberInForce(current int) int {
+// lastAccepted returns the last accepted number, or else the number of present workers.
+func (s *poolState) lastAccepted(current int) int {
 	if s.lastOrdered >= 0 {
 		return s.lastOrdered
 	}
 	return current
 }
 
-// distance returns the absolute difference.
+// distance returns the absolute difference of two numbers.
 func distance(a, b int) int { return max(a-b, b-a) }
 
-// trackMissing updates since when workers are missing.
+// trackMissing updates missingSince of a pool.
 func (e *Executor) trackMissing(now time.Time, state *poolState, current, target int) {
 	switch {
 	case current >= target:
@@ -107,7 +111,7 @@
 	}
 }
 
-// recordOrder logs an order and records it as a decision.
+// recordOrder logs the result of an order, and records it as a decision.
 func (e *Executor) recordOrder(group Group, order Order, current int, err error) {
 	kind := "kept"
 	if order.Spot {
@@ -115,16 +119,16 @@
 	}
 	log := e.logger.WithFields(logrus.Fields{
 		"group": order.Group, "zone": order.Zone, "kind": kind, "workers": order.Workers, "have": current,
-		"busy": fmt.Sprintf("%.1f", group.Busy), "need": e.estimators[group.Name].current,
+		"busy": fmt.Sprintf("%.1f", group.Busy), "need": e.estimators[group.Name].need,
 	})
 	record := decision.Record{
 		Kind: decision.KindCapacity, Subject: order.Group + " in " + order.Zone, Outcome: fmt.Sprintf("%d %s workers", order.Workers, kind),
-		Reason: "The demand requires a different number of workers.", Fence: order.Fence,
+		Reason: "The plan has a different number of workers.", Fence: order.Fence,
 		Inputs: map[string]string{"have": fmt.Sprint(current), "kind": kind},
 	}
 	if err != nil {
-		log.WithError(err).Warn("Workers were not ordered.")
-		record.Reason = "Workers were not ordered: " + err.Error() + "."
+		log.WithError(err).Warn("The order of workers failed.")
+		record.Reason = "The order of workers failed: " + err.Error() + "."
 	} else {
 		log.Info("Workers were ordered.")
 	}
