--- a/internal/routing/configuration.go
+++ b/internal/routing/configuration.go
@@ -1,5 +1,6 @@
 // Package routing holds the dynamic configuration of the request path: which rule applies to a request, which group
-// of workers serves it, and with which limits. A Configuration is a complete validated snapshot and is immutable.
+// of workers serves it, and with which limits. A Configuration is a complete snapshot and is immutable;
+// callers validate it before they use it.
 package routing
 
 import (
@@ -66,7 +67,7 @@
 	Kind  Kind
 	// Timeout limits the total time of a request.
 	Timeout time.Duration
-	// Objective is the target for the time to the first byte of the response.
+	// Objective is the latency objective of the rule: the target for the time to the first byte of the response.
 	Objective time.Duration
 	// EventGapObjective is the target for the longest pause between two events of a stream.
 	EventGapObjective time.Duration
@@ -76,7 +77,7 @@
 	MaxAttempts int
 	// Resumable streams may continue on another worker after the last forwarded event.
 	Resumable bool
-	// Shares of the traffic, at least one.
+	// Shares are the shares of the groups in the traffic of the rule, at least one.
 	Shares []Share
 	// Public rules require no API key.
 	Public bool
@@ -130,9 +131,9 @@
 	Min, Max int
 	// BootTime is the time from ordering a worker until it serves requests.
 	BootTime time.Duration
-	// SpotPrice is the price of a preemptible worker relative to a regular one; zero if there are none.
+	// SpotPrice is the price of a spot worker relative to an on-demand one; zero if there are none.
 	SpotPrice float64
-	// ZonePrices are the prices of a worker per second, by zone.
+	// ZonePrices are the prices of an on-demand worker per second, by zone.
 	ZonePrices map[string]float64
 }
 
@@ -150,9 +151,9 @@
 
 // Configuration is one revision of everything that operators configure for the request path.
 type Configuration struct {
-	// Version is the version of routes and services, Revision that of groups and label rules. Each increases with
-	// every change.
-	Version  int64
+	// Version is the version of path rules and their groups. It increases with every change.
+	Version int64
+	// Revision is the version of label-based groups and rules. It increases with every change.
 	Revision int64
 	Rules    []Rule
 	Groups   []Group
@@ -163,8 +164,8 @@
 	WorkerLabels map[string]map[string]string
 }
 
-// WithLabels returns the configuration merged with label-based groups and rules. These groups take the engine
-// settings of the groups that they select from. Either configuration may be nil; the result is nil if both are.
+// WithLabels returns the configuration merged with label-based groups and rules. These groups take Engine and
+// MaxConnections of the groups that they select from. Either configuration may be nil; the result is nil if both are.
 func (c *Configuration) WithLabels(byLabels *Configuration) *Configuration {
 	switch {
 	case byLabels == nil:
@@ -183,7 +184,7 @@
 	return &merged
 }
 
-// withBaseSettings returns the group with the engine settings of the group that it selects from.
+// withBaseSettings returns the group with Engine and MaxConnections of the group that it selects from.
 func (c *Configuration) withBaseSettings(group Group) Group {
 	for _, base := range c.Groups {
 		if base.Name == group.SelectFrom {
@@ -194,8 +195,8 @@
 	return group
 }
 
-// Select returns the workers with the labels that operators assigned and the groups that select them. The argument is
-// not modified.
+// Select returns copies of the workers with the labels that operators assigned and the groups that select them filled
+// in. If there are neither, it returns the argument, which is never modified.
 func (c *Configuration) Select(workers backend.Set) backend.Set {
 	if !c.changesWorkers() {
 		return workers
@@ -207,7 +208,7 @@
 	return selected
 }
 
-// changesWorkers reports whether Select may change any worker.
+// changesWorkers reports whether there are operator labels or groups with which Select changes workers.
 func (c *Configuration) changesWorkers() bool {
 	return c != nil && (len(c.WorkerLabels) > 0 || slices.ContainsFunc(c.Groups, func(g Group) bool { return g.SelectFrom != "" }))
 }
--- a/internal/routing/routing_test.go
+++ b/internal/routing/routing_test.go
@@ -48,20 +48,19 @@
 	configuration := validConfiguration()
 	configuration.Rules[0].Match = PathMatch{Host: "a.example", PathPrefix: "x"}
 	configuration.Rules[0].Timeout = 0
-	configuration.Rules[1].Shares[1].Group = "nobody"
+	configuration.Rules[1].Shares[1].Group = "missing-group"
 	configuration.Groups[1].Name = "g"
 	err := configuration.Validate()
 	for _, want := range []string{"rules[0].pathPrefix", "rules[0].timeout", "rules[1].shares[1].group", "groups[1].name"} {
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("error %v does not mention %s", err, want)
+			t.Errorf("error %v, want one that mentions %s", err, want)
 		}
 	}
 	if err := validConfiguration().Validate(); err != nil {
-		t.Errorf("valid configuration: %v", err)
+		t.Errorf("valid configuration: error %v, want nil", err)
 	}
 }
 
-// TestRotationStaysWithinOneRequestOfShares checks the invariant of rotation.
 func TestRotationStaysWithinOneRequestOfShares(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		weights := rapid.SliceOfN(rapid.IntRange(0, 20), 2, 4).Filter(func(weights []int) bool {
@@ -99,12 +98,12 @@
 	changed.Rules[1].Timeout = 2 * time.Second
 	second := NewTable(changed, first)
 	if first.byHost["a.example"][0].rotation != second.byHost["a.example"][0].rotation {
-		t.Error("unchanged shares got a new rotation")
+		t.Error("rule inner: unchanged shares got a new rotation")
 	}
 	changed = validConfiguration()
 	changed.Rules[1].Shares[0].Weight = 1
 	third := NewTable(changed, second)
 	if third.byHost["a.example"][0].rotation == second.byHost["a.example"][0].rotation {
-		t.Error("changed shares kept their rotation")
+		t.Error("rule inner: changed shares kept their rotation")
 	}
 }
--- a/internal/routing/table.go
+++ b/internal/routing/table.go
@@ -13,13 +13,13 @@
 	configuration *Configuration
 	groups        map[string]*Group
 	// byHost holds the path entries of each host, the longest prefix first.
-	byHost map[string][]*entry
+	byHost map[string][]*ruleEntry
 	// byLabels holds the label entries in matching order.
-	byLabels []*entry
+	byLabels []*ruleEntry
 }
 
-// entry is a rule with the rotation over its shares.
-type entry struct {
+// ruleEntry is a rule with the rotation over its shares.
+type ruleEntry struct {
 	rule     *Rule
 	match    Matcher
 	rotation *rotation
@@ -32,12 +32,12 @@
 }
 
 // NewTable compiles a valid configuration. Rules whose shares are unchanged from the previous table, which may be
-// nil, keep their rotation, so that a configuration change does not disturb the traffic split.
+// nil, keep their rotation, so that a configuration change does not affect the traffic split.
 func NewTable(configuration *Configuration, previous *Table) *Table {
 	table := &Table{
 		configuration: configuration,
 		groups:        map[string]*Group{},
-		byHost:        map[string][]*entry{},
+		byHost:        map[string][]*ruleEntry{},
 	}
 	for i := range configuration.Groups {
 		group := &configuration.Groups[i]
@@ -45,14 +45,14 @@
 	}
 	for i := range configuration.Rules {
 		rule := &configuration.Rules[i]
-		table.add(&entry{rule: rule, match: rule.Match, rotation: previous.rotationOf(rule)})
+		table.add(&ruleEntry{rule: rule, match: rule.Match, rotation: previous.rotationOf(rule)})
 	}
 	table.sort()
 	return table
 }
 
 // add adds an entry to the list of its host or to the label entries.
-func (t *Table) add(added *entry) {
+func (t *Table) add(added *ruleEntry) {
 	switch match := added.match.(type) {
 	case PathMatch:
 		host := strings.ToLower(match.Host)
@@ -65,11 +65,11 @@
 // sort sorts the entries into matching order.
 func (t *Table) sort() {
 	for _, entries := range t.byHost {
-		slices.SortStableFunc(entries, func(a, b *entry) int {
+		slices.SortStableFunc(entries, func(a, b *ruleEntry) int {
 			return cmp.Compare(len(b.match.(PathMatch).PathPrefix), len(a.match.(PathMatch).PathPrefix))
 		})
 	}
-	slices.SortStableFunc(t.byLabels, func(a, b *entry) int {
+	slices.SortStableFunc(t.byLabels, func(a, b *ruleEntry) int {
 		byPrecedence := cmp.Compare(b.match.(LabelMatch).Precedence, a.match.(LabelMatch).Precedence)
 		return cmp.Or(byPrecedence, cmp.Compare(a.rule.Name, b.rule.Name))
 	})
@@ -95,7 +95,7 @@
 }
 
 // resolve selects the next group of an entry, which may be nil.
-func (t *Table) resolve(found *entry) (Match, bool) {
+func (t *Table) resolve(found *ruleEntry) (Match, bool) {
 	if found == nil {
 		return Match{}, false
 	}
@@ -107,7 +107,7 @@
 }
 
 // findByPath returns the entry for a host and a path, or nil.
-func (t *Table) findByPath(host, path string) *entry {
+func (t *Table) findByPath(host, path string) *ruleEntry {
 	if name, _, err := net.SplitHostPort(host); err == nil {
 		host = name
 	}
@@ -119,7 +119,8 @@
 	return nil
 }
 
-// rotationOf returns the rotation of the same rule in this table if its shares are unchanged, otherwise a new one.
+// rotationOf returns the rotation of the rule with the same path or name in this table if its shares are unchanged,
+// otherwise a new one. The table may be nil.
 func (t *Table) rotationOf(rule *Rule) *rotation {
 	fresh := newRotation(rule.Shares)
 	if t == nil {
@@ -134,8 +135,8 @@
 }
 
 // entriesLike returns the entries with the path of the rule, or with its name if it matches by labels.
-func (t *Table) entriesLike(rule *Rule) []*entry {
-	var found []*entry
+func (t *Table) entriesLike(rule *Rule) []*ruleEntry {
+	var found []*ruleEntry
 	switch match := rule.Match.(type) {
 	case PathMatch:
 		for _, candidate := range t.byHost[strings.ToLower(match.Host)] {
@@ -153,8 +154,8 @@
 	return found
 }
 
-// rotation distributes requests over groups by smooth weighted round robin: after any number of requests, each group
-// is within one request of its share.
+// rotation distributes requests over groups by smooth weighted round robin: after any number of requests, the
+// requests of each group differ from its share by at most one.
 type rotation struct {
 	shares []Share
 	total  int
