--- a/internal/prefixcache/prefixcache.go
+++ b/internal/prefixcache/prefixcache.go
@@ -1,5 +1,5 @@
-// Package prefixcache tracks which engines have the KV cache of which shared prompt segments, as far as it results from
-// requests of the gateways. Like the engines, the table evicts the least recently used segments when a cache is full.
+// Package prefixcache tracks which engines have the KV cache of which shared prompt segments, according to the requests
+// that gateways sent. Like the engines, the table evicts the least recently used segments when a cache is full.
 package prefixcache
 
 import (
@@ -10,14 +10,14 @@
 // Holder is an engine that has a segment in its cache.
 type Holder struct {
 	Worker string
-	// Cached is set once the segment has been prefilled or fetched, and not while that is still in progress.
+	// Cached is false while the segment is still being prefilled or fetched.
 	Cached bool
 }
 
 // Table is the state of all engine caches. It is a pure state machine and not safe for concurrent use.
 type Table struct {
 	workers map[string]*engineCache
-	// holders maps the key of a segment to the workers that have it, in the order in which they got it.
+	// holders maps the key of a segment to the engines that have it, in the order in which they got it.
 	holders map[string][]string
 }
 
@@ -42,7 +42,7 @@
 }
 
 // Add records that an engine with the given cache capacity in tokens has a segment, or is about to have it, and marks
-// the segment as used.
+// the segment as used. The size of a segment that is present does not change.
 func (t *Table) Add(worker string, capacity int, key string, tokens int, cached bool) {
 	cache, exists := t.workers[worker]
 	if !exists {
@@ -62,11 +62,11 @@
 	t.evict(worker, cache)
 }
 
-// maxAnonymousTokens limits the size of a merged segment without a key.
+// maxAnonymousTokens limits the size of a segment without a key, into which consecutive calls of AddAnonymous are merged.
 const maxAnonymousTokens = 5000
 
-// AddAnonymous records that a request has filled the cache of an engine with tokens that no other request can use. They are
-// evicted like segments.
+// AddAnonymous records that a request has added tokens to the cache of an engine that no other request can use. They are
+// evicted like segments. It has no effect for an engine to which no segment was added.
 func (t *Table) AddAnonymous(worker string, tokens int) {
 	cache, exists := t.workers[worker]
 	if !exists || tokens <= 0 {
@@ -82,8 +82,8 @@
 }
 
 // canAbsorb reports whether the segment has no key and room for more tokens.
-func (p *segment) canAbsorb(tokens int) bool {
-	return p.key == "" && p.tokens+tokens <= maxAnonymousTokens
+func (s *segment) canAbsorb(tokens int) bool {
+	return s.key == "" && s.tokens+tokens <= maxAnonymousTokens
 }
 
 // evict removes the least recently used segments until the rest fits. It keeps at least one segment.
@@ -93,7 +93,7 @@
 	}
 }
 
-// Remove records that an engine does not have a segment.
+// Remove records that an engine no longer has a segment.
 func (t *Table) Remove(worker, key string) {
 	cache, exists := t.workers[worker]
 	if !exists {
--- a/internal/prefixcache/prefixcache_test.go
+++ b/internal/prefixcache/prefixcache_test.go
@@ -12,7 +12,7 @@
 
 // Cache capacities in tokens.
 const (
-	capacity      = 100
+	smallCapacity = 100
 	largeCapacity = 20_000
 )
 
@@ -20,33 +20,33 @@
 type referenceSegment struct {
 	key    string
 	tokens int
-	ready  bool
+	cached bool
 }
 
 // referenceTable is a simple implementation of prefixcache.Table, with the most recently used segment of each engine
 // first.
 type referenceTable map[string][]referenceSegment
 
-// keep implements Table.Add.
-func (m referenceTable) keep(worker, key string, tokens int, ready bool) {
+// add implements Table.Add.
+func (m referenceTable) add(worker, key string, tokens int, cached bool) {
 	segments := m[worker]
 	i := slices.IndexFunc(segments, func(p referenceSegment) bool { return p.key == key })
 	if i >= 0 {
 		existing := segments[i]
-		existing.ready = existing.ready || ready
+		existing.cached = existing.cached || cached
 		segments = slices.Delete(segments, i, i+1)
 		m[worker] = slices.Insert(segments, 0, existing)
 		return
 	}
-	segments = slices.Insert(segments, 0, referenceSegment{key: key, tokens: tokens, ready: ready})
+	segments = slices.Insert(segments, 0, referenceSegment{key: key, tokens: tokens, cached: cached})
 	for len(segments) > 1 && totalTokens(segments) > largeCapacity {
 		segments = segments[:len(segments)-1]
 	}
 	m[worker] = segments
 }
 
-// fill implements Table.AddAnonymous, for fills that are too large to be merged.
-func (m referenceTable) fill(worker string, tokens int) {
+// addAnonymous implements Table.AddAnonymous, for tokens that are too many to be merged.
+func (m referenceTable) addAnonymous(worker string, tokens int) {
 	if _, exists := m[worker]; !exists {
 		return
 	}
@@ -57,8 +57,8 @@
 	m[worker] = segments
 }
 
-// forget implements Table.Remove.
-func (m referenceTable) forget(worker, key string) {
+// remove implements Table.Remove.
+func (m referenceTable) remove(worker, key string) {
 	m[worker] = slices.DeleteFunc(m[worker], func(p referenceSegment) bool { return p.key == key })
 }
 
@@ -68,7 +68,7 @@
 	for worker, segments := range m {
 		for _, segment := range segments {
 			if segment.key == key {
-				found = append(found, prefixcache.Holder{Worker: worker, Cached: segment.ready})
+				found = append(found, prefixcache.Holder{Worker: worker, Cached: segment.cached})
 			}
 		}
 	}
@@ -95,7 +95,7 @@
 	return holders
 }
 
-// TestTableMatchesReference applies random changes to a table and to the reference implementation.
+// TestTableMatchesReference guards against a table that differs from a simple list of the least recently used segments.
 func TestTableMatchesReference(t *testing.T) {
 	workers := []string{"w0", "w1", "w2"}
 	keys := []string{"k0", "k1", "k2", "k3", "k4", "k5"}
@@ -107,18 +107,18 @@
 			switch rapid.IntRange(0, 7).Draw(t, "change") {
 			case 0:
 				table.Remove(worker, key)
-				reference.forget(worker, key)
+				reference.remove(worker, key)
 			case 1:
 				table.ForgetWorker(worker)
 				delete(reference, worker)
 			case 2:
-				tokens := rapid.IntRange(3000, 9000).Draw(t, "own")
+				tokens := rapid.IntRange(3000, 9000).Draw(t, "anonymous tokens")
 				table.AddAnonymous(worker, tokens)
-				reference.fill(worker, tokens)
+				reference.addAnonymous(worker, tokens)
 			default:
-				tokens, ready := rapid.IntRange(1, 24_000).Draw(t, "tokens"), rapid.Bool().Draw(t, "ready")
-				table.Add(worker, largeCapacity, key, tokens, ready)
-				reference.keep(worker, key, tokens, ready)
+				tokens, cached := rapid.IntRange(1, 24_000).Draw(t, "tokens"), rapid.Bool().Draw(t, "cached")
+				table.Add(worker, largeCapacity, key, tokens, cached)
+				reference.add(worker, key, tokens, cached)
 			}
 			for _, each := range keys {
 				got, want := fmt.Sprint(sortHolders(table.Holders(each))), fmt.Sprint(reference.holders(each))
@@ -130,16 +130,16 @@
 	})
 }
 
-// TestHoldersAreInCachingOrder checks that using a segment again does not change the order.
+// TestHoldersAreInCachingOrder guards against holders that change places when they use the segment again.
 func TestHoldersAreInCachingOrder(t *testing.T) {
 	table := prefixcache.New()
 	for _, worker := range []string{"w2", "w0", "w1"} {
-		table.Add(worker, capacity, "k", 10, true)
+		table.Add(worker, smallCapacity, "k", 10, true)
 	}
-	table.Add("w2", capacity, "k", 10, true)
+	table.Add("w2", smallCapacity, "k", 10, true)
 	want := []prefixcache.Holder{{Worker: "w2", Cached: true}, {Worker: "w0", Cached: true}, {Worker: "w1", Cached: true}}
 	if got := table.Holders("k"); !slices.Equal(got, want) {
-		t.Errorf("got %v, want %v", got, want)
+		t.Errorf("holders of k: got %v, want %v", got, want)
 	}
 }
 
@@ -151,12 +151,12 @@
 		table.AddAnonymous("w", 100)
 	}
 	if len(table.Holders("first")) != 1 {
-		t.Fatal("a part was evicted although the cache had room")
+		t.Fatal("w no longer has the segment \"first\" after 18,000 further tokens, although the cache had room")
 	}
 	for range 20 {
 		table.AddAnonymous("w", 100)
 	}
 	if len(table.Holders("first")) != 0 {
-		t.Fatal("a part was kept although newer tokens fill the cache")
+		t.Fatal("w still has the segment \"first\" after 20,000 further tokens, which fill the cache")
 	}
 }
