--- a/internal/cachesync/cachesync.go
+++ b/internal/cachesync/cachesync.go
@@ -23,7 +23,7 @@
 
 // Limits of a request.
 const (
-	// maxSegments is the maximum number of segments in a response, which is about 4 MB for ten thousand engines.
+	// maxSegments is the maximum number of segments in a response.
 	maxSegments = 100_000
 	// maxResponseBytes limits the size of a response.
 	maxResponseBytes = 16 << 20
@@ -32,8 +32,9 @@
 	requestTimeout = 500 * time.Millisecond
 )
 
-// Handler serves the cached segments that source returns, of each engine the least recently used first.
-func Handler(source func(maxParts int) []peersync.CachedSegment) http.Handler {
+// Handler serves the cached segments that source returns. It must return those of each engine in the order of their use,
+// the least recently used first.
+func Handler(source func(limit int) []peersync.CachedSegment) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		encoded, err := cbor.Marshal(source(maxSegments))
 		if err != nil {
@@ -46,26 +47,26 @@
 	})
 }
 
-// Client queries other gateways.
+// Client queries the cached segments that other gateways know.
 type Client struct{ client *httpclient.Client }
 
 // New returns a Client.
 func New() *Client { return &Client{httpclient.New(httpclient.DefaultSettings())} }
 
 // Query returns the cached segments that the gateway at the address knows.
-func (a *Client) Query(ctx context.Context, address string) ([]peersync.CachedSegment, error) {
+func (c *Client) Query(ctx context.Context, address string) ([]peersync.CachedSegment, error) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	response, err := a.client.Do(ctx, address, &httpclient.Request{Method: http.MethodGet, Target: Path, Host: address, Header: http.Header{}})
+	response, err := c.client.Do(ctx, address, &httpclient.Request{Method: http.MethodGet, Target: Path, Host: address, Header: http.Header{}})
 	if err != nil {
-		return nil, errors.Wrapf(err, "step query cached segments, peer %s", address)
+		return nil, errors.Wrapf(err, "query cached segments, peer %s", address)
 	}
 	defer response.Body.Close()
 	content, err := io.ReadAll(io.LimitReader(response.Body, maxResponseBytes))
 	if err != nil || response.Status != http.StatusOK {
-		return nil, errors.Newf("step query cached segments, peer %s: status %d, read error %v", address, response.Status, err)
+		return nil, errors.Newf("query cached segments, peer %s: status %d, read error %v", address, response.Status, err)
 	}
 	var segments []peersync.CachedSegment
 	err = cbor.Unmarshal(content, &segments)
-	return segments, errors.Wrapf(err, "step query cached segments, peer %s: decode response, limited to %d bytes", address, maxResponseBytes)
+	return segments, errors.Wrapf(err, "query cached segments, peer %s: decode response, limited to %d bytes", address, maxResponseBytes)
 }
