--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -10,7 +10,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// weightedNode is a node with its weight for one key.
+// weightedNode pairs a node with its weight for a key.
 type weightedNode struct {
 	node   string
 	weight uint64
@@ -44,8 +44,8 @@
 	return names
 }
 
-// Bucket maps a key to one of the given number of slots.
-func Bucket(key string, slots int) int { return int(weight(key, "") % uint64(slots)) }
+// Bucket maps a key to one of the given number of buckets, counted from zero.
+func Bucket(key string, buckets int) int { return int(weight(key, "") % uint64(buckets)) }
 
 // Hash returns the hash of a key.
 func Hash(key string) uint64 { return weight(key, "") }
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -10,8 +10,9 @@
 	"github.com/granitebay/granitebay/internal/rendezvous"
 )
 
+// nodeNames returns the names of n nodes.
 func nodeNames(n int) []string {
-	return lo.Times(n, func(i int) string { return fmt.Sprintf("worker-%d", i) })
+	return lo.Times(n, func(i int) string { return fmt.Sprintf("node-%d", i) })
 }
 
 func TestFirstIgnoresOrderAndMovesOnlyKeysOfRemovedNode(t *testing.T) {
@@ -26,7 +27,7 @@
 		if again := rendezvous.First(key, shuffled); again != first {
 			t.Fatalf("First = %q, but %q with the nodes reordered", first, again)
 		}
-		removed := rapid.SampledFrom(nodes).Draw(t, "lost")
+		removed := rapid.SampledFrom(nodes).Draw(t, "removed")
 		after := rendezvous.First(key, lo.Without(nodes, removed))
 		if removed != first && after != first {
 			t.Fatalf("removing %q moved the key from %q to %q", removed, first, after)
@@ -49,11 +50,11 @@
 func TestFirstSpreadsKeysEvenly(t *testing.T) {
 	const keys, nodes = 20000, 8
 	counts := lo.CountValues(lo.Times(keys, func(i int) string {
-		return rendezvous.First(fmt.Sprintf("engine-%d", i), nodeNames(nodes))
+		return rendezvous.First(fmt.Sprintf("key-%d", i), nodeNames(nodes))
 	}))
 	for node, count := range counts {
 		if count < keys/nodes*9/10 || count > keys/nodes*11/10 {
-			t.Errorf("%s has %d of %d keys", node, count, keys)
+			t.Errorf("%s has %d of %d keys, want %d within a tenth", node, count, keys, keys/nodes)
 		}
 	}
 }
