--- a/internal/gateway/agreement_test.go
+++ b/internal/gateway/agreement_test.go
@@ -27,7 +27,7 @@
 	// The gateway is stalled until stalledUntil, last ran at lastRan, and queries an entry next at nextQuery.
 	stalledUntil, lastRan, nextQuery time.Time
 	entries                          []member.Gateway
-	audience                         []string
+	receivers                         []string
 	isEntry                          bool
 }
 
@@ -73,19 +73,19 @@
 		s.now = s.now.Add(simulationStep)
 		for _, g := range s.gateways {
 			if s.isRunning(g) {
-				s.check(g)
+				s.updateEntries(g)
 			}
 		}
 		for _, g := range s.gateways {
 			if s.isRunning(g) {
-				s.announce(g)
+				s.sendHeartbeats(g)
 			}
 		}
 	}
 }
 
 // check updates a gateway's view of the entries, as watchEntries does.
-func (s *fleetSimulation) check(g *simulatedGateway) {
+func (s *fleetSimulation) updateEntries(g *simulatedGateway) {
 	if s.now.Sub(g.lastRan) > entryCheckInterval+stallThreshold {
 		g.list.Resumed(s.now)
 	}
@@ -98,8 +98,8 @@
 		s.query(g)
 	}
 	entries, suspects := g.list.Entries(s.now)
-	audience := audienceOf(g.name, entries, slices.Concat(suspects, g.list.Claimants(s.now)), nil)
-	g.entries, g.audience, g.isEntry = entries, audience.Peers, !audience.Standby
+	receivers := receiversOf(g.name, entries, slices.Concat(suspects, g.list.Claimants(s.now)), nil)
+	g.entries, g.receivers, g.isEntry = entries, receivers.Peers, !receivers.Standby
 }
 
 // query makes a standby gateway query a random entry that it knows.
@@ -115,8 +115,8 @@
 }
 
 // announce tells a gateway's audience whether it is an entry.
-func (s *fleetSimulation) announce(g *simulatedGateway) {
-	for _, name := range g.audience {
+func (s *fleetSimulation) sendHeartbeats(g *simulatedGateway) {
+	for _, name := range g.receivers {
 		if other := s.gateway(name); s.isRunning(other) {
 			if g.isEntry {
 				other.list.HeartbeatReceived(s.now, g.name)
@@ -139,8 +139,8 @@
 
 // TestGatewaysAgreeSoonWhoTakesRequests guards against gateways that keep different sets of entries after an entry was
 // stalled while its replacement was noticed late by some.
-func TestGatewaysAgreeSoonWhoTakesRequests(t *testing.T) {
-	const simulations, busy, settled = 60, 4 * time.Second, 5 * time.Second
+func TestGatewaysAgreeOnEntriesAfterStalls(t *testing.T) {
+	const simulations, disturbance, recoveryTime = 60, 4 * time.Second, 5 * time.Second
 	disagreements := 0
 	for seed := range uint64(simulations) {
 		s := newFleetSimulation(seed, 14)
@@ -149,7 +149,7 @@
 			t.Fatalf("seed %d: entries differ at the start", seed)
 		}
 		stalled := s.gateway(s.gateways[0].entries[0].Name)
-		for start := s.now; s.now.Before(start.Add(busy)); {
+		for start := s.now; s.now.Before(start.Add(disturbance)); {
 			for _, g := range s.gateways {
 				if s.isRunning(g) && s.random.IntN(8) == 0 {
 					g.stalledUntil = s.now.Add(time.Duration(s.random.IntN(2000)) * time.Millisecond)
@@ -161,7 +161,7 @@
 		for _, g := range s.gateways {
 			g.stalledUntil = s.now
 		}
-		s.run(settled)
+		s.run(recoveryTime)
 		if !s.agreed() {
 			disagreements++
 			if disagreements == 1 {
@@ -172,6 +172,6 @@
 		}
 	}
 	if disagreements > 0 {
-		t.Errorf("in %d of %d simulations entries differ %s after all stalls ended", disagreements, simulations, settled)
+		t.Errorf("in %d of %d simulations entries differ %s after all stalls ended", disagreements, simulations, recoveryTime)
 	}
 }
--- a/internal/gateway/listener.go
+++ b/internal/gateway/clusterlistener.go
@@ -97,22 +97,22 @@
 }
 
 // outageMemory is how long after a store outage missing worker records are attributed to it.
-const outageMemory = 1500 * time.Millisecond
+const outageWindow = 1500 * time.Millisecond
 
 // lostRecordTimeout is how long a worker stays in use after a store restore lost its record. Live workers register again
 // with one of their next heartbeats, some of which may be lost; a worker that has terminated is detected by its
 // connections.
-const lostRecordTimeout = 5 * time.Second
+const restoreGrace = 5 * time.Second
 
 // fadeRatio is the fraction of the drain time for which a worker without a record stays in use after a store outage.
-const fadeRatio = 0.6
+const outageGraceRatio = 0.6
 
 // rosterSettings derives the settings of the worker roster.
 func rosterSettings(settings Settings) backend.RosterSettings {
 	return backend.RosterSettings{
-		OutageGrace:  time.Duration(fadeRatio * float64(settings.DrainTime)),
-		OutageWindow: outageMemory,
-		RestoreGrace: lostRecordTimeout,
+		OutageGrace:  time.Duration(outageGraceRatio * float64(settings.DrainTime)),
+		OutageWindow: outageWindow,
+		RestoreGrace: restoreGrace,
 	}
 }
 
--- a/internal/gateway/decisions.go
+++ b/internal/gateway/decisions.go
@@ -131,7 +131,7 @@
 
 // describeScore lists the non-zero components of an expected cost.
 func describeScore(score balance.Score) string {
-	parts := []struct {
+	components := []struct {
 		name    string
 		seconds float64
 	}{
@@ -139,9 +139,9 @@
 		{"distance", score.ZoneCost}, {"doubt", score.EjectedPenalty},
 	}
 	text := fmt.Sprintf("%.1f ms expected", millisecondsPerSecond*score.Total())
-	for _, part := range parts {
-		if part.seconds != 0 {
-			text += fmt.Sprintf(", %s %.1f", part.name, millisecondsPerSecond*part.seconds)
+	for _, component := range components {
+		if component.seconds != 0 {
+			text += fmt.Sprintf(", %s %.1f", component.name, millisecondsPerSecond*component.seconds)
 		}
 	}
 	return text
--- a/internal/gateway/decisions_test.go
+++ b/internal/gateway/decisions_test.go
@@ -9,7 +9,7 @@
 )
 
 // TestDescribeTryOfDeferredRequest checks that the description of a try says that it was deferred and why.
-func TestDescribeTryOfDeferredRequest(t *testing.T) {
+func TestDescribeDeferredAttempt(t *testing.T) {
 	attempt := forward.Attempt{Worker: "w", Candidates: 3, Score: balance.Score{Queue: 0.2, TimeToFirstToken: 0.45}, Deferred: true}
 	text := describeAttempt(attempt)
 	for _, fragment := range []string{"answer expected after 450 ms", "too late for its objective"} {
--- a/internal/gateway/enginemonitor.go
+++ b/internal/gateway/enginemonitor.go
@@ -28,7 +28,7 @@
 	// lastProbed and firstProbed hold the times of an engine's latest and first probe, by worker ID.
 	lastProbed, firstProbed map[string]time.Time
 	// lostSince holds the groups without a decode engine and since when.
-	lostSince map[string]time.Time
+	decodeLostSince map[string]time.Time
 }
 
 // Limits on probing.
@@ -42,7 +42,7 @@
 	maxProbeInterval  = 700 * time.Millisecond
 	// idleEngineInterval is how often to check for lost roles without a notification, which finds engines whose records
 	// were removed.
-	idleEngineInterval = time.Second
+	roleCheckInterval = time.Second
 	// maxConcurrentProbes bounds concurrent probes: losing a rack in a large fleet affects hundreds of engines.
 	maxConcurrentProbes = 64
 )
@@ -51,7 +51,7 @@
 func newEngineMonitor(g *Gateway) *engineMonitor {
 	m := &engineMonitor{
 		gateway: g, logger: logging.Component(g.logger, "engines"), wake: make(chan struct{}, 1), lastProbed: map[string]time.Time{},
-		firstProbed: map[string]time.Time{}, lostSince: map[string]time.Time{},
+		firstProbed: map[string]time.Time{}, decodeLostSince: map[string]time.Time{},
 	}
 	g.dispatcher.OnEngineChange(func() {
 		// Don't wait for the probes: each silent engine takes probeTimeout.
@@ -79,7 +79,7 @@
 		candidates := m.gateway.dispatcher.EnginesToQuery()
 		m.prune(candidates)
 		m.probeAll(ctx, m.dueProbes(boottime.Now(), candidates))
-		if len(candidates) > 0 || len(m.lostSince) > 0 {
+		if len(candidates) > 0 || len(m.decodeLostSince) > 0 {
 			timer.Reset(forward.EngineQueryInterval)
 		} else {
 			timer.Reset(m.idleInterval())
@@ -91,9 +91,9 @@
 // records role losses.
 func (m *engineMonitor) idleInterval() time.Duration {
 	if m.gateway.isEntry() {
-		return idleEngineInterval
+		return roleCheckInterval
 	}
-	return standbyIntervalFactor * idleEngineInterval
+	return standbyIntervalFactor * roleCheckInterval
 }
 
 // prune removes the state of engines that are no longer candidates for probing.
@@ -214,19 +214,19 @@
 func (m *engineMonitor) reportRoleLosses(now time.Time) {
 	losses := m.gateway.dispatcher.Losses()
 	for group, loss := range losses {
-		if _, known := m.lostSince[group]; known {
+		if _, known := m.decodeLostSince[group]; known {
 			continue
 		}
-		m.lostSince[group] = now
+		m.decodeLostSince[group] = now
 		m.reportRole(group, "gone", fmt.Sprintf("The group has no decode engine: %d terminated, %d prefill engines are left.", loss.LostDecoders, loss.PrefillEngines),
 			map[string]string{
 				"ended": fmt.Sprint(loss.LostDecoders), "changing": fmt.Sprint(loss.Changing), "readers": fmt.Sprint(loss.PrefillEngines),
 				"expected_in_ms": fmt.Sprint(time.Until(loss.ExpectedAt).Milliseconds()),
 			})
 	}
-	for group, since := range m.lostSince {
+	for group, since := range m.decodeLostSince {
 		if _, lost := losses[group]; !lost {
-			delete(m.lostSince, group)
+			delete(m.decodeLostSince, group)
 			m.reportRole(group, "served again", "The group has a decode engine again.",
 				map[string]string{"after_ms": fmt.Sprint(now.Sub(since).Milliseconds())})
 		}
--- a/internal/gateway/entries.go
+++ b/internal/gateway/entries.go
@@ -127,7 +127,7 @@
 }
 
 // receiveFeedEntries applies the entries that another gateway sent along with its change feed.
-func (g *Gateway) receiveFeedEntries(names, live []string) {
+func (g *Gateway) applyFeedEntries(names, live []string) {
 	g.view.EntriesReported(names, live)
 	if !slices.Equal(names, g.entryNames()) {
 		g.GatewaysChanged()
@@ -163,27 +163,27 @@
 	entries, suspects := g.view.Entries()
 	serving := g.view.ServingCount()
 	claimants := g.view.Claimants()
-	audience := audienceOf(g.settings.Name, entries, slices.Concat(suspects, claimants), g.findServing(g.entries.leader))
+	receivers := receiversOf(g.settings.Name, entries, slices.Concat(suspects, claimants), g.findServing(g.entries.leader))
 	if slices.Equal(entries, g.entries.current) && slices.Equal(suspects, g.entries.suspects) && serving == g.entries.servingCount &&
-		slices.Equal(audience.Peers, g.entries.peers) {
+		slices.Equal(receivers.Peers, g.entries.peers) {
 		return
 	}
 	entriesChanged := !slices.Equal(entries, g.entries.current)
 	if entriesChanged {
 		g.entries.previous = g.entries.current
 	}
-	g.entries.current, g.entries.suspects, g.entries.servingCount, g.entries.peers = entries, suspects, serving, audience.Peers
-	g.updateEntryRole(!audience.Standby, len(entries), serving)
+	g.entries.current, g.entries.suspects, g.entries.servingCount, g.entries.peers = entries, suspects, serving, receivers.Peers
+	g.updateEntryRole(!receivers.Standby, len(entries), serving)
 	g.replica.SetReaderCount(serving)
-	g.replica.SetStandby(audience.Standby)
+	g.replica.SetStandby(receivers.Standby)
 	if entriesChanged {
 		g.replica.NotifyWaiters()
 	}
 	g.feedFollower.SetUpstreams(lo.Map(entries, func(entry member.Gateway, _ int) changefeed.Upstream {
 		return changefeed.Upstream{Name: entry.Name, Zone: entry.Zone, Address: entry.ControlAddress}
 	}))
-	g.setRetryGatewayCount(audience.Standby, len(entries), len(suspects)+len(claimants), serving)
-	g.loadExchange.SetAudience(audience)
+	g.setRetryGatewayCount(receivers.Standby, len(entries), len(suspects)+len(claimants), serving)
+	g.loadExchange.SetReceivers(receivers)
 }
 
 // setLeader records the name of the leader and reports whether it has changed.
@@ -274,10 +274,10 @@
 // audienceOf returns the recipients of a gateway's load messages: the entries, the uncertain gateways and the leader.
 // Uncertain gateways are suspects, which otherwise would not learn that they are heard again, and gateways that consider
 // themselves entries while this one does not, which otherwise would not learn of the other entries.
-func audienceOf(ownName string, entries, uncertain, leader []member.Gateway) peersync.Receivers {
+func receiversOf(ownName string, entries, uncertain, leader []member.Gateway) peersync.Receivers {
 	isEntry := slices.ContainsFunc(entries, func(entry member.Gateway) bool { return entry.Name == ownName })
-	recipients := lo.UniqBy(slices.Concat(entries, uncertain, leader), func(gateway member.Gateway) string { return gateway.Name })
-	return peersync.Receivers{Peers: peerAddresses(ownName, recipients), Standby: !isEntry}
+	gateways := lo.UniqBy(slices.Concat(entries, uncertain, leader), func(gateway member.Gateway) string { return gateway.Name })
+	return peersync.Receivers{Peers: peerAddresses(ownName, gateways), Standby: !isEntry}
 }
 
 // peerAddresses returns the peer addresses of the gateways other than ownName.
--- a/internal/gateway/entrysizing.go
+++ b/internal/gateway/entrysizing.go
@@ -53,11 +53,11 @@
 func (g *Gateway) entryUtilization() []member.EntryLoad {
 	utilization := g.dispatcher.PeerUtilization()
 	utilization[g.settings.Name] = g.utilization.peak()
-	var busy []member.EntryLoad
+	var loads []member.EntryLoad
 	for _, entry := range g.Entries() {
-		busy = append(busy, member.EntryLoad{Cores: entry.Cores, Utilization: utilization[entry.Name]})
+		loads = append(loads, member.EntryLoad{Cores: entry.Cores, Utilization: utilization[entry.Name]})
 	}
-	return busy
+	return loads
 }
 
 // writeNeed stores the required cores, unless the stored value has changed since the given revision.
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -89,7 +89,7 @@
 	barSyncer     *barSyncer
 	engineMonitor *engineMonitor
 	notices       *noticeTracker
-	workerLimits  *limitTracker
+	workerLimits  *workerLimitTracker
 	capacity      *capacity.Executor
 
 	// gracePeriod and addressTTL are durations in nanoseconds that Reload may change.
@@ -166,7 +166,7 @@
 	g.controller = roles.NewController(control, dependencies.Store, dependencies.Orderer, g.dispatcher, logging.Component(logger, "roles"), g.recordDecision)
 	g.engineMonitor = newEngineMonitor(g)
 	g.notices = newNoticeTracker(g)
-	g.workerLimits = newLimitTracker(g)
+	g.workerLimits = newWorkerLimitTracker(g)
 	g.metrics.notices, g.metrics.workerLimits = g.notices, g.workerLimits
 	if dependencies.WatchNotices != nil {
 		dependencies.WatchNotices(g.notices.handle)
@@ -185,7 +185,7 @@
 	replication.ShardHash = rendezvous.Hash(settings.Name)
 	g.replica = store.NewReplica(dependencies.Store, allKeys, replication, g.view,
 		changefeed.NewSeeds(settings.Seeds).Fetch)
-	g.feedFollower = changefeed.NewFollower(settings.Name, settings.Zone, g.receiveFeedEntries)
+	g.feedFollower = changefeed.NewFollower(settings.Name, settings.Zone, g.applyFeedEntries)
 	g.feedFollower.SetPropagationBound(settings.ConfigurationAge)
 	g.replica.SetFeed(g.feedFollower)
 	g.replica.SetLister(g.lister)
@@ -193,9 +193,9 @@
 	g.replica.SetMaxStaleness(retrybudget.MaxListAge(settings.RetryWindow))
 	g.tenantUsage = newTenantUsage(g)
 	if dependencies.Capacity != nil {
-		settings := capacity.DefaultSettings()
-		settings.Holder = g.settings.Name
-		g.capacity = capacity.NewExecutor(settings, g, dependencies.Capacity, g.controller.Authority, logging.Component(logger, "capacity"), g.recordDecision)
+		capacitySettings := capacity.DefaultSettings()
+		capacitySettings.Holder = g.settings.Name
+		g.capacity = capacity.NewExecutor(capacitySettings, g, dependencies.Capacity, g.controller.Authority, logging.Component(logger, "capacity"), g.recordDecision)
 	}
 	if dependencies.WatchStoreRestores != nil {
 		dependencies.WatchStoreRestores(g.handleEra)
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -19,8 +19,8 @@
 	}
 	senders := map[string]int{}
 	for _, gateway := range serving {
-		audience := audienceOf(gateway.Name, entries, nil, nil)
-		for _, peer := range audience.Peers {
+		receivers := receiversOf(gateway.Name, entries, nil, nil)
+		for _, peer := range receivers.Peers {
 			senders[peer]++
 		}
 	}
@@ -34,12 +34,12 @@
 	}
 }
 
-func TestAudienceIncludesLeader(t *testing.T) {
+func TestReceiversIncludeLeader(t *testing.T) {
 	entries := []member.Gateway{{Name: "a", PeerAddress: "1"}, {Name: "b", PeerAddress: "2"}}
 	leader := member.Gateway{Name: "c", PeerAddress: "3"}
 	for name, want := range map[string]string{"a": "[2 3]", "b": "[1 3]", "c": "[1 2]", "d": "[1 2 3]"} {
-		if audience := audienceOf(name, entries, entries[:1], []member.Gateway{leader}); fmt.Sprint(audience.Peers) != want {
-			t.Errorf("audience of %s is %v, want %s", name, audience.Peers, want)
+		if receivers := receiversOf(name, entries, entries[:1], []member.Gateway{leader}); fmt.Sprint(receivers.Peers) != want {
+			t.Errorf("audience of %s is %v, want %s", name, receivers.Peers, want)
 		}
 	}
 }
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -36,7 +36,7 @@
 	// metricUnanswered counts requests whose connections ended before a complete answer was sent. metricRestedOut counts
 	// caller connections that were closed by the idle timeout.
 	metricUnanswered = "granitebay_requests_unanswered_total"
-	metricRestedOut  = "granitebay_connections_rested_out_total"
+	metricIdleTimeouts  = "granitebay_connections_rested_out_total"
 )
 
 // gatewayMetrics counts request outcomes and serves the metrics in text format. It implements forward.Observer and
@@ -52,7 +52,7 @@
 	// notices finds attempts that violated a notice of the worker; may be nil.
 	notices *noticeTracker
 	// workerLimits counts attempts on workers with request limits. It is set together with notices.
-	workerLimits *limitTracker
+	workerLimits *workerLimitTracker
 	// writeFleetTasks writes the metrics of fleet-wide tasks; may be nil.
 	writeFleetTasks func(w io.Writer)
 
@@ -144,7 +144,7 @@
 
 // countNoticeViolations counts the attempts of a request on workers that had asked for no requests or had a limit in
 // force.
-func (m *gatewayMetrics) countNoticeViolations(report *forward.Report) {
+func (m *gatewayMetrics) countAttemptsByNotice(report *forward.Report) {
 	if m.notices == nil {
 		return
 	}
@@ -156,7 +156,7 @@
 			if m.workerLimits.countAttempt(send.worker, send.at) {
 				m.set.GetOrCreateCounter(fmt.Sprintf(`%s{group=%q}`, metricAttemptsUnderLimit, report.Group)).Inc()
 			}
-			if kind := m.notices.violatedNotice(send.worker, send.at); kind != "" {
+			if kind := m.notices.noticeAgainst(send.worker, send.at); kind != "" {
 				m.set.GetOrCreateCounter(fmt.Sprintf(`%s{group=%q,notice=%q}`, metricAttemptsAgainstNotice, report.Group, kind)).Inc()
 			}
 		}
@@ -243,7 +243,7 @@
 			m.set.GetOrCreateCounter(fmt.Sprintf(`%s{rule=%q}`, metricDeferred, report.Rule)).Inc()
 		}
 	}
-	m.countNoticeViolations(report)
+	m.countAttemptsByNotice(report)
 	request := newRequestDecision(report)
 	m.decisions.Append(report.Ended, request)
 	if report.Unanswered {
@@ -296,7 +296,7 @@
 }
 
 // IdleTimeout implements callers.Observer.
-func (m *gatewayMetrics) IdleTimeout() { m.set.GetOrCreateCounter(metricRestedOut).Inc() }
+func (m *gatewayMetrics) IdleTimeout() { m.set.GetOrCreateCounter(metricIdleTimeouts).Inc() }
 
 // countUnanswered counts a request whose caller got no complete answer.
 func (m *gatewayMetrics) countUnanswered(closedBy forward.Closer) {
--- a/internal/gateway/metrics_test.go
+++ b/internal/gateway/metrics_test.go
@@ -23,7 +23,7 @@
 	}
 	var text strings.Builder
 	m.set.WritePrometheus(&text)
-	for _, want := range []string{metricRestedOut + " 1", `closed_by="caller"} 1`, `closed_by="bound on heads"} 1`, `closed_by="stop"} 1`} {
+	for _, want := range []string{metricIdleTimeouts + " 1", `closed_by="caller"} 1`, `closed_by="bound on heads"} 1`, `closed_by="stop"} 1`} {
 		if !strings.Contains(text.String(), want) {
 			t.Errorf("%s is missing in %s", want, text.String())
 		}
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -55,7 +55,7 @@
 	leavingSince time.Time
 	// backOffSince and backOffUntil delimit the time for which the worker asked for no requests.
 	backOffSince, backOffUntil time.Time
-	lastHeard                  time.Time
+	lastReceived                  time.Time
 }
 
 // noticeRetention is how long the state of an incarnation is kept after its last notice. It is longer than a leaving
@@ -90,19 +90,19 @@
 	if notice.BackOff > 0 {
 		t.gateway.dispatcher.BackOff(worker.ID, notice.BackOff)
 	}
-	news := t.record(time.Now(), worker.ID, notice)
+	newNotice := t.record(time.Now(), worker.ID, notice)
 	if notice.Leaving {
 		t.gateway.metrics.countNotice(worker.Group, noticeLeaving)
 	}
 	if notice.BackOff > 0 {
 		t.gateway.metrics.countNotice(worker.Group, noticeBackOff)
 	}
-	if news.Leaving {
+	if newNotice.Leaving {
 		t.report(worker, noticeLeaving, "The worker says that it leaves.", map[string]string{"source": sourceAnswer})
 	}
-	if news.BackOff > 0 {
+	if newNotice.BackOff > 0 {
 		t.report(worker, noticeBackOff, "The worker asked this gateway to back off.",
-			map[string]string{"for_ms": fmt.Sprint(news.BackOff.Milliseconds())})
+			map[string]string{"for_ms": fmt.Sprint(newNotice.BackOff.Milliseconds())})
 	}
 }
 
@@ -116,26 +116,26 @@
 		state = &noticeState{}
 		t.states[id] = state
 	}
-	state.lastHeard = now
-	var news backend.Notice
+	state.lastReceived = now
+	var newNotice backend.Notice
 	if notice.Leaving && state.leavingSince.IsZero() {
 		state.leavingSince = now
-		news.Leaving = true
+		newNotice.Leaving = true
 	}
 	if notice.BackOff > 0 && !now.Before(state.backOffUntil) {
 		state.backOffSince = now
-		news.BackOff = notice.BackOff
+		newNotice.BackOff = notice.BackOff
 	}
 	if until := now.Add(notice.BackOff); until.After(state.backOffUntil) {
 		state.backOffUntil = until
 	}
-	return news
+	return newNotice
 }
 
 // prune removes outdated states. The mutex must be held.
 func (t *noticeTracker) prune(now time.Time) {
 	for id, state := range t.states {
-		if now.Sub(state.lastHeard) > noticeRetention && !now.Before(state.backOffUntil) {
+		if now.Sub(state.lastReceived) > noticeRetention && !now.Before(state.backOffUntil) {
 			delete(t.states, id)
 		}
 	}
@@ -182,7 +182,7 @@
 
 // drain returns the leaving workers to announce: new ones and, if full is set, also those that were announced fewer than
 // leavingSends times.
-func (t *noticeTracker) drain(full bool) []string {
+func (t *noticeTracker) takeUpdate(full bool) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var announced []string
@@ -215,7 +215,7 @@
 }
 
 // violatedNotice returns the kind of notice that a request sent to a worker at a given time violated, or "".
-func (t *noticeTracker) violatedNotice(id string, sentAt time.Time) string {
+func (t *noticeTracker) noticeAgainst(id string, sentAt time.Time) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	state, found := t.states[id]
--- a/internal/gateway/retrybudget_test.go
+++ b/internal/gateway/retrybudget_test.go
@@ -41,7 +41,7 @@
 	}
 }
 
-func TestBudgetSettings(t *testing.T) {
+func TestBudgetSettingsCopyRetrySettings(t *testing.T) {
 	got := budgetSettings(Settings{RetryRatio: 0.2, RetryAllowance: 54, RetryWindow: 10 * time.Second})
 	if want := (retrybudget.Settings{Ratio: 0.2, Allowance: 54, Window: 10 * time.Second, Safety: retrybudget.DefaultSafety}); got != want {
 		t.Errorf("got %+v, want %+v", got, want)
--- a/internal/gateway/supplement.go
+++ b/internal/gateway/supplement.go
@@ -5,7 +5,7 @@
 // TakeSupplement implements peersync.Source.
 func (g *Gateway) TakeSupplement(full bool) peersync.Supplement {
 	requests, loans := g.dispatcher.TakeLoans()
-	return peersync.Supplement{Leaving: g.notices.drain(full), Limits: g.workerLimits.drain(full), LoanRequests: requests, Loans: loans}
+	return peersync.Supplement{Leaving: g.notices.takeUpdate(full), Limits: g.workerLimits.takeUpdate(full), LoanRequests: requests, Loans: loans}
 }
 
 // ApplySupplement implements peersync.Source. Workers announced as leaving are drained here as well, even if this
--- a/internal/gateway/workerlimits.go
+++ b/internal/gateway/workerlimits.go
@@ -16,7 +16,7 @@
 // limitTracker tracks the request limits that workers state in their answers and passes them on to the other gateways
 // and operators. Most gateways hold no share of a limit, get no answers from the worker, and learn of its limit only
 // from others. It is safe for concurrent use.
-type limitTracker struct {
+type workerLimitTracker struct {
 	gateway *Gateway
 
 	mu sync.Mutex
@@ -50,54 +50,54 @@
 const endedLimitSends = 30
 
 // newLimitTracker returns a tracker without limits.
-func newLimitTracker(g *Gateway) *limitTracker {
-	return &limitTracker{gateway: g, active: map[string]*workerLimit{}, ended: map[string]*workerLimit{}}
+func newWorkerLimitTracker(g *Gateway) *workerLimitTracker {
+	return &workerLimitTracker{gateway: g, active: map[string]*workerLimit{}, ended: map[string]*workerLimit{}}
 }
 
 // setNotify sets the function that signals pending announcements. It must not block.
-func (t *limitTracker) setNotify(notify func(urgent bool)) {
+func (t *workerLimitTracker) setNotify(notify func(urgent bool)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.notify = notify
 }
 
 // handle processes the limit, or its absence, in a worker's answer.
-func (t *limitTracker) handle(worker *backend.Worker, notice backend.Notice) {
+func (t *workerLimitTracker) handle(worker *backend.Worker, notice backend.Notice) {
 	if notice.Limit == 0 && t.activeCount.Load() == 0 {
 		return
 	}
 	now := time.Now()
 	if notice.Limit == 0 {
-		t.end(worker.ID, now.Sub(notice.RequestedAt), sourceAnswer)
+		t.endLimit(worker.ID, now.Sub(notice.RequestedAt), sourceAnswer)
 		return
 	}
 	t.gateway.metrics.countNotice(worker.Group, noticeLimit)
-	t.begin(worker.ID, notice.Limit, 0, sourceAnswer)
+	t.applyLimit(worker.ID, notice.Limit, 0, sourceAnswer)
 }
 
 // handlePeer processes limits reported by another gateway.
-func (t *limitTracker) handlePeer(limits []peersync.Limit) {
+func (t *workerLimitTracker) handlePeer(limits []peersync.Limit) {
 	for _, limit := range limits {
-		ago := time.Duration(max(limit.AgeMs, 0)) * time.Millisecond
+		age := time.Duration(max(limit.AgeMs, 0)) * time.Millisecond
 		switch {
 		case limit.PerSecond == 0:
-			t.end(limit.Worker, ago, sourcePeer)
+			t.endLimit(limit.Worker, age, sourcePeer)
 		case limit.PerSecond > 0 && !math.IsInf(limit.PerSecond, 0):
-			t.begin(limit.Worker, limit.PerSecond, ago, sourcePeer)
+			t.applyLimit(limit.Worker, limit.PerSecond, age, sourcePeer)
 		}
 	}
 }
 
 // begin handles a limit that was stated the given time ago.
-func (t *limitTracker) begin(id string, perSecond float64, ago time.Duration, source string) {
-	if t.recordBegin(id, perSecond, ago, source) {
+func (t *workerLimitTracker) applyLimit(id string, perSecond float64, ago time.Duration, source string) {
+	if t.recordLimit(id, perSecond, ago, source) {
 		t.report(id, noticeLimit, "The worker stated a limit on the requests per second of all gateways together.",
 			map[string]string{"per_second": fmt.Sprint(perSecond), "source": source})
 	}
 }
 
 // recordBegin stores a limit and reports whether it is new. Reports older than a known end of the limit are ignored.
-func (t *limitTracker) recordBegin(id string, perSecond float64, ago time.Duration, source string) bool {
+func (t *workerLimitTracker) recordLimit(id string, perSecond float64, ago time.Duration, source string) bool {
 	statedAt := time.Now().Add(-ago)
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -105,7 +105,7 @@
 		return false
 	}
 	delete(t.ended, id)
-	news := t.gateway.dispatcher.SetLimit(id, perSecond, ago)
+	isNew := t.gateway.dispatcher.SetLimit(id, perSecond, ago)
 	limit, found := t.active[id]
 	if !found {
 		limit = &workerLimit{since: statedAt}
@@ -113,19 +113,19 @@
 		t.activeCount.Store(int64(len(t.active)))
 	}
 	if statedAt.Before(limit.statedAt) {
-		return news
+		return isNew
 	}
 	limit.perSecond, limit.statedAt = perSecond, statedAt
 	if source == sourceAnswer {
 		limit.isLocal, limit.remainingSends = true, 1
-		t.announceNow(limit, news)
+		t.announceNow(limit, isNew)
 	}
-	return news
+	return isNew
 }
 
 // end handles an answer without a limit to a request that was sent the given time ago.
-func (t *limitTracker) end(id string, ago time.Duration, source string) {
-	if limit, found := t.recordEnd(id, ago, source); found {
+func (t *workerLimitTracker) endLimit(id string, ago time.Duration, source string) {
+	if limit, found := t.recordLimitEnd(id, ago, source); found {
 		t.report(id, noticeLimit+" over", "The worker no longer states a request limit.", map[string]string{
 			"tries": fmt.Sprint(limit.attempts), "for_ms": fmt.Sprint(time.Since(limit.since).Milliseconds()), "source": source,
 		})
@@ -133,7 +133,7 @@
 }
 
 // recordEnd ends a limit and returns it, or false if none ended.
-func (t *limitTracker) recordEnd(id string, ago time.Duration, source string) (workerLimit, bool) {
+func (t *workerLimitTracker) recordLimitEnd(id string, ago time.Duration, source string) (workerLimit, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	limit := t.active[id]
@@ -150,8 +150,8 @@
 }
 
 // announceNow triggers an immediate announcement of a new state. The mutex must be held.
-func (t *limitTracker) announceNow(limit *workerLimit, news bool) {
-	if !news || t.notify == nil {
+func (t *workerLimitTracker) announceNow(limit *workerLimit, isNew bool) {
+	if !isNew || t.notify == nil {
 		return
 	}
 	limit.urgent = true
@@ -159,14 +159,14 @@
 }
 
 // report logs a change of a worker's limit and records it as a decision, if the worker is known.
-func (t *limitTracker) report(id, kind, reason string, inputs map[string]string) {
+func (t *workerLimitTracker) report(id, kind, reason string, inputs map[string]string) {
 	if worker := t.gateway.worker(id); worker != nil {
 		t.gateway.notices.report(worker, kind, reason, inputs)
 	}
 }
 
 // drain returns the limits to send to other gateways: urgent ones or, if full is set, all with sends remaining.
-func (t *limitTracker) drain(full bool) []peersync.Limit {
+func (t *workerLimitTracker) takeUpdate(full bool) []peersync.Limit {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var announced []peersync.Limit
@@ -190,7 +190,7 @@
 }
 
 // countAttempt counts a request sent to a worker at a given time and reports whether a limit was in force.
-func (t *limitTracker) countAttempt(id string, sentAt time.Time) bool {
+func (t *workerLimitTracker) countAttempt(id string, sentAt time.Time) bool {
 	if t.activeCount.Load() == 0 {
 		return false
 	}
--- a/internal/peersync/exchange.go
+++ b/internal/peersync/exchange.go
@@ -103,7 +103,7 @@
 }
 
 // SetAudience replaces the receivers.
-func (e *Exchange) SetAudience(receivers Receivers) {
+func (e *Exchange) SetReceivers(receivers Receivers) {
 	for {
 		select {
 		case e.receivers <- receivers:
--- a/internal/peersync/peersync_test.go
+++ b/internal/peersync/peersync_test.go
@@ -140,7 +140,7 @@
 
 func TestPeersReceiveChangesAndHeartbeats(t *testing.T) {
 	exchanges, sources := exchangePair(t)
-	exchanges[0].SetAudience(Receivers{Peers: []string{address(exchanges[1])}})
+	exchanges[0].SetReceivers(Receivers{Peers: []string{address(exchanges[1])}})
 	exchanges[0].Changed(true)
 	waitForMessages(t, sources[1], 5)
 }
@@ -150,9 +150,9 @@
 func TestStandbyStopsHeartbeats(t *testing.T) {
 	exchanges, sources := exchangePair(t)
 	peers := []string{address(exchanges[1])}
-	exchanges[0].SetAudience(Receivers{Peers: peers})
+	exchanges[0].SetReceivers(Receivers{Peers: peers})
 	waitForMessages(t, sources[1], 3)
-	exchanges[0].SetAudience(Receivers{Peers: peers, Standby: true})
+	exchanges[0].SetReceivers(Receivers{Peers: peers, Standby: true})
 	received := func() (messages []*Message) {
 		sources[1].mutex.Lock()
 		defer sources[1].mutex.Unlock()
