--- a/internal/gateway/admin.go
+++ b/internal/gateway/admin.go
@@ -26,8 +26,8 @@
 // pathMetrics is the path of the metrics, next to the admin API and the admin page.
 const pathMetrics = "/metrics"
 
-// adminHandler serves metrics, the admin API and the admin page on one port. The API is created on first use, because
-// most gateways never serve it.
+// adminHandler serves metrics, the admin API and the admin page on one port. The API is created on first use, as few
+// gateways are asked for it.
 func (g *Gateway) adminHandler() http.Handler {
 	api := sync.OnceValue(func() http.Handler {
 		mux := http.NewServeMux()
--- a/internal/gateway/agreement_test.go
+++ b/internal/gateway/agreement_test.go
@@ -20,14 +20,14 @@
 	gateways []*simulatedGateway
 }
 
-// simulatedGateway is one gateway of the simulation.
+// simulatedGateway is the entry selection of one gateway.
 type simulatedGateway struct {
 	name string
 	list *member.List
 	// The gateway is stalled until stalledUntil, last ran at lastRan, and queries an entry next at nextQuery.
 	stalledUntil, lastRan, nextQuery time.Time
 	entries                          []member.Gateway
-	receivers                         []string
+	receivers                        []string
 	isEntry                          bool
 }
 
@@ -67,7 +67,7 @@
 // isRunning reports whether a gateway is not stalled.
 func (s *fleetSimulation) isRunning(g *simulatedGateway) bool { return !s.now.Before(g.stalledUntil) }
 
-// run advances the simulation.
+// run advances the simulated clock by length, in steps of simulationStep.
 func (s *fleetSimulation) run(length time.Duration) {
 	for end := s.now.Add(length); s.now.Before(end); {
 		s.now = s.now.Add(simulationStep)
@@ -84,13 +84,13 @@
 	}
 }
 
-// check updates a gateway's view of the entries, as watchEntries does.
+// updateEntries updates a gateway's view of the entries, as watchEntries does.
 func (s *fleetSimulation) updateEntries(g *simulatedGateway) {
 	if s.now.Sub(g.lastRan) > entryCheckInterval+stallThreshold {
 		g.list.Resumed(s.now)
 	}
 	g.lastRan = s.now
-	// An entry gets answers from the store; a standby gateway gets its state from an entry.
+	// An entry gets responses from the store; a standby gateway gets its state from an entry.
 	if g.isEntry {
 		g.list.StoreAnswered(s.now)
 	} else if !s.now.Before(g.nextQuery) {
@@ -114,7 +114,7 @@
 	g.list.EntriesReported(s.now, gatewayNames(entry.entries), gatewayNames(entry.list.AdvertisedGateways(s.now)))
 }
 
-// announce tells a gateway's audience whether it is an entry.
+// sendHeartbeats tells the receivers of a gateway whether it is an entry.
 func (s *fleetSimulation) sendHeartbeats(g *simulatedGateway) {
 	for _, name := range g.receivers {
 		if other := s.gateway(name); s.isRunning(other) {
@@ -137,7 +137,7 @@
 	return true
 }
 
-// TestGatewaysAgreeSoonWhoTakesRequests guards against gateways that keep different sets of entries after an entry was
+// TestGatewaysAgreeOnEntriesAfterStalls guards against gateways that keep different sets of entries after an entry was
 // stalled while its replacement was noticed late by some.
 func TestGatewaysAgreeOnEntriesAfterStalls(t *testing.T) {
 	const simulations, disturbance, recoveryTime = 60, 4 * time.Second, 5 * time.Second
--- a/internal/gateway/barsyncer.go
+++ b/internal/gateway/barsyncer.go
@@ -19,8 +19,9 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// barSyncer synchronizes the bars of requests that crash workers with the store, so that they survive all gateways and
-// reach standby gateways and those that are partitioned or start later.
+// barSyncer synchronizes bars with the store. A bar rejects requests with one digest, which crashed workers, until it
+// expires. In the store, bars outlive the gateways that created them and reach gateways that receive no updates from
+// those or start later.
 type barSyncer struct {
 	gateway *Gateway
 	guard   *poison.Guard
@@ -57,7 +58,7 @@
 	// barCommitTimeout bounds one change.
 	barCommitTimeout = time.Second
 	// barCleanupInterval is how often the leader removes old bars, and barRetention how long expired bars are kept:
-	// until then, a repeated request is barred again at its next crash.
+	// until then, one more worker crash under the request bars it again.
 	barCleanupInterval = time.Minute
 	barRetention       = 24 * time.Hour
 )
@@ -94,8 +95,8 @@
 		b.recordDecision(e.Bar, "barred", "Several workers crashed while running the request, one after another, and it never completed.")
 		due := time.Now()
 		if e.Bar.Rule == "" {
-			// Without a rule, this gateway has not seen the request itself. One that has knows more about it and writes
-			// first.
+			// A bar without a rule is of a request that this gateway did not forward. A gateway that did knows the rule and
+			// the tenant, and writes first.
 			due = due.Add(remoteBarDelay)
 		}
 		b.schedule(pendingBar{bar: e.Bar, due: due})
@@ -165,7 +166,7 @@
 	}
 }
 
-// nextDelay returns the time until the next change is due.
+// nextDelay returns the time until the next change is due, at most barCleanupInterval.
 func (b *barSyncer) nextDelay() time.Duration {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -176,7 +177,8 @@
 	return delay
 }
 
-// takeDue removes the due changes from the queue and returns those that the store does not reflect yet.
+// takeDue removes the due changes from the queue and returns those that the store does not reflect yet. It ignores an
+// expiry that is up to a second later than the stored one, as gateways compute slightly different times for one bar.
 func (b *barSyncer) takeDue(now time.Time) []pendingBar {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -232,7 +234,7 @@
 		transaction.Puts = []store.Put{{Key: key, Value: value}}
 	}
 	_, err := b.gateway.dependencies.Store.Commit(ctx, transaction)
-	return errors.Wrap(err, "update bar of request in store")
+	return errors.Wrapf(err, "update bar of request %s in store", change.bar.Digest)
 }
 
 // removeExpired schedules the removal of old bars if this gateway is the leader.
@@ -256,7 +258,8 @@
 	_, found := b.stored[digest]
 	b.mu.Unlock()
 	if !found {
-		// A write may be under way. The other gateways are told of the release as if the request had completed.
+		// The bar may be about to be written. Releasing it here also clears it on the other gateways, as if the request had
+		// completed, which drops their pending writes.
 		return b.handleRemoved(digest), nil
 	}
 	if err := b.commit(ctx, pendingBar{bar: poison.Bar{Digest: digest}, remove: true}); err != nil {
@@ -266,14 +269,15 @@
 	return true, nil
 }
 
-// handleRemoved handles the removal of a bar from the store and reports whether it was in force here.
+// handleRemoved handles the removal of a bar from the store and reports whether it was in force on this
+// gateway.
 func (b *barSyncer) handleRemoved(digest poison.Digest) bool {
 	b.mu.Lock()
 	delete(b.stored, digest)
 	b.mu.Unlock()
 	wasBarred := b.guard.Release(digest)
 	if wasBarred {
-		b.logger.WithField("asked", digest).Info("Request released.")
+		b.logger.WithField("asked", digest).Info("Request is no longer barred.")
 		b.recordDecision(poison.Bar{Digest: digest}, "released", "The bar of the request was removed from the store.")
 	}
 	return wasBarred
@@ -324,8 +328,8 @@
 	g.barSyncer.handleRemoved(digest)
 }
 
-// rewriteAll schedules all bars to be written again after the store was restored from an older copy, unless it still
-// holds them. No request is released.
+// rewriteAll handles a restore of the store: it schedules writes of all bars in force. Bars that the store lists again
+// before remoteBarDelay are not written.
 func (b *barSyncer) rewriteAll() {
 	due := time.Now().Add(remoteBarDelay)
 	b.mu.Lock()
--- a/internal/gateway/barsyncer_test.go
+++ b/internal/gateway/barsyncer_test.go
@@ -48,8 +48,8 @@
 	}}}
 }
 
-// TestBarWrittenOnlyWhileInForce guards against writing a bar that was cleared while waiting for the gateway that made
-// it.
+// TestBarWrittenOnlyWhileInForce guards against writing a bar that was cleared while this gateway waited for the gateway
+// that created it.
 func TestBarWrittenOnlyWhileInForce(t *testing.T) {
 	b, recording := newTestBarSyncer()
 	barred, cleared := poison.Request{Target: "/barred"}.Digest(), poison.Request{Target: "/cleared"}.Digest()
@@ -60,7 +60,7 @@
 		b.apply(t.Context(), change)
 	}
 	if len(recording.commits) != 1 || !strings.HasSuffix(recording.commits[0].Puts[0].Key, barred.String()) {
-		t.Errorf("commits: %+v", recording.commits)
+		t.Errorf("got commits %+v, want only the bar of %s", recording.commits, barred)
 	}
 }
 
@@ -73,12 +73,12 @@
 		t.Errorf("release returned %t, %v", wasBarred, err)
 	}
 	if state, _ := b.guard.Status(digest); state != poison.Clear {
-		t.Errorf("status is %d", state)
+		t.Errorf("status is %d after the release, want clear", state)
 	}
 	for _, change := range b.takeDue(time.Now().Add(remoteBarDelay)) {
 		b.apply(t.Context(), change)
 	}
 	if len(recording.commits) > 0 {
-		t.Errorf("commits: %+v", recording.commits)
+		t.Errorf("got commits %+v, want none", recording.commits)
 	}
 }
--- a/internal/gateway/cachedsegments.go
+++ b/internal/gateway/cachedsegments.go
@@ -19,19 +19,19 @@
 const (
 	// engineQueryTimeout bounds the query of one engine.
 	engineQueryTimeout = 500 * time.Millisecond
-	// maxEnginesQueried bounds the engines that one gateway queries, which takes about a second.
+	// maxEnginesQueried bounds the engines that one gateway queries when it becomes an entry.
 	maxEnginesQueried = 1024
 	// maxConcurrentQueries bounds concurrent engine queries.
 	maxConcurrentQueries = 16
-	// maxGatewaysQueried is how many gateways to query. Any entry knows all cached segments, but some may have just become
-	// entries themselves.
+	// maxGatewaysQueried is how many gateways to query. One is enough, unless it has only just become an entry and knows no
+	// cached segments yet.
 	maxGatewaysQueried = 4
 )
 
-// learnCachedSegments learns which prompt segments engines cache, once the engines are known and whenever this gateway becomes
-// an entry. Without it, a restart would make engines process shared prompt segments again although these are cached.
-// Entries that already serve know the segments; if there are none, each entry queries its share of the engines and then the
-// other entries.
+// learnCachedSegments learns which prompt segments engines cache, once the engines are known and whenever this gateway
+// becomes an entry. Without it, a new entry would send requests to engines that do not cache their prompts. Entries that
+// already serve know the segments; if there are none, each entry queries its share of the engines and then the other
+// entries.
 func (g *Gateway) learnCachedSegments(ctx context.Context) {
 	if g.dependencies.PromptCache == nil {
 		return
@@ -46,7 +46,7 @@
 		case <-ctx.Done():
 			return
 		case <-g.learnTrigger:
-			// The gateway may have considered itself an entry only until it knew the others.
+			// The trigger may be outdated: a starting gateway considers itself an entry until it knows the others.
 			if !g.isEntry() || g.learnFromGateways(ctx) > 0 {
 				continue
 			}
@@ -64,8 +64,8 @@
 	}
 }
 
-// learnFromGateways queries some current and previous entries for cached prompt segments and returns how many segments were
-// new.
+// learnFromGateways queries some current and previous entries for cached prompt segments and returns how many segments
+// were new.
 func (g *Gateway) learnFromGateways(ctx context.Context) int {
 	var queries sync.WaitGroup
 	var learned atomic.Int64
@@ -73,14 +73,14 @@
 		queries.Go(func() {
 			segments, err := g.cacheClient.Query(ctx, address)
 			if err != nil {
-				logging.Component(g.logger, "gateway").WithError(err).Debug("Querying a gateway for cached prompt parts failed.")
+				logging.Component(g.logger, "gateway").WithError(err).WithField("peer", address).Debug("Querying a gateway for cached prompt segments failed.")
 				return
 			}
 			learned.Add(int64(g.dispatcher.MergeCache(segments)))
 		})
 	}
 	queries.Wait()
-	logging.Component(g.logger, "gateway").WithField("parts", learned.Load()).Info("Learned cached prompt parts from other gateways.")
+	logging.Component(g.logger, "gateway").WithField("segments", learned.Load()).Info("Learned cached prompt segments from other gateways.")
 	return int(learned.Load())
 }
 
@@ -135,13 +135,14 @@
 	return engines[:min(len(engines), maxEnginesQueried)]
 }
 
-// learnFromEngine queries one engine. Failures are not retried, because cached segments also become known as they are used.
+// learnFromEngine queries one engine. Failures are not retried, because cached segments also become known as they are
+// used.
 func (g *Gateway) learnFromEngine(ctx context.Context, engine *backend.Worker) {
 	ctx, cancel := context.WithTimeout(ctx, engineQueryTimeout)
 	defer cancel()
 	segments, err := g.dependencies.PromptCache.CachedSegments(ctx, engine)
 	if err != nil {
-		logging.Component(g.logger, "gateway").WithError(err).Debug("Querying an engine for cached prompt parts failed.")
+		logging.Component(g.logger, "gateway").WithError(err).WithField("engine", engine.ID).Debug("Querying an engine for cached prompt segments failed.")
 		return
 	}
 	g.dispatcher.RecordCache(engine.ID, segments)
--- a/internal/gateway/capacity.go
+++ b/internal/gateway/capacity.go
@@ -9,19 +9,20 @@
 	"github.com/granitebay/granitebay/internal/routing"
 )
 
-// recordRecoveryTime is how long after a store outage, or after the start, records of live workers may be missing: two
-// seconds plus a heartbeat.
+// recordRecoveryTime is how long after a store outage, or after the start, records of live workers may be missing. They
+// register again with one of their next heartbeats.
 const recordRecoveryTime = 3500 * time.Millisecond
 
-// initialRecordTime is how long after the start most workers have registered: two heartbeats. Before that, a full zone
-// looks empty.
+// initialRecordTime is how long after the start most workers have registered. Until then, too few records exist to tell
+// how many workers a zone has.
 const initialRecordTime = 2500 * time.Millisecond
 
 // newFleetPeriod is how long a fleet counts as new. It covers the registration of the first workers and is shorter than
 // the boot time of ordered spot workers.
 const newFleetPeriod = 5 * time.Second
 
-// CapacityGroups implements capacity.Fleet.
+// CapacityGroups implements capacity.Fleet. Only entries and the leader return groups, as the others do not know all
+// workers.
 func (g *Gateway) CapacityGroups() []capacity.Group {
 	table := g.handler.Table()
 	if table == nil || !(g.isEntry() || g.controller.HasAuthority()) {
--- a/internal/gateway/clusterlistener.go
+++ b/internal/gateway/clusterlistener.go
@@ -26,7 +26,7 @@
 		"idle_ms": changed.Limits.IdleTimeout.Milliseconds(), "header_ms": changed.Limits.HeaderTimeout.Milliseconds(),
 	}).Info("Configuration in force.")
 	if duplicates := changed.Tenants.DuplicateKeys(); duplicates > 0 {
-		logging.Component(g.logger, "gateway").WithField("keys", duplicates).Warn("Some keys are assigned to two tenants; the first one keeps them.")
+		logging.Component(g.logger, "gateway").WithField("keys", duplicates).Warn("Some API keys are assigned to two tenants; the first tenant keeps them.")
 	}
 	g.recordDecision(decision.Record{
 		Kind: decision.KindConfiguration, Subject: "configuration", Outcome: fmt.Sprintf("version %d", changed.Version),
@@ -50,8 +50,8 @@
 	logging.Component(g.logger, "gateway").WithField("workers", len(g.workers)).Debug("Workers changed.")
 }
 
-// updateAddresses counts the workers at each address before changes are applied, and closes connections to addresses
-// without workers. workersMu must be held.
+// updateAddresses updates the number of workers at each address, and closes idle connections to addresses that have none
+// left. It must be called before the changes are applied to workers, with workersMu held.
 func (g *Gateway) updateAddresses(changes backend.Changes) {
 	release := func(id string) {
 		previous := g.workers[id]
@@ -87,7 +87,7 @@
 	}
 }
 
-// Reload applies changed settings. Addresses and names keep their values from the start.
+// Reload applies changes of Grace, the address TTLs and the retry settings. All other settings keep their values.
 func (g *Gateway) Reload(settings Settings) {
 	g.gracePeriod.Store(int64(settings.Grace))
 	g.addressTTL.Store(int64(min(settings.AddressTTL, settings.MaxAddressTTL)))
@@ -96,15 +96,15 @@
 	logging.Component(g.logger, "gateway").Info("Settings in force.")
 }
 
-// outageMemory is how long after a store outage missing worker records are attributed to it.
+// outageWindow is how long after a store outage missing worker records are attributed to it.
 const outageWindow = 1500 * time.Millisecond
 
-// lostRecordTimeout is how long a worker stays in use after a store restore lost its record. Live workers register again
+// restoreGrace is how long a worker stays in use after a restore of the store lost its record. Live workers register again
 // with one of their next heartbeats, some of which may be lost; a worker that has terminated is detected by its
 // connections.
 const restoreGrace = 5 * time.Second
 
-// fadeRatio is the fraction of the drain time for which a worker without a record stays in use after a store outage.
+// outageGraceRatio is the fraction of the drain time for which a worker without a record stays in use after a store outage.
 const outageGraceRatio = 0.6
 
 // rosterSettings derives the settings of the worker roster.
@@ -137,8 +137,9 @@
 	}
 }
 
-// RegistrationConfirmed implements cluster.Listener. The set of entries is up to date at this point. FirstStart may be left over
-// from an earlier deployment, so the store must also indicate a new fleet.
+// RegistrationConfirmed implements cluster.Listener. It is called when the store has confirmed the registration of this
+// gateway and the set of entries is up to date, and releases this gateway's share of the retry allowance. FirstStart may
+// be left over from an earlier deployment, so the store must also indicate a new fleet.
 func (g *Gateway) RegistrationConfirmed(at time.Time, fleetIsNew bool) {
 	if g.settings.FirstStart && fleetIsNew {
 		g.dispatcher.ConfirmFirstStart(at)
--- a/internal/gateway/decisions.go
+++ b/internal/gateway/decisions.go
@@ -19,7 +19,7 @@
 // recordDecision adds a decision to the decision log.
 func (g *Gateway) recordDecision(record decision.Record) { g.decisions.Append(time.Now(), record) }
 
-// requestDecision is the decision log entry of a finished request. It holds no body.
+// requestDecision is the decision log entry of a finished request. It does not retain the request body.
 type requestDecision struct {
 	id              string
 	target          string
@@ -33,8 +33,7 @@
 	attempts        []forward.Attempt
 	err             error
 	digest          *poison.Digest
-	// unanswered says who closed the connection of a caller that got no complete answer and how far its request had
-	// come; nil for answered requests.
+	// unanswered holds closed_by, step, peer and passed_on_to of a request without a complete response; nil otherwise.
 	unanswered map[string]string
 	roleLoss   *forward.RoleLoss
 	ended      time.Time
@@ -61,7 +60,7 @@
 	return d
 }
 
-// servedAtFirstAttempt reports whether the first worker tried served the request.
+// servedAtFirstAttempt reports whether the first attempt served the request.
 func (d requestDecision) servedAtFirstAttempt() bool {
 	return d.reason == forward.ReasonServed && len(d.attempts) == 1
 }
@@ -79,7 +78,7 @@
 	return record
 }
 
-// inputs returns the facts about the request, with times in milliseconds.
+// inputs returns the recorded facts about the request, with times in milliseconds.
 func (d requestDecision) inputs() map[string]string {
 	inputs := map[string]string{
 		"rule": d.rule, adminapi.InputGroup: d.group, "took_ms": strconv.FormatInt(d.duration.Milliseconds(), 10),
--- a/internal/gateway/decisions_test.go
+++ b/internal/gateway/decisions_test.go
@@ -8,7 +8,7 @@
 	"github.com/granitebay/granitebay/internal/forward"
 )
 
-// TestDescribeTryOfDeferredRequest checks that the description of a try says that it was deferred and why.
+// TestDescribeDeferredAttempt guards against decision records that do not tell why an attempt was deferred.
 func TestDescribeDeferredAttempt(t *testing.T) {
 	attempt := forward.Attempt{Worker: "w", Candidates: 3, Score: balance.Score{Queue: 0.2, TimeToFirstToken: 0.45}, Deferred: true}
 	text := describeAttempt(attempt)
@@ -19,6 +19,6 @@
 	}
 	attempt.Deferred = false
 	if text := describeAttempt(attempt); strings.Contains(text, "too late") {
-		t.Errorf("description of a try that was not deferred: %q", text)
+		t.Errorf("description of an attempt that was not deferred: %q", text)
 	}
 }
--- a/internal/gateway/enginemonitor.go
+++ b/internal/gateway/enginemonitor.go
@@ -18,16 +18,16 @@
 	"github.com/granitebay/granitebay/internal/roles"
 )
 
-// engineMonitor probes engines that seem to have terminated or are changing roles, ahead of updates of their records,
-// and reports when a group loses its decode engines or gets them back. Probing requires no authority: any gateway may
-// probe, and each engine is assigned to one of them.
+// engineMonitor probes engines that seem to have terminated or are changing roles, without waiting for their records to
+// change, and reports when a group loses its decode engines or gets them back. Probing requires no authority: any
+// gateway may probe, and each engine is assigned to one of them.
 type engineMonitor struct {
 	gateway *Gateway
 	logger  logrus.FieldLogger
 	wake    chan struct{}
 	// lastProbed and firstProbed hold the times of an engine's latest and first probe, by worker ID.
 	lastProbed, firstProbed map[string]time.Time
-	// lostSince holds the groups without a decode engine and since when.
+	// decodeLostSince holds the groups without a decode engine and since when.
 	decodeLostSince map[string]time.Time
 }
 
@@ -36,11 +36,11 @@
 	// probeTimeout bounds one probe. It is longer than a loaded engine takes to answer, and short compared with a role
 	// change.
 	probeTimeout = 300 * time.Millisecond
-	// probeBackoffRatio is the fraction of an engine's absence to wait between probes, from forward.EngineQueryInterval up to
-	// maxProbeInterval. The maximum allows two probes within the time for which an answer counts.
+	// probeBackoffRatio is the fraction of the time since the first probe of an absent engine to wait between probes, from
+	// forward.EngineQueryInterval up to maxProbeInterval. Two probes at the maximum fit into enginehealth.Settings.ReportTTL.
 	probeBackoffRatio = 0.25
 	maxProbeInterval  = 700 * time.Millisecond
-	// idleEngineInterval is how often to check for lost roles without a notification, which finds engines whose records
+	// roleCheckInterval is how often to check for lost roles without a notification, which finds engines whose records
 	// were removed.
 	roleCheckInterval = time.Second
 	// maxConcurrentProbes bounds concurrent probes: losing a rack in a large fleet affects hundreds of engines.
@@ -54,7 +54,7 @@
 		firstProbed: map[string]time.Time{}, decodeLostSince: map[string]time.Time{},
 	}
 	g.dispatcher.OnEngineChange(func() {
-		// Don't wait for the probes: each silent engine takes probeTimeout.
+		// The controller does not wait for the probes, as each silent engine takes probeTimeout.
 		g.controller.Wake()
 		select {
 		case m.wake <- struct{}{}:
@@ -126,6 +126,7 @@
 		if _, known := m.firstProbed[id]; !known {
 			m.firstProbed[id] = now
 		}
+		// The leader acts on a termination only after a refused connection of its own.
 		mustConfirm := leads && candidate.Absent && !candidate.Confirmed
 		if !mustConfirm && !m.gateway.ownsKey(id) {
 			continue
@@ -176,11 +177,11 @@
 	}
 }
 
-// errWorkerLimitReached means that a worker was not queried because its request limit leaves no room.
+// errWorkerLimitReached means that a worker was not queried because its rate limit is exhausted.
 var errWorkerLimitReached = errors.New("request limit of the worker is used up")
 
-// verifyIdentity returns nil if the engine itself answers at an address that refused connections before. Usually it is a
-// replacement, possibly of another service, which is ignored until it has a record.
+// verifyIdentity checks that the process at an address that refused connections before is the same engine. Usually it is
+// a replacement, possibly of another service, which is ignored until it has a record.
 func (m *engineMonitor) verifyIdentity(ctx context.Context, worker *backend.Worker) error {
 	path := m.gateway.healthPath(worker.Group)
 	if path == "" || m.gateway.dependencies.Identify == nil {
@@ -210,7 +211,7 @@
 	return ""
 }
 
-// reportRoleLosses reports roles that were lost or regained, and engines that returned.
+// reportRoleLosses reports groups that lost or regained their decode engines, and engines that returned.
 func (m *engineMonitor) reportRoleLosses(now time.Time) {
 	losses := m.gateway.dispatcher.Losses()
 	for group, loss := range losses {
--- a/internal/gateway/entries.go
+++ b/internal/gateway/entries.go
@@ -23,13 +23,13 @@
 // entryState is the most recent view of the entries, the gateways that receive the requests of callers.
 type entryState struct {
 	mu sync.Mutex
-	// current are the entries, suspects the serving gateways that have gone silent. servingCount counts all serving
-	// gateways.
+	// current holds the entries, and suspects the serving gateways that have sent no heartbeat for a while. servingCount
+	// counts all serving gateways.
 	current, suspects []member.Gateway
 	// previous are the entries before the last change.
 	previous     []member.Gateway
 	servingCount int
-	// leader is the name of the leader, and peers are the addresses that this gateway sends its load to.
+	// leader is the name of the leader, and peers are the addresses that this gateway sends its updates to.
 	leader string
 	peers  []string
 	// isEntry is set while this gateway is an entry, and roleSince is when that last changed.
@@ -37,13 +37,13 @@
 	roleSince time.Time
 	// retryGatewayCount is the number by which the retry allowance was last divided.
 	retryGatewayCount int
-	// advertised caches the gateways named to callers; a zero advertisedAt invalidates it.
+	// advertised caches the gateways advertised to callers; a zero advertisedAt invalidates it.
 	advertised   []member.Gateway
 	advertisedAt time.Time
 }
 
-// advertisedTTL is how long the advertised gateways are cached, since hundreds of requests a second ask for them. It is
-// short compared with the silence after which a gateway is suspected.
+// advertisedTTL is how long the advertised gateways are cached, as they are read often. It is short compared with the
+// silence after which a gateway is suspected.
 const advertisedTTL = 50 * time.Millisecond
 
 // Timing of watchEntries.
@@ -58,9 +58,9 @@
 	// minLoggedSuspension is the shortest suspension that is logged. Shorter ones may result from reading two clocks in
 	// sequence.
 	minLoggedSuspension = 50 * time.Millisecond
-	// shortLeaseDelay is how long a gateway is an entry before it renews a short lease, and longLeaseDelay how long it
-	// is a standby before it renews a long one. Each change costs two store calls, and roles may change several times while
-	// a fleet starts.
+	// shortLeaseDelay is how long a gateway is an entry before it changes to a short lease, and longLeaseDelay how long it
+	// is a standby before it changes to a long one. The delays avoid changes, of two store calls each, while gateways
+	// switch between both several times as a fleet starts.
 	shortLeaseDelay = time.Second
 	longLeaseDelay  = 5 * time.Second
 )
@@ -111,7 +111,7 @@
 // entryNames returns the names of the entries.
 func (g *Gateway) entryNames() []string { return gatewayNames(g.Entries()) }
 
-// advertised returns the gateways named to callers: the entries that are known to be alive.
+// advertised returns the gateways advertised to callers: the entries that are known to be alive.
 func (g *Gateway) advertised() []member.Gateway {
 	g.entries.mu.Lock()
 	defer g.entries.mu.Unlock()
@@ -126,7 +126,7 @@
 	return g.entryNames(), gatewayNames(g.advertised())
 }
 
-// receiveFeedEntries applies the entries that another gateway sent along with its change feed.
+// applyFeedEntries applies the entries that another gateway sent along with its change feed.
 func (g *Gateway) applyFeedEntries(names, live []string) {
 	g.view.EntriesReported(names, live)
 	if !slices.Equal(names, g.entryNames()) {
@@ -140,7 +140,8 @@
 	return rendezvous.First(key, gatewayNames(g.advertised())) == g.settings.Name
 }
 
-// lister returns the name of the entry that lists the store on behalf of all entries, and whether it is this gateway.
+// lister returns the name of the entry that reads the complete list of the store for all entries, and whether it is this
+// gateway.
 func (g *Gateway) lister() (string, bool) {
 	name := rendezvous.First(listerElectionKey, gatewayNames(g.advertised()))
 	return name, name == g.settings.Name
@@ -154,7 +155,8 @@
 	return lo.Map(gateways, func(gateway member.Gateway, _ int) string { return gateway.Name })
 }
 
-// GatewaysChanged implements cluster.Listener. It passes a changed set of entries on to all components.
+// GatewaysChanged implements cluster.Listener. It determines the entries, suspects and receivers of updates, and passes
+// changed ones on to the components that depend on them.
 func (g *Gateway) GatewaysChanged() {
 	g.entries.mu.Lock()
 	defer g.entries.mu.Unlock()
@@ -203,7 +205,8 @@
 	return nil
 }
 
-// updateEntryRole records and logs whether this gateway is an entry. The mutex of entries must be held.
+// updateEntryRole records and logs whether this gateway is an entry. A gateway that becomes one also starts to learn the
+// cached prompt segments. The mutex of entries must be held.
 func (g *Gateway) updateEntryRole(isEntry bool, entries, serving int) {
 	if isEntry == g.entries.isEntry && !g.entries.roleSince.IsZero() {
 		return
@@ -235,7 +238,7 @@
 	}
 	logging.Component(g.logger, "budget").WithFields(logrus.Fields{
 		"divided_by": gatewayCount, "before": g.entries.retryGatewayCount, "stands_by": standby, "entries": entries, "in_doubt": uncertain, "gateways": serving,
-	}).Info("The share of the allowance of repeats has changed.")
+	}).Info("The share of the retry allowance has changed.")
 	g.entries.retryGatewayCount = gatewayCount
 }
 
@@ -260,8 +263,8 @@
 	}
 }
 
-// handleLease passes a renewed lease to the controller. A standby gateway does not offer its lease for the controller
-// key, because a successor would have to wait too long for its expiry.
+// handleLease passes a lease, renewed by a call that began at start, to the controller. A long lease of a standby gateway
+// is not used for the controller key: after a failure, the next leader would wait too long for it to expire.
 func (g *Gateway) handleLease(start time.Time, lease int64, ttl time.Duration) {
 	g.view.StoreAnswered(g.isEntry())
 	g.replica.RecordStoreResponse()
@@ -271,8 +274,8 @@
 	g.controller.LeaseRenewed(start, lease, ttl)
 }
 
-// audienceOf returns the recipients of a gateway's load messages: the entries, the uncertain gateways and the leader.
-// Uncertain gateways are suspects, which otherwise would not learn that they are heard again, and gateways that consider
+// receiversOf returns the receivers of a gateway's updates: the entries, the uncertain gateways and the leader. Uncertain
+// gateways are suspects, which otherwise would not learn that their heartbeats arrive again, and gateways that consider
 // themselves entries while this one does not, which otherwise would not learn of the other entries.
 func receiversOf(ownName string, entries, uncertain, leader []member.Gateway) peersync.Receivers {
 	isEntry := slices.ContainsFunc(entries, func(entry member.Gateway) bool { return entry.Name == ownName })
--- a/internal/gateway/entrysizing.go
+++ b/internal/gateway/entrysizing.go
@@ -15,8 +15,8 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// sizingInterval is how often the leader updates the required entry capacity. It equals the interval at which gateways
-// send their full state.
+// sizingInterval is how often the leader updates the required entry capacity. It equals the interval of full updates,
+// which carry the utilization.
 const sizingInterval = time.Second
 
 // idleSizingInterval is how often other gateways check whether they have become the leader.
@@ -43,7 +43,7 @@
 		if cores, changed := sizer.Next(time.Now(), g.entryUtilization(), need); changed {
 			g.writeNeed(ctx, cores, revision)
 		} else if need > 0 && revision == 0 {
-			// The store has lost the value.
+			// The store was restored from a backup without the value.
 			g.writeNeed(ctx, need, revision)
 		}
 	}
@@ -73,7 +73,7 @@
 		})
 	}
 	if err != nil {
-		log.WithError(errors.Wrap(err, "write required entry capacity")).Warn("The required entry capacity is unchanged.")
+		log.WithError(errors.Wrap(err, "write required entry capacity")).Warn("Cannot store the required entry capacity.")
 		return
 	}
 	log.Info("Changed the required entry capacity.")
--- a/internal/gateway/gateway.go
+++ b/internal/gateway/gateway.go
@@ -33,7 +33,7 @@
 	"github.com/granitebay/granitebay/internal/usage"
 )
 
-// Dependencies holds the external dependencies of a Gateway.
+// Dependencies holds the services, protocols and callbacks that a Gateway is given at construction.
 type Dependencies struct {
 	Store    store.Store
 	Decoder  cluster.Decoder
@@ -44,25 +44,28 @@
 	Orderer  roles.Orderer
 	// Usage receives the usage reports of tenants; nil disables reporting.
 	Usage usage.Sender
-	// Capacity takes orders for workers; nil disables them.
+	// Capacity orders workers from the platform; nil disables orders.
 	Capacity capacity.Orderer
 	// PromptCache queries engines for the prompt segments in their caches; if nil, these are learned only from served
 	// requests.
 	PromptCache forward.CacheQuerier
 	// Prober checks whether a worker's process has terminated.
 	Prober poison.Prober
-	// Identify returns the ID of the worker that answers the health path at the address of the given one.
+	// Identify requests the health path at worker.Address and returns the ID of the worker that answers, which may be
+	// another one.
 	Identify func(ctx context.Context, worker *backend.Worker, path string) (string, error)
-	// WatchNotices registers a callback for the notices in workers' answers, with an error for those that cannot be
+	// WatchNotices registers a callback for the notices in workers' responses, with an error for those that cannot be
 	// parsed. May be nil.
 	WatchNotices func(handle func(worker *backend.Worker, notice backend.Notice, err error))
-	// WatchStoreRestores registers a callback for store responses that report a restore from an older copy. May be nil.
+	// WatchStoreRestores registers a callback for store responses that report a restore from a backup, with the era that
+	// the restore began. May be nil.
 	WatchStoreRestores func(handle func(era int64))
 	// CloseIdleConnections closes idle connections to an address that no worker uses any more.
 	CloseIdleConnections func(address string)
 	// ReadyHandler returns the handler of the readiness endpoint.
 	ReadyHandler func(ready func() bool) http.Handler
-	// DirectoryHandler returns the handler that tells callers of a zone which gateways to connect to.
+	// DirectoryHandler returns the handler that tells callers of a zone which gateways to connect to and how long to cache
+	// the addresses.
 	DirectoryHandler func(resolve func(zone string) ([]string, time.Duration)) http.Handler
 }
 
@@ -108,13 +111,15 @@
 	// workersKnown is closed once the first workers are assigned to groups.
 	workersKnown     chan struct{}
 	workersKnownOnce sync.Once
-	// learnTrigger starts learning which prompt segments engines cache; cacheClient queries other gateways for them.
+	// learnTrigger starts learning which prompt segments engines cache.
 	learnTrigger chan struct{}
 	// restoreTrigger requests that data lost by the store be written again.
 	restoreTrigger chan struct{}
-	// editsMayBeLost is set while the store may lack operators' edits that are in force here.
+	// editsMayBeLost is set when the store was restored and may lack operators' edits that are in force here. It is
+	// cleared when an attempt to write them again begins.
 	editsMayBeLost atomic.Bool
-	cacheClient    *cachesync.Client
+	// cacheClient queries other gateways for cached prompt segments.
+	cacheClient *cachesync.Client
 
 	leaving         atomic.Bool
 	internalServers []*callers.Server
@@ -122,7 +127,8 @@
 	tasks           sync.WaitGroup
 }
 
-// New returns a gateway that does nothing until Start is called.
+// New returns a gateway that does nothing until Start is called. Callbacks registered here may use fields that are set
+// later, as none is called before Start.
 func New(settings Settings, dependencies Dependencies, logger *logrus.Logger) *Gateway {
 	g := &Gateway{settings: settings, dependencies: dependencies, logger: logger}
 	g.startedAt = time.Now()
@@ -259,7 +265,7 @@
 	return nil
 }
 
-// controlHandler serves other gateways: the contents of the store, and the prompt segments that engines cache.
+// controlHandler serves the change feed of the store and the cached prompt segments of engines to other gateways.
 func (g *Gateway) controlHandler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/", changefeed.Handler(g.replica, g.feedEntries))
@@ -267,7 +273,7 @@
 	return mux
 }
 
-// startLoadExchange starts exchanging load and notices with the other gateways.
+// startLoadExchange starts the exchange of updates with the other gateways.
 func (g *Gateway) startLoadExchange(ctx context.Context) error {
 	settings := peersync.DefaultSettings()
 	settings.Name, settings.Listen = g.settings.Name, g.settings.ListenPeers
@@ -308,7 +314,7 @@
 	g.dispatcher.ApplyUpdate(message)
 }
 
-// listen opens a listener and serves it in the background.
+// listen opens a listener and serves it in the background. The error of serve only reports that the listener was closed.
 func (g *Gateway) listen(address string, serve func(net.Listener) error) error {
 	listener, err := netdial.Listen(address)
 	if err != nil {
@@ -318,7 +324,7 @@
 	return nil
 }
 
-// serveCallers serves callers and monitors the accept loop.
+// serveCallers serves callers and monitors the accept loop: the gateway is not ready while the loop is stalled.
 func (g *Gateway) serveCallers(listener net.Listener) error {
 	return g.callers.Serve(g.accepting.Watch(listener))
 }
@@ -328,7 +334,7 @@
 	return g.handler.Table() != nil && !g.leaving.Load() && g.accepting.Accepting(time.Now())
 }
 
-// resolve returns the addresses that callers connect to and how long to cache them.
+// resolve returns the addresses that callers connect to and how long to cache them. They are the same for all zones.
 func (g *Gateway) resolve(string) ([]string, time.Duration) {
 	var addresses []string
 	for _, gateway := range g.advertised() {
@@ -341,7 +347,7 @@
 const (
 	// drainPeriod is how long a stopping gateway still accepts requests, for callers that cached its address.
 	drainPeriod = 3 * time.Second
-	// stopMargin is reserved at the end of the grace period to abort what is still running.
+	// stopMargin is reserved at the end of the grace period to abort requests that have not finished.
 	stopMargin = 500 * time.Millisecond
 	// stopPollInterval is how often to check whether all requests have finished.
 	stopPollInterval = 50 * time.Millisecond
@@ -389,7 +395,7 @@
 	return g.Ready() && len(g.workers) > 0
 }
 
-// knownWorkers returns the number of known workers: all of them on an entry, a shard on a standby gateway.
+// knownWorkers returns the number of known workers. An entry knows all workers, a standby gateway those of its shard.
 func (g *Gateway) knownWorkers() int {
 	g.workersMu.Lock()
 	defer g.workersMu.Unlock()
--- a/internal/gateway/gateway_test.go
+++ b/internal/gateway/gateway_test.go
@@ -26,20 +26,21 @@
 	}
 	for _, entry := range entries {
 		if senders[entry.Name] != len(serving)-1 {
-			t.Errorf("%s has %d senders", entry.Name, senders[entry.Name])
+			t.Errorf("%s has %d senders, want %d", entry.Name, senders[entry.Name], len(serving)-1)
 		}
 	}
 	if len(senders) != len(entries) {
-		t.Errorf("%d recipients, want %d", len(senders), len(entries))
+		t.Errorf("%d receivers, want %d", len(senders), len(entries))
 	}
 }
 
+// TestReceiversIncludeLeader guards against a leader outside of the entries that does not know their load.
 func TestReceiversIncludeLeader(t *testing.T) {
 	entries := []member.Gateway{{Name: "a", PeerAddress: "1"}, {Name: "b", PeerAddress: "2"}}
 	leader := member.Gateway{Name: "c", PeerAddress: "3"}
 	for name, want := range map[string]string{"a": "[2 3]", "b": "[1 3]", "c": "[1 2]", "d": "[1 2 3]"} {
 		if receivers := receiversOf(name, entries, entries[:1], []member.Gateway{leader}); fmt.Sprint(receivers.Peers) != want {
-			t.Errorf("audience of %s is %v, want %s", name, receivers.Peers, want)
+			t.Errorf("receivers of %s are %v, want %s", name, receivers.Peers, want)
 		}
 	}
 }
--- a/internal/gateway/metrics.go
+++ b/internal/gateway/metrics.go
@@ -20,7 +20,7 @@
 	"github.com/granitebay/granitebay/internal/usage"
 )
 
-// Metric names.
+// Names of request metrics.
 const (
 	metricRequests  = "granitebay_requests_total"
 	metricFirstByte = "granitebay_first_byte_seconds"
@@ -33,10 +33,10 @@
 	// of barred requests.
 	metricWorkerEnds = "granitebay_worker_ends_total"
 	metricBarred     = "granitebay_barred_requests"
-	// metricUnanswered counts requests whose connections ended before a complete answer was sent. metricRestedOut counts
-	// caller connections that were closed by the idle timeout.
-	metricUnanswered = "granitebay_requests_unanswered_total"
-	metricIdleTimeouts  = "granitebay_connections_rested_out_total"
+	// metricUnanswered counts requests whose connections ended before a complete response was sent. metricIdleTimeouts
+	// counts caller connections that were closed by the idle timeout.
+	metricUnanswered   = "granitebay_requests_unanswered_total"
+	metricIdleTimeouts = "granitebay_connections_rested_out_total"
 )
 
 // gatewayMetrics counts request outcomes and serves the metrics in text format. It implements forward.Observer and
@@ -49,11 +49,11 @@
 	choice, candidates *metrics.Histogram
 	// budgets returns the retry budgets; may be nil.
 	budgets func() []forward.BudgetView
-	// notices finds attempts that violated a notice of the worker; may be nil.
+	// notices tells which attempts were made on workers that had asked for no requests; may be nil.
 	notices *noticeTracker
-	// workerLimits counts attempts on workers with request limits. It is set together with notices.
+	// workerLimits counts attempts on workers with rate limits. It is nil if and only if notices is.
 	workerLimits *workerLimitTracker
-	// writeFleetTasks writes the metrics of fleet-wide tasks; may be nil.
+	// writeFleetTasks writes the metrics of usage reporting and capacity orders; may be nil.
 	writeFleetTasks func(w io.Writer)
 
 	// mu guards logLimiters.
@@ -82,13 +82,13 @@
 	m.budgets = g.dispatcher.Budgets
 }
 
-// Names of metrics that grow with the size of the fleet.
+// Names of metrics about the store and the choice of workers.
 const (
 	metricStoreCalls = "granitebay_store_calls_total"
 	metricChoice     = "granitebay_choice_seconds"
 	metricCandidates = "granitebay_choice_candidates"
-	// metricStoreRestores counts restores of the store from an older copy. metricOutdatedAnswers counts answers from
-	// before a restore that arrived after it.
+	// metricStoreRestores counts restores of the store from a backup. metricOutdatedAnswers counts responses from before
+	// a restore that arrived after it.
 	metricStoreRestores   = "granitebay_store_restored_total"
 	metricOutdatedAnswers = "granitebay_store_answers_outdated_total"
 )
@@ -96,7 +96,8 @@
 // countStoreRestore counts a restore of the store.
 func (m *gatewayMetrics) countStoreRestore() { m.set.GetOrCreateCounter(metricStoreRestores).Inc() }
 
-// countStoreCall counts a call to the store and whether it failed.
+// countStoreCall counts a call to the store and whether it failed, and logs a response that was discarded because it is
+// from before a restore.
 func (m *gatewayMetrics) countStoreCall(call store.Call, _ time.Duration, err error) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`%s{call=%q,failed="%t"}`, metricStoreCalls, call, err != nil)).Inc()
 	if !errors.Is(err, store.ErrRestored) {
@@ -104,11 +105,11 @@
 	}
 	m.set.GetOrCreateCounter(metricOutdatedAnswers).Inc()
 	if m.allowLog(outdatedAnswerReason) {
-		m.logger.WithError(err).WithField("call", call).Warn("Discarded a store answer from before the store was restored from an older copy.")
+		m.logger.WithError(err).WithField("call", call).Warn("Discarded a store answer from before the store was restored from a backup.")
 	}
 }
 
-// outdatedAnswerReason is the rate limiting key of log lines about outdated answers.
+// outdatedAnswerReason is the rate limiting key of log lines about outdated responses.
 const outdatedAnswerReason forward.Reason = "outdated answer of the store"
 
 // observeChoice records the duration of a worker choice and its number of candidates.
@@ -126,9 +127,9 @@
 const (
 	metricNotices           = "granitebay_worker_notices_total"
 	metricNoticesUnreadable = "granitebay_worker_notices_unreadable_total"
-	// metricTriesAgainstNotice counts attempts on workers that had asked for no requests.
+	// metricAttemptsAgainstNotice counts attempts on workers that had asked for no requests.
 	metricAttemptsAgainstNotice = "granitebay_tries_against_notice_total"
-	// metricTriesUnderLimit counts attempts on workers that had a request limit in force.
+	// metricAttemptsUnderLimit counts attempts on workers that had a rate limit in force.
 	metricAttemptsUnderLimit = "granitebay_tries_under_limit_total"
 )
 
@@ -142,8 +143,8 @@
 	m.set.GetOrCreateCounter(metricNoticesUnreadable).Inc()
 }
 
-// countNoticeViolations counts the attempts of a request on workers that had asked for no requests or had a limit in
-// force.
+// countAttemptsByNotice counts the attempts of a request on workers that had asked for no requests or had a rate limit
+// in force. An attempt uses the prefill engine, if any, first and the worker once the prompt is processed.
 func (m *gatewayMetrics) countAttemptsByNotice(report *forward.Report) {
 	if m.notices == nil {
 		return
@@ -180,7 +181,7 @@
 	}
 }
 
-// Names of the metrics of fleet-wide tasks.
+// Names of the metrics of usage reporting and capacity orders.
 const (
 	metricWindows = "granitebay_usage_windows_total"
 	metricWorkers = "granitebay_workers"
@@ -255,14 +256,13 @@
 	}
 }
 
-// Rate limits of log lines about requests, for each reason.
+// Rate limit of repeated log lines, for each reason.
 const (
 	logLinesPerSecond = 20
 	logLinesBurst     = 200
 )
 
-// allowLog reports whether a line with a reason may be logged. Suppressed lines are counted, and the decision log still
-// has the requests.
+// allowLog reports whether a line with a reason may be logged. Suppressed lines are counted.
 func (m *gatewayMetrics) allowLog(reason forward.Reason) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -278,7 +278,7 @@
 	return false
 }
 
-// logRequest logs a request that was not served on the first try.
+// logRequest logs a request that was not served at the first attempt.
 func (m *gatewayMetrics) logRequest(request requestDecision) {
 	if !m.logger.Logger.IsLevelEnabled(logrus.InfoLevel) {
 		return
@@ -298,13 +298,13 @@
 // IdleTimeout implements callers.Observer.
 func (m *gatewayMetrics) IdleTimeout() { m.set.GetOrCreateCounter(metricIdleTimeouts).Inc() }
 
-// countUnanswered counts a request whose caller got no complete answer.
+// countUnanswered counts a request whose caller got no complete response.
 func (m *gatewayMetrics) countUnanswered(closedBy forward.Closer) {
 	m.set.GetOrCreateCounter(fmt.Sprintf(`%s{closed_by=%q}`, metricUnanswered, closedBy)).Inc()
 }
 
-// recordUnanswered counts and logs a request whose connection ended before a complete answer. Connections closed by this
-// side are logged as warnings.
+// recordUnanswered counts and logs a request whose connection ended before a complete response. The line is a warning
+// unless the caller closed the connection.
 func (m *gatewayMetrics) recordUnanswered(report *forward.Report, request requestDecision) {
 	m.countUnanswered(report.ClosedBy)
 	if !m.allowLog(unansweredReason(report.ClosedBy)) {
--- a/internal/gateway/metrics_test.go
+++ b/internal/gateway/metrics_test.go
@@ -12,7 +12,8 @@
 	"github.com/granitebay/granitebay/internal/forward"
 )
 
-// TestClosedConnectionsCountedByCloser checks the metrics of connections closed by each side.
+// TestClosedConnectionsCountedByCloser guards against closed connections that are not counted, or are counted for the
+// wrong side.
 func TestClosedConnectionsCountedByCloser(t *testing.T) {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -26,8 +26,9 @@
 	sourcePeer   = "another gateway"
 )
 
-// noticeTracker handles the notices that workers attach to their answers: it applies them, passes them on to the other
-// gateways and reports them to operators. It is safe for concurrent use.
+// noticeTracker handles the notices that workers attach to their responses: it applies them, passes them on to the other
+// gateways and reports them to operators. A worker that announces that it is leaving is draining from then on. It is safe
+// for concurrent use.
 type noticeTracker struct {
 	gateway *Gateway
 	logger  logrus.FieldLogger
@@ -51,11 +52,11 @@
 
 // noticeState is the state of one worker's notices.
 type noticeState struct {
-	// leavingSince is when the worker first said that it is leaving; zero if it did not.
+	// leavingSince is when the worker first announced that it is leaving; zero if it did not.
 	leavingSince time.Time
 	// backOffSince and backOffUntil delimit the time for which the worker asked for no requests.
 	backOffSince, backOffUntil time.Time
-	lastReceived                  time.Time
+	lastReceived               time.Time
 }
 
 // noticeRetention is how long the state of an incarnation is kept after its last notice. It is longer than a leaving
@@ -70,7 +71,7 @@
 	}
 }
 
-// handle processes a notice in a worker's answer, and the error from parsing it, if any.
+// handle processes a notice in a worker's response, and the error from parsing it, if any.
 func (t *noticeTracker) handle(worker *backend.Worker, notice backend.Notice, err error) {
 	if err != nil {
 		t.gateway.metrics.countUnreadableNotice()
@@ -165,8 +166,8 @@
 
 // Limits on announcements to other gateways.
 const (
-	// maxAnnouncements bounds the workers in one datagram. Other gateways learn of the rest from the workers' own
-	// answers.
+	// maxAnnouncements bounds the leaving workers, and separately the limits, to announce at a time. Other gateways learn
+	// of the rest from the workers' own responses.
 	maxAnnouncements = 256
 	// leavingSends is how many times a leaving worker is announced, at once and then once a second, to make up for lost
 	// datagrams.
@@ -180,8 +181,8 @@
 	t.notify = notify
 }
 
-// drain returns the leaving workers to announce: new ones and, if full is set, also those that were announced fewer than
-// leavingSends times.
+// takeUpdate returns the leaving workers to announce: new ones and, if full is set, also those that were announced fewer
+// than leavingSends times.
 func (t *noticeTracker) takeUpdate(full bool) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -214,7 +215,7 @@
 	return g.workers[id]
 }
 
-// violatedNotice returns the kind of notice that a request sent to a worker at a given time violated, or "".
+// noticeAgainst returns the kind of notice by which a worker asked for no requests at a given time, or "".
 func (t *noticeTracker) noticeAgainst(id string, sentAt time.Time) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/gateway/outdated_test.go
+++ b/internal/gateway/outdated_test.go
@@ -13,8 +13,8 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// TestOutdatedStoreAnswersCountedAndLogLimited guards against flooding the log when many outdated answers arrive after a
-// store restore.
+// TestOutdatedStoreAnswersCountedAndLogLimited guards against flooding the log when many outdated responses arrive after
+// a restore of the store.
 func TestOutdatedStoreAnswersCountedAndLogLimited(t *testing.T) {
 	var output bytes.Buffer
 	logger := logrus.New()
@@ -22,13 +22,13 @@
 	m := newGatewayMetrics(decisionlog.New("g", 1), logger)
 	const answers = 3 * logLinesBurst
 	for range answers {
-		m.countStoreCall(store.CallWatch, time.Second, errors.Wrap(store.ErrRestored, "step watch"))
+		m.countStoreCall(store.CallWatch, time.Second, errors.Wrap(store.ErrRestored, "watch"))
 	}
 	m.countStoreCall(store.CallWatch, time.Second, store.ErrBusy)
 	if count := m.set.GetOrCreateCounter(metricOutdatedAnswers).Get(); count != answers {
-		t.Errorf("count is %d", count)
+		t.Errorf("%d outdated responses were counted, want %d", count, answers)
 	}
 	if lines := strings.Count(output.String(), "Discarded a store answer"); lines == 0 || lines > logLinesBurst+logLinesPerSecond {
-		t.Errorf("%d lines", lines)
+		t.Errorf("%d lines were logged, want 1 to %d", lines, logLinesBurst+logLinesPerSecond)
 	}
 }
--- a/internal/gateway/restore.go
+++ b/internal/gateway/restore.go
@@ -16,8 +16,8 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// handleEra handles a store response that reports a restore from an older copy. From here on no authority is exercised
-// until the store has confirmed the key holder, which is requested at once.
+// handleEra handles a store response that reports a restore from a backup. The gateway gives no orders until the store
+// has confirmed who holds the controller key, which the restarted watch requests at once.
 func (g *Gateway) handleEra(era int64) {
 	g.editsMayBeLost.Store(true)
 	g.controller.StoreRestored(boottime.Now(), era)
@@ -30,7 +30,7 @@
 	g.metrics.countStoreRestore()
 	g.recordDecision(decision.Record{
 		Kind: decision.KindStore, Subject: "store", Outcome: fmt.Sprintf("era %d", era),
-		Reason: "The store was restored from an older copy. Gateways and workers write lost data again.",
+		Reason: "The store was restored from a backup. Gateways and workers write lost data again.",
 	})
 	g.controller.StoreRestored(boottime.Now(), era)
 	g.barSyncer.rewriteAll()
@@ -40,17 +40,16 @@
 	}
 }
 
-// Timing of writing the operators' groups and rules again.
+// Timing of writing the configuration document, which holds the operators' groups and rules, again.
 const (
-	// restoreStagger is the delay between successive entries, so that usually only the first one has to write.
+	// restoreStagger is the delay between successive entries, so that later entries usually find the document written.
 	restoreStagger = 300 * time.Millisecond
 	// restoreRetryDelay is the delay after a failure, and restoreTimeout bounds one attempt.
 	restoreRetryDelay = 500 * time.Millisecond
 	restoreTimeout    = 2 * time.Second
 )
 
-// runDocumentRestore writes the operators' groups and rules again whenever the store may have lost edits, until ctx is
-// done.
+// runDocumentRestore writes the configuration document again whenever the store may have lost edits, until ctx is done.
 func (g *Gateway) runDocumentRestore(ctx context.Context) {
 	for {
 		select {
@@ -69,7 +68,7 @@
 	}
 }
 
-// entryRank returns the position of this gateway among the entries.
+// entryRank returns the position of this gateway among the entries, or 0 if it is not an entry.
 func (g *Gateway) entryRank() int {
 	for i, entry := range g.Entries() {
 		if entry.Name == g.settings.Name {
@@ -79,8 +78,8 @@
 	return 0
 }
 
-// restoreDocument writes the document in force again if the store has lost its last edits, and reports whether no retry
-// is needed.
+// restoreDocument writes the configuration document in force again if the store has lost its last edits. It returns false
+// if it must be retried.
 func (g *Gateway) restoreDocument(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, restoreTimeout)
 	defer cancel()
@@ -106,8 +105,8 @@
 	return true
 }
 
-// propose submits an edit to the store. After a restore of the store, it first waits until earlier edits are written
-// again.
+// propose submits an edit to the store. After a restore of the store, it first writes earlier edits again. If a restore
+// is noticed while the edit is submitted, it is submitted again.
 func (g *Gateway) propose(ctx context.Context, request configuration.EditRequest) configuration.ProposalResult {
 	for {
 		if g.editsMayBeLost.Load() && !g.restoreDocument(ctx) {
--- a/internal/gateway/retrybudget_test.go
+++ b/internal/gateway/retrybudget_test.go
@@ -25,6 +25,8 @@
 	return g
 }
 
+// TestEntriesShareRetryAllowanceWithSuspects guards against spending more than the retry allowance while gateways
+// disagree on which of them are entries.
 func TestEntriesShareRetryAllowanceWithSuspects(t *testing.T) {
 	g := newBudgetGateway(Settings{RetryRatio: 0.2, RetryAllowance: 54, RetryWindow: 10 * time.Second})
 	for _, test := range []struct {
@@ -36,11 +38,12 @@
 		g = newBudgetGateway(g.settings)
 		g.setRetryGatewayCount(test.standby, test.entries, test.suspects, test.serving)
 		if got := g.dispatcher.Budgets()[0].GatewayCount; got != test.want {
-			t.Errorf("%+v: gateways are %d", test, got)
+			t.Errorf("%+v: the allowance is divided by %d", test, got)
 		}
 	}
 }
 
+// TestBudgetSettingsCopyRetrySettings guards against retry settings that have no effect.
 func TestBudgetSettingsCopyRetrySettings(t *testing.T) {
 	got := budgetSettings(Settings{RetryRatio: 0.2, RetryAllowance: 54, RetryWindow: 10 * time.Second})
 	if want := (retrybudget.Settings{Ratio: 0.2, Allowance: 54, Window: 10 * time.Second, Safety: retrybudget.DefaultSafety}); got != want {
@@ -92,6 +95,7 @@
 func (nopConsumer) StoreUnavailable(error) {}
 func (nopConsumer) UpToDate(time.Time)     {}
 
+// TestRegisteredShortensNextWatch guards against a registration that is confirmed only after a full watch interval.
 func TestRegisteredShortensNextWatch(t *testing.T) {
 	for _, registered := range []bool{false, true} {
 		recorder := &watchRecorder{waits: make(chan time.Duration, 1)}
--- a/internal/gateway/settings.go
+++ b/internal/gateway/settings.go
@@ -7,15 +7,16 @@
 
 import "time"
 
-// Settings configures a gateway. Settings are read once at start, except for those that Reload applies.
+// Settings configures a gateway. Settings are read once at start, except for Grace, the address TTLs and the retry
+// settings, which Reload applies.
 type Settings struct {
 	// Name is unique in the fleet.
 	Name string
 	Zone string
 	// Cores is the number of CPU cores available to the process.
 	Cores float64
-	// LinkMbps is the network bandwidth of the machine, and Descriptors the limit on open files and connections. Zero
-	// means unknown and sets no bound.
+	// LinkMbps is the network bandwidth of the machine, and Descriptors the limit on open files and connections. A
+	// resource with an unknown limit, given as zero, is left out of the utilization.
 	LinkMbps    float64
 	Descriptors int
 	// ListenCallers, ListenReady, ListenDirectory and ListenAdmin are host:port. ListenAdmin serves operators and
@@ -37,7 +38,7 @@
 	StoreAddress string
 	// Grace is how long a graceful stop may take before the process is killed.
 	Grace time.Duration
-	// AddressTTL is how long callers cache the answer of the directory, at most MaxAddressTTL.
+	// AddressTTL is how long callers cache the response of the directory, at most MaxAddressTTL.
 	AddressTTL    time.Duration
 	MaxAddressTTL time.Duration
 	// RetryRatio, RetryAllowance and RetryWindow limit the retries of all gateways together.
@@ -52,8 +53,7 @@
 	DrainTime time.Duration
 	// ResumeDelay is how long no orders are given after the process was suspended or stalled.
 	ResumeDelay time.Duration
-	// PlatformAddress is the host:port of the platform service that takes the calls which only the leader makes; empty
-	// disables them.
+	// PlatformAddress is the host:port of the platform service, which only the leader calls; empty disables these calls.
 	PlatformAddress string
 	// UsageWindow is the length of the windows for which the usage of tenants is reported, zero for none. UsageDue is
 	// how long after its end the report of a window is due.
@@ -73,7 +73,7 @@
 		RetryAllowance: 50,
 		RetryWindow:    10 * time.Second,
 		LeaseTTL:       3 * time.Second,
-		// Deployments require a configuration to be in force within this time.
+		// A changed configuration must be in force on all gateways within this time.
 		ConfigurationAge: 3 * time.Second,
 		DrainTime:        2 * time.Second,
 		ResumeDelay:      300 * time.Millisecond,
--- a/internal/gateway/supplement.go
+++ b/internal/gateway/supplement.go
@@ -8,8 +8,8 @@
 	return peersync.Supplement{Leaving: g.notices.takeUpdate(full), Limits: g.workerLimits.takeUpdate(full), LoanRequests: requests, Loans: loans}
 }
 
-// ApplySupplement implements peersync.Source. Workers announced as leaving are drained here as well, even if this
-// gateway got no notice from them.
+// ApplySupplement implements peersync.Source. A worker that another gateway announces as leaving is
+// draining on this one, too.
 func (g *Gateway) ApplySupplement(supplement *peersync.Supplement) {
 	for _, id := range supplement.Leaving {
 		if g.view.WorkerLeaving(id) {
--- a/internal/gateway/tenantusage.go
+++ b/internal/gateway/tenantusage.go
@@ -8,7 +8,8 @@
 	"github.com/granitebay/granitebay/internal/usage"
 )
 
-// tenantUsage counts the usage of tenants. It does nothing if no windows are to be reported.
+// tenantUsage counts the usage of tenants. It does nothing if Settings.UsageWindow is zero, and only counts if
+// Dependencies.Usage is nil.
 type tenantUsage struct {
 	window   time.Duration
 	clock    *usage.Clock
@@ -40,8 +41,8 @@
 	return u
 }
 
-// addTo adds usage counts to a message: all of them if full is set, else changed ones. A standby gateway may not send
-// again for a long time, so its changes are added immediately.
+// addTo adds usage counts to a message: the own counts and those of silent gateways if full is set, else the own counts
+// that changed. A standby gateway may not send again for a long time, so its changes are added immediately.
 func (u *tenantUsage) addTo(message *peersync.Message, full, standby bool) {
 	if u.tally == nil {
 		return
@@ -58,7 +59,7 @@
 	}
 }
 
-// merge applies the counts of another gateway.
+// merge applies the clock reading and the counts of another gateway.
 func (u *tenantUsage) merge(message *peersync.Message) {
 	if u.tally == nil {
 		return
--- a/internal/gateway/utilization.go
+++ b/internal/gateway/utilization.go
@@ -31,14 +31,14 @@
 // measureInterval is the minimum time between two measurements.
 const measureInterval = 500 * time.Millisecond
 
-// Caller connections account for only half of the use: data is also forwarded to or from a worker over the same link,
-// and each caller connection needs at most one worker connection.
+// Traffic and descriptors are counted on caller connections and doubled: data is also forwarded to or from a worker over
+// the same link, and each caller connection needs at most one worker connection.
 const (
 	linkFactor       = 2
 	descriptorFactor = 2
 )
 
-// newUtilization returns the utilization of a process that has just started.
+// newUtilization returns a utilization without measurements.
 func newUtilization(settings Settings) *utilization {
 	return &utilization{cores: settings.Cores, linkMbps: settings.LinkMbps, descriptors: settings.Descriptors, measuredAt: time.Now()}
 }
--- a/internal/gateway/workerlimits.go
+++ b/internal/gateway/workerlimits.go
@@ -13,9 +13,9 @@
 	"github.com/granitebay/granitebay/internal/peersync"
 )
 
-// limitTracker tracks the request limits that workers state in their answers and passes them on to the other gateways
-// and operators. Most gateways hold no share of a limit, get no answers from the worker, and learn of its limit only
-// from others. It is safe for concurrent use.
+// workerLimitTracker tracks the rate limits that workers state in their responses and passes them on to the other
+// gateways and operators. A limit is divided among a few gateways; the others send the worker nothing and learn of its
+// limit only from updates. It is safe for concurrent use.
 type workerLimitTracker struct {
 	gateway *Gateway
 
@@ -25,31 +25,32 @@
 	active, ended map[string]*workerLimit
 	// notify signals that there is something to send; nil until set.
 	notify func(urgent bool)
-	// activeCount is len(active). It lets answers without a limit, which is nearly all, skip the mutex while no limit is
-	// in force.
+	// activeCount is len(active). It lets responses without a limit skip the mutex while no limit is in force.
 	activeCount atomic.Int64
 }
 
-// workerLimit is the request limit of a worker.
+// workerLimit is the rate limit of a worker.
 type workerLimit struct {
 	perSecond float64
 	// since is when the limit came into force, and statedAt when its current value was stated.
 	since, statedAt time.Time
 	// attempts counts the requests sent to the worker while the limit was in force.
 	attempts int
-	// isLocal is set if the limit was stated or ended by an answer to this gateway rather than reported by another one.
-	// remainingSends is how many times it is still to be sent, at once and then once a second; each answer that states it
-	// sends it again.
-	isLocal        bool
+	// isLocal is set if a response to this gateway stated or ended the limit. A limit that only other gateways reported is
+	// not sent.
+	isLocal bool
+	// remainingSends is the number of full updates that still include the limit. A response that states it sets it to 1.
 	remainingSends int
-	urgent         bool
+	// urgent is set until the next update, full or not, has included the limit.
+	urgent bool
 }
 
-// endedLimitSends is how many times the end of a limit is sent, once a second. It covers longer than usual network partitions
-// between gateways: a gateway without a share that missed it would not use the worker until the worker restarts.
+// endedLimitSends is how many times the end of a limit is sent, once a second. A gateway without a share of the limit that
+// misses its end does not use the worker until the worker restarts, so the end is sent for longer than partitions between
+// gateways usually last.
 const endedLimitSends = 30
 
-// newLimitTracker returns a tracker without limits.
+// newWorkerLimitTracker returns a tracker without limits.
 func newWorkerLimitTracker(g *Gateway) *workerLimitTracker {
 	return &workerLimitTracker{gateway: g, active: map[string]*workerLimit{}, ended: map[string]*workerLimit{}}
 }
@@ -61,7 +62,7 @@
 	t.notify = notify
 }
 
-// handle processes the limit, or its absence, in a worker's answer.
+// handle processes the limit, or its absence, in a worker's response.
 func (t *workerLimitTracker) handle(worker *backend.Worker, notice backend.Notice) {
 	if notice.Limit == 0 && t.activeCount.Load() == 0 {
 		return
@@ -88,7 +89,7 @@
 	}
 }
 
-// begin handles a limit that was stated the given time ago.
+// applyLimit handles a limit that was stated the given time ago.
 func (t *workerLimitTracker) applyLimit(id string, perSecond float64, ago time.Duration, source string) {
 	if t.recordLimit(id, perSecond, ago, source) {
 		t.report(id, noticeLimit, "The worker stated a limit on the requests per second of all gateways together.",
@@ -96,7 +97,7 @@
 	}
 }
 
-// recordBegin stores a limit and reports whether it is new. Reports older than a known end of the limit are ignored.
+// recordLimit stores a limit and reports whether it is new. Reports older than a known end of the limit are ignored.
 func (t *workerLimitTracker) recordLimit(id string, perSecond float64, ago time.Duration, source string) bool {
 	statedAt := time.Now().Add(-ago)
 	t.mu.Lock()
@@ -123,16 +124,16 @@
 	return isNew
 }
 
-// end handles an answer without a limit to a request that was sent the given time ago.
+// endLimit handles a response without a limit to a request that was sent the given time ago.
 func (t *workerLimitTracker) endLimit(id string, ago time.Duration, source string) {
 	if limit, found := t.recordLimitEnd(id, ago, source); found {
-		t.report(id, noticeLimit+" over", "The worker no longer states a request limit.", map[string]string{
+		t.report(id, noticeLimit+" over", "The worker no longer states a limit on the requests per second.", map[string]string{
 			"tries": fmt.Sprint(limit.attempts), "for_ms": fmt.Sprint(time.Since(limit.since).Milliseconds()), "source": source,
 		})
 	}
 }
 
-// recordEnd ends a limit and returns it, or false if none ended.
+// recordLimitEnd ends a limit and returns it, or false if none ended.
 func (t *workerLimitTracker) recordLimitEnd(id string, ago time.Duration, source string) (workerLimit, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -165,7 +166,7 @@
 	}
 }
 
-// drain returns the limits to send to other gateways: urgent ones or, if full is set, all with sends remaining.
+// takeUpdate returns the limits to send to other gateways: urgent ones or, if full is set, all with sends remaining.
 func (t *workerLimitTracker) takeUpdate(full bool) []peersync.Limit {
 	t.mu.Lock()
 	defer t.mu.Unlock()
