--- a/internal/backend/roster.go
+++ b/internal/backend/roster.go
@@ -91,7 +91,7 @@
 
 // drainingMemory is how long an announcement to leave is kept after the worker is no longer in use. A stale record of
 // the worker may still arrive, from a delayed list or a restored store; after this time the worker has ended.
-const drainingMemory = 10 * time.Minute
+const drainingRetention = 10 * time.Minute
 
 // markDraining records that an incarnation is leaving, which is final, and reports whether that is new.
 func (r *Roster) markDraining(now time.Time, id string) bool {
@@ -99,7 +99,7 @@
 		return false
 	}
 	for otherID, since := range r.drainingSince {
-		if now.Sub(since) > drainingMemory && r.lookup(otherID) == nil {
+		if now.Sub(since) > drainingRetention && r.lookup(otherID) == nil {
 			delete(r.drainingSince, otherID)
 		}
 	}
@@ -144,12 +144,12 @@
 	}
 	delete(r.byRecord, name)
 	r.pending[worker.ID] = nil
-	recent := !r.lastOutage.IsZero() && now.Sub(r.lastOutage) < r.settings.OutageWindow
+	isExplained := !r.lastOutage.IsZero() && now.Sub(r.lastOutage) < r.settings.OutageWindow
 	grace := r.settings.OutageGrace
 	if now.Before(r.restoreGraceUntil) {
-		recent, grace = true, r.settings.RestoreGrace
+		isExplained, grace = true, r.settings.RestoreGrace
 	}
-	if recent && !worker.Draining {
+	if isExplained && !worker.Draining {
 		r.retained[worker.ID] = retainedWorker{worker: worker, expiry: now.Add(grace)}
 		r.pending[worker.ID] = worker
 	}
--- a/internal/backend/roster_test.go
+++ b/internal/backend/roster_test.go
@@ -74,7 +74,7 @@
 	ready := &Worker{ID: "i@1", Record: "i", Address: "a"}
 	for _, test := range []struct {
 		desc  string
-		event func(roster *Roster)
+		laterEvent func(roster *Roster)
 		// wantID is the worker in use, if any, and wantDraining whether it is draining.
 		wantID       string
 		wantDraining bool
@@ -97,7 +97,7 @@
 				if !leave(roster) || roster.AnnounceLeaving(now, "i@1") {
 					t.Errorf("%s: an announcement must be new exactly once", source)
 				}
-				test.event(roster)
+				test.laterEvent(roster)
 				roster.Changes(now)
 				inUse := ""
 				for id, worker := range roster.reported {
--- a/internal/completions/completions.go
+++ b/internal/completions/completions.go
@@ -164,16 +164,16 @@
 	}
 	shared := min(b.SharedPrefixTokens, len(words))
 	if shared > 0 {
-		demand.Segments = append(demand.Segments, backend.Segment{ID: partID(b.Model, words[:shared]), Tokens: shared})
+		demand.Segments = append(demand.Segments, backend.Segment{ID: segmentID(b.Model, words[:shared]), Tokens: shared})
 	}
 	if len(words) > 0 {
-		demand.Segments = append(demand.Segments, backend.Segment{ID: partID(b.Model, words), Tokens: len(words) - shared})
+		demand.Segments = append(demand.Segments, backend.Segment{ID: segmentID(b.Model, words), Tokens: len(words) - shared})
 	}
 	return demand
 }
 
 // partID returns a hexadecimal hash that identifies a prompt part of a model.
-func partID(model string, words []string) string {
+func segmentID(model string, words []string) string {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(model)
 	for _, word := range words {
--- a/internal/completions/completions_test.go
+++ b/internal/completions/completions_test.go
@@ -43,7 +43,7 @@
 		request.Demand.PromptTokens, request.Demand.OutputTokens, strings.Join(segments, ","))
 }
 
-func TestReadRequests(t *testing.T) {
+func TestParseRequests(t *testing.T) {
 	archive, err := txtar.ParseFile("testdata/read.txtar")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/enginehealth/enginehealth.go
+++ b/internal/enginehealth/enginehealth.go
@@ -35,7 +35,7 @@
 	settings Settings
 	absent   map[string]*absentEngine
 	// endedByAddress holds the engines that ended, until another one is recorded at the address.
-	endedByAddress map[string]endedEngine
+	terminatedByAddress map[string]terminatedEngine
 	// trustedUntil holds the engines that responded although another process reported them, and until when such
 	// reports are ignored: the reporter may be partitioned.
 	trustedUntil map[string]time.Time
@@ -56,14 +56,14 @@
 }
 
 // endedEngine records when an engine ended.
-type endedEngine struct {
+type terminatedEngine struct {
 	id    string
 	since time.Time
 }
 
 // New returns an empty table.
 func New(settings Settings) *Table {
-	return &Table{settings: settings, absent: map[string]*absentEngine{}, endedByAddress: map[string]endedEngine{}, trustedUntil: map[string]time.Time{}}
+	return &Table{settings: settings, absent: map[string]*absentEngine{}, terminatedByAddress: map[string]terminatedEngine{}, trustedUntil: map[string]time.Time{}}
 }
 
 // Refused records that the address of an engine refused a connection, either of this process (direct) or as reported
@@ -88,11 +88,11 @@
 
 // trackReturn records when an engine ended, to measure the time until its return.
 func (t *Table) trackReturn(now time.Time, worker *backend.Worker) {
-	if previous, found := t.endedByAddress[worker.Address]; found && previous.id == worker.ID {
+	if previous, found := t.terminatedByAddress[worker.Address]; found && previous.id == worker.ID {
 		return
 	}
-	if len(t.endedByAddress) < maxTrackedReturns {
-		t.endedByAddress[worker.Address] = endedEngine{id: worker.ID, since: now}
+	if len(t.terminatedByAddress) < maxTrackedReturns {
+		t.terminatedByAddress[worker.Address] = terminatedEngine{id: worker.ID, since: now}
 	}
 }
 
@@ -103,8 +103,8 @@
 	if found {
 		t.trustedUntil[worker.ID] = now.Add(t.settings.ReportTTL)
 	}
-	if previous := t.endedByAddress[worker.Address]; previous.id == worker.ID {
-		delete(t.endedByAddress, worker.Address)
+	if previous := t.terminatedByAddress[worker.Address]; previous.id == worker.ID {
+		delete(t.terminatedByAddress, worker.Address)
 	}
 	return found
 }
@@ -137,12 +137,12 @@
 			delete(t.trustedUntil, id)
 		}
 	}
-	if len(t.endedByAddress) == 0 {
+	if len(t.terminatedByAddress) == 0 {
 		return nil
 	}
 	var returns []Return
 	for _, worker := range changes.Updated {
-		previous, found := t.endedByAddress[worker.Address]
+		previous, found := t.terminatedByAddress[worker.Address]
 		if !found || previous.id == worker.ID {
 			continue
 		}
@@ -150,11 +150,11 @@
 			t.returnTimes.add(away)
 			returns = append(returns, Return{Worker: worker, Away: away})
 		}
-		delete(t.endedByAddress, worker.Address)
+		delete(t.terminatedByAddress, worker.Address)
 	}
-	for address, previous := range t.endedByAddress {
+	for address, previous := range t.terminatedByAddress {
 		if now.Sub(previous.since) > t.settings.MaxReturnTime {
-			delete(t.endedByAddress, address)
+			delete(t.terminatedByAddress, address)
 		}
 	}
 	return returns
@@ -166,7 +166,7 @@
 	if !found {
 		return time.Time{}
 	}
-	if previous := t.endedByAddress[entry.worker.Address]; previous.id == id {
+	if previous := t.terminatedByAddress[entry.worker.Address]; previous.id == id {
 		return previous.since
 	}
 	return entry.since
--- a/internal/enginehealth/enginehealth_test.go
+++ b/internal/enginehealth/enginehealth_test.go
@@ -22,7 +22,7 @@
 // was removed.
 func TestAbsenceEnds(t *testing.T) {
 	settings := DefaultSettings()
-	for _, c := range []struct {
+	for _, test := range []struct {
 		desc string
 		end  func(table *Table, worker *backend.Worker)
 		at   time.Duration
@@ -36,14 +36,14 @@
 			table.ApplyChanges(epoch, backend.Changes{Removed: []string{"a"}})
 		}, 0, false},
 	} {
-		t.Run(c.desc, func(t *testing.T) {
+		t.Run(test.desc, func(t *testing.T) {
 			table, worker := New(settings), engine("a", "x")
 			if !table.Refused(epoch, worker, true) {
 				t.Fatal("the first report is not new")
 			}
-			c.end(table, worker)
-			if got, _ := table.Absent(epoch.Add(c.at), "a"); got != c.want {
-				t.Errorf("absent: %v, want %v", got, c.want)
+			test.end(table, worker)
+			if got, _ := table.Absent(epoch.Add(test.at), "a"); got != test.want {
+				t.Errorf("absent: %v, want %v", got, test.want)
 			}
 		})
 	}
@@ -53,16 +53,16 @@
 // absent that others can reach.
 func TestPartitionedReporterIsIgnoredAfterAnswer(t *testing.T) {
 	table, worker := New(DefaultSettings()), engine("a", "x")
-	excluded := 0
+	timesAbsent := 0
 	for i := range 100 {
 		now := epoch.Add(time.Duration(i) * 10 * time.Millisecond)
 		if table.Refused(now, worker, false) {
-			excluded++
+			timesAbsent++
 			table.Responded(now.Add(5*time.Millisecond), worker)
 		}
 	}
-	if excluded != 1 {
-		t.Errorf("the engine became absent %d times within a second, want once", excluded)
+	if timesAbsent != 1 {
+		t.Errorf("the engine became absent %d times within a second, want once", timesAbsent)
 	}
 	now := epoch.Add(time.Second)
 	if !table.Refused(now, worker, true) {
--- a/internal/peersync/board.go
+++ b/internal/peersync/board.go
@@ -142,7 +142,7 @@
 	lastReceived time.Time
 	loads        map[string]backend.Load
 	offered      map[string]*Rate
-	busy         float64
+	utilization         float64
 }
 
 // NewBoard returns an empty board.
@@ -164,7 +164,7 @@
 	}
 	peer.sequence, peer.lastReceived = message.Sequence, now
 	if message.Full {
-		peer.busy = message.Utilization
+		peer.utilization = message.Utilization
 		for worker := range peer.loads {
 			b.setLoad(peer, worker, backend.Load{})
 		}
@@ -198,11 +198,11 @@
 // Utilization returns the utilization of the other gateways by name.
 func (b *Board) Utilization(now time.Time) map[string]float64 {
 	b.expirePeers(now)
-	busy := make(map[string]float64, len(b.peers))
+	utilization := make(map[string]float64, len(b.peers))
 	for name, peer := range b.peers {
-		busy[name] = peer.busy
+		utilization[name] = peer.utilization
 	}
-	return busy
+	return utilization
 }
 
 // Load returns the work that the other gateways have at a worker.
--- a/internal/peersync/exchange.go
+++ b/internal/peersync/exchange.go
@@ -170,8 +170,8 @@
 		select {
 		case <-ctx.Done():
 			return
-		case audience := <-e.receivers:
-			e.applyAudience(audience)
+		case receivers := <-e.receivers:
+			e.applyReceivers(receivers)
 			continue
 		case <-e.urgent:
 		case <-heartbeatC:
@@ -201,7 +201,7 @@
 
 // applyAudience applies new receivers. A gateway that becomes standby first tells the peers that received its
 // heartbeats.
-func (e *Exchange) applyAudience(receivers Receivers) {
+func (e *Exchange) applyReceivers(receivers Receivers) {
 	becameStandby := receivers.Standby && !e.standby
 	e.standby = receivers.Standby
 	if becameStandby {
--- a/internal/peersync/peersync_test.go
+++ b/internal/peersync/peersync_test.go
@@ -78,7 +78,7 @@
 
 // fakeSource provides a fixed load and records the messages it receives.
 type fakeSource struct {
-	mutex    sync.Mutex
+	mu    sync.Mutex
 	received []*Message
 }
 
@@ -91,14 +91,14 @@
 func (s *fakeSource) ApplySupplement(*Supplement) {}
 
 func (s *fakeSource) ApplyUpdate(message *Message) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	s.received = append(s.received, message)
 }
 
 func (s *fakeSource) receivedCount() int {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	return len(s.received)
 }
 
@@ -154,8 +154,8 @@
 	waitForMessages(t, sources[1], 3)
 	exchanges[0].SetReceivers(Receivers{Peers: peers, Standby: true})
 	received := func() (messages []*Message) {
-		sources[1].mutex.Lock()
-		defer sources[1].mutex.Unlock()
+		sources[1].mu.Lock()
+		defer sources[1].mu.Unlock()
 		return append(messages, sources[1].received...)
 	}
 	for range 200 {
--- a/internal/peersync/supplement_test.go
+++ b/internal/peersync/supplement_test.go
@@ -9,11 +9,11 @@
 
 // TestSupplementsOfOtherVersions guards against rejecting supplements with unknown or missing fields.
 func TestSupplementsOfOtherVersions(t *testing.T) {
-	type newer struct {
+	type otherVersion struct {
 		Leaving []string       `cbor:"1,keyasint,omitempty"`
-		More    map[string]int `cbor:"77,keyasint,omitempty"`
+		Unknown    map[string]int `cbor:"77,keyasint,omitempty"`
 	}
-	for _, sent := range []newer{{Leaving: []string{"w"}, More: map[string]int{"a": 1}}, {More: map[string]int{"a": 1}}} {
+	for _, sent := range []otherVersion{{Leaving: []string{"w"}, Unknown: map[string]int{"a": 1}}, {Unknown: map[string]int{"a": 1}}} {
 		encoded, err := cbor.Marshal(sent)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/usage/model_test.go
+++ b/internal/usage/model_test.go
@@ -44,7 +44,7 @@
 	accepted     map[int64]map[string]int64
 	// lateCalls are reports without a response that are executed later.
 	lateCalls []lateCall
-	healthy   bool
+	faultless   bool
 }
 
 type lateCall struct {
@@ -84,8 +84,8 @@
 
 // interfere lets others act before a call arrives and returns the outcome of the call: executed with a response,
 // executed without one, executed late, or lost.
-func (s *simulation) interfere() string {
-	if s.healthy {
+func (s *simulation) drawOutcome() string {
+	if s.faultless {
 		return "answered"
 	}
 	if s.depth < 2 && rapid.Bool().Draw(s.t, "suspended") {
@@ -190,7 +190,7 @@
 }
 
 func (s *simulation) List(context.Context, string) ([]store.Item, store.Revision, error) {
-	if outcome := s.interfere(); outcome != "answered" {
+	if outcome := s.drawOutcome(); outcome != "answered" {
 		return nil, 0, errNoResponse
 	}
 	if s.item.Revision == 0 {
@@ -200,7 +200,7 @@
 }
 
 func (s *simulation) Commit(_ context.Context, transaction store.Transaction) (store.Revision, error) {
-	switch s.interfere() {
+	switch s.drawOutcome() {
 	case "answered":
 		return s.commit(transaction)
 	case "unanswered":
@@ -226,7 +226,7 @@
 type simulatedPlatform struct{ *simulation }
 
 func (s simulatedPlatform) SendUsage(_ context.Context, _ string, fence int64, report Report) error {
-	switch s.interfere() {
+	switch s.drawOutcome() {
 	case "answered":
 		return s.acceptReport(fence, report)
 	case "unanswered":
@@ -246,7 +246,7 @@
 			s.randomAction()
 		}
 		s.executeLate()
-		s.healthy = true
+		s.faultless = true
 		s.holder = 0
 		s.fence++
 		for range 20 {
@@ -267,7 +267,7 @@
 				t.Fatalf("window %d was not reported", window)
 			}
 		}
-		if settled := WindowAt(s.now.Add(-DefaultSettings().Settle), testWindow); ledger.Next != settled {
+		if settled := WindowAt(s.now.Add(-DefaultSettings().SettleDelay), testWindow); ledger.Next != settled {
 			t.Fatalf("the first open window is %d, want %d", ledger.Next, settled)
 		}
 	})
--- a/internal/usage/reporter.go
+++ b/internal/usage/reporter.go
@@ -33,12 +33,12 @@
 	// Window is the length of a window, and LateAfter how long after its end a report counts as late.
 	Window, LateAfter time.Duration
 	// Settle is how long after its end a window is finalized. By then all gateways have sent their counts.
-	Settle time.Duration
+	SettleDelay time.Duration
 	// CollectDelay is how long after it acquired the authority a process starts to finalize windows. By then the other
 	// gateways know the new holder and have sent it their counts.
 	CollectDelay time.Duration
 	// Tick is the interval between steps, and MaxBackoff bounds the exponential backoff after failed calls.
-	Tick, MaxBackoff time.Duration
+	StepInterval, MaxBackoff time.Duration
 	// CallTimeout is the timeout of one call.
 	CallTimeout time.Duration
 }
@@ -47,11 +47,11 @@
 func DefaultSettings() Settings {
 	return Settings{
 		// Full messages are sent every second; the rest is for their delivery.
-		Settle: 1200 * time.Millisecond,
+		SettleDelay: 1200 * time.Millisecond,
 		// Standby gateways learn of the new holder with their next poll of the feed (0.7 s) and then send everything
 		// within a second.
 		CollectDelay: 1900 * time.Millisecond,
-		Tick:         250 * time.Millisecond,
+		StepInterval:         250 * time.Millisecond,
 		MaxBackoff:   2 * time.Second,
 		CallTimeout:  1500 * time.Millisecond,
 	}
@@ -122,7 +122,7 @@
 
 // Run performs steps until the context is canceled.
 func (r *Reporter) Run(ctx context.Context) {
-	ticker := time.NewTicker(r.settings.Tick)
+	ticker := time.NewTicker(r.settings.StepInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -159,7 +159,7 @@
 		return
 	}
 	r.updateStats(func(f *Stats) { f.Failed++ })
-	r.backoff = min(max(2*r.backoff, r.settings.Tick), r.settings.MaxBackoff)
+	r.backoff = min(max(2*r.backoff, r.settings.StepInterval), r.settings.MaxBackoff)
 	r.retryAt = now.Add(r.backoff)
 	r.logger.WithError(err).WithField("pause", r.backoff).Warn("Cannot report usage. Retrying.")
 }
@@ -282,7 +282,7 @@
 // settledReports returns the reports of the windows that are over and settled.
 func (r *Reporter) settledReports() []Report {
 	var reports []Report
-	settled := r.now().Add(-r.settings.Settle)
+	settled := r.now().Add(-r.settings.SettleDelay)
 	first := max(r.ledger.Next, WindowAt(settled, r.settings.Window)-maxOpenWindows)
 	if missed := first - r.ledger.Next; missed > 0 {
 		r.logger.WithField("windows", missed).Error("Windows are too old to report: no gateway has kept their counts.")
--- a/internal/usage/tally.go
+++ b/internal/usage/tally.go
@@ -52,7 +52,7 @@
 	counts map[int64]map[origin]map[string]int64
 	// unsent holds the windows and tenants whose own counts have changed since they were last sent.
 	unsent    map[int64]map[string]bool
-	lastHeard map[origin]time.Time
+	lastReceived map[origin]time.Time
 	// firstOpen is the first window that is not finalized.
 	firstOpen int64
 	// newest is the highest window with counts.
@@ -63,7 +63,7 @@
 func NewTally(gateway string, epoch int64) *Tally {
 	return &Tally{
 		self: origin{gateway, epoch}, counts: map[int64]map[origin]map[string]int64{}, unsent: map[int64]map[string]bool{},
-		lastHeard: map[origin]time.Time{},
+		lastReceived: map[origin]time.Time{},
 	}
 }
 
@@ -118,9 +118,9 @@
 			continue
 		}
 		if count.Gateway == sender {
-			t.lastHeard[from] = now
-		} else if _, known := t.lastHeard[from]; !known {
-			t.lastHeard[from] = time.Time{}
+			t.lastReceived[from] = now
+		} else if _, known := t.lastReceived[from]; !known {
+			t.lastReceived[from] = time.Time{}
 		}
 		requests := t.countsOf(count.Window, from)
 		for tenant, n := range count.Requests {
@@ -153,7 +153,7 @@
 	var counts []Count
 	for window, byOrigin := range t.counts {
 		for from, requests := range byOrigin {
-			if from == t.self || now.Sub(t.lastHeard[from]) > silenceTimeout {
+			if from == t.self || now.Sub(t.lastReceived[from]) > silenceTimeout {
 				counts = append(counts, t.newCount(window, from, maps.Clone(requests)))
 			}
 		}
@@ -198,5 +198,5 @@
 			present[from] = true
 		}
 	}
-	maps.DeleteFunc(t.lastHeard, func(from origin, _ time.Time) bool { return !present[from] })
+	maps.DeleteFunc(t.lastReceived, func(from origin, _ time.Time) bool { return !present[from] })
 }
