--- a/internal/gateway/capacity.go
+++ b/internal/gateway/capacity.go
@@ -21,8 +21,7 @@
 // the boot time of ordered spot workers.
 const newFleetPeriod = 5 * time.Second
 
-// CapacityGroups implements capacity.Fleet. Only entries and the leader return groups, as the others do not know all
-// workers.
+// CapacityGroups implements capacity.Fleet. Only entries and the leader return groups.
 func (g *Gateway) CapacityGroups() []capacity.Group {
 	table := g.handler.Table()
 	if table == nil || !(g.isEntry() || g.controller.HasAuthority()) {
--- a/internal/gateway/clusterlistener.go
+++ b/internal/gateway/clusterlistener.go
@@ -99,12 +99,13 @@
 // outageWindow is how long after a store outage missing worker records are attributed to it.
 const outageWindow = 1500 * time.Millisecond
 
-// restoreGrace is how long a worker stays in use after a restore of the store lost its record. Live workers register again
-// with one of their next heartbeats, some of which may be lost; a worker that has terminated is detected by its
+// restoreGrace is how long a worker stays in use after a restore of the store lost its record. Live workers register
+// again with one of their next heartbeats, some of which may be lost; a worker that has terminated is detected by its
 // connections.
 const restoreGrace = 5 * time.Second
 
-// outageGraceRatio is the fraction of the drain time for which a worker without a record stays in use after a store outage.
+// outageGraceRatio is the fraction of the drain time for which a worker without a record stays in use after a store
+// outage.
 const outageGraceRatio = 0.6
 
 // rosterSettings derives the settings of the worker roster.
--- a/internal/gateway/enginemonitor.go
+++ b/internal/gateway/enginemonitor.go
@@ -36,8 +36,9 @@
 	// probeTimeout bounds one probe. It is longer than a loaded engine takes to answer, and short compared with a role
 	// change.
 	probeTimeout = 300 * time.Millisecond
-	// probeBackoffRatio is the fraction of the time since the first probe of an absent engine to wait between probes, from
-	// forward.EngineQueryInterval up to maxProbeInterval. Two probes at the maximum fit into enginehealth.Settings.ReportTTL.
+	// probeBackoffRatio is the fraction of the time since the first probe of an absent engine to wait between probes,
+	// from forward.EngineQueryInterval up to maxProbeInterval. Two probes at the maximum fit into
+	// enginehealth.Settings.ReportTTL.
 	probeBackoffRatio = 0.25
 	maxProbeInterval  = 700 * time.Millisecond
 	// roleCheckInterval is how often to check for lost roles without a notification, which finds engines whose records
--- a/internal/gateway/entries.go
+++ b/internal/gateway/entries.go
@@ -225,8 +225,8 @@
 	})
 }
 
-// setRetryGatewayCount divides the retry allowance and logs a changed divisor. Entries also count uncertain gateways, which
-// may still accept requests and spend retries. The mutex of entries must be held.
+// setRetryGatewayCount divides the retry allowance and logs a changed divisor. Entries also count uncertain gateways,
+// which may still accept requests and spend retries. The mutex of entries must be held.
 func (g *Gateway) setRetryGatewayCount(standby bool, entries, uncertain, serving int) {
 	gatewayCount := retrybudget.EffectiveGatewayCount(standby, entries, serving)
 	if !standby {
--- a/internal/gateway/workerlimits.go
+++ b/internal/gateway/workerlimits.go
@@ -45,9 +45,9 @@
 	urgent bool
 }
 
-// endedLimitSends is how many times the end of a limit is sent, once a second. A gateway without a share of the limit that
-// misses its end does not use the worker until the worker restarts, so the end is sent for longer than partitions between
-// gateways usually last.
+// endedLimitSends is how many times the end of a limit is sent, once a second. A gateway without a share of the limit
+// that misses its end does not use the worker until the worker restarts, so the end is sent for longer than partitions
+// between gateways usually last.
 const endedLimitSends = 30
 
 // newWorkerLimitTracker returns a tracker without limits.
