--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -1,4 +1,5 @@
-// Package backend describes the workers that process requests, their load and the changes to them.
+// Package backend describes the workers that process requests, their load and the changes to them. An engine is a worker
+// with a role.
 package backend
 
 import (
@@ -7,7 +8,7 @@
 	"sort"
 )
 
-// Role is the part that an inference engine plays in disaggregated serving.
+// Role is the phase of disaggregated serving that an inference engine runs.
 type Role string
 
 // The roles of workers.
@@ -16,7 +17,7 @@
 	RoleNone Role = ""
 	// RolePrefill engines process prompts.
 	RolePrefill Role = "prefill"
-	// RoleDecode engines generate answers, and process short prompts.
+	// RoleDecode engines generate responses. They also process short prompts themselves.
 	RoleDecode Role = "decode"
 )
 
@@ -24,10 +25,11 @@
 type Worker struct {
 	// ID differs for every start of the worker.
 	ID string
-	// Record is the name of the worker's record in the store, which requests to it carry. It may stay the same across
-	// restarts. If empty, the ID is used.
+	// Record is the name of the worker's record in the store, which may stay the same across restarts; the ID if empty.
+	// Requests to the worker carry this name.
 	Record string
-	Group  string
+	// Group is the service that the worker registered for.
+	Group string
 	// Address is host:port.
 	Address string
 	Zone    string
@@ -72,7 +74,7 @@
 // Groups returns all groups that the worker belongs to.
 func (w *Worker) Groups() []string { return append([]string{w.Group}, w.Selected...) }
 
-// RoleGroup returns the one group in which the role of the worker is planned.
+// RoleGroup returns the group for which the role of the worker is planned: the first selected one, else Group.
 func (w *Worker) RoleGroup() string {
 	if len(w.Selected) > 0 {
 		return w.Selected[0]
@@ -80,7 +82,7 @@
 	return w.Group
 }
 
-// Set is a snapshot of all workers by ID.
+// Set holds workers by ID.
 type Set map[string]*Worker
 
 // Available returns the workers of a group that are not draining, ordered by ID.
@@ -108,7 +110,7 @@
 	// PromptTokens and OutputTokens are zero for requests to plain workers.
 	PromptTokens int
 	OutputTokens int
-	// Segments are the segments of the prompt in order. The last one is specific to the request or its session.
+	// Segments are the segments of the prompt in order. Only later requests of the same session may share the last one.
 	Segments []Segment
 }
 
--- a/internal/backend/load.go
+++ b/internal/backend/load.go
@@ -4,7 +4,7 @@
 type Load struct {
 	// Running counts requests that were sent and have not ended. Prefilling counts those whose prompt is still to be
 	// processed, with PrefillTokens prompt tokens in total. DeferredTokens counts the tokens of low-priority prompts,
-	// which are processed only when nothing else waits.
+	// which are processed only when no other prompt waits.
 	Running, Prefilling, PrefillTokens, DeferredTokens int
 	// Waiting counts low-priority requests whose prompt was processed elsewhere and that have not started decoding.
 	// All other requests take precedence.
@@ -30,6 +30,6 @@
 	})
 }
 
-// Decoding returns the number of requests that an engine is decoding, or that wait to be decoded ahead of low-priority
-// ones.
+// Decoding returns the number of requests that an engine is decoding or that are ready for decoding, without the
+// low-priority ones that wait.
 func (l Load) Decoding() int { return max(l.Running-l.Prefilling-l.Waiting, 0) }
--- a/internal/backend/notice.go
+++ b/internal/backend/notice.go
@@ -11,8 +11,8 @@
 	// Limit is the number of requests per second that the worker accepts from all gateways together, for as long as
 	// its responses say so; zero if unset.
 	Limit float64
-	// RequestedAt is when the request was sent, if the worker ran it: a response to such a request without a limit revokes
-	// an earlier limit. It is zero for other responses, which may omit a limit that is in force.
+	// RequestedAt is when the request was sent, or zero if the worker did not run it. A response with RequestedAt and
+	// without a limit revokes earlier limits; one without RequestedAt may omit a limit that is in force.
 	RequestedAt time.Time
 }
 
--- a/internal/backend/roster.go
+++ b/internal/backend/roster.go
@@ -4,22 +4,26 @@
 
 // RosterSettings configures a roster.
 type RosterSettings struct {
-	// OutageGrace is how long a worker stays in use after its record disappeared around an outage of the store. The
-	// outage may have expired the record of a running worker, which records itself again with its next heartbeat.
+	// OutageGrace is how long a worker stays in use after its record disappeared during or shortly after an outage of the
+	// store. The record of a running worker may have expired; the worker registers again with its next heartbeat.
 	OutageGrace time.Duration
 	// OutageWindow is how long after an outage missing records are attributed to it.
 	OutageWindow time.Duration
 	// RestoreGrace is how long a worker stays in use whose record is missing after the store was restored from a backup.
-	// It may have started after the backup was made, and not have recorded itself again yet.
+	// It may have started after the backup was made, and not have registered again yet.
 	RestoreGrace time.Duration
 }
 
-// Roster is the list of workers according to the store. It is a pure state machine and not safe for concurrent use.
+// Roster tracks the workers in use: those with a record in the store and, for a while, those whose record was lost. It is
+// a pure state machine and not safe for concurrent use.
 //
-// Invariants: a worker is in use only while its record exists, or, unless it was draining, for OutageGrace after its
-// record disappeared within OutageWindow of an outage, or for RestoreGrace if it disappeared within OutageWindow of a
-// restore; each record names one incarnation at a time; and an incarnation that announced that it is leaving is
-// draining, whatever its record says, since the record may be stale for as long as the store is unavailable.
+// Invariants:
+//   - A worker is in use only while its record exists, or, unless it was draining, for OutageGrace after its record
+//     disappeared within OutageWindow of an outage, or for RestoreGrace if it disappeared within OutageWindow of a
+//     restore.
+//   - Each record names one incarnation at a time.
+//   - An incarnation that announced that it is leaving is draining, whatever its record says, since the record may be
+//     stale for as long as the store is unavailable.
 type Roster struct {
 	settings RosterSettings
 	// byRecord holds the workers with a record, by record name; retained holds workers without one, by ID.
@@ -50,7 +54,7 @@
 	}
 }
 
-// Outage records that the store failed.
+// Outage records that the store was unavailable at the given time.
 func (r *Roster) Outage(now time.Time) { r.lastOutage = now }
 
 // Restored records that the store was restored from a backup. Call it before passing on the restored records.
@@ -89,8 +93,9 @@
 	r.pending[worker.ID] = worker
 }
 
-// drainingMemory is how long an announcement to leave is kept after the worker is no longer in use. A stale record of
-// the worker may still arrive, from a delayed list or a restored store; after this time the worker has ended.
+// drainingRetention is how long the announcement that a worker is leaving is kept once the worker is no longer in use. A
+// stale record of the worker may still arrive, from a delayed list or a restored store; after this time the worker has
+// terminated.
 const drainingRetention = 10 * time.Minute
 
 // markDraining records that an incarnation is leaving, which is final, and reports whether that is new.
@@ -107,8 +112,8 @@
 	return true
 }
 
-// AnnounceLeaving records that an incarnation announced that it is leaving, before its record says so, and reports whether this
-// makes a worker in use draining.
+// AnnounceLeaving records that an incarnation announced that it is leaving, before its record says so, and reports
+// whether this makes a worker in use draining.
 func (r *Roster) AnnounceLeaving(now time.Time, id string) bool {
 	worker := r.lookup(id)
 	if !r.markDraining(now, id) || worker == nil || worker.Draining {
@@ -124,7 +129,7 @@
 	return true
 }
 
-// lookup returns the current state of the worker in use with the given ID, or nil.
+// lookup returns the current state of the worker in use with the given ID, as Changes would report it, or nil.
 func (r *Roster) lookup(id string) *Worker {
 	if retained, found := r.retained[id]; found {
 		return retained.worker
@@ -136,7 +141,8 @@
 	return worker
 }
 
-// Remove records that a record disappeared.
+// Remove handles the disappearance of a record. Its worker stays in use for a while if an outage or a restore of the
+// store may be the cause.
 func (r *Roster) Remove(now time.Time, name string) {
 	worker, known := r.byRecord[name]
 	if !known {
--- a/internal/backend/roster_test.go
+++ b/internal/backend/roster_test.go
@@ -6,7 +6,8 @@
 )
 
 // TestWorkersAreRetainedAfterOutage guards against losing all workers when the store recovers without their records,
-// which they write again only with their next heartbeats.
+// which they write again only with their next heartbeats, and against keeping workers whose record disappeared without an
+// outage.
 func TestWorkersAreRetainedAfterOutage(t *testing.T) {
 	epoch := time.Unix(1000, 0)
 	settings := RosterSettings{OutageGrace: 1500 * time.Millisecond, OutageWindow: 5 * time.Second}
@@ -37,11 +38,11 @@
 		t.Errorf("the next retained worker expires at %s, want %s", next, want)
 	}
 	if countInUse(roster, next) != 0 {
-		t.Error("a worker without a record is in use after FadeTime")
+		t.Error("a worker without a record is in use after OutageGrace")
 	}
 	roster.Put(epoch, ready)
 	if countInUse(roster, next) != 1 {
-		t.Error("a worker that recorded itself again is not in use")
+		t.Error("a worker that registered again is not in use")
 	}
 }
 
@@ -68,12 +69,12 @@
 }
 
 // TestLeavingWorkerStaysDraining guards against stale records that undo a worker's announcement that it is leaving,
-// against retaining it around an outage, and against draining its next incarnation.
+// against retaining it after an outage, and against draining its next incarnation.
 func TestLeavingWorkerStaysDraining(t *testing.T) {
 	now := time.Unix(1000, 0)
 	ready := &Worker{ID: "i@1", Record: "i", Address: "a"}
 	for _, test := range []struct {
-		desc  string
+		desc       string
 		laterEvent func(roster *Roster)
 		// wantID is the worker in use, if any, and wantDraining whether it is draining.
 		wantID       string
