--- a/internal/peersync/board.go
+++ b/internal/peersync/board.go
@@ -1,9 +1,10 @@
-// Package peersync exchanges load between gateways over UDP: how much work each gateway has at which workers, and
-// which prompt segments the workers cache. A gateway sees only its own part of the traffic; with the load of its peers
-// it knows the queue of every worker.
+// Package peersync exchanges updates between gateways over UDP. A Message carries how much work the sender has at which
+// workers, the prompt segments that these cache, role changes, failures, usage counts and bars; a Supplement carries
+// leaving workers, rate limits and loans. A gateway sees only its own part of the traffic; with the load of its peers it
+// knows the queue of every worker.
 //
-// The messages are hints: one that is lost, late or duplicated leads to a worse choice of worker, never to a wrong
-// result.
+// Datagrams may be lost, late or duplicated. For load and cached segments this leads to a worse choice of worker, never
+// to a wrong result; usage counts, bars, leaving workers and limits are sent again.
 package peersync
 
 import (
@@ -21,15 +22,12 @@
 type Load struct {
 	_      struct{} `cbor:",toarray"`
 	Worker string
-	// Running counts requests; Prefilling counts those whose prompt is still to be processed, with PrefillTokens prompt
-	// tokens in total.
-	Running       int
-	PrefillTokens int
-	Prefilling    int
-	// DeferredTokens counts the tokens of low-priority prompts, which are processed only when nothing else waits.
+	// The following fields have the same meaning as in backend.Load.
+	Running        int
+	PrefillTokens  int
+	Prefilling     int
 	DeferredTokens int
-	// Waiting counts low-priority requests that have not started.
-	Waiting int
+	Waiting        int
 }
 
 // backendLoad returns the load without its worker.
@@ -54,8 +52,10 @@
 	Worker string
 	Key    string
 	Tokens int
-	Ready  bool
-	// PrivateTokens counts tokens specific to the request, which the worker caches although no other request can use them.
+	// Ready is set once the segment is cached.
+	Ready bool
+	// PrivateTokens counts the tokens of the request's own segment, which occupy the cache although other requests cannot
+	// share them.
 	PrivateTokens int
 }
 
@@ -65,8 +65,8 @@
 	Worker string
 	// Role is the new role. The change is over once the worker's record contains it.
 	Role string
-	// ForMs limits how long the change may take, and ReadyMs is when it should be done, in milliseconds from receipt
-	// of the message.
+	// ForMs is the time after which the change is given up, and ReadyMs the expected time until it is done, both in
+	// milliseconds from receipt of the message.
 	ForMs, ReadyMs int64
 }
 
@@ -85,27 +85,28 @@
 	// Epoch increases with each start of the sender, and Sequence with each message.
 	Epoch    int64
 	Sequence uint64
-	// Full is set if the sender has no load at the workers that are not listed.
+	// Full is set if Loads lists all load of the sender. Otherwise it lists only what changed.
 	Full           bool
 	Loads          []Load
 	CachedSegments []CachedSegment
 	// Offered is the work offered per group. It is sent in full messages only.
 	Offered []OfferedLoad
-	// RoleChanges lists workers that are changing their role, according to the controlling gateway.
+	// RoleChanges lists workers that are changing their role, according to the leader.
 	RoleChanges []RoleChange
-	// Failed lists workers that the sender excluded since the last message because they did not respond.
+	// Failed lists workers that the sender ejected since the last message because they did not respond.
 	Failed []string
-	// RoleReports lists workers with a new role. Refused lists engines whose addresses refuse connections, and Recovered
-	// lists engines that were suspected of that but respond.
-	RoleReports        []RoleReport
+	// RoleReports lists workers with a new role.
+	RoleReports []RoleReport
+	// Refused lists engines whose addresses refuse connections, and Recovered lists engines that were reported as refusing
+	// connections but respond.
 	Refused, Recovered []string
 	// Utilization is the utilization of the sender's most used resource limit. It is sent in full messages only.
 	Utilization float64
-	// Standby is set by a standby gateway, which receives no callers. It sends its load but no heartbeats.
+	// Standby is set by a standby gateway, which receives no requests of callers. It sends its load but no heartbeats.
 	Standby bool
-	// WallMs is the wall-clock time at the sender, in milliseconds since the Unix epoch.
+	// WallMs is the wall-clock time at the sender, in milliseconds since the Unix epoch. It is sent in full messages only.
 	WallMs int64
-	// Used is the usage of tenants.
+	// Used holds usage counts of tenants: those that changed, or in full messages those that are not finalized.
 	Used []usage.Count
 	// Poison is the sender's knowledge of requests that may crash workers.
 	Poison poison.Update
@@ -121,7 +122,7 @@
 func Decode(encoded []byte) (*Message, error) {
 	var message Message
 	if err := cbor.Unmarshal(encoded, &message); err != nil {
-		return nil, errors.Wrap(err, "decode message from peer")
+		return nil, errors.Wrapf(err, "decode message of %d bytes from peer", len(encoded))
 	}
 	return &message, nil
 }
@@ -142,7 +143,7 @@
 	lastReceived time.Time
 	loads        map[string]backend.Load
 	offered      map[string]*Rate
-	utilization         float64
+	utilization  float64
 }
 
 // NewBoard returns an empty board.
@@ -150,7 +151,8 @@
 	return &Board{peers: map[string]*peerState{}, totals: map[string]backend.Load{}}
 }
 
-// Apply applies a message and reports whether it was newer than the known state of its sender.
+// Apply applies the loads, the utilization and the offered work of a message. It reports whether the message is newer
+// than the known state of its sender, which is dropped after peerTimeout; an older message has no effect.
 func (b *Board) Apply(now time.Time, message *Message) bool {
 	b.expirePeers(now)
 	peer, found := b.peers[message.Sender]
@@ -208,7 +210,7 @@
 // Load returns the work that the other gateways have at a worker.
 func (b *Board) Load(worker string) backend.Load { return b.totals[worker] }
 
-// PeerCount returns the number of gateways that were heard from recently.
+// PeerCount returns the number of gateways from which a message arrived recently.
 func (b *Board) PeerCount(now time.Time) int {
 	b.expirePeers(now)
 	return len(b.peers)
--- a/internal/peersync/exchange.go
+++ b/internal/peersync/exchange.go
@@ -15,7 +15,7 @@
 	TakeUpdate(full bool) Message
 	// ApplyUpdate consumes a message from a peer.
 	ApplyUpdate(message *Message)
-	// TakeSupplement does the same as TakeUpdate for supplements, and ApplySupplement consumes one from a peer.
+	// TakeSupplement returns the supplement to send with the update, and ApplySupplement consumes one from a peer.
 	TakeSupplement(full bool) Supplement
 	ApplySupplement(supplement *Supplement)
 }
@@ -28,7 +28,8 @@
 	Listen string
 	// Interval is the minimum time between two messages with changes that are not urgent.
 	Interval time.Duration
-	// UrgentDelay is how long urgent changes are collected before they are sent.
+	// UrgentDelay is how long changes are collected after an urgent one before they are sent. A second urgent change ends
+	// the delay.
 	UrgentDelay time.Duration
 	// FullEvery is the interval of full messages.
 	FullEvery time.Duration
@@ -46,10 +47,10 @@
 	}
 }
 
-// Receivers is the set of receivers of updates.
+// Receivers is the set of gateways that receive the updates of this one.
 type Receivers struct {
-	// Peers are the addresses that receive every update. It must be complete: gateways that lack each other's load and
-	// cached segments cost far more than the datagrams.
+	// Peers are the addresses that receive every update. They must include all entries: a gateway that lacks the load and
+	// cached segments of another one chooses workers badly.
 	Peers []string
 	// Standby is set for a standby gateway, which sends changes but no heartbeats.
 	Standby bool
@@ -102,7 +103,7 @@
 	}
 }
 
-// SetAudience replaces the receivers.
+// SetReceivers makes Send use other receivers. It does not wait for Send; only the latest call takes effect.
 func (e *Exchange) SetReceivers(receivers Receivers) {
 	for {
 		select {
@@ -120,7 +121,7 @@
 // Close closes the socket, which ends Receive.
 func (e *Exchange) Close() { _ = e.socket.Close() }
 
-// maxDatagramSize is the size of the receive buffer.
+// maxDatagramSize is the size of the receive buffer, which holds any UDP datagram.
 const maxDatagramSize = 64 << 10
 
 // Receive handles datagrams until the exchange is closed.
@@ -132,6 +133,7 @@
 			return
 		}
 		if err != nil {
+			// Other errors concern single datagrams.
 			continue
 		}
 		if err := e.handleDatagram(buffer[:count]); err != nil {
@@ -186,7 +188,8 @@
 	}
 }
 
-// coalesce waits for further changes, and stops early on an urgent one. It returns false if the context is canceled.
+// coalesce waits for further changes, until the delay is over or another urgent change arrives. It returns false if the
+// context is canceled.
 func (e *Exchange) coalesce(ctx context.Context, delay time.Duration) bool {
 	timer := time.NewTimer(delay)
 	defer timer.Stop()
@@ -199,8 +202,8 @@
 	return true
 }
 
-// applyAudience applies new receivers. A gateway that becomes standby first tells the peers that received its
-// heartbeats.
+// applyReceivers applies new receivers. A gateway that becomes standby first tells its previous receivers, which
+// otherwise would wait for its heartbeats.
 func (e *Exchange) applyReceivers(receivers Receivers) {
 	becameStandby := receivers.Standby && !e.standby
 	e.standby = receivers.Standby
@@ -210,7 +213,7 @@
 	e.peers = e.resolve(receivers.Peers)
 }
 
-// resolve returns the UDP addresses of the given host:port addresses, and skips invalid ones.
+// resolve returns the UDP addresses of the given host:port addresses. It logs and skips invalid ones.
 func (e *Exchange) resolve(addresses []string) []*net.UDPAddr {
 	var resolved []*net.UDPAddr
 	for _, address := range addresses {
--- a/internal/peersync/peersync_test.go
+++ b/internal/peersync/peersync_test.go
@@ -13,6 +13,7 @@
 // epoch is the start time of the tests.
 var epoch = time.Unix(1000, 0)
 
+// TestMessageRoundTrip guards against fields that are lost in encoding, and against accepting malformed datagrams.
 func TestMessageRoundTrip(t *testing.T) {
 	message := &Message{
 		Sender: "a", Epoch: 3, Sequence: 9, Full: true,
@@ -68,6 +69,7 @@
 	})
 }
 
+// TestSilentPeersExpire guards against counting the load of a terminated gateway forever.
 func TestSilentPeersExpire(t *testing.T) {
 	board := NewBoard()
 	board.Apply(epoch, &Message{Sender: "a", Epoch: 1, Sequence: 1, Loads: []Load{{Worker: "w", Running: 5}}})
@@ -78,7 +80,7 @@
 
 // fakeSource provides a fixed load and records the messages it receives.
 type fakeSource struct {
-	mu    sync.Mutex
+	mu       sync.Mutex
 	received []*Message
 }
 
@@ -138,6 +140,7 @@
 	t.Fatalf("received %d messages, want %d", source.receivedCount(), count)
 }
 
+// TestPeersReceiveChangesAndHeartbeats guards against heartbeats that stop after the first change.
 func TestPeersReceiveChangesAndHeartbeats(t *testing.T) {
 	exchanges, sources := exchangePair(t)
 	exchanges[0].SetReceivers(Receivers{Peers: []string{address(exchanges[1])}})
@@ -168,7 +171,7 @@
 	time.Sleep(100 * time.Millisecond)
 	messages := received()
 	if len(messages) != count || !messages[count-1].Standby {
-		t.Errorf("%d messages after %d, StandsBy of the last one: %t", len(messages), count, messages[count-1].Standby)
+		t.Errorf("%d messages after %d, Standby of the last one: %t", len(messages), count, messages[count-1].Standby)
 	}
 	exchanges[0].Changed(true)
 	waitForMessages(t, sources[1], count+1)
--- a/internal/peersync/rate.go
+++ b/internal/peersync/rate.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// OfferedLoad is the work that callers have offered to a group through one gateway.
+// OfferedLoad counts the work that callers have offered to a group through one gateway.
 type OfferedLoad struct {
 	_     struct{} `cbor:",toarray"`
 	Group string
@@ -13,14 +13,15 @@
 // minRateInterval is the minimum interval over which a rate is computed.
 const minRateInterval = 500 * time.Millisecond
 
-// Rate converts an increasing count to a rate. The zero value has no counts yet.
+// Rate computes a rate from readings of an increasing counter. The zero value has no readings yet.
 type Rate struct {
 	count     int64
 	updatedAt time.Time
 	perSecond float64
 }
 
-// Update adds a count. A decrease means that the counter restarted.
+// Update records a reading of the counter. A decrease means that the counter restarted. Readings within minRateInterval
+// of the last recorded one are ignored.
 func (r *Rate) Update(now time.Time, count int64) {
 	elapsed := now.Sub(r.updatedAt)
 	switch {
@@ -34,5 +35,5 @@
 	r.count, r.updatedAt = count, now
 }
 
-// PerSecond returns the rate between the last two counts.
+// PerSecond returns the rate between the last two recorded readings.
 func (r *Rate) PerSecond() float64 { return r.perSecond }
--- a/internal/peersync/supplement.go
+++ b/internal/peersync/supplement.go
@@ -5,20 +5,20 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Supplement is a second kind of update. Its fields are numbered, so that other versions skip fields that they do not
-// know and treat missing ones as empty. Put new kinds of updates here: a Message of another length cannot be decoded
-// by older versions, which would lose the whole message and miss the sender's heartbeat.
+// Supplement is an extensible update. Its fields are numbered, so that other versions skip fields that they do not know
+// and treat missing ones as empty. Add new kinds of updates here: older versions cannot decode a Message of another
+// length, and would lose the whole message and with it the sender's heartbeat.
 type Supplement struct {
 	// Leaving lists workers that announced in responses to the sender that they are leaving.
 	Leaving []string `cbor:"1,keyasint,omitempty"`
 	// Limits lists workers that set or revoked a rate limit in responses to the sender.
 	Limits []Limit `cbor:"2,keyasint,omitempty"`
-	// LoanRequests are the sender's requests for loans at workers with limits, and Loans are its loans to others.
+	// LoanRequests ask for a part of other gateways' shares of rate limits, and Loans grant it.
 	LoanRequests []LoanRequest `cbor:"3,keyasint,omitempty"`
 	Loans        []Loan        `cbor:"4,keyasint,omitempty"`
 }
 
-// LoanRequest asks the other gateways for a loan of requests at workers with limits.
+// LoanRequest asks the other gateways for a loan of requests at workers with rate limits.
 type LoanRequest struct {
 	_        struct{} `cbor:",toarray"`
 	Borrower string
@@ -29,7 +29,8 @@
 	MaxRequests int
 }
 
-// Loan lends requests at a worker to the gateway that asked for them. The lender does not use them anymore.
+// Loan transfers Count requests of the lender's share of a worker's rate limit to the borrower, for the given
+// LoanRequest. The lender does not use them anymore.
 type Loan struct {
 	_        struct{} `cbor:",toarray"`
 	Borrower string
@@ -46,8 +47,8 @@
 	Worker string
 	// PerSecond is zero if the worker revoked its limit.
 	PerSecond float64
-	// AgeMs is the age of the limit in milliseconds: since the response arrived, or, for a revoked limit, since the
-	// request was sent whose response contained none.
+	// AgeMs is the age of the limit in milliseconds: since the response with the limit arrived or, for a revoked limit,
+	// since the request was sent whose response revoked it.
 	AgeMs int64
 }
 
@@ -66,7 +67,7 @@
 func DecodeSupplement(encoded []byte) (*Supplement, error) {
 	var supplement Supplement
 	if err := cbor.Unmarshal(encoded, &supplement); err != nil {
-		return nil, errors.Wrap(err, "decode supplement from peer")
+		return nil, errors.Wrapf(err, "decode supplement of %d bytes from peer", len(encoded))
 	}
 	return &supplement, nil
 }
--- a/internal/peersync/supplement_test.go
+++ b/internal/peersync/supplement_test.go
@@ -7,11 +7,12 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// TestSupplementsOfOtherVersions guards against rejecting supplements with unknown or missing fields.
+// TestSupplementsOfOtherVersions guards against rejecting supplements of other versions, which have
+// unknown or missing fields.
 func TestSupplementsOfOtherVersions(t *testing.T) {
 	type otherVersion struct {
 		Leaving []string       `cbor:"1,keyasint,omitempty"`
-		Unknown    map[string]int `cbor:"77,keyasint,omitempty"`
+		Unknown map[string]int `cbor:"77,keyasint,omitempty"`
 	}
 	for _, sent := range []otherVersion{{Leaving: []string{"w"}, Unknown: map[string]int{"a": 1}}, {Unknown: map[string]int{"a": 1}}} {
 		encoded, err := cbor.Marshal(sent)
@@ -32,10 +33,10 @@
 func TestDatagramKindsAreDistinguished(t *testing.T) {
 	message, err := (&Message{Sender: "a"}).Encode()
 	if err != nil || isSupplement(message) || isSupplement(nil) {
-		t.Errorf("a message is taken for a supplement: %v", err)
+		t.Errorf("a message or an empty datagram is taken for a supplement, or encoding failed: %v", err)
 	}
 	supplement, err := (&Supplement{Leaving: []string{"w"}}).Encode()
 	if err != nil || !isSupplement(supplement) {
-		t.Errorf("a supplement is taken for a message: %v", err)
+		t.Errorf("a supplement is taken for a message, or encoding failed: %v", err)
 	}
 }
