--- a/internal/usage/clock.go
+++ b/internal/usage/clock.go
@@ -9,12 +9,13 @@
 	"github.com/granitebay/granitebay/internal/boottime"
 )
 
-// readingTTL is how long the clock reading of a peer remains valid: the interval of several full messages.
+// readingTTL is how long the clock reading of a peer remains valid. It is several times the interval of full messages,
+// which carry the readings.
 const readingTTL = 5 * time.Second
 
 // Clock estimates the time of day from the clocks of all gateways. Machine clocks disagree, and some jump by seconds
-// and back, while the monotonic clock of the process does not. Clock therefore uses the median of all clocks, each as
-// an offset from the own monotonic clock. It is safe for concurrent use.
+// and back, while the monotonic clock of the process does not. Clock therefore uses the median of all clocks (the
+// upper one of an even number), each as an offset from the own monotonic clock. It is safe for concurrent use.
 type Clock struct {
 	// readClocks returns the monotonic clock and the time of day.
 	readClocks func() (monotonic time.Duration, wall time.Time)
@@ -34,8 +35,8 @@
 	return &Clock{readClocks: read, peers: map[string]reading{}}
 }
 
-// ReadClocks returns a function that reads the clocks of the machine. The monotonic clock includes suspended time;
-// otherwise the offsets of the peers, whose clocks continue, would be wrong after a suspend.
+// ReadClocks returns a function that reads the clocks of the machine. The monotonic clock includes suspended time,
+// so that the offsets of peers remain right after this machine was suspended.
 func ReadClocks() func() (monotonic time.Duration, wall time.Time) {
 	start := boottime.Now()
 	return func() (time.Duration, time.Time) { return boottime.Now().Sub(start), time.Now().Round(0) }
@@ -49,7 +50,7 @@
 	c.peers[gateway] = reading{offset: time.Duration(wall.UnixNano()) - monotonic, receivedAt: monotonic}
 }
 
-// Now returns the median time of day, without a monotonic clock reading.
+// Now returns the median time of day. The result has no monotonic clock reading (see package time).
 func (c *Clock) Now() time.Time {
 	monotonic, wall := c.readClocks()
 	own := time.Duration(wall.UnixNano()) - monotonic
--- a/internal/usage/ledger.go
+++ b/internal/usage/ledger.go
@@ -18,14 +18,14 @@
 	Requests map[string]int64 `json:"requests"`
 }
 
-// Ledger is the state of the windows in the store.
+// Ledger is the record in the store of which windows are finalized, with the reports that are not yet accepted.
 //
 // Invariant: each window is finalized once, as a ledger is only written if the version that it was derived from is
 // still current.
 type Ledger struct {
 	// Next is the first window that is not finalized.
 	Next int64 `json:"next"`
-	// Reports are the finalized windows that are not known to be accepted by the platform.
+	// Reports are the reports of finalized windows that the platform may not have accepted yet.
 	Reports []Report `json:"reports"`
 }
 
@@ -36,7 +36,8 @@
 	return ledger, errors.Wrap(err, "decode usage ledger")
 }
 
-// maxPendingReports bounds the reports that wait to be accepted: 20 minutes of windows of 5 s.
+// maxPendingReports bounds the reports that wait to be accepted, enough for 20 minutes of windows of 5 s. Older ones are
+// dropped without being reported.
 const maxPendingReports = 240
 
 // withReports returns the ledger with reports added, and without those that were accepted.
--- a/internal/usage/model_test.go
+++ b/internal/usage/model_test.go
@@ -22,8 +22,7 @@
 var epoch = time.Unix(1_700_000_000, 0)
 
 // simulation is a store, a platform that accepts reports, and gateways of which at most one has the authority.
-// Whenever a gateway makes a call, others may act before it arrives, as if the caller were suspended in the middle of
-// a step.
+// Before a call is executed, other gateways may run, which simulates a caller that is suspended in the middle of a step.
 type simulation struct {
 	t        *rapid.T
 	now      time.Time
@@ -44,9 +43,11 @@
 	accepted     map[int64]map[string]int64
 	// lateCalls are reports without a response that are executed later.
 	lateCalls []lateCall
-	faultless   bool
+	// faultless is set while all calls succeed at once.
+	faultless bool
 }
 
+// lateCall is a report without a response that is executed later.
 type lateCall struct {
 	fence  int64
 	report Report
@@ -82,7 +83,7 @@
 
 var errNoResponse = errors.New("no response")
 
-// interfere lets others act before a call arrives and returns the outcome of the call: executed with a response,
+// drawOutcome lets others act before a call arrives and returns the outcome of the call: executed with a response,
 // executed without one, executed late, or lost.
 func (s *simulation) drawOutcome() string {
 	if s.faultless {
@@ -141,7 +142,7 @@
 	}
 }
 
-// executeLate executes the calls that got no response.
+// executeLate executes the delayed calls.
 func (s *simulation) executeLate() {
 	for _, transaction := range s.lateCommits {
 		_, _ = s.commit(transaction)
@@ -171,7 +172,7 @@
 	return s.revision, nil
 }
 
-// acceptReport is how the platform handles a report.
+// acceptReport handles a report as the platform does.
 func (s *simulation) acceptReport(fence int64, report Report) error {
 	if fence < s.highestFence {
 		return ErrSuperseded
@@ -238,7 +239,7 @@
 }
 
 // TestEachWindowIsReportedWithOneCount guards against reporting two different counts of a window, and against missing
-// windows once everything works again.
+// windows once all calls succeed again.
 func TestEachWindowIsReportedWithOneCount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(t)
--- a/internal/usage/reporter.go
+++ b/internal/usage/reporter.go
@@ -16,7 +16,8 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// ErrSuperseded is returned by a Sender when the platform has seen a higher fence: the holder has lost its authority.
+// ErrSuperseded is returned by a Sender when the platform has seen a higher fence, the fencing token of the leader's
+// authority: another gateway has become the leader.
 var ErrSuperseded = errors.New("another holder has a higher fence")
 
 // Sender sends reports to the platform.
@@ -30,14 +31,14 @@
 type Settings struct {
 	// Holder is the name of the process, unique in the fleet.
 	Holder string
-	// Window is the length of a window, and LateAfter how long after its end a report counts as late.
+	// Window is the length of a window, and LateAfter the time after its end from which on a report counts as late.
 	Window, LateAfter time.Duration
-	// Settle is how long after its end a window is finalized. By then all gateways have sent their counts.
+	// SettleDelay is how long after its end a window is finalized. By then all gateways have sent their counts.
 	SettleDelay time.Duration
 	// CollectDelay is how long after it acquired the authority a process starts to finalize windows. By then the other
-	// gateways know the new holder and have sent it their counts.
+	// gateways know the new leader and have sent it their counts.
 	CollectDelay time.Duration
-	// Tick is the interval between steps, and MaxBackoff bounds the exponential backoff after failed calls.
+	// StepInterval is the interval between steps, and MaxBackoff bounds the exponential backoff after failed calls.
 	StepInterval, MaxBackoff time.Duration
 	// CallTimeout is the timeout of one call.
 	CallTimeout time.Duration
@@ -46,12 +47,12 @@
 // DefaultSettings returns settings without a holder and windows.
 func DefaultSettings() Settings {
 	return Settings{
-		// Full messages are sent every second; the rest is for their delivery.
+		// The interval of full messages (peersync.Settings.FullEvery), and time for their delivery.
 		SettleDelay: 1200 * time.Millisecond,
-		// Standby gateways learn of the new holder with their next poll of the feed (0.7 s) and then send everything
-		// within a second.
+		// Standby gateways learn of the new leader with their next poll of the change feed and then send all counts with
+		// their next full message.
 		CollectDelay: 1900 * time.Millisecond,
-		StepInterval:         250 * time.Millisecond,
+		StepInterval: 250 * time.Millisecond,
 		MaxBackoff:   2 * time.Second,
 		CallTimeout:  1500 * time.Millisecond,
 	}
@@ -69,17 +70,19 @@
 	logger         logrus.FieldLogger
 	recordDecision func(decision.Record)
 
-	// The following fields are used by one goroutine, except those guarded by mu.
+	// The following fields are used only by the goroutine that calls Step.
 	fence           int64
 	authoritySince  time.Time
 	supersededFence int64
 	// ledgerKnown is set once the ledger was read under the current fence.
 	ledgerKnown bool
-	ledger      Ledger
-	revision    store.Revision
-	backoff     time.Duration
-	retryAt     time.Time
+	// ledger is the ledger as last read or written, and revision its revision in the store.
+	ledger   Ledger
+	revision store.Revision
+	backoff  time.Duration
+	retryAt  time.Time
 
+	// mu guards the following fields.
 	mu sync.Mutex
 	// acceptedAt holds when the platform accepted reports from this process, by window, for those that are still in
 	// the ledger.
@@ -90,9 +93,12 @@
 	stats        Stats
 }
 
-// Stats counts the actions of a reporter.
+// Stats counts the results of a reporter.
 type Stats struct {
-	Finalized, Sent, Late, Failed, Superseded int
+	// Finalized and Sent count windows. Late counts those that were sent late.
+	Finalized, Sent, Late int
+	// Failed counts steps that failed, and Superseded the losses of authority that the platform reported.
+	Failed, Superseded int
 }
 
 // NewReporter returns a reporter. It does nothing until Run or Step is called. now returns the time of day.
@@ -106,14 +112,14 @@
 	}
 }
 
-// Stats returns the counts of actions so far.
+// Stats returns the counts so far.
 func (r *Reporter) Stats() Stats {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.stats
 }
 
-// updateStats updates the figures under the mutex.
+// updateStats updates the counts under the mutex.
 func (r *Reporter) updateStats(update func(*Stats)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -134,7 +140,8 @@
 	}
 }
 
-// Step finalizes the windows that are over and reports those that are finalized. now is a time of the monotonic clock.
+// Step finalizes the windows that are over and reports those that are finalized. now is the
+// time of the process, for timeouts; windows are determined by the time of day given to NewReporter.
 func (r *Reporter) Step(ctx context.Context, now time.Time) {
 	fence, allowed := r.authority()
 	if !allowed || fence == r.supersededFence || now.Before(r.retryAt) {
@@ -150,22 +157,22 @@
 	r.backoff = 0
 }
 
-// handleError logs an error and delays the next call.
+// handleError logs an error and delays the next step, or stops under the current fence if it is superseded.
 func (r *Reporter) handleError(now time.Time, err error) {
 	if errors.Is(err, ErrSuperseded) {
 		r.supersededFence = r.fence
 		r.updateStats(func(f *Stats) { f.Superseded++ })
-		r.logger.WithField("fence", r.fence).Warn("Another gateway has taken over usage reporting. Stopping.")
+		r.logger.WithField("fence", r.fence).Warn("Another gateway has taken over usage reporting.")
 		return
 	}
 	r.updateStats(func(f *Stats) { f.Failed++ })
 	r.backoff = min(max(2*r.backoff, r.settings.StepInterval), r.settings.MaxBackoff)
 	r.retryAt = now.Add(r.backoff)
-	r.logger.WithError(err).WithField("pause", r.backoff).Warn("Cannot report usage. Retrying.")
+	r.logger.WithError(err).WithField("retry_in", r.backoff).Warn("Cannot report usage. Retrying.")
 }
 
-// process does what is due. Until the counts of all gateways are complete it only reports windows that earlier holders
-// finalized.
+// process reads the ledger if needed, finalizes windows if the counts of all gateways are complete, and sends the reports
+// in the ledger.
 func (r *Reporter) process(ctx context.Context, countsComplete bool) error {
 	if !r.ledgerKnown {
 		if err := r.readLedger(ctx); err != nil {
@@ -183,7 +190,7 @@
 	return r.sendReports(ctx)
 }
 
-// readLedger reads the ledger.
+// readLedger reads the ledger, and writes the newest known one again if the store holds an older one.
 func (r *Reporter) readLedger(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, r.settings.CallTimeout)
 	defer cancel()
@@ -224,7 +231,7 @@
 	if newest.Next <= r.ledger.Next {
 		return nil
 	}
-	r.logger.WithFields(logrus.Fields{"held": r.ledger.Next, "known": newest.Next}).Warn("The store holds an older usage ledger. Writing the newest one again.")
+	r.logger.WithFields(logrus.Fields{"stored_next": r.ledger.Next, "known_next": newest.Next}).Warn("The store holds an older usage ledger. Writing the newest one again.")
 	r.ledgerKnown = false
 	if err := r.writeLedger(ctx, newest); err != nil {
 		return err
@@ -233,7 +240,7 @@
 	return nil
 }
 
-// writeLedger replaces the ledger that was read.
+// writeLedger replaces the ledger, unless it has changed in the store since it was last read or written.
 func (r *Reporter) writeLedger(ctx context.Context, updated Ledger) error {
 	value, err := json.Marshal(updated)
 	if err != nil {
@@ -255,7 +262,7 @@
 // maxWindowsPerStep bounds the windows that are finalized in one step.
 const maxWindowsPerStep = 24
 
-// finalizeWindows stores the reports of the windows that are over.
+// finalizeWindows stores the reports of settled windows, at most maxWindowsPerStep.
 func (r *Reporter) finalizeWindows(ctx context.Context) error {
 	reports := r.settledReports()
 	if len(reports) == 0 {
@@ -271,7 +278,7 @@
 	return nil
 }
 
-// pruneAccepted forgets the windows that are no longer in the ledger.
+// pruneAccepted removes the windows that are no longer in the ledger from acceptedAt.
 func (r *Reporter) pruneAccepted() {
 	pending := lo.SliceToMap(r.ledger.Reports, func(report Report) (int64, bool) { return report.Window, true })
 	r.mu.Lock()
@@ -279,13 +286,13 @@
 	maps.DeleteFunc(r.acceptedAt, func(window int64, _ time.Time) bool { return !pending[window] })
 }
 
-// settledReports returns the reports of the windows that are over and settled.
+// settledReports returns the reports of the next windows that ended at least SettleDelay ago, at most maxWindowsPerStep.
 func (r *Reporter) settledReports() []Report {
 	var reports []Report
 	settled := r.now().Add(-r.settings.SettleDelay)
 	first := max(r.ledger.Next, WindowAt(settled, r.settings.Window)-maxOpenWindows)
 	if missed := first - r.ledger.Next; missed > 0 {
-		r.logger.WithField("windows", missed).Error("Windows are too old to report: no gateway has kept their counts.")
+		r.logger.WithFields(logrus.Fields{"windows": missed, "first": r.ledger.Next}).Error("Windows are too old to report: no gateway has kept their counts.")
 	}
 	for window := first; len(reports) < maxWindowsPerStep && !windowEnd(window, r.settings.Window).After(settled); window++ {
 		reports = append(reports, Report{Window: window, Requests: r.tally.Sum(window)})
@@ -345,7 +352,7 @@
 	total := lo.Sum(lo.Values(report.Requests))
 	r.recordDecision(decision.Record{
 		Kind: decision.KindUsage, Subject: fmt.Sprint("window ", report.Window), Outcome: "reported", Fence: r.fence,
-		Reason: "The window is over, and the store holds its counts.",
+		Reason: "The window is finalized in the store.",
 		Inputs: map[string]string{
 			"requests": fmt.Sprint(total), "tenants": fmt.Sprint(len(report.Requests)), "after_ms": fmt.Sprint(delay.Milliseconds()),
 		},
--- a/internal/usage/restore_test.go
+++ b/internal/usage/restore_test.go
@@ -49,7 +49,7 @@
 }
 
 // TestRestoredLedgerCausesNoDuplicateReports guards against reporting windows again after the store was restored from
-// a backup with an older ledger, both for a continuing holder and for a new one that knows the newest ledger.
+// a backup with an older ledger, both for a continuing leader and for a new one that knows the newest ledger.
 func TestRestoredLedgerCausesNoDuplicateReports(t *testing.T) {
 	for _, takesOver := range []bool{false, true} {
 		ledgers, sent := &ledgerStore{revision: store.NewRevision(1, 10)}, reportCounts{}
@@ -91,8 +91,7 @@
 		for _, count := range sent {
 			duplicates += count - 1
 		}
-		// The restored ledger may not show the last window before the backup as accepted, so that it is sent again
-		// with the same count, as may happen without a restore.
+		// One duplicate, with the same count, is allowed: the backup may not show the last window as accepted yet.
 		if duplicates > 1 {
 			t.Errorf("takes over %t: %d windows were reported again: %v", takesOver, duplicates, sent)
 		}
--- a/internal/usage/tally.go
+++ b/internal/usage/tally.go
@@ -1,9 +1,9 @@
 // Package usage counts the requests of each tenant per time window, finalizes one count for each window through the
 // store, and reports it to the platform.
 //
-// Each gateway counts on its own and sends its counts to the others, so that they survive its failure. The gateway
-// that holds the authority sums a window that is over, commits the sum to the store with a compare-and-swap, and only
-// then reports it: whoever reports the window later finds the same numbers there.
+// Each gateway counts on its own and sends its counts to the others, so that they survive its failure. The leader sums a
+// window that is over, commits the sum to the store with a compare-and-swap, and only then reports it. A gateway that
+// reports the window again finds the same counts in the store.
 package usage
 
 import (
@@ -13,10 +13,10 @@
 	"time"
 )
 
-// Count holds what one gateway has counted in one window.
+// Count holds one gateway's request counts of one window.
 type Count struct {
 	_ struct{} `cbor:",toarray"`
-	// Gateway is the gateway that counted, and Epoch distinguishes its starts.
+	// Gateway is the gateway that counted, and Epoch differs for each of its starts.
 	Gateway string
 	Epoch   int64
 	// Window is the number of the window, and Requests counts the requests that began in it, by tenant.
@@ -33,25 +33,25 @@
 // origin returns the origin of a count.
 func (c Count) origin() origin { return origin{c.Gateway, c.Epoch} }
 
-// Limits of a tally.
 const (
-	// maxOpenWindows is how many windows that are not finalized are kept: 10 minutes of windows of 5 s, longer than
-	// outages of the store.
+	// maxOpenWindows is how many windows that are not finalized are kept, enough for 10 minutes of windows of 5 s. Counts
+	// of older ones are lost if the store is unavailable for longer.
 	maxOpenWindows = 120
-	// silenceTimeout is how long a gateway must be silent before others forward its counts. It is longer than the
-	// interval of full messages.
+	// silenceTimeout is how long a gateway must have sent no counts before others forward its counts. It is longer than
+	// the interval of full messages.
 	silenceTimeout = 1500 * time.Millisecond
 )
 
 // Tally holds the counts of all gateways. It is safe for concurrent use.
 //
-// Invariants: the count of an origin in a window never decreases; merging the same counts again has no effect.
+// Invariants: the count of an origin in a window never decreases, and merging takes the maximum, so that messages may be
+// lost, repeated or reordered.
 type Tally struct {
 	mu     sync.Mutex
 	self   origin
 	counts map[int64]map[origin]map[string]int64
 	// unsent holds the windows and tenants whose own counts have changed since they were last sent.
-	unsent    map[int64]map[string]bool
+	unsent       map[int64]map[string]bool
 	lastReceived map[origin]time.Time
 	// firstOpen is the first window that is not finalized.
 	firstOpen int64
@@ -108,7 +108,8 @@
 	}
 }
 
-// Merge adds counts received from another gateway: its own ones and those that it forwards for silent gateways.
+// Merge applies counts received from another gateway: its own ones and those that it forwards for silent gateways. The
+// higher value of each counter is kept.
 func (t *Tally) Merge(now time.Time, sender string, counts []Count) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -120,6 +121,7 @@
 		if count.Gateway == sender {
 			t.lastReceived[from] = now
 		} else if _, known := t.lastReceived[from]; !known {
+			// An origin known only from forwarded counts is silent.
 			t.lastReceived[from] = time.Time{}
 		}
 		requests := t.countsOf(count.Window, from)
@@ -145,7 +147,7 @@
 	return counts
 }
 
-// TakeAll returns the own counts, and those to be forwarded for gateways that have been silent.
+// TakeAll returns the own counts, and those to forward for silent gateways, of all windows that are not finalized.
 func (t *Tally) TakeAll(now time.Time) []Count {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/usage/usage_test.go
+++ b/internal/usage/usage_test.go
@@ -37,7 +37,7 @@
 				}
 			}
 			if sum := tallies[gateway].Sum(window)["a"]; sum > total {
-				t.Fatalf("%d of %d requests", sum, total)
+				t.Fatalf("gateway %d counts %d requests, want at most %d", gateway, sum, total)
 			}
 		}
 		for from := range tallies {
@@ -48,12 +48,14 @@
 		}
 		for _, tally := range tallies {
 			if sum := tally.Sum(window)["a"]; sum != total {
-				t.Fatalf("%d of %d requests", sum, total)
+				t.Fatalf("%d requests are counted, want %d", sum, total)
 			}
 		}
 	})
 }
 
+// TestPeersForwardCountsOfDeadGateway guards against losing the counts of a terminated gateway, forwarding those of a
+// live one, and replacing counts when a gateway restarts.
 func TestPeersForwardCountsOfDeadGateway(t *testing.T) {
 	dead, peer, other := NewTally("dead", 1), NewTally("peer", 1), NewTally("other", 1)
 	dead.Add(7, "a")
@@ -73,6 +75,8 @@
 	}
 }
 
+// TestRequestAfterFinalizationCountsInNextWindow guards against losing requests whose window is already finalized. The
+// counts of the finalized window are dropped, as the store holds them.
 func TestRequestAfterFinalizationCountsInNextWindow(t *testing.T) {
 	tally := NewTally("g", 1)
 	tally.Add(7, "a")
@@ -83,6 +87,7 @@
 	}
 }
 
+// TestClockUsesMedian guards against windows that move when the clock of one machine jumps.
 func TestClockUsesMedian(t *testing.T) {
 	monotonic, wall := time.Duration(0), epoch
 	clock := NewClock(func() (time.Duration, time.Time) { return monotonic, wall })
