--- a/internal/enginehealth/enginehealth.go
+++ b/internal/enginehealth/enginehealth.go
@@ -1,6 +1,6 @@
-// Package enginehealth tracks engines that have ended although their records still exist. A record expires seconds after
-// its process ended, when the engine may already be running again; a refused connection shows the same within
-// milliseconds.
+// Package enginehealth tracks engines whose processes have terminated although their records still exist. A record
+// expires only seconds later, when the engine may already be running again; a refused connection shows the termination
+// at once. Such an engine is called absent.
 package enginehealth
 
 import (
@@ -9,53 +9,56 @@
 	"github.com/granitebay/granitebay/internal/backend"
 )
 
-// Settings configures a table.
+// Settings configures a Table.
 type Settings struct {
 	// ReportTTL is how long a report that the address of an engine refuses connections is valid. Probes that fail again
 	// renew it; without probes, the next request detects the absence again.
 	ReportTTL time.Duration
-	// DefaultReturnTime is the assumed time until an engine is back while no return has been observed. MaxReturnTime bounds the
-	// observed times that are learned from: an engine that was away for longer was not simply restarted.
+	// DefaultReturnTime is the time until an engine is assumed to be back, until returns have been observed. MaxReturnTime
+	// bounds the observed times that are used: an engine that was away for longer was not simply restarted.
 	DefaultReturnTime, MaxReturnTime time.Duration
 }
 
-// DefaultSettings returns a ReportTTL of several probe intervals, and a DefaultReturnTime of about the time until a record expires.
+// DefaultSettings returns the default settings: a ReportTTL of several probe intervals, and a DefaultReturnTime of about
+// the time until a record expires.
 func DefaultSettings() Settings {
 	return Settings{ReportTTL: 1500 * time.Millisecond, DefaultReturnTime: 3 * time.Second, MaxReturnTime: time.Minute}
 }
 
-// maxTrackedReturns bounds the ended engines whose return is awaited to measure its duration.
+// maxTrackedReturns bounds terminatedByAddress.
 const maxTrackedReturns = 1024
 
-// Table holds the engines that have ended. It is a pure state machine and not safe for concurrent use.
+// Table holds the engines that were reported as absent. It is a pure state machine and not safe for concurrent use.
 //
-// Invariants: only engines with records are absent; an absence ends when the engine responds, or after ReportTTL without a
-// report; an absence is confirmed only by a refused connection of this process.
+// Invariants: only engines with records are absent; an absence ends when the engine responds, or after ReportTTL without
+// a report; an absence is confirmed only by a refused connection of this process.
 type Table struct {
 	settings Settings
-	absent   map[string]*absentEngine
-	// endedByAddress holds the engines that ended, until another one is recorded at the address.
+	// absent holds the reported engines by ID. An entry is kept after its report expired, until the engine responds or its
+	// record is removed.
+	absent map[string]*absentEngine
+	// endedByAddress holds the engines that terminated, until another one is registered at the address.
 	terminatedByAddress map[string]terminatedEngine
-	// trustedUntil holds the engines that responded although another process reported them, and until when such
-	// reports are ignored: the reporter may be partitioned.
+	// trustedUntil holds, by engine ID, until when reports of other processes are ignored because the engine has responded
+	// to this one: the reporter may be partitioned.
 	trustedUntil map[string]time.Time
 	returnTimes  durationEstimate
 }
 
-// Return is an engine that was recorded again under another ID.
+// Return is the restart of an engine: an engine registered under another ID at the address of one that terminated.
 type Return struct {
 	Worker *backend.Worker
 	Away   time.Duration
 }
 
-// absentEngine is an engine that has ended.
+// absentEngine is the report that an engine is absent.
 type absentEngine struct {
 	worker        *backend.Worker
 	since, expiry time.Time
 	confirmed     bool
 }
 
-// endedEngine records when an engine ended.
+// terminatedEngine records when an engine terminated.
 type terminatedEngine struct {
 	id    string
 	since time.Time
@@ -86,7 +89,7 @@
 	return isNew
 }
 
-// trackReturn records when an engine ended, to measure the time until its return.
+// trackReturn records when an engine terminated, to measure the time until its return.
 func (t *Table) trackReturn(now time.Time, worker *backend.Worker) {
 	if previous, found := t.terminatedByAddress[worker.Address]; found && previous.id == worker.ID {
 		return
@@ -96,7 +99,8 @@
 	}
 }
 
-// Responded records that an engine responds, and reports whether it was known to be absent.
+// Responded records that an engine responds, and reports whether it was reported as absent, even if the report has
+// expired.
 func (t *Table) Responded(now time.Time, worker *backend.Worker) bool {
 	_, found := t.absent[worker.ID]
 	delete(t.absent, worker.ID)
@@ -109,7 +113,7 @@
 	return found
 }
 
-// Absent reports whether an engine has ended, and whether this process itself was refused a connection.
+// Absent reports whether an engine is absent, and whether a connection of this process itself was refused.
 func (t *Table) Absent(now time.Time, id string) (absent, confirmed bool) {
 	entry, found := t.absent[id]
 	if !found || !now.Before(entry.expiry) {
@@ -118,7 +122,8 @@
 	return true, entry.confirmed
 }
 
-// Engines returns the absent engines, including those whose reports have expired.
+// Engines returns the engines that were reported as absent and have not responded since, including those whose reports
+// have expired.
 func (t *Table) Engines() []*backend.Worker {
 	engines := make([]*backend.Worker, 0, len(t.absent))
 	for _, entry := range t.absent {
@@ -127,7 +132,8 @@
 	return engines
 }
 
-// ApplyChanges removes engines whose records are gone, and learns from those that returned, which it returns.
+// ApplyChanges removes engines whose records were removed, and updates the estimate of return times with the engines that
+// returned, which it returns.
 func (t *Table) ApplyChanges(now time.Time, changes backend.Changes) []Return {
 	for _, id := range changes.Removed {
 		delete(t.absent, id)
@@ -160,7 +166,7 @@
 	return returns
 }
 
-// Since returns when an absent engine was first known to have ended.
+// Since returns when an absent engine was first known to have terminated.
 func (t *Table) Since(id string) time.Time {
 	entry, found := t.absent[id]
 	if !found {
@@ -181,8 +187,8 @@
 	return entry.expiry
 }
 
-// ExpectedReturn returns when an absent engine is expected to accept requests again under another ID, and whether that is
-// based on observed returns.
+// ExpectedReturn returns when an absent engine is expected to accept requests again under another ID, and whether that
+// is based on observed returns.
 func (t *Table) ExpectedReturn(id string) (at time.Time, learned bool) {
 	since := t.Since(id)
 	if since.IsZero() {
@@ -194,16 +200,19 @@
 	return since.Add(t.settings.DefaultReturnTime), false
 }
 
-// durationEstimate is a smoothed mean of a duration and its mean deviation, as TCP keeps for round-trip times (RFC
-// 6298).
+// durationEstimate is a smoothed mean of a duration and its mean deviation. It is similar to the estimate that TCP keeps
+// of round-trip times (RFC 6298), with other weights.
 type durationEstimate struct{ mean, deviation time.Duration }
 
-// Divisors that weight a new value, and how many deviations the upper bound is above the mean.
+// Parameters of durationEstimate.
 const (
-	meanDivisor             = 4
-	deviationDivisor        = 4
+	// meanDivisor and deviationDivisor are the inverse weights of a new value.
+	meanDivisor      = 4
+	deviationDivisor = 4
+	// initialDeviationDivisor divides the first value to get the initial deviation.
 	initialDeviationDivisor = 8
-	boundDeviations         = 2
+	// boundDeviations is how many deviations the upper bound is above the mean.
+	boundDeviations = 2
 )
 
 // add adds an observed duration.
--- a/internal/enginehealth/enginehealth_test.go
+++ b/internal/enginehealth/enginehealth_test.go
@@ -79,6 +79,7 @@
 		previous, next := engine(fmt.Sprint("a", i), "x"), engine(fmt.Sprint("a", i+1), "x")
 		table.ApplyChanges(now, backend.Changes{Updated: []*backend.Worker{previous}})
 		table.Refused(now, previous, true)
+		// The estimate is the default of 3 s at first, and then near the actual 2 s.
 		if at, learned := table.ExpectedReturn(previous.ID); learned != (i > 0) || at.Sub(now) < time.Second || at.Sub(now) > 4*time.Second {
 			t.Errorf("incarnation %d: expected back in %s, learned: %v", i, at.Sub(now), learned)
 		}
@@ -91,7 +92,8 @@
 	}
 }
 
-// TestTableInvariants checks the invariants of Table under random reports.
+// TestTableInvariants guards against engines that stay absent without a recent report, or are confirmed as absent without
+// a refused connection of this process.
 func TestTableInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := DefaultSettings()
