--- a/internal/completions/completions.go
+++ b/internal/completions/completions.go
@@ -1,7 +1,8 @@
 // Package completions implements an OpenAI-style completions API, whose requests are routed by labels.
 //
-// A caller posts a JSON body to /v1/completions. Headers carry its tenant, its labels, its deadline, and whether the
-// request may be run more than once. The answer is a stream of server-sent events or a single JSON object.
+// A caller posts a JSON body to /v1/completions. Headers carry its API key, its tenant, its labels, its timeout, whether
+// the request may be run more than once, and the last event that it received. The response is a stream of server-sent
+// events or a single JSON object.
 package completions
 
 import (
@@ -29,24 +30,24 @@
 	HeaderTenant = "X-Granitebay-Tenant"
 	// HeaderLabels holds comma-separated KEY=VALUE pairs.
 	HeaderLabels = "X-Granitebay-Labels"
-	// HeaderDeadline is how long the caller waits for the answer, as in "1m30s".
+	// HeaderDeadline is the timeout of the caller: how long it waits for the response, as in "1m30s".
 	HeaderDeadline = "X-Granitebay-Deadline"
 	// HeaderRepeatable is "false" for a request that may be run at most once; the default is "true".
 	HeaderRepeatable = "X-Granitebay-Repeatable"
-	// HeaderRequestID identifies the request in answers, logs and decisions. A request without one gets a new ID.
+	// HeaderRequestID identifies the request in responses, logs and decisions. A request without one gets a new ID.
 	HeaderRequestID = "X-Request-Id"
 	// HeaderLastEvent is the ID of the last event that the caller of a repeatable stream has received.
 	HeaderLastEvent = "Last-Event-Id"
 )
 
-// DefaultMaxTokens is the limit on the length of an answer if the request sets none.
+// DefaultMaxTokens is the limit on the length of a response if the request sets none.
 const DefaultMaxTokens = 16
 
 // RequestBody is the JSON body of a request.
 type RequestBody struct {
 	Model  string `json:"model"`
 	Prompt string `json:"prompt"`
-	// MaxTokens limits the length of the answer.
+	// MaxTokens limits the length of the response.
 	MaxTokens *int `json:"max_tokens,omitempty"`
 	Stream    bool `json:"stream,omitempty"`
 	// SharedPrefixTokens is the length in tokens of the prompt prefix that other requests share. Requests with the same
@@ -66,8 +67,8 @@
 	return key
 }
 
-// Labels implements forward.LabelledProtocol. It omits invalid labels, which Read reports. The tenant that owns the API
-// key overrides the tenant header.
+// Labels implements forward.LabelledProtocol. It returns false if the request is not a completions request. It omits
+// invalid labels, which Read reports. The tenant that owns the API key overrides the tenant header.
 func (Protocol) Labels(r *http.Request, owner *tenant.Tenant) (map[string]string, bool) {
 	if r.Method != http.MethodPost || r.URL.Path != Path {
 		return nil, false
@@ -87,8 +88,8 @@
 // EventError is the name of the event that ends an interrupted stream.
 const EventError = "error"
 
-// StreamError is the data of an EventError event. The outcome of the request is unknown, since a worker has run it and
-// may have completed it.
+// StreamError is the data of an EventError event. A worker has run the request, and may or may not have
+// completed it.
 type StreamError struct {
 	Error string `json:"error"`
 }
@@ -100,7 +101,7 @@
 	return []byte("event: " + EventError + "\ndata: " + string(data) + "\n\n")
 }
 
-// Read implements forward.Protocol. The error lists all invalid headers.
+// Read implements forward.Protocol. It parses the headers but not the body; the error lists all invalid headers.
 func (Protocol) Read(r *http.Request) (*forward.Request, error) {
 	_, labelErr := parseLabels(r.Header.Get(HeaderLabels))
 	repeatable, repeatableErr := parseRepeatable(r.Header.Get(HeaderRepeatable))
@@ -125,11 +126,11 @@
 	return request, nil
 }
 
-// Complete implements forward.Protocol.
+// Complete implements forward.Protocol. It parses the body.
 func (Protocol) Complete(request *forward.Request) error {
 	var body RequestBody
 	if err := json.Unmarshal(request.Body, &body); err != nil {
-		return errors.Wrap(err, "step read the body")
+		return errors.Wrap(err, "read the body")
 	}
 	if err := body.validate(); err != nil {
 		return err
@@ -154,8 +155,8 @@
 	return errors.Join(errs...)
 }
 
-// demand returns the resources that the request needs. Tokens are approximated by words: workers count tokens
-// themselves, and placement needs only the order of magnitude.
+// demand returns the resources that the request needs. Tokens are approximated by words, which is enough for choosing a
+// worker. The last segment identifies the whole prompt; its tokens are those after the shared prefix.
 func (b *RequestBody) demand() backend.Demand {
 	words := strings.Fields(b.Prompt)
 	demand := backend.Demand{Model: b.Model, PromptTokens: len(words), OutputTokens: DefaultMaxTokens}
@@ -172,7 +173,7 @@
 	return demand
 }
 
-// partID returns a hexadecimal hash that identifies a prompt part of a model.
+// segmentID returns a hexadecimal hash that identifies a prompt segment of a model.
 func segmentID(model string, words []string) string {
 	digest := xxhash.New()
 	_, _ = digest.WriteString(model)
@@ -200,7 +201,8 @@
 	return labels, errs
 }
 
-// parseRepeatable parses whether a request may be run more than once. It returns false for invalid values.
+// parseRepeatable parses whether a request may be run more than once. It returns false, the safe choice, for
+// invalid values.
 func parseRepeatable(text string) (bool, error) {
 	if text == "" {
 		return true, nil
@@ -212,7 +214,7 @@
 	return repeatable, nil
 }
 
-// parseDeadline parses how long a caller waits; zero if it does not say.
+// parseDeadline parses the timeout of a caller; zero if there is none.
 func parseDeadline(text string) (time.Duration, error) {
 	if text == "" {
 		return 0, nil
--- a/internal/completions/completions_test.go
+++ b/internal/completions/completions_test.go
@@ -38,11 +38,13 @@
 	for _, segment := range request.Demand.Segments {
 		segments = append(segments, fmt.Sprint(segment.Tokens))
 	}
-	return fmt.Sprintf("labels %s\nid %s tenant %s patience %s once %t whole %t\ntokens %d,%d parts %s",
+	return fmt.Sprintf("labels %s\nid %s tenant %s timeout %s at-most-once %t unstreamed %t\ntokens %d,%d segments %s",
 		labels.Set(labelSet), request.ID, request.Tenant, request.CallerTimeout, request.RunOnce, request.Unstreamed,
 		request.Demand.PromptTokens, request.Demand.OutputTokens, strings.Join(segments, ","))
 }
 
+// TestParseRequests guards against requests that are parsed wrongly, or rejected without naming the invalid field. Each
+// line of a case must be contained in the description of the request.
 func TestParseRequests(t *testing.T) {
 	archive, err := txtar.ParseFile("testdata/read.txtar")
 	if err != nil {
@@ -51,6 +53,7 @@
 	for pair := range slices.Chunk(archive.Files, 2) {
 		name := strings.TrimSuffix(pair[0].Name, "/request")
 		t.Run(name, func(t *testing.T) {
+			// A case without headers begins with the empty line that separates them from the body.
 			head, body, _ := strings.Cut("\n"+string(pair[0].Data), "\n\n")
 			got := describeRequest(strings.TrimPrefix(head, "\n"), body)
 			for line := range strings.Lines(string(pair[1].Data)) {
@@ -62,6 +65,7 @@
 	}
 }
 
+// TestLabelsRejectsOtherRequests guards against taking requests with other paths or methods for completions requests.
 func TestLabelsRejectsOtherRequests(t *testing.T) {
 	for _, r := range []*http.Request{
 		httptest.NewRequest(http.MethodGet, Path, nil), httptest.NewRequest(http.MethodPost, "/v1/other", nil),
@@ -72,6 +76,7 @@
 	}
 }
 
+// TestSharedPrefixDeterminesAffinityKey guards against sending prompts with the same prefix to different workers.
 func TestSharedPrefixDeterminesAffinityKey(t *testing.T) {
 	affinityKey := func(prompt string) string {
 		body := RequestBody{Model: "m", Prompt: prompt, SharedPrefixTokens: 2}
@@ -84,15 +89,15 @@
 
 // TestTenantOfKeyOverridesHeader guards against selecting rules by a tenant that the caller merely claims to be.
 func TestTenantOfKeyOverridesHeader(t *testing.T) {
-	table, err := tenant.NewTable([]tenant.KeyGrant{{Name: "roasters", Keys: []string{"key-1"}}})
+	table, err := tenant.NewTable([]tenant.KeyGrant{{Name: "tenant-a", Keys: []string{"key-1"}}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := httptest.NewRequest(http.MethodPost, Path, nil)
-	r.Header.Set(HeaderTenant, "cafes")
+	r.Header.Set(HeaderTenant, "tenant-b")
 	r.Header.Set("Authorization", "Bearer key-1")
 	owner, _ := table.Find(Protocol{}.Key(r))
-	for want, owner := range map[string]*tenant.Tenant{"roasters": owner, "cafes": nil} {
+	for want, owner := range map[string]*tenant.Tenant{"tenant-a": owner, "tenant-b": nil} {
 		if labels, _ := (Protocol{}).Labels(r, owner); labels[configuration.LabelTenant] != want {
 			t.Errorf("got %v, want tenant %s", labels, want)
 		}
