--- a/internal/decision/decision.go
+++ b/internal/decision/decision.go
@@ -1,4 +1,4 @@
-// Package decision defines the records of decisions, which show operators what the system chose and why.
+// Package decision defines the records that tell operators what the processes decided and why.
 package decision
 
 import "time"
@@ -10,15 +10,15 @@
 const (
 	KindRequest       Kind = "request"       // a request was finished by a gateway
 	KindRefusal       Kind = "refusal"       // a request was rejected before it ran
-	KindRole          Kind = "role"          // an engine was to change its role, or a role was lost or regained
+	KindRole          Kind = "role"          // an engine was ordered to change its role, or a group lost or regained its decode engines
 	KindAuthority     Kind = "authority"     // a gateway gained or lost the authority to give orders
 	KindConfiguration Kind = "configuration" // a configuration was put in force
-	KindHealth        Kind = "health"        // a worker was ejected, or gave notice that it is leaving, backing off or limited
+	KindHealth        Kind = "health"        // a worker was ejected, announced that it is leaving, asked for a back-off or stated a rate limit
 	KindEntry         Kind = "entry"         // a gateway became an entry or a standby, or the required entry capacity changed
 	KindUsage         Kind = "usage"         // the usage of a window was reported
 	KindCapacity      Kind = "capacity"      // workers of a zone were ordered
 	KindBar           Kind = "bar"           // a request was suspected of crashing workers, barred, cleared or released
-	KindStore         Kind = "store"         // the store was restored from an older copy
+	KindStore         Kind = "store"         // the store was restored from a backup
 )
 
 // Kinds lists all kinds, those about requests first.
@@ -33,7 +33,7 @@
 	// Process is the name of the deciding process, for example "gateway-a-1".
 	Process string `json:"process"`
 	Kind    Kind   `json:"kind"`
-	// Subject is what the decision is about: a request ID, a worker or a group.
+	// Subject is what the decision is about, for example a request ID, a worker, a group or a gateway.
 	Subject string `json:"subject"`
 	// Outcome is what was decided, for example a status, a state or a role.
 	Outcome string `json:"outcome,omitempty"`
@@ -41,7 +41,7 @@
 	Reason string `json:"reason"`
 	// Inputs are the facts that led to the decision, by name.
 	Inputs map[string]string `json:"inputs,omitempty"`
-	// Version is the version of the routes in force at the time.
+	// Version is the version of the routes in force at the time. It is set for requests only.
 	Version int64 `json:"version,omitempty"`
 	// Fence is the fencing token of the authority under which the decision was made; zero if it needed none.
 	Fence int64 `json:"fence,omitempty"`
--- a/internal/decisionlog/log.go
+++ b/internal/decisionlog/log.go
@@ -12,10 +12,9 @@
 // can tell from gaps in Sequence.
 const followerBuffer = 1024
 
-// Entry is a decision in the form in which its originator keeps it. Most entries are never read, so records are created
-// only on demand.
+// Entry is a decision that is converted to a record only when it is read, as most never are.
 type Entry interface {
-	// Record returns the decision without its sequence number, time and process.
+	// Record returns the record of the decision. The log sets its sequence number, time and process.
 	Record() decision.Record
 }
 
@@ -31,8 +30,9 @@
 	process  string
 	capacity int
 
-	mu        sync.Mutex
-	entries   []storedEntry
+	mu      sync.Mutex
+	entries []storedEntry
+	// next is the index of the oldest entry once the buffer is full, and 0 until then.
 	next      int
 	sequence  uint64
 	followers map[chan decision.Record]struct{}
--- a/internal/decisionlog/log_test.go
+++ b/internal/decisionlog/log_test.go
@@ -28,12 +28,14 @@
 		for i, record := range got {
 			want := uint64(first + i + 1)
 			if record.Sequence != want || record.Subject != fmt.Sprint(want) || record.Process != "gateway-a" {
-				t.Fatalf("decision %d is %+v", i, record)
+				t.Fatalf("decision %d is %+v, want number %d", i, record, want)
 			}
 		}
 	})
 }
 
+// TestSlowFollowerDoesNotBlock guards against a slow follower that blocks the log, old records that are sent to a new
+// follower, and records that are sent after the end of a subscription.
 func TestSlowFollowerDoesNotBlock(t *testing.T) {
 	log := New("gateway-a", 4)
 	log.Append(time.Now(), decision.Record{Subject: "before"})
@@ -42,11 +44,11 @@
 		log.Append(time.Now(), decision.Record{Subject: fmt.Sprint(i)})
 	}
 	if first := <-records; first.Subject != "0" || first.Sequence != 2 {
-		t.Errorf("first record is %+v", first)
+		t.Errorf("first record is %+v, want number 2 about 0", first)
 	}
 	stop()
 	log.Append(time.Now(), decision.Record{})
 	if len(records) != followerBuffer-1 {
-		t.Errorf("%d decisions are buffered", len(records))
+		t.Errorf("%d decisions are buffered, want %d", len(records), followerBuffer-1)
 	}
 }
