--- a/internal/gateway/entries.go
+++ b/internal/gateway/entries.go
@@ -238,7 +238,7 @@
 	}
 	logging.Component(g.logger, "budget").WithFields(logrus.Fields{
 		"divided_by": gatewayCount, "before": g.entries.retryGatewayCount, "stands_by": standby, "entries": entries, "in_doubt": uncertain, "gateways": serving,
-	}).Info("The share of the retry allowance has changed.")
+	}).Info("The share of the allowance of repeats has changed.")
 	g.entries.retryGatewayCount = gatewayCount
 }
 
