--- a/internal/gateway/entries.go
+++ b/internal/gateway/entries.go
@@ -23,13 +23,13 @@
 // entryState is the most recent view of the entries, the gateways that receive the requests of callers.
 type entryState struct {
 	mu sync.Mutex
-	// current are the entries, suspects the serving gateways that have gone silent. servingCount counts all serving
-	// gateways.
+	// current holds the entries, and suspects the serving gateways that have sent no heartbeat for a while. servingCount
+	// counts all serving gateways.
 	current, suspects []member.Gateway
 	// previous are the entries before the last change.
 	previous     []member.Gateway
 	servingCount int
-	// leader is the name of the leader, and peers are the addresses that this gateway sends its load to.
+	// leader is the name of the leader, and peers are the addresses that this gateway sends its updates to.
 	leader string
 	peers  []string
 	// isEntry is set while this gateway is an entry, and roleSince is when that last changed.
@@ -37,13 +37,13 @@
 	roleSince time.Time
 	// retryGatewayCount is the number by which the retry allowance was last divided.
 	retryGatewayCount int
-	// advertised caches the gateways named to callers; a zero advertisedAt invalidates it.
+	// advertised caches the gateways advertised to callers; a zero advertisedAt invalidates it.
 	advertised   []member.Gateway
 	advertisedAt time.Time
 }
 
-// advertisedTTL is how long the advertised gateways are cached, since hundreds of requests a second ask for them. It is
-// short compared with the silence after which a gateway is suspected.
+// advertisedTTL is how long the advertised gateways are cached, as they are read often. It is short compared with the
+// silence after which a gateway is suspected.
 const advertisedTTL = 50 * time.Millisecond
 
 // Timing of watchEntries.
@@ -58,9 +58,9 @@
 	// minLoggedSuspension is the shortest suspension that is logged. Shorter ones may result from reading two clocks in
 	// sequence.
 	minLoggedSuspension = 50 * time.Millisecond
-	// shortLeaseDelay is how long a gateway is an entry before it renews a short lease, and longLeaseDelay how long it
-	// is a standby before it renews a long one. Each change costs two store calls, and roles may change several times while
-	// a fleet starts.
+	// shortLeaseDelay is how long a gateway is an entry before it changes to a short lease, and longLeaseDelay how long it
+	// is a standby before it changes to a long one. The delays avoid changes, of two store calls each, while gateways
+	// switch between both several times as a fleet starts.
 	shortLeaseDelay = time.Second
 	longLeaseDelay  = 5 * time.Second
 )
@@ -111,7 +111,7 @@
 // entryNames returns the names of the entries.
 func (g *Gateway) entryNames() []string { return gatewayNames(g.Entries()) }
 
-// advertised returns the gateways named to callers: the entries that are known to be alive.
+// advertised returns the gateways advertised to callers: the entries that are known to be alive.
 func (g *Gateway) advertised() []member.Gateway {
 	g.entries.mu.Lock()
 	defer g.entries.mu.Unlock()
@@ -126,8 +126,8 @@
 	return g.entryNames(), gatewayNames(g.advertised())
 }
 
-// receiveFeedEntries applies the entries that another gateway sent along with its change feed.
-func (g *Gateway) receiveFeedEntries(names, live []string) {
+// applyFeedEntries applies the entries that another gateway sent along with its change feed.
+func (g *Gateway) applyFeedEntries(names, live []string) {
 	g.view.EntriesReported(names, live)
 	if !slices.Equal(names, g.entryNames()) {
 		g.GatewaysChanged()
@@ -140,7 +140,8 @@
 	return rendezvous.First(key, gatewayNames(g.advertised())) == g.settings.Name
 }
 
-// lister returns the name of the entry that lists the store on behalf of all entries, and whether it is this gateway.
+// lister returns the name of the entry that reads the complete list of the store for all entries, and whether it is this
+// gateway.
 func (g *Gateway) lister() (string, bool) {
 	name := rendezvous.First(listerElectionKey, gatewayNames(g.advertised()))
 	return name, name == g.settings.Name
@@ -154,7 +155,8 @@
 	return lo.Map(gateways, func(gateway member.Gateway, _ int) string { return gateway.Name })
 }
 
-// GatewaysChanged implements cluster.Listener. It passes a changed set of entries on to all components.
+// GatewaysChanged implements cluster.Listener. It determines the entries, suspects and receivers of updates, and passes
+// changed ones on to the components that depend on them.
 func (g *Gateway) GatewaysChanged() {
 	g.entries.mu.Lock()
 	defer g.entries.mu.Unlock()
@@ -163,27 +165,27 @@
 	entries, suspects := g.view.Entries()
 	serving := g.view.ServingCount()
 	claimants := g.view.Claimants()
-	audience := audienceOf(g.settings.Name, entries, slices.Concat(suspects, claimants), g.findServing(g.entries.leader))
+	receivers := receiversOf(g.settings.Name, entries, slices.Concat(suspects, claimants), g.findServing(g.entries.leader))
 	if slices.Equal(entries, g.entries.current) && slices.Equal(suspects, g.entries.suspects) && serving == g.entries.servingCount &&
-		slices.Equal(audience.Peers, g.entries.peers) {
+		slices.Equal(receivers.Peers, g.entries.peers) {
 		return
 	}
 	entriesChanged := !slices.Equal(entries, g.entries.current)
 	if entriesChanged {
 		g.entries.previous = g.entries.current
 	}
-	g.entries.current, g.entries.suspects, g.entries.servingCount, g.entries.peers = entries, suspects, serving, audience.Peers
-	g.updateEntryRole(!audience.Standby, len(entries), serving)
+	g.entries.current, g.entries.suspects, g.entries.servingCount, g.entries.peers = entries, suspects, serving, receivers.Peers
+	g.updateEntryRole(!receivers.Standby, len(entries), serving)
 	g.replica.SetReaderCount(serving)
-	g.replica.SetStandby(audience.Standby)
+	g.replica.SetStandby(receivers.Standby)
 	if entriesChanged {
 		g.replica.NotifyWaiters()
 	}
 	g.feedFollower.SetUpstreams(lo.Map(entries, func(entry member.Gateway, _ int) changefeed.Upstream {
 		return changefeed.Upstream{Name: entry.Name, Zone: entry.Zone, Address: entry.ControlAddress}
 	}))
-	g.setRetryGatewayCount(audience.Standby, len(entries), len(suspects)+len(claimants), serving)
-	g.loadExchange.SetAudience(audience)
+	g.setRetryGatewayCount(receivers.Standby, len(entries), len(suspects)+len(claimants), serving)
+	g.loadExchange.SetReceivers(receivers)
 }
 
 // setLeader records the name of the leader and reports whether it has changed.
@@ -203,7 +205,8 @@
 	return nil
 }
 
-// updateEntryRole records and logs whether this gateway is an entry. The mutex of entries must be held.
+// updateEntryRole records and logs whether this gateway is an entry. A gateway that becomes one also starts to learn the
+// cached prompt segments. The mutex of entries must be held.
 func (g *Gateway) updateEntryRole(isEntry bool, entries, serving int) {
 	if isEntry == g.entries.isEntry && !g.entries.roleSince.IsZero() {
 		return
@@ -222,8 +225,8 @@
 	})
 }
 
-// setRetryGatewayCount divides the retry allowance and logs a changed divisor. Entries also count uncertain gateways, which
-// may still accept requests and spend retries. The mutex of entries must be held.
+// setRetryGatewayCount divides the retry allowance and logs a changed divisor. Entries also count uncertain gateways,
+// which may still accept requests and spend retries. The mutex of entries must be held.
 func (g *Gateway) setRetryGatewayCount(standby bool, entries, uncertain, serving int) {
 	gatewayCount := retrybudget.EffectiveGatewayCount(standby, entries, serving)
 	if !standby {
@@ -260,8 +263,8 @@
 	}
 }
 
-// handleLease passes a renewed lease to the controller. A standby gateway does not offer its lease for the controller
-// key, because a successor would have to wait too long for its expiry.
+// handleLease passes a lease, renewed by a call that began at start, to the controller. A long lease of a standby gateway
+// is not used for the controller key: after a failure, the next leader would wait too long for it to expire.
 func (g *Gateway) handleLease(start time.Time, lease int64, ttl time.Duration) {
 	g.view.StoreAnswered(g.isEntry())
 	g.replica.RecordStoreResponse()
@@ -271,13 +274,13 @@
 	g.controller.LeaseRenewed(start, lease, ttl)
 }
 
-// audienceOf returns the recipients of a gateway's load messages: the entries, the uncertain gateways and the leader.
-// Uncertain gateways are suspects, which otherwise would not learn that they are heard again, and gateways that consider
+// receiversOf returns the receivers of a gateway's updates: the entries, the uncertain gateways and the leader. Uncertain
+// gateways are suspects, which otherwise would not learn that their heartbeats arrive again, and gateways that consider
 // themselves entries while this one does not, which otherwise would not learn of the other entries.
-func audienceOf(ownName string, entries, uncertain, leader []member.Gateway) peersync.Receivers {
+func receiversOf(ownName string, entries, uncertain, leader []member.Gateway) peersync.Receivers {
 	isEntry := slices.ContainsFunc(entries, func(entry member.Gateway) bool { return entry.Name == ownName })
-	recipients := lo.UniqBy(slices.Concat(entries, uncertain, leader), func(gateway member.Gateway) string { return gateway.Name })
-	return peersync.Receivers{Peers: peerAddresses(ownName, recipients), Standby: !isEntry}
+	gateways := lo.UniqBy(slices.Concat(entries, uncertain, leader), func(gateway member.Gateway) string { return gateway.Name })
+	return peersync.Receivers{Peers: peerAddresses(ownName, gateways), Standby: !isEntry}
 }
 
 // peerAddresses returns the peer addresses of the gateways other than ownName.
--- a/internal/gateway/notices.go
+++ b/internal/gateway/notices.go
@@ -26,8 +26,9 @@
 	sourcePeer   = "another gateway"
 )
 
-// noticeTracker handles the notices that workers attach to their answers: it applies them, passes them on to the other
-// gateways and reports them to operators. It is safe for concurrent use.
+// noticeTracker handles the notices that workers attach to their responses: it applies them, passes them on to the other
+// gateways and reports them to operators. A worker that announces that it is leaving is draining from then on. It is safe
+// for concurrent use.
 type noticeTracker struct {
 	gateway *Gateway
 	logger  logrus.FieldLogger
@@ -51,11 +52,11 @@
 
 // noticeState is the state of one worker's notices.
 type noticeState struct {
-	// leavingSince is when the worker first said that it is leaving; zero if it did not.
+	// leavingSince is when the worker first announced that it is leaving; zero if it did not.
 	leavingSince time.Time
 	// backOffSince and backOffUntil delimit the time for which the worker asked for no requests.
 	backOffSince, backOffUntil time.Time
-	lastHeard                  time.Time
+	lastReceived               time.Time
 }
 
 // noticeRetention is how long the state of an incarnation is kept after its last notice. It is longer than a leaving
@@ -70,7 +71,7 @@
 	}
 }
 
-// handle processes a notice in a worker's answer, and the error from parsing it, if any.
+// handle processes a notice in a worker's response, and the error from parsing it, if any.
 func (t *noticeTracker) handle(worker *backend.Worker, notice backend.Notice, err error) {
 	if err != nil {
 		t.gateway.metrics.countUnreadableNotice()
@@ -90,19 +91,19 @@
 	if notice.BackOff > 0 {
 		t.gateway.dispatcher.BackOff(worker.ID, notice.BackOff)
 	}
-	news := t.record(time.Now(), worker.ID, notice)
+	newNotice := t.record(time.Now(), worker.ID, notice)
 	if notice.Leaving {
 		t.gateway.metrics.countNotice(worker.Group, noticeLeaving)
 	}
 	if notice.BackOff > 0 {
 		t.gateway.metrics.countNotice(worker.Group, noticeBackOff)
 	}
-	if news.Leaving {
+	if newNotice.Leaving {
 		t.report(worker, noticeLeaving, "The worker says that it leaves.", map[string]string{"source": sourceAnswer})
 	}
-	if news.BackOff > 0 {
+	if newNotice.BackOff > 0 {
 		t.report(worker, noticeBackOff, "The worker asked this gateway to back off.",
-			map[string]string{"for_ms": fmt.Sprint(news.BackOff.Milliseconds())})
+			map[string]string{"for_ms": fmt.Sprint(newNotice.BackOff.Milliseconds())})
 	}
 }
 
@@ -116,26 +117,26 @@
 		state = &noticeState{}
 		t.states[id] = state
 	}
-	state.lastHeard = now
-	var news backend.Notice
+	state.lastReceived = now
+	var newNotice backend.Notice
 	if notice.Leaving && state.leavingSince.IsZero() {
 		state.leavingSince = now
-		news.Leaving = true
+		newNotice.Leaving = true
 	}
 	if notice.BackOff > 0 && !now.Before(state.backOffUntil) {
 		state.backOffSince = now
-		news.BackOff = notice.BackOff
+		newNotice.BackOff = notice.BackOff
 	}
 	if until := now.Add(notice.BackOff); until.After(state.backOffUntil) {
 		state.backOffUntil = until
 	}
-	return news
+	return newNotice
 }
 
 // prune removes outdated states. The mutex must be held.
 func (t *noticeTracker) prune(now time.Time) {
 	for id, state := range t.states {
-		if now.Sub(state.lastHeard) > noticeRetention && !now.Before(state.backOffUntil) {
+		if now.Sub(state.lastReceived) > noticeRetention && !now.Before(state.backOffUntil) {
 			delete(t.states, id)
 		}
 	}
@@ -165,8 +166,8 @@
 
 // Limits on announcements to other gateways.
 const (
-	// maxAnnouncements bounds the workers in one datagram. Other gateways learn of the rest from the workers' own
-	// answers.
+	// maxAnnouncements bounds the leaving workers, and separately the limits, to announce at a time. Other gateways learn
+	// of the rest from the workers' own responses.
 	maxAnnouncements = 256
 	// leavingSends is how many times a leaving worker is announced, at once and then once a second, to make up for lost
 	// datagrams.
@@ -180,9 +181,9 @@
 	t.notify = notify
 }
 
-// drain returns the leaving workers to announce: new ones and, if full is set, also those that were announced fewer than
-// leavingSends times.
-func (t *noticeTracker) drain(full bool) []string {
+// takeUpdate returns the leaving workers to announce: new ones and, if full is set, also those that were announced fewer
+// than leavingSends times.
+func (t *noticeTracker) takeUpdate(full bool) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var announced []string
@@ -214,8 +215,8 @@
 	return g.workers[id]
 }
 
-// violatedNotice returns the kind of notice that a request sent to a worker at a given time violated, or "".
-func (t *noticeTracker) violatedNotice(id string, sentAt time.Time) string {
+// noticeAgainst returns the kind of notice by which a worker asked for no requests at a given time, or "".
+func (t *noticeTracker) noticeAgainst(id string, sentAt time.Time) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	state, found := t.states[id]
--- a/internal/peersync/peersync_test.go
+++ b/internal/peersync/peersync_test.go
@@ -13,6 +13,7 @@
 // epoch is the start time of the tests.
 var epoch = time.Unix(1000, 0)
 
+// TestMessageRoundTrip guards against fields that are lost in encoding, and against accepting malformed datagrams.
 func TestMessageRoundTrip(t *testing.T) {
 	message := &Message{
 		Sender: "a", Epoch: 3, Sequence: 9, Full: true,
@@ -68,6 +69,7 @@
 	})
 }
 
+// TestSilentPeersExpire guards against counting the load of a terminated gateway forever.
 func TestSilentPeersExpire(t *testing.T) {
 	board := NewBoard()
 	board.Apply(epoch, &Message{Sender: "a", Epoch: 1, Sequence: 1, Loads: []Load{{Worker: "w", Running: 5}}})
@@ -78,7 +80,7 @@
 
 // fakeSource provides a fixed load and records the messages it receives.
 type fakeSource struct {
-	mutex    sync.Mutex
+	mu       sync.Mutex
 	received []*Message
 }
 
@@ -91,14 +93,14 @@
 func (s *fakeSource) ApplySupplement(*Supplement) {}
 
 func (s *fakeSource) ApplyUpdate(message *Message) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	s.received = append(s.received, message)
 }
 
 func (s *fakeSource) receivedCount() int {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+	s.mu.Lock()
+	defer s.mu.Unlock()
 	return len(s.received)
 }
 
@@ -138,9 +140,10 @@
 	t.Fatalf("received %d messages, want %d", source.receivedCount(), count)
 }
 
+// TestPeersReceiveChangesAndHeartbeats guards against heartbeats that stop after the first change.
 func TestPeersReceiveChangesAndHeartbeats(t *testing.T) {
 	exchanges, sources := exchangePair(t)
-	exchanges[0].SetAudience(Receivers{Peers: []string{address(exchanges[1])}})
+	exchanges[0].SetReceivers(Receivers{Peers: []string{address(exchanges[1])}})
 	exchanges[0].Changed(true)
 	waitForMessages(t, sources[1], 5)
 }
@@ -150,12 +153,12 @@
 func TestStandbyStopsHeartbeats(t *testing.T) {
 	exchanges, sources := exchangePair(t)
 	peers := []string{address(exchanges[1])}
-	exchanges[0].SetAudience(Receivers{Peers: peers})
+	exchanges[0].SetReceivers(Receivers{Peers: peers})
 	waitForMessages(t, sources[1], 3)
-	exchanges[0].SetAudience(Receivers{Peers: peers, Standby: true})
+	exchanges[0].SetReceivers(Receivers{Peers: peers, Standby: true})
 	received := func() (messages []*Message) {
-		sources[1].mutex.Lock()
-		defer sources[1].mutex.Unlock()
+		sources[1].mu.Lock()
+		defer sources[1].mu.Unlock()
 		return append(messages, sources[1].received...)
 	}
 	for range 200 {
--- a/internal/usage/model_test.go
+++ b/internal/usage/model_test.go
@@ -22,8 +22,7 @@
 var epoch = time.Unix(1_700_000_000, 0)
 
 // simulation is a store, a platform that accepts reports, and gateways of which at most one has the authority.
-// Whenever a gateway makes a call, others may act before it arrives, as if the caller were suspended in the middle of
-// a step.
+// Before a call is executed, other gateways may run, which simulates a caller that is suspended in the middle of a step.
 type simulation struct {
 	t        *rapid.T
 	now      time.Time
@@ -44,9 +43,11 @@
 	accepted     map[int64]map[string]int64
 	// lateCalls are reports without a response that are executed later.
 	lateCalls []lateCall
-	healthy   bool
+	// faultless is set while all calls succeed at once.
+	faultless bool
 }
 
+// lateCall is a report without a response that is executed later.
 type lateCall struct {
 	fence  int64
 	report Report
@@ -82,10 +83,10 @@
 
 var errNoResponse = errors.New("no response")
 
-// interfere lets others act before a call arrives and returns the outcome of the call: executed with a response,
+// drawOutcome lets others act before a call arrives and returns the outcome of the call: executed with a response,
 // executed without one, executed late, or lost.
-func (s *simulation) interfere() string {
-	if s.healthy {
+func (s *simulation) drawOutcome() string {
+	if s.faultless {
 		return "answered"
 	}
 	if s.depth < 2 && rapid.Bool().Draw(s.t, "suspended") {
@@ -141,7 +142,7 @@
 	}
 }
 
-// executeLate executes the calls that got no response.
+// executeLate executes the delayed calls.
 func (s *simulation) executeLate() {
 	for _, transaction := range s.lateCommits {
 		_, _ = s.commit(transaction)
@@ -171,7 +172,7 @@
 	return s.revision, nil
 }
 
-// acceptReport is how the platform handles a report.
+// acceptReport handles a report as the platform does.
 func (s *simulation) acceptReport(fence int64, report Report) error {
 	if fence < s.highestFence {
 		return ErrSuperseded
@@ -190,7 +191,7 @@
 }
 
 func (s *simulation) List(context.Context, string) ([]store.Item, store.Revision, error) {
-	if outcome := s.interfere(); outcome != "answered" {
+	if outcome := s.drawOutcome(); outcome != "answered" {
 		return nil, 0, errNoResponse
 	}
 	if s.item.Revision == 0 {
@@ -200,7 +201,7 @@
 }
 
 func (s *simulation) Commit(_ context.Context, transaction store.Transaction) (store.Revision, error) {
-	switch s.interfere() {
+	switch s.drawOutcome() {
 	case "answered":
 		return s.commit(transaction)
 	case "unanswered":
@@ -226,7 +227,7 @@
 type simulatedPlatform struct{ *simulation }
 
 func (s simulatedPlatform) SendUsage(_ context.Context, _ string, fence int64, report Report) error {
-	switch s.interfere() {
+	switch s.drawOutcome() {
 	case "answered":
 		return s.acceptReport(fence, report)
 	case "unanswered":
@@ -238,7 +239,7 @@
 }
 
 // TestEachWindowIsReportedWithOneCount guards against reporting two different counts of a window, and against missing
-// windows once everything works again.
+// windows once all calls succeed again.
 func TestEachWindowIsReportedWithOneCount(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSimulation(t)
@@ -246,7 +247,7 @@
 			s.randomAction()
 		}
 		s.executeLate()
-		s.healthy = true
+		s.faultless = true
 		s.holder = 0
 		s.fence++
 		for range 20 {
@@ -267,7 +268,7 @@
 				t.Fatalf("window %d was not reported", window)
 			}
 		}
-		if settled := WindowAt(s.now.Add(-DefaultSettings().Settle), testWindow); ledger.Next != settled {
+		if settled := WindowAt(s.now.Add(-DefaultSettings().SettleDelay), testWindow); ledger.Next != settled {
 			t.Fatalf("the first open window is %d, want %d", ledger.Next, settled)
 		}
 	})
