--- a/internal/forward/attempts.go
+++ b/internal/forward/attempts.go
@@ -18,21 +18,23 @@
 	errSilent   = errors.New("the worker was silent for too long")
 )
 
-// failure classifies how an attempt failed.
-type failure int
+// failureKind classifies how an attempt failed.
+type failureKind int
 
 const (
 	// failureNone means success.
-	failureNone failure = iota
+	failureNone failureKind = iota
 	// failureUnreachable means that nothing was sent to the worker.
 	failureUnreachable
 	// failureRefused means that the worker guaranteed not to have run the request.
 	failureRefused
-	// failureMisdirected means that another worker now runs at the address.
+	// failureMisdirected means that the worker's address now belongs to another worker.
 	failureMisdirected
-	// After failureSilent, failureBroken and failureError the request may have run.
+	// failureSilent means that the worker did not start to respond within the response timeout. The request may have run.
 	failureSilent
+	// failureBroken means that the connection broke or the response was malformed. The request may have run.
 	failureBroken
+	// failureError means that the worker returned an error response. The request may have run.
 	failureError
 	// failureDeadline means that the deadline of the request has passed.
 	failureDeadline
@@ -41,7 +43,7 @@
 )
 
 // failureNames are the names of failures in reports.
-var failureNames = map[failure]string{
+var failureNames = map[failureKind]string{
 	failureNone:        "none",
 	failureUnreachable: "unreachable",
 	failureRefused:     "refused",
@@ -54,10 +56,10 @@
 }
 
 // String returns the name of the failure as it appears in reports.
-func (f failure) String() string { return failureNames[f] }
+func (f failureKind) String() string { return failureNames[f] }
 
 // mayHaveRun reports whether the worker may have run the request.
-func (f failure) mayHaveRun() bool {
+func (f failureKind) mayHaveRun() bool {
 	switch f {
 	case failureSilent, failureBroken, failureError:
 		return true
@@ -66,8 +68,8 @@
 	}
 }
 
-// reachedWorker reports whether a worker received the request and did not refuse it.
-func (f failure) reachedWorker() bool {
+// mayHaveBeenAccepted reports whether the worker may have accepted the request.
+func (f failureKind) mayHaveBeenAccepted() bool {
 	switch f {
 	case failureUnreachable, failureRefused, failureMisdirected:
 		return false
@@ -76,8 +78,8 @@
 	}
 }
 
-// outcome returns what the failure says about the health of the worker.
-func (f failure) outcome() balance.Outcome {
+// outcome maps the failure to the outcome that the balancer records for the worker.
+func (f failureKind) outcome() balance.Outcome {
 	switch f {
 	case failureNone:
 		return balance.OutcomeGood
@@ -97,7 +99,7 @@
 }
 
 // classify maps the error of an attempt to a failure. The context is that of the attempt.
-func classify(ctx context.Context, err error) failure {
+func classify(ctx context.Context, err error) failureKind {
 	if err == nil {
 		return failureNone
 	}
@@ -145,16 +147,18 @@
 	decisionFail
 )
 
-// Limits on the number of workers that one request is sent to. Unreachable workers cost little, so more of them are allowed.
+// Limits on the number of workers tried for one request. Connection failures are cheap, so their limit is higher.
 const (
-	maxReached     = 4
-	maxUnreachable = 8
+	maxReachedWorkers     = 4
+	maxUnreachableWorkers = 8
 )
 
 // attempts tracks the attempts of one request and decides whether to make another.
 //
-// Invariants: a request that may run once is never sent again after an attempt that may have run; a request never runs at more workers than
-// its rule allows; the caller is told that the request did not run only if no attempt may have run it.
+// Invariants:
+//   - a request that must not run twice is never sent again after an attempt that may have run;
+//   - a request never runs at more workers than its rule allows;
+//   - the caller is told that the request did not run only if no attempt may have run it.
 type attempts struct {
 	rule *routing.Rule
 	// runOnce is set if the caller forbids running the request again.
@@ -173,45 +177,45 @@
 	retryPrepaid atomic.Bool
 }
 
-// retrySource grants retries.
+// retrySource is a budget that limits the number of retries.
 type retrySource interface {
-	// spend takes one retry and reports whether one was available.
-	spend() bool
+	// takeRetry takes one retry and reports whether one was available.
+	takeRetry() bool
 }
 
 // record adds a failed attempt at a worker.
-func (a *attempts) record(worker string, failed failure) {
+func (a *attempts) record(worker string, failure failureKind) {
 	a.excluded = append(a.excluded, worker)
-	if failed == failureRefused {
+	if failure == failureRefused {
 		a.refused = append(a.refused, worker)
 	}
-	if failed == failureUnreachable {
+	if failure == failureUnreachable {
 		a.unreachable++
 	} else {
 		a.reached++
 	}
-	if failed.mayHaveRun() {
+	if failure.mayHaveRun() {
 		a.possibleRuns++
 	}
 }
 
-// reincludeRefused makes workers eligible again whose back-off time has passed.
+// reincludeRefused makes all workers that refused the request eligible again.
 func (a *attempts) reincludeRefused() {
 	a.excluded = slices.DeleteFunc(a.excluded, func(worker string) bool { return slices.Contains(a.refused, worker) })
 	a.refused = nil
 }
 
 // decide returns what to do after a failed attempt that has been recorded.
-func (a *attempts) decide(failed failure, retries retrySource) decision {
-	if failed == failureDeadline || failed == failureCallerGone || !a.allowsAnother() || !a.takeRetry(retries) {
-		return a.final(failed)
+func (a *attempts) decide(failure failureKind, retries retrySource) decision {
+	if failure == failureDeadline || failure == failureCallerGone || !a.allowsAnother() || !a.takeRetry(retries) {
+		return a.final(failure)
 	}
 	return decisionRetry
 }
 
 // allowsAnother reports whether the limits and the rule allow another attempt.
 func (a *attempts) allowsAnother() bool {
-	if a.reached >= maxReached || a.unreachable >= maxUnreachable {
+	if a.reached >= maxReachedWorkers || a.unreachable >= maxUnreachableWorkers {
 		return false
 	}
 	if a.possibleRuns == 0 {
@@ -225,12 +229,12 @@
 
 // takeRetry takes a retry from the budget if the request has reached a worker before.
 func (a *attempts) takeRetry(retries retrySource) bool {
-	return a.reached == 0 || a.retryPrepaid.Swap(false) || retries.spend()
+	return a.reached == 0 || a.retryPrepaid.Swap(false) || retries.takeRetry()
 }
 
 // final returns the decision when there is no further attempt.
-func (a *attempts) final(failed failure) decision {
-	if a.possibleRuns == 0 && failed != failureDeadline {
+func (a *attempts) final(failure failureKind) decision {
+	if a.possibleRuns == 0 && failure != failureDeadline {
 		return decisionNotRun
 	}
 	return decisionFail
--- a/internal/forward/attempts_test.go
+++ b/internal/forward/attempts_test.go
@@ -15,17 +15,17 @@
 // fixedBudget grants a fixed number of retries.
 type fixedBudget struct{ left int }
 
-func (c *fixedBudget) spend() bool {
-	if c.left == 0 {
+func (b *fixedBudget) takeRetry() bool {
+	if b.left == 0 {
 		return false
 	}
-	c.left--
+	b.left--
 	return true
 }
 
 // TestAttemptsInvariants checks the invariants of attempts with random failures.
 func TestAttemptsInvariants(t *testing.T) {
-	failures := []failure{failureUnreachable, failureRefused, failureMisdirected, failureSilent, failureBroken, failureError, failureDeadline, failureCallerGone}
+	failures := []failureKind{failureUnreachable, failureRefused, failureMisdirected, failureSilent, failureBroken, failureError, failureDeadline, failureCallerGone}
 	rapid.Check(t, func(t *rapid.T) {
 		rule := &routing.Rule{
 			Kind:        rapid.SampledFrom([]routing.Kind{routing.KindAtMostOnce, routing.KindRepeatable, routing.KindStream}).Draw(t, "kind"),
@@ -61,7 +61,7 @@
 			if used := granted - retries.left; reached > 0 && used == 0 {
 				t.Fatal("the retry was not taken from the budget")
 			}
-			if attempt >= maxReached+maxUnreachable {
+			if attempt >= maxReachedWorkers+maxUnreachableWorkers {
 				t.Fatal("the attempts do not end")
 			}
 		}
--- a/internal/forward/availability.go
+++ b/internal/forward/availability.go
@@ -9,34 +9,35 @@
 	"github.com/granitebay/granitebay/internal/ctxsleep"
 )
 
-// availability says why no worker accepts a request now, and when one is expected to.
-type availability struct {
+// unavailability describes why no worker accepts a request now, and when one is expected to.
+type unavailability struct {
 	// loss is the lost role; nil if the workers are up but backing off or at their limits.
-	loss       *RoleLoss
+	loss *RoleLoss
+	// expectedAt is when a worker is expected to accept the request.
 	expectedAt time.Time
-	// full says why workers that are up accept no requests.
-	full balance.RoleFull
+	// saturation describes when workers at their limits accept requests again; zero if loss is set.
+	saturation balance.RoleFull
 }
 
-// availability returns when a worker is expected to accept the request, or false if that is unknown.
-func (c *call) availability() (availability, bool) {
+// unavailability returns why no worker accepts the request and when one is expected to, or false if that is unknown.
+func (c *call) unavailability() (unavailability, bool) {
 	d := c.handler.dispatcher
 	if loss, lost := d.RoleLoss(c.match.Group); lost {
-		return availability{loss: &loss, expectedAt: loss.ExpectedAt}, true
+		return unavailability{loss: &loss, expectedAt: loss.ExpectedAt}, true
 	}
 	full, known := d.saturatedUntil(c.match.Group)
-	return availability{expectedAt: full.Until, full: full}, known
+	return unavailability{expectedAt: full.Until, saturation: full}, known
 }
 
 // awaitWorker waits for a worker to accept the request if one is expected soon. It reports whether to try placement again.
 func (c *call) awaitWorker(ctx context.Context) bool {
-	expected, known := c.availability()
+	expected, known := c.unavailability()
 	if !known {
 		return false
 	}
-	if expected.full.PerSecond > 0 {
-		// Waiting does not help at rate-limited workers: capacity goes to requests that arrive when it becomes available. Other gateways
-		// may lend unused capacity.
+	if expected.saturation.PerSecond > 0 {
+		// Requests are not queued for rate-limited workers, because new requests would take the capacity first. Try to borrow unused
+		// capacity from other gateways instead.
 		return c.handler.dispatcher.borrow(ctx, c.match.Group)
 	}
 	objective := c.match.Rule.Objective
@@ -51,7 +52,7 @@
 	if expected.loss != nil {
 		return awaitRecovery(ctx, expected.loss, latest.Sub(now))
 	}
-	// The jitter keeps waiting requests from reaching the first worker at once and being refused again.
+	// The jitter keeps waiting requests from all reaching the first available worker at once and being refused again.
 	jitter := time.Duration(hashFraction(c.request.ID) * float64(wakeJitter))
 	if !ctxsleep.Sleep(ctx, min(expected.expectedAt.Sub(now)+jitter, latest.Sub(now))) {
 		return false
@@ -60,7 +61,8 @@
 	return true
 }
 
-// wakeJitter is the interval over which requests that wait for a worker are sent. It is long enough to see the first of them answered.
+// wakeJitter is the interval over which requests that wait for a worker are sent. It is long enough for the response to the first of them
+// to arrive before the last is sent.
 const wakeJitter = 60 * time.Millisecond
 
 // awaitRecovery waits, up to the timeout, until an engine of a lost role accepts requests. It reports whether one does.
@@ -76,31 +78,31 @@
 	return false
 }
 
-// Bounds of the Retry-After time while no worker accepts requests.
+// Additions to the Retry-After time while no worker accepts requests.
 const (
-	// recoveryNoticeTime is the delay from a worker's recovery until all gateways know of it.
-	recoveryNoticeTime = 60 * time.Millisecond
+	// availabilityPropagationDelay is the time until all gateways know that a worker accepts requests again.
+	availabilityPropagationDelay = 60 * time.Millisecond
 	// retryAfterJitter is the fraction of the time that is added as jitter, so that refused callers do not return all at once.
 	retryAfterJitter = 0.15
 )
 
 // refuseWithRetryAfter tells the caller that its request did not run and when to retry.
 func (c *call) refuseWithRetryAfter() connAction {
-	expected, known := c.availability()
+	expected, known := c.unavailability()
 	if !known {
 		return respondRetryAfter(c.writer, c.report, ReasonNoWorker, c.handler.settings.RefusedRetryAfter)
 	}
-	if expected.full.PerSecond > 0 {
-		expected.expectedAt = c.handler.dispatcher.reserveSlot(c.match.Group.Name, expected.full, c.deadline)
+	if expected.saturation.PerSecond > 0 {
+		expected.expectedAt = c.handler.dispatcher.reserveSlot(c.match.Group.Name, expected.saturation, c.deadline)
 	}
-	after := max(expected.expectedAt.Sub(c.handler.dispatcher.now()), 0) + recoveryNoticeTime
+	after := max(expected.expectedAt.Sub(c.handler.dispatcher.now()), 0) + availabilityPropagationDelay
 	after += time.Duration(retryAfterJitter * hashFraction(c.request.ID) * float64(after))
 	reason := ReasonBackOff
 	switch {
 	case expected.loss != nil:
 		c.report.Loss = expected.loss
 		reason = ReasonRoleLost
-	case expected.full.PerSecond > 0:
+	case expected.saturation.PerSecond > 0:
 		reason = ReasonRateLimit
 	}
 	return respondRetryAfter(c.writer, c.report, reason, after.Round(time.Millisecond))
--- a/internal/forward/body.go
+++ b/internal/forward/body.go
@@ -9,11 +9,11 @@
 	"github.com/cockroachdb/errors"
 )
 
-// writeGrace is how long after the deadline of its request a response may still be written. The bound frees requests whose callers have
-// stopped reading or lost their connection.
+// writeGrace is how long after the deadline of its request a response may still be written. It limits how long a caller that has
+// stopped reading occupies a request.
 const writeGrace = 2 * time.Second
 
-// extendWriteDeadline extends the write deadline if the response is ready only after the request deadline. Otherwise the server would close
+// extendWriteDeadline gives a response that is ready only after the request deadline time to be written. Otherwise the server would close
 // the connection without a response, for example after the process was suspended.
 func extendWriteDeadline(writer http.ResponseWriter, deadline time.Time) {
 	if now := time.Now(); now.After(deadline) {
@@ -33,11 +33,11 @@
 	_ = connection.SetReadDeadline(deadline)
 	status, err := readBody(writer, incoming, request, limit)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		// The rest of the body must not be parsed as the next request.
+		// Closing the connection keeps the unread rest of the body from being parsed as the next request.
 		writer.Header().Set("Connection", "close")
 		return http.StatusRequestTimeout, err
 	}
-	// The server keeps reading in the background and would treat a read timeout as a disconnect.
+	// net/http keeps reading from the connection and would treat an expired read deadline as a disconnect.
 	_ = connection.SetReadDeadline(time.Time{})
 	return status, err
 }
@@ -56,7 +56,7 @@
 		return 0, nil
 	}
 	if incoming.ContentLength > limit {
-		return http.StatusRequestEntityTooLarge, errors.Newf("step read the body: %d bytes exceed the limit of %d",
+		return http.StatusRequestEntityTooLarge, errors.Newf("read the body: %d bytes exceed the limit of %d",
 			incoming.ContentLength, limit)
 	}
 	var err error
@@ -69,7 +69,7 @@
 	}
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		return http.StatusRequestEntityTooLarge, err
+		return http.StatusRequestEntityTooLarge, errors.Wrapf(err, "read the body, limited to %d bytes", limit)
 	}
-	return http.StatusBadRequest, errors.Wrap(err, "step read the body")
+	return http.StatusBadRequest, errors.Wrap(err, "read the body")
 }
--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -21,15 +21,16 @@
 	guarded  *guardedRequest
 	attempts attempts
 	relay    relay
-	// truncationEvent returns the event that ends a stream that was cut off; nil if the protocol has none.
-	truncationEvent func(Reason) []byte
+	// newTruncationEvent returns the event that ends a truncated stream; nil if the protocol has none.
+	newTruncationEvent func(Reason) []byte
 	// prefills counts prefill calls that an engine accepted.
 	prefills int
 	// prefillFailures counts failed prefill calls.
 	prefillFailures int
-	// prefilledAt is the engine whose prompt handle was refused. Its cache may still hold the prompt.
-	prefilledAt *backend.Worker
-	// isExclusive is set while this call holds the exclusive run of a suspect request.
+	// prefilledEngine is the engine that prefilled a prompt whose handle the runner refused. Its cache may still hold the prompt, so the
+	// next runner fetches it from there.
+	prefilledEngine *backend.Worker
+	// isExclusive is set while this call is the only copy of a suspect request that may run.
 	isExclusive bool
 	// usageCounted is set once the request has been counted for its tenant.
 	usageCounted bool
@@ -68,24 +69,24 @@
 			}
 			continue
 		}
-		worker, failed := c.attempt(ctx, placement)
-		if failed == failureNone {
+		worker, failure := c.attempt(ctx, placement)
+		if failure == failureNone {
 			c.guarded.reportSuccess()
 			return connKeep
 		}
 		c.guarded.awaitProbe(ctx)
-		c.attempts.record(worker, failed)
-		decided := c.attempts.decide(failed, c.handler.dispatcher.RetryBudget(c.match.Group.Name))
+		c.attempts.record(worker, failure)
+		decided := c.attempts.decide(failure, c.handler.dispatcher.RetryBudget(c.match.Group.Name))
 		if decided != decisionRetry || (c.relay.started && !c.resumable()) {
-			c.guarded.awaitPeersNotified(ctx)
-			return c.giveUp(failed, decided)
+			c.guarded.delayFailure(ctx)
+			return c.giveUp(failure, decided)
 		}
 	}
 }
 
 // placeOptions returns the placement constraints for the next attempt. Suspect requests are kept on separate workers.
 func (c *call) placeOptions(status poison.Status) PlaceOptions {
-	options := PlaceOptions{Excluded: c.attempts.excluded, Colocated: c.mustColocate()}
+	options := PlaceOptions{Excluded: c.attempts.excluded, Colocated: c.decideColocation()}
 	if status == poison.Suspected {
 		options.SuspectKey = c.guarded.requestDigest().String()
 	}
@@ -97,21 +98,23 @@
 // resumable reports whether another worker may continue the stream.
 func (c *call) resumable() bool { return c.match.Rule.Resumable && !c.attempts.runOnce }
 
-// mustColocate reports whether the runner has to prefill the prompt itself: after too many failed prefill calls, if another engine's cache
-// still holds the prompt, or if the budget has no retry for another prefill call. The first prefill call is not a retry.
-func (c *call) mustColocate() bool {
+// decideColocation reports whether the runner has to prefill the prompt itself. If not, and this is not the first prefill call, it takes a
+// retry from the budget.
+func (c *call) decideColocation() bool {
 	switch {
-	case c.prefillFailures >= maxPrefillFailures || c.prefilledAt != nil:
+	case c.prefillFailures >= maxPrefillFailures || c.prefilledEngine != nil:
+		// Too many prefill calls have failed, or another engine's cache still holds the prompt.
 		return true
 	case c.prefills == 0 || c.match.Group.Engine == nil:
 		return false
 	default:
-		return !c.handler.dispatcher.RetryBudget(c.match.Group.Name).spend()
+		return !c.handler.dispatcher.RetryBudget(c.match.Group.Name).takeRetry()
 	}
 }
 
-// attempt sends the request to the workers of a placement. On failure it returns the id of the worker that failed.
-func (c *call) attempt(ctx context.Context, placement *Placement) (string, failure) {
+// attempt sends the request to the workers of a placement. It returns the id of the worker that served the request or failed; empty if no
+// runner was found.
+func (c *call) attempt(ctx context.Context, placement *Placement) (string, failureKind) {
 	record := Attempt{Start: time.Now(), Deferred: placement.Deferred}
 	runner := placement.Runner
 	var prompt *PrefilledPrompt
@@ -119,11 +122,11 @@
 		prefillEngine := placement.Prefill.Worker
 		record.PrefillEngine = prefillEngine.ID
 		record.Score, record.Candidates = placement.Prefill.Score, placement.Prefill.Candidates
-		prefilled, failed := c.prefill(ctx, placement)
+		prefilled, failure := c.prefill(ctx, placement)
 		record.PrefillTime = time.Since(record.Start)
-		if failed != failureNone {
-			c.recordAttempt(record, "read: ", failed)
-			return prefillEngine.ID, failed.asNotRun()
+		if failure != failureNone {
+			c.recordAttempt(record, "read: ", failure)
+			return prefillEngine.ID, failure.asNotRun()
 		}
 		found := false
 		runner, found = c.handler.dispatcher.PlaceRunner(c.request, c.match.Group, c.attempts.excluded, placement.Prefill)
@@ -138,21 +141,22 @@
 	if prompt == nil {
 		record.Score, record.Candidates = runner.Score, runner.Candidates
 	}
-	failed := c.runOn(ctx, runner, RunOptions{
+	failure := c.runOn(ctx, runner, RunOptions{
 		Deadline: c.deadline, Prompt: prompt, FetchFrom: c.fetchFrom(prompt, placement.FetchFrom), Deferred: placement.Deferred,
 	})
-	if failed == failureNone {
+	if failure == failureNone {
 		c.handler.dispatcher.RecordPrefilled(runner.Worker, c.request)
 	}
-	c.recordAttempt(record, "", failed)
-	if prompt != nil && failed == failureRefused {
-		c.prefilledAt = prompt.Engine
+	c.recordAttempt(record, "", failure)
+	if prompt != nil && failure == failureRefused {
+		c.prefilledEngine = prompt.Engine
 	}
-	return record.Worker, failed
+	return record.Worker, failure
 }
 
-// asNotRun converts the failure of a prefill call, after which the request itself cannot have run.
-func (f failure) asNotRun() failure {
+// asNotRun returns the failure of a request whose prefill call failed. Failures that would mean that the request may have run become
+// failureRefused, because a prefill call does not run the request.
+func (f failureKind) asNotRun() failureKind {
 	if f.mayHaveRun() {
 		return failureRefused
 	}
@@ -160,12 +164,12 @@
 }
 
 // recordAttempt adds an attempt to the report.
-func (c *call) recordAttempt(record Attempt, prefix string, failed failure) {
+func (c *call) recordAttempt(record Attempt, prefix string, failure failureKind) {
 	record.End = time.Now()
-	if failed != failureNone {
-		record.Failure = prefix + failed.String()
+	if failure != failureNone {
+		record.Failure = prefix + failure.String()
 	}
-	if failed == failureBroken && c.report.RequestDigest == nil {
+	if failure == failureBroken && c.report.RequestDigest == nil {
 		digest := c.guarded.requestDigest()
 		c.report.RequestDigest = &digest
 	}
@@ -173,11 +177,11 @@
 }
 
 // runOn runs the request at a worker and forwards the response.
-func (c *call) runOn(ctx context.Context, runner *Assignment, options RunOptions) failure {
+func (c *call) runOn(ctx context.Context, runner *Assignment, options RunOptions) failureKind {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	c.relay.onResponse = func() {
-		runner.prefilled()
+		runner.responseStarted()
 		c.countUsage()
 	}
 	gate := &responseGate{}
@@ -191,22 +195,22 @@
 	if err == nil {
 		err = c.forwardResponse(response)
 	}
-	failed := classify(ctx, err)
-	if failed != failureNone {
+	failure := classify(ctx, err)
+	if failure != failureNone {
 		c.report.Err = err
 		c.releasePrompt(options.Prompt)
 	}
-	c.guarded.reportFailure(runner.Worker, failed, err)
+	c.guarded.reportFailure(runner.Worker, failure, err)
 	c.handler.dispatcher.recordIfRefused(runner.Worker, err)
-	if c.match.Group.Engine == nil && failed.reachedWorker() {
+	if c.match.Group.Engine == nil && failure.mayHaveBeenAccepted() {
 		c.countUsage()
 	}
-	runner.finish(failed.outcome())
-	return failed
+	runner.finish(failure.outcome())
+	return failure
 }
 
-// countUsage counts the request for its tenant, at most once over all attempts. Engines count from the first token, plain workers as soon
-// as they have received the request.
+// countUsage counts the request for its tenant, at most once over all attempts. Requests to engines are counted from the first token,
+// requests to plain workers once a worker may have accepted them, even if it fails.
 func (c *call) countUsage() {
 	if c.usageCounted || c.request.Tenant == "" || c.handler.onTenantStart == nil {
 		return
@@ -216,12 +220,12 @@
 }
 
 // fetchFrom returns the engine from which the runner fetches the cached part of the prompt, or nil.
-func (c *call) fetchFrom(prompt *PrefilledPrompt, holder *backend.Worker) *backend.Worker {
+func (c *call) fetchFrom(prompt *PrefilledPrompt, source *backend.Worker) *backend.Worker {
 	switch {
-	case c.prefilledAt != nil:
-		return c.prefilledAt
+	case c.prefilledEngine != nil:
+		return c.prefilledEngine
 	case prompt == nil:
-		return holder
+		return source
 	default:
 		return nil
 	}
--- a/internal/forward/dispatcher.go
+++ b/internal/forward/dispatcher.go
@@ -17,20 +17,21 @@
 type DispatchSettings struct {
 	// Zone is the zone of this gateway. Workers in the same zone are preferred.
 	Zone string
-	// DisaggregationSeconds is the cost of prefilling a prompt on a separate engine: one more call and the transfer.
+	// DisaggregationSeconds is the fixed cost of prefilling a prompt on a separate engine, mainly that of the additional call.
 	DisaggregationSeconds float64
-	// LongPrefill is the prefill time above which prefilling on a decode engine interrupts its other answers for too long. The interruption
-	// costs LongPrefillSeconds.
+	// LongPrefill is the prefill time above which prefilling on a decode engine is penalized, because it stalls the engine's other answers.
+	// LongPrefillSeconds is the penalty.
 	LongPrefill        time.Duration
 	LongPrefillSeconds float64
 	// UrgentNotifyTokens is the prompt length from which other gateways are notified of a prefill immediately.
 	UrgentNotifyTokens int
 	// MinSharedTokens is the length from which shared prompt prefixes are tracked per engine.
 	MinSharedTokens int
-	// RecomputeWeight scales the time to prefill a shared prefix that another engine has cached, and FetchWeight the time to fetch it.
+	// RecomputeWeight is the weight of the time to prefill a shared prefix again that another engine has cached, and FetchWeight the weight
+	// of the time to fetch it from there.
 	RecomputeWeight float64
 	FetchWeight     float64
-	// TransferSeconds is the cost of transferring a prompt to an engine that has not cached its shared prefix.
+	// TransferSeconds is the cost of transferring a prefilled prompt to a decode engine that has not cached its shared prefix.
 	TransferSeconds float64
 	Balance         balance.Settings
 	Budget          retrybudget.Settings
@@ -68,39 +69,40 @@
 	demand       map[string]*demandCounter
 	// onPlacement is called after each placement; may be nil.
 	onPlacement func(took time.Duration, candidates int)
-	// saturation caches, by group, whether no worker accepts requests. reservedUntil is the time of the last slot that was announced to a
-	// caller of the group.
-	saturation    map[string]cachedSaturation
-	reservedUntil map[string]time.Time
-	// limits is this gateway's share of the workers' rate limits; nil if it has all of them.
-	limits *limitHoldings
+	// saturationCache caches, by group, when its workers accept requests again. lastReservedSlot is the last Retry-After time that was
+	// announced to a caller of a rate-limited group.
+	saturationCache  map[string]cachedSaturation
+	lastReservedSlot map[string]time.Time
+	// limits is this gateway's share of the workers' rate limits; nil if this gateway uses the limits alone.
+	limits *quotaShares
 	// records are the workers as recorded in the store, without the roles that engines reported themselves.
 	records backend.Set
 }
 
-// NewDispatcher returns a dispatcher without workers. Its retry budgets use the clock since boot.
+// NewDispatcher returns a dispatcher without workers. Its retry budgets and its shares of rate limits use the clock since boot.
 func NewDispatcher(settings DispatchSettings, now func() time.Time) *Dispatcher {
 	return newDispatcher(settings, now, boottime.Now)
 }
 
-// newDispatcher is NewDispatcher with both clocks. The clock since boot is used for everything that depends on the time of other gateways.
+// newDispatcher is NewDispatcher with both clocks. The retry budgets and the shares of rate limits use the clock since boot, everything
+// else uses now.
 func newDispatcher(settings DispatchSettings, now, sinceBoot func() time.Time) *Dispatcher {
 	peers := newPeerExchange()
 	model := enginemodel.New()
 	return &Dispatcher{
-		settings:      settings,
-		now:           now,
-		model:         model,
-		balancer:      balance.New(settings.Balance, model, peers.peerLoad),
-		prefixCache:   prefixcache.New(),
-		peers:         peers,
-		retries:       newRetryBudgets(settings.Budget, sinceBoot),
-		engineState:   newEngineState(),
-		engineGroups:  map[string]*routing.Engine{},
-		demand:        map[string]*demandCounter{},
-		saturation:    map[string]cachedSaturation{},
-		reservedUntil: map[string]time.Time{},
-		records:       backend.Set{},
+		settings:         settings,
+		now:              now,
+		model:            model,
+		balancer:         balance.New(settings.Balance, model, peers.peerLoad),
+		prefixCache:      prefixcache.New(),
+		peers:            peers,
+		retries:          newRetryBudgets(settings.Budget, sinceBoot),
+		engineState:      newEngineState(),
+		engineGroups:     map[string]*routing.Engine{},
+		demand:           map[string]*demandCounter{},
+		saturationCache:  map[string]cachedSaturation{},
+		lastReservedSlot: map[string]time.Time{},
+		records:          backend.Set{},
 	}
 }
 
@@ -137,8 +139,9 @@
 	changes.Updated = d.engineState.applyReportedRoles(now, changes.Updated, changes.Removed)
 	d.engineState.expirePendingRoles(now, d.balancer)
 	d.engineState.recordDecoders(changes.Updated)
-	d.engineState.returns = append(d.engineState.returns, d.engineState.engineHealth.ApplyChanges(now, changes)...)
+	d.engineState.reregistered = append(d.engineState.reregistered, d.engineState.engineHealth.ApplyChanges(now, changes)...)
 	d.balancer.Change(changes)
+	// The change may have brought an engine back.
 	d.engineState.signalRecovered()
 	if len(d.engineState.pendingRoles) > 0 || len(d.engineState.engineHealth.Engines()) > 0 {
 		d.engineState.notifyChange()
@@ -150,7 +153,7 @@
 	}
 }
 
-// RecordCrash records that a worker crashed while running a request, and how long ago.
+// RecordCrash records that a worker crashed while running a request. sinceEnd is the time since the crash.
 func (d *Dispatcher) RecordCrash(worker string, sinceEnd time.Duration) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -158,18 +161,18 @@
 	d.balancer.RecordCrash(now, now.Add(-sinceEnd), worker)
 }
 
-// SuspectTurn says when a suspect request may run.
-type SuspectTurn struct {
+// suspectTurn describes when a suspect request may run.
+type suspectTurn struct {
 	// Wait is the expected time until then.
 	Wait time.Duration
-	// WorthWaiting is set if only other suspect requests come first. Otherwise a worker has to come back before.
-	WorthWaiting bool
+	// IsShort is set if the request waits only for other suspect requests, not for a crashed worker to be replaced.
+	IsShort bool
 	// Exhausted is set if the request was tried at all workers at which it may run.
 	Exhausted bool
 }
 
-// SuspectTurnOf returns when a suspect request may run that was already tried at the excluded workers.
-func (d *Dispatcher) SuspectTurnOf(group *routing.Group, suspectKey string, excluded []string) SuspectTurn {
+// suspectTurn returns when a suspect request may run that was already tried at the excluded workers.
+func (d *Dispatcher) suspectTurn(group *routing.Group, suspectKey string, excluded []string) suspectTurn {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	query := balance.Query{Group: group.Name, Role: backend.RoleDecode, SuspectKey: suspectKey, Excluded: excluded}
@@ -178,7 +181,7 @@
 	}
 	now := d.now()
 	wait := d.balancer.SuspectWait(now, query)
-	return SuspectTurn{Wait: wait, WorthWaiting: wait <= d.settings.Balance.Risk.Round(), Exhausted: d.balancer.SuspectExhausted(now, query)}
+	return suspectTurn{Wait: wait, IsShort: wait <= d.settings.Balance.Risk.Round(), Exhausted: d.balancer.SuspectExhausted(now, query)}
 }
 
 // assign adds the load of a request to a worker. The mutex is held.
@@ -195,17 +198,18 @@
 	}
 }
 
-// Assignment is a request's work at a worker. It is not safe for concurrent use.
+// Assignment is the load that a request puts on a worker. Its methods must not be called concurrently.
 type Assignment struct {
 	Worker *backend.Worker
-	// Score is the cost for which the worker was picked among Candidates.
+	// Score is the estimated cost of the request at the worker. Candidates is the number of workers considered.
 	Score      balance.Score
 	Candidates int
+
 	dispatcher *Dispatcher
-	// load is the load of this request at the worker; queuedTokens were waiting to be prefilled there before it.
+	// load is the load of this request at the worker. queuedTokens is the number of tokens queued for prefill there before this request.
 	load         backend.Load
 	queuedTokens int
-	// deferred work waits until the worker has nothing else to prefill.
+	// deferred is set if the work yields to all work that is not deferred.
 	deferred bool
 	// objective is the time within which the answer is wanted; zero if there is none.
 	objective time.Duration
@@ -215,8 +219,8 @@
 	finished   bool
 }
 
-// prefilled records that the worker has prefilled the prompt.
-func (a *Assignment) prefilled() {
+// responseStarted records that the worker has started to respond, so its prompt, if any, is prefilled.
+func (a *Assignment) responseStarted() {
 	d := a.dispatcher
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -226,7 +230,7 @@
 	a.load = backend.Load{}
 }
 
-// observePrefill feeds the prefill time of the worker to the model. The mutex is held.
+// observePrefill updates the model with the prefill time of the worker. The mutex is held.
 func (a *Assignment) observePrefill() {
 	if a.deferred {
 		return
@@ -255,8 +259,8 @@
 	return base + time.Duration(responseTimeoutCostFactor*a.Score.TimeToFirstToken*nanosecondsPerSecond)
 }
 
-// mayBeBusy reports whether a silent worker may only be busy, because the request ended before its response timeout. No queueing time is
-// expected of plain workers, so they are never considered busy.
+// mayBeBusy reports whether a silent worker may only be busy, because the request was deferred or ended before its response timeout. No
+// queueing time is expected of plain workers, so they are never considered busy.
 func (a *Assignment) mayBeBusy(now time.Time) bool {
 	return a.Worker.Role != backend.RoleNone && (a.deferred || now.Sub(a.startedAt) < a.responseTimeout())
 }
@@ -282,7 +286,7 @@
 		outcome = balance.OutcomeNone
 	}
 	if outcome == balance.OutcomeError && a.Worker.Role != backend.RoleNone {
-		// An error response of an engine means that the engine failed. With plain workers, the request is as often at fault.
+		// An error response of an engine means that the engine failed. An error of a plain worker may be caused by the request.
 		outcome = balance.OutcomeMalformed
 	}
 	if outcome == balance.OutcomeGood {
--- a/internal/forward/enginestate.go
+++ b/internal/forward/enginestate.go
@@ -14,22 +14,23 @@
 	"github.com/granitebay/granitebay/internal/routing"
 )
 
-// engineState is what this gateway knows of engines beyond their records in the store: which have ended, and which have changed their roles
+// engineState is what this gateway knows of engines beyond their records in the store: which are down, and which have changed their roles
 // or are about to. It is guarded by the mutex of the dispatcher.
 type engineState struct {
 	engineHealth *enginehealth.Table
-	// pendingRoles are role changes in progress, ordered by any gateway. reportedRoles are roles that engines reported but that their
-	// records do not show yet.
+	// pendingRoles are role changes that a gateway has ordered and that are not complete, by engine id. reportedRoles are roles that engines
+	// reported but that their records do not show yet.
 	pendingRoles, reportedRoles map[string]roleChange
-	returns                     []enginehealth.Return
+	// reregistered are the engines that registered again since the last call of TakeReturned.
+	reregistered []enginehealth.Return
 	// recovered is closed and replaced when an engine accepts requests again.
 	recovered chan struct{}
 	// lossCache caches the lost role of each group, because computing it iterates over all engines of the group.
 	lossCache map[string]cachedLoss
-	// hadDecoders are the groups in which a decode engine has been seen. Before that, a role is not considered lost, since the records may
-	// not have arrived yet.
+	// hadDecoders are the groups in which a decode engine has been seen. Until then, the decode role of a group is not considered lost,
+	// since the records may not have arrived yet.
 	hadDecoders map[string]bool
-	// onChange signals that engines should be queried or that the state has changed; nil if nobody is notified.
+	// onChange is called when an engine has to be queried or the state of an engine has changed; may be nil.
 	onChange func()
 }
 
@@ -41,8 +42,8 @@
 	}
 }
 
-// reportedRoleRecheck is how long after an engine reported its role it is queried again if its record does not show that role. Records lag
-// by some heartbeats, and are not updated while the store is unavailable.
+// reportedRoleRecheck is the time after which an engine whose record does not show its reported role is queried again. Records lag by some
+// heartbeats, and are not updated while the store is unavailable.
 const reportedRoleRecheck = 10 * time.Second
 
 // cachedLoss is a lost role with the time at which it was computed.
@@ -51,8 +52,8 @@
 	loss RoleLoss
 }
 
-// availabilityCacheTime is how long losses and saturation are cached unless an update invalidates them.
-const availabilityCacheTime = 10 * time.Millisecond
+// availabilityCacheTTL is the lifetime of entries of lossCache and of the saturation cache.
+const availabilityCacheTTL = 10 * time.Millisecond
 
 // recordDecoders marks the groups of decode engines.
 func (e *engineState) recordDecoders(workers []*backend.Worker) {
@@ -81,21 +82,21 @@
 }
 
 // applyReportedRoles returns the updated workers with the roles that they reported but that their records do not show yet. It also drops
-// the state of removed workers.
-func (e *engineState) applyReportedRoles(now time.Time, put []*backend.Worker, removed []string) []*backend.Worker {
+// reported and pending roles that are out of date, and those of removed workers.
+func (e *engineState) applyReportedRoles(now time.Time, updated []*backend.Worker, removed []string) []*backend.Worker {
 	for _, id := range removed {
 		delete(e.pendingRoles, id)
 		delete(e.reportedRoles, id)
 	}
-	updated := put
-	for i, worker := range put {
+	result := updated
+	for i, worker := range updated {
 		reported, isReported := e.reportedRoles[worker.ID]
 		switch {
 		case isReported && reported.role != worker.Role:
-			if len(updated) > 0 && &updated[0] == &put[0] {
-				updated = slices.Clone(put)
+			if len(result) > 0 && &result[0] == &updated[0] {
+				result = slices.Clone(updated)
 			}
-			updated[i] = withRole(worker, reported.role)
+			result[i] = withRole(worker, reported.role)
 		case isReported:
 			delete(e.reportedRoles, worker.ID)
 		}
@@ -103,7 +104,7 @@
 			delete(e.pendingRoles, worker.ID)
 		}
 	}
-	return updated
+	return result
 }
 
 // expirePendingRoles drops role changes that took too long.
@@ -122,7 +123,7 @@
 	return &changed
 }
 
-// OnEngineChange sets a callback that signals that engines should be queried or that their state has changed. It must not block.
+// OnEngineChange sets the callback for engines that have to be queried and for changes of engine state. It must not block.
 func (d *Dispatcher) OnEngineChange(onChange func()) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -132,13 +133,13 @@
 // EngineQuery is an engine that should be queried.
 type EngineQuery struct {
 	Worker *backend.Worker
-	// Absent is set if the engine is assumed to have ended, and Confirmed if this gateway observed that itself. Other engines are changing
-	// their role.
+	// Absent is set if the engine is considered down, and Confirmed if this gateway observed that itself. If Absent is not set, the role of
+	// the engine is uncertain.
 	Absent, Confirmed bool
 }
 
-// EnginesToQuery returns the engines to query: those that have ended, those that should have completed a role change, and those whose records do
-// not show their reported roles.
+// EnginesToQuery returns the engines to query: those that are down, those that should have completed a role change, and those whose records
+// do not show their reported roles.
 func (d *Dispatcher) EnginesToQuery() []EngineQuery {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -173,8 +174,8 @@
 	d.recordRefused(id, true)
 }
 
-// recordRefused records that an engine's address refused a connection. Firsthand observations are sent to the other gateways. The mutex is
-// held.
+// recordRefused records that an engine's address refused a connection. If firsthand, this gateway observed that itself and sends it to the
+// others. The mutex is held.
 func (d *Dispatcher) recordRefused(id string, firsthand bool) {
 	worker, found := d.balancer.Worker(id)
 	if !found || worker.Role == backend.RoleNone {
@@ -192,7 +193,7 @@
 	}
 }
 
-// RecordResponse records the response of an engine: it is up, and has the role unless it is still changing.
+// RecordResponse records that an engine responded to a query and is up. Unless changing is set, role is its current role.
 func (d *Dispatcher) RecordResponse(id string, role backend.Role, changing bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -205,6 +206,7 @@
 		d.peers.notify(true)
 	}
 	_, isReported := d.engineState.reportedRoles[id]
+	// Roles that agree with the record, and roles that no gateway ordered, need no report.
 	if changing || (!isReported && (role == worker.Role || d.engineState.pendingRoles[id].role != role)) {
 		return
 	}
@@ -215,7 +217,7 @@
 	}
 }
 
-// markAlive clears the assumption that an engine has ended, and reports whether there was one. The mutex is held.
+// markAlive marks an engine as up, and reports whether it was considered down. The mutex is held.
 func (d *Dispatcher) markAlive(worker *backend.Worker) bool {
 	now := d.now()
 	if !d.engineState.engineHealth.Responded(now, worker) {
@@ -289,12 +291,12 @@
 func (d *Dispatcher) TakeReturned() []enginehealth.Return {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	returned := d.engineState.returns
-	d.engineState.returns = nil
+	returned := d.engineState.reregistered
+	d.engineState.reregistered = nil
 	return returned
 }
 
-// recordIfRefused records that a worker has ended if the error is a refused connection.
+// recordIfRefused records that an engine is down if the error is a refused connection.
 func (d *Dispatcher) recordIfRefused(worker *backend.Worker, err error) {
 	var transport *httpclient.Error
 	if worker.Role != backend.RoleNone && errors.As(err, &transport) && transport.Refused() {
@@ -304,7 +306,8 @@
 
 // RoleLoss describes a group that has engines but none that can decode.
 type RoleLoss struct {
-	// LostDecoders decode engines have ended, Changing engines are becoming decode engines, and PrefillEngines are prefill engines that are up.
+	// LostDecoders is the number of decode engines that are down, Changing the number of engines that are becoming decode engines, and
+	// PrefillEngines the number of prefill engines that are up.
 	LostDecoders, Changing, PrefillEngines int
 	// Since is when the last decode engine is known to have ended; zero if its record was removed.
 	Since time.Time
@@ -314,8 +317,8 @@
 	Recovered <-chan struct{}
 }
 
-// roleOrderTime is the expected time until a role change is ordered that restores a lost role: the ordering gateway is notified, queries
-// the engines itself and runs its controller.
+// roleOrderTime is the expected time from the loss of a role until a role change is ordered that restores it: the leader has to learn of
+// the loss, query the engines itself and run its role controller.
 const roleOrderTime = 500 * time.Millisecond
 
 // RoleLoss reports whether a group has engines but none that can decode.
@@ -344,7 +347,7 @@
 		return RoleLoss{}, false
 	}
 	now := d.now()
-	if cached, isCached := d.engineState.lossCache[group]; isCached && now.Sub(cached.at) < availabilityCacheTime {
+	if cached, isCached := d.engineState.lossCache[group]; isCached && now.Sub(cached.at) < availabilityCacheTTL {
 		return cached.loss, true
 	}
 	loss := RoleLoss{Recovered: d.engineState.recovered}
@@ -378,7 +381,7 @@
 }
 
 // expectedRecovery returns when an engine is expected to decode again: when a pending or expected role change completes, or when an engine
-// that ended is back. If that time has passed, the delay is assumed to double.
+// that is down returns. If that time has passed, recovery is expected to take as long again as it is late by now, within bounds.
 func (d *Dispatcher) expectedRecovery(now time.Time, loss *RoleLoss, engine *routing.Engine, changeDone, returnsAt time.Time) time.Time {
 	changeOrdered := loss.Since.Add(roleOrderTime)
 	if changeDone.IsZero() && loss.PrefillEngines > 1 && !loss.Since.IsZero() && now.Before(changeOrdered) {
@@ -395,8 +398,8 @@
 	}
 }
 
-// EngineQueryInterval is how often engines are queried that have ended or should have completed a role change. It is also the minimum remaining
-// time assumed for one that is late.
+// EngineQueryInterval is how often engines are queried that are down or should have completed a role change. It is also the minimum
+// remaining time assumed for a recovery that is late.
 const EngineQueryInterval = 100 * time.Millisecond
 
 // earliestSet returns the earlier of two times, ignoring zero times.
--- a/internal/forward/exclusive.go
+++ b/internal/forward/exclusive.go
@@ -8,19 +8,20 @@
 	"github.com/granitebay/granitebay/internal/poison"
 )
 
-// Limits on concurrent copies of a suspect request.
+// Parameters for running copies of a suspect request one at a time.
 const (
-	// exclusiveFromCrashes is the number of crashes at different moments from which on only one copy runs at a time. Harmless requests
-	// rarely see two, so few of them have to wait.
-	exclusiveFromCrashes = 2
-	// exclusiveTurn is how long one gateway may run the copies before another is elected, so that callers that use a single gateway are
-	// served too. No copy starts in the last exclusiveRunTime of a turn, which is about how long a copy takes to crash its worker.
+	// exclusiveMinCrashes is the number of distinct crashes from which on copies of a request run one at a time. A harmless request that
+	// coincided with one crash is not delayed.
+	exclusiveMinCrashes = 2
+	// exclusiveTurn is how long one gateway may run the copies before another is elected, so that callers of every gateway are served. No
+	// copy starts in the last exclusiveRunTime of a turn, which is about how long a copy takes to crash its worker.
 	exclusiveTurn    = time.Second
 	exclusiveRunTime = 200 * time.Millisecond
 )
 
-// exclusiveRuns lets one copy of a suspect request run at a time in the fleet: at the elected gateway, one after the other. A limit on
-// workers alone would not keep copies at several gateways from reaching a worker at once. It is safe for concurrent use.
+// exclusiveRuns lets only one copy of a suspect request run at a time across all gateways: only the elected gateway runs copies, one after
+// the other. A limit on workers alone would not keep copies at several gateways from reaching a worker at once. It is safe for concurrent
+// use.
 type exclusiveRuns struct {
 	// isElected reports whether this gateway is elected for a key; if nil, it always is.
 	isElected func(key string) bool
@@ -35,7 +36,8 @@
 	h.exclusive.isElected = isElected
 }
 
-// hasTurn reports whether copies of a suspect request may start at this gateway. The time since the last crash determines the turn.
+// hasTurn reports whether copies of a suspect request may start at this gateway. Turns are numbered by the time since the last crash, which
+// is about the same at all gateways.
 func (r *exclusiveRuns) hasTurn(digest poison.Digest, sinceCrash time.Duration) bool {
 	if r.isElected == nil {
 		return true
@@ -66,7 +68,7 @@
 
 // mayRunExclusively reports whether the call may be placed now with regard to other copies of the same request.
 func (c *call) mayRunExclusively(status poison.Status, bar poison.Bar) bool {
-	if status != poison.Suspected || bar.DistinctCrashes < exclusiveFromCrashes {
+	if status != poison.Suspected || bar.DistinctCrashes < exclusiveMinCrashes {
 		return true
 	}
 	if !c.handler.exclusive.hasTurn(c.guarded.requestDigest(), c.handler.guard.SinceLastReport(bar)) {
@@ -76,7 +78,7 @@
 	return c.isExclusive
 }
 
-// endExclusive lets the next copy run.
+// endExclusive lets the next copy run if this call was the only one that may run.
 func (c *call) endExclusive() {
 	if c.isExclusive {
 		c.handler.exclusive.end(c.guarded.requestDigest())
--- a/internal/forward/fleet_load_test.go
+++ b/internal/forward/fleet_load_test.go
@@ -120,7 +120,7 @@
 		gateway.RecordPrefilled(worker, request)
 		runner := placement.Runner
 		if placement.Prefill != nil {
-			placement.Prefill.prefilled()
+			placement.Prefill.responseStarted()
 			placement.Prefill.finish(balance.OutcomeGood)
 			runner, _ = gateway.PlaceRunner(request, s.group, nil, placement.Prefill)
 		}
--- a/internal/forward/guarded.go
+++ b/internal/forward/guarded.go
@@ -12,7 +12,8 @@
 	"github.com/granitebay/granitebay/internal/poison"
 )
 
-// guardedRequest is a request as seen by the guard. Its digest is computed on first use, since most requests never need it.
+// guardedRequest connects a request to the guard, which detects requests that crash workers. Its digest is computed on first use, since
+// most requests never need it.
 type guardedRequest struct {
 	// guard is nil if requests are not guarded.
 	guard   *poison.Guard
@@ -27,8 +28,8 @@
 	connectionBroke bool
 }
 
-// peerNotifyDelay is how long the failure of a suspect request is withheld from its caller. By then other gateways have heard of the crash,
-// so that an immediate retry through one of them is recognized.
+// peerNotifyDelay is how long the failure of a request that crashed a worker is withheld from its caller. Within that time the other
+// gateways receive the crash, so that they recognize an immediate retry.
 const peerNotifyDelay = 30 * time.Millisecond
 
 // requestDigest returns the digest of the request.
@@ -39,7 +40,7 @@
 	return g.digest
 }
 
-// status returns the guard's status of the request, and its bar if it is barred.
+// status returns the guard's status of the request, and the crashes recorded for it, which are empty for clear requests.
 func (g *guardedRequest) status() (poison.Status, poison.Bar) {
 	if g.guard == nil || !g.guard.HasSuspects() {
 		return poison.Clear, poison.Bar{}
@@ -53,24 +54,24 @@
 	return slices.Contains(statuses, status)
 }
 
-// reportFailure tells the guard that a connection to a worker broke during the request, or that a silent worker was given up. An invalid
-// response is not reported, since its worker is up.
-func (g *guardedRequest) reportFailure(worker *backend.Worker, failed failure, err error) {
+// reportFailure reports to the guard that a connection to a worker broke during the request, or that a silent worker was abandoned. A
+// malformed response is not reported, since its worker is up.
+func (g *guardedRequest) reportFailure(worker *backend.Worker, failure failureKind, err error) {
 	if g.guard == nil {
 		return
 	}
 	var transport *httpclient.Error
 	switch {
-	case failed == failureBroken && errors.As(err, &transport):
+	case failure == failureBroken && errors.As(err, &transport):
 		g.connectionBroke = true
 		g.probeDone = g.guard.ConnectionBroke(worker, g.requestDigest(), g.rule, g.request.Tenant)
-	case failed == failureSilent:
+	case failure == failureSilent:
 		g.guard.Abandoned(worker, g.requestDigest(), g.rule, g.request.Tenant)
 	}
 }
 
-// awaitProbe waits until the guard knows whether the last worker has crashed. The guard bounds the wait. Only then can the retry avoid
-// workers that must not be put at risk.
+// awaitProbe waits until the guard knows whether the last worker has crashed, because the retry of a suspect request may not use all
+// workers. The guard limits the duration of the probe.
 func (g *guardedRequest) awaitProbe(ctx context.Context) {
 	if g.probeDone == nil {
 		return
@@ -82,8 +83,9 @@
 	g.probeDone = nil
 }
 
-// awaitPeersNotified waits until other gateways have heard of a worker crash during the request, if there was one.
-func (g *guardedRequest) awaitPeersNotified(ctx context.Context) {
+// delayFailure delays the failure of a request that crashed a worker, so that the other gateways learn of the crash before the caller
+// retries.
+func (g *guardedRequest) delayFailure(ctx context.Context) {
 	if !g.connectionBroke || g.hasStatus(poison.Clear, poison.Excused) {
 		return
 	}
@@ -95,7 +97,7 @@
 	}
 }
 
-// reportSuccess tells the guard that the request completed.
+// reportSuccess reports to the guard that the request completed.
 func (g *guardedRequest) reportSuccess() {
 	if !g.hasStatus(poison.Clear) {
 		g.guard.RecordSuccess(g.requestDigest())
--- a/internal/forward/peers.go
+++ b/internal/forward/peers.go
@@ -13,13 +13,14 @@
 type peerExchange struct {
 	board *peersync.Board
 	// changedLoads are the workers whose load has changed since the last update.
-	changedLoads   map[string]bool
+	changedLoads map[string]bool
+	// cachedPrefixes are segments that engines have cached or are about to cache.
 	cachedPrefixes []peersync.CachedSegment
 	// roleChanges are the role changes that this gateway has ordered.
 	roleChanges map[string]roleChange
-	// ejected are the workers whose ejection other gateways are told of.
+	// ejected are the workers whose ejection is to be sent to the other gateways.
 	ejected []string
-	// refused are engines that refused a connection, answering those that respond again, and newRoles those that reported a new role.
+	// refused are engines that refused a connection, recovered those that respond again, and newRoles those that reported a new role.
 	refused, recovered []string
 	newRoles           []peersync.RoleReport
 	// notify signals that there is something to send; nil if nothing is sent.
@@ -34,7 +35,7 @@
 	return &peerExchange{board: peersync.NewBoard(), changedLoads: map[string]bool{}, roleChanges: map[string]roleChange{}}
 }
 
-// peerLoad implements balance.Elsewhere.
+// peerLoad implements balance.RemoteLoad.
 func (p *peerExchange) peerLoad(worker string) backend.Load { return p.board.Load(worker) }
 
 // loadChanged records that this gateway's load at a worker has changed.
@@ -46,7 +47,7 @@
 	p.notify(urgent)
 }
 
-// prefixCached records that a worker has cached a prefix.
+// prefixCached records that a worker has cached a segment, or is about to.
 func (p *peerExchange) prefixCached(cached peersync.CachedSegment) {
 	if p.notify == nil || len(p.cachedPrefixes) >= maxPendingNotices {
 		return
@@ -74,7 +75,8 @@
 	d.peers.notify = notify
 }
 
-// TakeUpdate returns the changes since the last call, or the complete state.
+// TakeUpdate returns the update for the other gateways: the changes since the last call. If full is set, it contains the load of all loaded
+// workers and the prefill demand as well.
 func (d *Dispatcher) TakeUpdate(full bool) peersync.Message {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -118,7 +120,7 @@
 	return d.peers.board.Utilization(d.now())
 }
 
-// loadsToSend returns the workers whose load is to be sent, in order: all with load, or those whose load has changed. The mutex is held.
+// loadsToSend returns the sorted ids of all loaded workers if full is set, otherwise of those whose load has changed. The mutex is held.
 func (d *Dispatcher) loadsToSend(full bool) []string {
 	if full {
 		return d.balancer.Loaded()
--- a/internal/forward/placement.go
+++ b/internal/forward/placement.go
@@ -9,13 +9,13 @@
 	"github.com/granitebay/granitebay/internal/routing"
 )
 
-// Placement is the next step for a request: Prefill prefills the prompt, or Runner runs the request. Both count as load until they are
+// Placement holds the worker of the next call for a request. Exactly one of Prefill and Runner is set; it counts as load until it is
 // finished.
 type Placement struct {
 	// Prefill prefills the prompt. The runner is picked by PlaceRunner afterwards, so that a worker which starts draining meanwhile is not
 	// used.
 	Prefill *Assignment
-	// FetchFrom is the engine from whose cache the shared prefix is fetched, or nil.
+	// FetchFrom is the engine from whose cache the shared prefix is fetched; nil to fetch nothing.
 	FetchFrom *backend.Worker
 	Runner    *Assignment
 	// Deferred is set if the answer is expected after its objective. The prompt is then prefilled after those that are on time.
@@ -77,6 +77,7 @@
 	if group.Engine == nil {
 		query.Role = backend.RoleNone
 	}
+	// Preferred returns nil if no worker is left.
 	return d.balancer.Preferred(d.now(), query) != nil
 }
 
@@ -92,7 +93,7 @@
 	return &Placement{Runner: d.assign(choice, 0, false, options.Objective)}, true
 }
 
-// plan is a way to serve a request on engines. No work is assigned yet.
+// plan is a candidate placement of a request on engines. No work is assigned yet.
 type plan struct {
 	// prefill is nil if the runner prefills the prompt.
 	prefill *balance.Choice
@@ -102,8 +103,8 @@
 	seconds, timeToFirstEvent, queueWait float64
 }
 
-// delayedByQueue reports whether the answer is expected too late only because of other requests. Prompts that are too long for their
-// objective are not deferred: that would not help them, and they are the most valuable.
+// delayedByQueue reports whether the answer is expected too late only because of other requests. A prompt that would miss its objective
+// on an idle engine is not deferred, since waiting longer gains nothing.
 func (p plan) delayedByQueue(options PlaceOptions) bool {
 	unloaded := p.timeToFirstEvent - p.queueWait
 	return options.Objective > 0 && p.timeToFirstEvent > options.Left.Seconds() && unloaded <= options.Objective.Seconds()
@@ -144,7 +145,7 @@
 		return best, found
 	}
 	disaggregated, possible := d.planDisaggregated(prompt, options.Excluded)
-	// Deferred prompts must not slow down the answers of decode engines.
+	// Deferred prompts are prefilled separately if possible, so that they do not slow down decoding.
 	if possible && (!found || prompt.deferred || disaggregated.seconds < best.seconds) {
 		return disaggregated, true
 	}
@@ -184,14 +185,14 @@
 	return d.assign(choice, 0, prefill.deferred, prefill.objective), true
 }
 
-// pickRunner picks the engine to which a prompt is transferred from its source.
+// pickRunner picks the decode engine for a prompt that source prefills.
 func (d *Dispatcher) pickRunner(prompt *promptContext, excluded []string, source *backend.Worker) (balance.Choice, bool) {
 	query := prompt.query(backend.RoleDecode, source.Zone, excluded)
 	query.PrefillCost = prompt.transferCost
 	return d.balancer.Pick(d.now(), query)
 }
 
-// planColocated has the decode engine prefill the prompt.
+// planColocated plans to prefill and decode on one engine.
 func (d *Dispatcher) planColocated(prompt *promptContext, excluded []string) (plan, bool) {
 	query := prompt.query(backend.RoleDecode, d.settings.Zone, excluded)
 	query.PrefillCost = prompt.prefillCost
@@ -206,7 +207,7 @@
 	return plan{runner: choice, seconds: seconds, timeToFirstEvent: choice.Score.TimeToFirstToken, queueWait: choice.Score.QueueWait}, true
 }
 
-// planDisaggregated has one engine prefill the prompt and another decode the answer.
+// planDisaggregated plans to prefill on one engine and decode on another.
 func (d *Dispatcher) planDisaggregated(prompt *promptContext, excluded []string) (plan, bool) {
 	query := prompt.query(backend.RolePrefill, d.settings.Zone, excluded)
 	query.PrefillCost = prompt.prefillCost
@@ -226,8 +227,8 @@
 	}, true
 }
 
-// cacheShare is the fraction of an engine's memory that is assumed available for cached prefixes.
-const cacheShare = 0.95
+// cacheMemoryFraction is the fraction of an engine's memory that is assumed available for cached prefixes.
+const cacheMemoryFraction = 0.95
 
 // cacheCapacity returns the number of tokens that an engine is assumed to cache.
 func (d *Dispatcher) cacheCapacity(worker *backend.Worker) int {
@@ -235,7 +236,7 @@
 	if !found {
 		return 0
 	}
-	return int(cacheShare * float64(engine.KVCacheTokens))
+	return int(cacheMemoryFraction * float64(engine.KVCacheTokens))
 }
 
 // recordCached records that an engine has cached the shared prefix of a prompt, or is about to, and notifies the other gateways. The mutex
@@ -245,6 +246,7 @@
 	for i, segment := range shared.segments {
 		cached := peersync.CachedSegment{Worker: worker.ID, Key: segment.key, Tokens: segment.tokens, Ready: ready}
 		if ready && i == len(shared.segments)-1 {
+			// The rest of the prompt occupies the cache but is not shared.
 			cached.PrivateTokens = demand.PromptTokens - shared.tokens
 		}
 		d.addCached(worker, cached)
@@ -265,7 +267,7 @@
 	d.recordCached(worker, request.Demand, true)
 }
 
-// RecordPrefillFailed records that an engine failed to prefill the prompt of a request.
+// RecordPrefillFailed forgets the segments that an engine would have cached by a prefill that failed.
 func (d *Dispatcher) RecordPrefillFailed(worker *backend.Worker, request *Request) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/forward/placement_test.go
+++ b/internal/forward/placement_test.go
@@ -296,7 +296,7 @@
 		if load.Running != 1 || load.Decoding() != want {
 			t.Errorf("deferred %v: %+v counts as %d runs", deferred, load, load.Decoding())
 		}
-		runner.prefilled()
+		runner.responseStarted()
 		if load = dispatcher.balancer.TotalLoad(runner.Worker.ID); load.Decoding() != 1 {
 			t.Errorf("deferred %v: a run that has started counts as %d", deferred, load.Decoding())
 		}
--- a/internal/forward/prefill.go
+++ b/internal/forward/prefill.go
@@ -6,7 +6,7 @@
 )
 
 // prefill has an engine compute the KV cache of the prompt.
-func (c *call) prefill(ctx context.Context, placement *Placement) (*PrefilledPrompt, failure) {
+func (c *call) prefill(ctx context.Context, placement *Placement) (*PrefilledPrompt, failureKind) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	defer cancel(nil)
 	engine := placement.Prefill
@@ -17,32 +17,32 @@
 	prompt, err := c.handler.workers.Prefill(ctx, engine.Worker, c.request, PrefillOptions{
 		Deadline: c.deadline, FetchFrom: placement.FetchFrom, Urgency: placement.urgency(),
 	})
-	failed := classify(ctx, err)
-	if failed != failureRefused && failed != failureMisdirected && failed != failureUnreachable {
+	failure := classify(ctx, err)
+	if failure != failureRefused && failure != failureMisdirected && failure != failureUnreachable {
 		c.prefills++
 	}
-	if failed == failureNone {
-		engine.prefilled()
+	if failure == failureNone {
+		engine.responseStarted()
 		c.handler.dispatcher.RecordPrefilled(engine.Worker, c.request)
 	} else {
 		c.handler.dispatcher.RecordPrefillFailed(engine.Worker, c.request)
 		c.report.Err = err
 		c.prefillFailures++
 	}
-	c.guarded.reportFailure(engine.Worker, failed, err)
+	c.guarded.reportFailure(engine.Worker, failure, err)
 	c.handler.dispatcher.recordIfRefused(engine.Worker, err)
-	engine.finish(failed.outcome())
-	return prompt, failed
+	engine.finish(failure.outcome())
+	return prompt, failure
 }
 
-// urgencyClasses map the expected prefill time, up to a bound in seconds, to an urgency. Short prompts come first, so that few prompts wait
-// for long ones.
+// urgencyClasses map expected prefill times of at most seconds to an urgency; lower values go first. Short prompts come first, so that few
+// prompts wait for long ones.
 var urgencyClasses = []struct {
 	seconds float64
 	urgency int
 }{{0.03, 1}, {0.08, 3}, {0.2, 5}}
 
-// urgencyLongest is the urgency of the longest prompts that are on time.
+// urgencyLongest is the urgency of prompts above the last class that are on time.
 const urgencyLongest = 7
 
 // urgencyDeferred is the urgency of prompts whose answers are expected too late.
--- a/internal/forward/prefixcache.go
+++ b/internal/forward/prefixcache.go
@@ -15,7 +15,8 @@
 
 // CacheQuerier queries the caches of engines.
 type CacheQuerier interface {
-	// CachedSegments returns the prompt segments that an engine has cached, most recently added last. The result may be stale or incomplete.
+	// CachedSegments returns the prompt segments that an engine has cached, in the order in which they were added. The result may be stale
+	// or incomplete.
 	CachedSegments(ctx context.Context, worker *backend.Worker) ([]CachedSegment, error)
 }
 
@@ -34,7 +35,7 @@
 	}
 }
 
-// CachedSegments returns up to limit cached segments that this gateway knows of, for each engine the most recently used last.
+// CachedSegments returns up to limit cached segments that this gateway knows of, for each engine in the order of last use.
 func (d *Dispatcher) CachedSegments(limit int) []peersync.CachedSegment {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/forward/prompt.go
+++ b/internal/forward/prompt.go
@@ -12,13 +12,13 @@
 	"github.com/granitebay/granitebay/internal/routing"
 )
 
-// promptContext is the input of the placement of one prompt.
+// promptContext holds what is needed to place one prompt.
 type promptContext struct {
 	dispatcher *Dispatcher
 	request    *Request
 	group      *routing.Group
 	shared     sharedPrefix
-	// deferred prompts are prefilled after all others.
+	// deferred is set if the prompt is prefilled only after all prompts that are not deferred.
 	deferred bool
 	// suspectKey spreads suspect requests over workers; empty for other requests.
 	suspectKey string
@@ -48,7 +48,8 @@
 	return prompt
 }
 
-// preferredHolders returns the preferred engines, which are assumed to cache shared prefixes that are too short to be tracked.
+// preferredHolders returns the engines that the balancer prefers for the prompt's key. They are assumed to cache shared prefixes that are
+// too short to be tracked.
 func (d *Dispatcher) preferredHolders(prompt *promptContext) map[string]cacheHolder {
 	holders := map[string]cacheHolder{}
 	for _, role := range []backend.Role{backend.RolePrefill, backend.RoleDecode} {
@@ -62,12 +63,13 @@
 // query returns a query for an engine of a role.
 func (p *promptContext) query(role backend.Role, zone string, excluded []string) balance.Query {
 	return balance.Query{
-		Request: p.request.ID, Group: p.group.Name, Role: role, Key: p.shared.key, Zone: zone, Excluded: excluded,
+		Request: p.request.ID, Group: p.group.Name, Role: role, Key: p.shared.affinityKey, Zone: zone, Excluded: excluded,
 		Deferred: p.deferred, SuspectKey: p.suspectKey, Prefilled: p.prefilled, Holders: p.holderIDs, Concentrate: len(p.shared.segments) == 0,
 	}
 }
 
-// prefillCost returns the cost of prefilling the prompt at an engine.
+// prefillCost returns the cost of prefilling the prompt at an engine, including the penalty for fetching or recomputing what another engine
+// has cached.
 func (p *promptContext) prefillCost(worker *backend.Worker) balance.PrefillCost {
 	total := p.request.Demand.PromptTokens
 	cached := p.holders[worker.ID].tokens
@@ -91,7 +93,8 @@
 	return attentionAdjustedTokens(max(total-cached, 1), total)
 }
 
-// transferCost returns the cost of transferring the prefilled prompt to an engine.
+// transferCost returns the cost of transferring the prefilled prompt to an engine. It falls with the part of the longest cached prefix that
+// the engine has.
 func (p *promptContext) transferCost(worker *backend.Worker) balance.PrefillCost {
 	seconds := p.dispatcher.settings.TransferSeconds
 	if cached := p.holders[worker.ID].tokens; cached > 0 {
@@ -104,18 +107,19 @@
 // length.
 const attentionCostPerToken = 2e-5
 
-// attentionAdjustedTokens returns the work of prefilling the last tokens of a prompt, in units of a token at the beginning of a prompt.
+// attentionAdjustedTokens returns the work of prefilling the last tokens of a prompt, as the number of tokens without context that take as
+// long.
 func attentionAdjustedTokens(tokens, total int) int {
-	context := float64(total) - float64(tokens)/2
-	return int(float64(tokens) * (1 + attentionCostPerToken*context))
+	meanContext := float64(total) - float64(tokens)/2
+	return int(float64(tokens) * (1 + attentionCostPerToken*meanContext))
 }
 
 // sharedPrefix is the prefix that a prompt shares with others, as a path in a prefix tree: a segment can be used only together with those
 // before it.
 type sharedPrefix struct {
-	// key identifies prompts that should run at the same engines.
-	key    string
-	tokens int
+	// affinityKey identifies prompts that should run at the same engines.
+	affinityKey string
+	tokens      int
 	// segments are the segments that are long enough to be tracked per engine.
 	segments []prefixSegment
 }
@@ -128,7 +132,7 @@
 
 // sharedPrefixOf returns the shared prefix of a prompt. Segments with fewer than minTokens are joined with the next.
 func sharedPrefixOf(demand backend.Demand, minTokens int) sharedPrefix {
-	shared := sharedPrefix{key: demand.AffinityKey()}
+	shared := sharedPrefix{affinityKey: demand.AffinityKey()}
 	pending := 0
 	for _, segment := range demand.SharedSegments() {
 		shared.tokens += segment.Tokens
@@ -178,9 +182,9 @@
 func (p *promptContext) fetchSource(worker *backend.Worker) *backend.Worker {
 	var source cacheHolder
 	for _, holder := range p.holders {
-		closer := source.worker != nil && holder.readyTokens == source.readyTokens &&
+		isPreferred := source.worker != nil && holder.readyTokens == source.readyTokens &&
 			cmp.Or(compareZones(worker, holder.worker, source.worker), strings.Compare(holder.worker.ID, source.worker.ID)) < 0
-		if holder.readyTokens > source.readyTokens || closer {
+		if holder.readyTokens > source.readyTokens || isPreferred {
 			source = holder
 		}
 	}
--- a/internal/forward/ratelimits.go
+++ b/internal/forward/ratelimits.go
@@ -10,13 +10,13 @@
 	"github.com/granitebay/granitebay/internal/routing"
 )
 
-// limitHoldings is this gateway's share of the workers' rate limits, including loans from other gateways. It implements balance.QuotaShares
+// quotaShares is this gateway's share of the workers' rate limits, including loans from other gateways. It implements balance.QuotaShares
 // and is guarded by the mutex of the dispatcher.
-type limitHoldings struct {
+type quotaShares struct {
 	name string
 	// now includes the time while the machine is suspended, because other gateways keep using their shares meanwhile.
 	now          func() time.Time
-	holders      *quota.Holders
+	gateways     *quota.Holders
 	loanRequests *quota.LoanRequests
 	// loans from other gateways, by worker id.
 	loans map[string]*quota.Loans
@@ -28,12 +28,12 @@
 }
 
 // Share implements balance.QuotaShares.
-func (h *limitHoldings) Share(worker string, perSecond float64) float64 {
-	return h.holders.Share(h.now(), worker, perSecond)
+func (h *quotaShares) Share(worker string, perSecond float64) float64 {
+	return h.gateways.Share(h.now(), worker, perSecond)
 }
 
 // Loans implements balance.QuotaShares.
-func (h *limitHoldings) Loans(worker string) int {
+func (h *quotaShares) Loans(worker string) int {
 	if loans := h.loans[worker]; loans != nil {
 		return loans.Available(h.now())
 	}
@@ -41,7 +41,7 @@
 }
 
 // UseLoan implements balance.QuotaShares.
-func (h *limitHoldings) UseLoan(worker string) bool {
+func (h *quotaShares) UseLoan(worker string) bool {
 	loans := h.loans[worker]
 	if loans == nil || !loans.Spend(h.now()) {
 		return false
@@ -52,12 +52,12 @@
 	return true
 }
 
-// ShareLimits divides the workers' rate limits among the gateways that SetHolders names; this gateway has the given name. Without it, this
-// gateway uses the limits alone. It must be called before the first request.
+// ShareLimits divides the workers' rate limits among the gateways that SetHolders names; this gateway has the given name. If it is not
+// called, this gateway uses the whole limits. It must be called before the first request.
 func (d *Dispatcher) ShareLimits(name string) {
 	now := d.retries.now
-	d.limits = &limitHoldings{
-		name: name, now: now, holders: quota.NewHolders(name, retrybudget.ConfirmationTTL(d.settings.Budget.Window)), loanRequests: quota.NewLoanRequests(now()),
+	d.limits = &quotaShares{
+		name: name, now: now, gateways: quota.NewHolders(name, retrybudget.ConfirmationTTL(d.settings.Budget.Window)), loanRequests: quota.NewLoanRequests(now()),
 		loans: map[string]*quota.Loans{}, loanArrived: make(chan struct{}),
 	}
 	d.balancer.ShareLimits(d.limits)
@@ -67,16 +67,17 @@
 func (d *Dispatcher) SetHolders(names []string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	d.updateHolders(func(holders *quota.Holders) { holders.SetGateways(d.retries.now(), names) })
+	d.updateQuotaGateways(func(gateways *quota.Holders) { gateways.SetGateways(d.retries.now(), names) })
 }
 
-// updateHolders changes the gateways that share rate limits. The mutex is held.
-func (d *Dispatcher) updateHolders(change func(holders *quota.Holders)) {
+// updateQuotaGateways changes the gateways that share rate limits. The mutex is held.
+func (d *Dispatcher) updateQuotaGateways(change func(gateways *quota.Holders)) {
 	if d.limits == nil {
 		return
 	}
+	// Accrue under the old shares up to now, then start with the new ones.
 	d.balancer.AccrueLimits(d.now())
-	change(d.limits.holders)
+	change(d.limits.gateways)
 	d.balancer.AccrueLimits(d.now())
 }
 
@@ -85,7 +86,7 @@
 	if d.limits == nil {
 		return 1
 	}
-	return max(d.limits.holders.MemberCount(d.limits.now()), 1)
+	return max(d.limits.gateways.MemberCount(d.limits.now()), 1)
 }
 
 // concurrencyShareOf returns this gateway's share of a concurrency limit.
@@ -95,21 +96,21 @@
 	if d.limits == nil {
 		return bound
 	}
-	return d.limits.holders.ConcurrencyShare(d.limits.now(), key, bound)
+	return d.limits.gateways.ConcurrencyShare(d.limits.now(), key, bound)
 }
 
-// SetLimit sets the rate limit of a worker, which applies to all gateways together. The worker named it the given time ago. It reports whether
-// the limit has changed.
+// SetLimit sets the rate limit of a worker, which applies to all gateways together. age is the time since the worker announced it. It reports whether the
+// limit has changed.
 func (d *Dispatcher) SetLimit(worker string, perSecond float64, age time.Duration) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := d.now()
-	clear(d.saturation)
+	clear(d.saturationCache)
 	return d.balancer.SetLimit(now, worker, perSecond, now.Add(-age))
 }
 
-// RemoveLimit removes the rate limit of a worker whose response named none. The request was sent the given time ago; a limit named after that
-// stays. It reports whether a limit was removed.
+// RemoveLimit removes the rate limit of a worker whose response announced none. age is the time since the request was sent; a limit
+// announced later is kept. It reports whether a limit was removed.
 func (d *Dispatcher) RemoveLimit(worker string, age time.Duration) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -125,17 +126,16 @@
 
 // Parameters of requests for loans.
 const (
-	// maxWorkersPerLoanRequest bounds the number of workers in one message, and so its size.
+	// maxWorkersPerLoanRequest is the maximum number of workers in one request for loans.
 	maxWorkersPerLoanRequest = 8
-	// requestsPerLoan is the number of requests asked for per worker: about as many as a busy gateway receives within the lifetime of a
-	// loan.
+	// requestsPerLoan is the number of requests to borrow per worker, to be used within the lifetime of the loan.
 	requestsPerLoan = 16
-	// loanWait is how long a request waits for a loan: a round trip between regions.
+	// loanWait is how long a request waits for a loan: long enough for a round trip between regions.
 	loanWait = 50 * time.Millisecond
 )
 
-// borrow asks the other gateways for unused capacity of the rate-limited workers of a group, unless it asked recently. It reports whether a
-// loan arrived in time.
+// borrow asks the other gateways for unused capacity of the rate-limited workers of a group, and reports whether a loan arrived in time. It
+// returns false immediately if it asked recently or if no other gateway shares the limits.
 func (d *Dispatcher) borrow(ctx context.Context, group *routing.Group) bool {
 	loanArrived, requested := d.requestLoans(group)
 	if !requested {
@@ -152,7 +152,7 @@
 	return false
 }
 
-// requestLoans queues a request for loans. It returns a channel that is closed when a loan arrives.
+// requestLoans queues a request for loans. It returns a channel that is closed when a loan arrives, or false if no request was queued.
 func (d *Dispatcher) requestLoans(group *routing.Group) (<-chan struct{}, bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -225,7 +225,7 @@
 		d.limits.loans[loan.Worker] = &quota.Loans{}
 	}
 	d.limits.loans[loan.Worker].Add(loan.Count, until)
-	clear(d.saturation)
+	clear(d.saturationCache)
 	close(d.limits.loanArrived)
 	d.limits.loanArrived = make(chan struct{})
 }
--- a/internal/forward/relay.go
+++ b/internal/forward/relay.go
@@ -25,24 +25,24 @@
 	body   []byte
 }
 
-// readBuffered reads a response completely, so that a retry can replace one that is cut off.
+// readBuffered reads a complete response, so that nothing has been forwarded if it is truncated and the request is retried.
 func readBuffered(response *Response) (*bufferedResponse, error) {
 	body, err := io.ReadAll(io.LimitReader(response.Body, maxBufferedBytes+1))
 	if err != nil {
 		return nil, err
 	}
 	if len(body) > maxBufferedBytes {
-		return nil, errors.Newf("step receive the answer: the response exceeds %d bytes", maxBufferedBytes)
+		return nil, errors.Newf("receive the response: it exceeds the limit of %d bytes", maxBufferedBytes)
 	}
 	return &bufferedResponse{status: response.Status, header: response.Header, body: body}, nil
 }
 
 // write sends the response to the caller.
-func (w *bufferedResponse) write(writer http.ResponseWriter) {
-	copyHeaders(writer.Header(), w.header)
-	writer.Header().Set("Content-Length", strconv.Itoa(len(w.body)))
-	writer.WriteHeader(w.status)
-	_, _ = writer.Write(w.body)
+func (b *bufferedResponse) write(writer http.ResponseWriter) {
+	copyHeaders(writer.Header(), b.header)
+	writer.Header().Set("Content-Length", strconv.Itoa(len(b.body)))
+	writer.WriteHeader(b.status)
+	_, _ = writer.Write(b.body)
 }
 
 // copyHeaders copies the headers of a worker's response and keeps net/http from guessing a content type.
@@ -60,7 +60,7 @@
 	writer http.ResponseWriter
 	// onResponse is called at the first event of each worker's response.
 	onResponse func()
-	// acceptResponse is called before onResponse. It reports whether the response may be forwarded.
+	// acceptResponse is called before onResponse. It marks the response as started and reports whether it may be forwarded.
 	acceptResponse func() bool
 	// started is set once the headers have been written.
 	started   bool
--- a/internal/forward/report.go
+++ b/internal/forward/report.go
@@ -36,10 +36,10 @@
 	ReasonPanic             Reason = "the gateway failed while it served the request"
 )
 
-// Closer is the side that closed the connection of a caller.
+// Closer is why the connection of a caller was closed.
 type Closer int32
 
-// The closers. CloserCaller stands for everything outside the gateway: the caller, its machine, the network.
+// The reasons for closing a connection. CloserCaller stands for everything outside the gateway: the caller, its machine, the network.
 const (
 	CloserCaller Closer = iota
 	// CloserIdleTimeout is the idle timeout, and CloserHeaderTimeout the timeout for reading the request headers.
@@ -73,7 +73,7 @@
 }
 
 // Error implements error.
-func (p *PanicError) Error() string { return fmt.Sprintf("step serve: panic: %v", p.Value) }
+func (p *PanicError) Error() string { return fmt.Sprintf("serve: panic: %v", p.Value) }
 
 // Report describes the course and the result of one request.
 type Report struct {
@@ -81,7 +81,7 @@
 	Request *Request
 	// Caller is the remote address.
 	Caller string
-	// Unanswered is set if the connection ended before the caller had a complete response; ClosedBy is the side that closed it.
+	// Unanswered is set if the connection ended before the caller had a complete response; ClosedBy is why it was closed.
 	Unanswered bool
 	ClosedBy   Closer
 	// Target is the requested host and path.
@@ -109,7 +109,7 @@
 	Loss *RoleLoss
 }
 
-// Step returns how far a request got that had no complete response.
+// Step returns the step at which a request without a complete response ended.
 func (r *Report) Step() string {
 	switch {
 	case len(r.Attempts) == 0:
@@ -144,10 +144,10 @@
 	Start       time.Time
 	End         time.Time
 	PrefillTime time.Duration
-	// Score is the cost for which the worker, or the prefill engine if there was one, was picked among Candidates.
+	// Score is the estimated cost at the worker, or at the prefill engine if there was one. Candidates is the number of workers considered.
 	Score      balance.Score
 	Candidates int
-	// Deferred is set if the answer was expected too late, so that other requests went first.
+	// Deferred is set if the answer was expected too late, so that prompts that were not deferred were prefilled first.
 	Deferred bool
 	// Failure is empty if the attempt succeeded.
 	Failure string
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -4,6 +4,7 @@
 
 import (
 	"context"
+	"fmt"
 	"io"
 	"net/http"
 	"time"
@@ -37,7 +38,7 @@
 	Unstreamed bool
 }
 
-// digest returns the digest that identifies equal requests.
+// digest returns the digest by which the guard recognizes copies of a request.
 func (r *Request) digest() poison.Digest {
 	return poison.Request{Tenant: r.Tenant, Method: r.Method, Host: r.Host, Target: r.Target, Body: r.Body}.Digest()
 }
@@ -76,11 +77,11 @@
 	Deadline time.Time
 	// Prompt is the prefilled prompt, or nil.
 	Prompt *PrefilledPrompt
-	// FetchFrom is an engine whose cache holds a prefix of the prompt, or nil. It excludes Prompt.
+	// FetchFrom is an engine whose cache holds a prefix of the prompt, or nil. It is nil if Prompt is set.
 	FetchFrom *backend.Worker
 	// ResumeAfter is the id of the last event that the caller has, or empty.
 	ResumeAfter string
-	// Deferred runs yield to all others.
+	// Deferred is set if the run yields to all runs that are not deferred.
 	Deferred bool
 }
 
@@ -94,7 +95,8 @@
 	Urgency int
 }
 
-// Workers sends requests to workers. Errors are of type *httpclient.Error, *Refusal or *InvalidResponse.
+// Workers sends requests to workers. Errors are of type *httpclient.Error, *Refusal or *InvalidResponse; other errors are treated like a
+// broken connection.
 type Workers interface {
 	// Run runs a request at a worker. Cancelling the context closes the connection to the worker.
 	Run(ctx context.Context, worker *backend.Worker, request *Request, options RunOptions) (*Response, error)
@@ -114,7 +116,7 @@
 	Body          io.ReadCloser
 }
 
-// Refusal is the guarantee of a worker that it has not run a request and never will.
+// Refusal is the response of a worker that did not run the request and never will.
 type Refusal struct {
 	// Peer is the address of the worker.
 	Peer   string
@@ -125,7 +127,7 @@
 
 // Error implements error.
 func (r *Refusal) Error() string {
-	return "step run, peer " + r.Peer + ": the worker refused the request: " + http.StatusText(r.Status)
+	return fmt.Sprintf("run, peer %s: the worker refused the request: %s (status %d)", r.Peer, http.StatusText(r.Status), r.Status)
 }
 
 // InvalidResponse is a malformed or unexpected response. The request may have run.
@@ -136,7 +138,7 @@
 
 // Error implements error.
 func (i *InvalidResponse) Error() string {
-	return "step run, peer " + i.Peer + ": invalid response: " + i.Reason
+	return "run, peer " + i.Peer + ": invalid response: " + i.Reason
 }
 
 // WorkerError is an error response of a worker that has run a request.
@@ -144,14 +146,14 @@
 
 // Error implements error.
 func (w *WorkerError) Error() string {
-	return "step run: the worker responded with " + http.StatusText(w.Status)
+	return fmt.Sprintf("run: the worker responded with status %d", w.Status)
 }
 
 // CallerError is a failure to send a response to the caller.
 type CallerError struct{ Cause error }
 
 // Error implements error.
-func (c *CallerError) Error() string { return "step pass the answer on: " + c.Cause.Error() }
+func (c *CallerError) Error() string { return "pass the answer on: " + c.Cause.Error() }
 
 // Unwrap returns the cause.
 func (c *CallerError) Unwrap() error { return c.Cause }
--- a/internal/forward/response.go
+++ b/internal/forward/response.go
@@ -8,10 +8,10 @@
 )
 
 // giveUp answers a request for which all attempts have failed, or aborts its connection.
-func (c *call) giveUp(failed failure, decided decision) connAction {
-	c.report.Reason = reasonOf(failed)
+func (c *call) giveUp(failure failureKind, decided decision) connAction {
+	c.report.Reason = reasonOf(failure)
 	switch {
-	case failed == failureCallerGone:
+	case failure == failureCallerGone:
 		return connAbort
 	case c.relay.started:
 		c.writeTruncationEvent()
@@ -23,9 +23,9 @@
 		return connKeep
 	case decided == decisionNotRun:
 		return c.refuseWithRetryAfter()
-	case failed == failureDeadline && c.attempts.reached == 0:
+	case failure == failureDeadline && c.attempts.reached == 0:
 		return respondRetryAfter(c.writer, c.report, ReasonTimeout, c.handler.settings.RefusedRetryAfter)
-	case failed == failureDeadline:
+	case failure == failureDeadline:
 		return respondError(c.writer, c.report, http.StatusGatewayTimeout, ReasonTimeout)
 	default:
 		return respondError(c.writer, c.report, http.StatusBadGateway, ReasonWorkerFailed)
@@ -35,18 +35,18 @@
 // writeTruncationEvent ends a stream that was cut off with an event that names the reason, if the caller's protocol has such an event. The
 // connection is closed after it.
 func (c *call) writeTruncationEvent() {
-	if c.truncationEvent == nil {
+	if c.newTruncationEvent == nil {
 		return
 	}
 	// A write error means that the caller has disconnected.
-	if _, err := c.writer.Write(c.truncationEvent(c.report.Reason)); err == nil {
+	if _, err := c.writer.Write(c.newTruncationEvent(c.report.Reason)); err == nil {
 		_ = http.NewResponseController(c.writer).Flush()
 	}
 }
 
 // reasonOf returns the reason that the report gives for a failure.
-func reasonOf(failed failure) Reason {
-	switch failed {
+func reasonOf(failure failureKind) Reason {
+	switch failure {
 	case failureCallerGone:
 		return ReasonCallerGone
 	case failureDeadline:
@@ -60,8 +60,7 @@
 	}
 }
 
-// forwardResponse passes the response of a worker to the caller. The response of a worker that failed is held back, since a retry may produce
-// a better one.
+// forwardResponse sends the response of a worker to the caller. An error response is kept and not sent yet, since a retry may succeed.
 func (c *call) forwardResponse(response *Response) error {
 	defer response.Body.Close()
 	if c.match.Rule.Kind == routing.KindStream && response.Status == http.StatusOK && !c.request.Unstreamed {
@@ -71,10 +70,10 @@
 	if err != nil {
 		return err
 	}
-	// A complete response is served even if the worker was just given up as silent.
+	// The result is ignored: a complete response is served even if the worker was just abandoned as silent.
 	c.relay.acceptResponse()
 	c.relay.onResponse()
-	if promisesNotRun(buffered.status) {
+	if meansNotRun(buffered.status) {
 		// The status would tell the caller that the request did not run, but the worker did not guarantee that.
 		return &WorkerError{Status: buffered.status}
 	}
@@ -88,8 +87,8 @@
 	return nil
 }
 
-// promisesNotRun reports whether a status tells a caller that its request has not run and never will.
-func promisesNotRun(status int) bool {
+// meansNotRun reports whether a status of this gateway tells the caller that its request has not run and never will.
+func meansNotRun(status int) bool {
 	switch status {
 	case http.StatusRequestTimeout, http.StatusMisdirectedRequest, http.StatusTooManyRequests, http.StatusServiceUnavailable:
 		return true
--- a/internal/forward/responsegate.go
+++ b/internal/forward/responsegate.go
@@ -15,13 +15,13 @@
 	return runner.responseTimeout()
 }
 
-// abandonSilent gives up a silent worker if there is another worker and the budget has a retry for it. Otherwise it keeps waiting.
+// abandonSilent abandons a silent worker if there is another worker and the budget has a retry for it. Otherwise the attempt continues.
 func (c *call) abandonSilent(gate *responseGate, cancel context.CancelCauseFunc, worker string) {
 	gate.abandon(func() bool {
 		if !c.handler.dispatcher.hasAlternative(c.request, c.match.Group, append(slices.Clone(c.attempts.excluded), worker)) {
 			return false
 		}
-		if !c.handler.dispatcher.RetryBudget(c.match.Group.Name).spend() {
+		if !c.handler.dispatcher.RetryBudget(c.match.Group.Name).takeRetry() {
 			return false
 		}
 		c.attempts.retryPrepaid.Store(true)
@@ -30,7 +30,7 @@
 	})
 }
 
-// responseGate decides between forwarding a worker's response and giving the worker up as silent.
+// responseGate decides between forwarding a worker's response and abandoning the worker as silent.
 //
 // Invariant: only one of the two happens. Otherwise a timer that fires just as the response starts could cut off a response that the caller
 // has partly received, and waste a retry.
@@ -40,18 +40,18 @@
 }
 
 // accept marks the response as started and reports whether it may be forwarded.
-func (s *responseGate) accept() bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	s.responded = true
-	return !s.abandoned
+func (g *responseGate) accept() bool {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.responded = true
+	return !g.abandoned
 }
 
-// abandon gives the worker up unless it has responded. The worker counts as given up if giveUp returns true.
-func (s *responseGate) abandon(giveUp func() bool) {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	if !s.responded {
-		s.abandoned = giveUp()
+// abandon calls tryAbandon unless the worker has responded. The worker is abandoned if that returns true.
+func (g *responseGate) abandon(tryAbandon func() bool) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	if !g.responded {
+		g.abandoned = tryAbandon()
 	}
 }
--- a/internal/forward/retrybudget.go
+++ b/internal/forward/retrybudget.go
@@ -12,12 +12,13 @@
 // retryBudgets holds one retry budget per group. It is guarded by the mutex of the dispatcher.
 type retryBudgets struct {
 	settings retrybudget.Settings
-	// now never jumps and includes the time while the machine is suspended. A jump would clear or extend the window while other gateways
-	// keep spending. Its values are compared only with each other.
+	// now is the clock since boot, including suspended time. The wall clock is not used: a jump would clear or extend the window while other
+	// gateways keep granting retries.
 	now     func() time.Time
 	share   *retrybudget.Share
 	budgets map[string]*groupBudget
-	// initialShare is the fraction of the maximum balance with which budgets start at the first start of the whole system, otherwise 0.
+	// initialShare is the fraction of the maximum balance that new budgets start with; 0 unless the whole system was started for the first
+	// time.
 	initialShare float64
 	// onExhausted is called when a budget is exhausted; may be nil.
 	onExhausted func(group string, view retrybudget.View)
@@ -36,7 +37,8 @@
 	}
 }
 
-// forGroup returns the budget of a group. A new budget has accrued since the share took effect.
+// forGroup returns the budget of a group. A new budget is credited with what it would have accrued since
+// this gateway's share took effect.
 func (r *retryBudgets) forGroup(group string) *groupBudget {
 	budget, found := r.budgets[group]
 	if !found {
@@ -49,7 +51,7 @@
 	return budget
 }
 
-// accrue updates all budgets with the current share.
+// accrue credits all budgets up to now with the current share.
 func (r *retryBudgets) accrue(now time.Time) {
 	share := r.share.At(now)
 	for _, budget := range r.budgets {
@@ -76,13 +78,13 @@
 	d.retries.accrue(now)
 }
 
-// ConfirmFirstStart is ConfirmShare for the first start of the whole system, in which the share takes effect immediately.
+// ConfirmFirstStart is like ConfirmShare, for a gateway that starts with the whole system: its share takes effect immediately.
 func (d *Dispatcher) ConfirmFirstStart(at time.Time) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := d.retries.now()
 	d.retries.accrue(now)
-	d.updateHolders(func(holders *quota.Holders) { holders.Confirm(at) })
+	d.updateQuotaGateways(func(gateways *quota.Holders) { gateways.Confirm(at) })
 	initial := d.retries.share.ConfirmFirstStart(at)
 	d.retries.accrue(now)
 	if initial == 0 {
@@ -94,7 +96,7 @@
 	}
 }
 
-// ConfirmShare records that at a time, on the clock since boot, the store held the registration of this gateway and SetGatewayCount had been
+// ConfirmShare records that at the given time (clock since boot) this gateway was registered in the store and SetGatewayCount had been
 // called with all changes up to then.
 func (d *Dispatcher) ConfirmShare(at time.Time) {
 	d.mutex.Lock()
@@ -103,10 +105,10 @@
 	d.retries.accrue(now)
 	d.retries.share.Confirm(at)
 	d.retries.accrue(now)
-	d.updateHolders(func(holders *quota.Holders) { holders.Confirm(at) })
+	d.updateQuotaGateways(func(gateways *quota.Holders) { gateways.Confirm(at) })
 }
 
-// SetBudget replaces the settings. Budgets keep their balance, since the settings are reloaded whenever their file changes.
+// SetBudget replaces the settings. Budgets keep their balance: a reload of the settings must not refill them.
 func (d *Dispatcher) SetBudget(settings retrybudget.Settings) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -115,7 +117,9 @@
 	}
 	d.retries.settings = settings
 	d.retries.share.SetWindow(settings.Window)
-	d.updateHolders(func(holders *quota.Holders) { holders.SetConfirmationTTL(retrybudget.ConfirmationTTL(settings.Window)) })
+	d.updateQuotaGateways(func(gateways *quota.Holders) {
+		gateways.SetConfirmationTTL(retrybudget.ConfirmationTTL(settings.Window))
+	})
 	for _, budget := range d.retries.budgets {
 		budget.SetSettings(d.retries.now(), settings)
 	}
@@ -163,24 +167,24 @@
 	return RetryBudget{dispatcher: d, group: group}
 }
 
-// RetryBudget grants retries of requests for one group.
+// RetryBudget limits the retries of requests for one group.
 type RetryBudget struct {
 	dispatcher *Dispatcher
 	group      string
 }
 
-// spend implements retrySource. It reports an exhausted budget without holding the mutex, so that a blocked log does not block other
+// takeRetry implements retrySource. It reports an exhausted budget without holding the mutex, so that a blocked log does not block other
 // requests.
-func (r RetryBudget) spend() bool {
-	granted, report := r.takeRetry()
+func (r RetryBudget) takeRetry() bool {
+	granted, report := r.takeWithReport()
 	if report != nil {
 		report()
 	}
 	return granted
 }
 
-// takeRetry takes one retry. If the budget is exhausted and that should be reported, it returns the function to call.
-func (r RetryBudget) takeRetry() (granted bool, report func()) {
+// takeWithReport takes one retry. If the budget is exhausted and that should be reported, it returns the function to call.
+func (r RetryBudget) takeWithReport() (granted bool, report func()) {
 	r.dispatcher.mutex.Lock()
 	defer r.dispatcher.mutex.Unlock()
 	budgets, now := r.dispatcher.retries, r.dispatcher.retries.now()
--- a/internal/forward/retrybudget_sim_test.go
+++ b/internal/forward/retrybudget_sim_test.go
@@ -136,7 +136,7 @@
 			f.requests = append(f.requests, f.now)
 			machine.process.dispatcher.CountRequest(simGroup)
 			for range f.retriesPerRequest {
-				if machine.process.dispatcher.RetryBudget(simGroup).spend() {
+				if machine.process.dispatcher.RetryBudget(simGroup).takeRetry() {
 					f.grants = append(f.grants, f.now)
 				}
 			}
--- a/internal/forward/retrybudget_test.go
+++ b/internal/forward/retrybudget_test.go
@@ -74,7 +74,7 @@
 			counts <- 0
 		}
 	})
-	for d.RetryBudget("group").spend() {
+	for d.RetryBudget("group").takeRetry() {
 	}
 	if count := <-counts; count != 1 {
 		t.Errorf("the callback read %d budgets, want 1", count)
@@ -99,7 +99,7 @@
 			clock.elapsed += time.Duration(float64(time.Second) / test.perSecond)
 			d.ConfirmShare(clock.now())
 			d.CountRequest("group")
-			if clock.elapsed > 20*time.Second && d.RetryBudget("group").spend() {
+			if clock.elapsed > 20*time.Second && d.RetryBudget("group").takeRetry() {
 				retries++
 			}
 		}
--- a/internal/forward/rolechange.go
+++ b/internal/forward/rolechange.go
@@ -8,13 +8,13 @@
 	"github.com/granitebay/granitebay/internal/roles"
 )
 
-// maxRoleChangeTime is how long work is kept off an engine whose record does not show its new role.
+// maxRoleChangeTime is how long a role change may take, during which the engine gets no requests, before it is considered to have failed.
 const maxRoleChangeTime = 5 * time.Second
 
 // roleChange is a role change of an engine.
 type roleChange struct {
 	role backend.Role
-	// readyAt is when it is expected to be complete, and expiresAt when it is no longer considered pending.
+	// readyAt is when the change is expected to be complete, and expiresAt when it is no longer considered pending.
 	readyAt, expiresAt time.Time
 }
 
@@ -24,16 +24,16 @@
 	defer d.mutex.Unlock()
 	now := d.now()
 	groups := map[string]*roles.Group{}
-	for service, engine := range d.engineGroups {
-		for worker, status := range d.balancer.WorkerStatuses(now, service) {
-			if worker.Group != service {
+	for routingGroup, engine := range d.engineGroups {
+		for worker, status := range d.balancer.WorkerStatuses(now, routingGroup) {
+			if worker.Group != routingGroup {
 				continue
 			}
 			name := worker.RoleGroup()
 			group, found := groups[name]
 			if !found {
 				group = &roles.Group{
-					Engines: make([]roles.Engine, 0, d.balancer.Count(service)), PrefillDemand: d.prefillDemand(name, service), HadDecode: d.engineState.hadDecoders[name], RoleChangeTime: engine.RoleChangeTime,
+					Engines: make([]roles.Engine, 0, d.balancer.Count(routingGroup)), PrefillDemand: d.prefillDemand(name, routingGroup), HadDecode: d.engineState.hadDecoders[name], RoleChangeTime: engine.RoleChangeTime,
 				}
 				groups[name] = group
 			}
@@ -43,8 +43,7 @@
 	return groups
 }
 
-// Utilization returns how many workers of a group the current load would keep busy: engines by requested prefill work and occupied slots, plain
-// workers by their runs.
+// Utilization returns the load of a group in workers: the occupied slots, and for engines also the prefill demand.
 func (d *Dispatcher) Utilization(group string) float64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
@@ -60,20 +59,20 @@
 	return busy
 }
 
-// engineSnapshot returns the planner's view of an engine. The mutex is held.
+// engineSnapshot returns the role planner's input for an engine. The mutex is held.
 func (d *Dispatcher) engineSnapshot(now time.Time, worker *backend.Worker, status balance.WorkerStatus) roles.Engine {
 	engine := roles.Engine{Worker: worker, Load: status.Load, Usable: status.Usable}
 	if change, found := d.engineState.pendingRoles[worker.ID]; found && now.Before(change.expiresAt) {
 		engine.TargetRole = change.role
 	}
 	_, engine.Ended = d.engineState.engineHealth.Absent(now, worker.ID)
-	if at, learnt := d.engineState.engineHealth.ExpectedReturn(worker.ID); learnt {
+	if at, known := d.engineState.engineHealth.ExpectedReturn(worker.ID); known {
 		engine.ExpectedAt = at
 	}
 	return engine
 }
 
-// SetRoleChange implements roles.Fleet.
+// SetRoleChange implements roles.Fleet. Passing the current role cancels a pending change.
 func (d *Dispatcher) SetRoleChange(id string, role backend.Role) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/forward/suspects.go
+++ b/internal/forward/suspects.go
@@ -5,8 +5,7 @@
 	"time"
 )
 
-// refuseSuspect ends a request that was recognized as a suspect, or of which another copy is running. If it has not run yet, the caller is
-// told to retry.
+// refuseSuspect ends a suspect request that may not run now. If it has not run yet, the caller is told to retry.
 func (c *call) refuseSuspect(reason Reason) connAction {
 	if c.attempts.possibleRuns == 0 {
 		return respondRetryAfter(c.writer, c.report, reason, c.handler.settings.VerdictRetryAfter)
@@ -17,18 +16,19 @@
 // turnPollInterval is how often a waiting suspect request checks whether it may run.
 const turnPollInterval = 20 * time.Millisecond
 
-// awaitTurn waits while a suspect request may not put another worker at risk. If that takes long, the request is refused unless it may have
-// run. It reports whether the request is done.
+// awaitTurn waits one poll interval for a suspect request's turn. It ends the request if it was tried at all workers at which it may run,
+// or if a crashed worker would have to be replaced first and the request has not run or is the exclusive copy. It reports whether the
+// request is done.
 func (c *call) awaitTurn(ctx context.Context, suspectKey string) (bool, connAction) {
-	turn := c.handler.dispatcher.SuspectTurnOf(c.match.Group, suspectKey, c.attempts.excluded)
+	turn := c.handler.dispatcher.suspectTurn(c.match.Group, suspectKey, c.attempts.excluded)
 	if turn.Exhausted {
 		return true, c.giveUp(failureRefused, c.attempts.final(failureRefused))
 	}
-	if c.isExclusive && c.attempts.possibleRuns > 0 && !turn.WorthWaiting {
-		// Copies that wait for a worker to come back would all reach it at once.
+	if c.isExclusive && c.attempts.possibleRuns > 0 && !turn.IsShort {
+		// Otherwise all waiting copies would reach the replacement worker at once.
 		return true, c.giveUp(failureBroken, decisionFail)
 	}
-	if c.attempts.possibleRuns == 0 && !turn.WorthWaiting {
+	if c.attempts.possibleRuns == 0 && !turn.IsShort {
 		return true, respondRetryAfter(c.writer, c.report, ReasonSuspected, max(turn.Wait, c.handler.settings.RefusedRetryAfter))
 	}
 	timer := time.NewTimer(turnPollInterval)
@@ -37,7 +37,7 @@
 	case <-timer.C:
 		return false, connKeep
 	case <-ctx.Done():
-		failed := classify(ctx, ctx.Err())
-		return true, c.giveUp(failed, c.attempts.final(failed))
+		failure := classify(ctx, ctx.Err())
+		return true, c.giveUp(failure, c.attempts.final(failure))
 	}
 }
--- a/internal/forward/views.go
+++ b/internal/forward/views.go
@@ -12,14 +12,14 @@
 // WorkerView describes one worker as seen by this gateway.
 type WorkerView struct {
 	Worker *backend.Worker
-	// Load is the load of all gateways.
+	// Load is the worker's load from all gateways.
 	Load backend.Load
-	// Ejected is set while a worker is ejected, and Changing while it changes its role.
+	// Ejected is set while the worker is ejected or unreachable, and Changing while it changes its role.
 	Ejected  bool
 	Changing bool
 	// BackingOff is set while the worker has asked this gateway not to send requests.
 	BackingOff bool
-	// Quota is what this gateway may send to a rate-limited worker; nil without a limit.
+	// Quota is this gateway's quota of a rate-limited worker; nil if the worker has no rate limit.
 	Quota *balance.Quota
 }
 
@@ -54,8 +54,8 @@
 	sets map[string]map[string]string
 }
 
-// note adds a label set and evicts the oldest if there are too many.
-func (r *recentLabels) note(labels map[string]string) {
+// add adds a label set and evicts the oldest if there are too many.
+func (r *recentLabels) add(labels map[string]string) {
 	var pairs []string
 	for name, value := range labels {
 		pairs = append(pairs, name+"="+value)
