--- a/internal/forward/attempts_test.go
+++ b/internal/forward/attempts_test.go
@@ -23,7 +23,8 @@
 	return true
 }
 
-// TestAttemptsInvariants checks the invariants of attempts with random failures.
+// TestAttemptsInvariants guards against running a request more often than allowed, and against telling the caller that it did not run when
+// it may have.
 func TestAttemptsInvariants(t *testing.T) {
 	failures := []failureKind{failureUnreachable, failureRefused, failureMisdirected, failureSilent, failureBroken, failureError, failureDeadline, failureCallerGone}
 	rapid.Check(t, func(t *rapid.T) {
@@ -37,39 +38,39 @@
 		state := attempts{rule: rule}
 		mayHaveRun, reached := 0, 0
 		for attempt := 0; ; attempt++ {
-			failed := rapid.SampledFrom(failures).Draw(t, fmt.Sprint("failure ", attempt))
-			if failed.mayHaveRun() {
+			failure := rapid.SampledFrom(failures).Draw(t, fmt.Sprint("failure ", attempt))
+			if failure.mayHaveRun() {
 				mayHaveRun++
 			}
-			if failed != failureUnreachable {
+			if failure != failureUnreachable {
 				reached++
 			}
-			state.record(fmt.Sprint(attempt), failed)
-			decided := state.decide(failed, retries)
+			state.record(fmt.Sprint(attempt), failure)
+			decided := state.decide(failure, retries)
 			if decided == decisionNotRun && mayHaveRun > 0 {
-				t.Fatal("a request that may have run was reported as not run")
+				t.Fatalf("after %v: a request that may have run %d times was reported as not run", failure, mayHaveRun)
 			}
 			if decided != decisionRetry {
 				return
 			}
 			if mayHaveRun > 0 && !rule.Repeatable() {
-				t.Fatal("a request that may run only once was retried")
+				t.Fatalf("after %v: a request that may run only once was retried although it may have run %d times", failure, mayHaveRun)
 			}
 			if mayHaveRun >= rule.MaxAttempts {
-				t.Fatal("the request ran more often than its rule allows")
+				t.Fatalf("after %v: retried although the request may have run %d times, limit %d", failure, mayHaveRun, rule.MaxAttempts)
 			}
 			if used := granted - retries.left; reached > 0 && used == 0 {
-				t.Fatal("the retry was not taken from the budget")
+				t.Fatalf("after %v: the retry was not taken from the budget of %d", failure, granted)
 			}
 			if attempt >= maxReachedWorkers+maxUnreachableWorkers {
-				t.Fatal("the attempts do not end")
+				t.Fatalf("after %v: attempt %d was not the last", failure, attempt)
 			}
 		}
 	})
 }
 
-// TestNotRunStatusOfWorkerIsNotForwarded covers workers that respond with a status which would tell the caller that the request did not
-// run, although the worker does not guarantee that.
+// TestNotRunStatusOfWorkerIsNotForwarded guards against forwarding a status that would tell the caller that the request did not run,
+// although the worker does not guarantee that.
 func TestNotRunStatusOfWorkerIsNotForwarded(t *testing.T) {
 	for _, status := range []int{http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout} {
 		workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Response, error) {
--- a/internal/forward/backoff_test.go
+++ b/internal/forward/backoff_test.go
@@ -11,7 +11,8 @@
 	"github.com/granitebay/granitebay/internal/routing"
 )
 
-// backOffWorkers returns workers that refuse all requests and ask for a back-off, until the duration has passed.
+// backOffWorkers returns workers that refuse all requests and ask for a back-off, until the duration has passed. The fixture is passed by
+// reference because it is created after its workers.
 func backOffWorkers(f **fixture, backOff, duration time.Duration) *fakeWorkers {
 	start := time.Now()
 	return &fakeWorkers{run: func(_ context.Context, _ int, worker *backend.Worker, _ RunOptions) (*Response, error) {
@@ -23,8 +24,9 @@
 	}}
 }
 
-// TestRequestIsRefusedWhileAllWorkersBackOff checks that the Retry-After time is when the first worker accepts requests again.
-func TestRequestIsRefusedWhileAllWorkersBackOff(t *testing.T) {
+// TestRetryAfterIsEndOfFirstBackOff guards against sending requests to workers that back off, and against a Retry-After time that is not
+// the end of the first back-off.
+func TestRetryAfterIsEndOfFirstBackOff(t *testing.T) {
 	for _, engine := range []bool{false, true} {
 		var f *fixture
 		rule := routing.Rule{Kind: routing.KindRepeatable, MaxAttempts: 2, Objective: 300 * time.Millisecond}
@@ -45,7 +47,7 @@
 	}
 }
 
-// TestRequestWaitsForShortBackOff checks that a request waits if a worker accepts it within its objective.
+// TestRequestWaitsForShortBackOff guards against refusing a request although a worker's back-off ends well within its objective.
 func TestRequestWaitsForShortBackOff(t *testing.T) {
 	var f *fixture
 	rule := routing.Rule{Kind: routing.KindRepeatable, MaxAttempts: 2, Objective: time.Second}
@@ -57,7 +59,8 @@
 	}
 }
 
-// TestOtherWorkersServeDuringBackOff checks that one request is retried at another worker and that later ones avoid the first worker.
+// TestOtherWorkersServeDuringBackOff guards against failing a request because of one worker that backs off, and against sending that worker
+// later requests.
 func TestOtherWorkersServeDuringBackOff(t *testing.T) {
 	var f *fixture
 	first := ""
--- a/internal/forward/enginestate_test.go
+++ b/internal/forward/enginestate_test.go
@@ -20,8 +20,8 @@
 // roleChangeTime is how long a role change takes in these tests.
 const roleChangeTime = time.Second
 
-// twoGateways models two gateways with the same three engines of each role and a common clock. Updates are delivered by exchange.
-type twoGateways struct {
+// gatewayPair models two gateways with the same three engines of each role and a common clock. Updates are delivered by exchange.
+type gatewayPair struct {
 	now      time.Time
 	gateways [2]*Dispatcher
 	sequence uint64
@@ -29,42 +29,42 @@
 	records  backend.Set
 }
 
-// newTwoGateways returns two gateways that know the same engines.
-func newTwoGateways() *twoGateways {
+// newGatewayPair returns two gateways that know the same engines.
+func newGatewayPair() *gatewayPair {
 	engine := *engineGroup.Engine
 	engine.RoleChangeTime = roleChangeTime
-	two := &twoGateways{now: time.Unix(1000, 0), group: &routing.Group{Name: "g", Engine: &engine}, records: backend.Set{}}
+	pair := &gatewayPair{now: time.Unix(1000, 0), group: &routing.Group{Name: "g", Engine: &engine}, records: backend.Set{}}
 	for _, role := range []backend.Role{backend.RolePrefill, backend.RoleDecode} {
 		for i := range 3 {
 			id := fmt.Sprint(role, i)
-			two.records[id] = &backend.Worker{ID: id, Group: "g", Address: id, Role: role, Slots: 32}
+			pair.records[id] = &backend.Worker{ID: id, Group: "g", Address: id, Role: role, Slots: 32}
 		}
 	}
-	for i := range two.gateways {
-		two.gateways[i] = NewDispatcher(DefaultDispatchSettings(), func() time.Time { return two.now })
-		two.gateways[i].SetGroups([]routing.Group{*two.group})
-		two.gateways[i].SetWorkers(two.records.Clone())
-		two.gateways[i].NotifyUpdates(func(bool) {})
+	for i := range pair.gateways {
+		pair.gateways[i] = NewDispatcher(DefaultDispatchSettings(), func() time.Time { return pair.now })
+		pair.gateways[i].SetGroups([]routing.Group{*pair.group})
+		pair.gateways[i].SetWorkers(pair.records.Clone())
+		pair.gateways[i].NotifyUpdates(func(bool) {})
 	}
-	return two
+	return pair
 }
 
 // exchange delivers the pending updates of each gateway to the other.
-func (two *twoGateways) exchange() {
-	two.sequence++
-	for i, gateway := range two.gateways {
+func (pair *gatewayPair) exchange() {
+	pair.sequence++
+	for i, gateway := range pair.gateways {
 		message := gateway.TakeUpdate(false)
-		message.Sender, message.Epoch, message.Sequence = fmt.Sprint(i), 1, two.sequence
-		two.gateways[1-i].ApplyUpdate(&message)
+		message.Sender, message.Epoch, message.Sequence = fmt.Sprint(i), 1, pair.sequence
+		pair.gateways[1-i].ApplyUpdate(&message)
 	}
 }
 
 // runners returns the engines at which a gateway places short requests.
-func (two *twoGateways) runners(gateway int) map[string]bool {
+func (pair *gatewayPair) runners(gateway int) map[string]bool {
 	runners := map[string]bool{}
 	for i := range 30 {
 		request := &Request{ID: fmt.Sprint("r", i), Demand: shortPrompt}
-		placement, found := two.gateways[gateway].Place(request, two.group, PlaceOptions{})
+		placement, found := pair.gateways[gateway].Place(request, pair.group, PlaceOptions{})
 		if found && placement.Runner != nil {
 			runners[placement.Runner.Worker.ID] = true
 		}
@@ -75,38 +75,39 @@
 	return runners
 }
 
+// TestRefusedEngineIsAvoidedByAllGateways guards against gateways that keep sending requests to an engine whose connections another gateway saw refused, and against role changes on such hearsay.
 func TestRefusedEngineIsAvoidedByAllGateways(t *testing.T) {
-	two := newTwoGateways()
-	two.gateways[0].RecordRefused("decode0")
-	two.gateways[0].RecordRefused("decode1")
-	two.exchange()
-	for gateway := range two.gateways {
-		if runners := two.runners(gateway); len(runners) != 1 || !runners["decode2"] {
+	pair := newGatewayPair()
+	pair.gateways[0].RecordRefused("decode0")
+	pair.gateways[0].RecordRefused("decode1")
+	pair.exchange()
+	for gateway := range pair.gateways {
+		if runners := pair.runners(gateway); len(runners) != 1 || !runners["decode2"] {
 			t.Errorf("gateway %d places requests at %v, want only decode2", gateway, runners)
 		}
-		for _, query := range two.gateways[gateway].EnginesToQuery() {
+		for _, query := range pair.gateways[gateway].EnginesToQuery() {
 			if query.Confirmed != (gateway == 0) {
 				t.Errorf("gateway %d would query %+v", gateway, query)
 			}
 		}
 	}
-	if groups := two.gateways[1].Groups(); countGone(groups["g"].Engines) != 0 {
-		t.Error("a report of one gateway makes another one consider engines lost")
+	if groups := pair.gateways[1].Groups(); countEnded(groups["g"].Engines) != 0 {
+		t.Error("a report of one gateway makes another one consider engines down")
 	}
-	if groups := two.gateways[0].Groups(); countGone(groups["g"].Engines) != 2 {
-		t.Error("engines that refused the gateway's own connections are not considered lost")
+	if groups := pair.gateways[0].Groups(); countEnded(groups["g"].Engines) != 2 {
+		t.Error("engines that refused the gateway's own connections are not considered down")
 	}
-	two.gateways[1].RecordResponse("decode0", backend.RoleDecode, false)
-	two.exchange()
-	for gateway := range two.gateways {
-		if runners := two.runners(gateway); !runners["decode0"] || runners["decode1"] {
+	pair.gateways[1].RecordResponse("decode0", backend.RoleDecode, false)
+	pair.exchange()
+	for gateway := range pair.gateways {
+		if runners := pair.runners(gateway); !runners["decode0"] || runners["decode1"] {
 			t.Errorf("gateway %d places requests at %v after decode0 responded", gateway, runners)
 		}
 	}
 }
 
-// countGone counts the engines that are considered lost.
-func countGone(engines []roles.Engine) int {
+// countEnded counts the engines that are considered down.
+func countEnded(engines []roles.Engine) int {
 	count := 0
 	for _, engine := range engines {
 		if engine.Ended {
@@ -116,23 +117,24 @@
 	return count
 }
 
+// TestReportedRolePrecedesRecord guards against waiting for the record of an engine that has already reported its new role.
 func TestReportedRolePrecedesRecord(t *testing.T) {
-	two := newTwoGateways()
+	pair := newGatewayPair()
 	for i := range 3 {
-		two.gateways[0].RecordRefused(fmt.Sprint("decode", i))
+		pair.gateways[0].RecordRefused(fmt.Sprint("decode", i))
 	}
-	two.gateways[0].SetRoleChange("prefill0", backend.RoleDecode)
-	two.exchange()
-	for gateway := range two.gateways {
-		loss, lost := two.gateways[gateway].RoleLoss(two.group)
-		if back := loss.ExpectedAt.Sub(two.now); !lost || loss.LostDecoders != 3 || loss.Changing != 1 || loss.PrefillEngines != 2 || back != roleChangeTime {
+	pair.gateways[0].SetRoleChange("prefill0", backend.RoleDecode)
+	pair.exchange()
+	for gateway := range pair.gateways {
+		loss, lost := pair.gateways[gateway].RoleLoss(pair.group)
+		if back := loss.ExpectedAt.Sub(pair.now); !lost || loss.LostDecoders != 3 || loss.Changing != 1 || loss.PrefillEngines != 2 || back != roleChangeTime {
 			t.Fatalf("gateway %d: loss %+v, expected back in %s, lost: %v", gateway, loss, back, lost)
 		}
 	}
-	before, _ := two.gateways[0].RoleLoss(two.group)
-	two.now = two.now.Add(roleChangeTime)
+	before, _ := pair.gateways[0].RoleLoss(pair.group)
+	pair.now = pair.now.Add(roleChangeTime)
 	queries := 0
-	for _, query := range two.gateways[1].EnginesToQuery() {
+	for _, query := range pair.gateways[1].EnginesToQuery() {
 		if !query.Absent && query.Worker.ID == "prefill0" {
 			queries++
 		}
@@ -140,38 +142,39 @@
 	if queries != 1 {
 		t.Error("an engine that should have changed its role is not queried")
 	}
-	two.gateways[1].RecordResponse("prefill0", backend.RoleDecode, false)
-	two.exchange()
+	pair.gateways[1].RecordResponse("prefill0", backend.RoleDecode, false)
+	pair.exchange()
 	select {
 	case <-before.Recovered:
 	default:
 		t.Error("waiting requests are not notified")
 	}
 	for range 2 {
-		for gateway := range two.gateways {
-			if runners := two.runners(gateway); len(runners) != 1 || !runners["prefill0"] {
+		for gateway := range pair.gateways {
+			if runners := pair.runners(gateway); len(runners) != 1 || !runners["prefill0"] {
 				t.Errorf("gateway %d places requests at %v, want only prefill0", gateway, runners)
 			}
 			// The record still shows the old role.
-			two.gateways[gateway].SetWorkers(two.records.Clone())
+			pair.gateways[gateway].SetWorkers(pair.records.Clone())
 		}
 	}
-	changed := *two.records["prefill0"]
+	changed := *pair.records["prefill0"]
 	changed.Role = backend.RoleDecode
-	records := two.records.Clone()
+	records := pair.records.Clone()
 	records["prefill0"] = &changed
-	two.gateways[0].SetWorkers(records.Clone())
-	two.gateways[0].SetWorkers(two.records.Clone())
-	if worker, _ := two.gateways[0].balancer.Worker("prefill0"); worker.Role != backend.RolePrefill {
+	pair.gateways[0].SetWorkers(records.Clone())
+	pair.gateways[0].SetWorkers(pair.records.Clone())
+	if worker, _ := pair.gateways[0].balancer.Worker("prefill0"); worker.Role != backend.RolePrefill {
 		t.Error("the reported role still applies after the record has shown it")
 	}
 }
 
-// TestExpectedRecoveryOfLostRole checks the expected time before a role change is ordered, after that, and once it is late.
+// TestExpectedRecoveryOfLostRole guards against a wrong Retry-After time when a role is lost: before a role change is ordered, after that,
+// and once it is late.
 func TestExpectedRecoveryOfLostRole(t *testing.T) {
-	two := newTwoGateways()
-	gateway := two.gateways[0]
-	if _, lost := gateway.RoleLoss(two.group); lost {
+	pair := newGatewayPair()
+	gateway := pair.gateways[0]
+	if _, lost := gateway.RoleLoss(pair.group); lost {
 		t.Fatal("a role with engines is considered lost")
 	}
 	for i := range 3 {
@@ -188,11 +191,11 @@
 		{at: 1200 * time.Millisecond, back: 1300 * time.Millisecond},
 		{at: 1400 * time.Millisecond, back: 1700 * time.Millisecond},
 	} {
-		two.now = time.Unix(1000, 0).Add(c.at)
+		pair.now = time.Unix(1000, 0).Add(c.at)
 		for i := range 3 {
 			gateway.RecordRefused(fmt.Sprint("decode", i))
 		}
-		loss, _ := gateway.RoleLoss(two.group)
+		loss, _ := gateway.RoleLoss(pair.group)
 		if back := loss.ExpectedAt.Sub(time.Unix(1000, 0)); back != c.back {
 			t.Errorf("after %s, ordered: %v: expected back after %s, want %s", c.at, ordered, back, c.back)
 		}
@@ -203,17 +206,18 @@
 	}
 }
 
-// TestRecoveryWithoutRoleOrder covers the case that no gateway orders a role change, so that engines are expected to restart.
+// TestRecoveryWithoutRoleOrder guards against announcing a role change that no gateway ordered. The restart of the engines is announced
+// instead.
 func TestRecoveryWithoutRoleOrder(t *testing.T) {
-	two := newTwoGateways()
+	pair := newGatewayPair()
 	for i := range 3 {
-		two.gateways[0].RecordRefused(fmt.Sprint("decode", i))
+		pair.gateways[0].RecordRefused(fmt.Sprint("decode", i))
 	}
-	two.now = two.now.Add(roleOrderTime)
+	pair.now = pair.now.Add(roleOrderTime)
 	for i := range 3 {
-		two.gateways[0].RecordRefused(fmt.Sprint("decode", i))
+		pair.gateways[0].RecordRefused(fmt.Sprint("decode", i))
 	}
-	loss, _ := two.gateways[0].RoleLoss(two.group)
+	loss, _ := pair.gateways[0].RoleLoss(pair.group)
 	if back := loss.ExpectedAt.Sub(time.Unix(1000, 0)); back != 3*time.Second {
 		t.Errorf("expected back after %s, want 3s", back)
 	}
@@ -237,6 +241,7 @@
 	return f, workers
 }
 
+// TestRequestWaitsForRoleExpectedSoon guards against refusing a request although a lost role is restored within its objective.
 func TestRequestWaitsForRoleExpectedSoon(t *testing.T) {
 	f, workers := newLostRoleFixture(t, 4*time.Second, 50*time.Millisecond)
 	dispatcher := f.handler.dispatcher
@@ -251,6 +256,7 @@
 	}
 }
 
+// TestRequestIsRefusedForRoleExpectedLate guards against holding a request until its objective has passed when a lost role is restored later.
 func TestRequestIsRefusedForRoleExpectedLate(t *testing.T) {
 	f, workers := newLostRoleFixture(t, 200*time.Millisecond, 900*time.Millisecond)
 	for first := true; ; first = false {
@@ -284,7 +290,7 @@
 
 // BenchmarkRoleLoss computes the lost role of a group with 5,200 engines without using the cache.
 func BenchmarkRoleLoss(b *testing.B) {
-	two := newTwoGateways()
+	pair := newGatewayPair()
 	set := backend.Set{}
 	for i := range 5200 {
 		role := backend.RolePrefill
@@ -294,7 +300,7 @@
 		id := fmt.Sprint("w", i)
 		set[id] = &backend.Worker{ID: id, Group: "g", Address: id, Role: role, Slots: 32}
 	}
-	dispatcher := two.gateways[0]
+	dispatcher := pair.gateways[0]
 	dispatcher.SetWorkers(set)
 	for id, worker := range set {
 		if worker.Role == backend.RoleDecode {
@@ -305,15 +311,15 @@
 	b.ResetTimer()
 	for range b.N {
 		clear(dispatcher.engineState.lossCache)
-		if loss, lost := dispatcher.RoleLoss(two.group); !lost || loss.LostDecoders != 2600 {
-			b.Fatal(loss)
+		if loss, lost := dispatcher.RoleLoss(pair.group); !lost || loss.LostDecoders != 2600 {
+			b.Fatalf("loss %+v, lost: %v, want 2600 decode engines down", loss, lost)
 		}
 	}
 }
 
 // BenchmarkApplyRefused applies updates from 320 gateways about engines that refuse connections.
 func BenchmarkApplyRefused(b *testing.B) {
-	two := newTwoGateways()
+	pair := newGatewayPair()
 	set := backend.Set{}
 	var refused []string
 	for i := range 5200 {
@@ -323,7 +329,7 @@
 			refused = append(refused, id)
 		}
 	}
-	dispatcher := two.gateways[0]
+	dispatcher := pair.gateways[0]
 	dispatcher.SetWorkers(set)
 	b.ReportAllocs()
 	b.ResetTimer()
--- a/internal/forward/fleet_load_test.go
+++ b/internal/forward/fleet_load_test.go
@@ -14,8 +14,8 @@
 	"github.com/granitebay/granitebay/internal/routing"
 )
 
-// Parameters of the simulated load of long prompts of a whole fleet. Prompts consist of a shared document and a part of their own; lengths
-// are in tokens.
+// Parameters of the simulated load of long prompts on a whole fleet. Prompts consist of a shared document and a part of their own; lengths
+// are in tokens. Prefilling takes 1/tokensPerMs for each token, and attentionMsPerMillionPairs for a million pairs of tokens.
 const (
 	longPromptsPerSecond       = 140.0
 	documentCount              = 1060
@@ -28,20 +28,20 @@
 	attentionMsPerMillionPairs = 0.324
 )
 
-// simEvent is a scheduled event of a simulation.
-type simEvent struct {
+// scheduledEvent is an event of a simulation.
+type scheduledEvent struct {
 	at  time.Time
 	run func()
 }
 
-// simEventQueue is a heap of events ordered by time.
-type simEventQueue []simEvent
+// scheduledEventQueue is a heap of events ordered by time.
+type scheduledEventQueue []scheduledEvent
 
-func (q simEventQueue) Len() int           { return len(q) }
-func (q simEventQueue) Less(i, j int) bool { return q[i].at.Before(q[j].at) }
-func (q simEventQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
-func (q *simEventQueue) Push(event any)    { *q = append(*q, event.(simEvent)) }
-func (q *simEventQueue) Pop() any {
+func (q scheduledEventQueue) Len() int           { return len(q) }
+func (q scheduledEventQueue) Less(i, j int) bool { return q[i].at.Before(q[j].at) }
+func (q scheduledEventQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
+func (q *scheduledEventQueue) Push(event any)    { *q = append(*q, event.(scheduledEvent)) }
+func (q *scheduledEventQueue) Pop() any {
 	last := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
 	return last
@@ -50,11 +50,11 @@
 // loadSimulation simulates gateways that exchange updates.
 type loadSimulation struct {
 	now      time.Time
-	events   simEventQueue
+	events   scheduledEventQueue
 	random   *rand.Rand
 	gateways []*Dispatcher
 	group    *routing.Group
-	// busyUntil is when an engine has prefilled all its prompts, and cached the documents in its cache.
+	// busyUntil is when an engine has prefilled its queue, by engine id. cached holds the documents cached by each engine.
 	busyUntil map[string]time.Time
 	cached    map[string]map[string]bool
 	// everCached are the documents that were cached by any engine.
@@ -66,10 +66,10 @@
 
 // schedule adds an event.
 func (s *loadSimulation) schedule(delay time.Duration, run func()) {
-	heap.Push(&s.events, simEvent{s.now.Add(delay), run})
+	heap.Push(&s.events, scheduledEvent{s.now.Add(delay), run})
 }
 
-// drawTokens draws a length.
+// drawTokens draws a log-normally distributed length with the given mean, at most limit.
 func (s *loadSimulation) drawTokens(mean, spread, limit float64) int {
 	return int(min(mean*math.Exp(spread*s.random.NormFloat64()-spread*spread/2), limit))
 }
@@ -152,8 +152,8 @@
 	}
 }
 
-// TestLongPromptsReuseCachedDocuments simulates twelve seconds of load on ten thousand engines and checks that cached documents are rarely
-// prefilled again.
+// TestLongPromptsReuseCachedDocuments guards against prefilling documents again that other engines have cached, on ten thousand engines
+// under load.
 func TestLongPromptsReuseCachedDocuments(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 5))
 	s := &loadSimulation{
@@ -161,9 +161,9 @@
 		group: &routing.Group{Name: "g", Engine: &routing.Engine{KVCacheTokens: 417_523, BytesPerToken: 163_840, LinkMbps: 1_500_000}},
 	}
 	set := fleetOf(10_000)
-	for zone := range gatewayCount {
+	for i := range gatewayCount {
 		settings := DefaultDispatchSettings()
-		settings.Zone = fmt.Sprint("zone-", zone%6)
+		settings.Zone = fmt.Sprint("zone-", i%6)
 		gateway := NewDispatcher(settings, func() time.Time { return s.now })
 		gateway.SetGroups([]routing.Group{*s.group})
 		gateway.SetWorkers(set)
@@ -182,7 +182,7 @@
 	}
 	arriveNext(0)
 	for s.now.Before(end) {
-		event := heap.Pop(&s.events).(simEvent)
+		event := heap.Pop(&s.events).(scheduledEvent)
 		s.now = event.at
 		event.run()
 	}
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -19,15 +19,16 @@
 	"github.com/granitebay/granitebay/internal/routing"
 )
 
+// plainProtocol copies the request line and uses a fixed id.
+type plainProtocol struct{ demand backend.Demand }
+
 // Key implements Protocol.
 func (plainProtocol) Key(incoming *http.Request) string { return incoming.Header.Get("Key") }
 
 // Complete implements Protocol.
 func (plainProtocol) Complete(*Request) error { return nil }
 
-// plainProtocol copies the request line and uses a fixed id.
-type plainProtocol struct{ demand backend.Demand }
-
+// Read implements Protocol.
 func (p plainProtocol) Read(incoming *http.Request) (*Request, error) {
 	return &Request{
 		ID: "r1", Method: incoming.Method, Target: incoming.RequestURI, Header: http.Header{}, Demand: p.demand,
@@ -35,7 +36,7 @@
 	}, nil
 }
 
-// fakeWorkers responds by calling functions and records its calls.
+// fakeWorkers implements Workers with functions and records the calls.
 type fakeWorkers struct {
 	run     func(ctx context.Context, number int, worker *backend.Worker, options RunOptions) (*Response, error)
 	prefill func(ctx context.Context, number int, worker *backend.Worker) (*PrefilledPrompt, error)
@@ -159,7 +160,7 @@
 		t.Fatal(err)
 	}
 	settings := DefaultDispatchSettings()
-	// Half of the allowance can be kept.
+	// A budget stores at most half of its allowance; double it so that options.allowance retries are available.
 	settings.Budget = retrybudget.Settings{Ratio: 0, Allowance: 2 * options.allowance, Window: 10 * time.Second, Safety: 1}
 	dispatcher := NewDispatcher(settings, time.Now)
 	accrueFully(dispatcher)
@@ -183,7 +184,7 @@
 	return f
 }
 
-// accrueFully advances the clock of the retry budgets by a minute, with the share confirmed every second.
+// accrueFully fills the retry budgets by advancing their clock by a minute, with the share confirmed every second.
 func accrueFully(dispatcher *Dispatcher) {
 	start, elapsed := boottime.Now(), time.Duration(0)
 	dispatcher.retries.now = func() time.Time { return start.Add(elapsed) }
@@ -206,7 +207,8 @@
 	return response, string(body), err
 }
 
-func TestRetryAfterFailedAttempt(t *testing.T) {
+// TestAttemptIsRetriedOnlyIfSafe guards against running a request twice that may run once, and against failing one that a worker refused.
+func TestAttemptIsRetriedOnlyIfSafe(t *testing.T) {
 	runOnce := routing.Rule{Kind: routing.KindAtMostOnce}
 	repeatable := routing.Rule{Kind: routing.KindRepeatable, MaxAttempts: 2}
 	cases := []struct {
@@ -243,6 +245,7 @@
 	}
 }
 
+// TestRefusalByAllWorkersIsReportedAsNotRun guards against refusals that do not tell the caller when to retry.
 func TestRefusalByAllWorkersIsReportedAsNotRun(t *testing.T) {
 	workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Response, error) { return nil, refusalError }}
 	response, _, err := newFixture(t, fixtureOptions{allowance: 10}, workers).get(t)
@@ -251,7 +254,8 @@
 	}
 }
 
-func TestPossibleRunIsNotReportedAsNotRun(t *testing.T) {
+// TestPossibleRunIsReportedAsFailed guards against a 503 when a first worker may have run the request and a second refused it.
+func TestPossibleRunIsReportedAsFailed(t *testing.T) {
 	workers := &fakeWorkers{run: func(_ context.Context, number int, _ *backend.Worker, _ RunOptions) (*Response, error) {
 		if number == 1 {
 			return nil, resetError
@@ -265,6 +269,7 @@
 	}
 }
 
+// TestWorkerErrorIsForwardedWhenRetriesFail guards against replacing the error response of a worker by one of the gateway.
 func TestWorkerErrorIsForwardedWhenRetriesFail(t *testing.T) {
 	workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Response, error) {
 		return wholeResponse(500, "sorry"), nil
@@ -276,7 +281,8 @@
 	}
 }
 
-func TestRuleTimeoutEndsRequest(t *testing.T) {
+// TestRequestEndsAtRuleTimeout guards against requests that outlive the timeout of their rule.
+func TestRequestEndsAtRuleTimeout(t *testing.T) {
 	workers := &fakeWorkers{run: func(ctx context.Context, _ int, _ *backend.Worker, _ RunOptions) (*Response, error) {
 		return awaitCancel(ctx)
 	}}
@@ -312,7 +318,7 @@
 	}
 }
 
-// TestOnlyWorkerIsNotAbandoned checks that the only worker of a group may exceed the response timeout.
+// TestOnlyWorkerIsNotAbandoned guards against abandoning a silent worker when the group has no other.
 func TestOnlyWorkerIsNotAbandoned(t *testing.T) {
 	rule := routing.Rule{Kind: routing.KindRepeatable, MaxAttempts: 2, Objective: 50 * time.Millisecond}
 	f := newFixture(t, fixtureOptions{rule: rule, allowance: 10}, &fakeWorkers{run: func(ctx context.Context, _ int, _ *backend.Worker, _ RunOptions) (*Response, error) {
@@ -346,8 +352,8 @@
 	return n, nil
 }
 
-// TestAbandonedResponseIsNotForwarded covers a first event that arrives just as its worker is given up as silent. The caller must not get
-// the beginning of that response.
+// TestAbandonedResponseIsNotForwarded guards against forwarding the beginning of a response that arrives just as its worker is abandoned as
+// silent.
 func TestAbandonedResponseIsNotForwarded(t *testing.T) {
 	workers := &fakeWorkers{run: func(ctx context.Context, number int, _ *backend.Worker, _ RunOptions) (*Response, error) {
 		if number > 1 {
@@ -362,7 +368,7 @@
 		t.Fatalf("got %q, %v", body, err)
 	}
 	if after := workers.runOptions[1].ResumeAfter; after != "" {
-		t.Errorf("a worker was given up as silent after its events up to %s were forwarded", after)
+		t.Errorf("a worker was abandoned as silent after its events up to %s were forwarded", after)
 	}
 }
 
@@ -393,7 +399,7 @@
 	return n, nil
 }
 
-// TestStartedStreamOutlastsResponseTimeout guards against cutting off a stream that has started.
+// TestStartedStreamOutlastsResponseTimeout guards against truncating a stream that has started when the response timeout passes.
 func TestStartedStreamOutlastsResponseTimeout(t *testing.T) {
 	workers := &fakeWorkers{run: func(ctx context.Context, number int, _ *backend.Worker, _ RunOptions) (*Response, error) {
 		if number > 1 {
@@ -409,7 +415,8 @@
 	}
 }
 
-// TestNoRetryAfterCompleteResponse lets the response timeout pass while a complete response is being written.
+// TestNoRetryAfterCompleteResponse guards against a second run and a spent retry when writing a complete response takes longer than the
+// response timeout.
 func TestNoRetryAfterCompleteResponse(t *testing.T) {
 	workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Response, error) {
 		return wholeResponse(200, "answer"), nil
@@ -440,6 +447,7 @@
 	lastEvents  = "id: 3\ndata: c\n\n"
 )
 
+// TestResumableStreamContinuesAfterLastEvent guards against events that are lost or repeated when another worker continues a stream.
 func TestResumableStreamContinuesAfterLastEvent(t *testing.T) {
 	workers := &fakeWorkers{run: func(_ context.Context, number int, _ *backend.Worker, _ RunOptions) (*Response, error) {
 		if number == 1 {
@@ -457,6 +465,7 @@
 	}
 }
 
+// TestTruncatedStreamLooksTruncated guards against a truncated stream that the caller takes for complete.
 func TestTruncatedStreamLooksTruncated(t *testing.T) {
 	workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Response, error) {
 		return truncatedResponse(firstEvents), nil
@@ -470,6 +479,7 @@
 	}
 }
 
+// TestCallerDisconnectCancelsRun guards against runs that continue after their caller has disconnected.
 func TestCallerDisconnectCancelsRun(t *testing.T) {
 	ended := make(chan error, 1)
 	workers := &fakeWorkers{run: func(ctx context.Context, _ int, _ *backend.Worker, _ RunOptions) (*Response, error) {
@@ -497,6 +507,7 @@
 // longPrompt is prefilled on a separate engine.
 var longPrompt = backend.Demand{PromptTokens: 9000, Segments: []backend.Segment{{ID: "a", Tokens: 8000}, {ID: "b", Tokens: 1000}}}
 
+// TestLongPromptIsPrefilledSeparately guards against prefilling long prompts on decode engines, and against releasing a prompt that is used.
 func TestLongPromptIsPrefilledSeparately(t *testing.T) {
 	workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Response, error) {
 		return wholeResponse(200, lastEvents), nil
@@ -530,6 +541,7 @@
 	}
 }
 
+// TestFailedPrefillCountsAsNotRun guards against failing a request because its first prefill call failed.
 func TestFailedPrefillCountsAsNotRun(t *testing.T) {
 	workers := &fakeWorkers{
 		run: func(context.Context, int, *backend.Worker, RunOptions) (*Response, error) {
@@ -549,6 +561,7 @@
 	}
 }
 
+// TestGatewayErrorResponses guards against wrong status codes for requests that the gateway rejects itself.
 func TestGatewayErrorResponses(t *testing.T) {
 	workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Response, error) {
 		return wholeResponse(200, "x"), nil
@@ -590,7 +603,7 @@
 	}
 }
 
-// TestSecondPrefillUsesRetry checks that a second prefill call takes one retry from the budget.
+// TestSecondPrefillUsesRetry guards against prefill calls that are repeated without a retry from the budget.
 func TestSecondPrefillUsesRetry(t *testing.T) {
 	for allowance, wantPrefills := range map[float64]int{1: 1, 10: 2} {
 		workers := &fakeWorkers{run: func(_ context.Context, number int, _ *backend.Worker, _ RunOptions) (*Response, error) {
@@ -600,7 +613,7 @@
 			return wholeResponse(200, lastEvents), nil
 		}}
 		workers.prefill = func(_ context.Context, number int, worker *backend.Worker) (*PrefilledPrompt, error) {
-			// The delay feeds the model, so that prefilling on a separate engine stays the cheaper plan.
+			// Without a delay the model would learn that prefilling takes no time and choose to colocate.
 			time.Sleep(100 * time.Millisecond)
 			return &PrefilledPrompt{Engine: worker, Handle: fmt.Sprint(number)}, nil
 		}
@@ -634,7 +647,7 @@
 		}
 	}
 	if attempts > 1 {
-		t.Errorf("the moved worker got %d requests", attempts)
+		t.Errorf("the misdirected worker got %d requests", attempts)
 	}
 }
 
--- a/internal/forward/loans_test.go
+++ b/internal/forward/loans_test.go
@@ -31,7 +31,8 @@
 	return d, requests[0], loanArrived
 }
 
-// TestLoanIsUsedOnceByBorrower delivers loans twice. Those for other gateways, for earlier requests and late ones must not be used.
+// TestLoanIsUsedOnceByBorrower guards against using capacity twice: loans that are delivered twice, are late, or are meant for another
+// gateway or an earlier request.
 func TestLoanIsUsedOnceByBorrower(t *testing.T) {
 	for _, test := range []struct {
 		desc  string
@@ -67,7 +68,7 @@
 	}
 }
 
-// TestOnlyHeldCapacityIsLent asks a gateway for a loan that holds no capacity, and one that holds all of it.
+// TestOnlyHeldCapacityIsLent guards against lending capacity that the lender does not hold or still uses.
 func TestOnlyHeldCapacityIsLent(t *testing.T) {
 	f := newFixture(t, fixtureOptions{rule: routing.Rule{Kind: routing.KindRepeatable}}, &fakeWorkers{})
 	d := f.handler.dispatcher
--- a/internal/forward/placement_test.go
+++ b/internal/forward/placement_test.go
@@ -29,7 +29,8 @@
 	return dispatcher
 }
 
-// hearLoad delivers the load of another gateway.
+// hearLoad delivers the same load of another gateway for each engine of a role. The epoch differs for each load, so that the message counts
+// as newer.
 func hearLoad(dispatcher *Dispatcher, role backend.Role, running, prefillTokens int) {
 	message := &peersync.Message{Sender: "other", Epoch: int64(running*1000 + prefillTokens), Sequence: 1, Full: true}
 	for i := range 3 {
@@ -41,13 +42,14 @@
 // shortPrompt is prefilled quickly on any engine.
 var shortPrompt = backend.Demand{PromptTokens: 380, Segments: []backend.Segment{{ID: "a", Tokens: 90}, {ID: "b", Tokens: 290}}}
 
+// TestPrefillPlacementFollowsLoad guards against prefilling long prompts on decode engines, and short ones on prefill engines with long queues.
 func TestPrefillPlacementFollowsLoad(t *testing.T) {
 	cases := []struct {
-		desc                   string
-		demand                 backend.Demand
-		decoding, decodeTokens int
-		prefillTokens          int
-		wantDisaggregated      bool
+		desc                          string
+		demand                        backend.Demand
+		decodeRuns, decodeQueueTokens int
+		prefillQueueTokens            int
+		wantDisaggregated             bool
 	}{
 		{"short prompts are prefilled on idle decode engines", shortPrompt, 0, 0, 0, false},
 		{"long prompts are prefilled separately", longPrompt, 2, 0, 0, true},
@@ -58,10 +60,10 @@
 	for _, c := range cases {
 		t.Run(c.desc, func(t *testing.T) {
 			dispatcher := newEngineDispatcher()
-			hearLoad(dispatcher, backend.RoleDecode, c.decoding, c.decodeTokens)
+			hearLoad(dispatcher, backend.RoleDecode, c.decodeRuns, c.decodeQueueTokens)
 			message := &peersync.Message{Sender: "third", Epoch: 1, Sequence: 1}
 			for i := range 3 {
-				message.Loads = append(message.Loads, peersync.Load{Worker: fmt.Sprint(backend.RolePrefill, i), PrefillTokens: c.prefillTokens})
+				message.Loads = append(message.Loads, peersync.Load{Worker: fmt.Sprint(backend.RolePrefill, i), PrefillTokens: c.prefillQueueTokens})
 			}
 			dispatcher.ApplyUpdate(message)
 			placement, found := dispatcher.Place(&Request{ID: "r", Demand: c.demand}, engineGroup, PlaceOptions{})
@@ -72,28 +74,30 @@
 	}
 }
 
+// TestSharedPrefixIsPrefilledOnceAndFetched guards against prefilling a shared prefix again that an engine has cached.
 func TestSharedPrefixIsPrefilledOnceAndFetched(t *testing.T) {
 	dispatcher := newEngineDispatcher()
 	demand := backend.Demand{PromptTokens: 12_000, Segments: []backend.Segment{{ID: "a", Tokens: 8000}, {ID: "b", Tokens: 4000}}}
 	request := &Request{ID: "r", Demand: demand}
 	first, _ := dispatcher.Place(request, engineGroup, PlaceOptions{})
 	if first.FetchFrom != nil {
-		t.Fatal("a part that is not cached is fetched")
+		t.Fatal("a prefix that is not cached is fetched")
 	}
 	dispatcher.RecordPrefilled(first.Prefill.Worker, request)
 	again, _ := dispatcher.Place(&Request{ID: "s", Demand: demand}, engineGroup, PlaceOptions{})
 	if again.Prefill.Worker != first.Prefill.Worker || again.FetchFrom != nil {
-		t.Fatalf("the engine that has cached the part was not picked: %+v", again)
+		t.Fatalf("the engine that has cached the prefix was not picked: %+v", again)
 	}
 	busy := &peersync.Message{Sender: "other", Epoch: 1, Sequence: 1}
 	busy.Loads = []peersync.Load{{Worker: first.Prefill.Worker.ID, PrefillTokens: 100_000}}
 	dispatcher.ApplyUpdate(busy)
 	another, _ := dispatcher.Place(&Request{ID: "t", Demand: demand}, engineGroup, PlaceOptions{})
 	if another.Prefill == nil || another.Prefill.Worker == first.Prefill.Worker || another.FetchFrom != first.Prefill.Worker {
-		t.Fatalf("the part is not fetched from the busy engine: %+v", another)
+		t.Fatalf("the prefix is not fetched from the busy engine: %+v", another)
 	}
 }
 
+// TestGatewaysShareLoadAndCache guards against placements that ignore the load, the cached segments and the role changes of other gateways.
 func TestGatewaysShareLoadAndCache(t *testing.T) {
 	sender, receiver := newEngineDispatcher(), newEngineDispatcher()
 	notified := 0
@@ -111,7 +115,7 @@
 		t.Error("the load was not applied")
 	}
 	if holders := receiver.usableHolders([]prefixSegment{{key: "a", tokens: 8000}}); len(holders) != 1 || holders[placement.Prefill.Worker.ID].readyTokens != 8000 {
-		t.Errorf("the cached part was not applied: %v", holders)
+		t.Errorf("the cached segment was not applied: %v", holders)
 	}
 	if again := sender.TakeUpdate(false); len(again.Loads)+len(again.CachedSegments) != 0 {
 		t.Error("an update was sent twice")
@@ -132,8 +136,8 @@
 	}
 }
 
-// TestWorkerDrainingDuringPrefillGetsNoRequest checks that the runner is picked only after the prefill, so that a worker which starts
-// draining meanwhile gets no request.
+// TestWorkerDrainingDuringPrefillGetsNoRequest guards against picking the runner before the prefill: a worker that starts draining
+// meanwhile would get the request.
 func TestWorkerDrainingDuringPrefillGetsNoRequest(t *testing.T) {
 	dispatcher := newEngineDispatcher()
 	request := &Request{ID: "r", Demand: longPrompt}
@@ -156,6 +160,7 @@
 	}
 }
 
+// TestShortPromptsArePrefilledFirst guards against long prompts that delay short ones in the queue of an engine.
 func TestShortPromptsArePrefilledFirst(t *testing.T) {
 	dispatcher := newEngineDispatcher()
 	previous := -1
@@ -217,7 +222,7 @@
 	}
 }
 
-// TestDeferredPromptsDoNotDelayOthers checks that deferred prompts do not count as queue for other prompts.
+// TestDeferredPromptsDoNotDelayOthers guards against deferring prompts because of prompts that are deferred themselves.
 func TestDeferredPromptsDoNotDelayOthers(t *testing.T) {
 	dispatcher := newEngineDispatcher()
 	message := &peersync.Message{Sender: "other", Epoch: 1, Sequence: 1}
@@ -234,8 +239,8 @@
 	}
 }
 
-// TestPrefillReusesLongestCachedPrefix checks that shared segments form a tree: an engine that has cached the root prefills only what follows,
-// and one that has cached a segment without its root prefills everything.
+// TestPrefillReusesLongestCachedPrefix guards against using a cached segment without those before it, and against prefilling a cached
+// prefix again.
 func TestPrefillReusesLongestCachedPrefix(t *testing.T) {
 	chain := func(ids ...string) backend.Demand {
 		demand := backend.Demand{}
@@ -283,7 +288,7 @@
 	}
 }
 
-// TestDeferredRunsDoNotDelayOthers checks that a slot for which only deferred requests wait counts as free.
+// TestDeferredRunsDoNotDelayOthers guards against counting a deferred request as load before it has started.
 func TestDeferredRunsDoNotDelayOthers(t *testing.T) {
 	for deferred, want := range map[bool]int{false: 1, true: 0} {
 		dispatcher := newEngineDispatcher()
@@ -307,7 +312,7 @@
 	}
 }
 
-// TestSilentPlainWorkerIsEjected guards against treating a silent plain worker as a busy engine.
+// TestSilentPlainWorkerIsEjected guards against ejecting busy engines and against keeping silent plain workers.
 func TestSilentPlainWorkerIsEjected(t *testing.T) {
 	now := time.Unix(1000, 0)
 	for _, role := range []backend.Role{backend.RoleNone, backend.RoleDecode} {
--- a/internal/forward/ratelimits_test.go
+++ b/internal/forward/ratelimits_test.go
@@ -10,7 +10,8 @@
 	"github.com/granitebay/granitebay/internal/routing"
 )
 
-// TestRequestBeyondRateLimitsIsRefused checks that callers are told to retry one after the other, when capacity is expected.
+// TestRequestBeyondRateLimitsIsRefused guards against exceeding rate limits, and against telling all refused callers to retry at the same
+// time.
 func TestRequestBeyondRateLimitsIsRefused(t *testing.T) {
 	for _, engine := range []bool{false, true} {
 		rule := routing.Rule{Kind: routing.KindRepeatable, MaxAttempts: 2, Objective: 300 * time.Millisecond, Timeout: 10 * time.Second}
@@ -43,8 +44,7 @@
 	}
 }
 
-// TestHealthChecksCountAgainstRateLimits checks that health checks take capacity from a rate-limited worker and are skipped if there is
-// none.
+// TestHealthChecksCountAgainstRateLimits guards against health checks that exceed a worker's rate limit.
 func TestHealthChecksCountAgainstRateLimits(t *testing.T) {
 	f := newFixture(t, fixtureOptions{rule: routing.Rule{Kind: routing.KindRepeatable}}, &fakeWorkers{})
 	d := f.handler.dispatcher
--- a/internal/forward/retrybudget_fleet_test.go
+++ b/internal/forward/retrybudget_fleet_test.go
@@ -1,7 +1,6 @@
 package forward
 
-// These tests guard the bound on retries of all gateways together. It was exceeded when the record of granted retries was shorter than the
-// window: after jumps of the wall clock, restarts and changes of settings.
+// These tests guard the bound on the retries of all gateways together across jumps of the wall clock, restarts and changes of settings.
 
 import (
 	"path/filepath"
@@ -23,7 +22,7 @@
 	return newDispatcher(settings, timeOfDay, func() time.Time { return simEpoch.Add(f.now) })
 }
 
-// TestBudgetsUseClockSinceBoot checks that NewDispatcher uses the clock that the simulations assume.
+// TestBudgetsUseClockSinceBoot guards against retry budgets that follow the wall clock, which may jump.
 func TestBudgetsUseClockSinceBoot(t *testing.T) {
 	given := NewDispatcher(DefaultDispatchSettings(), time.Now).retries.now
 	if reflect.ValueOf(given).Pointer() != reflect.ValueOf(boottime.Now).Pointer() {
@@ -34,10 +33,11 @@
 // simEpoch is the start of the simulated time.
 var simEpoch = time.Unix(1000, 0)
 
-// TestFleetRetryScenarios runs the scenarios in testdata/retrybudget. Their lines are:
+// TestFleetRetryScenarios guards against more retries than the bound allows, and against too few, in the scenarios in testdata/retrybudget.
+// Their lines are:
 //
-//	gateways N, entries N, load REQUESTS-PER-SECOND, retries RETRIES-PER-REQUEST
-//	at TIME EVENT FIRST-LAST ...: kill, start, cut, heal, hang, unhang, freeze, thaw, restart, ahead DURATION, back DURATION, allowance A;
+//	gateways N, entries N (the number of gateways that receive requests), load REQUESTS-PER-SECOND, retries RETRIES-PER-REQUEST
+//	at TIME EVENT FIRST-LAST ...: kill, start, partition, heal, stall, unstall, suspend, resume, restart, ahead DURATION, back DURATION, allowance A;
 //		or: add N, retries RETRIES-PER-REQUEST
 //	until TIME
 //	least N from TIME to TIME: at least N retries are granted
@@ -97,7 +97,7 @@
 func parseNumber(t *testing.T, word string) int {
 	number, err := strconv.Atoi(word)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("number %q: %v", word, err)
 	}
 	return number
 }
@@ -106,7 +106,7 @@
 func parseTime(t *testing.T, word string) time.Duration {
 	duration, err := time.ParseDuration(word)
 	if err != nil {
-		t.Fatal(err)
+		t.Fatalf("duration %q: %v", word, err)
 	}
 	return duration
 }
@@ -139,7 +139,7 @@
 		settings.Allowance = float64(parseNumber(t, words[2]))
 		forEachMachine(machines, func(machine *simMachine) { machine.process.dispatcher.SetBudget(settings) })
 	default:
-		event, known := simEvents[words[0]]
+		event, known := machineEvents[words[0]]
 		if !known {
 			t.Fatalf("unknown event %q", words[0])
 		}
@@ -147,16 +147,16 @@
 	}
 }
 
-// simEvents are events that affect one machine.
-var simEvents = map[string]func(f *simFleet, machine *simMachine){
-	"kill":   func(_ *simFleet, machine *simMachine) { machine.kill() },
-	"start":  func(f *simFleet, machine *simMachine) { machine.startsAt = f.now + simStartup },
-	"cut":    func(_ *simFleet, machine *simMachine) { machine.partitioned = true },
-	"heal":   func(_ *simFleet, machine *simMachine) { machine.partitioned = false },
-	"hang":   func(_ *simFleet, machine *simMachine) { machine.watchStalled = true },
-	"unhang": func(_ *simFleet, machine *simMachine) { machine.watchStalled = false },
-	"freeze": func(_ *simFleet, machine *simMachine) { machine.frozen = true },
-	"thaw":   func(_ *simFleet, machine *simMachine) { machine.frozen = false },
+// machineEvents are events that affect one machine. Scripts give their own durations for ahead and back.
+var machineEvents = map[string]func(f *simFleet, machine *simMachine){
+	"kill":      func(_ *simFleet, machine *simMachine) { machine.kill() },
+	"start":     func(f *simFleet, machine *simMachine) { machine.startsAt = f.now + simStartup },
+	"partition": func(_ *simFleet, machine *simMachine) { machine.partitioned = true },
+	"heal":      func(_ *simFleet, machine *simMachine) { machine.partitioned = false },
+	"stall":     func(_ *simFleet, machine *simMachine) { machine.watchStalled = true },
+	"unstall":   func(_ *simFleet, machine *simMachine) { machine.watchStalled = false },
+	"suspend":   func(_ *simFleet, machine *simMachine) { machine.suspended = true },
+	"resume":    func(_ *simFleet, machine *simMachine) { machine.suspended = false },
 	"restart": func(f *simFleet, machine *simMachine) {
 		machine.kill()
 		machine.startsAt = f.now + simStartup
@@ -170,9 +170,9 @@
 	},
 }
 
-// TestFleetRetriesWithStaleLists adds gateways while the others have stale lists, because their watch is stalled or their updates are
-// delayed.
-func TestFleetRetriesWithStaleLists(t *testing.T) {
+// TestFleetRetriesWithStaleRegistrations guards against exceeding the bound while gateways do not know the new ones yet, because their
+// watch is stalled or their updates are delayed.
+func TestFleetRetriesWithStaleRegistrations(t *testing.T) {
 	for _, fleet := range []struct {
 		old, joining int
 		storeDelay   time.Duration
@@ -197,7 +197,7 @@
 	}
 }
 
-// TestFirstStartKeepsRetryBound starts whole fleets for the first time. Restarted processes are still told that it is the first start.
+// TestFirstStartKeepsRetryBound guards against exceeding the bound when all gateways start with an initial balance, also after restarts.
 func TestFirstStartKeepsRetryBound(t *testing.T) {
 	for _, storeDelay := range []time.Duration{50 * time.Millisecond, 200 * time.Millisecond, 400 * time.Millisecond} {
 		for _, gateways := range []int{1, 3, 7, 16, 40} {
@@ -210,7 +210,7 @@
 					}
 					for range restarts {
 						f.run(f.now + 3*time.Second)
-						forEachMachine(f.machines, func(machine *simMachine) { simEvents["restart"](f, machine) })
+						forEachMachine(f.machines, func(machine *simMachine) { machineEvents["restart"](f, machine) })
 					}
 					f.run(f.now + 40*time.Second)
 					f.check()
@@ -221,9 +221,9 @@
 	}
 }
 
-// TestFirstStartWithDifferingLists delays the updates of every other gateway by a second. The accrual bound does not hold then, but the
-// bound on retries does.
-func TestFirstStartWithDifferingLists(t *testing.T) {
+// TestFirstStartWithDifferingRegistrations guards against exceeding the bound on retries when every other gateway gets updates a second
+// later. checkAccrued does not apply, since it assumes that all gateways know the same registrations.
+func TestFirstStartWithDifferingRegistrations(t *testing.T) {
 	for _, gateways := range []int{2, 7, 16, 40} {
 		for _, interval := range []time.Duration{0, 50 * time.Millisecond, 400 * time.Millisecond} {
 			f := newSimFleet(t, gateways, 0, 5*float64(gateways), 3)
@@ -240,24 +240,25 @@
 	}
 }
 
-// TestRetriesAfterSimultaneousRestart checks how many retries callers get when all seven gateways restart at once: for the first 7 s only
-// those that requests accrue, because the share of the allowance has to be confirmed again.
+// TestRetriesAfterSimultaneousRestart guards against a change of the retries granted when all seven gateways restart at once: for the first
+// 7 s only those that requests accrue, because the share of the allowance has to be confirmed again.
 func TestRetriesAfterSimultaneousRestart(t *testing.T) {
 	for _, test := range []struct {
 		load float64
-		// steady is the number of retries in 7 s before the restart, first in 7 s from the restart, and then in 10 s from a second later.
-		steady, first, then int
+		// before is the number of retries in 7 s before the restart, atRestart in 7 s from the restart, and later in 10 s from a second after
+		// that.
+		before, atRestart, later int
 	}{{20, 42, 0, 56}, {40, 63, 42, 84}, {110, 133, 119, 196}} {
 		f := newSimFleet(t, 7, 0, test.load, 2)
 		f.run(50 * time.Second)
-		forEachMachine(f.machines, func(machine *simMachine) { simEvents["restart"](f, machine) })
+		forEachMachine(f.machines, func(machine *simMachine) { machineEvents["restart"](f, machine) })
 		f.run(70 * time.Second)
 		restarted := 50*time.Second + simStartup
-		steady, first := countWithin(f.grants, 43*time.Second, 50*time.Second), countWithin(f.grants, restarted, restarted+7*time.Second)
-		then := countWithin(f.grants, restarted+8*time.Second, restarted+18*time.Second)
-		if steady != test.steady || first != test.first || then != test.then {
+		before, atRestart := countWithin(f.grants, 43*time.Second, 50*time.Second), countWithin(f.grants, restarted, restarted+7*time.Second)
+		later := countWithin(f.grants, restarted+8*time.Second, restarted+18*time.Second)
+		if before != test.before || atRestart != test.atRestart || later != test.later {
 			t.Errorf("%v requests a second: %d retries in 7 s before, %d in 7 s after, %d in 10 s from 8 s on; want %d, %d, %d",
-				test.load, steady, first, then, test.steady, test.first, test.then)
+				test.load, before, atRestart, later, test.before, test.atRestart, test.later)
 		}
 		f.check()
 		f.checkAccrued()
@@ -270,9 +271,9 @@
 	return time.Duration(rapid.IntRange(0, limit).Draw(t, "delay")) * time.Millisecond
 }
 
-// TestFleetRetriesKeepBound applies random events to a fleet and checks all windows.
+// TestFleetRetriesKeepBound guards against exceeding the bound on retries after any sequence of events.
 func TestFleetRetriesKeepBound(t *testing.T) {
-	events := []string{"kill", "start", "cut", "heal", "hang", "unhang", "freeze", "thaw", "restart", "ahead", "back", "reload", "add", "load", "settings", "retries", "retries"}
+	events := []string{"kill", "start", "partition", "heal", "stall", "unstall", "suspend", "resume", "restart", "ahead", "back", "reload", "add", "load", "settings", "retries", "retries"}
 	rapid.Check(t, func(t *rapid.T) {
 		gateways := rapid.IntRange(1, 16).Draw(t, "gateways")
 		entries := rapid.SampledFrom([]int{0, 0, 6}).Draw(t, "entries")
@@ -304,7 +305,7 @@
 			default:
 				forEachMachine(f.machines[from:to+1], func(machine *simMachine) {
 					if event != "start" || machine.process == nil {
-						simEvents[event](f, machine)
+						machineEvents[event](f, machine)
 					}
 				})
 			}
--- a/internal/forward/retrybudget_sim_test.go
+++ b/internal/forward/retrybudget_sim_test.go
@@ -17,14 +17,14 @@
 	simRenewal = time.Second
 	simStartup = 300 * time.Millisecond
 	simGroup   = "model"
-	// simFirstOrders is how long after the first registration the fleet no longer counts as started for the first time.
-	simFirstOrders = time.Second
+	// simFirstStartPeriod is the time after the first registration during which processes count as started with the whole system.
+	simFirstStartPeriod = time.Second
 )
 
 // simBudget is the budget of all gateways together.
 var simBudget = retrybudget.Settings{Ratio: 0.2, Allowance: 54, Window: 10 * time.Second, Safety: retrybudget.DefaultSafety}
 
-// simRegistrations are the registrations in the store from a time on.
+// simRegistrations is a state of the registrations in the store, valid from at.
 type simRegistrations struct {
 	at         time.Duration
 	registered []int
@@ -63,20 +63,22 @@
 	clockOffset time.Duration
 	// storeDelay is the delay of updates from the store.
 	storeDelay time.Duration
-	// partitioned machines reach neither the store nor other gateways; frozen machines run nothing; on machines with watchStalled, the
-	// store's watch delivers nothing although the registration is renewed.
-	partitioned, frozen, watchStalled bool
-	dueRequests                       float64
+	// partitioned machines reach neither the store nor other gateways.
+	// suspended machines run nothing.
+	// On machines with watchStalled, the store's watch delivers nothing although the registration is renewed.
+	partitioned, suspended, watchStalled bool
+	dueRequests                          float64
 }
 
 // simProcess is one run of a gateway process.
 type simProcess struct {
 	dispatcher *Dispatcher
 	renewedAt  time.Duration
-	// seen is the index of the last registrations received; negative if none. registeredSince is since when they include this process.
+	// seen is the index of the last registrations received; negative if none. registeredSince is when this process first saw its own
+	// registration; negative if it has not.
 	seen            int
 	registeredSince time.Duration
-	// isNew is set if no orders had been given in the first registrations received.
+	// isNew is set if the process started with the whole system.
 	isNew bool
 }
 
@@ -120,7 +122,7 @@
 
 // serving returns the machines that receive requests: the first running ones, up to the number of entries.
 func (f *simFleet) serving() []*simMachine {
-	running := slices.DeleteFunc(slices.Clone(f.machines), func(machine *simMachine) bool { return machine.process == nil || machine.frozen })
+	running := slices.DeleteFunc(slices.Clone(f.machines), func(machine *simMachine) bool { return machine.process == nil || machine.suspended })
 	if f.entries > 0 && len(running) > f.entries {
 		running = running[:f.entries]
 	}
@@ -147,7 +149,7 @@
 // renewRegistrations renews the registrations of machines that reach the store and expires the others.
 func (f *simFleet) renewRegistrations() {
 	for _, machine := range f.machines {
-		if machine.process != nil && !machine.frozen && !machine.partitioned && f.now-machine.process.renewedAt >= simRenewal {
+		if machine.process != nil && !machine.suspended && !machine.partitioned && f.now-machine.process.renewedAt >= simRenewal {
 			machine.leaseEnds, machine.process.renewedAt = f.now+simLease, f.now
 		}
 	}
@@ -165,7 +167,7 @@
 // deliverRegistrations delivers the registrations to the gateways with the delay of each machine.
 func (f *simFleet) deliverRegistrations() {
 	for _, machine := range f.machines {
-		if machine.process == nil || machine.frozen || machine.partitioned || machine.watchStalled {
+		if machine.process == nil || machine.suspended || machine.partitioned || machine.watchStalled {
 			continue
 		}
 		seen := sort.Search(len(f.registrations), func(k int) bool { return f.registrations[k].at > f.now-machine.storeDelay }) - 1
@@ -197,7 +199,7 @@
 		}
 	}
 	if machine.process.seen < 0 {
-		machine.process.isNew = len(f.registrations) < 2 || f.now-machine.storeDelay < f.registrations[1].at+simFirstOrders
+		machine.process.isNew = len(f.registrations) < 2 || f.now-machine.storeDelay < f.registrations[1].at+simFirstStartPeriod
 	}
 	machine.process.seen = seen
 	registered := slices.Clone(f.registrations[seen].registered)
@@ -219,8 +221,8 @@
 		sort.Search(len(times), func(i int) bool { return times[i] >= from })
 }
 
-// check fails if all gateways together granted more retries in some window than the requests and the allowance permit. The requests are
-// those of the window, of the previous window, or of the window half a window earlier, whichever has most.
+// check fails if all gateways together granted more retries in some window than the requests and the allowance permit. The number of
+// requests is the largest of those in the window, in the previous one, and in the one shifted by half a window.
 func (f *simFleet) check() {
 	window := simBudget.Window
 	for i, from := range f.grants {
@@ -236,8 +238,8 @@
 	}
 }
 
-// checkAccrued fails if all gateways together granted more retries in some window than they can accrue. It has no slack, so it detects
-// errors that check tolerates.
+// checkAccrued fails if all gateways together granted more retries in some window than they can accrue. It is stricter than check:
+// it counts only requests whose retries can still be in the budget.
 func (f *simFleet) checkAccrued() {
 	window := simBudget.Window
 	for i, from := range f.grants {
@@ -268,7 +270,7 @@
 	}
 }
 
-// TestSimulationDetectsExcessRetries checks that check detects a violation.
+// TestSimulationDetectsExcessRetries guards against a check that detects no violation.
 func TestSimulationDetectsExcessRetries(t *testing.T) {
 	failed := &recordingFailer{}
 	f := &simFleet{t: failed, grants: slices.Repeat([]time.Duration{time.Second}, 55)}
--- a/internal/forward/retrybudget_test.go
+++ b/internal/forward/retrybudget_test.go
@@ -38,6 +38,7 @@
 	}
 }
 
+// TestNewBudgetAccruesFromShareStart guards against new budgets that start empty, or with more than their share accrued.
 func TestNewBudgetAccruesFromShareStart(t *testing.T) {
 	d, clock := newBudgetDispatcher()
 	d.CountRequest("early")
@@ -48,7 +49,7 @@
 	checkBalance(t, d, "late", 0.5)
 }
 
-// TestNoAccrualWhileShareIsSuspended delays a confirmation beyond the validity of the previous one. The balance is lost with the share.
+// TestNoAccrualWhileShareIsSuspended guards against accrual while the share is not confirmed. The balance is lost with the share.
 func TestNoAccrualWhileShareIsSuspended(t *testing.T) {
 	d, clock := newBudgetDispatcher()
 	d.CountRequest("group")
@@ -60,7 +61,7 @@
 	checkBalance(t, d, "group", 0.5)
 }
 
-// TestExhaustedBudgetCallbackDoesNotHoldMutex reads the budgets from within the callback, so that a blocked log cannot block requests.
+// TestExhaustedBudgetCallbackDoesNotHoldMutex guards against a blocked log that blocks requests.
 func TestExhaustedBudgetCallbackDoesNotHoldMutex(t *testing.T) {
 	d, _ := newBudgetDispatcher()
 	counts := make(chan int, 1)
@@ -81,8 +82,8 @@
 	}
 }
 
-// TestSmallShareGrantsRetriesOnlyWithRequests checks how many retries a gateway grants that can keep only 0.67 retries of its share of the
-// allowance.
+// TestSmallShareGrantsRetriesOnlyWithRequests guards against retries without requests when a gateway can keep less than one retry of its
+// share of the allowance.
 func TestSmallShareGrantsRetriesOnlyWithRequests(t *testing.T) {
 	for _, test := range []struct {
 		perSecond float64
--- a/internal/forward/scale_test.go
+++ b/internal/forward/scale_test.go
@@ -41,7 +41,7 @@
 	return dispatcher
 }
 
-// fleetRequest returns the request with a number. One in six has a long shared part.
+// fleetRequest returns the request with the given number. One in six has a long shared prefix.
 func fleetRequest(number int) *Request {
 	demand := backend.Demand{PromptTokens: 400, Segments: []backend.Segment{{ID: fmt.Sprint("short-", number%32), Tokens: 90}, {ID: "own", Tokens: 310}}}
 	if number%6 == 0 {
@@ -81,8 +81,8 @@
 	}
 }
 
-// BenchmarkDrainAll collects the complete state for other gateways with a hundred requests in progress.
-func BenchmarkDrainAll(b *testing.B) {
+// BenchmarkTakeFullUpdate collects the complete state for other gateways with a hundred requests in progress.
+func BenchmarkTakeFullUpdate(b *testing.B) {
 	for _, size := range fleetSizes {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
 			dispatcher := newFleetDispatcher(fleetOf(size))
@@ -135,7 +135,7 @@
 	}
 }
 
-// TestGatewayLearnsCachedPrefixesFromPeer checks that a gateway which learned from another finds the same cached documents.
+// TestGatewayLearnsCachedPrefixesFromPeer guards against prefilling again what another gateway knows to be cached.
 func TestGatewayLearnsCachedPrefixesFromPeer(t *testing.T) {
 	set := fleetOf(10_000)
 	source, learner := newFleetDispatcher(set), newFleetDispatcher(set)
@@ -145,13 +145,13 @@
 		source.RecordPrefilled(placement.Prefill.Worker, request)
 	}
 	if added := learner.MergeCache(source.CachedSegments(1_000)); added != 60 {
-		t.Errorf("%d parts were new, want 60", added)
+		t.Errorf("%d segments were new, want 60", added)
 	}
 	if added := learner.MergeCache(source.CachedSegments(1_000)); added != 0 {
-		t.Errorf("%d parts were new again", added)
+		t.Errorf("%d segments were new again", added)
 	}
 	if parts := source.CachedSegments(7); len(parts) != 7 {
-		t.Errorf("got %d parts, want 7", len(parts))
+		t.Errorf("got %d segments, want 7", len(parts))
 	}
 	for i := range 60 {
 		request := fleetRequest(6 * i)
@@ -161,7 +161,7 @@
 			prefill = placement.Prefill
 		}
 		if placement.FetchFrom == nil && !source.prefixCache.Has(prefill.Worker.ID, request.Demand.Segments[0].ID) {
-			t.Errorf("document %d is prefilled again at %s", i, prefill.Worker.ID)
+			t.Errorf("the prefix of request %d is prefilled again at %s", i, prefill.Worker.ID)
 		}
 	}
 }
--- a/internal/forward/suspect_test.go
+++ b/internal/forward/suspect_test.go
@@ -15,7 +15,7 @@
 	"github.com/granitebay/granitebay/internal/routing"
 )
 
-// crashProber is a prober that knows which workers have crashed.
+// crashProber is a poison.Prober that reports the workers marked as crashed.
 type crashProber struct {
 	mutex   sync.Mutex
 	crashed map[string]bool
@@ -56,8 +56,8 @@
 	return f
 }
 
-// TestSuspectWaitsForReplacementWorker lets one of three workers crash under a request, so that no other worker may be put at risk before
-// it is back. The retry waits for that; duplicates are refused with a Retry-After time.
+// TestSuspectWaitsForReplacementWorker guards against a retry that crashes a second worker before the first is replaced. The retry waits
+// for that; duplicates are refused with a Retry-After time.
 func TestSuspectWaitsForReplacementWorker(t *testing.T) {
 	f := newSuspectFixture(t, routing.Rule{Kind: routing.KindRepeatable, MaxAttempts: 2, Timeout: 5 * time.Second}, 50*time.Millisecond)
 	const downtime = 400 * time.Millisecond
@@ -92,8 +92,8 @@
 	}
 }
 
-// TestSuspectFailureIsDelayedUntilPeersKnow covers a crash under a request that may run once. Its caller may retry it at another gateway at
-// once.
+// TestSuspectFailureIsDelayedUntilPeersKnow guards against reporting the failure before other gateways know of the crash: an immediate
+// retry would crash another worker.
 func TestSuspectFailureIsDelayedUntilPeersKnow(t *testing.T) {
 	f := newSuspectFixture(t, routing.Rule{Kind: routing.KindAtMostOnce}, 0)
 	start := time.Now()
--- a/internal/forward/truncatedstream_test.go
+++ b/internal/forward/truncatedstream_test.go
@@ -13,7 +13,7 @@
 	"github.com/granitebay/granitebay/internal/tenant"
 )
 
-// truncationEventProtocol has an event for truncated streams.
+// truncationEventProtocol is a plainProtocol with an event that ends truncated streams.
 type truncationEventProtocol struct{ plainProtocol }
 
 func (truncationEventProtocol) Labels(*http.Request, *tenant.Tenant) (map[string]string, bool) {
--- a/internal/forward/unanswered_test.go
+++ b/internal/forward/unanswered_test.go
@@ -10,7 +10,7 @@
 	"github.com/granitebay/granitebay/internal/backend"
 )
 
-// TestUnansweredRequestNamesCloser checks the reported closer of connections that end without a response.
+// TestUnansweredRequestNamesCloser guards against reports that blame the caller for connections that the gateway closed.
 func TestUnansweredRequestNamesCloser(t *testing.T) {
 	ends := map[string]struct {
 		run           func(ctx context.Context) (*Response, error)
@@ -18,9 +18,9 @@
 		closer        Closer
 		reason        Reason
 	}{
-		"the caller disconnects":            {run: awaitCancel, clientTimeout: 100 * time.Millisecond, closer: CloserCaller, reason: ReasonCallerGone},
-		"the gateway closes the connection": {run: awaitCancel, clientTimeout: 100 * time.Millisecond, closer: CloserIdleTimeout, reason: ReasonCallerGone},
-		"panic":                             {run: func(context.Context) (*Response, error) { panic("test panic") }, closer: CloserPanic, reason: ReasonPanic},
+		"the caller disconnects":          {run: awaitCancel, clientTimeout: 100 * time.Millisecond, closer: CloserCaller, reason: ReasonCallerGone},
+		"closer reported as idle timeout": {run: awaitCancel, clientTimeout: 100 * time.Millisecond, closer: CloserIdleTimeout, reason: ReasonCallerGone},
+		"panic":                           {run: func(context.Context) (*Response, error) { panic("test panic") }, closer: CloserPanic, reason: ReasonPanic},
 	}
 	for name, end := range ends {
 		t.Run(name, func(t *testing.T) {
