--- a/internal/forward/availability.go
+++ b/internal/forward/availability.go
@@ -41,7 +41,7 @@
 		return c.handler.dispatcher.borrow(ctx, c.match.Group)
 	}
 	objective := c.match.Rule.Objective
-	latest := c.report.Arrived.Add(time.Duration(c.handler.settings.HoldFraction * float64(objective)))
+	latest := c.report.Arrived.Add(time.Duration(c.handler.settings.MaxWaitFraction * float64(objective)))
 	if until := c.deadline.Add(-c.handler.settings.MinRemaining); until.Before(latest) {
 		latest = until
 	}
--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -219,7 +219,7 @@
 	c.handler.onTenantStart(c.request.Tenant)
 }
 
-// fetchFrom returns the engine from which the runner fetches the cached part of the prompt, or nil.
+// fetchFrom returns the engine from which the runner fetches the cached prefix of the prompt, or nil.
 func (c *call) fetchFrom(prompt *PrefilledPrompt, source *backend.Worker) *backend.Worker {
 	switch {
 	case c.prefilledEngine != nil:
--- a/internal/forward/enginestate.go
+++ b/internal/forward/enginestate.go
@@ -206,7 +206,7 @@
 		d.peers.notify(true)
 	}
 	_, isReported := d.engineState.reportedRoles[id]
-	// Roles that agree with the record, and roles that no gateway ordered, need no report.
+	// Roles that agree with the record, and roles that no gateway ordered, are ignored.
 	if changing || (!isReported && (role == worker.Role || d.engineState.pendingRoles[id].role != role)) {
 		return
 	}
--- a/internal/forward/enginestate_test.go
+++ b/internal/forward/enginestate_test.go
@@ -75,7 +75,8 @@
 	return runners
 }
 
-// TestRefusedEngineIsAvoidedByAllGateways guards against gateways that keep sending requests to an engine whose connections another gateway saw refused, and against role changes on such hearsay.
+// TestRefusedEngineIsAvoidedByAllGateways guards against gateways that keep sending requests to an engine whose connections another gateway
+// saw refused, and against role changes on such hearsay.
 func TestRefusedEngineIsAvoidedByAllGateways(t *testing.T) {
 	pair := newGatewayPair()
 	pair.gateways[0].RecordRefused("decode0")
@@ -218,6 +219,7 @@
 		pair.gateways[0].RecordRefused(fmt.Sprint("decode", i))
 	}
 	loss, _ := pair.gateways[0].RoleLoss(pair.group)
+	// 3 s is the DefaultReturnTime of enginehealth.
 	if back := loss.ExpectedAt.Sub(time.Unix(1000, 0)); back != 3*time.Second {
 		t.Errorf("expected back after %s, want 3s", back)
 	}
@@ -256,7 +258,8 @@
 	}
 }
 
-// TestRequestIsRefusedForRoleExpectedLate guards against holding a request until its objective has passed when a lost role is restored later.
+// TestRequestIsRefusedForRoleExpectedLate guards against holding a request until its objective has passed when a lost role is restored
+// later.
 func TestRequestIsRefusedForRoleExpectedLate(t *testing.T) {
 	f, workers := newLostRoleFixture(t, 200*time.Millisecond, 900*time.Millisecond)
 	for first := true; ; first = false {
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -507,7 +507,8 @@
 // longPrompt is prefilled on a separate engine.
 var longPrompt = backend.Demand{PromptTokens: 9000, Segments: []backend.Segment{{ID: "a", Tokens: 8000}, {ID: "b", Tokens: 1000}}}
 
-// TestLongPromptIsPrefilledSeparately guards against prefilling long prompts on decode engines, and against releasing a prompt that is used.
+// TestLongPromptIsPrefilledSeparately guards against prefilling long prompts on decode engines, and against releasing a prompt that is
+// used.
 func TestLongPromptIsPrefilledSeparately(t *testing.T) {
 	workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Response, error) {
 		return wholeResponse(200, lastEvents), nil
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -29,9 +29,9 @@
 	// VerdictRetryAfter is the Retry-After time while the guard determines whether the request crashed workers. It exceeds the duration of
 	// that check.
 	VerdictRetryAfter time.Duration
-	// HoldFraction is the fraction of its objective for which a request may wait for a worker that is expected to accept it within that
+	// MaxWaitFraction is the fraction of its objective for which a request may wait for a worker that is expected to accept it within that
 	// time. Waiting saves the caller a retry, but a request that waits in vain misses its objective.
-	HoldFraction float64
+	MaxWaitFraction float64
 	// MinRemaining is the time before the deadline below which no attempt is started.
 	MinRemaining time.Duration
 }
@@ -43,7 +43,7 @@
 		StoppingRetryAfter: 10 * time.Millisecond,
 		RefusedRetryAfter:  150 * time.Millisecond,
 		VerdictRetryAfter:  250 * time.Millisecond,
-		HoldFraction:       0.5,
+		MaxWaitFraction:    0.5,
 		MinRemaining:       15 * time.Millisecond,
 	}
 }
--- a/internal/forward/keys_test.go
+++ b/internal/forward/keys_test.go
@@ -23,7 +23,8 @@
 	workerTenant string
 }
 
-// TestCallerKeys guards against serving requests whose key belongs to no tenant, and against rejecting keys while the configuration may be out of date.
+// TestCallerKeys guards against serving requests whose key belongs to no tenant, and against rejecting keys while the configuration may be
+// out of date.
 func TestCallerKeys(t *testing.T) {
 	archive, err := txtar.ParseFile("testdata/keys.txtar")
 	if err != nil {
--- a/internal/forward/placement_test.go
+++ b/internal/forward/placement_test.go
@@ -42,7 +42,8 @@
 // shortPrompt is prefilled quickly on any engine.
 var shortPrompt = backend.Demand{PromptTokens: 380, Segments: []backend.Segment{{ID: "a", Tokens: 90}, {ID: "b", Tokens: 290}}}
 
-// TestPrefillPlacementFollowsLoad guards against prefilling long prompts on decode engines, and short ones on prefill engines with long queues.
+// TestPrefillPlacementFollowsLoad guards against prefilling long prompts on decode engines, and short ones on prefill engines with long
+// queues.
 func TestPrefillPlacementFollowsLoad(t *testing.T) {
 	cases := []struct {
 		desc                          string
--- a/internal/forward/prompt.go
+++ b/internal/forward/prompt.go
@@ -177,7 +177,7 @@
 	return holders
 }
 
-// fetchSource returns the engine from which a worker fetches the part of the prompt that it has not cached, or nil. It is the engine with
+// fetchSource returns the engine from which a worker fetches what it has not cached of the shared prefix, or nil. It is the engine with
 // the longest ready prefix; engines in the worker's zone are preferred.
 func (p *promptContext) fetchSource(worker *backend.Worker) *backend.Worker {
 	var source cacheHolder
--- a/internal/forward/ratelimits.go
+++ b/internal/forward/ratelimits.go
@@ -99,8 +99,8 @@
 	return d.limits.gateways.ConcurrencyShare(d.limits.now(), key, bound)
 }
 
-// SetLimit sets the rate limit of a worker, which applies to all gateways together. age is the time since the worker announced it. It reports whether the
-// limit has changed.
+// SetLimit sets the rate limit of a worker, which applies to all gateways together. age is the time since the worker announced it. It
+// reports whether the limit has changed.
 func (d *Dispatcher) SetLimit(worker string, perSecond float64, age time.Duration) bool {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
--- a/internal/forward/ratelimits_test.go
+++ b/internal/forward/ratelimits_test.go
@@ -31,12 +31,12 @@
 			}
 			after, err := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
 			if err != nil || after <= last-0.1 || (number == 0 && after < 1.8) {
-				t.Errorf("caller %d is told to retry after %v s, the one before after %v s", number, after, last)
+				t.Errorf("caller %d: Retry-After is %v s, for the caller before it %v s", number, after, last)
 			}
 			last = after
 		}
 		if last < 2.5 {
-			t.Errorf("the last of four callers is told to retry after %v s, with %d workers that accept one request in 2 s each", last, limited)
+			t.Errorf("the last of four callers: Retry-After is %v s, with %d workers that accept one request in 2 s each", last, limited)
 		}
 		if got := len(f.workers.ranAt); got != 0 {
 			t.Errorf("workers got %d requests beyond their limits", got)
--- a/internal/forward/report.go
+++ b/internal/forward/report.go
@@ -102,7 +102,8 @@
 	Attempts []Attempt
 	// Err is the last error, or nil.
 	Err error
-	// RequestDigest is the digest of the request, set only if a connection to a worker broke or the request is barred. Requests with different ids
+	// RequestDigest is the digest of the request, set only if a connection to a worker broke or the request is barred. Requests with
+	// different ids
 	// may have the same digest.
 	RequestDigest *poison.Digest
 	// Loss is the lost role for which the request was refused, or nil.
@@ -121,7 +122,8 @@
 	}
 }
 
-// LastWorker returns the worker that received the request last, or empty if none did.
+// LastWorker returns the worker of the last attempt that did not end as unreachable, or its prefill engine if the attempt had no worker;
+// empty if there is none.
 func (r *Report) LastWorker() string {
 	for i := len(r.Attempts) - 1; i >= 0; i-- {
 		switch attempt := r.Attempts[i]; {
--- a/internal/forward/request.go
+++ b/internal/forward/request.go
@@ -59,7 +59,8 @@
 	// Labels returns the labels of a request, or false if the request does not use this protocol. The owner is the tenant of the request's
 	// key, or nil if unknown.
 	Labels(request *http.Request, owner *tenant.Tenant) (map[string]string, bool)
-	// TruncationEvent returns the event that ends a stream which was cut off, with the reason. It must differ from the regular end of a stream.
+	// TruncationEvent returns the event that ends a stream which was cut off, with the reason. It must differ from the regular end of a
+	// stream.
 	TruncationEvent(reason Reason) []byte
 }
 
--- a/internal/forward/retrybudget_sim_test.go
+++ b/internal/forward/retrybudget_sim_test.go
@@ -40,7 +40,7 @@
 	// load is the number of requests a second of all callers, and retriesPerRequest the number of retries that each request asks for.
 	load              float64
 	retriesPerRequest int
-	// firstStart is set if processes are told that the whole system starts for the first time.
+	// firstStart is set if the processes start with the whole system.
 	firstStart    bool
 	registrations []simRegistrations
 	// grants and requests are the times of all granted retries and all requests, in order.
