--- a/internal/forward/backoff_test.go
+++ b/internal/forward/backoff_test.go
@@ -75,7 +75,7 @@
 	f = newFixture(t, fixtureOptions{rule: routing.Rule{Kind: routing.KindRepeatable, MaxAttempts: 2}, allowance: 10}, workers)
 	for range 20 {
 		if response, _, err := f.get(t); err != nil || response.StatusCode != http.StatusOK {
-			t.Fatalf("got %v, %v", response, err)
+			t.Fatalf("got %v, %v, want status %d", response, err, http.StatusOK)
 		}
 	}
 	if len(workers.ranAt) != 21 {
--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -91,7 +91,7 @@
 		options.SuspectKey = c.guarded.requestDigest().String()
 	}
 	options.Objective = c.match.Rule.Objective
-	options.Left = options.Objective - time.Since(c.report.Arrived)
+	options.Remaining = options.Objective - time.Since(c.report.Arrived)
 	return options
 }
 
--- a/internal/forward/fleet_load_test.go
+++ b/internal/forward/fleet_load_test.go
@@ -84,7 +84,7 @@
 	}}
 	gateway := s.gateways[s.random.IntN(len(s.gateways))]
 	arrived := s.now
-	placement, found := gateway.Place(request, s.group, PlaceOptions{Objective: longObjective, Left: longObjective})
+	placement, found := gateway.Place(request, s.group, PlaceOptions{Objective: longObjective, Remaining: longObjective})
 	if !found {
 		return
 	}
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -250,7 +250,7 @@
 	workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Response, error) { return nil, refusalError }}
 	response, _, err := newFixture(t, fixtureOptions{allowance: 10}, workers).get(t)
 	if err != nil || response.StatusCode != http.StatusServiceUnavailable || response.Header.Get("Retry-After") == "" {
-		t.Fatalf("got %v, %v", response, err)
+		t.Fatalf("got %v, %v, want status %d", response, err, http.StatusServiceUnavailable)
 	}
 }
 
@@ -265,7 +265,7 @@
 	rule := routing.Rule{Kind: routing.KindRepeatable, MaxAttempts: 2}
 	response, _, err := newFixture(t, fixtureOptions{rule: rule, allowance: 10}, workers).get(t)
 	if err != nil || response.StatusCode != http.StatusBadGateway {
-		t.Fatalf("got %v, %v", response, err)
+		t.Fatalf("got %v, %v, want status %d", response, err, http.StatusBadGateway)
 	}
 }
 
@@ -289,7 +289,7 @@
 	start := time.Now()
 	response, _, err := newFixture(t, fixtureOptions{rule: routing.Rule{Timeout: 200 * time.Millisecond}}, workers).get(t)
 	if err != nil || response.StatusCode != http.StatusGatewayTimeout {
-		t.Fatalf("got %v, %v", response, err)
+		t.Fatalf("got %v, %v, want status %d", response, err, http.StatusGatewayTimeout)
 	}
 	if took := time.Since(start); took > 600*time.Millisecond {
 		t.Errorf("the response took %s", took)
@@ -638,7 +638,7 @@
 	f := newFixture(t, fixtureOptions{allowance: 100}, workers)
 	for range 20 {
 		if response, _, err := f.get(t); err != nil || response.StatusCode != 200 {
-			t.Fatalf("got %v, %v", response, err)
+			t.Fatalf("got %v, %v, want status %d", response, err, 200)
 		}
 	}
 	attempts := 0
--- a/internal/forward/placement.go
+++ b/internal/forward/placement.go
@@ -30,9 +30,9 @@
 	Colocated bool
 	// SuspectKey is set for suspect requests. They are spread over workers by this key.
 	SuspectKey string
-	// Objective is the time within which the answer should start, and Left what remains of it, negative if the request is late. Both are
+	// Objective is the time within which the answer should start, and Remaining what remains of it, negative if the request is late. Both are
 	// zero if there is no objective.
-	Objective, Left time.Duration
+	Objective, Remaining time.Duration
 }
 
 // Place picks the workers for a request, or returns false if there are none.
@@ -107,7 +107,7 @@
 // on an idle engine is not deferred, since waiting longer gains nothing.
 func (p plan) delayedByQueue(options PlaceOptions) bool {
 	unloaded := p.timeToFirstEvent - p.queueWait
-	return options.Objective > 0 && p.timeToFirstEvent > options.Left.Seconds() && unloaded <= options.Objective.Seconds()
+	return options.Objective > 0 && p.timeToFirstEvent > options.Remaining.Seconds() && unloaded <= options.Objective.Seconds()
 }
 
 // prefillEngine returns the engine that prefills the prompt.
--- a/internal/forward/placement_test.go
+++ b/internal/forward/placement_test.go
@@ -212,7 +212,7 @@
 			}
 			dispatcher.ApplyUpdate(message)
 			demand := backend.Demand{PromptTokens: c.tokens, Segments: []backend.Segment{{ID: "own", Tokens: c.tokens}}}
-			placement, found := dispatcher.Place(&Request{ID: "r", Demand: demand}, engineGroup, PlaceOptions{Objective: c.objective, Left: c.left})
+			placement, found := dispatcher.Place(&Request{ID: "r", Demand: demand}, engineGroup, PlaceOptions{Objective: c.objective, Remaining: c.left})
 			if !found || placement.Deferred != c.want {
 				t.Fatalf("got deferred %v, want %v", placement.Deferred, c.want)
 			}
@@ -233,7 +233,7 @@
 		}
 	}
 	dispatcher.ApplyUpdate(message)
-	options := PlaceOptions{Objective: 400 * time.Millisecond, Left: 400 * time.Millisecond}
+	options := PlaceOptions{Objective: 400 * time.Millisecond, Remaining: 400 * time.Millisecond}
 	placement, found := dispatcher.Place(&Request{ID: "r", Demand: longPrompt}, engineGroup, options)
 	if !found || placement.Deferred {
 		t.Fatalf("got %+v", placement)
--- a/internal/forward/retrybudget_sim_test.go
+++ b/internal/forward/retrybudget_sim_test.go
@@ -34,9 +34,9 @@
 type simFleet struct {
 	t simFailer
 	// now is the time since the start, including suspended time.
-	now      time.Duration
-	machines []*simMachine
-	entries  int
+	now        time.Duration
+	machines   []*simMachine
+	entryCount int
 	// load is the number of requests a second of all callers, and retriesPerRequest the number of retries that each request asks for.
 	load              float64
 	retriesPerRequest int
@@ -82,9 +82,9 @@
 	isNew bool
 }
 
-// newSimFleet returns a fleet that starts at time zero. Up to entries machines receive requests; zero means all.
+// newSimFleet returns a fleet that starts at time zero. At most the given number of entry gateways receive requests; zero means all.
 func newSimFleet(t simFailer, gateways, entries int, load float64, retriesPerRequest int) *simFleet {
-	f := &simFleet{t: t, entries: entries, load: load, retriesPerRequest: retriesPerRequest, registrations: []simRegistrations{{}}}
+	f := &simFleet{t: t, entryCount: entries, load: load, retriesPerRequest: retriesPerRequest, registrations: []simRegistrations{{}}}
 	for range gateways {
 		f.add(200 * time.Millisecond)
 	}
@@ -123,8 +123,8 @@
 // serving returns the machines that receive requests: the first running ones, up to the number of entries.
 func (f *simFleet) serving() []*simMachine {
 	running := slices.DeleteFunc(slices.Clone(f.machines), func(machine *simMachine) bool { return machine.process == nil || machine.suspended })
-	if f.entries > 0 && len(running) > f.entries {
-		running = running[:f.entries]
+	if f.entryCount > 0 && len(running) > f.entryCount {
+		running = running[:f.entryCount]
 	}
 	return running
 }
@@ -208,8 +208,8 @@
 		slices.Sort(registered)
 	}
 	serving, entries := len(registered), len(registered)
-	if f.entries > 0 {
-		entries = min(f.entries, serving)
+	if f.entryCount > 0 {
+		entries = min(f.entryCount, serving)
 	}
 	isStandby := slices.Index(registered, i) >= entries
 	machine.process.dispatcher.SetGatewayCount(retrybudget.EffectiveGatewayCount(isStandby, entries, serving))
--- a/internal/forward/scale_test.go
+++ b/internal/forward/scale_test.go
@@ -62,7 +62,7 @@
 			b.ResetTimer()
 			for i := range b.N {
 				request := fleetRequest(i)
-				placement, found := dispatcher.Place(request, engineGroup, PlaceOptions{Objective: time.Second, Left: time.Second})
+				placement, found := dispatcher.Place(request, engineGroup, PlaceOptions{Objective: time.Second, Remaining: time.Second})
 				if !found {
 					b.Fatal("no engine was found")
 				}
