--- a/internal/poison/barring.go
+++ b/internal/poison/barring.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// shouldBar reports whether a suspect reached a crash limit.
+// shouldBar reports whether to bar a suspect: it reached a crash limit, or crashed a worker after an earlier bar.
 func (t *Table) shouldBar(digest Digest, entry *suspect) bool {
 	if entry.barCount > 0 || t.distinctCrashes(entry, slices.Collect(maps.Keys(entry.crashes))) >= t.settings.AmbiguousCrashLimit {
 		// After a first bar, a single crash is enough.
@@ -17,7 +17,7 @@
 	return t.distinctCrashes(entry, unattributed) >= t.settings.CrashLimit && !t.ambiguous(digest, unattributed)
 }
 
-// distinctCrashes counts the crashes that are at least MinCrashInterval after the previous counted one.
+// distinctCrashes counts the crashes that are at least MinCrashInterval after the previous counted one. It sorts workers by crash time.
 func (t *Table) distinctCrashes(entry *suspect, workers []string) int {
 	slices.SortFunc(workers, func(a, b string) int { return entry.crashes[a].Compare(entry.crashes[b]) })
 	count := 0
@@ -31,7 +31,7 @@
 	return count
 }
 
-// ambiguous reports whether another suspect ran at each of the workers and may have crashed them as well.
+// ambiguous reports whether another suspect ran at all of the given workers, so that either may be the cause.
 func (t *Table) ambiguous(digest Digest, workers []string) bool {
 	others := maps.Clone(t.suspectsByWorker[workers[0]])
 	delete(others, digest)
@@ -42,7 +42,7 @@
 }
 
 // Evaluate bars the pending suspects that reached a crash limit and had no report for SettleDelay, and returns their bars. Suspects with the
-// most crashes come first, because their bars explain the crashes under the others.
+// most crashes come first, because the crashes under the others are then attributed to them.
 func (t *Table) Evaluate(now time.Time) []Bar {
 	var due []Digest
 	for digest := range t.pending {
@@ -81,10 +81,10 @@
 	return next
 }
 
-// barTimeTolerance is how far the start of the same bar may differ between gateways, through clock skew and message delay.
+// barTimeTolerance is how far the start of the same bar may differ between gateways because of clock skew and message delay.
 const barTimeTolerance = 2 * time.Second
 
-// Bar describes a request that is not sent to workers for a time.
+// Bar describes a barred request: one that is not sent to workers until the bar expires.
 type Bar struct {
 	Digest Digest
 	// Rule is the routing rule that the request matches, and Tenant its caller, for operators.
@@ -95,7 +95,7 @@
 	Times int
 	// Since is when the bar began, and Until when it expires.
 	Since, Until time.Time
-	// LastReport is when a crash or a bar was reported last; zero in bars received from other gateways.
+	// LastReport is when a crash or a bar was reported last; zero in bars read from the store or received from other gateways.
 	LastReport time.Time
 	// DistinctCrashes is the number of distinct crashes, set for suspected requests only.
 	DistinctCrashes int
@@ -116,13 +116,13 @@
 		return false
 	}
 	wasBarred := now.Before(entry.barredUntil)
-	// The clock of the gateway that created the bar may be ahead.
+	// clearUntil lifts only bars that began by the given time. A later start must not keep the bar.
 	entry.barredSince = time.Time{}
 	t.clearUntil(now, digest, entry)
 	return wasBarred
 }
 
-// Bars returns the active bars, those that expire last at the end.
+// Bars returns the active bars in order of expiry.
 func (t *Table) Bars(now time.Time) []Bar {
 	var bars []Bar
 	for digest, entry := range t.suspects {
--- a/internal/poison/digest.go
+++ b/internal/poison/digest.go
@@ -1,6 +1,7 @@
 // Package poison detects requests that crash the workers that run them, and stops routing them to further workers. Such a request is
-// known as a query of death or a poison message: its caller retries it, each time as a new request, and each retry costs another
-// worker together with everything that it was running. A crash is any unplanned end of a worker's process, because its cause is unknown.
+// known as a query of death or a poison message: its caller retries it, each time as a new request, and each retry crashes another
+// worker and fails all requests that it runs. Any unplanned end of a worker's process counts as a crash, since the gateway cannot
+// determine the cause.
 package poison
 
 import (
@@ -11,8 +12,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// digestBytes is the size of a digest: half of a SHA-256. Second preimages are infeasible, so nobody can craft a request that gets
-// somebody else's request barred.
+// digestBytes is the size of a digest: half of a SHA-256. Second preimages are infeasible, so no caller can craft a request whose
+// crashes bar the request of another caller.
 const digestBytes = 16
 
 // Digest identifies the content of a request. Requests with the same digest are the same to a worker, whatever their ids.
@@ -30,9 +31,9 @@
 }
 
 // Digest returns the digest of the request.
-func (a Request) Digest() Digest {
+func (r Request) Digest() Digest {
 	sum := sha256.New()
-	for _, field := range [][]byte{[]byte(a.Tenant), []byte(a.Method), []byte(a.Host), []byte(a.Target), a.Body} {
+	for _, field := range [][]byte{[]byte(r.Tenant), []byte(r.Method), []byte(r.Host), []byte(r.Target), r.Body} {
 		// Length prefixes keep the field boundaries unambiguous.
 		var size [8]byte
 		binary.BigEndian.PutUint64(size[:], uint64(len(field)))
--- a/internal/poison/guard.go
+++ b/internal/poison/guard.go
@@ -21,7 +21,7 @@
 // WorkerCrashed reports that a worker crashed while running requests of this gateway.
 type WorkerCrashed struct {
 	Worker *backend.Worker
-	// Requests are the requests of this gateway that the worker was running.
+	// Requests are the digests of the requests of this gateway that the worker was running.
 	Requests []Digest
 	// Evidence is the evidence for the crash, and Age how long ago the first connection broke.
 	Evidence string
@@ -57,13 +57,14 @@
 
 // Timeouts of a guard.
 const (
-	// probeTimeout bounds the probe of a worker: several connection attempts within a region.
+	// probeTimeout bounds a probe. It suffices for several connection attempts to a worker in the same region.
 	probeTimeout = 400 * time.Millisecond
-	// recordTimeout is how long after a connection broke the removal of the worker's record still counts as a crash: three heartbeats
-	// of 1.2 s and their propagation.
+	// recordTimeout is how long after the last failed request at a worker the removal of its record still counts as a crash: three
+	// heartbeats of 1.2 s and their propagation.
 	recordTimeout = 4500 * time.Millisecond
-	// crashRetention is how long a crash is remembered for connections that break later than the first: the idle timeout of a connection.
-	crashRetention = 5 * time.Second
+	// disconnectedRetention is how long a disconnected worker is kept after its last failed request, for connections that break later
+	// than the first: the idle timeout of a connection. A change of the registered workers removes it already after recordTimeout.
+	disconnectedRetention = 5 * time.Second
 )
 
 // Evidence for the crash of a worker.
@@ -83,17 +84,20 @@
 
 	mu    sync.Mutex
 	table *Table
-	// disconnected are the workers with broken connections, and registered those with a record; registered is nil before the first update.
+	// disconnected are the workers that may have crashed, because a connection broke or a request abandoned them. registered are the
+	// workers with a record, nil before the first update.
 	disconnected map[string]*disconnectedWorker
 	registered   backend.Set
-	// notify is called when there is news for the other gateways; nil if updates are not shared.
-	notify    func(urgent bool)
-	expiredAt time.Time
+	// notify is called when there are changes for the other gateways; urgent means that they are sent without delay. It is nil if
+	// updates are not shared.
+	notify func(urgent bool)
+	// lastExpiry is when expired entries were last removed.
+	lastExpiry time.Time
 	// evaluationScheduled is set while a timer for the next evaluation runs.
 	evaluationScheduled bool
 }
 
-// disconnectedWorker is a worker whose connections broke, or that was abandoned because it was silent.
+// disconnectedWorker is a worker that may have crashed: a connection to it broke, or a request abandoned it because it did not respond.
 type disconnectedWorker struct {
 	worker *backend.Worker
 	// brokenAt is when the first connection broke, zero if none has. lastRequest is when a request was added last.
@@ -112,14 +116,15 @@
 	return &Guard{prober: prober, now: now, emit: emit, table: NewTable(settings), disconnected: map[string]*disconnectedWorker{}}
 }
 
-// NotifyUpdates sets the function that is called when there is news for the other gateways. It must not block.
+// NotifyUpdates sets the function that is called when there are changes for the other gateways. It must not block.
 func (g *Guard) NotifyUpdates(notify func(urgent bool)) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.notify = notify
 }
 
-// HasSuspects reports whether any request is suspected or barred. If not, callers need not compute digests.
+// HasSuspects reports whether the table has any entry: a request that is suspected or barred, or succeeded recently after it was. If
+// not, every request is Clear and callers need not compute digests.
 func (g *Guard) HasSuspects() bool { return g.hasSuspects.Load() }
 
 // Status returns the status of a request, and its bar or the evidence against it.
@@ -132,9 +137,9 @@
 // SinceLastReport returns how long ago the last crash or bar of the request was reported.
 func (g *Guard) SinceLastReport(bar Bar) time.Duration { return g.now().Sub(bar.LastReport) }
 
-// ConnectionBroke records that the connection to a worker broke while it ran the request, and probes in the background whether the worker crashed.
-// The returned channel is closed when the probe completes; it is nil if the outcome is known already. The exit of a worker that
-// drains, or that removed its record, is planned and not counted.
+// ConnectionBroke records that the connection to a worker broke while it ran the request, and probes in the background whether the worker
+// crashed. The returned channel is closed when the probe completes; it is nil if the outcome is known already. The exit of a worker
+// that drains, or that removed its record, is planned and not counted.
 func (g *Guard) ConnectionBroke(worker *backend.Worker, digest Digest, rule, tenant string) <-chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -156,7 +161,8 @@
 	return entry.probeDone
 }
 
-// Abandoned records that a request abandoned a silent worker. If the worker turns out to have crashed, the crash counts against the request.
+// Abandoned records that a request abandoned a worker that did not respond. If the worker is found to have crashed, the crash counts
+// against the request.
 func (g *Guard) Abandoned(worker *backend.Worker, digest Digest, rule, tenant string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -168,13 +174,14 @@
 	}
 }
 
-// isPlannedExit reports whether a worker drains, or removed its record before a connection to it broke. The caller holds the mutex.
+// isPlannedExit reports whether a worker drained or removed its record before its first connection broke. The caller holds the mutex.
 func (g *Guard) isPlannedExit(worker *backend.Worker) bool {
 	record := g.registered[worker.ID]
 	return g.registered != nil && (record == nil || record.Draining) && g.disconnected[worker.ID] == nil
 }
 
-// maxRequestsPerWorker bounds the requests kept per worker. It exceeds the number that runs at one, including those that abandoned it.
+// maxRequestsPerWorker bounds the requests kept per worker. It exceeds the number that a worker runs at a time, including those that
+// abandoned it.
 const maxRequestsPerWorker = 512
 
 // addRequest adds a request to a worker that may have crashed. The caller holds the mutex.
@@ -205,7 +212,7 @@
 	}(entry.probeDone)
 	switch {
 	case entry.crashed || err != nil:
-		// Without an answer, the removal of the worker's record decides.
+		// Without a result, UpdateWorkers counts a crash if the worker's record is removed.
 	case refuses:
 		g.recordCrash(entry, evidenceRefused)
 	default:
@@ -214,7 +221,8 @@
 	}
 }
 
-// UpdateWorkers applies changes of the registered workers. The removal of the record of a disconnected worker counts as a crash.
+// UpdateWorkers applies changes of the registered workers. The removal of the record of a disconnected worker within recordTimeout of
+// its last failed request counts as a crash.
 func (g *Guard) UpdateWorkers(changes backend.Changes) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -288,7 +296,7 @@
 	g.scheduleEvaluation()
 }
 
-// Successes records that a request succeeded.
+// RecordSuccess records that a request succeeded.
 func (g *Guard) RecordSuccess(digest Digest) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -327,26 +335,26 @@
 	return g.table.Bars(g.now())
 }
 
-// expiryInterval is the interval at which expired entries are removed.
+// expiryInterval is the minimum interval between removals of expired entries, which full updates trigger.
 const expiryInterval = 10 * time.Second
 
-// TakeUpdate returns the update for the other gateways: the changes since the last one, or the full state.
+// TakeUpdate returns the update for the other gateways: the changes since the last one, or the recent state if full is set.
 func (g *Guard) TakeUpdate(full bool) Update {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.now()
-	if full && now.Sub(g.expiredAt) >= expiryInterval {
-		g.expiredAt = now
+	if full && now.Sub(g.lastExpiry) >= expiryInterval {
+		g.lastExpiry = now
 		g.expire(now)
 	}
 	return g.table.TakeUpdate(now, full)
 }
 
-// expire removes entries that no longer count. The caller holds the mutex.
+// expire removes expired entries. The caller holds the mutex.
 func (g *Guard) expire(now time.Time) {
 	g.table.Expire(now)
 	for id, entry := range g.disconnected {
-		if now.Sub(entry.lastRequest) > max(crashRetention, recordTimeout) && entry.probeDone == nil {
+		if now.Sub(entry.lastRequest) > max(disconnectedRetention, recordTimeout) && entry.probeDone == nil {
 			delete(g.disconnected, id)
 		}
 	}
--- a/internal/poison/guard_test.go
+++ b/internal/poison/guard_test.go
@@ -13,16 +13,16 @@
 	"github.com/granitebay/granitebay/internal/backend"
 )
 
-// fakeProber answers probes from the configured state of the workers.
+// fakeProber returns probe results from the configured state of the workers.
 type fakeProber struct {
-	mu      sync.Mutex
-	crashed map[string]bool
-	silent  map[string]bool
-	probes  int
+	mu           sync.Mutex
+	crashed      map[string]bool
+	unresponsive map[string]bool
+	probes       int
 }
 
-// errNoAnswer is the result for a silent worker, which neither accepts nor refuses connections.
-var errNoAnswer = errors.New("no answer")
+// errProbeTimeout is the result for an unresponsive worker, which neither accepts nor refuses connections.
+var errProbeTimeout = errors.New("probe timeout")
 
 // RefusesConnections implements Prober.
 func (p *fakeProber) RefusesConnections(_ context.Context, worker *backend.Worker) (bool, error) {
@@ -30,8 +30,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.probes++
-	if p.silent[worker.ID] {
-		return false, errNoAnswer
+	if p.unresponsive[worker.ID] {
+		return false, errProbeTimeout
 	}
 	return p.crashed[worker.ID], nil
 }
@@ -53,7 +53,7 @@
 
 // newTestGuard returns a guard with some registered workers.
 func newTestGuard(workers backend.Set) *testGuard {
-	g := &testGuard{prober: &fakeProber{crashed: map[string]bool{}, silent: map[string]bool{}}}
+	g := &testGuard{prober: &fakeProber{crashed: map[string]bool{}, unresponsive: map[string]bool{}}}
 	g.Guard = NewGuard(DefaultSettings(), g.prober, time.Now, func(event Event) {
 		g.mu.Lock()
 		defer g.mu.Unlock()
@@ -81,11 +81,13 @@
 	return set
 }
 
+// TestWorkerCrashesBarRequest guards against a request that crashes three workers and is not barred, and against evidence that remains
+// on a request that ran beside it.
 func TestWorkerCrashesBarRequest(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		workers := workerSet("w1", "w2", "w3")
 		g := newTestGuard(workers)
-		killer, harmless := digestNamed("killer"), digestNamed("innocent")
+		killer, harmless := digestNamed("killer"), digestNamed("harmless")
 		for id, worker := range workers {
 			time.Sleep(2 * DefaultSettings().MinCrashInterval)
 			g.prober.crash(id)
@@ -104,31 +106,31 @@
 		if g.prober.probes != 3 {
 			t.Errorf("%d probes, want 3", g.prober.probes)
 		}
-		if got := fmt.Sprint(g.events); got != "[poison.WorkerEnded poison.WorkerEnded poison.WorkerEnded poison.Made]" {
+		if got := fmt.Sprint(g.events); got != "[poison.WorkerCrashed poison.WorkerCrashed poison.WorkerCrashed poison.BarCreated]" {
 			t.Errorf("events: %s", got)
 		}
 	})
 }
 
 // TestBrokenConnectionWithoutCrashIsIgnored guards against counting broken connections to workers that run, that drain or removed their
-// record, and that are silent but still have a record.
+// record, and that are unresponsive but still have a record.
 func TestBrokenConnectionWithoutCrashIsIgnored(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		workers := workerSet("lives", "silent", "leaves", "says-so")
+		workers := workerSet("running", "unresponsive", "deregistered", "draining")
 		g := newTestGuard(workers)
-		g.prober.silent["silent"] = true
-		g.prober.crash("leaves")
-		g.prober.crash("says-so")
-		leaving := *workers["says-so"]
-		leaving.Draining = true
-		setWorkers(g, backend.Set{"lives": workers["lives"], "silent": workers["silent"], "says-so": &leaving})
-		digest := digestNamed("asked")
+		g.prober.unresponsive["unresponsive"] = true
+		g.prober.crash("deregistered")
+		g.prober.crash("draining")
+		draining := *workers["draining"]
+		draining.Draining = true
+		setWorkers(g, backend.Set{"running": workers["running"], "unresponsive": workers["unresponsive"], "draining": &draining})
+		digest := digestNamed("request")
 		for _, worker := range workers {
 			g.ConnectionBroke(worker, digest, "rule", "")
 		}
 		waitForEvaluation()
 		time.Sleep(2 * recordTimeout)
-		setWorkers(g, backend.Set{"lives": workers["lives"]})
+		setWorkers(g, backend.Set{"running": workers["running"]})
 		waitForEvaluation()
 		if got, bar := g.Status(digest); got != Clear || g.HasSuspects() {
 			t.Errorf("status %d, bar %+v", got, bar)
@@ -136,13 +138,13 @@
 	})
 }
 
-// TestRemovedRecordCountsAsCrash checks that a worker which does not answer probes counts as crashed once its record is removed.
+// TestRemovedRecordCountsAsCrash guards against missing the crash of a worker that does not respond to probes and whose record is removed.
 func TestRemovedRecordCountsAsCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		workers := workerSet("w1")
 		g := newTestGuard(workers)
-		g.prober.silent["w1"] = true
-		digest := digestNamed("asked")
+		g.prober.unresponsive["w1"] = true
+		digest := digestNamed("request")
 		g.ConnectionBroke(workers["w1"], digest, "rule", "")
 		waitForEvaluation()
 		if got, _ := g.Status(digest); got != Clear {
@@ -159,7 +161,8 @@
 	})
 }
 
-// TestGuardsConverge checks that three gateways that see one crash each bar the killer, and clear a request that ran beside it.
+// TestGuardsConverge guards against three gateways that see one crash each and do not all bar the killer, or suspect a request that ran
+// beside it.
 func TestGuardsConverge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		workers := workerSet("w1", "w2", "w3")
@@ -181,15 +184,15 @@
 			})
 			g.prober.crash(fmt.Sprint("w", i+1))
 		}
-		killer, bystander := digestNamed("killer"), digestNamed("unlucky")
+		killer, harmless := digestNamed("killer"), digestNamed("harmless")
 		for i, g := range guards {
 			worker := workers[fmt.Sprint("w", i+1)]
 			g.ConnectionBroke(worker, killer, "rule", "")
-			// The bystander runs beside the killer twice, each time through another gateway.
+			// The harmless request runs beside the killer twice, each time through another gateway.
 			if i < 2 {
 				other := guards[(i+1)%3]
 				other.prober.crash(worker.ID)
-				other.ConnectionBroke(worker, bystander, "rule", "")
+				other.ConnectionBroke(worker, harmless, "rule", "")
 			}
 			time.Sleep(40 * time.Millisecond)
 		}
@@ -198,17 +201,18 @@
 			if got, _ := g.Status(killer); got != Barred {
 				t.Errorf("gateway %d: killer has status %d, want Barred", i, got)
 			}
-			if got, _ := g.Status(bystander); got != Clear {
-				t.Errorf("gateway %d: bystander has status %d, want Clear", i, got)
+			if got, _ := g.Status(harmless); got != Clear {
+				t.Errorf("gateway %d: harmless request has status %d, want Clear", i, got)
 			}
 		}
 	})
 }
 
-// TestCrashOfAbandonedWorkerIsCounted checks that a crash counts against a request that abandoned the worker shortly before.
+// TestCrashOfAbandonedWorkerIsCounted guards against a crash that does not count against a request that abandoned the worker shortly
+// before.
 func TestCrashOfAbandonedWorkerIsCounted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		workers := workerSet("w1", "w2", "lives")
+		workers := workerSet("w1", "w2", "running")
 		g := newTestGuard(workers)
 		g.prober.crash("w1")
 		abandoned, crashing := digestNamed("slow"), digestNamed("other")
@@ -218,7 +222,7 @@
 		time.Sleep(time.Second)
 		g.ConnectionBroke(workers["w1"], crashing, "rule", "")
 		waitForEvaluation()
-		setWorkers(g, backend.Set{"w1": workers["w1"], "lives": workers["lives"]})
+		setWorkers(g, backend.Set{"w1": workers["w1"], "running": workers["running"]})
 		if got, bar := g.Status(abandoned); got != Suspected || fmt.Sprint(bar.Workers) != "[w1 w2]" {
 			t.Errorf("status %d, bar %+v", got, bar)
 		}
@@ -245,7 +249,7 @@
 				t.Errorf("request %d: status %d, want Suspected", i, got)
 			}
 		}
-		if got := fmt.Sprint(g.events); got != "[poison.WorkerEnded]" {
+		if got := fmt.Sprint(g.events); got != "[poison.WorkerCrashed]" {
 			t.Errorf("events: %s", got)
 		}
 	})
--- a/internal/poison/record.go
+++ b/internal/poison/record.go
@@ -29,13 +29,13 @@
 	value, err := json.Marshal(record{
 		Rule: b.Rule, Tenant: b.Tenant, Workers: b.Workers, Times: b.Times, Since: b.Since.UTC(), Until: b.Until.UTC(),
 	})
-	return value, errors.Wrap(err, "step encode a bar")
+	return value, errors.Wrapf(err, "encode the bar of request %s", b.Digest)
 }
 
 // DigestFromKey returns the digest in the key of a bar.
 func DigestFromKey(key string) (Digest, error) {
 	digest, err := ParseDigest(strings.TrimPrefix(key, BarPrefix))
-	return digest, errors.Wrapf(err, "step read a bar, key %s", key)
+	return digest, errors.Wrapf(err, "read the bar %s", key)
 }
 
 // DecodeBar decodes a stored bar.
@@ -46,7 +46,7 @@
 	}
 	var read record
 	if err := json.Unmarshal(value, &read); err != nil {
-		return Bar{}, errors.Wrapf(err, "step read a bar, key %s", key)
+		return Bar{}, errors.Wrapf(err, "read the bar %s", key)
 	}
 	return Bar{
 		Digest: digest, Rule: read.Rule, Tenant: read.Tenant, Workers: read.Workers, Times: read.Times, Since: read.Since, Until: read.Until,
--- a/internal/poison/simulation_test.go
+++ b/internal/poison/simulation_test.go
@@ -13,7 +13,8 @@
 	now     time.Time
 	table   *Table
 	workers []simWorker
-	// crashes counts the crashes under each request since its last success, and suspectedHarmless the harmless requests at the limit.
+	// crashes counts the crashes under each request since its last success, and suspectedHarmless the harmless requests that reached
+	// CrashLimit.
 	crashes           map[Digest]int
 	harmless          map[Digest]bool
 	suspectedHarmless int
@@ -28,7 +29,7 @@
 	running     []attempt
 }
 
-// attempt is one try of a request.
+// attempt is one attempt of a request.
 type attempt struct {
 	digest Digest
 	// stepsLeft until the request succeeds, or crashes its worker.
@@ -36,7 +37,8 @@
 	triesLeft int
 }
 
-// Parameters of a simulation, in steps of stepTime. Each request is tried four times: twice by a gateway, and twice on the caller's retry.
+// Parameters of a simulation, in steps of stepTime. Each request is tried at most four times: twice by a gateway, and twice on the
+// caller's retry.
 const (
 	stepTime     = 20 * time.Millisecond
 	runSteps     = 15
@@ -47,18 +49,18 @@
 )
 
 // assign sends a request to a random worker.
-func (s *simulation) assign(run attempt) {
-	if status, _ := s.table.Status(s.now, run.digest); status >= Pending || run.triesLeft == 0 {
+func (s *simulation) assign(attempt attempt) {
+	if status, _ := s.table.Status(s.now, attempt.digest); status >= Pending || attempt.triesLeft == 0 {
 		return
 	}
-	run.triesLeft--
-	run.stepsLeft = runSteps
-	if !s.harmless[run.digest] {
-		run.stepsLeft = crashSteps
+	attempt.triesLeft--
+	attempt.stepsLeft = runSteps
+	if !s.harmless[attempt.digest] {
+		attempt.stepsLeft = crashSteps
 	}
 	for range 20 {
 		if w := &s.workers[s.random.IntN(len(s.workers))]; w.downSteps == 0 {
-			w.running = append(w.running, run)
+			w.running = append(w.running, attempt)
 			return
 		}
 	}
@@ -73,20 +75,20 @@
 	}
 	var running, finished []attempt
 	crashed := false
-	for _, run := range w.running {
-		run.stepsLeft--
-		if run.stepsLeft > 0 {
-			running = append(running, run)
+	for _, attempt := range w.running {
+		attempt.stepsLeft--
+		if attempt.stepsLeft > 0 {
+			running = append(running, attempt)
 			continue
 		}
-		finished = append(finished, run)
-		crashed = crashed || !s.harmless[run.digest]
+		finished = append(finished, attempt)
+		crashed = crashed || !s.harmless[attempt.digest]
 	}
 	w.running = running
 	if !crashed {
-		for _, run := range finished {
-			s.table.RecordSuccess(s.now, s.now, run.digest)
-			delete(s.crashes, run.digest)
+		for _, attempt := range finished {
+			s.table.RecordSuccess(s.now, s.now, attempt.digest)
+			delete(s.crashes, attempt.digest)
 		}
 		return
 	}
@@ -99,17 +101,17 @@
 	id := fmt.Sprint(index, "/", w.incarnation)
 	w.incarnation++
 	w.downSteps, w.running = restartSteps, nil
-	for _, run := range running {
-		s.table.RecordCrash(s.now, s.now, Crash{Digest: run.digest, Worker: id}, "", "")
-		s.crashes[run.digest]++
-		if !s.harmless[run.digest] {
-			s.killerCrashes[run.digest]++
-		} else if s.crashes[run.digest] == DefaultSettings().CrashLimit {
+	for _, attempt := range running {
+		s.table.RecordCrash(s.now, s.now, Crash{Digest: attempt.digest, Worker: id}, "", "")
+		s.crashes[attempt.digest]++
+		if !s.harmless[attempt.digest] {
+			s.killerCrashes[attempt.digest]++
+		} else if s.crashes[attempt.digest] == DefaultSettings().CrashLimit {
 			s.suspectedHarmless++
 		}
 	}
-	for _, run := range running {
-		s.assign(run)
+	for _, attempt := range running {
+		s.assign(attempt)
 	}
 }
 
@@ -138,8 +140,8 @@
 	}
 }
 
-// TestOnlyKillersAreBarredAmongManyRequests guards against bars of harmless requests that ran beside three killer requests, and against
-// killers that crash many workers before they are barred.
+// TestOnlyKillersAreBarredAmongManyRequests guards against more than two bars of harmless requests in 100 runs with three killer requests
+// each, and against killers that crash more than eight workers.
 func TestOnlyKillersAreBarredAmongManyRequests(t *testing.T) {
 	const runs = 100
 	suspectedHarmless, barredHarmless, maxCrashes, crashes := 0, 0, 0, 0
--- a/internal/poison/strategies_test.go
+++ b/internal/poison/strategies_test.go
@@ -14,7 +14,8 @@
 	"github.com/granitebay/granitebay/internal/poison"
 )
 
-// strategy is how a fleet routes suspects. By default a request is retried at once, before it is known whether its worker crashed.
+// strategy is how the gateways of a fleet route suspected requests. By default a request is retried at once, before it is known whether
+// its worker crashed.
 type strategy struct {
 	name string
 	// riskShare is the share of the workers that suspects may put at risk; 1 is all workers, and 0 a single one.
@@ -31,9 +32,9 @@
 	oneAtATime bool
 	// tries is the number of tries per gateway; zero means gatewayTries.
 	tries int
-	// sets and turn configure the turns that separate suspects in time; zero disables them.
-	sets int
-	turn time.Duration
+	// Suspects are divided into sets that are routed one after the other, each for turnDuration; zero disables this.
+	sets         int
+	turnDuration time.Duration
 }
 
 // strategies are the alternatives that BenchmarkStrategies compares.
@@ -44,22 +45,22 @@
 	{name: "d: refusal 30 ms", riskShare: 1, suspectPause: 30 * time.Millisecond},
 	{name: "e: second try waits", riskShare: 1, awaitsProbe: true},
 	{name: "c+d+e", riskShare: 1, awaitsProbe: true, oneAtATime: true, suspectPause: 30 * time.Millisecond, failureDelay: 30 * time.Millisecond},
-	{name: "half+e, turns", riskShare: 0.5, awaitsProbe: true, sets: 4, turn: 100 * time.Millisecond},
+	{name: "half+e, turns", riskShare: 0.5, awaitsProbe: true, sets: 4, turnDuration: 100 * time.Millisecond},
 	{name: "quarter+e", riskShare: 0.25, awaitsProbe: true},
 	{name: "quarter+d+e", riskShare: 0.25, awaitsProbe: true, suspectPause: 30 * time.Millisecond},
 	{name: "quarter+e, alone", riskShare: 0.25, awaitsProbe: true, oneAtATime: true},
-	{name: "built, 4 sets", riskShare: implemented.riskShare, awaitsProbe: true, sets: 4, turn: implemented.turn, failureDelay: implemented.failureDelay},
+	{name: "built, 4 sets", riskShare: implemented.riskShare, awaitsProbe: true, sets: 4, turnDuration: implemented.turnDuration, failureDelay: implemented.failureDelay},
 	implemented,
 	{name: "one try: a", riskShare: 1, tries: 1},
-	{name: "one try: built, not held", riskShare: implemented.riskShare, awaitsProbe: true, tries: 1, sets: implemented.sets, turn: implemented.turn},
-	{name: "one try: built", riskShare: implemented.riskShare, awaitsProbe: true, tries: 1, sets: implemented.sets, turn: implemented.turn, failureDelay: implemented.failureDelay},
+	{name: "one try: built, not held", riskShare: implemented.riskShare, awaitsProbe: true, tries: 1, sets: implemented.sets, turnDuration: implemented.turnDuration},
+	{name: "one try: built", riskShare: implemented.riskShare, awaitsProbe: true, tries: 1, sets: implemented.sets, turnDuration: implemented.turnDuration, failureDelay: implemented.failureDelay},
 }
 
-// implemented is the strategy of the gateways: a quarter of the role at risk, retries that await the probe, sets that take turns, and
-// failures that are delayed until the other gateways are informed.
+// implemented is the strategy of the gateways: the default share of a role at risk, retries that await the probe, sets that take turns,
+// and failures that are delayed until the other gateways are informed.
 var implemented = strategy{
 	name: "built", riskShare: balance.DefaultRiskSettings().Share, awaitsProbe: true, failureDelay: 30 * time.Millisecond,
-	sets: balance.DefaultRiskSettings().Sets, turn: balance.DefaultRiskSettings().Turn,
+	sets: balance.DefaultRiskSettings().Sets, turnDuration: balance.DefaultRiskSettings().Turn,
 }
 
 // Parameters of a simulation.
@@ -107,7 +108,7 @@
 	return last
 }
 
-// simWorker is a worker of the role.
+// simWorker is a worker of the simulated role.
 type simWorker struct {
 	number, incarnation int
 	down                bool
@@ -132,8 +133,8 @@
 	gateway *simGateway
 	tries   int
 	// excluded are the workers that this attempt has tried. resent is set once the caller has retried.
-	excluded []string
-	resent   bool
+	excluded      []string
+	callerRetried bool
 	// affected is set once a worker crashed under the request, or it was refused or delayed as a suspect.
 	affected bool
 }
@@ -144,7 +145,7 @@
 	timeToBar, maxTimeToBar           time.Duration
 	maxShareDown                      float64
 	harmless, affected, lost          int
-	waited                            time.Duration
+	totalDelay                        time.Duration
 	falseBars                         int
 }
 
@@ -179,7 +180,7 @@
 		s.workers = append(s.workers, &simWorker{number: number, running: map[*simRequest]bool{}})
 	}
 	settings := balance.DefaultSettings()
-	settings.Risk.Share, settings.Risk.Sets, settings.Risk.Turn = strategy.riskShare, strategy.sets, strategy.turn
+	settings.Risk.Share, settings.Risk.Sets, settings.Risk.Turn = strategy.riskShare, strategy.sets, strategy.turnDuration
 	for range gatewayCount {
 		gateway := &simGateway{table: poison.NewTable(poison.DefaultSettings()), balancer: balance.New(settings, enginemodel.New(), nil)}
 		gateway.balancer.SetWorkers(s.workerRecords())
@@ -286,19 +287,19 @@
 	s.schedule(probeDelay, func() { s.try(request) })
 }
 
-// waitOrRefuse delays a request that has run before or whose turn is near, and refuses others, whose callers retry once.
+// waitOrRefuse delays a request that was tried before or whose turn is near. It refuses any other one, whose caller retries once.
 func (s *simulation) waitOrRefuse(request *simRequest) {
 	request.affected = true
 	turnsIn := request.gateway.balancer.SuspectWait(s.now, balance.Query{Group: "g", Role: backend.RoleDecode, SuspectKey: request.digest.String()})
-	if request.tries > 0 || (turnsIn > 0 && turnsIn <= time.Duration(s.strategy.sets)*s.strategy.turn) {
+	if request.tries > 0 || (turnsIn > 0 && turnsIn <= time.Duration(s.strategy.sets)*s.strategy.turnDuration) {
 		s.schedule(pollInterval, func() { s.try(request) })
 		return
 	}
-	if request.resent {
+	if request.callerRetried {
 		s.fail(request)
 		return
 	}
-	request.resent = true
+	request.callerRetried = true
 	s.schedule(max(turnsIn+time.Millisecond, s.strategy.suspectPause, minRetryAfter), func() { s.arrive(request, s.randomGateway()) })
 }
 
@@ -320,6 +321,7 @@
 		}
 		switch {
 		case w.incarnation != incarnation || !w.running[request]:
+			// The worker crashed meanwhile, and crash has handled the request.
 		case request.killer:
 			s.crash(w)
 		default:
@@ -339,14 +341,14 @@
 	s.outcome.harmless++
 	if request.affected {
 		s.outcome.affected++
-		s.outcome.waited += s.now.Sub(request.arrived) - serviceTime
+		s.outcome.totalDelay += s.now.Sub(request.arrived) - serviceTime
 	}
 }
 
 // fail records a failed try at a gateway. The caller retries once unless the request is barred.
 func (s *simulation) fail(request *simRequest) {
-	if status, _ := request.gateway.table.Status(s.now, request.digest); !request.resent && status != poison.Barred {
-		request.resent = true
+	if status, _ := request.gateway.table.Status(s.now, request.digest); !request.callerRetried && status != poison.Barred {
+		request.callerRetried = true
 		s.schedule(callerRetryDelay, func() { s.arrive(request, s.randomGateway()) })
 		return
 	}
@@ -357,7 +359,7 @@
 	}
 }
 
-// crash takes a worker down with everything that it runs, and restarts it later.
+// crash takes a worker down, which fails all requests that it runs, and restarts it later.
 func (s *simulation) crash(w *simWorker) {
 	crashed, id := w, w.id()
 	disconnected := w.running
@@ -414,7 +416,7 @@
 	return all
 }
 
-// retry tries a request again whose worker crashed, or fails it after the last try.
+// retry retries a request whose worker crashed, or fails it after the last try.
 func (s *simulation) retry(request *simRequest) {
 	delay := time.Duration(0)
 	if s.strategy.awaitsProbe {
@@ -513,7 +515,7 @@
 func (o *outcome) String() string {
 	meanWait := time.Duration(0)
 	if served := o.affected - o.lost; served > 0 {
-		meanWait = o.waited / time.Duration(served)
+		meanWait = o.totalDelay / time.Duration(served)
 	}
 	meanTimeToBar := time.Duration(0)
 	if o.barred > 0 {
--- a/internal/poison/table.go
+++ b/internal/poison/table.go
@@ -9,7 +9,7 @@
 
 // Settings of a table.
 type Settings struct {
-	// CrashLimit is the number of worker crashes that bars a request when no other suspect can explain them.
+	// CrashLimit is the number of worker crashes that bars a request if no other suspect ran at all of these workers.
 	CrashLimit int
 	// AmbiguousCrashLimit is the number of crashes that bars a request even if other suspects ran at the same workers. It exceeds the
 	// four attempts that a harmless request gets at most: two each at two gateways.
@@ -17,20 +17,20 @@
 	// MinCrashInterval is the minimum interval between two crashes that count separately. A power loss of a rack or zone ends many workers
 	// within milliseconds, and a frequent request ran at several of them; a request that crashes workers takes longer between attempts.
 	MinCrashInterval time.Duration
-	// SettleDelay is how long to wait for reports of other gateways after a crash before barring a request. It exceeds several times the
+	// SettleDelay is how long to wait for reports of other gateways after a crash before barring a request. It is several times the
 	// transit time of a datagram between regions.
 	SettleDelay time.Duration
 	// BarDuration is the duration of the first bar of a request. It doubles with each further bar, up to MaxBarDuration, because each
 	// expiry may cost a worker.
 	BarDuration, MaxBarDuration time.Duration
-	// CrashRetention is how long a crash counts against a request that is not retried: longer than callers retry automatically.
+	// CrashRetention is how long a crash counts against a request that was not barred. It is longer than callers retry automatically.
 	CrashRetention time.Duration
 	// SuccessRetention is how long a success is remembered, so that older crash reports are ignored: longer than several full updates.
 	// SuccessShareTime is how long it is included in updates.
 	SuccessRetention, SuccessShareTime time.Duration
 	// MaxSuspects and MaxBarred bound the size of the table; the oldest entries are evicted first.
 	MaxSuspects, MaxBarred int
-	// MaxPerUpdate bounds the crashes, and the bars, in one update: 128 crashes take about 4 KB of a datagram.
+	// MaxPerUpdate bounds the crashes, the successes and the bars in one update, so that it fits into a datagram with other data.
 	MaxPerUpdate int
 }
 
@@ -46,7 +46,7 @@
 // Status classifies a request by the evidence against it.
 type Status int
 
-// Standings in ascending order of evidence.
+// The statuses, in ascending order of evidence.
 const (
 	// Clear means that there is no evidence against the request.
 	Clear Status = iota
@@ -117,7 +117,7 @@
 // Empty reports whether the table has no entries.
 func (t *Table) Empty() bool { return len(t.suspects) == 0 }
 
-// Status returns the status of a request, and its bar or the evidence against it.
+// Status returns the status of a request, and its bar or the evidence against it. It removes expired crashes first.
 func (t *Table) Status(now time.Time, digest Digest) (Status, Bar) {
 	entry, found := t.suspects[digest]
 	if !found {
@@ -142,17 +142,17 @@
 }
 
 // RecordCrash records that a worker crashed while running a request of this gateway, at the time when the connection broke.
-func (t *Table) RecordCrash(now, brokenAt time.Time, crash Crash, rule, tenant string) {
-	t.mergeCrash(now, brokenAt, crash)
+func (t *Table) RecordCrash(now, crashedAt time.Time, crash Crash, rule, tenant string) {
+	t.mergeCrash(now, crashedAt, crash)
 	if entry, found := t.suspects[crash.Digest]; found {
 		entry.rule, entry.tenant = rule, tenant
 	}
 }
 
 // mergeCrash adds a crash, unless it is known or the request succeeded since.
-func (t *Table) mergeCrash(now, at time.Time, crash Crash) {
+func (t *Table) mergeCrash(now, crashedAt time.Time, crash Crash) {
 	entry, found := t.suspects[crash.Digest]
-	if found && !at.After(entry.succeededAt) {
+	if found && !crashedAt.After(entry.succeededAt) {
 		return
 	}
 	if !found {
@@ -164,8 +164,9 @@
 	if _, known := entry.crashes[crash.Worker]; known {
 		return
 	}
-	t.addCrash(at, crash.Digest, entry, crash.Worker)
+	t.addCrash(crashedAt, crash.Digest, entry, crash.Worker)
 	entry.lastReport = now
+	// Crashes beyond the bound are shared with the next full update.
 	if len(t.unsentCrashes) < t.settings.MaxSuspects {
 		t.unsentCrashes = append(t.unsentCrashes, crash)
 	}
@@ -175,8 +176,8 @@
 }
 
 // addCrash adds a crash to a suspect and to the index.
-func (t *Table) addCrash(at time.Time, digest Digest, entry *suspect, worker string) {
-	entry.crashes[worker] = at
+func (t *Table) addCrash(crashedAt time.Time, digest Digest, entry *suspect, worker string) {
+	entry.crashes[worker] = crashedAt
 	if t.suspectsByWorker[worker] == nil {
 		t.suspectsByWorker[worker] = map[Digest]bool{}
 	}
@@ -224,14 +225,15 @@
 			if t.suspects[digest].crashes[worker].Sub(at).Abs() < t.settings.MinCrashInterval {
 				return true
 			}
+			// All suspects of a worker have about the same crash time.
 			break
 		}
 	}
 	return false
 }
 
-// RecordSuccess records that a request succeeded at the given time, which voids earlier evidence against it. It returns the status that
-// was cleared, or Clear if the status was not affected.
+// RecordSuccess records that a request succeeded at the given time, which voids earlier evidence against it. It returns the previous
+// status if the request is now Clear, and Clear otherwise.
 func (t *Table) RecordSuccess(now, at time.Time, digest Digest) Status {
 	entry, found := t.suspects[digest]
 	if !found || !at.After(entry.succeededAt) || (len(entry.crashes) == 0 && entry.barCount == 0) {
@@ -294,7 +296,7 @@
 func (t *Table) ApplyBar(now time.Time, bar Bar) bool {
 	entry, found := t.suspects[bar.Digest]
 	if found && entry.barCount > 0 && entry.rule == "" {
-		// This gateway was not told the rule when it barred the request.
+		// This gateway barred the request without knowing its rule.
 		entry.rule, entry.tenant = bar.Rule, bar.Tenant
 	}
 	isKnown := found && now.Before(entry.barredUntil) && bar.Times <= entry.barCount
@@ -310,7 +312,7 @@
 	entry.barCount, entry.barredSince, entry.barredUntil = max(bar.Times, 1), earlier(bar.Since, now), bar.Until
 	entry.lastReport = now
 	if bar.Rule != "" {
-		// A gateway that knows the crashes only from updates bars without the rule; one that saw the request keeps and shares it.
+		// A gateway that knows the crashes only from updates bars without the rule. A gateway that saw the request shares the rule.
 		entry.rule, entry.tenant = bar.Rule, bar.Tenant
 	}
 	for _, worker := range bar.Workers {
@@ -335,7 +337,7 @@
 	}
 }
 
-// Expire removes entries that no longer count. It is called periodically.
+// Expire removes expired entries. It is called periodically.
 func (t *Table) Expire(now time.Time) {
 	for digest, entry := range t.suspects {
 		t.expireCrashes(now, digest, entry)
@@ -347,7 +349,7 @@
 	}
 }
 
-// evict removes the oldest eighth of the suspects, or of those that are or were barred, if there are too many.
+// evict removes an eighth of the suspects, or of those that are or were barred, if there are too many: those with the oldest last report.
 func (t *Table) evict(now time.Time) {
 	if len(t.suspects) < min(t.settings.MaxSuspects, t.settings.MaxBarred) {
 		return
@@ -369,8 +371,8 @@
 		slices.SortFunc(candidates, func(a, b Digest) int {
 			return cmp.Or(t.suspects[a].lastReport.Compare(t.suspects[b].lastReport), slices.Compare(a[:], b[:]))
 		})
-		const evictFraction = 8
-		for _, digest := range candidates[:len(candidates)/evictFraction+1] {
+		const evictDivisor = 8
+		for _, digest := range candidates[:len(candidates)/evictDivisor+1] {
 			t.removeSuspect(digest)
 		}
 	}
--- a/internal/poison/table_test.go
+++ b/internal/poison/table_test.go
@@ -76,6 +76,7 @@
 	return ""
 }
 
+// TestTableScripts runs the scripts of testdata/table.txtar. The name of each states what must hold.
 func TestTableScripts(t *testing.T) {
 	archive, err := txtar.ParseFile("testdata/table.txtar")
 	if err != nil {
@@ -142,20 +143,20 @@
 // only from updates.
 func TestReceivedBarLearnsRule(t *testing.T) {
 	now, settings := time.Unix(1000, 0), DefaultSettings()
-	witness, informed := NewTable(settings), NewTable(settings)
+	observer, receiver := NewTable(settings), NewTable(settings)
 	digest := digestNamed("a")
 	for i := range settings.CrashLimit {
 		now = now.Add(settings.MinCrashInterval)
-		witness.RecordCrash(now, now, Crash{Digest: digest, Worker: fmt.Sprint(i)}, "rule", "tenant")
-		informed.ApplyUpdate(now, witness.TakeUpdate(now, false))
+		observer.RecordCrash(now, now, Crash{Digest: digest, Worker: fmt.Sprint(i)}, "rule", "tenant")
+		receiver.ApplyUpdate(now, observer.TakeUpdate(now, false))
 	}
 	now = now.Add(settings.SettleDelay)
-	if bars := informed.Evaluate(now); len(bars) != 1 {
-		t.Fatalf("the gateway that was informed created %d bars, want 1", len(bars))
+	if bars := receiver.Evaluate(now); len(bars) != 1 {
+		t.Fatalf("the gateway that received the crashes created %d bars, want 1", len(bars))
 	}
-	witness.ApplyUpdate(now, informed.TakeUpdate(now, false))
-	informed.ApplyUpdate(now, witness.TakeUpdate(now, true))
-	for name, table := range map[string]*Table{"saw the crashes": witness, "was informed": informed} {
+	observer.ApplyUpdate(now, receiver.TakeUpdate(now, false))
+	receiver.ApplyUpdate(now, observer.TakeUpdate(now, true))
+	for name, table := range map[string]*Table{"saw the crashes": observer, "received the crashes": receiver} {
 		bars := table.Bars(now)
 		if len(bars) != 1 || bars[0].Rule != "rule" || bars[0].Tenant != "tenant" {
 			t.Errorf("the gateway that %s lists %+v", name, bars)
@@ -191,7 +192,7 @@
 	}
 }
 
-// TestBarRoundTrip encodes and decodes a bar, and rejects malformed ones.
+// TestBarRoundTrip guards against fields that are lost when a bar is stored, and against accepting malformed bars.
 func TestBarRoundTrip(t *testing.T) {
 	bar := Bar{Digest: digestNamed("a"), Rule: "quick", Tenant: "cafes", Workers: []string{"w1", "w2"}, Times: 2,
 		Since: time.Unix(1_699_999_400, 0).UTC(), Until: time.Unix(1_700_000_000, 0).UTC()}
--- a/internal/poison/update.go
+++ b/internal/poison/update.go
@@ -46,7 +46,7 @@
 }
 
 // TakeUpdate returns the changes since the last call, or all recent state if full is set. The changes include crashes received from other
-// gateways, which may be gone by now.
+// gateways, as these may have stopped since.
 func (t *Table) TakeUpdate(now time.Time, full bool) Update {
 	var update Update
 	if t.Empty() || (!full && len(t.unsentCrashes)+len(t.unsentChanges) == 0) {
@@ -90,7 +90,7 @@
 	}
 }
 
-// recentCrashes returns the crashes that count, latest first. Those of barred requests are sent with their bars.
+// recentCrashes returns the crashes that have not expired, latest first. Those of barred requests are sent with their bars.
 func (t *Table) recentCrashes() []Crash {
 	type timedCrash struct {
 		Crash
--- a/internal/poison/update_test.go
+++ b/internal/poison/update_test.go
@@ -44,9 +44,9 @@
 func BenchmarkDigest(b *testing.B) {
 	for _, size := range []int{400, 15000} {
 		b.Run(fmt.Sprint(size), func(b *testing.B) {
-			digest := Request{Method: "POST", Host: "shop.example", Target: "/stream/x", Body: make([]byte, size)}
+			request := Request{Method: "POST", Host: "shop.example", Target: "/stream/x", Body: make([]byte, size)}
 			for b.Loop() {
-				digest.Digest()
+				request.Digest()
 			}
 		})
 	}
