--- a/internal/quota/holders.go
+++ b/internal/quota/holders.go
@@ -1,10 +1,10 @@
 // Package quota divides fleet-wide rate limits among the gateways. The gateways that hold a share of a limit are
-// derived from the membership list in the store, without coordination messages. A gateway lends requests that it does
-// not need to gateways that lack them.
+// derived from the membership list in the store, without coordination messages. A gateway lends unused requests
+// to gateways that have used up their share.
 //
 // Invariant: in any window, the requests that all gateways send under a limit are at most its rate times (window +
 // loanTTL), plus a burst: the rate times burstInterval, or one request if that is less than one. This holds when
-// gateways start, stop, freeze, are partitioned or read a stale list, and when messages are lost, duplicated or late,
+// gateways start, stop, are suspended, are partitioned or read a stale list, and when messages are lost, duplicated or late,
 // provided that a list confirmed as of some time contains every change up to that time. While gateways know different
 // rates for a limit, the largest rate applies.
 package quota
@@ -20,17 +20,18 @@
 // how many gateways hold a share: as many as earn at least one whole request within it.
 const burstInterval = time.Second
 
-// Holders determines which gateways hold shares of limits. Gateways that read the same membership list agree on the
-// holders. A share never has two active holders: a gateway that leaves the list counts as a holder until it has
-// certainly stopped, and a new one becomes active once every other gateway has seen it. Holders is a pure state
-// machine and not safe for concurrent use.
+// Holders determines which gateways hold shares of limits. Members are the gateways that are listed or left the list
+// recently; the holders of a limit are the members that have a share of it, and a holder is active once it may use its
+// share. Gateways that read the same membership list agree on the holders. A share never has two active holders: a
+// gateway that leaves the list remains a member until its last confirmation has expired, and a new one becomes active
+// once every other gateway has seen it. Holders is a pure state machine and not safe for concurrent use.
 type Holders struct {
 	self string
 	// confirmationTTL is how long a confirmation remains valid.
 	confirmationTTL time.Duration
-	// expiries maps each known gateway to the time until which it counts; the zero time means that it is listed.
+	// expiries maps each member to the time until which it remains one; the zero time means that it is listed.
 	expiries map[string]time.Time
-	// members are the names of the gateways that count, ranks caches the rank of this gateway by limit key, and
+	// members are the names of the members, ranks caches the rank of this gateway by limit key, and
 	// nextExpiry is the earliest expiry of a gateway that left the list, or zero.
 	members    []string
 	ranks      map[string]int
@@ -50,7 +51,7 @@
 func (h *Holders) SetConfirmationTTL(ttl time.Duration) { h.confirmationTTL = ttl }
 
 // SetGateways replaces the membership list and reports whether that changed anything. A gateway that is missing from
-// the list counts for another two confirmation TTLs: its last confirmation remains valid for one, and it may be listed
+// the list remains a member for another two confirmation TTLs: its last confirmation remains valid for one, and it may be listed
 // again unnoticed for another.
 func (h *Holders) SetGateways(now time.Time, names []string) bool {
 	changed := false
@@ -106,13 +107,13 @@
 }
 
 // isActive reports whether this gateway may use its shares. It must have been listed for a full confirmation TTL: by
-// then every other active gateway has read the list and counts it. A shorter listing may go unnoticed.
+// then every other active gateway has read the list and has it as a member. A shorter listing may go unnoticed.
 func (h *Holders) isActive(now time.Time) bool {
 	return !h.listedSince.IsZero() && h.lastConfirmed.Sub(h.listedSince) >= h.confirmationTTL && now.Sub(h.lastConfirmed) <= h.confirmationTTL
 }
 
-// Share returns the share of a limit that this gateway holds, from 0 to 1. The limit is identified by its key; a low
-// rate, in requests per second, is held by few gateways.
+// Share returns the share of a limit that this gateway holds, from 0 to 1. The limit is identified by its key. The lower
+// the rate, in requests per second, the fewer gateways hold a share.
 func (h *Holders) Share(now time.Time, key string, rate float64) float64 {
 	if !h.isActive(now) {
 		return 0
@@ -127,8 +128,8 @@
 
 // ConcurrencyShare returns how many concurrent requests of a concurrency limit this gateway may admit. The gateways together
 // admit the limit, or one request each if the limit is smaller than the number of gateways: callers may use any
-// gateway, and one without a share would reject tenants that have no request in progress. Like serving itself, it works
-// without the store.
+// gateway, and one without a share would reject tenants that have no request in progress. It needs no confirmation, so
+// it works while the store is unavailable.
 func (h *Holders) ConcurrencyShare(now time.Time, key string, limit int) int {
 	h.dropExpired(now)
 	gateways := max(len(h.members), 1)
@@ -139,7 +140,7 @@
 	return max(share, 1)
 }
 
-// MemberCount returns how many gateways count.
+// MemberCount returns the number of members.
 func (h *Holders) MemberCount(now time.Time) int {
 	h.dropExpired(now)
 	return len(h.members)
@@ -165,5 +166,5 @@
 	return rank
 }
 
-// maxCachedRanks bounds the cache of ranks, since limits come and go.
+// maxCachedRanks bounds the cache of ranks, since limits are added and removed.
 const maxCachedRanks = 4096
--- a/internal/quota/loans.go
+++ b/internal/quota/loans.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// loanTTL is how long after the loan request a loan may be used and answers are accepted. The lender counts lent requests
-// as sent, so any window may contain the requests of a window that is longer by loanTTL.
+// loanTTL is how long after the loan request a loan may be used and responses are accepted. The lender counts lent
+// requests as sent, so a window may also contain requests that were lent up to loanTTL before it.
 const loanTTL = 500 * time.Millisecond
 
-// Intervals between loan requests. The interval doubles while nothing is lent, since no gateway may have
-// requests to spare. Each loan request goes to every gateway that takes requests, so the maximum grows with their number
-// to bound the traffic: 64 gateways that all lack requests send each other 32 datagrams of about 200 bytes per second.
+// Intervals between loan requests. The interval doubles while nothing is lent, since there may be no gateway with unused
+// requests. Each loan request goes to every gateway that takes requests, so the maximum grows with their number to bound
+// the traffic.
 const (
 	initialRequestInterval    = 100 * time.Millisecond
 	maxRequestInterval        = loanTTL / 2
@@ -17,47 +17,48 @@
 
 // LoanRequests tracks the requests of this gateway for loans. It is a pure state machine and not safe for concurrent use.
 //
-// Invariant: a loan is used at most once, within loanTTL of the loan request that it answers. A lost answer loses the
-// loan; answers that are late, duplicated or meant for an earlier process of this gateway are rejected.
+// Invariant: a loan is used at most once, within loanTTL of its loan request. A lost response loses the loan; responses
+// that are late, duplicated or meant for an earlier process of this gateway are rejected.
 type LoanRequests struct {
-	// serial and requestedAt describe the last loan request; answered holds the answers accepted for it, one per lender and
-	// limit.
+	// serial and requestedAt describe the last loan request; accepted holds the responses accepted for it, one per lender
+	// and limit. interval is the minimum time between two loan requests.
 	serial      int64
 	requestedAt time.Time
-	answered    map[answer]bool
+	accepted    map[response]bool
 	interval    time.Duration
 }
 
-// answer identifies the loan of one lender for one limit.
-type answer struct{ lender, key string }
+// response identifies the response of one lender for one limit.
+type response struct{ lender, key string }
 
 // NewLoanRequests returns the state of a process that starts now. Its serials are greater than those of earlier processes.
 func NewLoanRequests(now time.Time) *LoanRequests {
-	return &LoanRequests{serial: now.UnixNano(), answered: map[answer]bool{}}
+	return &LoanRequests{serial: now.UnixNano(), accepted: map[response]bool{}}
 }
 
 // Start starts a loan request to the given number of gateways and returns its serial, or false if it is too early.
-func (a *LoanRequests) Start(now time.Time, gateways int) (int64, bool) {
-	if !a.requestedAt.IsZero() && now.Sub(a.requestedAt) < a.interval {
+func (r *LoanRequests) Start(now time.Time, gateways int) (int64, bool) {
+	if !r.requestedAt.IsZero() && now.Sub(r.requestedAt) < r.interval {
 		return 0, false
 	}
-	if len(a.answered) > 0 || a.interval == 0 {
-		a.interval = initialRequestInterval
+	if len(r.accepted) > 0 || r.interval == 0 {
+		r.interval = initialRequestInterval
 	} else {
-		a.interval = min(2*a.interval, max(maxRequestInterval, time.Duration(gateways)*requestIntervalPerGateway))
+		r.interval = min(2*r.interval, max(maxRequestInterval, time.Duration(gateways)*requestIntervalPerGateway))
 	}
-	a.serial, a.requestedAt = a.serial+1, now
-	clear(a.answered)
-	return a.serial, true
+	r.serial, r.requestedAt = r.serial+1, now
+	clear(r.accepted)
+	return r.serial, true
 }
 
-// Accept returns when a loan that answers a loan request expires, or false if the loan must not be used.
-func (a *LoanRequests) Accept(now time.Time, serial int64, lender, key string) (time.Time, bool) {
-	expiry := a.requestedAt.Add(loanTTL)
-	if serial != a.serial || a.requestedAt.IsZero() || !now.Before(expiry) || a.answered[answer{lender, key}] {
+// Accept records the response of a lender to a loan request. It returns when the loan expires, or false if the loan must
+// not be used.
+func (r *LoanRequests) Accept(now time.Time, serial int64, lender, key string) (time.Time, bool) {
+	expiry := r.requestedAt.Add(loanTTL)
+	if serial != r.serial || r.requestedAt.IsZero() || !now.Before(expiry) || r.accepted[response{lender, key}] {
 		return time.Time{}, false
 	}
-	a.answered[answer{lender, key}] = true
+	r.accepted[response{lender, key}] = true
 	return expiry, true
 }
 
@@ -80,7 +81,7 @@
 	}
 }
 
-// maxLoanSize bounds the requests accepted from one answer, which is input from another process.
+// maxLoanSize bounds the requests accepted from one response, which is input from another process.
 const maxLoanSize = 64
 
 // Available returns how many lent requests may be used now.
--- a/internal/quota/quota.go
+++ b/internal/quota/quota.go
@@ -3,7 +3,7 @@
 import "time"
 
 // Quota is this gateway's share of one limit, as a token bucket that fills at the share's rate. It starts empty, since
-// what was used before is unknown. It is a pure state machine and not safe for concurrent use.
+// the requests that an earlier process sent are unknown. It is a pure state machine and not safe for concurrent use.
 type Quota struct {
 	rate float64
 	// credits is the number of requests earned up to updatedAt, with the given share of the limit.
@@ -44,18 +44,18 @@
 // capacity is the maximum number of credits: those earned in burstInterval, but at least one whole request.
 func (q *Quota) capacity() float64 { return max(q.rate*q.share*burstInterval.Seconds(), 1) }
 
-// Available returns how many requests may be sent now, including a fraction.
+// Available returns how many requests may be sent now, as a fractional number.
 func (q *Quota) Available(now time.Time, share float64) float64 {
 	q.Accrue(now, share)
 	return q.credits
 }
 
-// requestCost is one request, less the rounding error of summed fractions.
-const requestCost = 1 - 1e-9
+// minCredits is the credit needed for a request: one, less the rounding error of summed fractions.
+const minCredits = 1 - 1e-9
 
 // CanSpend reports whether a request may be sent now.
 func (q *Quota) CanSpend(now time.Time, share float64) bool {
-	return q.Available(now, share) >= requestCost
+	return q.Available(now, share) >= minCredits
 }
 
 // Spend takes one request from the quota and reports whether there was one.
@@ -69,7 +69,7 @@
 
 // NextAt returns when the next request may be sent, or false if this gateway holds no share.
 func (q *Quota) NextAt(now time.Time, share float64) (time.Time, bool) {
-	missing := requestCost - q.Available(now, share)
+	missing := minCredits - q.Available(now, share)
 	if share == 0 {
 		return time.Time{}, false
 	}
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -15,7 +15,7 @@
 
 const confirmationTTL = 2 * time.Second
 
-// fleet simulates gateways that share the limit of one worker, and the store that lists them.
+// fleet simulates gateways that share the rate limit of one worker, and the store that lists them.
 type fleet struct {
 	now time.Time
 	// listed holds the names in the membership list of the store.
@@ -29,7 +29,7 @@
 	sentAt []time.Time
 }
 
-// message is a loan request, or the answer to one if lent is positive.
+// message is a loan request, or the response to one if lent is positive.
 type message struct {
 	borrower, lender string
 	serial           int64
@@ -38,7 +38,7 @@
 
 // requestLoan sends a loan request to all other gateways.
 func (f *fleet) requestLoan(g *gateway) {
-	if serial, allowed := g.loanRequests.Start(f.now, len(f.gateways)); allowed && !g.frozen {
+	if serial, allowed := g.loanRequests.Start(f.now, len(f.gateways)); allowed && !g.suspended {
 		for _, other := range f.gateways {
 			if other != g {
 				f.messages = append(f.messages, message{borrower: g.name, lender: other.name, serial: serial})
@@ -47,15 +47,15 @@
 	}
 }
 
-// deliver delivers a message to its receiver, unless that is frozen or gone, and keeps it in transit if duplicate is
-// set.
+// deliver delivers a message to its receiver, unless that is suspended or has stopped, and keeps it in transit if
+// duplicate is set.
 func (f *fleet) deliver(index int, duplicate bool) {
 	m := f.messages[index]
 	to := m.lender
 	if m.lent > 0 {
 		to = m.borrower
 	}
-	receiver := slices.IndexFunc(f.gateways, func(g *gateway) bool { return g.name == to && !g.frozen })
+	receiver := slices.IndexFunc(f.gateways, func(g *gateway) bool { return g.name == to && !g.suspended })
 	if receiver < 0 {
 		return
 	}
@@ -81,8 +81,8 @@
 	quota        *Quota
 	loanRequests *LoanRequests
 	loans        Loans
-	// frozen gateways do nothing; partitioned ones cannot reach the store.
-	frozen, partitioned bool
+	// suspended gateways do nothing; partitioned ones cannot reach the store.
+	suspended, partitioned bool
 	// knownRate is the last rate of the limit that it has learned.
 	knownRate float64
 }
@@ -105,7 +105,7 @@
 
 // readList makes a gateway read the current membership list.
 func (f *fleet) readList(g *gateway) {
-	if g.frozen || g.partitioned {
+	if g.suspended || g.partitioned {
 		return
 	}
 	f.accrue(g)
@@ -118,14 +118,14 @@
 
 // sendAll sends as many requests as a gateway may send.
 func (f *fleet) sendAll(g *gateway) {
-	for !g.frozen && (g.quota.Spend(f.now, f.share(g)) || g.loans.Spend(f.now)) {
+	for !g.suspended && (g.quota.Spend(f.now, f.share(g)) || g.loans.Spend(f.now)) {
 		f.sentAt = append(f.sentAt, f.now)
 	}
 }
 
 // learnRate tells a gateway the current rate.
 func (f *fleet) learnRate(g *gateway) {
-	if g.frozen || g.knownRate == f.rate {
+	if g.suspended || g.knownRate == f.rate {
 		return
 	}
 	f.accrue(g)
@@ -146,7 +146,7 @@
 	case 0:
 		f.startGateway()
 	case 1:
-		if g := pick(); !g.partitioned && !g.frozen {
+		if g := pick(); !g.partitioned && !g.suspended {
 			f.listed[g.name] = true
 		}
 	case 2:
@@ -154,7 +154,7 @@
 		delete(f.listed, pick().name)
 	case 3:
 		g := pick()
-		g.frozen = !g.frozen
+		g.suspended = !g.suspended
 	case 4:
 		g := pick()
 		g.partitioned = !g.partitioned
@@ -194,8 +194,8 @@
 	}
 }
 
-// TestNoWindowExceedsLimit checks the invariant of the package under starts, stops, freezes, partitions, stale lists
-// and lost registrations.
+// TestNoWindowExceedsLimit guards against windows with more requests than the package allows, under starts, stops,
+// suspensions, partitions, stale lists and lost registrations.
 func TestNoWindowExceedsLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.OneOf(rapid.SampledFrom([]float64{0.1, 0.4, 1.1, 2, 5.4}), rapid.Float64Range(0.1, 50)).Draw(t, "rate")
@@ -265,8 +265,8 @@
 	}
 }
 
-// TestShareMovesAfterHolderStops guards against two holders of a low limit, and against none once the old holder has
-// certainly stopped.
+// TestShareMovesAfterHolderStops guards against two holders of a low limit, and against none once the last confirmation
+// of the old holder has expired.
 func TestShareMovesAfterHolderStops(t *testing.T) {
 	f := settledFleet(9, 0.4)
 	currentHolder := func() *gateway {
@@ -293,7 +293,7 @@
 			f.readList(g)
 		}
 		if holder := currentHolder(); (holder != nil) != (f.now.Sub(stoppedAt) >= 2*confirmationTTL) {
-			t.Fatalf("%s after the holder stopped: held is %v", f.now.Sub(stoppedAt), holder != nil)
+			t.Fatalf("%s after the holder stopped, another gateway holds the limit: %t", f.now.Sub(stoppedAt), holder != nil)
 		}
 		f.now = f.now.Add(500 * time.Millisecond)
 	}
@@ -309,7 +309,7 @@
 				sum += g.holders.ConcurrencyShare(f.now, "rule/tenant", limit)
 			}
 			if want := max(limit, gateways); sum != want {
-				t.Errorf("%d gateways have %d places under a limit of %d, want %d", gateways, sum, limit, want)
+				t.Errorf("the shares of %d gateways sum to %d under a limit of %d, want %d", gateways, sum, limit, want)
 			}
 		}
 	}
