--- a/internal/retrybudget/retrybudget.go
+++ b/internal/retrybudget/retrybudget.go
@@ -15,26 +15,25 @@
 type Settings struct {
 	// Ratio is the allowed ratio of retries to requests within a window.
 	Ratio float64
-	// Allowance is the number of retries within a window that all gateways share in addition.
+	// Allowance is the number of retries within a window, in addition to Ratio, that all gateways share.
 	Allowance float64
 	// Window is the interval in which requests and retries are counted.
 	Window time.Duration
-	// Safety is the fraction, below 1, of Ratio and Allowance that is earned.
+	// Safety is the fraction of Ratio and Allowance that is earned, at most 1.
 	Safety float64
 }
 
-// DefaultSafety leaves room for credit stored from requests before the window, a fifth of the ratio under steady load,
-// and for retries that arrive some tenths of a second after they were granted: 0.8 * 1.2 = 0.96.
+// DefaultSafety keeps retries within Ratio and Allowance although credit earned before a window may be spent in it, and
+// retries may arrive some time after they were granted.
 const DefaultSafety = 0.8
 
 const (
 	// storedFraction is the fraction of the allowance that may be stored; the rest is earned over a window. A larger
-	// value absorbs larger bursts of failures but takes longer to refill: 0.8 would take four windows.
+	// value absorbs larger bursts of failures but takes longer to refill.
 	storedFraction = 0.5
 	// capacitySlots is how many slots, in addition to the current one, count requests towards the capacity. With
-	// slotsPerWindow slots in a window of 10 s these are 2 s. A larger value absorbs larger bursts but requires a
-	// lower Safety, which limits sustained retries. A new gateway without a share can store a whole retry from about 3
-	// requests per second.
+	// the current slot, they cover 2 s of a window of 10 s. A larger value absorbs larger bursts but requires a lower
+	// Safety, which limits sustained retries.
 	capacitySlots  = 19
 	slotsPerWindow = 100
 )
@@ -106,7 +105,7 @@
 	return true
 }
 
-// AddInitialCredit adds a fraction of the credit that may be stored of the whole allowance, up to the budget's own capacity.
+// AddInitialCredit adds a fraction of the storable part of the whole allowance, up to the capacity of the budget.
 func (b *Budget) AddInitialCredit(now time.Time, share, fraction float64) {
 	b.Accrue(now, share)
 	b.credits = min(b.credits+b.allowance(fraction)*storedFraction, b.capacity())
@@ -123,11 +122,11 @@
 	if now.After(b.updatedAt) {
 		b.updatedAt = now
 	}
-	b.advance(now)
+	b.advanceSlots(now)
 	b.credits = min(b.credits, b.capacity())
 }
 
-// allowance returns the retries that a share of the allowance is worth in a window.
+// allowance returns the retries per window that a share of the allowance permits.
 func (b *Budget) allowance(share float64) float64 {
 	return b.settings.Safety * b.settings.Allowance * share
 }
@@ -141,8 +140,8 @@
 	return b.allowance(b.share)*storedFraction + b.settings.Safety*b.settings.Ratio*float64(requests)
 }
 
-// advance moves the ring to the current slot and clears the slots in between.
-func (b *Budget) advance(now time.Time) {
+// advanceSlots moves the ring to the current slot and clears the slots in between.
+func (b *Budget) advanceSlots(now time.Time) {
 	slot := now.UnixNano() / int64(b.settings.Window/slotsPerWindow)
 	if slot <= b.currentSlot {
 		return
--- a/internal/retrybudget/retrybudget_test.go
+++ b/internal/retrybudget/retrybudget_test.go
@@ -10,8 +10,8 @@
 // epoch is the start time of the tests.
 var epoch = time.Unix(1000, 0)
 
-// TestNoWindowExceedsBudget checks the invariant of Budget under random arrivals and restarts, where a new process
-// does not know what the one before it spent.
+// TestNoWindowExceedsBudget guards against windows with more retries than Budget allows, under random arrivals and
+// restarts, where a new process does not know what the one before it spent.
 func TestNoWindowExceedsBudget(t *testing.T) {
 	settings := Settings{Ratio: 0.2, Allowance: 50, Window: 10 * time.Second, Safety: 1}
 	slot := settings.Window / slotsPerWindow
@@ -104,6 +104,7 @@
 	return count
 }
 
+// TestBudgetRefills guards against credit that refills faster or slower than the allowance, or beyond the capacity.
 func TestBudgetRefills(t *testing.T) {
 	budget := New(Settings{Ratio: 0, Allowance: 10, Window: 10 * time.Second, Safety: 1})
 	spend := func(offset time.Duration) int {
@@ -134,7 +135,9 @@
 	return share
 }
 
-func TestShareStartsOnceOthersKnow(t *testing.T) {
+// TestShareStartsOnceOthersHaveReadRegistration guards against a share that starts before the other gateways have read the
+// registration, or that outlives its last confirmation.
+func TestShareStartsOnceOthersHaveReadRegistration(t *testing.T) {
 	share := confirmedShare(4, 20*time.Second)
 	for offset, want := range map[time.Duration]float64{0: 0, 6900 * time.Millisecond: 0, 7 * time.Second: 0.25, 27 * time.Second: 0.25, 27100 * time.Millisecond: 0} {
 		if got := share.At(epoch.Add(offset)); got != want {
@@ -147,6 +150,8 @@
 	}
 }
 
+// TestFirstStartGetsShareImmediately guards against a new fleet that cannot retry at once, and against initial credit
+// after a gap in the confirmations.
 func TestFirstStartGetsShareImmediately(t *testing.T) {
 	share := NewShare(10 * time.Second)
 	share.SetGatewayCount(epoch, 4)
@@ -171,7 +176,7 @@
 		}
 	}
 	if since := share.Since(epoch.Add(time.Second)); !since.Equal(epoch) {
-		t.Errorf("the share has been in force since %s before the start", epoch.Sub(since))
+		t.Errorf("Since returned %s, want %s", since, epoch)
 	}
 	if fraction := share.ConfirmFirstStart(epoch.Add(8 * time.Second)); fraction != 0 {
 		t.Errorf("the initial fraction after a gap in the confirmations is %v, want 0", fraction)
@@ -181,6 +186,8 @@
 	}
 }
 
+// TestSharesOfDepartedGatewaysStayReserved guards against larger shares while a gateway that left the list may still
+// retry.
 func TestSharesOfDepartedGatewaysStayReserved(t *testing.T) {
 	share := confirmedShare(9, 40*time.Second)
 	left := epoch.Add(20 * time.Second)
@@ -193,12 +200,12 @@
 	}
 	share.SetGatewayCount(left.Add(15*time.Second), 9)
 	if gatewayCount := share.GatewayCount(left.Add(15 * time.Second)); gatewayCount != 9 {
-		t.Errorf("%d gateways after they came back, want 9", gatewayCount)
+		t.Errorf("%d gateways after they were listed again, want 9", gatewayCount)
 	}
 }
 
-// TestSharesSumToAtMostTheAllowance guards against shares of entries and standby gateways that exceed the allowance,
-// or waste much of it.
+// TestSharesSumToAtMostTheAllowance guards against shares of entries and standby gateways that sum to more than the
+// allowance, or to less than 0.9 of it.
 func TestSharesSumToAtMostTheAllowance(t *testing.T) {
 	for _, fleet := range []struct{ entries, serving int }{{1, 1}, {12, 12}, {6, 13}, {8, 88}, {12, 295}} {
 		sum := float64(fleet.entries)/float64(EffectiveGatewayCount(false, fleet.entries, fleet.serving)) +
--- a/internal/retrybudget/share.go
+++ b/internal/retrybudget/share.go
@@ -5,12 +5,11 @@
 	"time"
 )
 
-// confirmationFraction is how long a confirmed registration guarantees that the others count this gateway, as a
-// fraction of the window.
+// confirmationFraction is the confirmation TTL as a fraction of the window.
 const confirmationFraction = 0.7
 
-// freshnessFraction is the fraction of that time for which the membership list may be stale. The rest allows for slow
-// calls and for gateways that learn the list from another one, which adds a second.
+// freshnessFraction is the maximum age of the membership list as a fraction of the confirmation TTL. The rest allows for
+// slow calls and for the delay of lists received from another gateway.
 const freshnessFraction = 0.6
 
 // MaxListAge returns how stale the membership list may become without losing the share: 4.2 s for a window of 10 s.
@@ -20,7 +19,8 @@
 
 // Share is this gateway's share of the common allowance. It is not safe for concurrent use.
 //
-// The share is 1/n for the largest recent number of gateways n, and 0 while other gateways may not know this one. A
+// The share is 1/n for the largest recent number of gateways n, and 0 while other gateways may not have read the
+// registration of this one. A
 // gateway that starts or returns waits until every other gateway that still has a share has read its registration in
 // the store. A gateway that cannot confirm its registration gives up its share before the others divide by fewer. So a
 // partition never makes a share larger.
@@ -37,7 +37,7 @@
 	confirmedSince, lastConfirmed time.Time
 }
 
-// NewShare returns the share of a gateway that no other gateway knows yet.
+// NewShare returns the share of a gateway that is not registered yet.
 func NewShare(window time.Duration) *Share {
 	return &Share{window: window, gatewayCount: 1, pendingCount: 1}
 }
@@ -50,13 +50,13 @@
 	return time.Duration(confirmationFraction * float64(window))
 }
 
-// ConfirmFirstStart confirms the registration when the whole system starts for the first time, when no gateway still uses an
-// older list. A share that was never confirmed then applies at once, and the returned fraction of the total storable
-// credit is what its budgets start with; otherwise it is 0.
+// ConfirmFirstStart confirms the registration in a new fleet, in which no gateway uses an older list. A share that was
+// never confirmed then applies at once, and the returned fraction of the total storable credit is what its budgets start
+// with; otherwise it is 0.
 //
-// The fractions of all gateways sum to at most 1: the k-th gateway to register sees at least k gateways, and 1/2 + 1/6
-// + 1/12 + ... is 1. Starting with 1/k would be too much, as gateways that registered slightly earlier may have spent
-// what they stored under larger shares.
+// The fractions of all gateways sum to at most 1: the k-th gateway to register sees at least k gateways and starts with
+// at most 1/(k(k+1)). 1/k would exceed the allowance, as gateways that registered earlier may have spent what they stored
+// under larger shares.
 func (s *Share) ConfirmFirstStart(at time.Time) float64 {
 	if !s.confirmedSince.IsZero() {
 		s.Confirm(at)
@@ -132,12 +132,12 @@
 	return effectiveSince
 }
 
-// entriesFraction is the fraction of the allowance that goes to the entry gateways while others stand by. The rest is
+// entriesFraction is the fraction of the allowance that goes to the entries while there are standby gateways. The rest is
 // for callers that reach a standby gateway at an old address.
 const entriesFraction = 0.75
 
-// EffectiveGatewayCount returns the divisor that gives the share of a standby or an entry gateway, of a total of serving
-// gateways. The shares of all gateways sum to at most 1.
+// EffectiveGatewayCount returns the number n for which 1/n is the share of a standby gateway or of an entry, given the
+// number of entries and the total number of serving gateways. The shares of all gateways sum to at most 1.
 func EffectiveGatewayCount(standby bool, entries, total int) int {
 	switch {
 	case entries >= total:
