--- a/internal/tenantlimit/tenantlimit.go
+++ b/internal/tenantlimit/tenantlimit.go
@@ -15,21 +15,21 @@
 // Invariant: when Begin has admitted a request, the requests of that tenant under that rule do not exceed this
 // gateway's share of the limit.
 type Limiter struct {
-	// share returns this gateway's share of a limit.
-	share func(key string, limit int) int
+	// share returns this gateway's share of the limit with the given key.
+	share func(limitKey string, limit int) int
 
 	mu       sync.Mutex
 	inFlight map[key]int
 }
 
-// New returns a limiter without requests in flight. share returns this gateway's share of the limit with the given
-// key.
-func New(share func(key string, limit int) int) *Limiter {
+// New returns a limiter without requests in flight. share returns this gateway's share of the limit of a rule and tenant,
+// whose key is rule/tenant.
+func New(share func(limitKey string, limit int) int) *Limiter {
 	return &Limiter{share: share, inFlight: map[key]int{}}
 }
 
 // Begin counts a request, or returns false if the tenant has reached this gateway's share of the limit. A limit of
-// zero means no limit.
+// zero means no limit, and requests without a tenant are neither limited nor counted.
 func (l *Limiter) Begin(rule, tenant string, limit int) bool {
 	if tenant == "" {
 		return true
--- a/internal/tenantlimit/tenantlimit_test.go
+++ b/internal/tenantlimit/tenantlimit_test.go
@@ -6,7 +6,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestInFlightNeverExceedsShare checks the invariant of Limiter, and that ended requests make room for new ones.
+// TestInFlightNeverExceedsShare guards against more requests in flight than the share, and against ended requests that
+// keep occupying it.
 func TestInFlightNeverExceedsShare(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		share := rapid.IntRange(1, 9).Draw(t, "share")
@@ -22,7 +23,7 @@
 			}
 			granted := l.Begin("rule", tenant, limit)
 			if granted != (inFlight[tenant] < share) {
-				t.Fatalf("tenant %s with %d of %d requests in flight: granted %t", tenant, inFlight[tenant], share, granted)
+				t.Fatalf("tenant %s with %d of %d requests in flight: Begin returned %t, want %t", tenant, inFlight[tenant], share, granted, !granted)
 			}
 			if granted {
 				inFlight[tenant]++
@@ -31,6 +32,7 @@
 	})
 }
 
+// TestUnlimitedWithoutTenantOrLimit guards against rejecting requests that have no tenant or limit.
 func TestUnlimitedWithoutTenantOrLimit(t *testing.T) {
 	l := New(func(_ string, limit int) int { return limit })
 	for range 100 {
