--- a/internal/authority/authority.go
+++ b/internal/authority/authority.go
@@ -8,18 +8,18 @@
 
 // Settings configures an authority.
 type Settings struct {
-	// Handover is how long a new holder waits before its first order. Its predecessor may have given its last order
-	// just before its lease ended, and orders of two holders must be at least this far apart.
+	// Handover is how long a new holder waits before its first order. Its predecessor may have given its last order just
+	// before its lease ended, and the orders of two holders must be at least Handover apart.
 	Handover time.Duration
-	// CallHandover is how long a holder that did not hold the key recently waits before its first call to the
-	// platform: as long as a call of its predecessor may be in transit after the end of its lease. It may be shorter
-	// than Handover, as the platform rejects only holders that alternate.
+	// CallHandover replaces Handover for calls to the platform if the holder is a NewHolder. It covers calls of the
+	// predecessor that are still in transit when its lease ends. It may be shorter than Handover, as the platform
+	// rejects only holders that alternate.
 	CallHandover time.Duration
-	// Margin is how much earlier than the store a holder considers its lease expired.
-	Margin time.Duration
+	// ExpiryMargin is how much earlier than the store a holder considers its lease expired.
+	ExpiryMargin time.Duration
 	// TickInterval is how often Tick is called. A gap of more than twice as long means that the process was suspended.
 	TickInterval time.Duration
-	// ResumeDelay is how long, in addition to Margin, nothing is permitted after the process was suspended.
+	// ResumeDelay is how long, in addition to ExpiryMargin, orders and calls are denied after the process was suspended.
 	ResumeDelay time.Duration
 }
 
@@ -28,7 +28,7 @@
 	return Settings{
 		Handover:     3500 * time.Millisecond,
 		CallHandover: time.Second,
-		Margin:       700 * time.Millisecond,
+		ExpiryMargin: 700 * time.Millisecond,
 		TickInterval: 250 * time.Millisecond,
 		ResumeDelay:  300 * time.Millisecond,
 	}
@@ -36,12 +36,12 @@
 
 // Authority is the state of one process.
 //
-// Invariants: MayOrder and MayCall permit only while the lease of the key is valid at the store, whenever the process
-// was suspended before the call; MayOrder never permits within Handover of acquiring a key that another process held
+// Invariants: MayOrder and MayCall permit only while the lease of the key is valid at the store, even if the process was
+// suspended just before the call; MayOrder never permits within Handover of acquiring a key that another process held
 // before; and each acquisition of the key has a fence higher than all earlier ones.
 type Authority struct {
 	settings Settings
-	// lease is valid until validUntil by the own clock.
+	// lease is the ID of the current lease, which is valid until validUntil by the clock of this process.
 	lease      int64
 	validUntil time.Time
 	// keyLease is the lease that the key is bound to; zero if the key is not held.
@@ -66,9 +66,9 @@
 }
 
 // Restored records that the store was restored from a backup. Another process may have acquired the key after the
-// backup was made, and continues until its lease ends by its own clock or it learns of the restore. So nothing is
-// permitted until the store has reported who holds the key, and a holder that acquires it from now on also waits for
-// that lease to end.
+// backup was made. It acts until its lease ends by its clock or until it learns of the restore. So orders and calls are
+// denied until the store has reported who holds the key, and a holder that acquires it from now on waits until the TTL
+// and Handover have passed since the restore.
 func (a *Authority) Restored(now time.Time) { a.restoredAt, a.needsConfirmation = now, true }
 
 // Confirmed records that this process holds the key in the restored store, with its current fence.
@@ -87,9 +87,9 @@
 	First
 )
 
-// Acquired records that the key was written with a lease, at the revision that is its fence.
-func (a *Authority) Acquired(now time.Time, lease, revision int64, succession Succession) {
-	a.keyLease, a.fence = lease, revision
+// Acquired records that the key was written with a lease. The fence is the revision of that write.
+func (a *Authority) Acquired(now time.Time, lease, fence int64, succession Succession) {
+	a.keyLease, a.fence = lease, fence
 	previousCallFrom := a.callFrom
 	a.orderFrom, a.callFrom = now.Add(a.settings.Handover), now.Add(a.settings.Handover)
 	switch succession {
@@ -126,7 +126,7 @@
 // Tick detects that the process was suspended. Call it every TickInterval.
 func (a *Authority) Tick(now time.Time) {
 	if !a.lastTick.IsZero() && now.Sub(a.lastTick) > 2*a.settings.TickInterval {
-		a.postpone(now.Add(a.settings.ResumeDelay + a.settings.Margin))
+		a.postpone(now.Add(a.settings.ResumeDelay + a.settings.ExpiryMargin))
 	}
 	a.lastTick = now
 }
@@ -144,13 +144,13 @@
 // permitted reports whether the lease is valid, the handover is over, and the process was not suspended recently.
 func (a *Authority) permitted(now, from time.Time) (int64, bool) {
 	a.Tick(now)
-	if !a.Holds() || a.needsConfirmation || now.Before(from) || now.Before(a.pausedUntil) || !now.Add(a.settings.Margin).Before(a.validUntil) {
+	if !a.Holds() || a.needsConfirmation || now.Before(from) || now.Before(a.pausedUntil) || !now.Add(a.settings.ExpiryMargin).Before(a.validUntil) {
 		return 0, false
 	}
 	return a.fence, true
 }
 
-// postpone permits nothing before the given time.
+// postpone denies all orders and calls before the given time.
 func (a *Authority) postpone(until time.Time) {
 	if until.After(a.pausedUntil) {
 		a.pausedUntil = until
--- a/internal/authority/authority_test.go
+++ b/internal/authority/authority_test.go
@@ -1,6 +1,7 @@
 package authority
 
 import (
+	"fmt"
 	"slices"
 	"testing"
 	"time"
@@ -13,6 +14,8 @@
 
 const ttl = 3 * time.Second
 
+// TestOrdersRequireValidLeaseAndHandover guards against orders without the key, within the handover, or near the end of
+// the lease.
 func TestOrdersRequireValidLeaseAndHandover(t *testing.T) {
 	settings := DefaultSettings()
 	a := New(settings)
@@ -50,6 +53,7 @@
 	}
 }
 
+// TestSuspendedProcessWaits guards against an order by a process that was suspended and may have lost the key meanwhile.
 func TestSuspendedProcessWaits(t *testing.T) {
 	a := New(DefaultSettings())
 	a.Leased(epoch, 1, time.Hour)
@@ -72,12 +76,13 @@
 // decreasing fences, under suspended processes, lost renewals and expired leases. The clock includes suspended time.
 func TestTwoHoldersNeverAlternateWithinLease(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		if violation := simulateTurns(t, true); violation != "" {
+		if violation := simulateHolders(t, true); violation != "" {
 			t.Fatal(violation)
 		}
 	})
 }
 
+// TestFirstHolderDoesNotWait guards against a delay in a new fleet, where no earlier holder can act.
 func TestFirstHolderDoesNotWait(t *testing.T) {
 	a := New(DefaultSettings())
 	a.Leased(epoch, 1, ttl)
@@ -156,9 +161,9 @@
 	})
 }
 
-// simulateTurns runs two processes on one key that are suspended at random, and returns a description of the first
+// simulateHolders runs two processes on one key that are suspended at random, and returns a description of the first
 // violation of the order of holders. The clocks of the processes include suspended time if clockIncludesSuspend is set.
-func simulateTurns(t *rapid.T, clockIncludesSuspend bool) string {
+func simulateHolders(t *rapid.T, clockIncludesSuspend bool) string {
 	settings := DefaultSettings()
 	processes := []*Authority{New(settings), New(settings)}
 	suspended, suspendedUntil := make([]time.Duration, 2), make([]time.Time, 2)
@@ -200,10 +205,10 @@
 				continue
 			}
 			if i != lastHolder && lastHolder >= 0 && now.Sub(lastOrder) < ttl {
-				return "orders of different holders within " + now.Sub(lastOrder).String()
+				return fmt.Sprintf("processes %d and %d gave orders within %s", lastHolder, i, now.Sub(lastOrder))
 			}
 			if fence < lastFence {
-				return "a fence decreased"
+				return fmt.Sprintf("the fence decreased from %d to %d at process %d", lastFence, fence, i)
 			}
 			lastOrder, lastHolder, lastFence = now, i, fence
 		}
@@ -211,12 +216,12 @@
 	return ""
 }
 
-// TestClockWithoutSuspendedTimeIsDetected shows that the property above can fail: holders alternate if their clocks
-// exclude suspended time.
+// TestClockWithoutSuspendedTimeIsDetected guards against a TestTwoHoldersNeverAlternateWithinLease that cannot fail:
+// holders alternate if their clocks exclude suspended time.
 func TestClockWithoutSuspendedTimeIsDetected(t *testing.T) {
 	found := false
 	for seed := range 200 {
-		found = found || rapid.Custom(func(t *rapid.T) string { return simulateTurns(t, false) }).Example(seed) != ""
+		found = found || rapid.Custom(func(t *rapid.T) string { return simulateHolders(t, false) }).Example(seed) != ""
 	}
 	if !found {
 		t.Error("no simulation of 200 shows holders that alternate")
@@ -224,7 +229,7 @@
 }
 
 // TestReacquiringHolderWaitsForEarlierHolders guards against a holder that loses the key and acquires it again while
-// it waits for an earlier holder: it must not shorten that wait. TestHoldersNeverCallInTurns found this case.
+// it waits for an earlier holder: it must not shorten that wait.
 func TestReacquiringHolderWaitsForEarlierHolders(t *testing.T) {
 	settings := DefaultSettings()
 	at := func(ms int) time.Time { return epoch.Add(time.Duration(ms) * time.Millisecond) }
@@ -238,6 +243,7 @@
 	a.Leased(at(2000), 4, ttl)
 	a.Acquired(at(2000), 4, 4, NewHolder)
 	for ms := 2000; ms < 1750+int(settings.Handover.Milliseconds()); ms += 50 {
+		// Skip the detection of suspension.
 		a.lastTick = time.Time{}
 		a.Leased(at(ms), 4, ttl)
 		if _, allowed := a.MayCall(at(ms)); allowed {
--- a/internal/authority/restored_test.go
+++ b/internal/authority/restored_test.go
@@ -13,6 +13,7 @@
 	a.Leased(epoch, 1, time.Hour)
 	a.Acquired(epoch, 1, 42, First)
 	check := func(at time.Time) (bool, bool) {
+		// Skip the detection of suspension.
 		a.lastTick = time.Time{}
 		_, order := a.MayOrder(at)
 		_, call := a.MayCall(at)
@@ -20,11 +21,11 @@
 	}
 	now := epoch.Add(time.Minute)
 	if order, call := check(now); !order || !call {
-		t.Fatal("a holder may not act before the restore")
+		t.Fatalf("before the restore: order %t, call %t, want both", order, call)
 	}
 	a.Restored(now)
 	if order, call := check(now); order || call {
-		t.Error("a holder may act before it is known who holds the key")
+		t.Errorf("before it is known who holds the key: order %t, call %t, want neither", order, call)
 	}
 	a.Confirmed(1 << 40)
 	if order, call := check(now); !order || !call || a.Fence() != 1<<40 {
@@ -44,6 +45,7 @@
 		from := epoch.Add(ttl + settings.Handover)
 		for _, offset := range []time.Duration{-time.Millisecond, time.Millisecond} {
 			at := from.Add(offset)
+			// Skip the detection of suspension.
 			a.lastTick = time.Time{}
 			a.Leased(at, 1, ttl)
 			_, order := a.MayOrder(at)
