--- a/internal/store/era.go
+++ b/internal/store/era.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// isFromLaterEra reports whether the snapshot was taken after a restore of the store that the replica does not know of
-// yet. The caller holds the mutex.
+// isFromLaterEra reports whether the snapshot is of a later era than the replica, so that the store was restored in
+// between. The caller holds the mutex.
 func (r *Replica) isFromLaterEra(snapshot Snapshot) bool {
 	return r.table != nil && snapshot.Revision.Era() > r.revision.Era()
 }
@@ -14,14 +14,16 @@
 	return r.table != nil && revision.Era() < r.revision.Era()
 }
 
-// adoptEra replaces all items with a snapshot of a later era. Items that the snapshot lacks are gone until their owners
-// write them again. Standby gateways that still know the earlier era get full changes. The caller holds the mutex.
+// adoptEra replaces all items with a snapshot of a later era. Items that the snapshot lacks are missing until their
+// owners write them again. A standby gateway that requests changes after a revision of the earlier era gets full changes.
+// The caller holds the mutex.
 func (r *Replica) adoptEra(snapshot Snapshot) {
 	r.table, r.historyStart = newTable(eventsOf(snapshot.Items)), snapshot.Revision
 	r.gapStart, r.gapEnd = 0, 0
 }
 
-// ResolveEra adds the era to all revisions, which are encoded without it: the era that the sender named, or else localEra.
+// ResolveEra sets the era of all revisions, which are encoded without one: to c.Era if that is present and valid, and to
+// localEra otherwise.
 func (c *Changes) ResolveEra(localEra int64) {
 	era := resolveEra(c.Era, localEra)
 	c.Revision = c.Revision.withEra(era)
@@ -33,7 +35,8 @@
 	}
 }
 
-// ResolveEra adds the era to all revisions, which are encoded without it: the era that the sender named, or else localEra.
+// ResolveEra sets the era of all revisions, which are encoded without one: to s.Era if that is present and valid, and to
+// localEra otherwise.
 func (s *Snapshot) ResolveEra(localEra int64) {
 	era := resolveEra(s.Era, localEra)
 	s.Revision = s.Revision.withEra(era)
--- a/internal/store/era_test.go
+++ b/internal/store/era_test.go
@@ -9,8 +9,8 @@
 	"github.com/granitebay/granitebay/internal/boottime"
 )
 
-// TestRevisionOrder checks that revisions and fences are ordered by era and number, and that only the number is
-// encoded.
+// TestRevisionOrder guards against revisions and fences that are not ordered by era and number, and against encoding the
+// era.
 func TestRevisionOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		draw := func(name string) (era, number int64, revision Revision) {
@@ -46,8 +46,8 @@
 // itemInEra returns an item with a revision in an era.
 func itemInEra(era int64, key string, number int64) Item { return item(key, NewRevision(era, number)) }
 
-// TestReplicaAdoptsLaterEra checks that after a restore with lower revision numbers a replica drops missing items,
-// applies new changes and ignores late data of the earlier era.
+// TestReplicaAdoptsLaterEra guards against a replica that, after a restore with lower revision numbers, keeps missing
+// items, ignores new changes or applies late data of the earlier era.
 func TestReplicaAdoptsLaterEra(t *testing.T) {
 	replica, recorded := newShardedReplica(&fakeStore{}, 0)
 	replica.replace(Snapshot{Items: []Item{itemInEra(1, "a", 30), itemInEra(1, "b", 31)}, Revision: NewRevision(1, 31)})
@@ -73,7 +73,8 @@
 	}
 }
 
-// TestRequestFromEarlierEraGetsFullChanges sends requests of different eras to a replica that has seen a restore.
+// TestRequestFromEarlierEraGetsFullChanges guards against serving a request of an earlier era with the changes of the
+// later one only.
 func TestRequestFromEarlierEraGetsFullChanges(t *testing.T) {
 	replica, _ := newShardedReplica(&fakeStore{}, 0)
 	replica.replace(Snapshot{Items: []Item{itemInEra(1, "a", 30)}, Revision: NewRevision(1, 31)})
@@ -96,8 +97,8 @@
 	}
 }
 
-// TestChangesAndSnapshotsCarryEra checks that revisions keep their era when sent as JSON, and that data from a build
-// without eras gets the local era.
+// TestChangesAndSnapshotsCarryEra guards against revisions that lose their era when sent as JSON, and against data of a
+// build without eras that does not get the local era.
 func TestChangesAndSnapshotsCarryEra(t *testing.T) {
 	sent := Changes{
 		Revision: NewRevision(3, 9), Era: eraPointer(NewRevision(3, 9)), GapStart: NewRevision(3, 2), GapEnd: NewRevision(3, 7),
--- a/internal/store/feed.go
+++ b/internal/store/feed.go
@@ -10,36 +10,36 @@
 	"github.com/granitebay/granitebay/internal/boottime"
 )
 
-// Changes is the response of a gateway that follows the store to a request for changes.
+// Changes is the response of an entry to a request for changes.
 type Changes struct {
-	// Full reports that Changed contains every item, since the history after the requested revision is unknown.
+	// Full reports that Changed contains all items, because the sender does not know all changes after the requested
+	// revision.
 	Full bool `json:"full,omitempty"`
 	// Changed holds the latest change of each changed item, ordered by revision.
 	Changed []Event `json:"changed,omitempty"`
 	// Revision is the revision up to which the changes are complete.
 	Revision Revision `json:"revision"`
-	// Era is the era of all revisions, which are encoded without it; nil if the sender does not name it.
+	// Era is the era of all revisions, which are encoded without one; nil if the sender does not support eras.
 	Era *int64 `json:"era,omitempty"`
 	// StoreUnavailable reports that the sender's calls to the store fail.
 	StoreUnavailable bool `json:"storeLost,omitempty"`
-	// GapStart and GapEnd delimit revisions, both exclusive, between which the sender may have missed items that were
-	// created and deleted. The changes then start after GapStart, and items that the receiver knows from within the gap
-	// and that are not among the changes are deleted.
+	// GapStart and GapEnd delimit, both exclusive, the revisions whose changes the sender knows only from a list. Changed
+	// then starts at the latest after GapStart. The receiver must delete its items that were last changed in the gap and
+	// that Changed lacks.
 	GapStart Revision `json:"after,omitempty"`
 	GapEnd   Revision `json:"until,omitempty"`
 	// Shards is the number of shards that the sharded items are divided into; the changes contain those of one shard.
 	// FullShard reports that all items of that shard are included, since the receiver requested another number.
 	Shards    int  `json:"shards,omitempty"`
 	FullShard bool `json:"whole,omitempty"`
-	// Deferrable reports that all changes may be sent late, as no process waits for new worker records and
-	// registrations.
+	// Deferrable reports that all changes are new worker records or registrations, which may be sent late.
 	Deferrable bool `json:"-"`
 	// StoreSilence is the time in milliseconds since the store last answered a call of the sender; nil if it never did
 	// or the sender does not report it. A sender that was partitioned from the store only notices when a call times
 	// out.
 	StoreSilence *int64 `json:"unansweredMs,omitempty"`
-	// Age is the time in milliseconds since the sender certainly knew all changes; nil if it never did or does not
-	// report it.
+	// Age is the time in milliseconds since the moment up to which the sender knows all changes; nil if there is none or
+	// the sender does not report it.
 	Age *int64 `json:"ageMs,omitempty"`
 	// Entries names the gateways to which the sender directs callers.
 	Entries []string `json:"entries"`
@@ -47,17 +47,16 @@
 	Live []string `json:"sound"`
 }
 
-// ChangesRequest asks a gateway that follows the store for changes.
+// ChangesRequest requests changes from an entry.
 type ChangesRequest struct {
 	// After is the revision up to which the requester knows all changes.
 	After Revision
-	// EraUnknown reports that the requester does not name the era of After, which is then taken to be that of the
-	// responder.
+	// EraUnknown reports that the requester does not support eras. After is then taken to be of the responder's era.
 	EraUnknown bool
 	// Wait is how long the response may be delayed until there is a change.
 	Wait time.Duration
-	// Shards is the number of shards of which the requester holds the one that ShardHash selects. Zero means that it
-	// holds no sharded items, and only the other items up to the key ListedThrough.
+	// Shards is the number of shards by which the requester divides the sharded items; it holds the shard that ShardHash
+	// selects. Zero means that it holds no sharded items, and only the other items up to the key ListedThrough.
 	Shards        int
 	ShardHash     uint64
 	ListedThrough string
@@ -69,22 +68,23 @@
 
 // Feed provides changes of the store from other processes.
 type Feed interface {
-	// Next returns the changes as soon as there are any, or after the wait. It returns ErrNoUpstream if no reachable
-	// process follows the store.
+	// Next returns the changes as soon as there are any, or after the wait. It returns ErrNoUpstream if no entry is
+	// reachable.
 	Next(ctx context.Context, request ChangesRequest) (Changes, error)
 }
 
-// ErrNoUpstream is returned by a feed when no process provided changes.
+// ErrNoUpstream is returned by a feed when no upstream provided changes. An upstream is an entry that other gateways get
+// changes from.
 var ErrNoUpstream = errors.New("request changes from other gateways: no gateway that follows the store answered")
 
-// errUpstreamLostStore is passed to the consumer when the queried gateway cannot reach the store.
-var errUpstreamLostStore = errors.New("request changes from other gateways: they cannot reach the store")
+// errUpstreamStoreUnavailable is passed to the consumer when the upstream cannot reach the store.
+var errUpstreamStoreUnavailable = errors.New("request changes from other gateways: the upstream cannot reach the store")
 
 // Wait times of a replica that follows a feed.
 const (
-	// feedPollWait is the wait of a request to a feed. It ensures that a dead or frozen upstream is noticed within 1.5
-	// s, a third of the shortest configurable configuration age. It is shorter than the heartbeat timeout of gateways:
-	// each response lists the live entries, without which standby gateways would replace them.
+	// feedPollWait is the wait of a request to a feed. It bounds the time to notice a failed upstream. It is shorter than
+	// the heartbeat timeout of gateways: each response lists the live entries, and a standby gateway replaces entries
+	// that are not reported live in time.
 	feedPollWait = 700 * time.Millisecond
 	// standbyWatchWait is the wait of a watch by a standby process that has no feed, and so the time until it retries
 	// the feed.
@@ -98,7 +98,7 @@
 // Run.
 func (r *Replica) SetFeed(feed Feed) { r.feed = feed }
 
-// pollFeed requests the next changes from the feed and applies them.
+// pollFeed requests the next changes from the feed and applies them. It keeps MinFeedInterval between requests.
 func (r *Replica) pollFeed(ctx context.Context, wait time.Duration) error {
 	sleep(ctx, time.Until(r.lastFeedPoll.Add(r.settings.MinFeedInterval)))
 	started := boottime.Now()
@@ -131,7 +131,7 @@
 	}
 	r.feedAnsweredAt = boottime.Now()
 	if changes.StoreUnavailable {
-		r.consumer.StoreUnavailable(errUpstreamLostStore)
+		r.consumer.StoreUnavailable(errUpstreamStoreUnavailable)
 	}
 	if changes.Full || changes.FullShard {
 		r.replace(r.snapshotOf(changes))
@@ -139,7 +139,7 @@
 		r.consumer.Apply(newer)
 	}
 	if !changes.StoreUnavailable {
-		// The upstream sent all changes after the local revision, including any that a failed watch missed.
+		// The upstream sent all changes after the local revision, so a failed watch requires no list.
 		r.mustList = false
 		r.consumer.UpToDate(r.advanceCurrentAsOf(changes.currentAsOf(started)))
 	}
@@ -167,11 +167,11 @@
 	return deletions
 }
 
-// queryLister requests the changes that the store has compacted from the gateway that lists the store on behalf of all
-// others, since listing the items of a large fleet takes dozens of calls. It returns whether the changes were applied.
+// queryLister requests the changes that the store no longer holds from the lister: the entry that lists the store on
+// behalf of all, since listing the items of a large fleet takes dozens of calls. It does nothing for standby processes,
+// which have their own upstreams and would overload the lister. It reports whether the changes were applied.
 func (r *Replica) queryLister(ctx context.Context) bool {
 	if r.feed == nil || r.lister == nil || r.standby.Load() {
-		// Standby processes have their own upstreams; the lister cannot serve hundreds of them.
 		return false
 	}
 	lister, isOwn := r.lister()
@@ -195,8 +195,8 @@
 // and whether it is this one. It must be called before Run.
 func (r *Replica) SetLister(lister func() (name string, isOwn bool)) { r.lister = lister }
 
-// currentAsOf returns the time as of which the changes are certainly complete, given when their request was sent; zero
-// if unknown. The sender determined its age after that, so the result is a lower bound.
+// currentAsOf returns the time up to which all changes are known, given when their request was sent; zero if unknown. The
+// sender determined Age after that, so the result is never too late.
 func (c Changes) currentAsOf(started time.Time) time.Time {
 	if c.Age == nil {
 		return time.Time{}
@@ -231,8 +231,8 @@
 	return snapshot
 }
 
-// Changes returns the changes that the requester lacks, or false if the replica does not follow the store itself or
-// does not hold all shards.
+// Changes returns the changes that the requester lacks. It returns false if this process is standby, the replica does not
+// hold all items, or the request is of a later era.
 func (r *Replica) Changes(request ChangesRequest) (Changes, bool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -255,8 +255,8 @@
 	}
 	changes.Deferrable = true
 	if request.After < r.gapEnd {
-		// A requester whose revision is before the gap may still hold items from within it, if it got them from another
-		// upstream and its revision then went back with the full changes of a less current one.
+		// A requester may hold items from within the gap although its revision is before it: full changes from a less
+		// current upstream lower its revision.
 		changes.GapStart, changes.GapEnd = r.gapStart, r.gapEnd
 	}
 	if request.After > r.gapStart && request.After < r.gapEnd {
@@ -266,15 +266,15 @@
 	for event := range r.table.after(request.After) {
 		if !r.isSharded(event.Key) || inShard(event.Key, request.ShardHash, changes.Shards) {
 			changes.Changed = append(changes.Changed, event)
-			changes.Deferrable = changes.Deferrable && r.isDeferrableForStandbys(event)
+			changes.Deferrable = changes.Deferrable && r.mayReachStandbysLate(event)
 		}
 	}
 	return changes, true
 }
 
-// isDeferrableForStandbys reports whether an event may be sent to standby gateways late: the first change of a worker
-// record or of a key that Deferrable selects. The caller holds the mutex.
-func (r *Replica) isDeferrableForStandbys(event Event) bool {
+// mayReachStandbysLate reports whether an event may be sent to standby gateways late: the first change of a worker record
+// or of a key that Deferrable selects. The caller holds the mutex.
+func (r *Replica) mayReachStandbysLate(event Event) bool {
 	isEligible := r.isSharded(event.Key) || (r.settings.Deferrable != nil && r.settings.Deferrable(event.Key))
 	return isEligible && !event.Deleted && r.table.isFirstChange(event.Key)
 }
@@ -295,13 +295,12 @@
 	return events
 }
 
-// millisecondsSince returns the time since a moment, rounded up so that ages are never understated; nil for the zero
-// time.
-func millisecondsSince(moment, now time.Time) *int64 {
-	if moment.IsZero() {
+// millisecondsSince returns the time since start, rounded up so that ages are never understated; nil for the zero time.
+func millisecondsSince(start, now time.Time) *int64 {
+	if start.IsZero() {
 		return nil
 	}
-	elapsed := now.Sub(moment).Milliseconds() + 1
+	elapsed := now.Sub(start).Milliseconds() + 1
 	return &elapsed
 }
 
--- a/internal/store/feed_test.go
+++ b/internal/store/feed_test.go
@@ -39,8 +39,8 @@
 	f.next = next
 }
 
-// TestStandbyWatchesStoreOnlyWithoutFeed checks that a standby replica watches the store only after its feed has
-// stopped providing changes.
+// TestStandbyWatchesStoreOnlyWithoutFeed guards against every standby gateway watching the store while its feed provides
+// changes.
 func TestStandbyWatchesStoreOnlyWithoutFeed(t *testing.T) {
 	store := &fakeStore{
 		lists:  []func() ([]Item, Revision, error){listResult(5, item("a", 3))},
@@ -55,6 +55,7 @@
 		if after < 8 {
 			return Changes{Changed: []Event{{Item: item("b", 7)}, {Item: item("a", 8), Deleted: true}}, Revision: 8}, nil
 		}
+		// An older revision must not lower that of the replica.
 		return Changes{Revision: 4}, nil
 	})
 	replica.SetFeed(feed)
@@ -89,8 +90,8 @@
 	recorded.eventually(t, "b=7 c=9")
 }
 
-// TestReplicaUsesFeedWhileStoreIsBusy checks that an entry whose calls to the store fail gets changes from its feed and
-// reports the failure in its own responses.
+// TestReplicaUsesFeedWhileStoreIsBusy guards against an entry that gets no changes from its feed while its calls to the
+// store fail, or does not report the failure in its own responses.
 func TestReplicaUsesFeedWhileStoreIsBusy(t *testing.T) {
 	store := &fakeStore{
 		lists: []func() ([]Item, Revision, error){
@@ -123,7 +124,7 @@
 	}
 }
 
-// TestStaleListKeepsNewerItems checks that a list that is older than the replica does not revert items.
+// TestStaleListKeepsNewerItems guards against a list that is older than the replica and reverts items.
 func TestStaleListKeepsNewerItems(t *testing.T) {
 	recorded := &recorder{}
 	replica := NewReplica(nil, "", DefaultReplicaSettings(), recorded, nil)
@@ -134,9 +135,9 @@
 	}
 }
 
-// TestFeedFollowerConverges applies random changes, lists and restarts to two upstreams that are up to date at
-// different times. A follower that polls both must end with the items of the store, and its revision must never
-// decrease except with full changes.
+// TestFeedFollowerConverges guards against a follower of two upstreams that ends with other items than the store has, or
+// whose revision decreases without full changes. Random changes, lists and restarts make the upstreams current at
+// different times.
 func TestFeedFollowerConverges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var history []Event
@@ -209,8 +210,7 @@
 	})
 }
 
-// TestTombstonesAreBounded checks that the memory for deleted items is bounded in a fleet whose workers are replaced
-// often.
+// TestTombstonesAreBounded guards against unbounded memory for deleted items in a fleet whose workers are replaced often.
 func TestTombstonesAreBounded(t *testing.T) {
 	replica := NewReplica(nil, "", DefaultReplicaSettings(), &recorder{}, nil)
 	replica.replace(Snapshot{Revision: 1})
--- a/internal/store/freshness_test.go
+++ b/internal/store/freshness_test.go
@@ -48,8 +48,8 @@
 
 func (r *asOfRecorder) UpToDate(asOf time.Time) { r.asOf = append(r.asOf, asOf) }
 
-// TestIdleStoreIsWatchedWithinMaxStaleness checks the waits of watches and the times passed to UpToDate when nothing
-// changes.
+// TestIdleStoreIsWatchedWithinMaxStaleness guards against an idle replica whose data is reported older than the staleness
+// bound.
 func TestIdleStoreIsWatchedWithinMaxStaleness(t *testing.T) {
 	idle, recorded := &idleStore{}, &asOfRecorder{}
 	replica := NewReplica(idle, "", DefaultReplicaSettings(), recorded, nil)
@@ -72,18 +72,18 @@
 	replica.SetMaxStaleness(0)
 	replica.ShortenNextWatch()
 	if err := replica.step(t.Context()); err != nil || idle.waits[2] != minWatchWait {
-		t.Errorf("after Hasten a watch waited %s: %v", idle.waits[2], err)
+		t.Errorf("after ShortenNextWatch a watch waited %s, want %s: %v", idle.waits[2], minWatchWait, err)
 	}
 	idle.fail = true
 	if replica.step(t.Context()) == nil || replica.step(t.Context()) != nil {
 		t.Fatal("want an error from the failed watch and none from the following list")
 	}
 	if last := recorded.asOf[len(recorded.asOf)-1]; !last.Equal(recorded.asOf[3]) {
-		t.Error("a failed watch and a list advanced the time of currency")
+		t.Errorf("a failed watch and a list advanced the time up to which changes are known from %s to %s", recorded.asOf[3], last)
 	}
 }
 
-// TestCompleteAsOf checks which moment the response of a watch covers.
+// TestCompleteAsOf guards against reporting changes as complete up to a later time than the store ensured.
 func TestCompleteAsOf(t *testing.T) {
 	started, wait := time.Unix(1000, 0), 5*time.Second
 	for _, test := range []struct {
@@ -103,7 +103,8 @@
 	}
 }
 
-// TestFollowerIsNoFresherThanUpstream checks that a follower takes over the age of the upstream's items.
+// TestFollowerIsNoFresherThanUpstream guards against a follower that reports its items as fresher than those of its
+// upstream.
 func TestFollowerIsNoFresherThanUpstream(t *testing.T) {
 	upstream := NewReplica(&idleStore{}, "", DefaultReplicaSettings(), &asOfRecorder{}, nil)
 	if err := upstream.step(t.Context()); err != nil {
@@ -128,6 +129,6 @@
 	}
 	changes.Age = nil
 	if err := follower.pollFeed(t.Context(), time.Second); err != nil || !recorded.asOf[1].Equal(recorded.asOf[0]) {
-		t.Errorf("a response without an age advanced the time of currency: %v", err)
+		t.Errorf("a response without an age advanced the time up to which changes are known: %v", err)
 	}
 }
--- a/internal/store/instrumented.go
+++ b/internal/store/instrumented.go
@@ -8,7 +8,8 @@
 // Call identifies a store operation.
 type Call string
 
-// Store operations as reported to observers. List and ListUntil are both reported as CallList.
+// Store operations as reported to observers. List and ListUntil are both reported as CallList, and KeepAlive as
+// CallRenew.
 const (
 	CallList   Call = "list"
 	CallWatch  Call = "watch"
--- a/internal/store/pause.go
+++ b/internal/store/pause.go
@@ -8,11 +8,11 @@
 	"github.com/granitebay/granitebay/internal/ctxsleep"
 )
 
-// maxPauseFraction bounds the pause by the number of readers to a fraction of the propagation bound, which it would
-// exceed in fleets of thousands.
+// maxPauseFraction bounds the pause, which grows with the number of readers, to a fraction of the propagation bound.
 const maxPauseFraction = 0.1
 
-// stretchPause extends a pause by the number of readers, within the propagation bound.
+// stretchPause returns the given pause, or one that grows with the number of readers within a fraction of the propagation
+// bound if that is longer.
 func (r *Replica) stretchPause(pause time.Duration) time.Duration {
 	stretched := time.Duration(r.readers.Load()) * pausePerReader
 	if bound := r.propagationBound.Load(); bound > 0 {
@@ -21,7 +21,8 @@
 	return max(pause, stretched)
 }
 
-// batchPause returns the pause after events that were not recorded yet. When all processes of a large fleet start at
+// batchPause returns the pause after the events of a watch. It must be called before they are recorded. When all processes
+// of a large fleet start at
 // once, every registration and new record is a change for all of them: without a longer pause, the number of calls
 // would grow with the square of the fleet size. The pause delays only later changes.
 func (r *Replica) batchPause(events []Event) time.Duration {
@@ -30,7 +31,7 @@
 	}
 	pause := r.stretchPause(r.settings.BatchPause)
 	for _, event := range events {
-		if !r.isDeferrable(event) {
+		if !r.mayDelayNextWatch(event) {
 			return pause
 		}
 	}
@@ -38,9 +39,9 @@
 	return max(pause, min(deferrablePause, r.settings.MaxDeferrablePause))
 }
 
-// isDeferrable reports whether changes after this one may be delayed: this process is standby, or the event is of a new
+// mayDelayNextWatch reports whether changes after this one may be delayed: this process is standby, or the event is of a new
 // item or of a key that Deferrable selects. A starting fleet produces many such events, and no process waits for them.
-func (r *Replica) isDeferrable(event Event) bool {
+func (r *Replica) mayDelayNextWatch(event Event) bool {
 	if r.standby.Load() {
 		return true
 	}
@@ -58,4 +59,4 @@
 }
 
 // sleep waits for a duration or until the context ends.
-func sleep(ctx context.Context, lasting time.Duration) { ctxsleep.Sleep(ctx, lasting) }
+func sleep(ctx context.Context, duration time.Duration) { ctxsleep.Sleep(ctx, duration) }
--- a/internal/store/replica.go
+++ b/internal/store/replica.go
@@ -19,8 +19,8 @@
 	BatchPause time.Duration
 	// Deferrable reports whether changes of a key may be delayed. Nil means none.
 	Deferrable func(key string) bool
-	// DeferrablePausePerReader is the pause after changes that are all deferrable, for each process that watches the
-	// store. MaxDeferrablePause limits the total.
+	// DeferrablePausePerReader, multiplied by the number of processes that watch the store, is the pause after changes
+	// that are all deferrable. MaxDeferrablePause limits it.
 	DeferrablePausePerReader time.Duration
 	MaxDeferrablePause       time.Duration
 	// MinRetryPause and MaxRetryPause bound the pause after a failed call, which doubles each time and is jittered.
@@ -62,8 +62,8 @@
 	Apply(events []Event)
 	// StoreUnavailable reports that the store failed; the items may be out of date from now on.
 	StoreUnavailable(err error)
-	// UpToDate reports that all changes that the store sent have been passed on, and the time by boottime as of which
-	// these are certainly complete, allowing for responses that were delayed. The time is zero while unknown.
+	// UpToDate reports that all changes that the store sent have been passed on. asOf is the time, by boottime, up to
+	// which all changes are known even if responses were delayed; zero while unknown.
 	UpToDate(asOf time.Time)
 }
 
@@ -78,7 +78,7 @@
 	fallback     Fallback
 	// feed provides changes from other processes; may be nil.
 	feed Feed
-	// lister returns which process lists the store on behalf of all; nil if each lists for itself.
+	// lister returns the name of the lister, and whether it is this process; nil if each process lists the store itself.
 	lister func() (name string, isOwn bool)
 	// lastFeedPoll is when the last request to the feed ended.
 	lastFeedPoll time.Time
@@ -112,7 +112,7 @@
 	gapStart, gapEnd Revision
 	// changed is closed at the next change.
 	changed chan struct{}
-	// currentAsOf is the time by boottime as of which all changes are certainly known; zero if never.
+	// currentAsOf is the time, by boottime, up to which all changes are known; zero if unknown.
 	currentAsOf time.Time
 	// storeAnsweredAt is when the store last answered a call of this process, by boottime; zero if never.
 	storeAnsweredAt time.Time
@@ -134,7 +134,7 @@
 	}
 }
 
-// RecordStoreResponse records that the store answered a call of this process, whether the call was made by the replica or not.
+// RecordStoreResponse records that the store responded to a call of this process, of the replica or another component.
 func (r *Replica) RecordStoreResponse() {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
@@ -150,17 +150,17 @@
 func (r *Replica) SetStandby(standby bool) { r.standby.Store(standby) }
 
 // SetMaxStaleness bounds how old the time passed to Consumer.UpToDate may become while the store answers and this process
-// watches it, by limiting the wait of a watch. A bound below that wait costs an idle store one call per bound.
+// watches it, by limiting the wait of a watch. A bound shorter than that wait increases the calls to an idle store.
 func (r *Replica) SetMaxStaleness(bound time.Duration) { r.maxStaleness.Store(int64(bound)) }
 
 // SetPropagationBound sets the time within which all processes must know a change.
 func (r *Replica) SetPropagationBound(bound time.Duration) { r.propagationBound.Store(int64(bound)) }
 
-// ShortenNextWatch shortens the next watch, which soon confirms that there are no further changes. A pending watch is not
-// affected.
+// ShortenNextWatch makes the next watch use the minimum wait, so that it soon confirms that there are no further changes.
+// A pending watch is not affected.
 func (r *Replica) ShortenNextWatch() { r.shortenNextWatch.Store(true) }
 
-// pausePerReader is the time in which the store answers two calls.
+// pausePerReader is the part of a pause for each process that watches the store.
 const pausePerReader = time.Millisecond
 
 // RestartWatch restarts a pending watch, for example after a network change.
@@ -211,16 +211,16 @@
 
 // Timing of a standby process that waits for its feed.
 const (
-	// maxFeedTimeout is how long to wait for the feed before listing the store, as upstreams that start at the same
-	// time must list it first. feedTimeoutFraction limits it to a fraction of the propagation bound, since no changes
-	// are received meanwhile.
+	// maxFeedTimeout is how long a standby process waits for its feed before it lists the store: upstreams that start at
+	// the same time must list the store first. feedTimeoutFraction limits it to a fraction of the propagation bound,
+	// since no changes are received meanwhile.
 	maxFeedTimeout      = 3 * time.Second
 	feedTimeoutFraction = 0.4
-	// shardRetryPause is the pause after a request that no gateway answered.
+	// shardRetryPause is the pause after a failed request to the feed.
 	shardRetryPause = 150 * time.Millisecond
 )
 
-// awaitsShard reports whether a process without a shard still waits for its feed instead of listing the store.
+// awaitsShard reports whether this process has no shard yet and its feed has not timed out.
 func (r *Replica) awaitsShard() bool {
 	return r.shardCount == 0 && boottime.Now().Sub(r.shardWaitStart) < r.feedTimeout()
 }
@@ -233,8 +233,8 @@
 	return maxFeedTimeout
 }
 
-// mayList reports whether to list the store. A standby process that holds its shard and whose feed answered recently
-// must not: when the upstreams cannot reach the store, hundreds of standby processes would list it at once, which takes
+// mayList reports whether to list the store. A standby process that holds its shard and whose feed responded recently must
+// not: otherwise all standby processes would list the store at once when their upstreams cannot reach it, which takes
 // longer than the propagation bound.
 func (r *Replica) mayList() bool {
 	return !r.usesFeed() || r.shardCount == 0 || boottime.Now().Sub(r.feedAnsweredAt) >= r.feedTimeout()
@@ -261,11 +261,11 @@
 // errWatchRestarted ends a watch that RestartWatch interrupts.
 var errWatchRestarted = errors.New("the watch was restarted")
 
-// step lists the store if the replica lacks items that it needs, and watches it otherwise.
+// step gets missing items from the feed or by listing the store, and otherwise watches the store.
 func (r *Replica) step(ctx context.Context) error {
 	isPartial := r.shardCount == 0 || (r.shardCount > 1 && !r.standby.Load())
 	if r.table != nil && isPartial && !r.standby.Load() && r.feed != nil && r.pollFeed(ctx, 0) == nil && r.shardCount == 1 {
-		// The entries sent all items.
+		// The feed provided all items, so the store need not be listed.
 		return nil
 	}
 	if r.table == nil || r.mustList || isPartial {
@@ -286,8 +286,9 @@
 	return nil
 }
 
-// list lists the store and resets the consumer. A process that turns out to be standby before the first sharded key
-// stops early and gets its shard from the feed; otherwise every process of a starting fleet would list every record.
+// list lists the store and resets the consumer. A process that is standby by the end of the first page that ends with a
+// sharded key stops early and gets its shard from the feed. Otherwise every process of a starting fleet would list all
+// worker records.
 func (r *Replica) list(ctx context.Context) error {
 	var listedThrough string
 	stop := func(items []Item) bool {
@@ -308,13 +309,13 @@
 	}
 	r.replace(Snapshot{Items: items, Revision: revision})
 	r.mustList = false
-	// A list may be a few seconds old; the following watch returns later changes.
+	// A list may be a few seconds old, so it does not advance currentAsOf.
 	r.consumer.UpToDate(r.advanceCurrentAsOf(time.Time{}))
 	return nil
 }
 
-// loadFallback loads the items of another process and reports whether there were any. The store is listed once it
-// answers.
+// loadFallback loads the items of another process and reports whether there were any. The replica still lists the store as
+// soon as that responds.
 func (r *Replica) loadFallback(ctx context.Context) bool {
 	if r.fallback == nil {
 		return false
@@ -364,7 +365,7 @@
 	return nil
 }
 
-// minWatchWait is the minimum wait of a watch: two round trips on a slow network.
+// minWatchWait is the minimum wait of a watch. It allows for two round trips on a slow network.
 const minWatchWait = 100 * time.Millisecond
 
 // watchWait returns how long the next watch waits for changes.
@@ -388,7 +389,7 @@
 	return min(wait, max(maxStaleness-boottime.Now().Sub(r.currentAsOf), minWatchWait))
 }
 
-// completeAsOf returns the time as of which the response of a watch is certainly complete. A response without events
+// completeAsOf returns the time up to which the response of a watch contains all changes. A response without events
 // after the full wait covers all of the wait; any other may have been in transit for an unknown time.
 func completeAsOf(started, ended time.Time, wait time.Duration, events int) time.Time {
 	if events == 0 && ended.Sub(started) >= wait {
--- a/internal/store/replica_test.go
+++ b/internal/store/replica_test.go
@@ -144,6 +144,8 @@
 	return func() ([]Item, Revision, error) { return items, revision, nil }
 }
 
+// TestReplicaAppliesChangesAndIgnoresStaleOnes guards against reverting an item to an older change, which a watch may
+// return after a paged list.
 func TestReplicaAppliesChangesAndIgnoresStaleOnes(t *testing.T) {
 	store := &fakeStore{lists: []func() ([]Item, Revision, error){listResult(5, item("a", 3), item("b", 7))}, events: make(chan func(Revision) ([]Event, Revision, error), 4)}
 	_, recorded := runReplica(t, store, nil)
@@ -162,6 +164,7 @@
 	recorded.eventually(t, "a=10 b=7 c=9")
 }
 
+// TestReplicaListsAgainAfterCompaction guards against missing changes that the store no longer holds.
 func TestReplicaListsAgainAfterCompaction(t *testing.T) {
 	store := &fakeStore{
 		lists:  []func() ([]Item, Revision, error){listResult(5, item("a", 3), item("b", 4)), listResult(20, item("a", 15))},
@@ -173,6 +176,8 @@
 	recorded.eventually(t, "a=15")
 }
 
+// TestReplicaStartsFromFallbackDuringOutage guards against a process that starts without items while the store is
+// unavailable.
 func TestReplicaStartsFromFallbackDuringOutage(t *testing.T) {
 	unavailable := func() ([]Item, Revision, error) { return nil, 0, errors.New("unavailable") }
 	recovered := make(chan struct{})
@@ -197,6 +202,8 @@
 	recorded.eventually(t, "a=3 b=5")
 }
 
+// TestRestartWatchEndsPendingWatch guards against waiting for a dead connection after a network change, and against
+// reporting the restart as a failure of the store.
 func TestRestartWatchEndsPendingWatch(t *testing.T) {
 	store := &fakeStore{lists: []func() ([]Item, Revision, error){listResult(5)}, events: make(chan func(Revision) ([]Event, Revision, error))}
 	replica, recorded := runReplica(t, store, nil)
--- a/internal/store/shard.go
+++ b/internal/store/shard.go
@@ -4,18 +4,18 @@
 
 // Standby gateways need the configuration and the registrations of their peers, but only some of the many worker
 // records. These are divided into shards by a hash of their keys. Each standby gateway has a fixed hash that selects
-// its shard for any number of shards. The number is a power of two chosen by the gateway that serves the changes, so
-// that the size of a shard does not grow with the fleet.
+// its shard for any number of shards. The number of shards is a power of two chosen by the gateway that serves the
+// changes, so that the size of a shard does not grow with the fleet.
 
 // Shard sizes in records.
 const (
-	// maxShardSize is the size above which there should be more shards. A few hundred workers of all zones and services
-	// suffice to serve callers that still use the address of a standby gateway, and need little memory.
+	// maxShardSize is the size above which the number of shards is increased. A few hundred workers of all zones and
+	// services suffice to serve callers that still use the address of a standby gateway, and need little memory.
 	maxShardSize = 384
-	// minShardSize is the size below which there should be fewer shards. The distance to maxShardSize keeps the number
+	// minShardSize is the size below which the number of shards is reduced. The distance to maxShardSize keeps the number
 	// from oscillating.
 	minShardSize = 64
-	// targetShardSize is the maximum size for which a new number of shards is chosen.
+	// targetShardSize is the maximum shard size right after the number of shards has changed.
 	targetShardSize = 192
 )
 
--- a/internal/store/shard_test.go
+++ b/internal/store/shard_test.go
@@ -22,12 +22,11 @@
 	return NewReplica(store, "", settings, recorded, nil), recorded
 }
 
-// TestStandbyConvergesToShard applies random changes, lists and restarts to two upstreams. A follower polls both and
-// alternates between standby and entry. It must end with its shard and all unsharded items, or with all items while it
-// is an entry. The changes also vary the number of shards.
+// TestStandbyConvergesToShard guards against a follower that does not end with its shard and all unsharded items, or with
+// all items while it is an entry. It polls two upstreams with random changes, lists and restarts, and alternates between
+// standby and entry; the number of shards varies.
 //
-// The kept draw guards against keeping deleted records: full changes from a less current upstream reset the follower's
-// revision to before the gap of the other upstream, which then reported its gap only to requests from within it.
+// The kept draw covers a follower whose revision full changes lower to before the gap of its other upstream.
 func TestStandbyConvergesToShard(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		present := map[string]Item{}
@@ -108,8 +107,8 @@
 		if recorded.String() != expected.String() {
 			t.Fatalf("with %d shards: got %q, want %q", follower.shardCount, recorded, expected)
 		}
-		if records := len(expectedItems); follower.standby.Load() && records > 4*maxShardSize {
-			t.Fatalf("a shard has %d records", records)
+		if items := len(expectedItems); follower.standby.Load() && items > 4*maxShardSize {
+			t.Fatalf("the standby follower holds %d items", items)
 		}
 	})
 }
@@ -126,7 +125,7 @@
 	return changes, nil
 }
 
-// TestShardsFor checks the number of shards for fleet sizes and current numbers of shards.
+// TestShardsFor guards against shards that are too large or small, and against a number of shards that oscillates.
 func TestShardsFor(t *testing.T) {
 	for _, test := range []struct{ records, current, want int }{
 		{0, 0, 1}, {177, 0, 1}, {300, 1, 1}, {300, 0, 2}, {385, 1, 2}, {10_004, 0, 64}, {10_004, 64, 64}, {20_008, 64, 64}, {20_008, 0, 128},
@@ -171,8 +170,8 @@
 	s.replica.SetStandby(true)
 }
 
-// TestStandbyDoesNotListWorkers checks that a starting process that becomes standby after the first pages of its list
-// stops listing, waits for its feed and gets its shard and the remaining items from it.
+// TestStandbyDoesNotListWorkers guards against a starting process that lists all worker records although it became standby
+// after the first pages, and against one that does not get its shard and the remaining items from its feed.
 func TestStandbyDoesNotListWorkers(t *testing.T) {
 	paged := &pagedStore{}
 	paged.events = make(chan func(Revision) ([]Event, Revision, error))
@@ -225,8 +224,8 @@
 	}
 }
 
-// TestNewRecordsAreDeferrable checks that only the creation of worker records and of keys that Deferrable selects is
-// deferrable.
+// TestNewRecordsAreDeferrable guards against deferring other changes than the creation, also after a deletion, of worker
+// records and of keys that Deferrable selects.
 func TestNewRecordsAreDeferrable(t *testing.T) {
 	upstream, _ := newShardedReplica(nil, 0)
 	upstream.settings.Deferrable = func(key string) bool { return strings.HasPrefix(key, "gateways/") }
@@ -252,7 +251,8 @@
 	}
 }
 
-// TestPauseStaysWithinPropagationBound checks the pause for fleets of different sizes.
+// TestPauseStaysWithinPropagationBound guards against a pause that exceeds a tenth of the propagation bound in large
+// fleets.
 func TestPauseStaysWithinPropagationBound(t *testing.T) {
 	for _, test := range []struct {
 		readers int
@@ -268,8 +268,8 @@
 	}
 }
 
-// TestReplicaQueriesListerAfterCompaction checks that a replica whose history was compacted queries the lister and
-// lists the store only if the lister has no newer changes.
+// TestReplicaQueriesListerAfterCompaction guards against a replica that lists the store after a compaction although the
+// lister has newer changes.
 func TestReplicaQueriesListerAfterCompaction(t *testing.T) {
 	compacted := func(Revision) ([]Event, Revision, error) { return nil, 0, ErrCompacted }
 	for _, test := range []struct {
@@ -321,7 +321,7 @@
 	upstream.replace(Snapshot{Items: items, Revision: 1_000})
 	upstream.replace(Snapshot{Items: append(items, item("configuration", 1_040)), Revision: 1_050})
 	follower, recorded := newShardedReplica(nil, 0)
-	follower.replace(Snapshot{Items: append(items, item("came-and-went", 1_010)), Revision: 1_020})
+	follower.replace(Snapshot{Items: append(items, item("created-and-deleted", 1_010)), Revision: 1_020})
 	follower.SetFeed(changesFunc(func(request ChangesRequest) (Changes, bool) {
 		changes, served := upstream.Changes(request)
 		if changes.Full || len(changes.Changed) > 2 {
@@ -332,13 +332,13 @@
 	if err := follower.pollFeed(t.Context(), 0); err != nil {
 		t.Fatal(err)
 	}
-	if held := recorded.String(); strings.Contains(held, "came-and-went") || !strings.Contains(held, "configuration=1040") || follower.revision != 1_050 {
+	if held := recorded.String(); strings.Contains(held, "created-and-deleted") || !strings.Contains(held, "configuration=1040") || follower.revision != 1_050 {
 		t.Errorf("the follower holds %s", held)
 	}
 }
 
-// TestPromotedStandbyLearnsFromEntries checks that a standby gateway that becomes an entry gets all items from the
-// other entries, and lists the store only if none provides them.
+// TestPromotedStandbyLearnsFromEntries guards against a standby gateway that becomes an entry and lists the store although
+// another entry provides all items.
 func TestPromotedStandbyLearnsFromEntries(t *testing.T) {
 	for _, entriesAnswer := range []bool{true, false} {
 		upstream, _ := newShardedReplica(nil, 0)
@@ -368,8 +368,8 @@
 	}
 }
 
-// TestStandbyAvoidsListsWhileFeedAnswers checks that a standby replica whose upstreams cannot reach the store lists the
-// store after compaction only when the feed has not answered for a while.
+// TestStandbyAvoidsListsWhileFeedAnswers guards against a standby replica that lists the store after a compaction although
+// its feed, whose upstreams cannot reach the store, responded recently.
 func TestStandbyAvoidsListsWhileFeedAnswers(t *testing.T) {
 	lists := 0
 	store := &fakeStore{events: make(chan func(Revision) ([]Event, Revision, error), 1)}
--- a/internal/store/snapshot.go
+++ b/internal/store/snapshot.go
@@ -12,10 +12,10 @@
 type Snapshot struct {
 	Items    []Item   `json:"items"`
 	Revision Revision `json:"revision"`
-	// Era is the era of all revisions, which are encoded without it; nil if the sender does not name it.
+	// Era is the era of all revisions, which are encoded without one; nil if the sender does not support eras.
 	Era *int64 `json:"era,omitempty"`
-	// Shards is the number of shards that sharded items are divided into, of which the snapshot holds one; zero and one
-	// mean that it holds all items.
+	// Shards is the number of shards that sharded items are divided into, of which the snapshot holds one. One means that it
+	// holds all items, and so does zero in a snapshot that was received.
 	Shards int `json:"shards,omitempty"`
 }
 
@@ -29,7 +29,8 @@
 	return Snapshot{Revision: r.revision, Era: eraPointer(r.revision), Items: r.table.present(), Shards: r.shardCount}, true
 }
 
-// applyUnsharded passes the unsharded items of a partial list to the consumer and returns the last key that it covers.
+// applyUnsharded passes the unsharded items of a partial list to the consumer and returns the key up to which these
+// are complete.
 func (r *Replica) applyUnsharded(items []Item) string {
 	unsharded := r.unshardedItems(items)
 	events := make([]Event, len(unsharded))
@@ -70,8 +71,7 @@
 	return events
 }
 
-// maxTombstones bounds the deleted items that are kept for standby gateways. A fleet whose processes and workers
-// restart a few times a day deletes about as many.
+// maxTombstones bounds the tombstones of deleted items, which are kept so that standby gateways can be told of deletions.
 const maxTombstones = 16 << 10
 
 // replace merges a snapshot into the replica and resets the consumer. Items with later revisions are kept, as a
@@ -93,7 +93,7 @@
 	}
 	r.revision, r.shardCount = snapshot.Revision, snapshot.Shards
 	if r.table.tombstones > maxTombstones {
-		r.dropDeleted()
+		r.dropTombstones()
 	}
 	items := r.table.present()
 	r.shardedItems = 0
@@ -110,8 +110,8 @@
 	r.consumer.Reset(items)
 }
 
-// replaceShard replaces the items with a snapshot that has another number of shards, discarding tombstones. The caller
-// holds the mutex.
+// replaceShard replaces the items with a snapshot if that or the replica holds a shard, and discards tombstones. The
+// caller holds the mutex.
 func (r *Replica) replaceShard(snapshot Snapshot) {
 	events := eventsOf(snapshot.Items)
 	if r.table != nil {
@@ -160,21 +160,21 @@
 	r.table = newTable(slices.Collect(maps.Values(merged)))
 }
 
-// dropDeleted drops tombstones. Requests from earlier revisions then get full changes. The caller holds the mutex.
-func (r *Replica) dropDeleted() { r.historyStart = max(r.revision, r.table.dropTombstones()) }
+// dropTombstones drops all tombstones. Requests from earlier revisions then get full changes. The caller holds the mutex.
+func (r *Replica) dropTombstones() { r.historyStart = max(r.revision, r.table.dropTombstones()) }
 
-// advanceCurrentAsOf records that all changes up to a moment are known, and returns the latest such moment.
-func (r *Replica) advanceCurrentAsOf(moment time.Time) time.Time {
+// advanceCurrentAsOf records that all changes up to asOf are known, and returns the latest such time.
+func (r *Replica) advanceCurrentAsOf(asOf time.Time) time.Time {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if moment.After(r.currentAsOf) {
-		r.currentAsOf = moment
+	if asOf.After(r.currentAsOf) {
+		r.currentAsOf = asOf
 	}
 	return r.currentAsOf
 }
 
-// recordNewer stores the events that are newer than the known items and returns them. Events may be older, because the
-// pages of a list are read at different revisions.
+// recordNewer stores the events that are newer than the known items and returns them. An event may be older than the
+// known item, as later pages of a list are read at later revisions.
 func (r *Replica) recordNewer(events []Event, revision Revision) []Event {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,5 +1,6 @@
-// Package store defines the interface to the key-value store that holds all persistent state, and keeps a watched
-// replica of it.
+// Package store defines the interface to the key-value store that holds all persistent state, and maintains a replica of
+// its items by watching it. Entries are the gateways that watch the store. A standby gateway gets changes from an entry,
+// its upstream.
 package store
 
 import (
@@ -65,15 +66,16 @@
 // Lease is a lease granted by the store, which deletes its items when it expires.
 type Lease struct {
 	ID int64
-	// TTL starts when the call arrives at the store, so the holder must count it from before the call.
+	// TTL is the duration of the lease. The holder must count it from before the call, as it may start as soon as the call
+	// arrives at the store.
 	TTL time.Duration
 }
 
 // Store is a linearizable key-value store with leases and watches. Its errors name the operation and the peer. A call
 // that failed without a response may still take effect, even later.
 type Store interface {
-	// List returns the items below a prefix and a revision to watch from: a watch from it returns every change that the
-	// items lack. If the store is too busy for linearizable reads, the items may be a few seconds old.
+	// List returns the items below a prefix, and a revision: a watch after it returns every change that the items do not
+	// include. If the store is too busy for linearizable reads, the items may be a few seconds old.
 	List(ctx context.Context, prefix string) ([]Item, Revision, error)
 	// ListUntil is like List, reading pages in key order. After each page but the last it passes all items so far to
 	// stop, which may be nil, and ends early with complete unset if that returns true.
--- a/internal/store/table.go
+++ b/internal/store/table.go
@@ -39,7 +39,7 @@
 // get returns the latest change of an item, or the zero event if there is none.
 func (t *table) get(key string) Event { return t.latest[key] }
 
-// isFirstChange reports whether the latest known change of an item is its creation.
+// isFirstChange reports whether the latest known change of an item is its creation or deletion, or was read from a list.
 func (t *table) isFirstChange(key string) bool { return !t.updated[key] }
 
 // put records a change.
