--- a/internal/changefeed/changefeed.go
+++ b/internal/changefeed/changefeed.go
@@ -1,6 +1,6 @@
 // Package changefeed lets gateways get the items of the store from each other. A gateway that starts while the store is
-// unavailable begins with the snapshot of another one. Standby gateways request changes from entries that follow the
-// store, so that the load on the store grows with the number of entries and not with the fleet.
+// unavailable begins with the snapshot of another one. Standby gateways request changes from the entries, the
+// gateways that watch the store, so that the load on the store grows with the number of entries and not with the fleet.
 package changefeed
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// pathChanges is the path that serves changes.
+// pathChanges is the path of requests for changes at the control address.
 const pathChanges = "/changes"
 
 // Query parameters of a request for changes, the encoding of store.ChangesRequest. Wait is in milliseconds.
@@ -35,11 +35,11 @@
 // maxWait bounds the wait of a request.
 const maxWait = 10 * time.Second
 
-// Source provides the items that a gateway serves to others.
+// Source provides snapshots and changes of the items; store.Replica implements it.
 type Source interface {
 	// Snapshot returns all items, or false if none are known yet.
 	Snapshot() (store.Snapshot, bool)
-	// Changes returns the changes that the requester lacks, or false if the gateway does not follow the store itself.
+	// Changes returns the changes that the requester lacks, or false if the gateway cannot serve the request.
 	Changes(request store.ChangesRequest) (store.Changes, bool)
 	// Changed returns a channel that is closed when Changes may return more.
 	Changed() <-chan struct{}
@@ -49,19 +49,19 @@
 // and of those that it received heartbeats from.
 func Handler(source Source, entries func() (all, live []string)) http.Handler {
 	mux := http.NewServeMux()
-	large := make(chan struct{}, maxLargeResponses)
+	largeResponseSlots := make(chan struct{}, maxLargeResponses)
 	mux.HandleFunc("GET "+pathSnapshot, func(w http.ResponseWriter, _ *http.Request) { serveSnapshot(w, source) })
-	mux.HandleFunc("GET "+pathChanges, func(w http.ResponseWriter, r *http.Request) { serveChanges(w, r, source, entries, large) })
+	mux.HandleFunc("GET "+pathChanges, func(w http.ResponseWriter, r *http.Request) { serveChanges(w, r, source, entries, largeResponseSlots) })
 	return mux
 }
 
-// maxLargeResponses bounds the concurrent responses with all items or a whole shard: hundreds of gateways may request
-// them at once, and each occupies some megabytes while it is sent.
+// maxLargeResponses bounds the memory for concurrent responses with all items or a whole shard, which hundreds of gateways
+// may request at once.
 const maxLargeResponses = 16
 
 // serveChanges handles a request for changes.
 func serveChanges(
-	w http.ResponseWriter, r *http.Request, source Source, entries func() (all, live []string), large chan struct{},
+	w http.ResponseWriter, r *http.Request, source Source, entries func() (all, live []string), largeResponseSlots chan struct{},
 ) {
 	request, err := parseRequest(r.URL.Query())
 	if err != nil {
@@ -75,11 +75,12 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	if changes.Full || changes.FullShard {
-		// The header tells the requester to wait for the body. A flush error means that the peer has disconnected.
+		// Send the header now: the requester then allows bodyTimeout for the body. A flush error means that the peer has
+		// disconnected.
 		_ = http.NewResponseController(w).Flush()
 		select {
-		case large <- struct{}{}:
-			defer func() { <-large }()
+		case largeResponseSlots <- struct{}{}:
+			defer func() { <-largeResponseSlots }()
 		case <-r.Context().Done():
 			return
 		}
@@ -94,9 +95,9 @@
 	_ = json.NewEncoder(w).Encode(changes)
 }
 
-// awaitChanges returns the changes as soon as one is urgent or the entries change, and otherwise after the wait of the
-// request. Changes that do not concern the requester, which are frequent in large fleets, do not end the wait; and
-// deferrable changes, of which a starting fleet produces many, are batched.
+// awaitChanges returns the changes as soon as one is not deferrable, all items or a whole shard must be sent, or the
+// entries change, and otherwise after the wait of the request. Changes that do not concern the requester, which are
+// frequent in large fleets, do not end the wait. Deferrable changes, of which a starting fleet produces many, are batched.
 func awaitChanges(
 	ctx context.Context, request store.ChangesRequest, source Source, entries func() (all, live []string),
 ) (store.Changes, bool) {
@@ -128,8 +129,7 @@
 var errBadRequest = errors.New(paramAfter + ", " + paramEra + ", " + paramWait + ", " + paramShards + " and " + paramShardHash + " have to be whole numbers, all but " +
 	paramAfter + " of at least 0, " + paramShards + " zero or a power of two")
 
-// parseRequest parses the parameters of a request. Requests without shard parameters come from gateways that hold all
-// items.
+// parseRequest parses the parameters of a request. Without the shards parameter, the requester holds all items.
 func parseRequest(query url.Values) (store.ChangesRequest, error) {
 	request := store.ChangesRequest{Shards: 1, ListedThrough: query.Get(paramListedThrough), AllShards: query.Get(paramAllShards) != ""}
 	after, afterErr := strconv.ParseInt(query.Get(paramAfter), 10, 64)
@@ -181,10 +181,9 @@
 // Timeouts of a response.
 const (
 	// headerSlack is how much longer than the wait of the request the response header may take.
-	headerSlack = 350 * time.Millisecond
-	// bodyTimeout bounds the rest of the response. A whole shard and the list of gateways are some hundred kilobytes,
-	// which may have to share a link of 10 Mbit/s. With a shorter timeout, every gateway that exceeds it would list the
-	// store.
+	headerTimeoutMargin = 350 * time.Millisecond
+	// bodyTimeout bounds the rest of the response. It allows for slow links, since a gateway whose requests time out lists
+	// the store.
 	bodyTimeout = 4 * time.Second
 )
 
@@ -192,7 +191,7 @@
 func (c peerClient) requestChanges(ctx context.Context, address string, request store.ChangesRequest) (store.Changes, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	timer := time.AfterFunc(request.Wait+headerSlack, cancel)
+	timer := time.AfterFunc(request.Wait+headerTimeoutMargin, cancel)
 	defer timer.Stop()
 	var changes store.Changes
 	err := c.get(ctx, address, pathChanges+"?"+encodeRequest(request).Encode(), &changes, func() { timer.Reset(bodyTimeout) })
@@ -217,7 +216,7 @@
 	}
 	defer response.Body.Close()
 	if response.Status != http.StatusOK {
-		return errUnavailable
+		return errors.Wrapf(errUnavailable, "response status %d", response.Status)
 	}
 	if onHeader != nil {
 		onHeader()
--- a/internal/changefeed/changefeed_test.go
+++ b/internal/changefeed/changefeed_test.go
@@ -98,6 +98,8 @@
 	}
 }
 
+// TestRequestReturnsAtFirstChange guards against a request that waits although a change is known, or that misses a later
+// one.
 func TestRequestReturnsAtFirstChange(t *testing.T) {
 	source := newSource(changeAt(4))
 	follower, entries := newFollower(changefeed.Upstream{Name: "x", Zone: "a", Address: serve(t, source)})
@@ -118,6 +120,8 @@
 	}
 }
 
+// TestUpstreamsOfOwnZoneAlternateAndFailOver guards against querying one upstream only, and against not using another zone
+// when the upstreams of the own zone fail.
 func TestUpstreamsOfOwnZoneAlternateAndFailOver(t *testing.T) {
 	sameZone, otherSameZone, otherZone := newSource(changeAt(4)), newSource(changeAt(4)), newSource(changeAt(4))
 	follower, _ := newFollower(
@@ -148,18 +152,20 @@
 	}
 }
 
-func TestStoreIsTriedWhileAllUpstreamsLostIt(t *testing.T) {
-	lost := changeAt(4)
-	lost.StoreUnavailable = true
-	address := serve(t, newSource(lost))
+// TestStoreIsTriedWhileUnavailableToUpstreams guards against a follower that never calls the store while all its upstreams
+// report it unavailable.
+func TestStoreIsTriedWhileUnavailableToUpstreams(t *testing.T) {
+	unavailable := changeAt(4)
+	unavailable.StoreUnavailable = true
+	address := serve(t, newSource(unavailable))
 	follower, _ := newFollower(
-		changefeed.Upstream{Name: "x", Zone: "a", Address: address}, changefeed.Upstream{Name: "y", Zone: "a", Address: serve(t, newSource(lost))},
+		changefeed.Upstream{Name: "x", Zone: "a", Address: address}, changefeed.Upstream{Name: "y", Zone: "a", Address: serve(t, newSource(unavailable))},
 	)
 	if _, err := follower.Next(t.Context(), requestAfter(3, 0)); !errors.Is(err, store.ErrNoUpstream) {
 		t.Errorf("first request: got error %v, want an attempt to use the store", err)
 	}
 	if changes, err := follower.Next(t.Context(), requestAfter(3, 0)); err != nil || !changes.StoreUnavailable {
-		t.Errorf("second request: got %+v, %v, want changes of the upstream that lost the store", changes, err)
+		t.Errorf("second request: got %+v, %v, want changes of an upstream that cannot reach the store", changes, err)
 	}
 }
 
@@ -176,6 +182,7 @@
 	}
 }
 
+// TestInvalidRequestsAreRejected guards against serving requests with missing or invalid parameters.
 func TestInvalidRequestsAreRejected(t *testing.T) {
 	address := serve(t, newSource(changeAt(4)))
 	for _, query := range []string{"", "?after=x&hold=0", "?after=1&hold=-1"} {
@@ -219,8 +226,8 @@
 	}
 }
 
-// TestUnrelatedChangesDoNotEndRequest checks that a request is not answered early when a change does not concern the
-// requester.
+// TestUnrelatedChangesDoNotEndRequest guards against a response to every standby gateway for each change that does not
+// concern it.
 func TestUnrelatedChangesDoNotEndRequest(t *testing.T) {
 	source := newSource(changeAt(4))
 	follower, _ := newFollower(changefeed.Upstream{Name: "x", Zone: "a", Address: serve(t, source)})
--- a/internal/changefeed/follower.go
+++ b/internal/changefeed/follower.go
@@ -20,8 +20,8 @@
 	Address string
 }
 
-// Follower requests changes from gateways that follow the store. It alternates between those of its own zone, so that
-// one that lags behind does not delay it. It implements store.Feed.
+// Follower requests changes from upstreams. It alternates between those of its own zone, so that an upstream that lags
+// behind delays it for one request only. It implements store.Feed.
 type Follower struct {
 	peerClient
 	name, zone string
@@ -34,14 +34,14 @@
 	upstreams []Upstream
 	// failedUntil holds until when to skip upstreams that failed, by address.
 	failedUntil map[string]time.Time
-	// storeLostUntil holds until when to prefer others to upstreams that cannot reach the store, by address.
-	storeLostUntil map[string]time.Time
-	// turn selects among equally suitable upstreams in rotation.
-	turn int
-	// nextStoreAttempt is when this gateway may next try the store itself while no upstream can reach it.
+	// storeUnavailableUntil holds until when to prefer others to upstreams that cannot reach the store, by address.
+	storeUnavailableUntil map[string]time.Time
+	// rotation selects among equally suitable upstreams; it increases with each selection.
+	rotation int
+	// nextStoreAttempt is when this gateway may next call the store itself while no upstream can reach it.
 	nextStoreAttempt time.Time
-	// maxStoreSilence is the time after the last response of the store to an upstream after which that is considered
-	// cut off; zero disables the check.
+	// maxStoreSilence is how long the store may not have responded to an upstream before that is considered cut off from
+	// the store; zero disables the check.
 	maxStoreSilence time.Duration
 }
 
@@ -52,16 +52,17 @@
 	settings.MaxIdlePerAddress = 1
 	settings.IdleTimeout = idleTimeout
 	return &Follower{
-		peerClient: peerClient{httpclient.New(settings)}, name: name, zone: zone, onEntries: onEntries, failedUntil: map[string]time.Time{}, storeLostUntil: map[string]time.Time{},
-		turn: initialTurn(name),
+		peerClient: peerClient{httpclient.New(settings)}, name: name, zone: zone, onEntries: onEntries, failedUntil: map[string]time.Time{}, storeUnavailableUntil: map[string]time.Time{},
+		rotation: initialRotation(name),
 	}
 }
 
-// idleTimeout is how long idle connections to upstreams are kept: several requests to two alternating upstreams.
+// idleTimeout is how long idle connections to upstreams are kept. It spans several requests to each of two alternating
+// upstreams.
 const idleTimeout = 10 * time.Second
 
-// initialTurn returns the initial turn, which spreads followers over the upstreams.
-func initialTurn(name string) int {
+// initialRotation returns the initial rotation, which spreads followers over the upstreams.
+func initialRotation(name string) int {
 	hash := fnv.New32a()
 	_, _ = hash.Write([]byte(name))
 	return int(hash.Sum32() >> 1)
@@ -80,8 +81,8 @@
 }
 
 // storeSilenceFraction is the fraction of the propagation bound after which an upstream without response from the store
-// is considered cut off. Upstreams renew their registration every second, so healthy ones are well below it, and the
-// rest of the bound suffices to query another one.
+// is considered cut off. Upstreams renew their registration every second, so healthy ones are well below it. It leaves
+// time to query another upstream within the bound.
 const storeSilenceFraction = 0.75
 
 // SetPropagationBound sets the time within which all gateways must know a change.
@@ -91,9 +92,9 @@
 	f.maxStoreSilence = time.Duration(storeSilenceFraction * float64(bound))
 }
 
-// isCutOff reports whether the upstream has not had a response from the store for too long, though it may not have
+// isStoreSilent reports whether the upstream has not had a response from the store for too long, though it may not have
 // noticed yet.
-func (f *Follower) isCutOff(changes store.Changes) bool {
+func (f *Follower) isStoreSilent(changes store.Changes) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.maxStoreSilence > 0 && changes.StoreSilence != nil && time.Duration(*changes.StoreSilence)*time.Millisecond > f.maxStoreSilence
@@ -101,25 +102,24 @@
 
 // Timing and limits of a follower.
 const (
-	// failurePause is how long an upstream that failed is skipped: the time that a killed process takes to restart.
+	// failurePause is how long an upstream that failed is skipped. It allows a killed process to restart.
 	failurePause = 2 * time.Second
 	// startupPause is how long an upstream is skipped that serves no changes yet, because it is still listing the store
 	// or does not know that it is an entry.
 	startupPause = 300 * time.Millisecond
-	// storeLostPause is how long others are preferred to an upstream that cannot reach the store. It is shorter than a
-	// partial outage and the time to detect one, since after a full outage any upstream may be the first to reach the
-	// store again.
-	storeLostPause = 500 * time.Millisecond
-	// maxRequests limits the upstreams queried before the store is tried, and maxFailures those of them that fail, each
-	// of which takes longer than a request.
+	// storeUnavailablePause is how long others are preferred to an upstream that cannot reach the store. It is short,
+	// because after an outage any upstream may be the first to reach the store again.
+	storeUnavailablePause = 500 * time.Millisecond
+	// maxRequests limits the upstreams queried before the store is called, and maxFailures the failed ones, as a failure
+	// takes longer than a response.
 	maxRequests = 4
 	maxFailures = 2
-	// storeAttemptInterval is the interval between attempts to use the store while no upstream can reach it.
+	// storeAttemptInterval is the interval between attempts to call the store while no upstream can reach it.
 	storeAttemptInterval = 2500 * time.Millisecond
 )
 
 // Next implements store.Feed. It returns changes of an upstream that is cut off from the store only if no better one
-// answers and the store itself is not due for an attempt.
+// responds and the store itself is not due for an attempt.
 func (f *Follower) Next(ctx context.Context, request store.ChangesRequest) (store.Changes, error) {
 	var degraded *store.Changes
 	failed := 0
@@ -130,18 +130,18 @@
 		}
 		changes, err := f.requestChanges(ctx, upstream.Address, request)
 		if err != nil {
-			// Try the next upstream. Heartbeats between the entries reveal that this one failed.
+			// Query the next upstream. This one is only skipped here; the entries replace it once its heartbeats stop.
 			f.markFailed(upstream, err)
 			failed++
 			continue
 		}
 		f.onEntries(changes.Entries, changes.Live)
-		if !changes.StoreUnavailable && !f.isCutOff(changes) {
+		if !changes.StoreUnavailable && !f.isStoreSilent(changes) {
 			return changes, nil
 		}
-		// Upstreams of the same zone may be cut off as well. Those of other zones are next and should answer without a
-		// wait.
-		f.markStoreLost(upstream)
+		// Query the next upstream without a wait. Those of the same zone may be cut off as well, but those of other zones
+		// may still reach the store.
+		f.markStoreUnavailable(upstream)
 		degraded, request.Wait = &changes, 0
 	}
 	if degraded != nil && !f.claimStoreAttempt(time.Now()) {
@@ -150,39 +150,39 @@
 	return store.Changes{}, store.ErrNoUpstream
 }
 
-// pickUpstream returns the upstream with a name, or for an empty name the next in turn: from the own zone if possible,
+// pickUpstream returns the upstream with a name, or for an empty name the next in rotation: from the own zone if possible,
 // otherwise from any. It skips upstreams that failed recently, and returns one that cannot reach the store only if
 // there is no other.
 func (f *Follower) pickUpstream(now time.Time, name string) (Upstream, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.turn++
-	var sameZone, otherZones, storeLost []Upstream
+	f.rotation++
+	var sameZone, otherZones, storeUnavailable []Upstream
 	for _, upstream := range f.upstreams {
 		switch {
 		case now.Before(f.failedUntil[upstream.Address]):
 		case name != "" && upstream.Name != name:
-		case now.Before(f.storeLostUntil[upstream.Address]):
-			storeLost = append(storeLost, upstream)
+		case now.Before(f.storeUnavailableUntil[upstream.Address]):
+			storeUnavailable = append(storeUnavailable, upstream)
 		case upstream.Zone == f.zone:
 			sameZone = append(sameZone, upstream)
 		default:
 			otherZones = append(otherZones, upstream)
 		}
 	}
-	for _, candidates := range [][]Upstream{sameZone, otherZones, storeLost} {
+	for _, candidates := range [][]Upstream{sameZone, otherZones, storeUnavailable} {
 		if len(candidates) > 0 {
-			return candidates[f.turn%len(candidates)], true
+			return candidates[f.rotation%len(candidates)], true
 		}
 	}
 	return Upstream{}, false
 }
 
-// markStoreLost makes the follower prefer other upstreams for a while.
-func (f *Follower) markStoreLost(upstream Upstream) {
+// markStoreUnavailable makes the follower prefer other upstreams for a while.
+func (f *Follower) markStoreUnavailable(upstream Upstream) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.storeLostUntil[upstream.Address] = time.Now().Add(storeLostPause)
+	f.storeUnavailableUntil[upstream.Address] = time.Now().Add(storeUnavailablePause)
 }
 
 // markFailed makes the follower skip an upstream for a while after an error.
@@ -201,7 +201,7 @@
 	f.failedUntil[upstream.Address] = now.Add(pause)
 }
 
-// claimStoreAttempt reports whether this gateway should try the store itself although its upstreams cannot reach it,
+// claimStoreAttempt reports whether this gateway should call the store itself although its upstreams cannot reach it,
 // since the store may serve this gateway. If so, it schedules the next attempt.
 func (f *Follower) claimStoreAttempt(now time.Time) bool {
 	f.mu.Lock()
--- a/internal/changefeed/request_internal_test.go
+++ b/internal/changefeed/request_internal_test.go
@@ -8,8 +8,8 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// TestRequestsCarryEra checks that the era survives encoding and parsing, and that requests of builds without eras are
-// accepted.
+// TestRequestsCarryEra guards against requests that lose their era, against rejecting those of builds without eras, and
+// against accepting invalid eras.
 func TestRequestsCarryEra(t *testing.T) {
 	request := store.ChangesRequest{After: store.NewRevision(3, 7), Wait: time.Second, Shards: 1}
 	parsed, err := parseRequest(encodeRequest(request))
--- a/internal/changefeed/snapshot.go
+++ b/internal/changefeed/snapshot.go
@@ -13,7 +13,7 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// pathSnapshot is the path that serves snapshots.
+// pathSnapshot is the path of requests for a snapshot at the control address.
 const pathSnapshot = "/snapshot"
 
 // Limits of a request.
@@ -50,8 +50,8 @@
 	return &Seeds{peerClient: peerClient{httpclient.New(httpclient.DefaultSettings())}, addresses: addresses}
 }
 
-// errNoSeedAnswered is returned if no gateway sent a snapshot.
-var errNoSeedAnswered = errors.New("fetch snapshot from other gateways: no gateway answered")
+// errNoSnapshot is returned if no gateway sent a snapshot.
+var errNoSnapshot = errors.New("fetch snapshot from other gateways: no gateway answered")
 
 // Fetch queries all gateways concurrently and returns the newest snapshot. It is a store.Fallback.
 func (s *Seeds) Fetch(ctx context.Context) (store.Snapshot, error) {
@@ -69,7 +69,7 @@
 		}
 	}
 	if newest == nil {
-		return store.Snapshot{}, errNoSeedAnswered
+		return store.Snapshot{}, errNoSnapshot
 	}
 	return *newest, nil
 }
--- a/internal/changefeed/snapshot_test.go
+++ b/internal/changefeed/snapshot_test.go
@@ -29,8 +29,8 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// TestFetchReturnsNewestSnapshot queries gateways of which some have an older snapshot, none, send invalid data or are
-// down.
+// TestFetchReturnsNewestSnapshot guards against a start from an older snapshot, or from none, when some gateways have none,
+// send invalid data or are down.
 func TestFetchReturnsNewestSnapshot(t *testing.T) {
 	stopped := httptest.NewServer(http.NotFoundHandler())
 	stopped.Close()
@@ -48,7 +48,7 @@
 	}
 }
 
-// TestFetchFailsWithoutSnapshots queries a gateway that has just started, and no gateway.
+// TestFetchFailsWithoutSnapshots guards against a start with an empty snapshot if no gateway has one.
 func TestFetchFailsWithoutSnapshots(t *testing.T) {
 	if _, err := changefeed.NewSeeds([]string{serveSnapshot(t, -1)}).Fetch(t.Context()); err == nil || !strings.Contains(err.Error(), "snapshot from other gateways") {
 		t.Errorf("got %v", err)
