--- a/internal/cluster/configuration.go
+++ b/internal/cluster/configuration.go
@@ -7,8 +7,8 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// applyConfiguration applies an item that may hold one of the two parts of the configuration. It ignores parts that are
-// invalid or not newer than the current one.
+// applyConfiguration applies an item that may hold the base configuration (routes and services) or the label configuration
+// (groups and label rules). It ignores those that are invalid or not newer than the current one.
 func (v *View) applyConfiguration(item store.Item) {
 	switch {
 	case v.decoder.IsConfiguration(item.Key):
@@ -25,7 +25,7 @@
 		err = configuration.Validate()
 	}
 	if err != nil {
-		v.reportUnreadable(err)
+		v.reportInvalid(err)
 		return
 	}
 	if v.baseConfiguration != nil && configuration.Version <= v.baseConfiguration.Version {
@@ -39,12 +39,12 @@
 func (v *View) applyLabelConfiguration(item store.Item) {
 	document, err := configuration.Decode(item.Value)
 	if err != nil {
-		v.reportUnreadable(err)
+		v.reportInvalid(err)
 		return
 	}
 	snapshot, err := configuration.Compile(document)
 	if err != nil {
-		v.reportUnreadable(err)
+		v.reportInvalid(err)
 		return
 	}
 	labelConfiguration := snapshot.Routing()
@@ -56,16 +56,15 @@
 	v.publishConfiguration()
 }
 
-// publishConfiguration passes the merged configuration to the listener once there are routes. If the parts are
-// inconsistent, for example because a group selects from a removed service, it passes the routes without groups and
-// label rules.
+// publishConfiguration passes the merged configuration to the listener once there is a base configuration. If the merged
+// one is invalid, for example because a group selects from a removed service, it passes the base configuration alone.
 func (v *View) publishConfiguration() {
 	if v.baseConfiguration == nil {
 		return
 	}
 	merged := v.baseConfiguration.WithLabels(v.labelConfiguration)
 	if err := merged.Validate(); err != nil {
-		v.reportUnreadable(errors.Wrap(err, "merge the routes with the label rules"))
+		v.reportInvalid(errors.Wrap(err, "merge the base configuration with the label configuration"))
 		merged = v.baseConfiguration
 	}
 	v.listener.ConfigurationChanged(merged)
--- a/internal/cluster/gateways.go
+++ b/internal/cluster/gateways.go
@@ -7,8 +7,9 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// StoreAnswered records that the store answered this process. If this process follows the store itself, its configuration
-// is then up to date; a standby gateway may get answers from the store but no changes from its upstreams.
+// StoreAnswered records that the store responded to this process. If this process watches the store itself, its
+// configuration is then up to date. The store also responds to lease renewals of a standby gateway, which says nothing
+// about its configuration.
 func (v *View) StoreAnswered(followsStore bool) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
@@ -19,15 +20,15 @@
 	v.gateways.StoreAnswered(now)
 }
 
-// EntriesReported records the entries named by another gateway, and those of them that it received heartbeats from.
+// EntriesReported records the entries reported by another gateway, and those of them that it received heartbeats from.
 func (v *View) EntriesReported(entries, live []string) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	v.gateways.EntriesReported(v.now(), entries, live)
 }
 
-// IsFresh reports whether the store, or another gateway that can reach it, answered within the given time. Otherwise
-// the configuration may be outdated.
+// IsFresh reports whether the configuration was known to be current within the given time: by UpToDate, or by
+// StoreAnswered if this process watches the store. Otherwise it may be outdated.
 func (v *View) IsFresh(within time.Duration) bool {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
@@ -42,12 +43,12 @@
 	return v.fleetIsNew && v.now().Sub(v.listedAt) < within
 }
 
-// TimeSinceStoreLoss returns how long the store has been available to this process or its upstreams. Records that expired during an
-// outage are written again within a few seconds.
+// TimeSinceStoreLoss returns the time since a call of this process or its upstreams to the store last failed, or since the
+// start. Records that expired during an outage are written again within a few seconds.
 func (v *View) TimeSinceStoreLoss() time.Duration {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	return v.now().Sub(v.storeLostAt)
+	return v.now().Sub(v.lastFailureAt)
 }
 
 // AdvertisedGateways returns the gateways that callers are directed to.
@@ -78,7 +79,7 @@
 	return v.gateways.RegisteredEntries(v.now())
 }
 
-// Claimants returns the gateways that consider themselves entries while this one does not.
+// Claimants returns the gateways that act as entries although this one does not consider them entries.
 func (v *View) Claimants() []member.Gateway {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
@@ -141,7 +142,7 @@
 	v.gateways.Leave()
 }
 
-// Staleness returns the time since the view was last known to be current.
+// Staleness returns the time since UpToDate was last called.
 func (v *View) Staleness() time.Duration {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
--- a/internal/cluster/view.go
+++ b/internal/cluster/view.go
@@ -35,7 +35,7 @@
 	Worker(id string, value []byte) (*backend.Worker, error)
 }
 
-// Listener is notified of changes, one at a time. It must not call back into the roster.
+// Listener is notified of changes, one at a time. Its methods must not call WorkerLeaving.
 type Listener interface {
 	// ConfigurationChanged passes a validated configuration.
 	ConfigurationChanged(configuration *routing.Configuration)
@@ -47,48 +47,48 @@
 	ControllerChanged(value []byte, revision store.Revision)
 	// UsageLedgerChanged passes the usage ledger.
 	UsageLedgerChanged(value []byte)
-	// BarsListed passes all bars of requests, and BarChanged a change of one.
+	// BarsListed passes all stored bars of package poison, and BarChanged a change of one.
 	BarsListed(items []store.Item)
 	BarChanged(event store.Event)
-	// Unregistered reports that the registration of this gateway has disappeared.
+	// Unregistered reports that the store does not hold the registration of this gateway, which it held before. It may be
+	// called repeatedly.
 	Unregistered()
 	// StoreRestored reports that the store was restored from a backup, with its new era. Its items are passed next.
 	StoreRestored(era int64)
 	// Registered reports that the registration of this gateway was seen for the first time or with a new revision.
 	Registered()
-	// RegistrationConfirmed reports that the store held the registration of this gateway at a time by boottime, and that all
-	// changes of the list of gateways up to that time have been passed. The fleet is new if there had never been a
-	// controller when the store was first listed.
+	// RegistrationConfirmed reports that the store held the registration of this gateway at the given time of boottime, and
+	// that all changes of the gateways up to that time were passed. The fleet is new if there had never been a controller
+	// when the store was first listed.
 	RegistrationConfirmed(at time.Time, fleetIsNew bool)
 }
 
-// View is a store.Consumer that maintains the view. The methods of store.Consumer must be called from a single
+// View is a store.Consumer that derives the configuration, the workers and the gateways from the items. The methods of store.Consumer must be called from a single
 // goroutine; the others are safe for concurrent use.
 type View struct {
 	decoder  Decoder
 	listener Listener
 	ownKey   string
 	logger   logrus.FieldLogger
-	// unreadableLogLimiter limits the log lines about invalid items, and unreadable counts these.
-	unreadableLogLimiter *rate.Limiter
-	unreadable           atomic.Int64
-	// now returns the time including periods in which the machine was suspended, since the view may be outdated
-	// afterwards.
+	// invalidLogLimiter limits the log lines about invalid items, and invalidItems counts these.
+	invalidLogLimiter *rate.Limiter
+	invalidItems      atomic.Int64
+	// now returns the time, including periods in which the machine was suspended.
 	now func() time.Time
 
 	// baseConfiguration holds the routes and services, and labelConfiguration the groups and label rules; nil until
 	// received.
 	baseConfiguration  *routing.Configuration
 	labelConfiguration *routing.Configuration
-	// wasRegistered is set once the own registration was seen. Until then it may still be pending and must not be
-	// reported as gone.
+	// wasRegistered is set once the registration of this gateway was seen. Until then it may still be pending and must not
+	// be reported as missing.
 	wasRegistered bool
-	// registrationSeenAt is when the own registration was first seen at registrationRevision; zero while it is absent.
-	// The store need not have held it before.
+	// registrationSeenAt is when the registration of this gateway was first seen at registrationRevision; zero while it is
+	// absent. The store may have held another registration, or none, before that time.
 	registrationSeenAt   time.Time
 	registrationRevision store.Revision
-	// storeLostSince is when the store became unavailable; zero while it is available.
-	storeLostSince time.Time
+	// outageStartedAt is when the store became unavailable; zero while it is available.
+	outageStartedAt time.Time
 
 	// rosterMutex protects roster, the notifications of its changes and nextWorkerUpdate, when a worker without a
 	// record expires next.
@@ -96,16 +96,17 @@
 	roster           *backend.Roster
 	nextWorkerUpdate time.Time
 
-	mutex     sync.Mutex
-	gateways  *member.List
+	mutex    sync.Mutex
+	gateways *member.List
+	// currentAt is when UpToDate was last called.
 	currentAt time.Time
 	// listedAt is when the store was first listed, and fleetIsNew is set if there had never been a controller by then.
 	listedAt   time.Time
 	fleetIsNew bool
-	// storeLostAt is when the store was last unavailable, initially the time of the start.
-	storeLostAt time.Time
-	// configurationCheckedAt is when the store last answered this process or its upstream, so that the configuration
-	// was known to be current.
+	// lastFailureAt is when a call to the store last failed or the store was last restored, initially the time of the start.
+	lastFailureAt time.Time
+	// configurationCheckedAt is when the configuration was last known to be current: UpToDate was called, or the store
+	// responded to this process while it watches the store.
 	configurationCheckedAt time.Time
 	document               configuration.Document
 }
@@ -116,7 +117,7 @@
 ) *View {
 	return &View{
 		decoder: decoder, listener: listener, ownKey: ownKey, logger: logger, now: boottime.Now, roster: roster, gateways: gateways,
-		storeLostAt: boottime.Now(), unreadableLogLimiter: rate.NewLimiter(unreadableLogsPerSecond, unreadableLogBurst),
+		lastFailureAt: boottime.Now(), invalidLogLimiter: rate.NewLimiter(invalidLogsPerSecond, invalidLogBurst),
 	}
 }
 
@@ -145,7 +146,7 @@
 		v.listedAt = v.now()
 		v.fleetIsNew = !slices.ContainsFunc(items, func(item store.Item) bool { return item.Key == roles.ControllerHistoryKey })
 	}
-	v.reportUnreadable(v.gateways.Reset(v.now(), items))
+	v.reportInvalid(v.gateways.Reset(v.now(), items))
 	v.mutex.Unlock()
 	v.rosterMutex.Lock()
 	v.roster.Reset(v.now(), workers)
@@ -168,14 +169,14 @@
 	v.roster.Restored(now)
 	v.rosterMutex.Unlock()
 	v.mutex.Lock()
-	v.storeLostAt = now
+	v.lastFailureAt = now
 	v.gateways.Restored(now)
 	v.mutex.Unlock()
 	v.listener.StoreRestored(era)
 }
 
-// updateRegistration records whether the own registration is present and its revision, and notifies the listener of
-// changes.
+// updateRegistration records whether the registration of this gateway is present and its revision, and notifies the
+// listener.
 func (v *View) updateRegistration(present bool, revision store.Revision) {
 	switch {
 	case !present:
@@ -231,21 +232,21 @@
 	}
 }
 
-// applyGateway applies an event to the list of gateways and reports whether it was relevant.
+// applyGateway applies an event to the list of gateways and reports whether the event concerns that list.
 func (v *View) applyGateway(event store.Event) bool {
 	if !member.IsListKey(event.Key) {
 		return false
 	}
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	v.reportUnreadable(v.gateways.Apply(v.now(), event))
+	v.reportInvalid(v.gateways.Apply(v.now(), event))
 	return true
 }
 
 // StoreUnavailable implements store.Consumer.
 func (v *View) StoreUnavailable(err error) {
-	if v.storeLostSince.IsZero() {
-		v.storeLostSince = v.now()
+	if v.outageStartedAt.IsZero() {
+		v.outageStartedAt = v.now()
 		v.logger.WithError(err).Warn("The store is unavailable; continuing with the known state.")
 	}
 	v.rosterMutex.Lock()
@@ -253,15 +254,15 @@
 	v.rosterMutex.Unlock()
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	v.storeLostAt = v.now()
-	v.gateways.Outage(v.storeLostAt)
+	v.lastFailureAt = v.now()
+	v.gateways.Outage(v.lastFailureAt)
 }
 
 // UpToDate implements store.Consumer.
 func (v *View) UpToDate(asOf time.Time) {
-	if !v.storeLostSince.IsZero() {
-		v.logger.WithField("after_ms", v.now().Sub(v.storeLostSince).Milliseconds()).Info("The store is available again.")
-		v.storeLostSince = time.Time{}
+	if !v.outageStartedAt.IsZero() {
+		v.logger.WithField("after_ms", v.now().Sub(v.outageStartedAt).Milliseconds()).Info("The store is available again.")
+		v.outageStartedAt = time.Time{}
 	}
 	v.mutex.Lock()
 	v.currentAt = v.now()
@@ -274,7 +275,7 @@
 	}
 }
 
-// applyWorker applies an event to the roster of workers and reports whether it was a worker record.
+// applyWorker applies an event to the roster of workers and reports whether the event is of a worker record.
 func (v *View) applyWorker(event store.Event) bool {
 	id, isWorker := v.decoder.WorkerID(event.Key)
 	if !isWorker {
@@ -313,7 +314,7 @@
 		return nil
 	}
 	worker, err := v.decoder.Worker(id, item.Value)
-	v.reportUnreadable(err)
+	v.reportInvalid(err)
 	return worker
 }
 
@@ -334,21 +335,21 @@
 
 // Limits on log lines about invalid items. Many processes write records, and each list reads them all again.
 const (
-	unreadableLogsPerSecond = 1
-	unreadableLogBurst      = 20
+	invalidLogsPerSecond = 1
+	invalidLogBurst      = 20
 )
 
-// reportUnreadable counts an invalid item and logs it, rate-limited. An invalid configuration leaves the previous one
+// reportInvalid counts an invalid item and logs it, rate-limited. An invalid configuration leaves the previous one
 // in place; an invalid record yields no worker.
-func (v *View) reportUnreadable(err error) {
+func (v *View) reportInvalid(err error) {
 	if err == nil {
 		return
 	}
-	v.unreadable.Add(1)
-	if v.unreadableLogLimiter.Allow() {
+	v.invalidItems.Add(1)
+	if v.invalidLogLimiter.Allow() {
 		v.logger.WithError(err).Error("An item in the store is invalid.")
 	}
 }
 
 // Unreadable returns how often an invalid item was received.
-func (v *View) Unreadable() int64 { return v.unreadable.Load() }
+func (v *View) Unreadable() int64 { return v.invalidItems.Load() }
--- a/internal/cluster/view_test.go
+++ b/internal/cluster/view_test.go
@@ -83,6 +83,7 @@
 	return store.Event{Item: store.Item{Key: key, Value: []byte(value)}}
 }
 
+// TestStaleConfigurationsAreIgnored guards against replacing the configuration by an older or invalid one.
 func TestStaleConfigurationsAreIgnored(t *testing.T) {
 	view, recorded := newTestView()
 	view.Reset([]store.Item{putEvent("configuration", "333").Item})
@@ -93,6 +94,7 @@
 	}
 }
 
+// TestWorkersFollowRecords guards against workers that are added or removed without a change of their records.
 func TestWorkersFollowRecords(t *testing.T) {
 	view, recorded := newTestView()
 	view.Reset([]store.Item{putEvent("worker/1", "x").Item, putEvent("worker/2", "x").Item})
@@ -102,6 +104,8 @@
 	}
 }
 
+// TestWorkersWithoutRecordsExpireAfterOutage guards against removing all workers when an outage expired their records, and
+// against keeping those that never return.
 func TestWorkersWithoutRecordsExpireAfterOutage(t *testing.T) {
 	view, recorded := newTestView()
 	view.Reset([]store.Item{putEvent("worker/1", "x").Item})
@@ -121,25 +125,28 @@
 	}
 }
 
-func TestOwnRegistrationAndControllerAreWatched(t *testing.T) {
+// TestOwnRegistrationAndControllerAreReported guards against a deleted registration or controller key that the listener is
+// not told of.
+func TestOwnRegistrationAndControllerAreReported(t *testing.T) {
 	view, recorded := newTestView()
 	view.Reset([]store.Item{putEvent(ownKey, "{}").Item, putEvent(roles.ControllerKey, "holder").Item})
 	if recorded.unregistered != 0 || recorded.controller != "holder" {
-		t.Errorf("got %+v", recorded)
+		t.Errorf("after the first list: got %+v", recorded)
 	}
 	view.Apply([]store.Event{{Item: store.Item{Key: ownKey}, Deleted: true}, {Item: store.Item{Key: roles.ControllerKey}, Deleted: true}})
 	if recorded.unregistered != 1 || recorded.controller != "" {
-		t.Errorf("got %+v", recorded)
+		t.Errorf("after the deletion: got %+v", recorded)
 	}
 }
 
-// TestPendingRegistrationIsNotReportedMissing guards against every gateway of a starting fleet registering twice.
+// TestPendingRegistrationIsNotReportedMissing guards against reporting a registration as missing before it was first seen,
+// which would make each starting gateway register twice.
 func TestPendingRegistrationIsNotReportedMissing(t *testing.T) {
 	view, recorded := newTestView()
 	own := store.Item{Key: view.ownKey, Value: []byte("{}"), Revision: 5}
 	view.Reset(nil)
 	if recorded.unregistered != 0 {
-		t.Error("a pending registration was reported as gone")
+		t.Error("a pending registration was reported as missing")
 	}
 	view.Apply([]store.Event{{Item: own}})
 	view.Reset([]store.Item{own})
@@ -149,9 +156,8 @@
 	}
 }
 
-// TestRegistrationIsConfirmedWhileListed checks up to which time the registration is confirmed: only for times as of
-// which all changes are known, from when the registration was first seen at its revision, while it is present and the
-// gateway is not leaving.
+// TestRegistrationIsConfirmedWhileListed guards against confirming a registration for a time at which the store may not
+// have held it, or while the gateway is leaving.
 func TestRegistrationIsConfirmedWhileListed(t *testing.T) {
 	view, recorded := newTestView()
 	now := time.Unix(1000, 0)
@@ -192,8 +198,8 @@
 	}
 }
 
-// TestFleetIsNewWithoutControllerHistory checks that a fleet is new if there was no controller history when the store
-// was first listed.
+// TestFleetIsNewWithoutControllerHistory guards against treating a restarted fleet as new, which grants retry credit at
+// once.
 func TestFleetIsNewWithoutControllerHistory(t *testing.T) {
 	history := putEvent(roles.ControllerHistoryKey, "{}")
 	for _, test := range []struct {
@@ -210,7 +216,7 @@
 		view.Apply([]store.Event{history})
 		view.UpToDate(view.now())
 		if recorded.confirmed.IsZero() || recorded.fleetIsNew != test.expected {
-			t.Errorf("%s: fleet is new: %v", test.name, recorded.fleetIsNew)
+			t.Errorf("%s: fleet is new: %t, want %t", test.name, recorded.fleetIsNew, test.expected)
 		}
 	}
 }
@@ -234,7 +240,7 @@
 	now = now.Add(4 * time.Second)
 	view.StoreAnswered(true)
 	if !view.IsFresh(3 * time.Second) {
-		t.Error("a response to a gateway that follows the store did not make the configuration fresh")
+		t.Error("a response to a gateway that watches the store did not make the configuration fresh")
 	}
 }
 
