--- a/internal/member/entry.go
+++ b/internal/member/entry.go
@@ -6,18 +6,18 @@
 	"slices"
 )
 
-// EntrySettings determines how many gateways of a fleet are entries, which callers are directed to. The fewer there
-// are, the more accurately each knows the load and the caches of the workers. The other gateways are standby.
+// EntrySettings determines how many gateways of a fleet are entries, which callers are directed to. With fewer entries,
+// each sees more of the requests and so knows the load and the caches of the workers better. The other gateways are
+// standby.
 type EntrySettings struct {
 	// MaxAllEntries is the maximum size of a fleet in which all gateways are entries. Such a fleet is small enough for
 	// all of them to exchange their state.
 	MaxAllEntries int
-	// MinPerZone is the minimum number of entries in each zone, as far as it has gateways, so that the loss of one
-	// leaves another nearby.
+	// MinPerZone is the minimum number of entries in each zone, or all its gateways if it has fewer.
 	MinPerZone int
 	// Min is the minimum number of entries of the fleet.
 	Min int
-	// Max is the maximum number of entries, which is what the directory may name in one answer.
+	// Max is the maximum number of entries: as many as one response of the directory to a caller can list.
 	Max int
 }
 
@@ -26,19 +26,19 @@
 	return EntrySettings{MaxAllEntries: 12, MinPerZone: 2, Min: 6, Max: 64}
 }
 
-// Entries returns the entries by name: the minimum number of each zone, and more until they have the needed cores. It
-// prefers gateways with more cores and distributes equal ones evenly over the zones. All processes that know the same
+// Entries returns the entries: all gateways of a small fleet, in the given order, and otherwise the minimum number of each
+// zone and more until they have the needed cores, by name. It prefers gateways with more cores and distributes equal ones evenly over the zones. All processes that know the same
 // gateways select the same entries, and a lost entry is replaced in its own zone.
 func Entries(gateways []Gateway, neededCores float64, settings EntrySettings) []Gateway {
 	if len(gateways) <= settings.MaxAllEntries {
 		return gateways
 	}
 	ranking := newRanking(gateways)
-	return selectEntries(ranking.all(), ranking.zones, neededCores, settings)
+	return selectEntries(ranking.ordered(), ranking.zones, neededCores, settings)
 }
 
 // selectEntries selects the entries from gateways in ranking order. The map zones holds the number of gateways of each
-// zone, of which some may be missing in the sequence.
+// zone, which may include gateways that are not in ranked.
 func selectEntries(ranked iter.Seq[Gateway], zones map[string]int, neededCores float64, settings EntrySettings) []Gateway {
 	selected := map[string]bool{}
 	var entries []Gateway
--- a/internal/member/entry_test.go
+++ b/internal/member/entry_test.go
@@ -20,6 +20,7 @@
 	return gateways
 }
 
+// TestAllGatewaysOfSmallFleetAreEntries guards against standby gateways in a small fleet.
 func TestAllGatewaysOfSmallFleetAreEntries(t *testing.T) {
 	small := newFleet(3, 0.4, "g", "a", "b", "c")
 	if got := gatewayNames(Entries(small, 0, DefaultEntrySettings())); got != gatewayNames(small) {
@@ -27,6 +28,8 @@
 	}
 }
 
+// TestLargestGatewaysAreEntries guards against selecting small gateways while larger ones are left, and against replacing a
+// lost entry in another zone.
 func TestLargestGatewaysAreEntries(t *testing.T) {
 	large := newFleet(2, 0.8, "large", "a", "b", "c", "d")
 	mixed := append(newFleet(20, 0.2, "small", "a", "b", "c", "d"), large...)
@@ -40,6 +43,7 @@
 	}
 }
 
+// TestEntriesAreSpreadOverZones guards against zones with fewer entries than others, and against fewer cores than needed.
 func TestEntriesAreSpreadOverZones(t *testing.T) {
 	even := newFleet(30, 0.4, "g", "a", "b", "c")
 	tests := []struct {
@@ -63,8 +67,8 @@
 	}
 }
 
-// TestEntriesDependOnlyOnKnownGateways checks on random fleets that the order of the gateways does not matter, that
-// each zone has an entry, and that the loss of an entry does not displace another one.
+// TestEntriesDependOnlyOnKnownGateways guards against gateways that select different entries, zones without entries, and
+// entries that are displaced by the loss of another one.
 func TestEntriesDependOnlyOnKnownGateways(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var gateways []Gateway
--- a/internal/member/list.go
+++ b/internal/member/list.go
@@ -34,27 +34,27 @@
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// lapseGrace is how long a gateway whose registration expired around a store outage stays on the list. The outage may
-// have expired the lease of a running gateway, which registers again within that time.
-const lapseGrace = 3 * time.Second
+// expiryGrace is how long a gateway whose registration expired during or soon after a store outage stays on the list. The
+// outage may have expired the lease of a running gateway, which registers again within that time.
+const expiryGrace = 3 * time.Second
 
 // outageWindow is how long after an outage expired registrations are attributed to it.
 const outageWindow = 6 * time.Second
 
-// List is the list of live gateways according to the store and to heartbeats. It is a pure state machine and not safe
-// for concurrent use.
+// List derives the live gateways and the entries from registrations and heartbeats. It is a pure state machine and not
+// safe for concurrent use.
 type List struct {
 	// own is this gateway, which is on the list until it leaves.
 	own      Gateway
 	gateways map[string]Gateway
-	// lapsedUntil holds until when gateways whose registrations expired stay on the list, by key.
-	lapsedUntil map[string]time.Time
-	lastOutage  time.Time
-	// isRestored is set after a restore of the store from a backup, until the next list.
+	// graceUntil holds until when gateways whose registrations expired stay on the list, by key.
+	graceUntil map[string]time.Time
+	lastOutage time.Time
+	// isRestored is set after a restore of the store from a backup, until the next Reset.
 	isRestored bool
-	// lastHeard holds when each other gateway was last known to be an entry, from a heartbeat or from the report of
-	// another gateway. lastClaimed holds when each last sent a heartbeat as an entry.
-	lastHeard, lastClaimed map[string]time.Time
+	// lastSeenAsEntry holds when each other gateway was last known to be an entry, from a heartbeat or from the report of
+	// another gateway. lastHeartbeat holds when each last sent a heartbeat as an entry.
+	lastSeenAsEntry, lastHeartbeat map[string]time.Time
 
 	// ranking holds the serving gateways in the order in which they are selected as entries.
 	ranking *ranking
@@ -70,14 +70,14 @@
 	// liveUntil holds until when each gateway is considered live, from a heartbeat or from the report of a gateway that
 	// received one.
 	liveUntil map[string]time.Time
-	// connectedAt is when the store, or another gateway that follows it, last answered this process.
+	// connectedAt is when the store, or another gateway, last responded to this process.
 	connectedAt time.Time
 }
 
-// NewList returns a list that contains only the own gateway.
+// NewList returns a list that contains only this gateway.
 func NewList(own Gateway) *List {
 	return &List{
-		own: own, gateways: map[string]Gateway{}, lapsedUntil: map[string]time.Time{}, lastHeard: map[string]time.Time{}, lastClaimed: map[string]time.Time{},
+		own: own, gateways: map[string]Gateway{}, graceUntil: map[string]time.Time{}, lastSeenAsEntry: map[string]time.Time{}, lastHeartbeat: map[string]time.Time{},
 		ranking: newRanking(servingOnly(own)), settings: DefaultEntrySettings(), entrySince: map[string]time.Time{}, unresponsiveUntil: map[string]time.Time{},
 		liveUntil: map[string]time.Time{},
 	}
@@ -91,7 +91,8 @@
 	return []Gateway{gateway}
 }
 
-// Reset replaces all registrations and the need by those among the items.
+// Reset replaces all registrations and the cores that the entries need by those among the items. Expired registrations may
+// remain for a grace period.
 func (l *List) Reset(now time.Time, items []store.Item) error {
 	present := map[string]bool{}
 	var errs []error
@@ -109,13 +110,13 @@
 		}
 	}
 	if l.isRestored && l.needRevision == 0 {
-		// The controller will write the need again. Without it, there would be fewer entries until then.
+		// The controller will write the needed cores again. Keep the previous value until then.
 		l.neededCores = previousCores
 	}
 	l.isRestored = false
 	for key := range l.gateways {
 		if !present[key] {
-			l.lapse(now, key)
+			l.expire(now, key)
 		}
 	}
 	return errors.Join(errs...)
@@ -132,7 +133,7 @@
 	case !IsRegistration(event.Key):
 		return nil
 	case event.Deleted:
-		l.lapse(now, event.Key)
+		l.expire(now, event.Key)
 		return nil
 	default:
 		return l.putRegistration(event.Item)
@@ -143,7 +144,7 @@
 func (l *List) putNeed(item store.Item) error {
 	var need EntryNeed
 	if err := json.Unmarshal(item.Value, &need); err != nil {
-		return errors.Wrapf(err, "decode need %s", item.Key)
+		return errors.Wrapf(err, "decode the cores that the entries need, key %s", item.Key)
 	}
 	l.neededCores, l.needRevision = need.Cores, item.Revision
 	return nil
@@ -156,57 +157,57 @@
 func (l *List) Outage(now time.Time) { l.lastOutage = now }
 
 // Restored records that the store was restored from a backup. It must be called before the restored registrations are
-// passed. Missing ones may be lost and will be written again.
+// passed. Registrations that the backup lacks will be written again.
 func (l *List) Restored(now time.Time) {
 	l.Outage(now)
 	l.isRestored = true
 }
 
-// HeartbeatReceived records a heartbeat of another gateway, which claims to be an entry.
+// HeartbeatReceived records a heartbeat of another gateway, which considers itself an entry.
 func (l *List) HeartbeatReceived(now time.Time, name string) {
-	l.lastClaimed[name] = now
+	l.lastHeartbeat[name] = now
 	l.recordAlive(now, name)
 }
 
 // recordAlive records that a gateway is an entry, from a heartbeat or from the report of another gateway.
 func (l *List) recordAlive(now time.Time, name string) {
-	l.lastHeard[name] = now
+	l.lastSeenAsEntry[name] = now
 	l.liveUntil[name] = now.Add(heartbeatTimeout)
 	delete(l.unresponsiveUntil, name)
 }
 
-// heartbeatTimeout is how long a gateway may be silent before it is suspected: four heartbeat intervals.
+// heartbeatTimeout is how long a gateway may be silent before it is suspected. It spans several heartbeat intervals.
 const heartbeatTimeout = 900 * time.Millisecond
 
-// Reachable returns the serving gateways by name, except those suspected to be down. If most known entries are silent,
-// the fault is probably on this side and none is suspected, unless the store or a peer answers this process.
+// Reachable returns the serving gateways by name, except those suspected to be down. If most known entries are silent
+// and neither the store nor a peer responds, this process is probably disconnected, and none is suspected.
 func (l *List) Reachable(now time.Time) []Gateway {
 	reachable, _ := l.findReachable(now)
 	return byName(slices.Collect(reachable))
 }
 
 // findReachable returns the serving gateways that are not suspected to be down, in ranking order, and the suspected
-// ones by name. It only examines the gateways in lastHeard, which are the few entries.
+// ones by name. It only examines the gateways in lastSeenAsEntry, which are the few entries.
 func (l *List) findReachable(now time.Time) (reachable iter.Seq[Gateway], suspects []Gateway) {
-	l.removeLapsed(now)
-	heardCount, silentCount := 0, 0
+	l.removeExpired(now)
+	knownCount, silentCount := 0, 0
 	suspected := map[string]bool{}
-	for name := range l.lastHeard {
+	for name := range l.lastSeenAsEntry {
 		if _, serves := l.Find(now, name); !serves {
 			continue
 		}
-		heardCount++
+		knownCount++
 		switch {
 		case name == l.own.Name:
 		case l.isSilentStandby(now, name):
-			delete(l.lastHeard, name)
+			delete(l.lastSeenAsEntry, name)
 		case l.isSilent(now, name):
 			silentCount++
 			suspected[name] = true
 		}
 	}
-	if 2*silentCount > heardCount && !l.isConnected(now) {
-		return l.ranking.all(), nil
+	if 2*silentCount > knownCount && !l.isConnected(now) {
+		return l.ranking.ordered(), nil
 	}
 	for name, until := range l.unresponsiveUntil {
 		if now.Before(until) {
@@ -218,38 +219,38 @@
 			suspects = append(suspects, gateway)
 		}
 	}
-	return l.ranking.without(suspected), byName(suspects)
+	return l.ranking.orderedExcept(suspected), byName(suspects)
 }
 
 // BecameStandby records that a gateway is now standby and stops sending heartbeats.
 func (l *List) BecameStandby(name string) {
-	delete(l.lastHeard, name)
-	delete(l.lastClaimed, name)
+	delete(l.lastSeenAsEntry, name)
+	delete(l.lastHeartbeat, name)
 	delete(l.liveUntil, name)
 }
 
 // isSilentStandby reports whether a gateway has been silent for so long that its registration would have expired if it
-// were down. It must be standby, and its notification of that was lost.
+// were down. Since it is still registered, it is standby and its notification of that was lost.
 func (l *List) isSilentStandby(now time.Time, name string) bool {
-	heardAt, found := l.lastHeard[name]
+	heardAt, found := l.lastSeenAsEntry[name]
 	return found && now.Sub(heardAt) > unresponsivePause
 }
 
 // isSilent reports whether the heartbeats of a gateway have stopped.
 func (l *List) isSilent(now time.Time, name string) bool {
-	heardAt, found := l.lastHeard[name]
+	heardAt, found := l.lastSeenAsEntry[name]
 	return found && now.Sub(heardAt) > heartbeatTimeout
 }
 
 // Serving returns the serving gateways by name.
 func (l *List) Serving(now time.Time) []Gateway {
-	l.removeLapsed(now)
-	return byName(slices.Collect(l.ranking.all()))
+	l.removeExpired(now)
+	return byName(slices.Collect(l.ranking.ordered()))
 }
 
 // Find returns the serving gateway with a name, or false.
 func (l *List) Find(now time.Time, name string) (Gateway, bool) {
-	l.removeLapsed(now)
+	l.removeExpired(now)
 	if name == l.own.Name {
 		return l.own, !l.own.Leaving
 	}
@@ -259,15 +260,15 @@
 
 // ServingCount returns the number of serving gateways.
 func (l *List) ServingCount(now time.Time) int {
-	l.removeLapsed(now)
+	l.removeExpired(now)
 	return l.ranking.count
 }
 
-// removeLapsed removes gateways whose grace period is over.
-func (l *List) removeLapsed(now time.Time) {
-	for key, until := range l.lapsedUntil {
+// removeExpired removes gateways whose grace period is over.
+func (l *List) removeExpired(now time.Time) {
+	for key, until := range l.graceUntil {
 		if now.After(until) {
-			delete(l.lapsedUntil, key)
+			delete(l.graceUntil, key)
 			l.remove(key)
 		}
 	}
@@ -281,18 +282,18 @@
 	delete(l.gateways, key)
 }
 
-// Leave removes the own gateway from the list.
+// Leave removes this gateway from the list.
 func (l *List) Leave() {
 	l.ranking.remove(l.own)
 	l.own.Leaving = true
 }
 
-// IsListed reports whether the own gateway serves and was registered according to the last state of the store.
+// IsListed reports whether this gateway serves and was registered according to the last state of the store.
 func (l *List) IsListed() bool {
 	key := KeyPrefix + l.own.Name
 	_, isListed := l.gateways[key]
-	_, isLapsed := l.lapsedUntil[key]
-	return isListed && !isLapsed && !l.own.Leaving
+	_, isExpired := l.graceUntil[key]
+	return isListed && !isExpired && !l.own.Leaving
 }
 
 // putRegistration adds or updates a registration.
@@ -302,7 +303,7 @@
 		return errors.Wrapf(err, "decode registration %s", item.Key)
 	}
 	l.register(item.Key, gateway)
-	delete(l.lapsedUntil, item.Key)
+	delete(l.graceUntil, item.Key)
 	delete(l.unresponsiveUntil, gateway.Name)
 	return nil
 }
@@ -316,20 +317,20 @@
 	}
 }
 
-// lapse removes an expired registration, after a grace period if the store was unavailable recently.
-func (l *List) lapse(now time.Time, key string) {
+// expire removes an expired registration, after a grace period if the store was unavailable recently.
+func (l *List) expire(now time.Time, key string) {
 	gateway, known := l.gateways[key]
 	if !known {
 		return
 	}
 	if !gateway.Leaving && !l.lastOutage.IsZero() && now.Sub(l.lastOutage) < outageWindow {
-		if _, isLapsed := l.lapsedUntil[key]; !isLapsed {
-			l.lapsedUntil[key] = now.Add(lapseGrace)
+		if _, isExpired := l.graceUntil[key]; !isExpired {
+			l.graceUntil[key] = now.Add(expiryGrace)
 		}
 		return
 	}
 	l.remove(key)
-	delete(l.lapsedUntil, key)
+	delete(l.graceUntil, key)
 }
 
 // IsListKey reports whether the list depends on a key.
--- a/internal/member/list_test.go
+++ b/internal/member/list_test.go
@@ -39,31 +39,33 @@
 	return list
 }
 
-func TestLapsesAreDelayedAfterOutage(t *testing.T) {
-	gone := store.Event{Item: store.Item{Key: KeyPrefix + "b", Revision: 2}, Deleted: true}
+// TestExpiriesAreDelayedAfterOutage guards against removing running gateways whose leases expired in an outage.
+func TestExpiriesAreDelayedAfterOutage(t *testing.T) {
+	deletion := store.Event{Item: store.Item{Key: KeyPrefix + "b", Revision: 2}, Deleted: true}
 	list := newTestList(t, "b", "c")
-	_ = list.Apply(startTime, gone)
+	_ = list.Apply(startTime, deletion)
 	if got := gatewayNames(list.Serving(startTime)); got != "[a c]" {
-		t.Errorf("after a lapse: %s", got)
+		t.Errorf("after an expiry: %s", got)
 	}
 	list = newTestList(t, "b", "c")
 	list.Outage(startTime)
-	_ = list.Apply(startTime, gone)
+	_ = list.Apply(startTime, deletion)
 	if got := gatewayNames(list.Serving(startTime)); got != "[a b c]" {
-		t.Errorf("after a lapse during an outage: %s", got)
+		t.Errorf("after an expiry during an outage: %s", got)
 	}
-	if got := gatewayNames(list.Serving(startTime.Add(lapseGrace + 1))); got != "[a c]" {
+	if got := gatewayNames(list.Serving(startTime.Add(expiryGrace + 1))); got != "[a c]" {
 		t.Errorf("after the grace period: %s", got)
 	}
 	list = newTestList(t, "b", "c")
 	list.Outage(startTime)
 	_ = list.Reset(startTime, []store.Item{registeredEvent("c", false).Item})
 	_ = list.Apply(startTime, registeredEvent("b", false))
-	if got := gatewayNames(list.Serving(startTime.Add(lapseGrace + 1))); got != "[a b c]" {
+	if got := gatewayNames(list.Serving(startTime.Add(expiryGrace + 1))); got != "[a b c]" {
 		t.Errorf("registered again after an outage: %s", got)
 	}
 }
 
+// TestLeavingGatewaysDoNotServe guards against directing callers to gateways that are leaving.
 func TestLeavingGatewaysDoNotServe(t *testing.T) {
 	list := newTestList(t, "b", "c")
 	_ = list.Apply(startTime, registeredEvent("b", true))
@@ -73,6 +75,8 @@
 	}
 }
 
+// TestSilentGatewaysAreUnreachableUnlessMostAre guards against sending to a silent gateway, and against suspecting all when
+// this process is disconnected.
 func TestSilentGatewaysAreUnreachableUnlessMostAre(t *testing.T) {
 	list := newTestList(t, "b", "c", "d", "e")
 	for _, name := range []string{"b", "c", "d"} {
--- a/internal/member/liveness.go
+++ b/internal/member/liveness.go
@@ -7,21 +7,21 @@
 
 // Timing of the detection of failed entries.
 const (
-	// entryAnswerTimeout is how long a gateway selected as an entry may take until its first heartbeat: the time until
+	// firstHeartbeatTimeout is how long a gateway selected as an entry may take until its first heartbeat: the time until
 	// it and the other entries learn of each other.
-	entryAnswerTimeout = 1500 * time.Millisecond
-	// unresponsivePause is how long a gateway that sent no heartbeat is skipped, unless it sends one or registers
-	// again. It is longer than the lease of a standby gateway, so that a dead one is not selected twice.
+	firstHeartbeatTimeout = 1500 * time.Millisecond
+	// unresponsivePause is how long a gateway that sent no heartbeat is not selected as an entry, unless it sends one or
+	// registers again. It is longer than the lease of a standby gateway, so that a dead one is not selected twice.
 	unresponsivePause = 20 * time.Second
 	// connectedWindow is how long after a response this process is considered connected. It is longer than the interval
 	// between requests to the store or to another gateway.
 	connectedWindow = 2500 * time.Millisecond
-	// reportedLiveWindow is how long a report that a gateway is live is valid: the time of four requests, of which two
-	// may fail.
+	// reportedLiveWindow is how long a report that a gateway is live is valid. It spans several requests, so that some may
+	// fail.
 	reportedLiveWindow = 2500 * time.Millisecond
 )
 
-// StoreAnswered records that the store, or another gateway that follows it, answered this process.
+// StoreAnswered records that the store, or another gateway, responded to this process.
 func (l *List) StoreAnswered(now time.Time) { l.connectedAt = now }
 
 // isConnected reports whether this process got a response recently.
@@ -29,8 +29,8 @@
 	return !l.connectedAt.IsZero() && now.Sub(l.connectedAt) < connectedWindow
 }
 
-// Entries returns the entries by name, and the serving gateways that are suspected to be down. Entries that send no
-// heartbeats are replaced.
+// Entries returns the entries by name, and the serving gateways that are suspected to be down. While this process
+// is connected, an entry that sends no heartbeats is replaced at the next call.
 func (l *List) Entries(now time.Time) (entries, suspects []Gateway) {
 	reachable, suspects := l.findReachable(now)
 	if l.ServingCount(now) <= l.settings.MaxAllEntries {
@@ -45,7 +45,7 @@
 			since = now
 		}
 		entrySince[entry.Name] = since
-		if _, heard := l.lastHeard[entry.Name]; entry.Name != l.own.Name && !heard && now.Sub(since) > entryAnswerTimeout && l.isConnected(now) {
+		if _, wasSeen := l.lastSeenAsEntry[entry.Name]; entry.Name != l.own.Name && !wasSeen && now.Sub(since) > firstHeartbeatTimeout && l.isConnected(now) {
 			l.unresponsiveUntil[entry.Name] = now.Add(unresponsivePause)
 		}
 	}
@@ -57,16 +57,16 @@
 // agree on them.
 func (l *List) RegisteredEntries(now time.Time) []Gateway {
 	if l.ServingCount(now) <= l.settings.MaxAllEntries {
-		return byName(slices.Collect(l.ranking.all()))
+		return byName(slices.Collect(l.ranking.ordered()))
 	}
-	return selectEntries(l.ranking.all(), l.ranking.zones, l.neededCores, l.settings)
+	return selectEntries(l.ranking.ordered(), l.ranking.zones, l.neededCores, l.settings)
 }
 
 // EntriesReported records the entries that another gateway reported, and those of them that it received heartbeats from.
 // Heartbeats of any other gateways are no longer expected.
 func (l *List) EntriesReported(now time.Time, entries, live []string) {
 	l.StoreAnswered(now)
-	clear(l.lastHeard)
+	clear(l.lastSeenAsEntry)
 	for _, name := range entries {
 		l.recordAlive(now, name)
 	}
@@ -74,6 +74,7 @@
 	for _, name := range live {
 		l.liveUntil[name] = now.Add(reportedLiveWindow)
 	}
+	// Entries that the other gateway does not report were replaced by it, so they are probably down.
 	for name := range l.entrySince {
 		if name != l.own.Name && !slices.Contains(entries, name) {
 			l.unresponsiveUntil[name] = now.Add(unresponsivePause)
@@ -81,28 +82,28 @@
 	}
 }
 
-// AdvertisedGateways returns the gateways that callers are directed to, by name: the entries known to be live. If there is none, it
-// returns the own gateway, which can serve as well. A registration does not prove that a gateway is live, as that of a
-// standby gateway expires late.
+// AdvertisedGateways returns the gateways that callers are directed to, by name: the entries known to be live. If there is
+// none, it returns this gateway, which can serve as well. A registration does not prove that a gateway is live, as that of
+// a standby gateway expires late.
 func (l *List) AdvertisedGateways(now time.Time) []Gateway {
 	entries, _ := l.Entries(now)
-	named := slices.DeleteFunc(entries, func(entry Gateway) bool {
+	advertised := slices.DeleteFunc(entries, func(entry Gateway) bool {
 		return entry.Name != l.own.Name && now.After(l.liveUntil[entry.Name])
 	})
-	if len(named) == 0 && !l.own.Leaving {
+	if len(advertised) == 0 && !l.own.Leaving {
 		return []Gateway{l.own}
 	}
-	return named
+	return advertised
 }
 
-// Claimants returns the gateways by name that recently claimed to be entries while this process does not consider them
-// such. They must receive heartbeats, too: without these, a gateway that replaced an entry may not learn that the entry
-// is live after all, and would remain an entry beside it.
+// Claimants returns the gateways, by name, that recently sent heartbeats as entries while this process does not consider
+// them entries. They must receive heartbeats, too: otherwise a gateway that replaced an entry may not learn that the entry
+// is live, and both remain entries.
 func (l *List) Claimants(now time.Time) []Gateway {
 	var claimants []Gateway
-	for name, claimed := range l.lastClaimed {
+	for name, heartbeatAt := range l.lastHeartbeat {
 		_, isEntry := l.entrySince[name]
-		if name == l.own.Name || isEntry || now.Sub(claimed) > heartbeatTimeout {
+		if name == l.own.Name || isEntry || now.Sub(heartbeatAt) > heartbeatTimeout {
 			continue
 		}
 		if gateway, serves := l.Find(now, name); serves {
@@ -112,10 +113,10 @@
 	return byName(claimants)
 }
 
-// Resumed records that this process was suspended and could not receive heartbeats, so that silence does not count.
+// Resumed records that this process was suspended and could not receive heartbeats. It restarts all heartbeat timeouts.
 func (l *List) Resumed(now time.Time) {
-	for name := range l.lastHeard {
-		l.lastHeard[name] = now
+	for name := range l.lastSeenAsEntry {
+		l.lastSeenAsEntry[name] = now
 	}
 	for name := range l.entrySince {
 		l.entrySince[name] = now
--- a/internal/member/liveness_test.go
+++ b/internal/member/liveness_test.go
@@ -25,20 +25,21 @@
 	return Gateway{Name: name, Zone: string(rune('a' + number%3)), Cores: 0.4}
 }
 
-// hearFrom connects the list and records heartbeats of gateways.
-func hearFrom(list *List, now time.Time, names ...string) {
+// recordHeartbeats records a response of the store and heartbeats of gateways.
+func recordHeartbeats(list *List, now time.Time, names ...string) {
 	list.StoreAnswered(now)
 	for _, name := range names {
 		list.HeartbeatReceived(now, name)
 	}
 }
 
-// entriesAt returns the entries at a time, and suspectsAt the gateways suspected to be down.
+// entriesAt returns the entries at a time.
 func entriesAt(list *List, now time.Time) []Gateway {
 	entries, _ := list.Entries(now)
 	return entries
 }
 
+// suspectsAt returns the gateways that are suspected to be down at a time.
 func suspectsAt(list *List, now time.Time) []Gateway {
 	_, suspects := list.Entries(now)
 	return suspects
@@ -46,14 +47,15 @@
 
 const allEntries = "[g00 g01 g02 g03 g04 g05]"
 
+// TestSilentEntryIsReplacedInItsZone guards against keeping a silent entry, and against replacing it in another zone.
 func TestSilentEntryIsReplacedInItsZone(t *testing.T) {
 	list := largeList("g00")
-	hearFrom(list, startTime, "g01", "g02", "g03", "g04", "g05")
+	recordHeartbeats(list, startTime, "g01", "g02", "g03", "g04", "g05")
 	if got := gatewayNames(entriesAt(list, startTime)); got != allEntries {
 		t.Fatalf("initially: %s", got)
 	}
 	later := startTime.Add(heartbeatTimeout + time.Millisecond)
-	hearFrom(list, later, "g02", "g03", "g04", "g05")
+	recordHeartbeats(list, later, "g02", "g03", "g04", "g05")
 	if got := gatewayNames(entriesAt(list, later)); got != "[g00 g02 g03 g04 g05 g07]" {
 		t.Fatalf("g01 silent: %s", got)
 	}
@@ -61,18 +63,19 @@
 		t.Errorf("got suspects %s", got)
 	}
 	// The gateway that replaced it sends no heartbeat either.
-	later = later.Add(entryAnswerTimeout + time.Millisecond)
-	hearFrom(list, later, "g02", "g03", "g04", "g05")
+	later = later.Add(firstHeartbeatTimeout + time.Millisecond)
+	recordHeartbeats(list, later, "g02", "g03", "g04", "g05")
 	list.Entries(later)
 	if got := gatewayNames(entriesAt(list, later)); got != "[g00 g02 g03 g04 g05 g10]" {
 		t.Fatalf("g07 silent too: %s", got)
 	}
-	hearFrom(list, later, "g01")
+	recordHeartbeats(list, later, "g01")
 	if got := gatewayNames(entriesAt(list, later)); got != allEntries {
 		t.Errorf("g01 sends heartbeats again: %s", got)
 	}
 }
 
+// TestAllEntriesAreReplacedOnlyWhileConnected guards against a disconnected gateway that replaces all entries.
 func TestAllEntriesAreReplacedOnlyWhileConnected(t *testing.T) {
 	list := largeList("g20")
 	list.EntriesReported(startTime, []string{"g00", "g01", "g02", "g03", "g04", "g05"}, nil)
@@ -87,6 +90,7 @@
 	}
 }
 
+// TestStandbyFollowsReportedEntries guards against a standby gateway that keeps an entry which others have replaced.
 func TestStandbyFollowsReportedEntries(t *testing.T) {
 	list := largeList("g20")
 	list.EntriesReported(startTime, []string{"g00", "g01", "g02", "g03", "g04", "g05"}, nil)
@@ -96,26 +100,26 @@
 		t.Errorf("after the report that g01 was replaced: %s", got)
 	}
 	// If it becomes an entry itself, it gets no more reports and must receive heartbeats.
-	later := startTime.Add(entryAnswerTimeout)
-	hearFrom(list, later, "g00", "g02", "g03", "g04", "g05", "g07")
+	later := startTime.Add(firstHeartbeatTimeout)
+	recordHeartbeats(list, later, "g00", "g02", "g03", "g04", "g05", "g07")
 	if got := gatewayNames(entriesAt(list, later)); got != "[g00 g02 g03 g04 g05 g07]" {
 		t.Errorf("after heartbeats: %s", got)
 	}
 }
 
-// TestOnlyLiveGatewaysAreNamed guards against directing callers to dead machines: the registrations of standby gateways
-// expire late.
-func TestOnlyLiveGatewaysAreNamed(t *testing.T) {
+// TestOnlyLiveGatewaysAreAdvertised guards against directing callers to dead machines: the registrations of standby
+// gateways expire late.
+func TestOnlyLiveGatewaysAreAdvertised(t *testing.T) {
 	entry := largeList("g00")
 	if got := gatewayNames(entry.AdvertisedGateways(startTime)); got != "[g00]" {
 		t.Errorf("without heartbeats: %s", got)
 	}
-	hearFrom(entry, startTime, "g01", "g02", "g03", "g04", "g05")
+	recordHeartbeats(entry, startTime, "g01", "g02", "g03", "g04", "g05")
 	if got := gatewayNames(entry.AdvertisedGateways(startTime)); got != allEntries {
 		t.Errorf("with heartbeats of all entries: %s", got)
 	}
 	later := startTime.Add(heartbeatTimeout + time.Millisecond)
-	hearFrom(entry, later, "g02", "g03", "g04", "g05")
+	recordHeartbeats(entry, later, "g02", "g03", "g04", "g05")
 	if got := gatewayNames(entry.AdvertisedGateways(later)); got != "[g00 g02 g03 g04 g05]" {
 		t.Errorf("g07 replaced g01 and sent no heartbeat yet: %s", got)
 	}
@@ -129,9 +133,10 @@
 	}
 }
 
+// TestNoGatewayIsSuspectedAfterResume guards against suspecting all entries after this process was suspended.
 func TestNoGatewayIsSuspectedAfterResume(t *testing.T) {
 	list := largeList("g00")
-	hearFrom(list, startTime, "g01", "g02", "g03", "g04", "g05")
+	recordHeartbeats(list, startTime, "g01", "g02", "g03", "g04", "g05")
 	list.Entries(startTime)
 	later := startTime.Add(time.Minute)
 	list.Resumed(later)
@@ -141,8 +146,8 @@
 	}
 }
 
-// TestEntriesConverge checks that with random gateways down the selected entries are eventually all live, within the
-// time to detect one dead gateway after the other.
+// TestEntriesConverge guards against entries that stay down, beyond the time to detect one dead gateway after the other, as
+// long as each zone has two live gateways.
 func TestEntriesConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		list := largeList("g00")
@@ -154,7 +159,7 @@
 		// In the worst case all ten gateways of a zone are tried in turn, each for entryAnswerTimeout and until the
 		// next check. None is tried twice, as that takes less than unresponsivePause.
 		const checkInterval, perZone = 100 * time.Millisecond, 10
-		for range perZone * int(entryAnswerTimeout/checkInterval+2) {
+		for range perZone * int(firstHeartbeatTimeout/checkInterval+2) {
 			now = now.Add(checkInterval)
 			list.StoreAnswered(now)
 			for _, entry := range entriesAt(list, now) {
@@ -181,16 +186,16 @@
 	})
 }
 
-// TestRegisteredDoesNotDependOnHeartbeats checks that gateways that receive different heartbeats return the same
-// registered entries.
-func TestRegisteredDoesNotDependOnHeartbeats(t *testing.T) {
+// TestRegisteredEntriesDoNotDependOnHeartbeats guards against gateways that return different registered entries because
+// they received different heartbeats.
+func TestRegisteredEntriesDoNotDependOnHeartbeats(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		one, other := largeList("g00"), largeList("g07")
 		now := time.Unix(1000, 0)
 		for range rapid.IntRange(0, 40).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 900).Draw(t, "pause")) * time.Millisecond)
 			name := fmt.Sprintf("g%02d", rapid.IntRange(0, 29).Draw(t, "name"))
-			hearFrom(rapid.SampledFrom([]*List{one, other}).Draw(t, "hears"), now, name)
+			recordHeartbeats(rapid.SampledFrom([]*List{one, other}).Draw(t, "hears"), now, name)
 			entriesAt(one, now)
 			entriesAt(other, now)
 		}
--- a/internal/member/ranking.go
+++ b/internal/member/ranking.go
@@ -8,8 +8,8 @@
 )
 
 // ranking holds gateways in the order in which they are selected as entries: by decreasing cores, and alternating
-// between zones among those with equal cores. Adding or removing a gateway moves only others of the same zone and
-// cores.
+// between zones among those with equal cores. Adding or removing a gateway changes the relative order only of
+// gateways with the same cores, and keeps it within each zone.
 type ranking struct {
 	// classes are sorted by decreasing cores and by zone.
 	classes []*capacityClass
@@ -79,8 +79,8 @@
 	r.count--
 }
 
-// all returns the gateways in order.
-func (r *ranking) all() iter.Seq[Gateway] {
+// ordered returns the gateways in order.
+func (r *ranking) ordered() iter.Seq[Gateway] {
 	return func(yield func(Gateway) bool) {
 		for first := 0; first < len(r.classes); {
 			next := first
@@ -113,10 +113,10 @@
 	return true
 }
 
-// without returns the gateways in order, except those with the given names.
-func (r *ranking) without(names map[string]bool) iter.Seq[Gateway] {
+// orderedExcept returns the gateways in order, except those with the given names.
+func (r *ranking) orderedExcept(names map[string]bool) iter.Seq[Gateway] {
 	return func(yield func(Gateway) bool) {
-		for gateway := range r.all() {
+		for gateway := range r.ordered() {
 			if !names[gateway.Name] && !yield(gateway) {
 				return
 			}
--- a/internal/member/ranking_test.go
+++ b/internal/member/ranking_test.go
@@ -8,7 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestUpdatedRankingEqualsNewOne compares a ranking after random changes with a new ranking of the same gateways.
+// TestUpdatedRankingEqualsNewOne guards against a ranking that depends on the order of changes, so that gateways select
+// different entries.
 func TestUpdatedRankingEqualsNewOne(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		updated := newRanking(nil)
@@ -30,7 +31,7 @@
 			all = append(all, gateway)
 		}
 		rebuilt := newRanking(all)
-		if one, other := slices.Collect(updated.all()), slices.Collect(rebuilt.all()); !slices.Equal(one, other) || updated.count != len(all) {
+		if one, other := slices.Collect(updated.ordered()), slices.Collect(rebuilt.ordered()); !slices.Equal(one, other) || updated.count != len(all) {
 			t.Fatalf("updated ranking %v, new ranking %v", one, other)
 		}
 		for zone, count := range updated.zones {
--- a/internal/member/registration.go
+++ b/internal/member/registration.go
@@ -13,9 +13,9 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// RegistrationSettings configures a Registration.
+// RegistrationSettings configures a Registration. The times are those of an entry; see StandbyFactor.
 type RegistrationSettings struct {
-	// TTL is the duration of the lease of an entry.
+	// TTL is the duration of the lease.
 	TTL time.Duration
 	// Interval is the time between renewals.
 	Interval time.Duration
@@ -38,16 +38,17 @@
 	}
 }
 
-// Registration keeps the own gateway registered in the store.
+// Registration keeps this gateway registered in the store.
 type Registration struct {
 	settings RegistrationSettings
 	store    store.Store
 	own      Gateway
 	logger   logrus.FieldLogger
-	// onFailure is called after each failed call to the store.
+	// onFailure is called after each attempt that failed.
 	onFailure func()
 	// onLease is called with each lease that was granted or renewed, and the time by boottime at which the call began.
 	onLease func(started time.Time, lease int64, ttl time.Duration)
+	// rewrite and leave signal Run to write the registration again, or to write it as leaving.
 	rewrite chan struct{}
 	leave   chan struct{}
 	// isEntry is set while the gateway is an entry.
@@ -71,10 +72,10 @@
 // Key returns the key of the registration.
 func (r *Registration) Key() string { return KeyPrefix + r.own.Name }
 
-// Rewrite writes the registration again, for example because it has disappeared.
+// Rewrite makes Run write the registration again, for example because it is missing in the store.
 func (r *Registration) Rewrite() { signal(r.rewrite) }
 
-// SetEntry sets whether the gateway is an entry, whose loss the others must notice soon. Initially it is not.
+// SetEntry sets whether the gateway is an entry, whose loss the others must detect soon. Initially it is not.
 func (r *Registration) SetEntry(isEntry bool) {
 	if r.isEntry.Swap(isEntry) != isEntry {
 		r.Rewrite()
@@ -116,10 +117,10 @@
 // logTransition logs that renewals began to fail, or succeed again.
 func (r *Registration) logTransition(err error) {
 	if err != nil {
-		r.logger.WithError(err).Warn("Renewing the registration failed.")
+		r.logger.WithError(err).WithField("key", r.Key()).Warn("Failed to renew the registration.")
 		return
 	}
-	r.logger.Info("The registration was renewed again.")
+	r.logger.WithField("key", r.Key()).Info("The registration is renewed again.")
 }
 
 // step renews the lease, and writes the registration if needed.
@@ -128,7 +129,7 @@
 	defer cancel()
 	started := boottime.Now()
 	if r.ttl != r.scaleForRole(r.settings.TTL) {
-		// The old lease expires without any items.
+		// Writing the registration with a new lease detaches it from the old one, which then expires without items.
 		r.lease, registered = 0, false
 	}
 	if r.lease != 0 {
--- a/internal/member/registration_test.go
+++ b/internal/member/registration_test.go
@@ -68,6 +68,8 @@
 	return gateway, put.Lease, len(l.puts)
 }
 
+// TestRegistrationLifecycle guards against a gateway that stays unregistered after its lease expired, or that does not
+// announce that it leaves.
 func TestRegistrationLifecycle(t *testing.T) {
 	settings := DefaultRegistrationSettings()
 	settings.Interval = 5 * time.Millisecond
@@ -113,7 +115,7 @@
 	eventually("left", func(gateway Gateway, _ int64, _ int) bool { return gateway.Leaving })
 }
 
-// TestLeaseDurationDependsOnRole changes the role of a gateway and checks the duration of its lease.
+// TestLeaseDurationDependsOnRole guards against entries with long leases, whose loss is detected late.
 func TestLeaseDurationDependsOnRole(t *testing.T) {
 	settings := DefaultRegistrationSettings()
 	leases := &leaseStore{}
--- a/internal/member/sizer.go
+++ b/internal/member/sizer.go
@@ -13,29 +13,29 @@
 
 // SizerSettings configures a Sizer.
 type SizerSettings struct {
-	// GrowFrom is the utilization at which the entries need more cores once it has lasted for GrowAfter. At one half,
-	// they can bear a load peak of 1.5 times together with the loss of a quarter of the entries.
+	// GrowFrom is the utilization at which the entries need more cores once it has lasted for GrowAfter. A lower value
+	// leaves more room for load peaks and lost entries.
 	GrowFrom  float64
 	GrowAfter time.Duration
 	// ShrinkBelow is the utilization below which they need fewer cores once it has lasted for ShrinkAfter. Changing the
 	// entries often would keep redirecting callers.
 	ShrinkBelow float64
 	ShrinkAfter time.Duration
-	// Factor is the factor of a change.
-	Factor float64
+	// ChangeFactor is the factor by which the needed cores grow or shrink.
+	ChangeFactor float64
 	// SettleTime is how long to wait for the effect of a change, as callers keep the previous addresses for some
 	// seconds.
 	SettleTime time.Duration
-	// MaxRemaining is the maximum ratio of the utilization to that before the last growth for another growth to follow.
-	// The messages between entries grow with their number, so more entries may even increase the load.
-	MaxRemaining float64
+	// MaxUtilizationRatio limits growth: another growth follows only if the last one reduced the utilization to less than
+	// this fraction. The messages between entries grow with their number, so more entries may even increase the load.
+	MaxUtilizationRatio float64
 }
 
 // DefaultSizerSettings returns settings that grow within two seconds and shrink slowly.
 func DefaultSizerSettings() SizerSettings {
 	return SizerSettings{
-		GrowFrom: 0.5, GrowAfter: 2 * time.Second, ShrinkBelow: 0.15, ShrinkAfter: time.Minute, Factor: 1.5, SettleTime: 5 * time.Second,
-		MaxRemaining: 0.9,
+		GrowFrom: 0.5, GrowAfter: 2 * time.Second, ShrinkBelow: 0.15, ShrinkAfter: time.Minute, ChangeFactor: 1.5, SettleTime: 5 * time.Second,
+		MaxUtilizationRatio: 0.9,
 	}
 }
 
@@ -48,11 +48,12 @@
 
 // Sizer determines how many cores the entries need. It is a pure state machine.
 //
-// Invariants: it grows only at a utilization of GrowFrom or more, and grows again only if the previous growth reduced
-// the utilization.
+// Invariants: it grows only at a utilization of GrowFrom or more, and grows again only if the previous growth reduced the
+// utilization to less than MaxUtilizationRatio of it, or after it shrank.
 type Sizer struct {
 	settings SizerSettings
-	// highSince and lowSince are since when the utilization is above GrowFrom and below ShrinkBelow; zero if it is not.
+	// highSince is since when the utilization is at least GrowFrom, and lowSince since when it is below ShrinkBelow with a
+	// need for cores; zero if it is not.
 	highSince, lowSince time.Time
 	// changedAt is when the need last changed, and utilizationBeforeGrowth the utilization before that if it was a
 	// growth.
@@ -60,7 +61,7 @@
 	utilizationBeforeGrowth float64
 }
 
-// NewSizer returns a sizer without measurements.
+// NewSizer returns a sizer that has seen no utilization.
 func NewSizer(settings SizerSettings) *Sizer { return &Sizer{settings: settings} }
 
 // Next returns the cores that the entries need, given their utilization and the current need, and whether the need
@@ -81,12 +82,12 @@
 		return need, false
 	}
 	switch {
-	case isHigh && (s.utilizationBeforeGrowth == 0 || utilization < s.settings.MaxRemaining*s.utilizationBeforeGrowth):
+	case isHigh && (s.utilizationBeforeGrowth == 0 || utilization < s.settings.MaxUtilizationRatio*s.utilizationBeforeGrowth):
 		s.changedAt, s.utilizationBeforeGrowth = now, utilization
-		return cores * s.settings.Factor, true
+		return cores * s.settings.ChangeFactor, true
 	case isLow:
 		s.changedAt, s.utilizationBeforeGrowth, s.lowSince = now, 0, time.Time{}
-		return need / s.settings.Factor, true
+		return need / s.settings.ChangeFactor, true
 	default:
 		return need, false
 	}
--- a/internal/member/sizer_test.go
+++ b/internal/member/sizer_test.go
@@ -11,7 +11,7 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// TestSizer runs the scripts of testdata/sizes.txtar on simulated time.
+// TestSizer runs the scripts of testdata/sizes.txtar on simulated time. The name of each states what must hold.
 func TestSizer(t *testing.T) {
 	archive, err := txtar.ParseFile("testdata/sizes.txtar")
 	if err != nil {
@@ -30,15 +30,15 @@
 	for line := range strings.Lines(script) {
 		line = strings.TrimSpace(line)
 		var count, seconds, wantChanges int
-		var share, wantNeed float64
+		var utilization, wantNeed float64
 		switch {
 		case scanLine(line, "entries %d", &count):
 			entries = make([]EntryLoad, count)
-		case scanLine(line, "for %ds utilization %g", &seconds, &share):
+		case scanLine(line, "for %ds utilization %g", &seconds, &utilization):
 			for range seconds {
 				now = now.Add(time.Second)
 				for i := range entries {
-					entries[i] = EntryLoad{Cores: 0.8, Utilization: share}
+					entries[i] = EntryLoad{Cores: 0.8, Utilization: utilization}
 				}
 				next, changed := sizer.Next(now, entries, need)
 				if changed {
@@ -63,7 +63,8 @@
 	return err == nil && count == len(values)
 }
 
-// TestNeedInStoreDeterminesEntries checks the number of entries for a need that is written and deleted.
+// TestNeedInStoreDeterminesEntries guards against ignoring the needed cores that the controller wrote, and against keeping
+// them after their deletion.
 func TestNeedInStoreDeterminesEntries(t *testing.T) {
 	list := largeList("g00")
 	item := store.Item{Key: EntryNeedKey, Value: []byte(`{"cores":3.9}`), Revision: 7}
