--- a/internal/member/liveness_test.go
+++ b/internal/member/liveness_test.go
@@ -156,7 +156,7 @@
 			alive[fmt.Sprintf("g%02d", i)] = rapid.IntRange(0, 2).Draw(t, "alive") > 0
 		}
 		now := startTime
-		// In the worst case all ten gateways of a zone are tried in turn, each for entryAnswerTimeout and until the
+		// In the worst case all ten gateways of a zone are tried in turn, each for firstHeartbeatTimeout and until the
 		// next check. None is tried twice, as that takes less than unresponsivePause.
 		const checkInterval, perZone = 100 * time.Millisecond, 10
 		for range perZone * int(firstHeartbeatTimeout/checkInterval+2) {
