--- a/internal/authority/authority_test.go
+++ b/internal/authority/authority_test.go
@@ -36,16 +36,16 @@
 	a.Acquired(epoch, 1, 42, NewHolder)
 	a.Leased(epoch.Add(2*time.Second), 1, ttl)
 	if mayOrderAt(3 * time.Second) {
-		t.Fatal("an order is permitted within the handover")
+		t.Fatal("an order is permitted 3 s after the key was acquired, within the handover")
 	}
 	if !mayOrderAt(4 * time.Second) {
-		t.Fatal("no order is permitted with a valid lease")
+		t.Fatal("no order is permitted 4 s after the key was acquired, with a valid lease")
 	}
 	if fence, _ := a.MayOrder(now); fence != 42 {
 		t.Fatalf("the fence is %d, want 42", fence)
 	}
 	if mayOrderAt(4500 * time.Millisecond) {
-		t.Fatal("an order is permitted although the lease may end before it arrives")
+		t.Fatal("an order is permitted 0.5 s before the lease ends, although it may end before the order arrives")
 	}
 	a.Leased(now, 2, ttl)
 	if mayOrderAt(4500 * time.Millisecond) {
@@ -64,11 +64,11 @@
 		a.Tick(now)
 	}
 	if _, allowed := a.MayOrder(now); !allowed {
-		t.Fatal("no order is permitted after the handover")
+		t.Fatal("no order is permitted 10 s after the key was acquired")
 	}
 	now = now.Add(4 * time.Second)
 	if _, allowed := a.MayOrder(now); allowed {
-		t.Fatal("an order is permitted just after the process was suspended")
+		t.Fatal("an order is permitted just after the process was suspended for 4 s")
 	}
 }
 
--- a/internal/changefeed/changefeed_test.go
+++ b/internal/changefeed/changefeed_test.go
@@ -125,9 +125,9 @@
 func TestUpstreamsOfOwnZoneAlternateAndFailOver(t *testing.T) {
 	sameZone, otherSameZone, otherZone := newSource(changeAt(4)), newSource(changeAt(4)), newSource(changeAt(4))
 	follower, _ := newFollower(
-		changefeed.Upstream{Name: "near", Zone: "a", Address: serve(t, sameZone)},
-		changefeed.Upstream{Name: "otherNear", Zone: "a", Address: serve(t, otherSameZone)},
-		changefeed.Upstream{Name: "far", Zone: "b", Address: serve(t, otherZone)},
+		changefeed.Upstream{Name: "sameZone", Zone: "a", Address: serve(t, sameZone)},
+		changefeed.Upstream{Name: "otherSameZone", Zone: "a", Address: serve(t, otherSameZone)},
+		changefeed.Upstream{Name: "otherZone", Zone: "b", Address: serve(t, otherZone)},
 		changefeed.Upstream{Name: "me", Zone: "a", Address: "127.0.0.1:1"},
 	)
 	request := func(times int) {
@@ -204,9 +204,9 @@
 	silentFor := func(ms int64) store.Changes { return store.Changes{Revision: 4, StoreSilence: &ms} }
 	sameZone, otherSameZone, otherZone := newSource(silentFor(500)), newSource(silentFor(500)), newSource(changeAt(9))
 	follower, _ := newFollower(
-		changefeed.Upstream{Name: "near", Zone: "a", Address: serve(t, sameZone)},
-		changefeed.Upstream{Name: "otherNear", Zone: "a", Address: serve(t, otherSameZone)},
-		changefeed.Upstream{Name: "far", Zone: "b", Address: serve(t, otherZone)},
+		changefeed.Upstream{Name: "sameZone", Zone: "a", Address: serve(t, sameZone)},
+		changefeed.Upstream{Name: "otherSameZone", Zone: "a", Address: serve(t, otherSameZone)},
+		changefeed.Upstream{Name: "otherZone", Zone: "b", Address: serve(t, otherZone)},
 	)
 	follower.SetPropagationBound(2 * time.Second)
 	if changes, err := follower.Next(t.Context(), requestAfter(4, 0)); err != nil || changes.Revision != 4 {
--- a/internal/member/list.go
+++ b/internal/member/list.go
@@ -232,14 +232,14 @@
 // isSilentStandby reports whether a gateway has been silent for so long that its registration would have expired if it
 // were down. Since it is still registered, it is standby and its notification of that was lost.
 func (l *List) isSilentStandby(now time.Time, name string) bool {
-	heardAt, found := l.lastSeenAsEntry[name]
-	return found && now.Sub(heardAt) > unresponsivePause
+	seenAt, found := l.lastSeenAsEntry[name]
+	return found && now.Sub(seenAt) > unresponsivePause
 }
 
 // isSilent reports whether the heartbeats of a gateway have stopped.
 func (l *List) isSilent(now time.Time, name string) bool {
-	heardAt, found := l.lastSeenAsEntry[name]
-	return found && now.Sub(heardAt) > heartbeatTimeout
+	seenAt, found := l.lastSeenAsEntry[name]
+	return found && now.Sub(seenAt) > heartbeatTimeout
 }
 
 // Serving returns the serving gateways by name.
