--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -12,7 +12,7 @@
 
 // nodeNames returns the names of n nodes.
 func nodeNames(n int) []string {
-	return lo.Times(n, func(i int) string { return fmt.Sprintf("node-%d", i) })
+	return lo.Times(n, func(i int) string { return fmt.Sprintf("worker-%d", i) })
 }
 
 func TestFirstIgnoresOrderAndMovesOnlyKeysOfRemovedNode(t *testing.T) {
@@ -50,7 +50,7 @@
 func TestFirstSpreadsKeysEvenly(t *testing.T) {
 	const keys, nodes = 20000, 8
 	counts := lo.CountValues(lo.Times(keys, func(i int) string {
-		return rendezvous.First(fmt.Sprintf("key-%d", i), nodeNames(nodes))
+		return rendezvous.First(fmt.Sprintf("engine-%d", i), nodeNames(nodes))
 	}))
 	for node, count := range counts {
 		if count < keys/nodes*9/10 || count > keys/nodes*11/10 {
