--- a/internal/accepting/accepting.go
+++ b/internal/accepting/accepting.go
@@ -111,7 +111,7 @@
 		return errNotListening
 	case l.waiting:
 	case l.acceptErr != nil:
-		return errors.Wrap(l.acceptErr, "step accept")
+		return errors.Wrap(l.acceptErr, "accept")
 	case now.Sub(l.stateSince) > stallTimeout:
 		return errStalled
 	}
--- a/internal/httpclient/client.go
+++ b/internal/httpclient/client.go
@@ -37,7 +37,7 @@
 }
 
 // Error implements error.
-func (e *Error) Error() string { return fmt.Sprintf("step %s, peer %s: %v", e.Step, e.Peer, e.Cause) }
+func (e *Error) Error() string { return fmt.Sprintf("%s, peer %s: %v", e.Step, e.Peer, e.Cause) }
 
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
