--- a/internal/configuration/configuration_test.go
+++ b/internal/configuration/configuration_test.go
@@ -18,6 +18,7 @@
 	return workers
 }
 
+// TestExamplesSelectAllWorkersAndRequests guards against shipped examples whose groups or rules miss workers or requests.
 func TestExamplesSelectAllWorkersAndRequests(t *testing.T) {
 	tests := []struct {
 		desc     string
@@ -56,7 +57,7 @@
 				}
 			}
 			if err := snapshot.Routing().Validate(); err == nil {
-				t.Error("the routing configuration is valid without its services")
+				t.Error("Validate accepts a routing configuration without services")
 			}
 		})
 	}
--- a/internal/configuration/defaults.go
+++ b/internal/configuration/defaults.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Defaults of the optional fields of Rule and GroupShare.
+// Defaults of Rule and GroupShare other than the zero value.
 const (
 	DefaultPriority        = 5
 	DefaultTimeout         = Duration(30 * time.Second)
--- a/internal/configuration/diff.go
+++ b/internal/configuration/diff.go
@@ -14,7 +14,7 @@
 // Difference is one field that differs between two specs.
 type Difference struct {
 	Field Field `json:"field"`
-	// Text describes the change for people.
+	// Text is a description for display, for example "rule other: removed".
 	Text string `json:"text"`
 }
 
@@ -49,41 +49,42 @@
 	case field.Kind == KindWorkerLabel:
 		return fmt.Sprintf("%s: %s -> %s", field, before, after)
 	}
-	return fmt.Sprintf("%s: %s", field, strings.Join(describeLeafChanges(before, after), "; "))
+	return fmt.Sprintf("%s: %s", field, strings.Join(describeValueChanges(before, after), "; "))
 }
 
-// describeLeafChanges formats the changed values within an object.
-func describeLeafChanges(before, after json.RawMessage) []string {
-	beforeLeaves, afterLeaves := leafValues(before), leafValues(after)
-	paths := strictyaml.SortedKeys(lo.Assign(beforeLeaves, afterLeaves))
+// describeValueChanges formats the values that differ between two versions of an object.
+func describeValueChanges(before, after json.RawMessage) []string {
+	beforeValues, afterValues := flattenObject(before), flattenObject(after)
+	paths := strictyaml.SortedKeys(lo.Assign(beforeValues, afterValues))
 	return lo.FilterMap(paths, func(path string, _ int) (string, bool) {
-		oldValue, newValue := beforeLeaves[path], afterLeaves[path]
+		oldValue, newValue := beforeValues[path], afterValues[path]
 		text := fmt.Sprintf("%s %s -> %s", path, lo.CoalesceOrEmpty(oldValue, "nothing"), lo.CoalesceOrEmpty(newValue, "nothing"))
 		return text, oldValue != newValue
 	})
 }
 
-// leafValues returns the non-object values within an object, by path. A list counts as one value.
-func leafValues(object json.RawMessage) map[string]string {
-	leaves := map[string]string{}
+// flattenObject returns the values of an object by path. It flattens nested objects, but not lists.
+func flattenObject(object json.RawMessage) map[string]string {
+	values := map[string]string{}
 	var tree any
 	decoder := json.NewDecoder(bytes.NewReader(object))
 	decoder.UseNumber()
 	if decoder.Decode(&tree) == nil {
-		collectLeaves("", tree, leaves)
+		flattenInto("", tree, values)
 	}
-	return leaves
+	return values
 }
 
-func collectLeaves(path string, value any, leaves map[string]string) {
+// flattenInto adds the values within a value to values. Null counts as absent.
+func flattenInto(path string, value any, values map[string]string) {
 	object, isObject := value.(map[string]any)
 	if !isObject {
 		if value != nil {
-			leaves[path] = strictyaml.FormatValue(value)
+			values[path] = strictyaml.FormatValue(value)
 		}
 		return
 	}
 	for name, inner := range object {
-		collectLeaves(strictyaml.JoinPath(path, name), inner, leaves)
+		flattenInto(strictyaml.JoinPath(path, name), inner, values)
 	}
 }
--- a/internal/configuration/document.go
+++ b/internal/configuration/document.go
@@ -1,6 +1,7 @@
 package configuration
 
-// Document is one revision of the configuration. Operators write the Spec; the system writes the Status.
+// Document is one revision of the configuration. Operators write the Spec; the gateway that accepts an edit writes the
+// Status.
 type Document struct {
 	Spec   `json:"spec"`
 	Status `json:"status"`
@@ -18,7 +19,7 @@
 	WorkerLabels map[string]map[string]string `json:"workerLabels"`
 }
 
-// Status is what the system records when it accepts a Spec.
+// Status describes the revision and its history.
 type Status struct {
 	// Revision of the document, incremented by each accepted edit. Zero means that no document has been accepted yet.
 	Revision uint64 `json:"revision"`
--- a/internal/configuration/edit.go
+++ b/internal/configuration/edit.go
@@ -21,12 +21,13 @@
 // Edit is one operation on a document. Kind determines which of the other fields are used.
 type Edit struct {
 	Kind EditKind `json:"kind"`
-	// Worker and Label identify the label for EditSetLabel and EditRemoveLabel.
+	// Worker and Label identify the label for EditSetLabel and EditRemoveLabel. The edit changes the Field of KindWorkerLabel
+	// with this name and label.
 	Worker string `json:"worker,omitempty"`
 	Label  string `json:"label,omitempty"`
 	// Value of the label for EditSetLabel.
 	Value string `json:"value,omitempty"`
-	// Object and Name identify the object for EditDelete.
+	// Object and Name are the Kind and Name of the Field that EditDelete removes.
 	Object Kind   `json:"object,omitempty"`
 	Name   string `json:"name,omitempty"`
 	// Group or Rule is the object for EditPut; exactly one is set.
@@ -113,7 +114,8 @@
 	return values, fieldErrors
 }
 
-// replaceSpec returns the fields of the edit's spec, or the given ones if that spec cannot be used.
+// replaceSpec returns the fields of the edit's spec, or the given ones after recording an error if that spec is missing
+// or cannot be encoded.
 func replaceSpec(values fieldValues, edit Edit, addError func(field string, value any, problem, allowed string)) fieldValues {
 	if edit.Spec == nil {
 		addError(".spec", nil, "is missing", "a complete spec")
--- a/internal/configuration/examples.go
+++ b/internal/configuration/examples.go
@@ -9,19 +9,19 @@
 //go:embed examples/*.yaml
 var examples embed.FS
 
-// The names of the shipped examples.
+// Names of the embedded example configurations.
 const (
 	ExampleFes      = "fes"
 	ExampleMagnolia = "magnolia"
 )
 
-// ExampleYAML returns the YAML source of a shipped example.
+// ExampleYAML returns the YAML source of an embedded example.
 func ExampleYAML(name string) ([]byte, error) {
 	data, err := examples.ReadFile("examples/" + name + ".yaml")
 	return data, errors.Wrapf(err, "read example configuration %s", name)
 }
 
-// Example parses and validates a shipped example.
+// Example parses and validates an embedded example.
 func Example(name string) (Document, error) {
 	data, err := ExampleYAML(name)
 	if err != nil {
--- a/internal/configuration/field.go
+++ b/internal/configuration/field.go
@@ -15,7 +15,7 @@
 	KindWorkerLabel Kind = "worker-label"
 )
 
-// Field identifies a unit that edits change and merges compare as a whole: one object, or one label of one worker.
+// Field identifies one object or one label of one worker, the smallest unit that an edit changes and that can conflict.
 type Field struct {
 	Kind Kind `json:"kind"`
 	// Name of the object, or address of the worker.
@@ -32,7 +32,7 @@
 	return fmt.Sprintf("%s %s", f.Kind, f.Name)
 }
 
-// FieldChange records that an edit changed a field.
+// FieldChange is a changed field with the value that it had before.
 type FieldChange struct {
 	Field Field `json:"field"`
 	// Before is the value that the edit replaced; empty if the field did not exist.
--- a/internal/configuration/fields.go
+++ b/internal/configuration/fields.go
@@ -18,15 +18,15 @@
 	values := fieldValues{}
 	spec = normalize(spec)
 	err := errors.Join(
-		setAll(values, KindGroup, spec.Groups, func(g Group) string { return g.Name }),
-		setAll(values, KindRule, spec.Rules, func(r Rule) string { return r.Name }),
+		setObjects(values, KindGroup, spec.Groups, func(g Group) string { return g.Name }),
+		setObjects(values, KindRule, spec.Rules, func(r Rule) string { return r.Name }),
 	)
 	for address, labels := range spec.WorkerLabels {
 		for label, value := range labels {
 			err = errors.Join(err, values.set(Field{Kind: KindWorkerLabel, Name: address, Label: label}, value))
 		}
 	}
-	return values, errors.Wrap(err, "encode configuration fields")
+	return values, errors.Wrap(err, "encode the objects and worker labels of the configuration")
 }
 
 // toSpec rebuilds the spec from its fields.
@@ -34,9 +34,9 @@
 	spec := Spec{WorkerLabels: map[string]map[string]string{}}
 	var err error
 	for _, field := range v.sortedFields() {
-		err = errors.Join(err, spec.addField(field, v[field]))
+		err = errors.Join(err, errors.Wrapf(spec.addField(field, v[field]), "decode %s", field))
 	}
-	return normalize(spec), errors.Wrap(err, "decode configuration fields")
+	return normalize(spec), errors.Wrap(err, "rebuild the configuration from its fields")
 }
 
 // addField decodes one field and adds it to the spec.
@@ -77,7 +77,7 @@
 	return fields
 }
 
-// changedFields returns the fields that differ between two specs, sorted.
+// changedFields returns the sorted fields whose values differ.
 func changedFields(before, after fieldValues) []Field {
 	all := lo.Assign(before, after)
 	return lo.Filter(all.sortedFields(), func(field Field, _ int) bool {
@@ -89,7 +89,8 @@
 	return cmp.Or(cmp.Compare(a.Kind, b.Kind), cmp.Compare(a.Name, b.Name), cmp.Compare(a.Label, b.Label))
 }
 
-func setAll[T any](values fieldValues, kind Kind, objects []T, name func(T) string) error {
+// setObjects stores the JSON encodings of the named objects of one kind.
+func setObjects[T any](values fieldValues, kind Kind, objects []T, name func(T) string) error {
 	var err error
 	for _, object := range objects {
 		err = errors.Join(err, values.set(Field{Kind: kind, Name: name(object)}, object))
--- a/internal/configuration/history.go
+++ b/internal/configuration/history.go
@@ -10,7 +10,8 @@
 	MaximumHistory = 64
 	// MinimumHistory is the number of changes kept regardless of their size.
 	MinimumHistory = 8
-	// MaximumHistoryBytes limits the total size of the replaced values once there are more than MinimumHistory changes.
+	// MaximumHistoryBytes limits the total size of the replaced values. Older changes are dropped to stay within it, except for
+	// the newest MinimumHistory ones.
 	MaximumHistoryBytes = 64 << 10
 )
 
@@ -58,14 +59,15 @@
 	}
 }
 
-// changeMetadata describes the origin of a new change.
+// changeMetadata is the id, author and time of a new change.
 type changeMetadata struct {
 	changeID   string
 	author     string
 	unixMillis int64
 }
 
-// nextRevision returns the document with the new spec as its next revision. It returns false if the spec is unchanged.
+// nextRevision returns the next revision of the document, with the given spec. It returns the document itself and false if
+// the spec is unchanged.
 func (d Document) nextRevision(spec Spec, metadata changeMetadata) (Document, bool, error) {
 	before, err := newFieldValues(d.Spec)
 	if err != nil {
--- a/internal/configuration/merge.go
+++ b/internal/configuration/merge.go
@@ -8,14 +8,15 @@
 	"github.com/samber/lo"
 )
 
-// Conflict is a field that two edits changed to different values.
+// Conflict is a field that a proposed edit and the current document changed to different values since the base revision.
 type Conflict struct {
 	Field Field `json:"field"`
-	// Revision, ChangeID and Author of the other edit; empty if it is no longer in the history.
+	// Revision, ChangeID and Author of the latest edit that changed the field in the current document; empty if it is no longer
+	// in the history.
 	Revision uint64 `json:"revision"`
 	ChangeID string `json:"changeID"`
 	Author   string `json:"author,omitempty"`
-	// Mine and Theirs are the conflicting values; empty if that edit removed the field.
+	// Mine is the proposed value, Theirs the current one; empty if the field was removed.
 	Mine   json.RawMessage `json:"mine,omitempty"`
 	Theirs json.RawMessage `json:"theirs,omitempty"`
 }
@@ -34,9 +35,9 @@
 	return lo.Ternary(len(value) == 0, "removed", string(value))
 }
 
-// Merge performs a three-way merge, field by field. A field that only one side changed takes that change. A field that both
-// sides changed to different values takes the value of theirs and is returned as a conflict. The result has the status of
-// theirs.
+// Merge performs a three-way merge, field by field: mine is the base with the proposed edits, theirs the current document. A
+// field that only one side changed takes that change. A field that both sides changed to different values takes the value of
+// theirs and is returned as a conflict. The result has the status of theirs.
 func Merge(base, mine, theirs Document) (Document, []Conflict, error) {
 	baseValues, err := newFieldValues(base.Spec)
 	if err != nil {
@@ -69,7 +70,7 @@
 	return Document{Spec: spec, Status: theirs.Status}, conflicts, err
 }
 
-// newConflict returns a conflict attributed to the latest edit after the base that changed the field.
+// newConflict returns the conflict with the latest change of the field since the base revision.
 func newConflict(theirs Document, baseRevision uint64, field Field, mineValue, theirValue json.RawMessage) Conflict {
 	conflict := Conflict{Field: field, Mine: mineValue, Theirs: theirValue}
 	for _, change := range theirs.History {
--- a/internal/configuration/merge_test.go
+++ b/internal/configuration/merge_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-// mustAccept applies edits as one change, which must be accepted.
+// mustAccept applies edits as one change, which must be accepted. t is a *testing.T or a *rapid.T.
 func mustAccept(t interface{ Fatal(...any) }, document Document, changeID string, edits ...Edit) Document {
 	request := EditRequest{ChangeID: changeID, BaseRevision: document.Revision, Edits: edits}
 	next, conflicts, err := Preview(document, request, time.Unix(1_700_000_000, 0))
@@ -21,7 +21,7 @@
 	return next
 }
 
-// acceptedExample returns the Fès example as an accepted document with labels on four workers, and its rule "quick".
+// acceptedExample returns the accepted Fès example with labels on four workers, and its rule "quick".
 func acceptedExample(t testing.TB) (document Document, quick Rule) {
 	t.Helper()
 	shipped, err := Example(ExampleFes)
@@ -66,18 +66,20 @@
 	return Edit{}
 }
 
+// TestPreviewMergesOrNamesTheOtherEdit guards against a merge that loses an edit, and a conflict that does not name the other
+// edit.
 func TestPreviewMergesOrNamesTheOtherEdit(t *testing.T) {
 	start, quick := acceptedExample(t)
-	cases := readScript(t, "testdata/merge.txtar")
-	for _, name := range cases.cases {
+	cases := readTestCases(t, "testdata/merge.txtar")
+	for _, name := range cases.names {
 		t.Run(name, func(t *testing.T) {
 			lines := cases.lines(name, "edits")
 			theirs, mine := parseScriptedEdit(t, start, quick, lines[0]), parseScriptedEdit(t, start, quick, lines[1])
 			current := mustAccept(t, start, "theirs", theirs)
 			request := EditRequest{ChangeID: "mine", BaseRevision: start.Revision, Edits: []Edit{mine}}
 			next, conflicts, err := Preview(current, request, time.Unix(1_700_000_000, 0))
-			kind, detail, _ := strings.Cut(cases.lines(name, "want")[0], " ")
-			switch kind {
+			outcome, detail, _ := strings.Cut(cases.lines(name, "want")[0], " ")
+			switch outcome {
 			case "error":
 				if err == nil || !strings.Contains(err.Error(), detail) {
 					t.Errorf("error %v, want %q", err, detail)
@@ -111,7 +113,7 @@
 	return changed
 }
 
-// TestHistoryReconstructsKeptRevisions compares each revision that At reconstructs with the document that was accepted then.
+// TestHistoryReconstructsKeptRevisions guards against an undo that restores another value than the edit replaced.
 func TestHistoryReconstructsKeptRevisions(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var documents []Document
@@ -141,6 +143,7 @@
 	})
 }
 
+// TestDiffDescribesChanges guards against changes that a preview omits or describes wrongly.
 func TestDiffDescribesChanges(t *testing.T) {
 	document, quick := acceptedExample(t)
 	quick.Priority = 9
@@ -163,7 +166,8 @@
 	}
 }
 
-func TestPreviewEffects(t *testing.T) {
+// TestPreviewEffectsListsChangedGroupsAndRules guards against a preview that omits workers or requests that an edit moves.
+func TestPreviewEffectsListsChangedGroupsAndRules(t *testing.T) {
 	before, quick := acceptedExample(t)
 	quick.RequestSelector = "class=quick,tenant=cafe"
 	after := mustAccept(t, before, "mine", PutRule(quick), RemoveLabel("w2", "pool"))
--- a/internal/configuration/normalize.go
+++ b/internal/configuration/normalize.go
@@ -27,7 +27,7 @@
 	return spec
 }
 
-// nonNil returns an empty list for nil.
+// nonNil replaces nil, which JSON encodes as null, by an empty list.
 func nonNil[T any](list []T) []T {
 	if list == nil {
 		return []T{}
--- a/internal/configuration/parse.go
+++ b/internal/configuration/parse.go
@@ -8,7 +8,7 @@
 
 // Aliases of the strictyaml types that appear in this package's API.
 type (
-	// FieldError is one error in a document, and FieldErrors lists all of them.
+	// FieldError is an error in one field of a document or in the document as a whole; FieldErrors lists all of them.
 	FieldError  = strictyaml.FieldError
 	FieldErrors = strictyaml.FieldErrors
 	// Duration is a time.Duration that is encoded as a string such as "1m30s".
@@ -16,7 +16,8 @@
 )
 
 // Parse decodes a document in YAML or JSON. Omitted fields get their defaults. The error is FieldErrors and lists all unknown
-// fields and values of the wrong type. The document holds everything that could be decoded, so that Validate can check it.
+// fields and values of the wrong type. On error the document holds the fields that could be decoded, so that Validate
+// can check them.
 func Parse(data []byte) (Document, error) {
 	var document Document
 	err := strictyaml.Parse(data, &document)
@@ -33,6 +34,7 @@
 // ParseAndValidate decodes a document and returns all parse and validation errors.
 func ParseAndValidate(data []byte) (Document, FieldErrors) {
 	document, err := Parse(data)
+	// Parse returns no other type of error.
 	fieldErrors, _ := err.(FieldErrors)
 	return document, append(fieldErrors, Validate(document)...)
 }
--- a/internal/configuration/preview.go
+++ b/internal/configuration/preview.go
@@ -6,7 +6,7 @@
 	"github.com/samber/lo"
 )
 
-// Move is a change of the group of a worker, or of the rule of a class of requests.
+// Move is a change of the group of a worker, or of the rule for requests with given labels.
 type Move struct {
 	// Subject is the address of the worker, or the labels of the requests.
 	Subject string `json:"subject"`
@@ -26,14 +26,14 @@
 	Differences []Difference `json:"differences"`
 	// WorkerMoves are the workers whose group changes.
 	WorkerMoves []Move `json:"workerMoves"`
-	// RequestMoves are the classes of requests whose rule changes.
+	// RequestMoves are the sets of request labels for which the rule changes.
 	RequestMoves []Move `json:"requestMoves"`
 	// Warnings about the edited document.
 	Warnings []string `json:"warnings"`
 }
 
-// PreviewEffects returns the effects of replacing one document by another on the given workers and classes of requests. The error is
-// FieldErrors if the new document is invalid.
+// PreviewEffects returns the effects of replacing one document by another on the given workers and sets of request
+// labels. An invalid old document counts as empty. The error is FieldErrors if the new document is invalid.
 func PreviewEffects(before, after Document, workers []WorkerInfo, requests []map[string]string) (Consequences, error) {
 	newSnapshot, err := Compile(after)
 	if err != nil {
--- a/internal/configuration/propose.go
+++ b/internal/configuration/propose.go
@@ -16,12 +16,13 @@
 // MaximumDocumentBytes limits the size of a JSON-encoded document, including its history.
 const MaximumDocumentBytes = 1 << 20
 
-// Reasons other than FieldErrors and conflicts why an edit is not accepted.
+// Errors of Propose and Preview, besides FieldErrors.
 var (
-	// ErrStoreUnavailable means that the store did not respond in time and the edit was not written.
+	// ErrStoreUnavailable means that the edit could not be written in time: the store did not respond or was busy, or other
+	// edits were written first.
 	ErrStoreUnavailable = errors.New("the store did not respond in time; the edit was not accepted")
-	// ErrOutcomeUnknown means that the response to the write was lost and the outcome could not be read back. Proposing the
-	// same edit again with the same change id and base revision is safe and resolves it.
+	// ErrOutcomeUnknown means that a write may have taken effect, because the response to it was lost and the outcome could
+	// not be read back. The same request may be proposed again: it is applied at most once.
 	ErrOutcomeUnknown = errors.New("the store did not confirm whether the edit was written; propose it again with the same change id")
 	// ErrUnknownBase means that the base revision does not exist or is no longer in the history.
 	ErrUnknownBase = errors.New("the base revision is unknown or too old; read the current configuration and redo the edit")
@@ -51,17 +52,18 @@
 	Accepted bool
 	// Unchanged is set together with Accepted if the edit changes nothing.
 	Unchanged bool
-	// Revision that the edit created if it was accepted; otherwise the one it was checked against, or the one it would have
-	// created.
+	// Revision that the request created. If it was not accepted, this is the current revision, or the next one if the
+	// document is too large, or zero if the document was not read.
 	Revision uint64
-	// Conflicts with other edits; the edit was not accepted.
+	// Conflicts with edits made since the base revision; if there are any, the request was not accepted.
 	Conflicts []Conflict
 	// Err is the reason why the edit was not accepted: FieldErrors or one of the errors of this package, possibly wrapped.
 	Err error
 }
 
-// Preview returns the document that results from applying a request to the current one, or its conflicts with the edits
-// made since its base. The error is FieldErrors if the edit or the resulting document is invalid.
+// Preview applies a request to the current document and returns the result, or the conflicts with edits made since the base
+// revision. If the request changes nothing, the result is the current document. The error is FieldErrors if the edit or the
+// resulting document is invalid.
 func Preview(current Document, request EditRequest, now time.Time) (Document, []Conflict, error) {
 	base, found, err := current.At(request.BaseRevision)
 	if err != nil {
@@ -87,7 +89,7 @@
 	return next, nil, Validate(next).OrNil()
 }
 
-// retryInterval is the delay after an attempt that failed or lost a race.
+// retryInterval is the delay after an attempt that failed or found that another edit was written first.
 const retryInterval = 100 * time.Millisecond
 
 // proposal writes one edit to the store, with retries.
@@ -97,24 +99,24 @@
 type proposal struct {
 	store   store.Store
 	request EditRequest
-	// outcomeUnknown is set while an earlier write may have taken effect or may still do so.
+	// outcomeUnknown is set while a write without a response may still take effect.
 	outcomeUnknown bool
-	// expectedRevision is the revision on which that write was conditional.
+	// expectedRevision is the store revision on which the last write without a response was conditional.
 	expectedRevision store.Revision
 }
 
 // Propose applies an edit to the document in the store with optimistic concurrency control: it reads the document, merges
 // the edit and writes the result if the document is unchanged since. It retries until the context ends.
-func Propose(ctx context.Context, target store.Store, request EditRequest) ProposalResult {
-	return propose(ctx, target, request, retryInterval)
+func Propose(ctx context.Context, s store.Store, request EditRequest) ProposalResult {
+	return propose(ctx, s, request, retryInterval)
 }
 
 // propose is Propose with a configurable retry interval.
-func propose(ctx context.Context, target store.Store, request EditRequest, interval time.Duration) ProposalResult {
+func propose(ctx context.Context, s store.Store, request EditRequest, interval time.Duration) ProposalResult {
 	if request.ChangeID == "" {
 		return ProposalResult{Err: ErrNoChangeID}
 	}
-	p := &proposal{store: target, request: request}
+	p := &proposal{store: s, request: request}
 	for ctx.Err() == nil {
 		if result, done := p.attempt(ctx); done {
 			result.ChangeID = request.ChangeID
@@ -179,8 +181,8 @@
 }
 
 // Read returns the document in the store and the revision of its key, or zero values if there is none.
-func Read(ctx context.Context, source store.Store) (Document, store.Revision, error) {
-	items, _, err := source.List(ctx, StoreKey)
+func Read(ctx context.Context, s store.Store) (Document, store.Revision, error) {
+	items, _, err := s.List(ctx, StoreKey)
 	if err != nil {
 		return Document{}, 0, errors.Wrap(err, "read configuration from the store")
 	}
--- a/internal/configuration/propose_test.go
+++ b/internal/configuration/propose_test.go
@@ -19,18 +19,18 @@
 	faultNone fault = iota
 	// faultBusy rejects the write.
 	faultBusy
-	// faultLost applies the write and loses the response.
-	faultLost
-	// faultDropped loses the write.
-	faultDropped
-	// faultLate loses the response and applies the write before the next call, if its condition holds then.
-	faultLate
+	// faultResponseLost applies the write and loses the response.
+	faultResponseLost
+	// faultWriteLost loses the write.
+	faultWriteLost
+	// faultWriteDelayed loses the response and applies the write before the next call, if its condition holds then.
+	faultWriteDelayed
 )
 
 // errNoResponse is the error that a client gets for a lost response.
 var errNoResponse = errors.New("no response")
 
-// memoryStore holds one document. Its writes are subject to the scripted faults, after which they succeed.
+// memoryStore holds one document. Each write takes the next of the faults; later writes succeed.
 type memoryStore struct {
 	store.Store
 	value     []byte
@@ -62,22 +62,22 @@
 	switch next {
 	case faultBusy:
 		return 0, store.ErrBusy
-	case faultDropped:
+	case faultWriteLost:
 		return 0, errNoResponse
-	case faultLate:
+	case faultWriteDelayed:
 		m.lateWrite = &transaction
 		return 0, errNoResponse
 	}
 	if !m.applyIfUnchanged(transaction) {
 		return 0, store.ErrConflict
 	}
-	if next == faultLost {
+	if next == faultResponseLost {
 		return 0, errNoResponse
 	}
 	return m.revision, nil
 }
 
-// applyLateWrite applies a pending write of faultLate.
+// applyLateWrite applies a pending write of faultWriteDelayed.
 func (m *memoryStore) applyLateWrite() {
 	if m.lateWrite != nil {
 		m.applyIfUnchanged(*m.lateWrite)
@@ -95,10 +95,11 @@
 	return true
 }
 
-// TestEditsAreAppliedOnce proposes an edit to a store that rejects, loses or delays writes, or loses their responses.
+// TestEditsAreAppliedOnce guards against an edit that is lost or applied twice when the store rejects, loses or delays writes,
+// or loses their responses.
 func TestEditsAreAppliedOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		faults := []fault{faultBusy, faultLost, faultDropped, faultLate}
+		faults := []fault{faultBusy, faultResponseLost, faultWriteLost, faultWriteDelayed}
 		m := &memoryStore{
 			faults:    rapid.SliceOfN(rapid.SampledFrom(faults), 0, 2).Draw(t, "faults"),
 			failReads: rapid.IntRange(0, 1).Draw(t, "failed reads"),
@@ -118,6 +119,8 @@
 	})
 }
 
+// TestProposeReportsOutcomeOnTimeout guards against an edit that is reported as not written while a write may still take
+// effect.
 func TestProposeReportsOutcomeOnTimeout(t *testing.T) {
 	repeated := func(f fault) (faults []fault) {
 		for range 1000 {
@@ -131,7 +134,7 @@
 		want   error
 	}{
 		{"the store rejects writes", repeated(faultBusy), ErrStoreUnavailable},
-		{"writes are lost", repeated(faultDropped), ErrOutcomeUnknown},
+		{"writes are lost", repeated(faultWriteLost), ErrOutcomeUnknown},
 	}
 	for _, test := range tests {
 		ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
@@ -143,6 +146,7 @@
 	}
 }
 
+// TestProposeRejectsInvalidInput guards against a retry of requests that cannot succeed.
 func TestProposeRejectsInvalidInput(t *testing.T) {
 	if result := Propose(context.Background(), &memoryStore{}, EditRequest{}); !errors.Is(result.Err, ErrNoChangeID) {
 		t.Errorf("without a change id: %+v", result)
--- a/internal/configuration/restore.go
+++ b/internal/configuration/restore.go
@@ -8,24 +8,24 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// ErrDiverged is returned by Restore if the store holds an edit that the last known document does not contain.
+// ErrDiverged is returned by Restore if the store holds an edit that is not in the history of the last known document.
 var ErrDiverged = errors.New("the store holds an edit that is missing from the last known configuration")
 
-// Restore writes the last known document back if the store holds an earlier revision of it. This recovers the edits that a
-// store restored from an old backup has lost. It reports whether it wrote.
-func Restore(ctx context.Context, target store.Store, lastKnown Document) (bool, error) {
-	current, revision, err := Read(ctx, target)
+// Restore writes the last known document back if the store holds an earlier revision of it or none. This recovers the edits
+// that were lost when the store was restored from a backup. It reports whether it wrote.
+func Restore(ctx context.Context, s store.Store, lastKnown Document) (bool, error) {
+	current, revision, err := Read(ctx, s)
 	if err != nil || current.Revision >= lastKnown.Revision {
 		return false, err
 	}
 	if !lastKnown.descendsFrom(current) {
-		return false, ErrDiverged
+		return false, errors.Wrapf(ErrDiverged, "store revision %d, change %s", current.Revision, current.ChangeID)
 	}
 	snapshot, err := Compile(lastKnown)
 	if err != nil {
 		return false, err
 	}
-	_, err = target.Commit(ctx, store.Transaction{
+	_, err = s.Commit(ctx, store.Transaction{
 		Conditions: []store.Condition{{Key: StoreKey, Revision: revision}}, Puts: []store.Put{{Key: StoreKey, Value: snapshot.encoded}},
 	})
 	return err == nil, errors.Wrap(err, "write last known configuration to the store")
--- a/internal/configuration/restore_test.go
+++ b/internal/configuration/restore_test.go
@@ -7,7 +7,8 @@
 	"github.com/cockroachdb/errors"
 )
 
-// TestRestoreWritesLostEdits checks that Restore only writes to a store that holds an earlier revision of the known document or none.
+// TestRestoreWritesLostEdits guards against edits that stay lost, and against a restore that overwrites edits that the known
+// document lacks.
 func TestRestoreWritesLostEdits(t *testing.T) {
 	edit := func(target *memoryStore, id, label string) Document {
 		t.Helper()
@@ -51,7 +52,7 @@
 		t.Run(test.desc, func(t *testing.T) {
 			written, err := Restore(t.Context(), &test.store, known)
 			if written != test.written || errors.Is(err, ErrDiverged) != test.diverged || (err != nil && !test.diverged) {
-				t.Errorf("written %t, %v", written, err)
+				t.Errorf("written %t, error %v, want written %t, diverged %t", written, err, test.written, test.diverged)
 			}
 			if document, _, err := Read(t.Context(), &test.store); err != nil || document.Revision != test.revision {
 				t.Errorf("the store holds revision %d, %v", document.Revision, err)
--- a/internal/configuration/rule.go
+++ b/internal/configuration/rule.go
@@ -1,14 +1,14 @@
 package configuration
 
-// Labels of requests and workers that the system sets.
+// Labels that gateways set on requests and that workers report.
 const (
-	// LabelTenant is the tenant of the caller; absent if there is none.
+	// LabelTenant of a request is the name of the caller's tenant; absent if there is none.
 	LabelTenant = "tenant"
-	// LabelRepeatable is "true" if a request may run more than once and "false" otherwise.
+	// LabelRepeatable of a request is "true" if it may run more than once and "false" otherwise.
 	LabelRepeatable = "repeatable"
-	// LabelZone is the zone of a worker.
+	// LabelZone of a worker is its zone.
 	LabelZone = "zone"
-	// LabelRole is the role of a worker that is an inference engine.
+	// LabelRole of a worker is its role; set only for inference engines.
 	LabelRole = "role"
 )
 
--- a/internal/configuration/selector.go
+++ b/internal/configuration/selector.go
@@ -10,10 +10,10 @@
 	"k8s.io/apimachinery/pkg/selection"
 )
 
-// placeholderValue is the label value in an example if any value satisfies the constraint.
+// placeholderValue is the value that satisfyingValue returns for a label that may have any value.
 const placeholderValue = "other"
 
-// keyConstraint is the set of values of one label that a conjunction of requirements allows.
+// keyConstraint combines the requirements on one label key.
 type keyConstraint struct {
 	// mayBeAbsent and mayBePresent report whether the label may be missing and whether it may be set.
 	mayBeAbsent, mayBePresent bool
@@ -104,8 +104,8 @@
 	return err == nil && number > k.greaterThan && number < k.lessThan
 }
 
-// exampleValue returns a value that satisfies the constraint, and whether there is one.
-func (k *keyConstraint) exampleValue() (string, bool) {
+// satisfyingValue returns a value that satisfies the constraint, and whether there is one.
+func (k *keyConstraint) satisfyingValue() (string, bool) {
 	if !k.mayBePresent {
 		return "", false
 	}
@@ -117,7 +117,7 @@
 	if !k.bounded {
 		return k.unexcludedValue(), true
 	}
-	if k.greaterThan == math.MaxInt64 {
+	if k.greaterThan == math.MaxInt64 { // greaterThan + 1 would overflow
 		return "", false
 	}
 	// Each rejected candidate is an excluded value, so the loop ends after at most len(k.excluded)+1 iterations.
@@ -138,14 +138,14 @@
 	return value
 }
 
-// example returns labels that satisfy all constraints, and whether there are any.
-func (c constraints) example() (labels.Set, bool) {
+// satisfyingLabels returns labels that satisfy all constraints, and whether there are any.
+func (c constraints) satisfyingLabels() (labels.Set, bool) {
 	result := labels.Set{}
 	for key, constraint := range c {
 		if constraint.mayBeAbsent {
 			continue
 		}
-		value, found := constraint.exampleValue()
+		value, found := constraint.satisfyingValue()
 		if !found {
 			return nil, false
 		}
@@ -156,19 +156,19 @@
 
 // satisfiable reports whether any labels satisfy all constraints.
 func (c constraints) satisfiable() bool {
-	_, found := c.example()
+	_, found := c.satisfyingLabels()
 	return found
 }
 
-// implies reports whether all labels that satisfy narrow also satisfy wide. It is conservative: it may return false where
-// the implication holds, but never true where it does not.
-func implies(narrow, wide labels.Requirements) bool {
-	return lo.EveryBy(wide, func(requirement labels.Requirement) bool {
+// implies reports whether all labels that satisfy the premise also satisfy the conclusion. It is conservative: it may return
+// false where the implication holds, but never true where it does not.
+func implies(premise, conclusion labels.Requirements) bool {
+	return lo.EveryBy(conclusion, func(requirement labels.Requirement) bool {
 		negated, negatable := negate(requirement)
 		if !negatable {
-			return lo.SomeBy(narrow, requirement.Equal)
+			return lo.SomeBy(premise, requirement.Equal)
 		}
-		return !newConstraints(append(slices.Clone(narrow), negated)...).satisfiable()
+		return !newConstraints(append(slices.Clone(premise), negated)...).satisfiable()
 	})
 }
 
--- a/internal/configuration/snapshot.go
+++ b/internal/configuration/snapshot.go
@@ -11,7 +11,7 @@
 	"github.com/granitebay/granitebay/internal/routing"
 )
 
-// Snapshot is a compiled document. It is immutable and safe for concurrent use.
+// Snapshot is a validated document with its JSON encoding and its parsed selectors. It is immutable and safe for concurrent use.
 type Snapshot struct {
 	document Document
 	encoded  []byte
--- a/internal/configuration/validate.go
+++ b/internal/configuration/validate.go
@@ -65,7 +65,7 @@
 	return paths
 }
 
-// validateMinimum checks the lower bound of a number.
+// validateMinimum checks that a number is finite and at least the minimum.
 func (v *validator) validateMinimum(field string, value, minimum float64) {
 	if value < minimum || math.IsNaN(value) || math.IsInf(value, 0) {
 		v.addError(field, value, "is too small", fmt.Sprintf("a number of at least %v", minimum))
--- a/internal/configuration/validate_selection.go
+++ b/internal/configuration/validate_rules.go
@@ -33,11 +33,11 @@
 			continue
 		}
 		both := newConstraints(append(slices.Clone(requirementsOf(selector)), requirementsOf(other)...)...)
-		example, overlap := both.example()
+		example, overlap := both.satisfyingLabels()
 		if overlap {
 			v.addError(field, v.spec.Groups[index].WorkerSelector, fmt.Sprintf(
-				"can select a worker that group %s also selects (%s: %q), for example one with the labels {%s}",
-				v.spec.Groups[earlier].Name, "workerSelector", v.spec.Groups[earlier].WorkerSelector, example),
+				"can select a worker that group %s also selects (workerSelector: %q), for example one with the labels {%s}",
+				v.spec.Groups[earlier].Name, v.spec.Groups[earlier].WorkerSelector, example),
 				"selectors that require different values of a label")
 		}
 	}
--- a/internal/configuration/validate_test.go
+++ b/internal/configuration/validate_test.go
@@ -13,9 +13,10 @@
 	"sigs.k8s.io/yaml"
 )
 
-func TestValidateReportsAllErrors(t *testing.T) {
-	cases := readScript(t, "testdata/validate.txtar")
-	for _, name := range cases.cases {
+// TestValidateNamesAllInvalidFields guards against invalid fields that are accepted, and errors that hide others.
+func TestValidateNamesAllInvalidFields(t *testing.T) {
+	cases := readTestCases(t, "testdata/validate.txtar")
+	for _, name := range cases.names {
 		t.Run(name, func(t *testing.T) {
 			var replace []string
 			for _, line := range cases.lines(name, "replace") {
@@ -39,13 +40,15 @@
 // validDocument returns the base document of testdata/validate.txtar.
 func validDocument(t *testing.T) Document {
 	t.Helper()
-	document, fieldErrors := ParseAndValidate([]byte(readScript(t, "testdata/validate.txtar").files["base.yaml"]))
+	document, fieldErrors := ParseAndValidate([]byte(readTestCases(t, "testdata/validate.txtar").files["base.yaml"]))
 	if len(fieldErrors) > 0 {
 		t.Fatal(fieldErrors)
 	}
 	return document
 }
 
+// TestDefaultsAndRoundTrip guards against missing defaults, and against fields that are lost when a document is written as
+// YAML and parsed again.
 func TestDefaultsAndRoundTrip(t *testing.T) {
 	document := validDocument(t)
 	quick := document.Rules[0]
@@ -71,6 +74,7 @@
 	}
 }
 
+// TestSnapshotSelectsGroupsAndRules guards against a group or rule chosen despite its selector, service or precedence.
 func TestSnapshotSelectsGroupsAndRules(t *testing.T) {
 	snapshot, err := Compile(validDocument(t))
 	if err != nil {
@@ -96,14 +100,15 @@
 		t.Errorf("a worker of another service is in group %q", group.Name)
 	}
 	if rule, _ := snapshot.RuleFor(map[string]string{"class": "quick", "tenant": "mill"}); rule.Name != "quick" {
-		t.Errorf("rule %q", rule.Name)
+		t.Errorf("class quick, tenant mill: rule %q, want quick", rule.Name)
 	}
 	if rule, _ := snapshot.RuleFor(map[string]string{"class": "quick"}); rule.Name != "other" {
-		t.Errorf("rule %q", rule.Name)
+		t.Errorf("class quick, no tenant: rule %q, want other", rule.Name)
 	}
 }
 
-func TestWarnings(t *testing.T) {
+// TestWarningsNameEmptyGroupsAndUnknownWorkers guards against likely mistakes that operators are not told about.
+func TestWarningsNameEmptyGroupsAndUnknownWorkers(t *testing.T) {
 	document := validDocument(t)
 	document.Groups[0].RoleFloors["prefill"] = 1
 	document.Rules[0].Groups = []GroupShare{{Group: "desk", Weight: 1}}
@@ -146,8 +151,9 @@
 	return selector
 }
 
-// TestSelectorReasoningMatchesEnumeration compares satisfiability and implication with an enumeration of label sets.
-func TestSelectorReasoningMatchesEnumeration(t *testing.T) {
+// TestSatisfiableAndImpliesMatchEnumeration compares satisfiability with an enumeration of label sets, and requires that
+// implies is never true where a label set contradicts it.
+func TestSatisfiableAndImpliesMatchEnumeration(t *testing.T) {
 	var sets []labels.Set
 	for _, a := range []string{"", "0", "1", "2", "3", "4", "x"} {
 		for _, b := range []string{"", "0", "1", "2", "3", "4", "x"} {
@@ -159,7 +165,7 @@
 		first, second := drawSelector(t, "one"), drawSelector(t, "two")
 		both := newConstraints(append(slices.Clone(requirementsOf(first)), requirementsOf(second)...)...)
 		overlap := lo.SomeBy(sets, func(set labels.Set) bool { return first.Matches(set) && second.Matches(set) })
-		example, found := both.example()
+		example, found := both.satisfyingLabels()
 		if overlap != found {
 			t.Fatalf("%q and %q: overlap %t, found %t", first, second, overlap, found)
 		}
@@ -168,7 +174,7 @@
 		}
 		implied := lo.EveryBy(sets, func(set labels.Set) bool { return !first.Matches(set) || second.Matches(set) })
 		if implies(requirementsOf(first), requirementsOf(second)) && !implied {
-			t.Fatalf("%q does not imply %q", first, second)
+			t.Fatalf("implies(%q, %q) is true, but a label set matches only the first", first, second)
 		}
 	})
 }
--- a/internal/configuration/warnings.go
+++ b/internal/configuration/warnings.go
@@ -9,7 +9,7 @@
 	"github.com/granitebay/granitebay/internal/strictyaml"
 )
 
-// WorkerInfo is what a worker reports about itself.
+// WorkerInfo is the part of a worker's registration that selectors use.
 type WorkerInfo struct {
 	Address string `json:"address"`
 	Service string `json:"service"`
@@ -18,7 +18,7 @@
 }
 
 // Warnings returns likely mistakes in a valid document: groups that select no or too few workers, rules whose groups are all
-// empty, and labels on unknown workers.
+// empty, and labels on unknown workers. It returns nil for an invalid document.
 func Warnings(document Document, workers []WorkerInfo) []string {
 	snapshot, err := Compile(document)
 	if err != nil {
@@ -78,7 +78,7 @@
 	return []string{"workerLabels: labels are set on workers that do not exist: " + text}
 }
 
-// RequestWarnings returns a warning for each class of requests that no rule of a valid document selects.
+// RequestWarnings returns a warning for each set of request labels that no rule selects, and nil for an invalid document.
 func RequestWarnings(document Document, requests []map[string]string) []string {
 	snapshot, err := Compile(document)
 	if err != nil {
