--- a/internal/settings/fields.go
+++ b/internal/settings/fields.go
@@ -12,13 +12,13 @@
 type Field struct {
 	// Path of the field, for example "listen.callers".
 	Path string
-	// Default value as written in the file; empty if there is none.
+	// Default value as written in the file.
 	Default string
-	// Required is set for fields without a default.
+	// Required is set for fields whose default is invalid, so that the file must set them.
 	Required bool
 }
 
-// Fields returns all fields of a settings file, in declaration order.
+// Fields returns all fields of a settings file, in declaration order. A field is required if validation rejects its default.
 func Fields() []Field {
 	initial := defaultFile()
 	required := map[string]bool{}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings loads the settings of a gateway from a YAML file, which is read at startup and whenever it changes. In
-// production the platform generates the file from the template deploy/gateway.yaml.
+// Package settings loads the settings of a gateway from a YAML file, which the caller reads at startup and whenever the file
+// changes. In production the platform generates the file from the template deploy/gateway.yaml.
 package settings
 
 import (
@@ -19,27 +19,29 @@
 // PathVariable is the environment variable that holds the path of the settings file.
 const PathVariable = "GRANITEBAY_CONFIG"
 
-// settingsFile is the schema of the settings file. Addresses are IP:PORT.
+// settingsFile is the schema of the settings file. Addresses have the form IP:PORT.
 type settingsFile struct {
 	// Name of the gateway, unique within the fleet. Required.
 	Name string `json:"name"`
 	// Zone of the gateway, which prefers workers in its own zone.
 	Zone string `json:"zone"`
-	// Cores is the CPU capacity available to the process.
+	// Cores is the number of CPU cores available to the process; may be a fraction.
 	Cores float64 `json:"cores"`
-	// LinkMbps is the network bandwidth of the machine, and Descriptors the file descriptor limit of the process; 0 means unknown.
-	LinkMbps    float64        `json:"linkMbps"`
+	// LinkMbps is the network bandwidth of the machine in Mbit/s; 0 means unknown.
+	LinkMbps float64 `json:"linkMbps"`
+	// Descriptors is the file descriptor limit of the process; 0 means unknown.
 	Descriptors int            `json:"descriptors"`
 	Listen      listenSettings `json:"listen"`
-	// Seeds are control addresses of other gateways; some may be stale or unreachable.
+	// Seeds are control addresses of gateways through which this one finds the fleet. Some may be unreachable, and the
+	// gateway's own address is ignored.
 	Seeds []string `json:"seeds"`
-	// FirstStart is set when the system as a whole starts for the first time.
+	// FirstStart is set when the whole fleet starts for the first time, so that none of the retry budget can have been spent.
 	FirstStart bool `json:"firstStart"`
 	// Store is the address of the store. Required.
-	Store   string         `json:"store"`
-	Timings timingSettings `json:"timings"`
-	Retries retrySettings  `json:"retries"`
-	Duties  dutySettings   `json:"duties"`
+	Store   string           `json:"store"`
+	Timings timingSettings   `json:"timings"`
+	Retries retrySettings    `json:"retries"`
+	Duties  platformSettings `json:"duties"`
 	// LogLevel is debug, info, warn or error.
 	LogLevel string `json:"logLevel"`
 }
@@ -58,42 +60,43 @@
 	Admin string `json:"admin"`
 }
 
-// timingSettings are durations given by the environment that a gateway runs in.
+// timingSettings are time limits of the deployment.
 type timingSettings struct {
 	// Grace limits the duration of a graceful shutdown.
 	Grace strictyaml.Duration `json:"grace"`
 	// AddressTTL is how long callers cache addresses, at most MaximumAddressTTL.
 	AddressTTL        strictyaml.Duration `json:"addressTTL"`
 	MaximumAddressTTL strictyaml.Duration `json:"maximumAddressTTL"`
-	// Lease is the TTL of leases in the store, at least MinimumLease.
+	// Lease is the TTL of leases in the store. It is raised to MinimumLease if shorter.
 	Lease        strictyaml.Duration `json:"lease"`
 	MinimumLease strictyaml.Duration `json:"minimumLease"`
-	// Configuration is the time within which a new configuration must take effect.
+	// Configuration is the time within which a new configuration must reach each gateway, and the maximum age of one that may be
+	// used to reject a request.
 	Configuration strictyaml.Duration `json:"configuration"`
-	// Drain is how long a departing worker keeps accepting requests that are already on their way.
+	// Drain is how long a leaving worker keeps accepting requests that are already on their way.
 	Drain strictyaml.Duration `json:"drain"`
-	// Thaw is how long after a pause of the process no commands are issued.
+	// Thaw is how long after a suspension or stall of the process the gateway gives no orders.
 	Thaw strictyaml.Duration `json:"thaw"`
 }
 
-// retrySettings limit the retries of all gateways together within a window to a ratio of the requests plus an allowance.
+// retrySettings set the retry budget of all gateways together: in each Window at most Ratio times the requests plus Allowance.
 type retrySettings struct {
 	Ratio     float64             `json:"ratio"`
 	Allowance float64             `json:"allowance"`
 	Window    strictyaml.Duration `json:"window"`
 }
 
-// dutySettings configure the calls to the platform that one gateway makes on behalf of all.
-type dutySettings struct {
+// platformSettings configure the calls to the platform that one gateway makes on behalf of all.
+type platformSettings struct {
 	// Address receives the calls; empty disables them.
 	Address string `json:"address"`
-	// UsageWindow is the length of the reporting windows for tenant usage, 0s to disable reports, and UsageDue is the time after
-	// the end of a window by which its report is due.
+	// UsageWindow is the length of the reporting windows for tenant usage; 0s disables reports.
 	UsageWindow strictyaml.Duration `json:"usageWindow"`
-	UsageDue    strictyaml.Duration `json:"usageDue"`
+	// UsageDue is the time after the end of a window by which its report is due.
+	UsageDue strictyaml.Duration `json:"usageDue"`
 }
 
-// defaultFile returns a file with all defaults set and the required fields empty.
+// defaultFile returns the settings that apply where the file sets none. The required fields are empty.
 func defaultFile() settingsFile {
 	settings := gateway.DefaultSettings()
 	return settingsFile{
@@ -113,7 +116,7 @@
 func Load(path string) (*gateway.Settings, error) {
 	content, err := os.ReadFile(path)
 	if err != nil {
-		return nil, errors.Wrap(err, "read settings")
+		return nil, errors.Wrapf(err, "read settings file %s", path)
 	}
 	return Parse(content)
 }
@@ -188,7 +191,7 @@
 	return v.errs
 }
 
-// validator collects errors.
+// validator collects the errors of one file.
 type validator struct{ errs strictyaml.FieldErrors }
 
 // addError records one error.
@@ -196,7 +199,7 @@
 	v.errs = append(v.errs, strictyaml.FieldError{Field: field, Value: strictyaml.FormatValue(value), Problem: problem, Allowed: allowed})
 }
 
-// checkAddress checks that a value is IP:PORT.
+// checkAddress checks that a value has the form of IP:PORT. It does not check the IP address and the port.
 func (v *validator) checkAddress(field, value string, required bool) {
 	if value == "" && !required {
 		return
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -15,7 +15,8 @@
 seeds: ["10.0.0.1:5", "10.0.0.2:5"]
 `
 
-func TestParseAppliesDefaults(t *testing.T) {
+// TestParseAppliesDefaultsAndRemovesOwnSeed guards against missing defaults, and a gateway that uses itself as a seed.
+func TestParseAppliesDefaultsAndRemovesOwnSeed(t *testing.T) {
 	got, err := Parse([]byte(minimalSettings))
 	if err != nil {
 		t.Fatal(err)
@@ -25,6 +26,7 @@
 	}
 }
 
+// TestParseReportsAllErrors guards against errors that hide others.
 func TestParseReportsAllErrors(t *testing.T) {
 	tests := []struct {
 		desc, text string
@@ -46,7 +48,7 @@
 	}
 }
 
-// TestExamplesAreValid parses the example settings that the README uses.
+// TestExamplesAreValid guards against invalid files examples/gateway-a.yaml to gateway-c.yaml, which the README uses.
 func TestExamplesAreValid(t *testing.T) {
 	for _, name := range []string{"a", "b", "c"} {
 		content, err := os.ReadFile("../../examples/gateway-" + name + ".yaml")
@@ -54,7 +56,7 @@
 			t.Fatal(err)
 		}
 		if _, err := Parse(content); err != nil {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("examples/gateway-%s.yaml: %v", name, err)
 		}
 	}
 }
