--- a/internal/tenant/tenant.go
+++ b/internal/tenant/tenant.go
@@ -1,5 +1,6 @@
-// Package tenant maps API keys to tenants. A table stores no keys, only their HMACs under a secret of the process, so that
-// neither dumps nor logs of a table reveal keys, and lookup times reveal nothing about the keys in it.
+// Package tenant maps API keys to tenants. A table stores no keys, only their HMACs with a random secret of the
+// process, so that neither dumps nor logs of a table reveal keys, and the time of a lookup does not depend on how much of a key
+// is right.
 package tenant
 
 import (
@@ -13,7 +14,7 @@
 	"github.com/cockroachdb/errors"
 )
 
-// KeyGrant lists the keys of a tenant. Tables do not retain them.
+// KeyGrant lists the keys of a tenant. A Table keeps only their digests.
 type KeyGrant struct {
 	Name string
 	Keys []string
@@ -31,7 +32,7 @@
 // Name returns the name of the tenant.
 func (t *Tenant) Name() string { return t.name }
 
-// Keys returns the number of keys granted to the tenant.
+// Keys returns the number of keys that are listed for the tenant, including those that belong to an earlier one.
 func (t *Tenant) Keys() int { return t.keys }
 
 // Priority returns the priority of the tenant's requests, 0 being the most urgent, or false if the priority of the rule applies.
@@ -49,17 +50,17 @@
 type Table struct {
 	tenants  []*Tenant
 	byDigest map[keyDigest]*Tenant
-	// duplicateKeys counts grants of keys that already belong to another tenant.
+	// duplicateKeys counts the keys that are listed for a second tenant.
 	duplicateKeys int
 }
 
-// NewTable returns a table of the grants. The error identifies the invalid tenant but never contains a key.
+// NewTable returns a table of the grants. The error identifies the invalid tenant and never contains a key.
 func NewTable(grants []KeyGrant) (*Table, error) {
 	table := &Table{byDigest: map[keyDigest]*Tenant{}}
 	names := map[string]bool{}
-	for _, grant := range grants {
+	for i, grant := range grants {
 		if grant.Name == "" {
-			return nil, errors.New("tenant without a name; a name is required")
+			return nil, errors.Newf("tenants[%d]: name is missing", i)
 		}
 		if names[grant.Name] {
 			return nil, errors.Newf("tenant %q: duplicate name; names must be unique", grant.Name)
@@ -75,19 +76,19 @@
 	return table, nil
 }
 
-// addKeys adds the keys of a tenant. A key that belongs to an earlier tenant stays with it instead of being an error, since one
-// ambiguous key must not block a whole configuration.
+// addKeys adds the keys of a tenant. A key that an earlier tenant already has is skipped and counted, because an error would
+// reject the whole configuration.
 func (t *Table) addKeys(tenant *Tenant, keys []string) error {
 	for i, key := range keys {
 		if key == "" {
-			return errors.Newf("tenant %q, key %d: empty key; a key is required", tenant.name, i)
+			return errors.Newf("tenant %q: key %d (counted from 0) is empty", tenant.name, i)
 		}
-		hashed := newKeyDigest(key)
-		if other, taken := t.byDigest[hashed]; taken && other != tenant {
+		digest := newKeyDigest(key)
+		if other, taken := t.byDigest[digest]; taken && other != tenant {
 			t.duplicateKeys++
 			continue
 		}
-		t.byDigest[hashed] = tenant
+		t.byDigest[digest] = tenant
 	}
 	return nil
 }
@@ -101,8 +102,8 @@
 	return found, known
 }
 
-// DuplicateKeys returns the number of grants of keys that already belong to another tenant. Each key belongs to the first tenant that
-// lists it.
+// DuplicateKeys returns the number of keys that are listed for a second tenant. Each key belongs to the first tenant for which it
+// is listed. A nil Table has none.
 func (t *Table) DuplicateKeys() int {
 	if t == nil {
 		return 0
@@ -113,10 +114,10 @@
 // Tenants returns all tenants sorted by name. The caller must not modify the slice.
 func (t *Table) Tenants() []*Tenant { return t.tenants }
 
-// digestSecretBytes is the length of the HMAC key, which RFC 2104 recommends to be that of the hash.
+// digestSecretBytes is the length of the HMAC secret, that of the hash (RFC 2104, section 3).
 const digestSecretBytes = sha256.Size
 
-// digestSecret returns a random secret generated once per process, so that digests of different processes are unrelated.
+// digestSecret returns a random secret generated once per process, so that digests cannot be compared between processes.
 var digestSecret = sync.OnceValue(func() []byte {
 	secret := make([]byte, digestSecretBytes)
 	// crypto/rand.Read never returns an error.
--- a/internal/tenant/tenant_test.go
+++ b/internal/tenant/tenant_test.go
@@ -8,7 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-func TestFindReturnsTenantOfKey(t *testing.T) {
+// TestTableReturnsTenantsKeysAndPriorities guards against a key found for the wrong tenant, and a lost priority.
+func TestTableReturnsTenantsKeysAndPriorities(t *testing.T) {
 	urgent := 0
 	table, err := NewTable([]KeyGrant{{Name: "b", Keys: []string{"k3"}, Priority: &urgent}, {Name: "a", Keys: []string{"k1", "k2"}}})
 	if err != nil {
@@ -21,7 +22,7 @@
 		}
 	}
 	if names := fmt.Sprint(table.Tenants()[0].Name(), table.Tenants()[1].Name()); names != "ab" {
-		t.Errorf("got %s", names)
+		t.Errorf("tenants %s, want ab", names)
 	}
 	if priority, given := table.Tenants()[1].Priority(); !given || priority != 0 {
 		t.Error("the granted priority is missing")
@@ -31,6 +32,7 @@
 	}
 }
 
+// TestNoKeyCanBeReadFromATableOrAnError guards against API keys that leak into logs or dumps.
 func TestNoKeyCanBeReadFromATableOrAnError(t *testing.T) {
 	table, err := NewTable([]KeyGrant{{Name: "a", Keys: []string{"secret-key-1"}}, {Name: "b", Keys: []string{"secret-key-1", "secret-key-2"}}})
 	if err != nil || table.DuplicateKeys() != 1 {
@@ -49,7 +51,7 @@
 	}
 }
 
-// TestFindMatchesGrants looks up every key of random grants, and keys that are not granted.
+// TestFindMatchesGrants guards against a key that is found for another tenant or for none.
 func TestFindMatchesGrants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		owners := rapid.MapOf(rapid.StringMatching(`k[0-9]`), rapid.SampledFrom([]string{"a", "b", "c"})).Draw(t, "owners")
