--- a/internal/strictyaml/duration.go
+++ b/internal/strictyaml/duration.go
@@ -23,11 +23,11 @@
 func (d *Duration) UnmarshalJSON(data []byte) error {
 	var text string
 	if err := json.Unmarshal(data, &text); err != nil {
-		return errors.New("not a duration such as \"250ms\" or \"1m30s\"")
+		return errors.Newf("%s is not a duration; it must be a string such as \"250ms\" or \"1m30s\"", data)
 	}
 	parsed, err := time.ParseDuration(text)
 	if err != nil {
-		return errors.New("not a duration such as \"250ms\" or \"1m30s\"")
+		return errors.Newf("%q is not a duration; it must be a string such as \"250ms\" or \"1m30s\"", text)
 	}
 	*d = Duration(parsed)
 	return nil
--- a/internal/strictyaml/field_error.go
+++ b/internal/strictyaml/field_error.go
@@ -5,7 +5,7 @@
 	"strings"
 )
 
-// FieldError is one error in a document.
+// FieldError is an error in one field of a document, or in the document as a whole.
 type FieldError struct {
 	// Field is the path of the field, for example "spec.rules[quick].priority".
 	Field string `json:"field"`
--- a/internal/strictyaml/strictyaml.go
+++ b/internal/strictyaml/strictyaml.go
@@ -1,5 +1,5 @@
 // Package strictyaml decodes YAML and JSON into structs. It rejects unknown fields, values of the wrong type and duplicate keys,
-// and reports all unknown fields and wrong types at once.
+// and reports all unknown fields and wrong types at once. Syntax errors and duplicate keys are reported alone.
 package strictyaml
 
 import (
@@ -15,11 +15,11 @@
 	"sigs.k8s.io/yaml"
 )
 
-// documentPath is the path of errors that concern no particular field.
+// documentPath stands for the whole document in a FieldError.
 const documentPath = "(document)"
 
-// Parse decodes YAML or JSON into value. Omitted fields keep their current values. The error is FieldErrors; fields without an
-// error are decoded nevertheless, so that the caller can validate them.
+// Parse decodes YAML or JSON into value. Fields that are omitted or have an error keep their values. The error is FieldErrors; the
+// other fields are decoded nevertheless, so that the caller can validate them.
 func Parse[T any](data []byte, value *T) error {
 	data, err := yaml.YAMLToJSONStrict(data)
 	if err != nil {
@@ -32,7 +32,8 @@
 		return FieldErrors{{Field: documentPath, Problem: err.Error(), Allowed: "YAML or JSON"}}
 	}
 	var checker typeChecker
-	tree = checker.check("", tree, reflect.TypeFor[T]())
+	tree = checker.removeInvalid("", tree, reflect.TypeFor[T]())
+	// A type with its own UnmarshalJSON may reject a value of the right JSON type; such an error has no path.
 	if err := decodeTree(tree, value); err != nil {
 		checker.errs = append(checker.errs, FieldError{Field: documentPath, Problem: err.Error()})
 	}
@@ -51,14 +52,14 @@
 	return json.Unmarshal(data, value)
 }
 
-// typeChecker compares a tree of JSON values with a Go type and collects all mismatches.
+// typeChecker removes the values from a JSON tree that do not match a Go type, and records an error for each.
 type typeChecker struct{ errs FieldErrors }
 
 // invalid replaces a value that does not match its type.
 type invalid struct{}
 
-// check returns the part of a value that matches the type, or invalid.
-func (c *typeChecker) check(path string, value any, typ reflect.Type) any {
+// removeInvalid returns a value without the parts that do not match the type, or invalid if the value itself does not match.
+func (c *typeChecker) removeInvalid(path string, value any, typ reflect.Type) any {
 	if value == nil {
 		return nil
 	}
@@ -70,7 +71,7 @@
 	}
 	switch typ.Kind() {
 	case reflect.Pointer:
-		return c.check(path, value, typ.Elem())
+		return c.removeInvalid(path, value, typ.Elem())
 	case reflect.Struct:
 		return c.checkStruct(path, value, typ)
 	case reflect.Slice:
@@ -111,7 +112,7 @@
 			c.addError(JoinPath(path, name), nil, "is an unknown field", strings.Join(fieldNames(typ), ", "))
 			continue
 		}
-		if checked := c.check(JoinPath(path, name), object[name], fieldType); checked != (invalid{}) {
+		if checked := c.removeInvalid(JoinPath(path, name), object[name], fieldType); checked != (invalid{}) {
 			result[name] = checked
 		}
 	}
@@ -125,7 +126,7 @@
 	}
 	result := []any{}
 	for i, element := range list {
-		checked := c.check(fmt.Sprintf("%s[%s]", path, elementKey(element, i)), element, typ.Elem())
+		checked := c.removeInvalid(fmt.Sprintf("%s[%s]", path, elementKey(element, i)), element, typ.Elem())
 		if checked != (invalid{}) {
 			result = append(result, checked)
 		}
@@ -140,7 +141,7 @@
 	}
 	result := map[string]any{}
 	for _, key := range SortedKeys(object) {
-		if checked := c.check(fmt.Sprintf("%s[%s]", path, key), object[key], typ.Elem()); checked != (invalid{}) {
+		if checked := c.removeInvalid(fmt.Sprintf("%s[%s]", path, key), object[key], typ.Elem()); checked != (invalid{}) {
 			result[key] = checked
 		}
 	}
@@ -167,6 +168,7 @@
 	return value
 }
 
+// checkInteger checks an integer of any size. Kinds other than those of checkScalar are integers.
 func (c *typeChecker) checkInteger(path string, value any, typ reflect.Type) any {
 	number, isNumber := value.(json.Number)
 	var err error
@@ -181,7 +183,7 @@
 	return value
 }
 
-// elementKey returns the name of an object in a list, or its index if it has none.
+// elementKey returns the text in brackets in the path of a list element: its name, or its index if it has none.
 func elementKey(element any, index int) string {
 	if object, isObject := element.(map[string]any); isObject {
 		if name, isString := object["name"].(string); isString && name != "" {
--- a/internal/strictyaml/strictyaml_test.go
+++ b/internal/strictyaml/strictyaml_test.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// sampleDocument has a field of each of several types.
 type sampleDocument struct {
 	Name  string   `json:"name"`
 	Ratio float64  `json:"ratio"`
@@ -17,6 +18,7 @@
 	} `json:"deep"`
 }
 
+// TestParseKeepsDefaultsAndReportsAllErrors guards against defaults that are overwritten, and errors that hide others.
 func TestParseKeepsDefaultsAndReportsAllErrors(t *testing.T) {
 	value := sampleDocument{Name: "default", Wait: Duration(time.Second)}
 	if err := Parse([]byte("ratio: 0.5\nfirst: true\ndeep: {count: 3}\nnames: [a, b]"), &value); err != nil {
