--- a/internal/deployment/deployment.go
+++ b/internal/deployment/deployment.go
@@ -1,4 +1,4 @@
-// Package deployment describes the target fleets of granitebay: their zones, gateways and workers, and the example
+// Package deployment describes the fleets that granitebay is deployed to: their zones, gateways and workers, and the example
 // configuration of each.
 package deployment
 
@@ -12,7 +12,7 @@
 	"github.com/granitebay/granitebay/internal/configuration"
 )
 
-// The names of the deployments.
+// Names of the deployments.
 const (
 	NameFes      = "fes"
 	NameMagnolia = "magnolia"
@@ -22,6 +22,7 @@
 type Worker struct {
 	// Name of the worker, for example "engine-a-1".
 	Name string
+	// Zone that the worker runs in.
 	Zone string
 	// Pool is the label value by which the groups of the example configuration select the worker.
 	Pool string
@@ -29,7 +30,7 @@
 	Prefill bool
 }
 
-// Deployment is one fleet.
+// Deployment is a fleet of gateways and workers that granitebay is configured for.
 type Deployment struct {
 	// Name by which command lines select the deployment.
 	Name string
@@ -39,10 +40,12 @@
 	Zones []string
 	// GatewaysPerZone is the number of gateways in each zone.
 	GatewaysPerZone int
-	Workers         []Worker
-	// Service that the workers belong to, and Model that they serve.
+	// Workers of the fleet, by zone.
+	Workers []Worker
+	// Service that the workers belong to.
 	Service string
-	Model   string
+	// Model that the workers serve.
+	Model string
 	// Configuration is the name of the example configuration.
 	Configuration string
 }
@@ -84,7 +87,7 @@
 func Find(name string) (Deployment, error) {
 	found, ok := lo.Find(All(), func(deployment Deployment) bool { return deployment.Name == name })
 	if !ok {
-		return Deployment{}, errors.Wrapf(ErrUnknown, "deployment is %q, must be one of %s", name, strings.Join(Names(), ", "))
+		return Deployment{}, errors.Wrapf(ErrUnknown, "deployment %q, want one of %s", name, strings.Join(Names(), ", "))
 	}
 	return found, nil
 }
--- a/internal/deployment/deployment_test.go
+++ b/internal/deployment/deployment_test.go
@@ -6,6 +6,8 @@
 	"github.com/granitebay/granitebay/internal/configuration"
 )
 
+// TestExamplesSelectAllWorkersOfDeployments guards against a deployment whose service or pools its example configuration does
+// not select.
 func TestExamplesSelectAllWorkersOfDeployments(t *testing.T) {
 	for _, deployment := range All() {
 		document, err := configuration.Example(deployment.Configuration)
@@ -25,11 +27,12 @@
 	}
 }
 
+// TestFindReportsAllowedNames guards against an unknown name that is accepted, or rejected without the allowed names.
 func TestFindReportsAllowedNames(t *testing.T) {
 	if found, err := Find(NameMagnolia); err != nil || len(found.Workers) != 18 {
-		t.Errorf("%d workers, %v", len(found.Workers), err)
+		t.Errorf("deployment magnolia: %d workers, want 18; error %v", len(found.Workers), err)
 	}
-	if _, err := Find("none"); err == nil || err.Error() != `deployment is "none", must be one of fes, magnolia: unknown deployment` {
+	if _, err := Find("none"); err == nil || err.Error() != `deployment "none", want one of fes, magnolia: unknown deployment` {
 		t.Errorf("error %v", err)
 	}
 }
