--- a/internal/callers/conn.go
+++ b/internal/callers/conn.go
@@ -54,8 +54,8 @@
 	closed atomic.Bool
 	// failed is set when a read failed or the peer closed the connection.
 	failed atomic.Bool
-	// closer is the forward.Closer that closed the connection; forward.CloserCaller if this side did not close it.
-	closer atomic.Int32
+	// closingSide is the forward.Closer that closed the connection; forward.CloserCaller if this side did not close it.
+	closingSide atomic.Int32
 	// inHandler is set while the handler runs; responseStarted is set once bytes were written for the current request.
 	inHandler, responseStarted atomic.Bool
 }
@@ -71,7 +71,7 @@
 	for {
 		n, err := c.Conn.Read(buffer)
 		if isDeadlineExceeded(err) && c.hasOwnTimeout() {
-			if n, err = c.tryRead(buffer); isDeadlineExceeded(err) && c.extendDeadline() {
+			if n, err = c.tryRead(buffer); isDeadlineExceeded(err) && c.tryExtendDeadline() {
 				continue
 			}
 		}
@@ -153,14 +153,14 @@
 // CloseWrite closes the sending side, so that net/http can deliver a response before it closes a connection with unread
 // data.
 func (c *connection) CloseWrite() error {
-	if closer, ok := c.Conn.(interface{ CloseWrite() error }); ok {
-		return closer.CloseWrite()
+	if halfCloser, ok := c.Conn.(interface{ CloseWrite() error }); ok {
+		return halfCloser.CloseWrite()
 	}
 	return nil
 }
 
-// Close implements net.Conn. It reports a request that was partly received but never reached the handler to the
-// observer, because nothing else records it.
+// Close implements net.Conn. If part of a request has arrived and its handler has not run, it tells the observer, because
+// nothing else records such a request.
 func (c *connection) Close() error {
 	if !c.closed.Swap(true) {
 		c.server.remove(c)
@@ -179,7 +179,7 @@
 }
 
 // peerClosedWhilePipelined reports whether the peer closed the connection after it sent the first byte of the next
-// request. net/http reads no further while a request is active and does not notice.
+// request. After that byte net/http does not read until the active request is answered, so it does not detect the close.
 func (c *connection) peerClosedWhilePipelined() bool {
 	c.mu.Lock()
 	pipelined := c.pipelined
@@ -188,9 +188,10 @@
 	return pipelined && ok && peerHasClosed(raw)
 }
 
-// closedBy returns who closed the connection. If this side closed it without recording a closer, that was shutdown.
+// closedBy returns who closed the connection. A connection that this side closed without setting
+// closingSide was closed by Server.Close at the end of shutdown.
 func (c *connection) closedBy() forward.Closer {
-	closer := forward.Closer(c.closer.Load())
+	closer := forward.Closer(c.closingSide.Load())
 	if closer == forward.CloserCaller && c.closed.Load() && !c.failed.Load() {
 		return forward.CloserShutdown
 	}
--- a/internal/callers/deadlines.go
+++ b/internal/callers/deadlines.go
@@ -12,7 +12,7 @@
 	"github.com/granitebay/granitebay/internal/forward"
 )
 
-// abandonOnTimeout reports whether a read that timed out means the connection is to be closed, and records the closer.
+// abandonOnTimeout reports whether the connection must be closed after a read timed out, and records the reason in closingSide.
 func (c *connection) abandonOnTimeout() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -20,11 +20,11 @@
 	case c.phase == phaseActive:
 		return false
 	case c.server.shutdownStart.Load() != nil:
-		c.closer.Store(int32(forward.CloserShutdown))
+		c.closingSide.Store(int32(forward.CloserShutdown))
 	case c.phase == phaseReadingHeader:
-		c.closer.Store(int32(forward.CloserHeaderTimeout))
+		c.closingSide.Store(int32(forward.CloserHeaderTimeout))
 	default:
-		c.closer.Store(int32(forward.CloserIdleTimeout))
+		c.closingSide.Store(int32(forward.CloserIdleTimeout))
 		c.server.observer.IdleTimeout()
 	}
 	return true
@@ -83,9 +83,9 @@
 	return c.Conn.SetReadDeadline(deadline)
 }
 
-// extendDeadline reports whether the timeout was increased since it started, so that reading continues. A decrease does
+// tryExtendDeadline reports whether the timeout was increased since it started, so that reading continues. A decrease does
 // not shorten a timeout that is running.
-func (c *connection) extendDeadline() bool {
+func (c *connection) tryExtendDeadline() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.timeout = max(c.timeout, c.server.timeoutFor(c.phase))
--- a/internal/callers/disconnect.go
+++ b/internal/callers/disconnect.go
@@ -9,9 +9,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// disconnectPollInterval is how often the connection of an active request is polled for a disconnect. Workers must stop
-// within half a second after the caller closes its connection. Faster requests are never polled, and the system call is
-// made only once data of the next request has arrived.
+// disconnectPollInterval is how often the connection of an active request is polled for a disconnect. A
+// worker must stop within 0.5 s after the caller closes its connection. Requests shorter than the interval are not polled, and
+// the system call is made only once data of the next request has arrived.
 const disconnectPollInterval = 200 * time.Millisecond
 
 // CancelOnDisconnect returns a handler that cancels the context of a request when its caller closes the connection.
--- a/internal/callers/server.go
+++ b/internal/callers/server.go
@@ -1,9 +1,9 @@
-// Package callers serves the connections of callers: it enforces idle and header timeouts, closes connections at
+// Package callers serves HTTP connections, mainly those of callers: it enforces idle and header timeouts, closes connections at
 // shutdown, and detects callers that disconnect.
 //
-// Invariants: a connection on which a request has started to arrive is not closed by the idle timeout or by shutdown; a
-// connection is closed only by the goroutine that reads it, after a final read that found no data; and it is known which
-// side closed it.
+// Invariants: a connection on which a request has started to arrive is not closed by the idle timeout or by the start of
+// shutdown; a timeout or the start of shutdown closes a connection only from the goroutine that reads it, after a final read
+// that found no data; and CloserOf returns which side closed a connection.
 package callers
 
 import (
@@ -25,8 +25,8 @@
 type Observer interface {
 	// IdleTimeout reports a connection closed by the idle timeout.
 	IdleTimeout()
-	// RequestNotHandled reports a connection that was closed before a request header was complete or reached the handler,
-	// with the side that closed it and how long the request had been arriving.
+	// RequestNotHandled reports a connection that was closed after part of a request arrived and before its handler ran, with
+	// the side that closed it and how long the request had been arriving.
 	RequestNotHandled(closedBy forward.Closer, peer string, elapsed time.Duration)
 }
 
@@ -40,12 +40,13 @@
 	traffic  *Traffic
 	observer Observer
 
-	// idleTimeout limits the time between two requests, headerTimeout the time to receive a header, both in nanoseconds.
+	// idleTimeout limits the time between two requests; headerTimeout the time to a complete header, from the accept or, for
+	// later requests, from their first byte. Both are in nanoseconds.
 	idleTimeout, headerTimeout atomic.Int64
 	// shutdownStart is when shutdown began; nil before that.
 	shutdownStart atomic.Pointer[time.Time]
-	// cancelLongPolls cancels the contexts of requests that may be waiting for changes; nil if the server has none.
-	cancelLongPolls context.CancelFunc
+	// cancelRequests cancels the contexts of all requests, so that long polls return; nil for a server for callers.
+	cancelRequests context.CancelFunc
 
 	mu       sync.Mutex
 	listener net.Listener
@@ -65,10 +66,10 @@
 // defaultIdleTimeout applies until a configuration is loaded.
 const defaultIdleTimeout = 15 * time.Second
 
-// Limits that are not configurable.
+// Limits of request headers. The timeout applies until SetTimeouts changes it.
 const (
-	maxHeaderBytes    = 64 << 10
-	readHeaderTimeout = 10 * time.Second
+	maxHeaderBytes       = 64 << 10
+	defaultHeaderTimeout = 10 * time.Second
 )
 
 // wrapServer returns a Server that adds its own timeouts to those of an http.Server.
@@ -77,14 +78,14 @@
 	server.Handler = trackHandler(server.Handler)
 	server.ConnState, server.ConnContext = onConnState, connContext
 	s.idleTimeout.Store(int64(idleTimeout))
-	s.headerTimeout.Store(int64(readHeaderTimeout))
+	s.headerTimeout.Store(int64(defaultHeaderTimeout))
 	return s
 }
 
-// newHTTPServer returns an http.Server with the limits that are not configurable.
+// newHTTPServer returns an http.Server with the header size limit, the default header timeout and the error log.
 func newHTTPServer(handler http.Handler, logger *logrus.Entry) *http.Server {
 	return &http.Server{
-		Handler: handler, MaxHeaderBytes: maxHeaderBytes, ReadHeaderTimeout: readHeaderTimeout,
+		Handler: handler, MaxHeaderBytes: maxHeaderBytes, ReadHeaderTimeout: defaultHeaderTimeout,
 		ErrorLog: log.New(errorLogWriter{logger}, "", 0),
 	}
 }
@@ -97,7 +98,7 @@
 	server := newHTTPServer(handler, logger)
 	server.BaseContext = func(net.Listener) context.Context { return ctx }
 	internal := wrapServer(server, &Traffic{}, observer, noTimeout)
-	internal.cancelLongPolls = cancel
+	internal.cancelRequests = cancel
 	return internal
 }
 
@@ -126,8 +127,8 @@
 }
 
 // timeoutFor returns the timeout of a phase.
-func (s *Server) timeoutFor(of phase) time.Duration {
-	if of == phaseIdle {
+func (s *Server) timeoutFor(p phase) time.Duration {
+	if p == phaseIdle {
 		return time.Duration(s.idleTimeout.Load())
 	}
 	return time.Duration(s.headerTimeout.Load())
@@ -159,8 +160,8 @@
 const newConnGrace = 300 * time.Millisecond
 
 // Shutdown closes the listeners and idle connections of the servers, and waits until a deadline for connections on which
-// a request has started to arrive. It waits at least newConnGrace. No connection is closed from this side before the
-// call, because a request may be in transit on any of them.
+// a request has started to arrive. It waits at least newConnGrace. Apart from timeouts, no connection may be closed
+// from this side before the call, because a request may be in transit on any of them.
 func Shutdown(deadline time.Time, servers ...*Server) {
 	if earliest := time.Now().Add(newConnGrace); deadline.Before(earliest) {
 		deadline = earliest
@@ -169,19 +170,19 @@
 	defer cancel()
 	var group sync.WaitGroup
 	for _, server := range servers {
-		group.Go(func() { server.shutDown(ctx) })
+		group.Go(func() { server.shutdown(ctx) })
 	}
 	group.Wait()
 }
 
-// shutDown closes the listener and idle connections, and waits for those on which a request has started to arrive. New
+// shutdown closes the listener and idle connections, and waits for those on which a request has started to arrive. New
 // connections have newConnGrace to send their first request. Each connection is closed by the goroutine that reads it;
 // http.Server.Shutdown could close one whose request was just read.
-func (s *Server) shutDown(ctx context.Context) {
+func (s *Server) shutdown(ctx context.Context) {
 	now := time.Now()
 	s.shutdownStart.Store(&now)
-	if s.cancelLongPolls != nil {
-		s.cancelLongPolls()
+	if s.cancelRequests != nil {
+		s.cancelRequests()
 	}
 	for _, conn := range s.stopAccepting() {
 		conn.refreshDeadline()
--- a/internal/callers/server_test.go
+++ b/internal/callers/server_test.go
@@ -77,7 +77,8 @@
 	})
 }
 
-// TestTimeoutChangesApplyToOpenConnections changes timeouts while connections are idle or receive headers.
+// TestTimeoutChangesApplyToOpenConnections guards against changed timeouts that open connections ignore, and against decreases
+// that shorten a timeout that is running.
 func TestTimeoutChangesApplyToOpenConnections(t *testing.T) {
 	s := newTestServer(t, time.Hour, time.Hour)
 	idleBefore, newBefore := s.dial(t), s.dial(t)
@@ -117,8 +118,8 @@
 	}
 }
 
-// TestAbandonedConnectionGetsNoResponse lets headers time out or be cut off by shutdown: net/http would treat a partial
-// request line as a bad request and answer it.
+// TestAbandonedConnectionGetsNoResponse guards against a response to a partial request line, which net/http would treat as a bad
+// request.
 func TestAbandonedConnectionGetsNoResponse(t *testing.T) {
 	const line, header = "GET / HT", "GET / HTTP/1.1\r\nHost: a\r\n"
 	for _, c := range []struct {
@@ -166,8 +167,7 @@
 	return 0, &net.OpError{Op: "read", Net: "tcp", Err: os.NewSyscallError("read", syscall.ETIMEDOUT)}
 }
 
-// TestTCPTimeoutIsAttributedToCaller checks that ETIMEDOUT, which is also a timeout error, is not taken for an expired
-// deadline.
+// TestTCPTimeoutIsAttributedToCaller guards against ETIMEDOUT, which is also a timeout error, being taken for an expired deadline.
 func TestTCPTimeoutIsAttributedToCaller(t *testing.T) {
 	for _, shuttingDown := range []bool{false, true} {
 		s := newTestServer(t, testDelay, testDelay)
@@ -191,7 +191,7 @@
 // pathAbort is the path of a request whose handler aborts.
 const pathAbort = "/abort"
 
-// TestCloserIsReported closes connections in each possible way while a header arrives or a request is active.
+// TestCloserIsReported guards against a connection that ends without a report, with two, or with the wrong side as its closer.
 func TestCloserIsReported(t *testing.T) {
 	partial := requestFor("/1")[:10]
 	for _, c := range []struct {
@@ -229,7 +229,7 @@
 	}
 }
 
-// TestServerDeadlineAppliesWithinTimeouts sets deadlines that end before the timeouts of the connection.
+// TestServerDeadlineAppliesWithinTimeouts guards against a deadline of net/http that a later timeout of the connection replaces.
 func TestServerDeadlineAppliesWithinTimeouts(t *testing.T) {
 	for _, idleTimeout := range []time.Duration{time.Hour, noTimeout} {
 		s := newTestServer(t, time.Hour, time.Hour)
@@ -254,8 +254,8 @@
 	}
 }
 
-// TestBodyIsNotMistakenForPipelinedRequest sends a body while its request is active: the connection is idle after the
-// response, and shutdown closes it immediately.
+// TestBodyIsNotMistakenForPipelinedRequest guards against a shutdown that waits for a connection because a request body was
+// taken for the beginning of the next request.
 func TestBodyIsNotMistakenForPipelinedRequest(t *testing.T) {
 	s := newTestServer(t, time.Hour, time.Hour)
 	caller := s.dial(t)
@@ -305,7 +305,7 @@
 const (
 	timeoutRaceCallers = 100
 	timeoutRaceRounds  = 10
-	timeoutRaceSpread  = time.Millisecond
+	maxTimeoutOffset   = time.Millisecond
 )
 
 // requestAroundTimeout sends requests from just before to just after the idle timeout. A request may find its connection
@@ -318,7 +318,7 @@
 			for round := range timeoutRaceRounds {
 				caller := s.dial(t)
 				caller.request(t, "/first")
-				offset := timeoutRaceSpread * time.Duration(2*i-timeoutRaceCallers) / timeoutRaceCallers
+				offset := maxTimeoutOffset * time.Duration(2*i-timeoutRaceCallers) / timeoutRaceCallers
 				time.Sleep(testDelay + offset)
 				path := fmt.Sprintf("/%d/%d", i, round)
 				if err := caller.send(requestFor(path)); err != nil {
--- a/internal/callers/shutdown_test.go
+++ b/internal/callers/shutdown_test.go
@@ -11,7 +11,8 @@
 	"github.com/sirupsen/logrus"
 )
 
-// TestShutdownClosesIdleConnectionsImmediately shuts down with idle connections and one active request.
+// TestShutdownClosesIdleConnectionsImmediately guards against a shutdown that waits for idle connections, or that does not wait
+// for an active request.
 func TestShutdownClosesIdleConnectionsImmediately(t *testing.T) {
 	s := newTestServer(t, time.Hour, time.Hour)
 	idle := s.dial(t)
@@ -43,8 +44,8 @@
 	}
 }
 
-// TestFinalReadSurvivesShutdown begins a shutdown, and sends a request, just before the final read of a connection whose
-// timeout has expired. Shutdown sets a past deadline on idle connections, which must not prevent that read.
+// TestFinalReadSurvivesShutdown guards against a lost request that arrives just before the final read of an idle connection:
+// shutdown sets a past deadline on idle connections, which must not prevent that read.
 func TestFinalReadSurvivesShutdown(t *testing.T) {
 	s := newTestServer(t, testDelay, time.Hour)
 	caller := s.dial(t)
@@ -63,8 +64,8 @@
 	}
 }
 
-// TestShutdownWaitsForStartedRequests shuts down with requests and headers in progress, and with a connection that is
-// just being accepted.
+// TestShutdownWaitsForStartedRequests guards against a shutdown that cuts off requests and headers in progress, or a connection
+// that is just being accepted.
 func TestShutdownWaitsForStartedRequests(t *testing.T) {
 	const longRequest = 2 * newConnGrace
 	t.Run("an active request", func(t *testing.T) {
@@ -166,24 +167,24 @@
 	})
 }
 
-// TestShutdownAnswersReceivedInternalRequests blocks, during shutdown, a request that was read by a server that is not
-// for callers, such as endpoint discovery, changes of the store or readiness.
+// TestShutdownAnswersReceivedInternalRequests guards against a shutdown that drops a request that an internal server has already
+// read.
 func TestShutdownAnswersReceivedInternalRequests(t *testing.T) {
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
-	internal := NewInternalServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "told") }),
+	internal := NewInternalServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "served") }),
 		&recordingObserver{}, logrus.NewEntry(logger))
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	held := &gatedListener{Listener: listener}
-	go func() { _ = internal.Serve(held) }()
+	gated := &gatedListener{Listener: listener}
+	go func() { _ = internal.Serve(gated) }()
 	t.Cleanup(internal.Close)
-	caller := (&testServer{listener: held}).dial(t)
+	caller := (&testServer{listener: gated}).dial(t)
 	caller.request(t, "/1")
 	time.Sleep(testDelay) // The connection is idle.
-	blocked := held.afterRead.close()
+	blocked := gated.afterRead.close()
 	if err := caller.send(requestFor("/2")); err != nil {
 		t.Fatal(err)
 	}
@@ -191,10 +192,10 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), newConnGrace)
 		defer cancel()
-		internal.shutDown(ctx)
+		internal.shutdown(ctx)
 	}()
 	time.Sleep(newConnGrace / 3)
-	held.afterRead.open()
+	gated.afterRead.open()
 	if err := caller.readResponse(); err != nil {
 		t.Errorf("a received request got no response: %v", err)
 	}
--- a/internal/callers/testserver_test.go
+++ b/internal/callers/testserver_test.go
@@ -109,24 +109,24 @@
 }
 
 // IdleTimeout implements Observer.
-func (c *recordingObserver) IdleTimeout() { c.add("idle timeout") }
+func (o *recordingObserver) IdleTimeout() { o.add("idle timeout") }
 
 // RequestNotHandled implements Observer.
-func (c *recordingObserver) RequestNotHandled(closedBy forward.Closer, _ string, _ time.Duration) {
-	c.add("closed by " + closedBy.String())
+func (o *recordingObserver) RequestNotHandled(closedBy forward.Closer, _ string, _ time.Duration) {
+	o.add("closed by " + closedBy.String())
 }
 
-func (c *recordingObserver) add(event string) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.events = append(c.events, event)
+func (o *recordingObserver) add(event string) {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	o.events = append(o.events, event)
 }
 
 // String returns the recorded events.
-func (c *recordingObserver) String() string {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return strings.Join(c.events, ", ")
+func (o *recordingObserver) String() string {
+	o.mu.Lock()
+	defer o.mu.Unlock()
+	return strings.Join(o.events, ", ")
 }
 
 // testServer is a server whose connections can be blocked. Its handler stands in for the one that forwards to workers.
@@ -141,7 +141,7 @@
 }
 
 // pathHook is the path of a request whose handler runs onHook.
-const pathHook = "/turn"
+const pathHook = "/hook"
 
 // newTestServer returns a running server with the given timeouts.
 func newTestServer(t testing.TB, idleTimeout, headerTimeout time.Duration) *testServer {
