--- a/internal/accepting/accepting.go
+++ b/internal/accepting/accepting.go
@@ -26,8 +26,8 @@
 	stateSince time.Time
 	// acceptErr is the error of the last Accept; nil if it succeeded.
 	acceptErr error
-	// lastCheck is the result of the last call of Accepting; nil if connections were accepted.
-	lastCheck error
+	// lastCheckErr is why connections were not accepted at the last call of Accepting; nil if they were.
+	lastCheckErr error
 }
 
 // Limits of the readiness check.
@@ -44,7 +44,7 @@
 var (
 	errNotListening = errors.New("not listening")
 	errStalled      = errors.New("the accept loop is stalled")
-	errNoFDs        = errors.New("no file descriptors left")
+	errNoFDs        = errors.New("too few file descriptors left")
 	errBacklogFull  = errors.New("the accept backlog is full")
 )
 
@@ -95,12 +95,12 @@
 	defer l.mu.Unlock()
 	err := l.check(now)
 	switch {
-	case err != nil && l.lastCheck == nil:
+	case err != nil && l.lastCheckErr == nil:
 		l.logger.WithError(err).Warn("New connections of callers are not accepted; the gateway is not ready.")
-	case err == nil && l.lastCheck != nil:
+	case err == nil && l.lastCheckErr != nil:
 		l.logger.Info("New connections of callers are accepted again.")
 	}
-	l.lastCheck = err
+	l.lastCheckErr = err
 	return err == nil
 }
 
@@ -111,9 +111,9 @@
 		return errNotListening
 	case l.waiting:
 	case l.acceptErr != nil:
-		return errors.Wrap(l.acceptErr, "step accept")
+		return errors.Wrap(l.acceptErr, "accept a connection")
 	case now.Sub(l.stateSince) > stallTimeout:
-		return errStalled
+		return errors.Wrapf(errStalled, "no call of Accept for %s", now.Sub(l.stateSince))
 	}
 	err := errNotListening
 	// Control fails only if the socket is closed.
@@ -123,8 +123,8 @@
 	return err
 }
 
-// checkFDs returns an error if fewer file descriptors than fdReserve are free. The lowest free descriptor is at most the
-// number of descriptors in use.
+// checkFDs returns an error if the lowest free file descriptor is within fdReserve of the limit. It does not detect a shortage
+// while a lower descriptor is free.
 func checkFDs(fd int) error {
 	var limit unix.Rlimit
 	if unix.Getrlimit(unix.RLIMIT_NOFILE, &limit) != nil {
@@ -140,7 +140,7 @@
 	}
 	_ = unix.Close(lowest)
 	if uint64(lowest)+fdReserve > limit.Cur {
-		return errNoFDs
+		return errors.Wrapf(errNoFDs, "the lowest free descriptor is %d of %d", lowest, limit.Cur)
 	}
 	return nil
 }
@@ -152,7 +152,7 @@
 	if err != nil || info.State != tcpListen || info.Sacked == 0 || info.Unacked < info.Sacked {
 		return nil
 	}
-	return errBacklogFull
+	return errors.Wrapf(errBacklogFull, "%d of %d connections are queued", info.Unacked, info.Sacked)
 }
 
 // tcpListen is TCP_LISTEN, the state of a listening socket on Linux.
--- a/internal/accepting/accepting_test.go
+++ b/internal/accepting/accepting_test.go
@@ -35,10 +35,10 @@
 			return
 		}
 	}
-	t.Errorf("within %s Accepting did not return %t; last check: %v", within, want, l.lastCheck)
+	t.Errorf("within %s Accepting did not return %t; last check: %v", within, want, l.lastCheckErr)
 }
 
-// TestStalledAcceptLoopIsReported blocks the accept loop of a server after it accepted a connection.
+// TestStalledAcceptLoopIsReported guards against a gateway that is ready while its accept loop is stuck or has ended.
 func TestStalledAcceptLoopIsReported(t *testing.T) {
 	loop, listener, _ := newWatchedListener(t)
 	held, release := make(chan struct{}), make(chan struct{})
@@ -64,7 +64,7 @@
 	loop.waitFor(t, false, time.Second)
 }
 
-// TestFailingAcceptIsReported lets Accept fail as it does without free file descriptors.
+// TestFailingAcceptIsReported guards against a gateway that is ready while Accept fails for lack of file descriptors.
 func TestFailingAcceptIsReported(t *testing.T) {
 	loop, _, _ := newWatchedListener(t)
 	failing := &watchedListener{failingListener{}, loop}
@@ -87,7 +87,7 @@
 
 func (failingListener) Accept() (net.Conn, error) { return nil, syscall.EMFILE }
 
-// TestFullBacklogIsReported opens connections that are not accepted.
+// TestFullBacklogIsReported guards against a gateway that is ready while new connections are dropped from a full backlog.
 func TestFullBacklogIsReported(t *testing.T) {
 	loop, _, listener := newWatchedListener(t)
 	raw, err := listener.SyscallConn()
