--- a/internal/netdial/netdial_test.go
+++ b/internal/netdial/netdial_test.go
@@ -9,7 +9,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// TestKeepAliveOptions checks the socket options of both ends of a connection.
+// TestKeepAliveOptions guards against connections that hang across a network partition: both ends need these socket options to
+// fail within seconds.
 func TestKeepAliveOptions(t *testing.T) {
 	listener, err := Listen("127.0.0.1:0")
 	if err != nil {
