--- a/internal/eventstream/eventstream.go
+++ b/internal/eventstream/eventstream.go
@@ -27,8 +27,10 @@
 // Reader reads events from a stream.
 type Reader struct {
 	source *bufio.Reader
-	limit  int
-	event  []byte
+	// limit is the maximum size of an event in bytes.
+	limit int
+	// buffer holds the bytes of the current event.
+	buffer []byte
 }
 
 // NewReader returns a Reader for events of at most limit bytes.
@@ -46,20 +48,20 @@
 
 // Next returns the next event. The error is io.EOF if the stream ends after a complete event.
 func (r *Reader) Next() (Event, error) {
-	r.event = r.event[:0]
+	r.buffer = r.buffer[:0]
 	var event Event
 	for {
-		lineStart := len(r.event)
+		lineStart := len(r.buffer)
 		if err := r.readLine(); err != nil {
 			return Event{}, r.classifyEnd(err)
 		}
-		line := bytes.TrimRight(r.event[lineStart:], "\r\n")
+		line := bytes.TrimRight(r.buffer[lineStart:], "\r\n")
 		if len(line) == 0 {
 			if lineStart == 0 {
 				// An empty line before any field belongs to no event and is prepended to the next one.
 				continue
 			}
-			event.Raw = r.event
+			event.Raw = r.buffer
 			return event, nil
 		}
 		if value, ok := bytes.CutPrefix(line, idField); ok {
@@ -68,12 +70,12 @@
 	}
 }
 
-// readLine appends one line with its line ending to the event.
+// readLine appends one line with its line ending to the buffer.
 func (r *Reader) readLine() error {
 	for {
 		chunk, err := r.source.ReadSlice('\n')
-		r.event = append(r.event, chunk...)
-		if len(r.event) > r.limit {
+		r.buffer = append(r.buffer, chunk...)
+		if len(r.buffer) > r.limit {
 			return ErrTooLong
 		}
 		if !errors.Is(err, bufio.ErrBufferFull) {
@@ -84,7 +86,7 @@
 
 // classifyEnd returns ErrPartial for a stream that ended within an event, and err otherwise.
 func (r *Reader) classifyEnd(err error) error {
-	if errors.Is(err, io.EOF) && len(bytes.TrimSpace(r.event)) > 0 {
+	if errors.Is(err, io.EOF) && len(bytes.TrimSpace(r.buffer)) > 0 {
 		return ErrPartial
 	}
 	return err
--- a/internal/eventstream/eventstream_test.go
+++ b/internal/eventstream/eventstream_test.go
@@ -10,6 +10,7 @@
 	"pgregory.net/rapid"
 )
 
+// TestNext guards against events that are split elsewhere than at empty lines, and cut-off events that are not reported.
 func TestNext(t *testing.T) {
 	cases := []struct {
 		desc, stream string
@@ -42,6 +43,7 @@
 	}
 }
 
+// TestEventAboveLimit guards against memory use without bound for a stream without empty lines.
 func TestEventAboveLimit(t *testing.T) {
 	reader := NewReader(strings.NewReader("data: "+strings.Repeat("x", 10000)+"\n\n"), 5000)
 	if _, err := reader.Next(); !errors.Is(err, ErrTooLong) {
@@ -49,7 +51,7 @@
 	}
 }
 
-// TestBytesAreUnchanged checks that the concatenated events are a prefix of the stream.
+// TestBytesAreUnchanged guards against changed bytes: the concatenated events must be a prefix of the stream.
 func TestBytesAreUnchanged(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		lines := rapid.SliceOf(rapid.SampledFrom([]string{"id: 1\n", "data: abc\n", "\n", "\r\n", ": note\n", "x"})).Draw(t, "lines")
