--- a/internal/boottime/boottime.go
+++ b/internal/boottime/boottime.go
@@ -1,5 +1,5 @@
-// Package boottime provides a clock for time spans during which other processes may act: leases, the age of messages
-// from peers and the age of cached data. Unlike Go's monotonic clock it includes the time in which the machine was
+// Package boottime provides a clock for durations that other processes also measure: leases, the age of messages from peers and
+// the age of cached data. Unlike Go's monotonic clock it includes the time in which the machine was
 // suspended, and unlike the wall clock it never jumps. Use the monotonic clock to measure work of this process.
 package boottime
 
@@ -59,8 +59,8 @@
 
 // Suspended returns how long the machine was suspended since the last call: the difference between CLOCK_BOOTTIME and the
 // monotonic clock.
-func (w *SuspendDetector) Suspended() time.Duration {
-	now := w.read()
-	defer func() { w.last = now }()
-	return max(w.last.timeAt(now).Sub(w.last.monotonic.Round(0))-now.monotonic.Sub(w.last.monotonic), 0)
+func (d *SuspendDetector) Suspended() time.Duration {
+	now := d.read()
+	defer func() { d.last = now }()
+	return max(d.last.timeAt(now).Sub(d.last.monotonic.Round(0))-now.monotonic.Sub(d.last.monotonic), 0)
 }
--- a/internal/boottime/boottime_test.go
+++ b/internal/boottime/boottime_test.go
@@ -5,6 +5,7 @@
 	"time"
 )
 
+// TestNowAdvancesWithMonotonicClock guards against a clock that runs at another rate or starts at another time.
 func TestNowAdvancesWithMonotonicClock(t *testing.T) {
 	if !CountsSuspendedTime() {
 		t.Fatal("CLOCK_BOOTTIME is not available")
@@ -20,7 +21,7 @@
 	}
 }
 
-// TestSuspended lets the two clocks diverge.
+// TestSuspended guards against suspended time that is counted twice, or at all without CLOCK_BOOTTIME.
 func TestSuspended(t *testing.T) {
 	clocks := reading{boot: time.Hour, monotonic: time.Now()}
 	w := &SuspendDetector{read: func() reading { return clocks }, last: clocks}
@@ -30,11 +31,11 @@
 	for _, test := range []struct{ awake, asleep time.Duration }{{time.Second, 0}, {time.Second, 4 * time.Second}, {0, time.Minute}, {time.Hour, 0}} {
 		advance(test.awake, test.asleep)
 		if got := w.Suspended(); got != test.asleep {
-			t.Errorf("after %s awake and %s asleep got %s", test.awake, test.asleep, got)
+			t.Errorf("after %s awake and %s asleep: suspended for %s, want %[2]s", test.awake, test.asleep, got)
 		}
 	}
 	clocks.boot = 0
 	if got := w.Suspended(); got != 0 {
-		t.Errorf("without CLOCK_BOOTTIME got %s", got)
+		t.Errorf("without CLOCK_BOOTTIME: suspended for %s, want 0s", got)
 	}
 }
