--- a/internal/ctxsleep/ctxsleep.go
+++ b/internal/ctxsleep/ctxsleep.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Sleep sleeps for a duration or until ctx ends, and reports whether ctx is still valid. It does not sleep if duration is
-// zero or negative.
+// Sleep sleeps for a duration or until ctx ends, and returns true if the whole duration has passed. If the duration is zero or
+// negative, it does not sleep and returns whether ctx is still valid.
 func Sleep(ctx context.Context, duration time.Duration) bool {
 	if duration <= 0 {
 		return ctx.Err() == nil
--- a/internal/ctxsleep/ctxsleep_test.go
+++ b/internal/ctxsleep/ctxsleep_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-func TestForStopsOnCancel(t *testing.T) {
+// TestSleepStopsOnCancel guards against a sleep that delays the end of its caller.
+func TestSleepStopsOnCancel(t *testing.T) {
 	ctx, cancel := context.WithCancel(t.Context())
 	if !Sleep(ctx, time.Millisecond) || !Sleep(ctx, -time.Second) {
 		t.Error("Sleep returned false before the context was cancelled")
