--- a/internal/adminapi/api_test.go
+++ b/internal/adminapi/api_test.go
@@ -68,6 +68,7 @@
 	return document
 }
 
+// TestEditOutcomes guards against an outcome or an HTTP status that does not match what happened to the edit.
 func TestEditOutcomes(t *testing.T) {
 	label := []configuration.Edit{configuration.SetLabel("w1", "pool", "x")}
 	unknownGroup := configuration.DefaultRule()
@@ -118,7 +119,9 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-func TestEditWithSeveralGateways(t *testing.T) {
+// TestEditTriesGatewaysUntilOutcomeIsFinal guards against an edit that is reported as failed although a gateway may have accepted
+// it.
+func TestEditTriesGatewaysUntilOutcomeIsFinal(t *testing.T) {
 	unavailable := configuration.ProposalResult{Err: configuration.ErrStoreUnavailable}
 	unknown := configuration.ProposalResult{Err: configuration.ErrOutcomeUnknown}
 	accepted := configuration.ProposalResult{Accepted: true, Revision: 4}
@@ -155,6 +158,7 @@
 	}
 }
 
+// TestEditWithUnknownFields guards against misspelled fields that are ignored.
 func TestEditWithUnknownFields(t *testing.T) {
 	address := startServer(t, &fakeBackend{document: exampleDocument(t, 3)})
 	body := `{"changeID": "mine", "edits": [{"kind": "put", "rule": {"name": "x", "urgent": true, "priority": "high"}}]}`
@@ -168,7 +172,9 @@
 	}
 }
 
-func TestClientReadsConfiguration(t *testing.T) {
+// TestClientSkipsUnreachableGateways guards against a client that stops at an unreachable gateway, and an error that does not
+// name the gateway.
+func TestClientSkipsUnreachableGateways(t *testing.T) {
 	client := NewClient([]string{"127.0.0.1:1", startServer(t, &fakeBackend{document: exampleDocument(t, 3)})}, http.DefaultClient)
 	document, err := client.Configuration(t.Context())
 	if err != nil || document.Revision != 3 || len(document.Rules) != 4 {
@@ -180,6 +186,7 @@
 	}
 }
 
+// TestDecisionsAreFilteredAndFollowed guards against decisions that a filter or the start of a stream loses or repeats.
 func TestDecisionsAreFilteredAndFollowed(t *testing.T) {
 	records := []decision.Record{
 		{Sequence: 1, Kind: decision.KindRequest, Subject: "req-1", Outcome: "w1"},
@@ -242,6 +249,7 @@
 	}
 }
 
+// TestClientAcceptsAddressesAndURLs guards against a scheme or a slash in an address that breaks the client.
 func TestClientAcceptsAddressesAndURLs(t *testing.T) {
 	address := startServer(t, &fakeBackend{})
 	for _, given := range []string{address, "http://" + address, "http://" + address + "/"} {
@@ -255,6 +263,7 @@
 	}
 }
 
+// TestInitialStreamRecords guards against frequent kinds of decisions that displace rare ones at the start of a stream.
 func TestInitialStreamRecords(t *testing.T) {
 	records := []decision.Record{
 		{Sequence: 1, Kind: decision.KindRole}, {Sequence: 2, Kind: decision.KindRequest}, {Sequence: 3, Kind: decision.KindRequest},
@@ -280,6 +289,7 @@
 	}
 }
 
+// TestRetainedSince guards against an explanation that claims to be complete although decisions were dropped.
 func TestRetainedSince(t *testing.T) {
 	later := startedAt.Add(time.Hour)
 	tests := []struct {
--- a/internal/adminapi/backend.go
+++ b/internal/adminapi/backend.go
@@ -10,7 +10,7 @@
 
 // Backend provides the state of a gateway to the API.
 type Backend interface {
-	// Status, Workers, Groups, Rules and Gateways return the system as this gateway sees it.
+	// Status, Workers, Groups, Rules and Gateways return the fleet as this gateway sees it.
 	Status() GatewayStatus
 	Workers() []WorkerStatus
 	Groups() []GroupStatus
@@ -25,12 +25,12 @@
 	Barred() []BarredStatus
 	// Release clears the failures recorded for a request at all gateways. It reports whether the request was barred.
 	Release(ctx context.Context, digest poison.Digest) (bool, error)
-	// Document returns the current label configuration, or the zero document if there is none yet.
+	// Document returns the label configuration in use, or the zero document if there is none yet.
 	Document() configuration.Document
 	// Propose writes an edit to the store and waits for the result.
 	Propose(ctx context.Context, request configuration.EditRequest) configuration.ProposalResult
-	// KnownWorkers returns the workers with the labels they report themselves, and KnownRequests the distinct label sets
-	// of recent requests. Previews of edits use them.
+	// KnownWorkers returns the workers with the labels that they report, without those set by operators, and KnownRequests the
+	// distinct label sets of recent requests. Previews of edits use them.
 	KnownWorkers() []configuration.WorkerInfo
 	KnownRequests() []map[string]string
 	// Decisions returns the retained decisions with a sequence above since, oldest first.
--- a/internal/adminapi/client.go
+++ b/internal/adminapi/client.go
@@ -16,7 +16,8 @@
 	"github.com/granitebay/granitebay/internal/configuration"
 )
 
-// Client calls gateways. It tries the addresses in order and moves on when a gateway can't be reached or is not ready.
+// Client calls gateways. It tries the addresses in order and moves on when a gateway cannot be reached or is not ready. Follow
+// does not move on from a gateway that is not ready.
 type Client struct {
 	addresses []string
 	http      *http.Client
@@ -64,7 +65,7 @@
 	return get[[]GroupStatus](ctx, c, PathGroups, nil)
 }
 
-// Rules returns all rules in force.
+// Rules returns all rules in use.
 func (c *Client) Rules(ctx context.Context) ([]RuleStatus, error) {
 	return get[[]RuleStatus](ctx, c, PathRules, nil)
 }
@@ -95,12 +96,12 @@
 	return result, errors.Wrapf(json.Unmarshal(data, &result), "decode the response to %s", path)
 }
 
-// Capacity returns the workers that can be ordered.
+// Capacity returns the workers that can be ordered, as the gateway that responds knows them.
 func (c *Client) Capacity(ctx context.Context) ([]CapacityStatus, error) {
 	return get[[]CapacityStatus](ctx, c, PathCapacity, nil)
 }
 
-// Usage returns the state of usage reports.
+// Usage returns the state of usage reports at the gateway that responds.
 func (c *Client) Usage(ctx context.Context) (UsageStatus, error) {
 	return get[UsageStatus](ctx, c, PathUsage, nil)
 }
@@ -120,7 +121,7 @@
 	return get[DecisionList](ctx, c, PathDecisions, filter.Query())
 }
 
-// Explain returns what the gateway knows about a request.
+// Explain returns the decisions about a request that the gateway that responds retains.
 func (c *Client) Explain(ctx context.Context, request string) (Explanation, error) {
 	return get[Explanation](ctx, c, PathExplain, url.Values{"request": {request}})
 }
--- a/internal/adminapi/client_edit.go
+++ b/internal/adminapi/client_edit.go
@@ -12,9 +12,9 @@
 	"github.com/granitebay/granitebay/internal/configuration"
 )
 
-// Edit proposes an edit, or previews it in a dry run. It tries the next gateway while the outcome is open; this is safe
-// because the change id makes repeated proposals idempotent. If one gateway may have accepted the edit and no other
-// gateway settles it, the outcome is EditUnknown. The error is set if no gateway returned a result and none can have
+// Edit proposes an edit, or previews it in a dry run. It tries the next gateway until one reports a final outcome; this is safe
+// because proposals with the same change id are applied at most once. If a gateway may have accepted the edit and no other one
+// reports a final outcome, the outcome is EditUnknown. The error is set if no gateway returned a result and none can have
 // accepted the edit.
 func (c *Client) Edit(ctx context.Context, request configuration.EditRequest, dryRun bool) (EditResult, error) {
 	body, err := json.Marshal(request)
@@ -47,11 +47,11 @@
 	errs          error
 }
 
-// record adds the response of one gateway and reports whether it settles the edit.
-func (a *editAttempts) record(data []byte, err error) (settled bool) {
+// record adds the response of one gateway and reports whether its outcome is final.
+func (a *editAttempts) record(data []byte, err error) (final bool) {
 	var result EditResult
 	if json.Unmarshal(data, &result) != nil || result.Outcome == "" {
-		a.maybeAccepted = a.maybeAccepted || (!a.dryRun && !neverSent(err))
+		a.maybeAccepted = a.maybeAccepted || (!a.dryRun && !notSent(err))
 		a.errs = errors.Join(a.errs, err)
 		return false
 	}
@@ -67,7 +67,7 @@
 	}
 }
 
-// finalResult returns the result if no gateway settled the edit.
+// finalResult returns the result if no gateway reported a final outcome.
 func (a *editAttempts) finalResult() (EditResult, error) {
 	switch {
 	case a.maybeAccepted && a.result.Outcome != EditUnknown:
@@ -82,7 +82,7 @@
 	}
 }
 
-// failure returns why the edit is not settled.
+// failure returns why there is no final outcome.
 func (a *editAttempts) failure() error {
 	switch {
 	case a.errs != nil:
@@ -94,8 +94,8 @@
 	}
 }
 
-// neverSent reports whether a call failed before anything was sent.
-func neverSent(err error) bool {
+// notSent reports whether a call failed before anything was sent.
+func notSent(err error) bool {
 	var opErr *net.OpError
 	return errors.As(err, &opErr) && opErr.Op == "dial"
 }
--- a/internal/adminapi/edits.go
+++ b/internal/adminapi/edits.go
@@ -49,7 +49,7 @@
 // proposeTimeout limits the time to propose an edit.
 const proposeTimeout = 20 * time.Second
 
-// previewEdit returns the consequences of an edit without making it.
+// previewEdit returns the effects that an edit would have.
 func previewEdit(backend Backend, request configuration.EditRequest) (int, EditResult) {
 	result := EditResult{ChangeID: request.ChangeID}
 	current := backend.Document()
@@ -74,7 +74,8 @@
 	return http.StatusConflict, result
 }
 
-// errorResult maps an error to an outcome and an HTTP status.
+// errorResult maps an error to an outcome and an HTTP status. Errors that it does not know mean that the edit was not accepted
+// and may be retried.
 func errorResult(result EditResult, err error) (int, EditResult) {
 	result.Error = err.Error()
 	var fieldErrors configuration.FieldErrors
--- a/internal/adminapi/filter.go
+++ b/internal/adminapi/filter.go
@@ -9,7 +9,7 @@
 	"github.com/granitebay/granitebay/internal/decision"
 )
 
-// Names of decision inputs that filters use.
+// Keys of decision.Record.Inputs that DecisionFilter matches.
 const (
 	InputRequest = "request"
 	InputWorker  = "worker"
--- a/internal/adminapi/follow.go
+++ b/internal/adminapi/follow.go
@@ -23,8 +23,8 @@
 	Heartbeat func(Heartbeat) error
 }
 
-// FollowDecisions calls handle for each new decision of the first gateway that responds, until ctx ends, handle returns
-// an error or the stream breaks.
+// FollowDecisions calls handle for each retained and each new decision of the first gateway that responds, until ctx ends, handle
+// returns an error or the stream breaks.
 func (c *Client) FollowDecisions(ctx context.Context, filter DecisionFilter, handle func(decision.Record) error) error {
 	return c.Follow(ctx, StreamFilter{DecisionFilter: filter}, StreamHandler{Decision: handle})
 }
--- a/internal/adminapi/register.go
+++ b/internal/adminapi/register.go
@@ -104,7 +104,7 @@
 	})
 }
 
-// newExplanation returns what a gateway knows about one request.
+// newExplanation returns the decisions that this gateway retains about one request.
 func newExplanation(backend Backend, request string) Explanation {
 	status := backend.Status()
 	retained := backend.Decisions(0)
--- a/internal/adminapi/stream.go
+++ b/internal/adminapi/stream.go
@@ -23,7 +23,7 @@
 	backend Backend
 	filter  StreamFilter
 	send    sse.Sender
-	// lastSequence is the sequence of the last decision that was processed.
+	// lastSequence is the sequence of the last decision that was sent or filtered out.
 	lastSequence uint64
 }
 
--- a/internal/adminapi/types.go
+++ b/internal/adminapi/types.go
@@ -18,19 +18,19 @@
 	// Ready is set if the gateway accepts requests, Stopping if it is shutting down.
 	Ready    bool `json:"ready"`
 	Stopping bool `json:"stopping"`
-	// RouteVersion and Revision are the versions of the routes and of the label configuration in use.
+	// RouteVersion is the version of the routes in use, Revision that of the label configuration in use.
 	RouteVersion int64  `json:"routeVersion"`
 	Revision     uint64 `json:"revision"`
 	// StoreAgeMillis is the time since the gateway last confirmed that it is up to date with the store.
 	StoreAgeMillis int64 `json:"storeAgeMillis"`
-	// Gateways is the number of running gateways, Entries the number of those that callers are directed to, and Entry
-	// whether this gateway is one of them.
+	// Gateways is the number of running gateways, Entries the number of entry gateways (those that callers are directed to),
+	// and Entry whether this gateway is one of them.
 	Gateways int  `json:"gateways"`
 	Entries  int  `json:"entries"`
 	Entry    bool `json:"entry"`
 	// Workers is the number of workers by state.
 	Workers map[string]int `json:"workers"`
-	// GivesOrders is set at the gateway that currently may order workers to change roles.
+	// GivesOrders is set at the leader, which may order workers to change roles.
 	GivesOrders bool `json:"givesOrders"`
 	// InProgress is the number of requests in progress at this gateway.
 	InProgress int64 `json:"inHand"`
@@ -42,10 +42,11 @@
 const (
 	StateReady    = "ready"
 	StateDraining = "draining"
-	// StateEjected: excluded after recent failures. StateChanging: changing its role.
+	// StateEjected is the state of a worker that gets no requests after recent failures.
 	StateEjected = "set-aside"
-	// StateBackOff: the worker asked this gateway to send no requests for some time.
-	StateBackOff  = "back-off"
+	// StateBackOff is the state of a worker that asked this gateway to send no requests for some time.
+	StateBackOff = "back-off"
+	// StateChanging is the state of a worker that changes its role.
 	StateChanging = "changing"
 )
 
@@ -62,8 +63,8 @@
 	Labels map[string]string `json:"labels"`
 	Role   string            `json:"role"`
 	State  string            `json:"state"`
-	// Running is the number of running requests of all gateways, PrefillTokens their prompt tokens still to be
-	// processed.
+	// Running is the number of running requests of all gateways, PrefillTokens the number of their prompt tokens that are
+	// still to be processed.
 	Running       int `json:"running"`
 	PrefillTokens int `json:"readingTokens"`
 	Slots         int `json:"slots"`
@@ -92,7 +93,7 @@
 	PrefillTokens int            `json:"readingTokens"`
 }
 
-// RuleStatus is a rule of the current configuration.
+// RuleStatus is a rule of the configuration in use.
 type RuleStatus struct {
 	Name string `json:"name"`
 	// Match describes the requests that the rule applies to.
@@ -107,7 +108,7 @@
 type PeerStatus struct {
 	Name string `json:"name"`
 	Zone string `json:"zone"`
-	// Address is for callers, AdminAddress for this API.
+	// Address is the host:port for callers, AdminAddress that of this API.
 	Address      string  `json:"address"`
 	AdminAddress string  `json:"adminAddress"`
 	Cores        float64 `json:"cores"`
@@ -116,11 +117,11 @@
 	Reachable bool `json:"reachable"`
 }
 
-// TenantStatus is a tenant of the current configuration. Keys are counted, but never shown.
+// TenantStatus is a tenant of the configuration in use. Keys are counted, but never shown.
 type TenantStatus struct {
 	Name string `json:"name"`
 	Keys int    `json:"keys"`
-	// Priority of its requests, 0 being the most urgent; nil if the priority of the rule applies.
+	// Priority of the tenant's requests, 0 being the most urgent; nil if the priority of the matching rule applies.
 	Priority *int `json:"priority,omitempty"`
 	// RouteVersion of the configuration that contains the tenant.
 	RouteVersion int64 `json:"routeVersion"`
@@ -130,7 +131,7 @@
 type CapacityStatus struct {
 	Group string `json:"group"`
 	Zone  string `json:"zone"`
-	// OnDemand and Spot count the existing non-spot and spot workers, WantedOnDemand and WantedSpot the wanted ones.
+	// OnDemand and Spot count the existing on-demand and spot workers, WantedOnDemand and WantedSpot the wanted ones.
 	OnDemand       int `json:"kept"`
 	Spot           int `json:"spot"`
 	WantedOnDemand int `json:"wantedKept"`
@@ -145,8 +146,8 @@
 // UsageStatus is the state of usage reports at one gateway. Usage is reported in time windows.
 type UsageStatus struct {
 	Gateway string `json:"gateway"`
-	// Agreed and Sent count windows, Late those sent late, Failed counts failed calls, and Superseded how often another
-	// gateway had taken over.
+	// Finalized counts windows whose counts are written to the store, Sent those that were reported, Late those reported late,
+	// Failed failed steps such as calls or writes, and Superseded calls rejected because another gateway had become the reporter.
 	Finalized  int `json:"agreed"`
 	Sent       int `json:"sent"`
 	Late       int `json:"late"`
@@ -156,7 +157,7 @@
 	Open []OpenWindow `json:"open"`
 }
 
-// OpenWindow is a window that is not agreed on yet.
+// OpenWindow is a window that is not finalized yet.
 type OpenWindow struct {
 	Window   int64 `json:"window"`
 	Requests int64 `json:"requests"`
@@ -201,7 +202,7 @@
 	Decisions []decision.Record `json:"decisions"`
 }
 
-// Explanation is what one gateway knows about one request.
+// Explanation lists the decisions that one gateway retains about one request.
 type Explanation struct {
 	Request string `json:"request"`
 	Gateway string `json:"gateway"`
@@ -225,7 +226,7 @@
 	Tenant string `json:"tenant"`
 	// Workers that exited while serving it, by ID.
 	Workers []string `json:"workers"`
-	// Times is how often it was barred, including the current time.
+	// Times is how often it was barred, including the current bar.
 	Times int       `json:"times"`
 	Until time.Time `json:"until"`
 }
@@ -233,6 +234,6 @@
 // ReleaseResult is the result of a release.
 type ReleaseResult struct {
 	Digest string `json:"asked"`
-	// WasBarred is false if the gateway found no bar in the store.
+	// WasBarred reports whether the store had a bar for the request.
 	WasBarred bool `json:"wasBarred"`
 }
