--- a/internal/operator/config.go
+++ b/internal/operator/config.go
@@ -24,15 +24,15 @@
 
 type configStatusCommand struct{}
 
-// rolloutStatus tells which gateways use the newest revision of the configuration.
+// rolloutStatus lists which gateways use the newest revision of the configuration.
 type rolloutStatus struct {
-	// Newest is the newest revision that a gateway uses, Everywhere the oldest one among the gateways that responded.
-	Newest     uint64 `json:"newest"`
-	Everywhere uint64 `json:"everywhere"`
-	Gateways   int    `json:"gateways"`
-	// Behind names the gateways that use an older revision, Silent those that did not respond.
-	Behind []string `json:"behind,omitempty"`
-	Silent []string `json:"silent,omitempty"`
+	// Newest is the newest revision that a gateway uses, OldestInUse the oldest one among the gateways that responded.
+	Newest      uint64 `json:"newest"`
+	OldestInUse uint64 `json:"everywhere"`
+	Gateways    int    `json:"gateways"`
+	// Behind lists the gateways that use an older revision, Unreachable those that did not respond.
+	Behind      []string `json:"behind,omitempty"`
+	Unreachable []string `json:"silent,omitempty"`
 	// incomplete is set if a gateway that is listed by another one did not respond.
 	incomplete bool
 }
@@ -43,20 +43,20 @@
 	responses := queryAll(ctx, targets, func(ctx context.Context, client *adminapi.Client) (adminapi.GatewayStatus, error) {
 		return client.Status(ctx)
 	})
-	result := rolloutStatus{Silent: gaps}
+	result := rolloutStatus{Unreachable: gaps}
 	statuses := map[string]adminapi.GatewayStatus{}
 	for _, response := range responses {
 		if response.err != nil {
-			result.Silent = append(result.Silent, response.target.describeFailure(response.err))
+			result.Unreachable = append(result.Unreachable, response.target.describeFailure(response.err))
 			result.incomplete = result.incomplete || response.target.name != ""
 			continue
 		}
 		statuses[response.value.Gateway] = response.value
 		result.Newest = max(result.Newest, response.value.Revision)
 	}
-	result.Gateways, result.Everywhere = len(statuses), result.Newest
+	result.Gateways, result.OldestInUse = len(statuses), result.Newest
 	for name, status := range statuses {
-		result.Everywhere = min(result.Everywhere, status.Revision)
+		result.OldestInUse = min(result.OldestInUse, status.Revision)
 		if status.Revision < result.Newest {
 			result.Behind = append(result.Behind, fmt.Sprintf("%s has revision %d", name, status.Revision))
 		}
@@ -70,15 +70,15 @@
 	read := func(ctx context.Context) (rolloutStatus, error) {
 		status := queryRollout(ctx, s)
 		if status.Gateways == 0 {
-			return status, errors.Newf("no gateway responded: %s", strings.Join(status.Silent, "; "))
+			return status, errors.Newf("no gateway responded: %s", strings.Join(status.Unreachable, "; "))
 		}
 		return status, nil
 	}
 	return show(s, read, func(writer io.Writer, status rolloutStatus) error {
 		fmt.Fprintf(writer, "newest revision      %d\n", status.Newest)
-		fmt.Fprintf(writer, "in use everywhere    %d (%d gateways)\n", status.Everywhere, status.Gateways)
+		fmt.Fprintf(writer, "in use by all        %d (%d gateways that responded)\n", status.OldestInUse, status.Gateways)
 		printList(writer, "older revision", status.Behind)
-		printList(writer, "did not respond", status.Silent)
+		printList(writer, "did not respond", status.Unreachable)
 		return nil
 	})
 }
--- a/internal/operator/decisions.go
+++ b/internal/operator/decisions.go
@@ -22,14 +22,14 @@
 	timeLayout = "15:04:05.000"
 	// defaultFollowHistory is how many earlier decisions --follow shows by default.
 	defaultFollowHistory = 20
-	// streamOverlap limits the decisions per gateway and kind that are sent again at the start of a stream, to cover
-	// those made between the list and the stream.
+	// streamOverlap is the number of retained decisions of each kind with which a stream begins, so that none made after the
+	// list was read is missed.
 	streamOverlap = 1000
 	// streamBuffer limits the decisions that wait to be printed.
 	streamBuffer = 1024
 )
 
-// decisionsCommand shows the decisions of all gateways.
+// decisionsCommand shows the decisions of all gateways, or of one.
 type decisionsCommand struct {
 	Follow      bool   `help:"Show new decisions continuously." short:"f"`
 	Last        int    `help:"Show only this many of the latest; by default all retained ones, or 20 with --follow."`
@@ -151,11 +151,11 @@
 // streams follows all gateways. The second channel receives an error once no stream is left.
 func (d decisionsCommand) streams(s *session) (<-chan decision.Record, <-chan error) {
 	records, ended := make(chan decision.Record, streamBuffer), make(chan error, 1)
-	targets := []target{}
+	targets := []gatewayTarget{}
 	if !d.ThisGateway {
 		targets, _ = gatewayTargets(s.context, s)
 	}
-	clients := lo.Map(targets, func(each target, _ int) *adminapi.Client {
+	clients := lo.Map(targets, func(each gatewayTarget, _ int) *adminapi.Client {
 		return adminapi.NewClient([]string{each.address}, http.DefaultClient)
 	})
 	if len(clients) == 0 {
--- a/internal/operator/edit.go
+++ b/internal/operator/edit.go
@@ -78,15 +78,15 @@
 		return nil
 	case adminapi.EditInvalid:
 		if len(result.Faults) > 0 {
-			return faultsError("the edit is not valid", result.Faults)
+			return validationError("the edit is not valid", result.Faults)
 		}
 		return badInput(errors.New(result.Error))
 	case adminapi.EditConflict:
 		return conflictError(result)
 	case adminapi.EditUnknown:
-		return errors.Newf("%s; run the same command again with --change-id %s", result.Error, result.ChangeID)
+		return errors.Newf("the outcome of edit %[2]s is unknown: %[1]s; run the same command again with --change-id %[2]s", result.Error, result.ChangeID)
 	default:
-		return errors.Newf("the edit was not accepted: %s", result.Error)
+		return errors.Newf("edit %s was not accepted: %s", result.ChangeID, result.Error)
 	}
 }
 
@@ -99,9 +99,9 @@
 	return errors.New(strings.Join(lines, "\n"))
 }
 
-// faultsError returns an error that lists validation errors, one per line.
-func faultsError(heading string, faults configuration.FieldErrors) error {
-	lines := []string{fmt.Sprintf("%s: %d faults", heading, len(faults))}
+// validationError returns an error that lists validation errors, one per line.
+func validationError(heading string, faults configuration.FieldErrors) error {
+	lines := []string{fmt.Sprintf("%s: %d errors", heading, len(faults))}
 	for _, fault := range faults {
 		lines = append(lines, "  "+fault.Error())
 	}
@@ -114,7 +114,7 @@
 	defer cancel()
 	for {
 		status := queryRollout(ctx, s)
-		if status.Gateways > 0 && !status.incomplete && status.Everywhere >= revision {
+		if status.Gateways > 0 && !status.incomplete && status.OldestInUse >= revision {
 			fmt.Fprintf(s.stderr, "revision %d is in use by all gateways\n", revision)
 			return nil
 		}
--- a/internal/operator/explain.go
+++ b/internal/operator/explain.go
@@ -27,7 +27,7 @@
 	Request string `arg:"" help:"Id of the request."`
 }
 
-// explainResult is what all gateways know about a request.
+// explainResult lists the decisions that the gateways retain about a request.
 type explainResult struct {
 	Request   string            `json:"request"`
 	Decisions []decision.Record `json:"decisions"`
@@ -84,35 +84,35 @@
 		explanation.Gateway, explanation.RetainedSince.UTC().Format(time.RFC3339))}
 }
 
-// target is a gateway to query.
-type target struct {
+// gatewayTarget is a gateway to query.
+type gatewayTarget struct {
 	// name is empty for a given address whose gateway is not known.
 	name    string
 	address string
 }
 
 // describeFailure describes why a gateway did not respond.
-func (t target) describeFailure(err error) string {
+func (t gatewayTarget) describeFailure(err error) string {
 	if t.address == "" {
 		return fmt.Sprintf("%s was not queried: its admin address is not known", t.name)
 	}
 	return fmt.Sprintf("%s at %s did not respond: %v", lo.CoalesceOrEmpty(t.name, "gateway"), t.address, err)
 }
 
-// gatewayTargets returns the gateways that are listed by a gateway and the given addresses, and describes what is
-// missing.
-func gatewayTargets(ctx context.Context, s *session) (targets []target, gaps []string) {
+// gatewayTargets returns the gateways that the responding gateway lists, and the addresses given on the command line that are
+// not among them. gaps says why others may be missing.
+func gatewayTargets(ctx context.Context, s *session) (targets []gatewayTarget, gaps []string) {
 	gateways, err := s.client.Gateways(ctx)
 	if err != nil {
 		gaps = append(gaps, fmt.Sprintf("only the given gateways were queried, because listing the others failed: %v", err))
 	}
-	targets = lo.Map(gateways, func(gateway adminapi.PeerStatus, _ int) target {
-		return target{name: gateway.Name, address: gateway.AdminAddress}
+	targets = lo.Map(gateways, func(gateway adminapi.PeerStatus, _ int) gatewayTarget {
+		return gatewayTarget{name: gateway.Name, address: gateway.AdminAddress}
 	})
-	listed := lo.Map(targets, func(each target, _ int) string { return each.address })
+	listed := lo.Map(targets, func(each gatewayTarget, _ int) string { return each.address })
 	for _, address := range s.client.Addresses() {
 		if !lo.Contains(listed, address) {
-			targets = append(targets, target{address: address})
+			targets = append(targets, gatewayTarget{address: address})
 		}
 	}
 	return targets, gaps
@@ -120,7 +120,7 @@
 
 // response is the response of one gateway.
 type response[T any] struct {
-	target target
+	target gatewayTarget
 	value  T
 	err    error
 }
@@ -129,7 +129,7 @@
 var errNoAdminAddress = errors.New("admin address is not known")
 
 // queryAll queries all gateways in parallel, so that a slow one does not delay the others.
-func queryAll[T any](ctx context.Context, targets []target, query func(context.Context, *adminapi.Client) (T, error)) []response[T] {
+func queryAll[T any](ctx context.Context, targets []gatewayTarget, query func(context.Context, *adminapi.Client) (T, error)) []response[T] {
 	responses := make([]response[T], len(targets))
 	var group sync.WaitGroup
 	for index, target := range targets {
--- a/internal/operator/explain_test.go
+++ b/internal/operator/explain_test.go
@@ -24,8 +24,9 @@
 	}
 }
 
-// TestExplainQueriesListedGateways queries one gateway, which lists the others.
-func TestExplainQueriesListedGateways(t *testing.T) {
+// TestExplainQueriesListedGatewaysAndNamesGaps guards against an explanation that omits a gateway, or does not say what could not
+// be read.
+func TestExplainQueriesListedGatewaysAndNamesGaps(t *testing.T) {
 	arrival := time.Unix(1_700_000_000, 0).UTC()
 	request := "cafe-1/" + ulid.MustNew(ulid.Timestamp(arrival), strings.NewReader("0123456789")).String()
 	record := func(process string, after time.Duration, reason string) decision.Record {
@@ -49,6 +50,7 @@
 	}
 }
 
+// TestDecisionsFromAllGateways guards against decisions that are missing, repeated or out of order.
 func TestDecisionsFromAllGateways(t *testing.T) {
 	start := time.Unix(1_700_000_000, 0)
 	record := func(process string, sequence uint64) decision.Record {
--- a/internal/operator/files.go
+++ b/internal/operator/files.go
@@ -16,15 +16,15 @@
 	File string `help:"Configuration file, YAML or JSON; - for standard input." short:"f" required:"" placeholder:"FILE"`
 }
 
-// read reads and validates the file. The error lists all problems.
+// read reads and validates the file. The error lists all errors of the file.
 func (f fileFlag) read() (configuration.Document, error) {
 	data, err := f.data()
 	if err != nil {
-		return configuration.Document{}, badInput(errors.Wrap(err, "read the configuration file"))
+		return configuration.Document{}, badInput(errors.Wrapf(err, "read the configuration from %s", f.File))
 	}
 	document, faults := configuration.ParseAndValidate(data)
 	if len(faults) > 0 {
-		return configuration.Document{}, faultsError(f.File+" is not valid", faults)
+		return configuration.Document{}, validationError(f.File+" is not valid", faults)
 	}
 	return document, nil
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,5 +1,5 @@
 // Package operator implements the command-line tool for operators. It talks to any gateway, and changes the fleet only
-// by editing labels, selectors and other parts of the configuration.
+// by editing the configuration and by releasing barred requests.
 package operator
 
 import (
@@ -24,7 +24,7 @@
 
 // cli defines the command line.
 type cli struct {
-	Gateway []string      `help:"Addresses (host:port) of the admin API of gateways; they are tried in order until one can be reached." default:"127.0.0.1:9464" env:"GRANITEBAY_GATEWAY" sep:"," placeholder:"HOST:PORT"`
+	Gateway []string      `help:"Addresses (host:port) of the admin API of gateways; they are tried in order until one is ready." default:"127.0.0.1:9464" env:"GRANITEBAY_GATEWAY" sep:"," placeholder:"HOST:PORT"`
 	Output  string        `help:"Output format: table, json or yaml." short:"o" enum:"table,json,yaml" default:"table"`
 	Timeout time.Duration `help:"Time limit for one command." default:"30s"`
 
@@ -35,7 +35,7 @@
 	Diff      diffCommand      `cmd:"" help:"Show what applying a file would change."`
 	Validate  validateCommand  `cmd:"" help:"Validate a file without contacting a gateway."`
 	Config    configCommand    `cmd:"" help:"Show the rollout of the configuration, or its edits."`
-	Decisions decisionsCommand `cmd:"" help:"Show decisions of the system and their reasons."`
+	Decisions decisionsCommand `cmd:"" help:"Show decisions of the gateways and their reasons."`
 	Explain   explainCommand   `cmd:"" help:"Show all decisions about one request, from all gateways."`
 	Release   releaseCommand   `cmd:"" help:"Allow a barred request to be sent to workers again."`
 	Version   versionCommand   `cmd:"" help:"Print the version."`
@@ -63,7 +63,7 @@
 	return context.WithTimeout(s.context, s.timeout)
 }
 
-// inputError is an error caused by invalid input. Nothing was done.
+// inputError is an error caused by invalid input. The command had no effect.
 type inputError struct{ cause error }
 
 // Error implements error.
@@ -75,14 +75,14 @@
 // badInput marks an error as caused by invalid input.
 func badInput(cause error) error { return &inputError{cause: cause} }
 
-// exitRequest is the panic value with which the parser ends the program, for example after printing the help.
-type exitRequest struct{ code int }
+// parserExit is the panic value with which the parser ends the program, for example after printing the help.
+type parserExit struct{ code int }
 
 // Run runs a command line, given without the program name, and returns the exit code.
 func Run(ctx context.Context, arguments []string, stdout, stderr io.Writer) (code int) {
 	defer func() {
 		if value := recover(); value != nil {
-			request, ok := value.(exitRequest)
+			request, ok := value.(parserExit)
 			if !ok {
 				panic(value)
 			}
@@ -110,7 +110,7 @@
 		kong.Name(Name),
 		kong.Description(description+"\n\n"+command.ExitCodes),
 		kong.Writers(stdout, stderr),
-		kong.Exit(func(code int) { panic(exitRequest{code: code}) }),
+		kong.Exit(func(code int) { panic(parserExit{code: code}) }),
 	)
 }
 
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -105,6 +105,7 @@
 // unreachable is an address on which nothing listens.
 const unreachable = "127.0.0.1:1"
 
+// TestCommands guards against a wrong exit code or output of a command, and a command that stops at an unreachable gateway.
 func TestCommands(t *testing.T) {
 	tests := []struct {
 		desc      string
@@ -145,9 +146,9 @@
 		},
 		{desc: "order to one worker", arguments: []string{"order", "w2", "decode"}, code: 2, stderr: []string{"roleFloors"}},
 		{
-			desc: "file with five faults", arguments: []string{"validate", "-f", "testdata/five-faults.yaml"}, code: 2,
+			desc: "file with five errors", arguments: []string{"validate", "-f", "testdata/five-errors.yaml"}, code: 2,
 			stderr: []string{
-				"5 faults", "spec.rules[quick].urgent: is an unknown field", "spec.groups[counter].workerSelector",
+				"5 errors", "spec.rules[quick].urgent: is an unknown field", "spec.groups[counter].workerSelector",
 				"spec.groups[counter].service: is missing", "spec.rules[quick].groups[0].group: \"counters\"",
 				"spec.rules[quick].priority: 12",
 			},
@@ -175,14 +176,15 @@
 	}
 }
 
-// TestAddressAsURL passes the address as a URL.
-func TestAddressAsURL(t *testing.T) {
+// TestGatewayAddressMayBeURL guards against a gateway address that is rejected because it is a URL.
+func TestGatewayAddressMayBeURL(t *testing.T) {
 	code, stdout, stderr := runCommand(t, "http://"+startGateway(t, &fakeGateway{name: "gateway-a-1"})+"/", "status")
 	if code != 0 || !strings.Contains(stdout, "gateway-a-1") {
 		t.Errorf("exit code %d, %q, %q", code, stdout, stderr)
 	}
 }
 
+// TestNoReachableGateway guards against an error that does not name the gateway.
 func TestNoReachableGateway(t *testing.T) {
 	code, _, stderr := runCommand(t, unreachable, "status")
 	if code != 1 || !strings.Contains(stderr, "ask gateway "+unreachable) {
@@ -190,7 +192,8 @@
 	}
 }
 
-// TestApplyFileOfOlderRevision applies a file that was read before another operator's edit.
+// TestApplyFileOfOlderRevision guards against an older file that undoes edits of other fields, and a conflict in the same field
+// that is not reported.
 func TestApplyFileOfOlderRevision(t *testing.T) {
 	address := startGateway(t, &fakeGateway{name: "gateway-a-1"})
 	_, text, _ := runCommand(t, address, "get", "config")
@@ -224,6 +227,7 @@
 	}
 }
 
+// TestExplainQueriesGivenGateways guards against given gateways that are not queried because the first one does not list them.
 func TestExplainQueriesGivenGateways(t *testing.T) {
 	start := time.Unix(1_700_000_000, 0)
 	first := &fakeGateway{name: "gateway-a-1", decisions: []decision.Record{
--- a/internal/operator/show.go
+++ b/internal/operator/show.go
@@ -27,7 +27,7 @@
 		fmt.Fprintf(writer, "gateways        %d, callers are directed to %d%s\n", status.Gateways, status.Entries,
 			lo.Ternary(status.Entry, ", including this one", ""))
 		fmt.Fprintf(writer, "workers         %s\n", formatCounts(status.Workers))
-		fmt.Fprintf(writer, "orders          %s\n", lo.Ternary(status.GivesOrders, "sent by this gateway", "sent by another gateway"))
+		fmt.Fprintf(writer, "orders          %s\n", lo.Ternary(status.GivesOrders, "sent by this gateway", "not sent by this gateway"))
 		fmt.Fprintf(writer, "requests        %d in progress at this gateway\n", status.InProgress)
 		printList(writer, "warnings", status.Warnings)
 		return nil
@@ -87,7 +87,7 @@
 	})
 }
 
-// formatLimit formats the request rate of a worker, the share of this gateway, and how long ago it was announced.
+// formatLimit formats the request limit that a worker announced, the share of this gateway, and how long ago it was announced.
 func formatLimit(status *adminapi.LimitStatus) string {
 	if status == nil {
 		return orDash("")
--- a/internal/operator/unsupported.go
+++ b/internal/operator/unsupported.go
@@ -14,19 +14,19 @@
 }
 
 // Run returns an error that names the label or field to edit instead.
-func (r unsupportedCommand) Run(kctx *kong.Context) error {
-	name, found := lo.Find(r.Arguments, func(argument string) bool { return !strings.HasPrefix(argument, "-") })
+func (c unsupportedCommand) Run(kctx *kong.Context) error {
+	name, found := lo.Find(c.Arguments, func(argument string) bool { return !strings.HasPrefix(argument, "-") })
 	if !found {
 		name = "WORKER"
 	}
 	verb := kctx.Command()
 	verb, _, _ = strings.Cut(verb, " ")
 	return badInput(errors.Newf("there is no command %q: workers are not controlled directly, only with labels and selectors.\n%s",
-		verb, strings.ReplaceAll(alternative(verb), "WORKER", name)))
+		verb, strings.ReplaceAll(supportedEdit(verb), "WORKER", name)))
 }
 
-// alternative returns the edit that has the effect of a command.
-func alternative(verb string) string {
+// supportedEdit returns the edit that has the effect of a command.
+func supportedEdit(verb string) string {
 	switch verb {
 	case "order":
 		return "To change roles, edit roleFloors of the worker's group: granitebay apply -f FILE.\n" +
