--- a/internal/command/command.go
+++ b/internal/command/command.go
@@ -1,4 +1,4 @@
-// Package command contains what all programs share: flag parsing, exit codes, signals and the version.
+// Package command contains what all programs share: flag parsing, exit codes, signals, reloads and the version.
 package command
 
 import (
@@ -15,11 +15,11 @@
 
 // Exit codes of all programs.
 const (
-	// ExitOK: success.
+	// ExitOK reports success.
 	ExitOK = 0
-	// ExitFailed: the command failed.
+	// ExitFailed reports that the command failed.
 	ExitFailed = 1
-	// ExitBadInput: invalid flags, settings or files; nothing was done.
+	// ExitBadInput reports invalid flags, settings or files. The command had no effect.
 	ExitBadInput = 2
 )
 
@@ -92,7 +92,7 @@
 // Unwrap returns the cause.
 func (e *badInputError) Unwrap() error { return e.cause }
 
-// exitCode returns the exit code for an error.
+// exitCode returns the exit code for an error. A missing file counts as bad input.
 func exitCode(err error) int {
 	var badInput *badInputError
 	if errors.As(err, &badInput) || errors.Is(err, os.ErrNotExist) {
--- a/internal/command/reload.go
+++ b/internal/command/reload.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// reloadPollInterval is how often a file is checked for changes.
+// reloadPollInterval is how often the modification time of a file is checked.
 const reloadPollInterval = 2 * time.Second
 
 // NotifyHangup returns a channel that receives each SIGHUP. From then on the signal does not end the process, neither
@@ -19,7 +19,7 @@
 	return signals
 }
 
-// OnChange calls onChange after each hangup and after each change of a file, until ctx ends.
+// OnChange calls onChange after each hangup and after each change of the modification time of a file, until ctx ends.
 func OnChange(ctx context.Context, hangups <-chan os.Signal, path string, onChange func()) {
 	ticker := time.NewTicker(reloadPollInterval)
 	defer ticker.Stop()
