--- a/internal/docscheck/command_test.go
+++ b/internal/docscheck/command_test.go
@@ -11,16 +11,17 @@
 // fakeGo replaces the go command and prints its arguments.
 const fakeGo = "#!/bin/sh\necho \"$@\"\n"
 
-// TestTestScriptSkipsKnownRed runs test.sh with a go command that only prints its arguments.
-func TestTestScriptSkipsKnownRed(t *testing.T) {
+// TestScriptSkipsKnownFailures guards against a test.sh that skips tests other than those listed as failing. The go command only
+// prints its arguments.
+func TestScriptSkipsKnownFailures(t *testing.T) {
 	tests := []struct {
-		desc     string
-		listed   bool
-		knownRed string
-		wantSkip string
+		desc          string
+		listed        bool
+		knownFailures string
+		wantSkip      string
 	}{
 		{desc: "no list of known failing tests"},
-		{desc: "two known failing tests", listed: true, knownRed: "TestOne: cause, issue 3\nTestTwo: cause, issue 4\n", wantSkip: "-skip ^(TestOne|TestTwo)$"},
+		{desc: "two known failing tests", listed: true, knownFailures: "TestOne: cause, issue 3\nTestTwo: cause, issue 4\n", wantSkip: "-skip ^(TestOne|TestTwo)$"},
 		{desc: "an empty list", listed: true},
 	}
 	for _, test := range tests {
@@ -29,7 +30,7 @@
 			writeFile(t, filepath.Join(directory, "test.sh"), read(t, "test.sh"))
 			writeFile(t, filepath.Join(directory, "go"), fakeGo)
 			if test.listed {
-				writeFile(t, filepath.Join(directory, "KNOWN-RED.txt"), test.knownRed)
+				writeFile(t, filepath.Join(directory, "KNOWN-RED.txt"), test.knownFailures)
 			}
 			command := exec.Command("bash", filepath.Join(directory, "test.sh"))
 			command.Env = append(os.Environ(), "PATH="+directory+string(os.PathListSeparator)+os.Getenv("PATH"))
--- a/internal/docscheck/doc.go
+++ b/internal/docscheck/doc.go
@@ -1,3 +1,3 @@
-// Package docscheck contains only tests. They compare the documentation with the code: tables of settings, metrics and
-// log prefixes, links, and names of types.
+// Package docscheck contains only tests. They check the documentation, examples and scripts of the repository against the code:
+// tables of settings, metrics and log prefixes, links, names of types, alert rules, the dashboard and test.sh.
 package docscheck
--- a/internal/docscheck/operations_test.go
+++ b/internal/docscheck/operations_test.go
@@ -29,7 +29,7 @@
 	return part
 }
 
-// tableRows returns the cells of the table rows whose first cell is code, by that cell without backticks.
+// tableRows returns the cells of the table rows whose first cell is code, keyed by that cell without backticks.
 func tableRows(t *testing.T, text string) map[string][]string {
 	t.Helper()
 	rows := make(map[string][]string)
@@ -51,6 +51,7 @@
 	return rows
 }
 
+// TestSettingsTable guards against settings that are missing in the table, superfluous or listed with another default.
 func TestSettingsTable(t *testing.T) {
 	rows := tableRows(t, section(t, read(t, operationsPage), "## Settings"))
 	known := make(map[string]bool)
@@ -79,6 +80,7 @@
 	}
 }
 
+// TestMetricsTable guards against metrics that are missing in the table or superfluous.
 func TestMetricsTable(t *testing.T) {
 	metric := regexp.MustCompile(`^granitebay_[a-z_]+$`)
 	var registered []string
@@ -105,6 +107,7 @@
 	}
 }
 
+// TestLogPrefixesTable guards against log prefixes that are missing in the table or superfluous.
 func TestLogPrefixesTable(t *testing.T) {
 	used := make(map[string]string)
 	for _, directory := range goDirectories(t) {
@@ -134,8 +137,8 @@
 	messagePrefix = regexp.MustCompile(`^([a-z][a-z -]*:) `)
 )
 
-// logPrefixes returns the log prefixes of a package, with the colon: the arguments of logging.Component and the prefixes of
-// messages.
+// logPrefixes returns the prefixes of the log lines of a package, each with its colon: the arguments of logging.Component and the
+// prefixes of messages.
 func logPrefixes(t *testing.T, directory string) []string {
 	files := parsePackage(t, directory)
 	named := constants(files)
--- a/internal/docscheck/pages_test.go
+++ b/internal/docscheck/pages_test.go
@@ -15,10 +15,10 @@
 	link      = regexp.MustCompile(`\]\(([^)\s]+)\)`)
 	heading   = regexp.MustCompile(`(?m)^#+ +(.*)$`)
 	notInSlug = regexp.MustCompile(`[^\p{L}\p{N} _-]`)
-	// machinePath is assembled from parts, so that this file does not match it.
-	machinePath  = regexp.MustCompile("(?:^|[\\s\"'`=(:@])/(?:" + strings.Join([]string{"work", "tmp", "home", "root", "Users"}, "|") + `)/`)
-	packageEntry = regexp.MustCompile("`([a-z][a-z0-9/]*)`(?: \\(([^)]*)\\))?")
-	exportedName = regexp.MustCompile("`(?:[A-Za-z]+\\.)?([A-Z][A-Za-z0-9]*)`")
+	// localPathPattern is assembled from parts, so that this file does not match it.
+	localPathPattern = regexp.MustCompile("(?:^|[\\s\"'`=(:@])/(?:" + strings.Join([]string{"work", "tmp", "home", "root", "Users"}, "|") + `)/`)
+	packageEntry     = regexp.MustCompile("`([a-z][a-z0-9/]*)`(?: \\(([^)]*)\\))?")
+	exportedName     = regexp.MustCompile("`(?:[A-Za-z]+\\.)?([A-Z][A-Za-z0-9]*)`")
 )
 
 // links returns the link targets of a page, except in code blocks.
@@ -40,6 +40,7 @@
 	return found
 }
 
+// TestRelativeLinksResolve guards against links to pages or headings that do not exist.
 func TestRelativeLinksResolve(t *testing.T) {
 	for _, page := range pages(t) {
 		for _, target := range links(read(t, page)) {
@@ -62,6 +63,7 @@
 	}
 }
 
+// TestIndexHasEveryPage guards against a page that the index of the documentation does not link.
 func TestIndexHasEveryPage(t *testing.T) {
 	const index = "docs/README.md"
 	targets := links(read(t, index))
@@ -73,10 +75,11 @@
 	}
 }
 
+// TestNoMachinePaths guards against paths of a developer's machine in the repository.
 func TestNoMachinePaths(t *testing.T) {
 	for _, file := range trackedFiles(t) {
 		for number, line := range strings.Split(read(t, file), "\n") {
-			if machinePath.MatchString(line) {
+			if localPathPattern.MatchString(line) {
 				t.Errorf("%s:%d contains a machine-specific path: %s", file, number+1, line)
 			}
 		}
--- a/internal/docscheck/repository_test.go
+++ b/internal/docscheck/repository_test.go
@@ -89,8 +89,8 @@
 	t.Helper()
 	var directories []string
 	for _, path := range trackedFiles(t) {
-		ours := strings.HasPrefix(path, "cmd/") || strings.HasPrefix(path, "internal/")
-		if ours && strings.HasSuffix(path, ".go") && !strings.HasSuffix(path, "_test.go") {
+		isModuleCode := strings.HasPrefix(path, "cmd/") || strings.HasPrefix(path, "internal/")
+		if isModuleCode && strings.HasSuffix(path, ".go") && !strings.HasSuffix(path, "_test.go") {
 			directories = append(directories, filepath.ToSlash(filepath.Dir(path)))
 		}
 	}
