--- a/internal/operator/barred.go
+++ b/internal/operator/barred.go
@@ -17,7 +17,7 @@
 
 // Run shows the barred requests.
 func (getBarred) Run(s *session) error {
-	header := table.Row{"Request", "Rule", "Tenant", "Exited workers", "Times", "Until"}
+	header := table.Row{"Request", "Rule", "Of", "Exited workers", "Times", "Until"}
 	return showTable(s, s.client.Barred, header, func(bar adminapi.BarredStatus) table.Row {
 		return table.Row{
 			bar.Digest, orDash(bar.Rule), orDash(bar.Tenant), strings.Join(bar.Workers, ","), bar.Times, bar.Until.UTC().Format(time.RFC3339),
