--- a/internal/capacity/executor.go
+++ b/internal/capacity/executor.go
@@ -12,7 +12,7 @@
 	"github.com/granitebay/granitebay/internal/decision"
 )
 
-// ErrUnavailable is returned by an Orderer if no workers of this kind are available in the zone now.
+// ErrUnavailable is returned by an Orderer if no workers of the ordered kind, on-demand or spot, are available in the zone now.
 var ErrUnavailable = errors.New("no workers of this kind are available now")
 
 // Order sets the number of workers of one kind in a zone.
@@ -37,7 +37,7 @@
 	Offer Offer
 	// BootTime is the time from an order until the worker serves requests.
 	BootTime time.Duration
-	// Present is the number of workers by zone, without those that are draining.
+	// Present holds the observed, not the planned, numbers of on-demand and spot workers by zone, without those that are draining.
 	Present Plan
 	// RecordsComplete is set while the records of the workers are known to be complete.
 	RecordsComplete bool
--- a/internal/forward/attempts.go
+++ b/internal/forward/attempts.go
@@ -28,7 +28,7 @@
 	failureUnreachable
 	// failureRefused means that the worker guaranteed not to have run the request.
 	failureRefused
-	// failureMisdirected means that the worker's address now belongs to another worker.
+	// failureMisdirected means that the worker's address now belongs to another worker. Reports call it "moved".
 	failureMisdirected
 	// failureSilent means that the worker did not start to respond within the response timeout. The request may have run.
 	failureSilent
@@ -58,7 +58,10 @@
 // String returns the name of the failure as it appears in reports.
 func (f failureKind) String() string { return failureNames[f] }
 
-// mayHaveRun reports whether the worker may have run the request.
+// mayHaveRun reports whether the failure counts as a possible run of the request. After failureDeadline and
+// failureCallerGone the result is false although the worker may have run the request. This is safe because decide never
+// retries after them, and the caller is not told that the request did not run: after failureDeadline, final returns
+// decisionFail; after failureCallerGone, there is no caller left to respond to, and giveUp aborts the connection.
 func (f failureKind) mayHaveRun() bool {
 	switch f {
 	case failureSilent, failureBroken, failureError:
--- a/internal/forward/placement.go
+++ b/internal/forward/placement.go
@@ -9,8 +9,8 @@
 	"github.com/granitebay/granitebay/internal/routing"
 )
 
-// Placement holds the worker of the next call for a request. Exactly one of Prefill and Runner is set; it counts as load until it is
-// finished.
+// Placement holds the worker of the next call for a request. The runner is the worker that runs the request; in a group of engines, it is
+// the decode engine. Exactly one of Prefill and Runner is set; it counts as load until it is finished.
 type Placement struct {
 	// Prefill prefills the prompt. The runner is picked by PlaceRunner afterwards, so that a worker which starts draining meanwhile is not
 	// used.
@@ -132,6 +132,7 @@
 		return nil, false
 	}
 	placement := d.assignPlan(prompt, best, options.Objective)
+	// A placement with excluded workers is a retry, and the prompt was counted when it was first placed.
 	if len(options.Excluded) == 0 {
 		d.countDemand(best.prefillEngine(), prompt.prefillCost(best.prefillEngine()).Tokens)
 	}
@@ -166,6 +167,7 @@
 		placement.Runner = d.assign(choice, tokens, prompt.deferred, objective)
 		return placement
 	}
+	// A load without tokens would count as a request that decodes or waits to decode, but this engine only prefills it.
 	placement.Prefill = d.assign(choice, max(tokens, 1), prompt.deferred, objective)
 	placement.Prefill.suspectKey = prompt.suspectKey
 	d.recordCached(engine, prompt.request.Demand, false)
--- a/internal/gateway/entries.go
+++ b/internal/gateway/entries.go
@@ -65,7 +65,9 @@
 	longLeaseDelay  = 5 * time.Second
 )
 
-// watchEntries tracks which gateways are entries until ctx is done.
+// watchEntries periodically determines which gateways are entries, until ctx is done. At each check it also logs a suspension
+// of the machine, restarts the heartbeat timeouts if this process was stalled, and adapts the lease of this gateway to
+// whether it is an entry.
 func (g *Gateway) watchEntries(ctx context.Context) {
 	lastCheck := boottime.Now()
 	suspensions := boottime.NewSuspendDetector()
@@ -101,7 +103,8 @@
 	return g.entries.isEntry
 }
 
-// Entries returns the gateways that callers are sent to, sorted by name.
+// Entries returns the entries, sorted by name, including those not known to be alive. Callers are sent only to the
+// gateways that advertised returns.
 func (g *Gateway) Entries() []member.Gateway {
 	g.entries.mu.Lock()
 	defer g.entries.mu.Unlock()
@@ -134,8 +137,8 @@
 	}
 }
 
-// ownsKey reports whether this gateway is responsible for a key. Gateways with the same list of live entries agree
-// without communicating.
+// ownsKey reports whether this gateway is responsible for probing the engine whose worker id is key. Gateways with the same
+// list of live entries agree without communicating.
 func (g *Gateway) ownsKey(key string) bool {
 	return rendezvous.First(key, gatewayNames(g.advertised())) == g.settings.Name
 }
@@ -164,6 +167,7 @@
 	g.dispatcher.SetHolders(gatewayNames(g.view.RegisteredEntries()))
 	entries, suspects := g.view.Entries()
 	serving := g.view.ServingCount()
+	// Claimants are gateways that recently sent heartbeats as entries while this gateway does not consider them entries.
 	claimants := g.view.Claimants()
 	receivers := receiversOf(g.settings.Name, entries, slices.Concat(suspects, claimants), g.findServing(g.entries.leader))
 	if slices.Equal(entries, g.entries.current) && slices.Equal(suspects, g.entries.suspects) && serving == g.entries.servingCount &&
@@ -176,6 +180,7 @@
 	}
 	g.entries.current, g.entries.suspects, g.entries.servingCount, g.entries.peers = entries, suspects, serving, receivers.Peers
 	g.updateEntryRole(!receivers.Standby, len(entries), serving)
+	// All serving gateways count as readers, since standby gateways watch the store, too, while no entry answers them.
 	g.replica.SetReaderCount(serving)
 	g.replica.SetStandby(receivers.Standby)
 	if entriesChanged {
--- a/internal/member/registration.go
+++ b/internal/member/registration.go
@@ -23,7 +23,8 @@
 	CallTimeout time.Duration
 	// RetryPause is the pause after a failed call.
 	RetryPause time.Duration
-	// StandbyFactor extends all times but CallTimeout for standby gateways, whose loss need not be noticed soon.
+	// StandbyFactor extends all times but CallTimeout for standby gateways, whose loss need not be noticed soon. It is a plain factor, not a
+	// time; its type is time.Duration only because the times are multiplied by it.
 	StandbyFactor time.Duration
 }
 
--- a/internal/poison/guard.go
+++ b/internal/poison/guard.go
@@ -62,8 +62,9 @@
 	// recordTimeout is how long after the last failed request at a worker the removal of its record still counts as a crash: three
 	// heartbeats of 1.2 s and their propagation.
 	recordTimeout = 4500 * time.Millisecond
-	// disconnectedRetention is how long a disconnected worker is kept after its last failed request, for connections that break later
-	// than the first: the idle timeout of a connection. A change of the registered workers removes it already after recordTimeout.
+	// disconnectedRetention is how long a disconnected worker is kept after its last failed request, so that connections that break
+	// later than the first are attributed to the same crash. It equals the default idle timeout of a connection to a worker. A change of
+	// the registered workers removes the disconnected worker already after recordTimeout.
 	disconnectedRetention = 5 * time.Second
 )
 
@@ -123,11 +124,14 @@
 	g.notify = notify
 }
 
-// HasSuspects reports whether the table has any entry: a request that is suspected or barred, or succeeded recently after it was. If
-// not, every request is Clear and callers need not compute digests.
+// HasSuspects reports whether the table has any entry: a request that is suspected or barred, or was until recently, before it succeeded or
+// was released, or its crashes or bar expired. If there is none, every request is Clear and callers need not compute digests.
 func (g *Guard) HasSuspects() bool { return g.hasSuspects.Load() }
 
-// Status returns the status of a request, and its bar or the evidence against it.
+// Status returns the status of a request, and the evidence against it as a Bar, also if it is not barred. The Bar is zero for Clear
+// requests. For others, Workers holds those whose crashes have not expired; Times, Since and Until are zero if there was no bar since the
+// last success; and Rule and Tenant are empty until this gateway has seen the request itself or received its bar. DistinctCrashes is set
+// for Suspected requests only.
 func (g *Guard) Status(digest Digest) (Status, Bar) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -243,7 +247,8 @@
 }
 
 // recordCrash counts a crash of the worker against the requests that it ran. The event is emitted once per crash, with the requests
-// known by then. The caller holds the mutex.
+// known by then and the evidence; later calls for the same crash only add requests, and their evidence is ignored. The caller holds the
+// mutex.
 func (g *Guard) recordCrash(entry *disconnectedWorker, evidence string) {
 	isNew := !entry.crashed
 	entry.crashed = true
--- a/internal/quota/loans.go
+++ b/internal/quota/loans.go
@@ -8,7 +8,7 @@
 
 // Intervals between loan requests. The interval doubles while nothing is lent, since there may be no gateway with unused
 // requests. Each loan request goes to every gateway that takes requests, so the maximum grows with their number to bound
-// the traffic.
+// the traffic: it is maxRequestInterval, or requestIntervalPerGateway times their number if that is longer.
 const (
 	initialRequestInterval    = 100 * time.Millisecond
 	maxRequestInterval        = loanTTL / 2
--- a/internal/roles/planner.go
+++ b/internal/roles/planner.go
@@ -88,11 +88,12 @@
 	ChangeIntervalEngines int
 	// TickInterval is how often the planner runs. Changes that become due in between are made together.
 	TickInterval time.Duration
-	// RecoveryHold is how long decode engines keep their role after a recovery, unless no prefill engine is left. This limits the orders
-	// when decode engines crash repeatedly; decode engines can process prompts meanwhile.
+	// RecoveryHold is how long decode engines keep their role after a recovery, unless no prefill engine is left. A recovery changes prefill
+	// engines to the decode role to replace lost decode engines; see Planner.Recover. The hold limits the orders when decode engines crash
+	// repeatedly; meanwhile decode engines can prefill the prompts of the requests that they decode.
 	RecoveryHold time.Duration
-	// MaxRecoveryHold is the maximum hold. The hold doubles with each further loss, and is reset to RecoveryHold if there is none for twice
-	// its length.
+	// MaxRecoveryHold is the maximum hold. The hold doubles with each further loss of decode engines that requires a recovery, and is reset
+	// to RecoveryHold if more than twice its length passes between two recoveries.
 	MaxRecoveryHold time.Duration
 }
 
@@ -114,7 +115,8 @@
 }
 
 // Planner plans the roles of the engines of one group. The decode role gets enough engines for its peak load plus headroom. Other engines
-// become prefill engines if prompts keep those busy, because prefill engines serve all prompts whereas an idle decode engine serves none.
+// become prefill engines if prompts keep those busy, because a prefill engine can prefill the prompt of any request, whereas a decode engine
+// prefills only prompts of requests that it decodes itself.
 // Until any demand is seen, prefill engines are added up to half of the group, unless that takes too many changes. It is a pure state
 // machine and not safe for concurrent use.
 //
@@ -211,8 +213,8 @@
 	}
 }
 
-// earlyChangeFactor limits the changes made before any demand is seen to this multiple of the square root of the group size, as in
-// square-root staffing.
+// earlyChangeFactor limits the changes made before any demand is seen to this multiple of the square root of the group size, so their share
+// of the engines shrinks as groups grow: at most 9 changes in a group of 36 engines, and 15 in a group of 100.
 const earlyChangeFactor = 1.5
 
 // allowEarlyChange reports whether a change may be made before any demand is seen, and counts it. The changes remaining until both roles
--- a/internal/store/feed.go
+++ b/internal/store/feed.go
@@ -86,8 +86,8 @@
 	// the heartbeat timeout of gateways: each response lists the live entries, and a standby gateway replaces entries
 	// that are not reported live in time.
 	feedPollWait = 700 * time.Millisecond
-	// standbyWatchWait is the wait of a watch by a standby process that has no feed, and so the time until it retries
-	// the feed.
+	// standbyWatchWait is the wait of a watch by a standby process whose feed has not answered for feedTimeout, and so the
+	// time until it retries the feed.
 	standbyWatchWait = 2 * time.Second
 	// probeWatchWait is the wait of a watch by a standby process whose feed answered recently, which only checks
 	// whether the store serves it.
--- a/internal/store/replica.go
+++ b/internal/store/replica.go
@@ -19,8 +19,8 @@
 	BatchPause time.Duration
 	// Deferrable reports whether changes of a key may be delayed. Nil means none.
 	Deferrable func(key string) bool
-	// DeferrablePausePerReader, multiplied by the number of processes that watch the store, is the pause after changes
-	// that are all deferrable. MaxDeferrablePause limits it.
+	// DeferrablePausePerReader, multiplied by the reader count (see SetReaderCount), is the pause after changes that are
+	// all deferrable. MaxDeferrablePause limits it.
 	DeferrablePausePerReader time.Duration
 	MaxDeferrablePause       time.Duration
 	// MinRetryPause and MaxRetryPause bound the pause after a failed call, which doubles each time and is jittered.
@@ -83,8 +83,7 @@
 	// lastFeedPoll is when the last request to the feed ended.
 	lastFeedPoll time.Time
 
-	// readers is the number of processes that watch the store. standby is set while this process may receive changes
-	// late.
+	// readers is the reader count; see SetReaderCount. standby is set while this process may receive changes late.
 	readers atomic.Int64
 	standby atomic.Bool
 	// maxStaleness bounds how old currentAsOf may become while the store answers; zero means unbounded.
@@ -94,6 +93,9 @@
 	// shortenNextWatch makes the next watch use the minimum wait.
 	shortenNextWatch atomic.Bool
 
+	// mutex guards the fields below. Only the goroutine of Run writes them, except changed and storeAnsweredAt, which any
+	// goroutine may write. That goroutine may read its own fields without the mutex. It uses feedAnsweredAt and mustList, which
+	// no other goroutine reads, always without it.
 	mutex sync.Mutex
 	// table holds the items that the consumer has, and tombstones of deleted ones; nil before the first list.
 	table    *table
@@ -141,8 +143,9 @@
 	r.storeAnsweredAt = boottime.Now()
 }
 
-// SetReaderCount sets the number of processes that watch the store. The more there are, the longer each batches changes and
-// waits after failures, which limits the load on the store.
+// SetReaderCount sets the reader count: the number of processes that may watch the store at the same time. It includes the
+// standby processes, which usually follow a feed but watch the store while no feed answers. The more readers there are, the
+// longer each batches changes and waits after failures, which limits the load on the store.
 func (r *Replica) SetReaderCount(count int) { r.readers.Store(int64(count)) }
 
 // SetStandby sets whether this process is standby and may receive any change late, by up to MaxDeferrablePause. A standby
@@ -160,7 +163,7 @@
 // A pending watch is not affected.
 func (r *Replica) ShortenNextWatch() { r.shortenNextWatch.Store(true) }
 
-// pausePerReader is the part of a pause for each process that watches the store.
+// pausePerReader is the part of a pause for each process in the reader count.
 const pausePerReader = time.Millisecond
 
 // RestartWatch restarts a pending watch, for example after a network change.
@@ -286,9 +289,10 @@
 	return nil
 }
 
-// list lists the store and resets the consumer. A process that is standby by the end of the first page that ends with a
-// sharded key stops early and gets its shard from the feed. Otherwise every process of a starting fleet would list all
-// worker records.
+// list lists the store page by page and resets the consumer. The first list of a process with a feed may end early: after
+// the first page that ends with a sharded key, the consumer gets the unsharded items listed so far. If the process is
+// standby then, it lists no further pages and gets its shard from the feed. Otherwise every process of a starting fleet
+// would list all worker records.
 func (r *Replica) list(ctx context.Context) error {
 	var listedThrough string
 	stop := func(items []Item) bool {
--- a/internal/store/shard_test.go
+++ b/internal/store/shard_test.go
@@ -26,7 +26,8 @@
 // all items while it is an entry. It polls two upstreams with random changes, lists and restarts, and alternates between
 // standby and entry; the number of shards varies.
 //
-// The kept draw covers a follower whose revision full changes lower to before the gap of its other upstream.
+// The failing case kept in testdata/rapid covers a follower that receives full changes from a less current upstream. These
+// lower its revision to one before the gap of the other upstream, although it holds items from within that gap.
 func TestStandbyConvergesToShard(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		present := map[string]Item{}
@@ -224,8 +225,8 @@
 	}
 }
 
-// TestNewRecordsAreDeferrable guards against deferring other changes than the creation, also after a deletion, of worker
-// records and of keys that Deferrable selects.
+// TestNewRecordsAreDeferrable guards against deferring other changes than the creation of a worker record, or of a key that
+// Deferrable selects. Creating a key again after its deletion counts as a creation.
 func TestNewRecordsAreDeferrable(t *testing.T) {
 	upstream, _ := newShardedReplica(nil, 0)
 	upstream.settings.Deferrable = func(key string) bool { return strings.HasPrefix(key, "gateways/") }
@@ -386,6 +387,8 @@
 	if err := replica.pollFeed(t.Context(), 0); err != nil {
 		t.Fatal(err)
 	}
+	// The first step follows an answer of the feed, so the store must not be listed. The second begins when the feed has not
+	// answered for feedTimeout, so the store must be listed once.
 	for _, want := range []int{0, 1} {
 		store.events <- func(Revision) ([]Event, Revision, error) { return nil, 0, ErrCompacted }
 		replica.mustList = false
