--- a/internal/accepting/accepting.go
+++ b/internal/accepting/accepting.go
@@ -1,5 +1,6 @@
-// Package accepting tells whether new connections of callers are accepted, by what accepts them: a process may be said to be ready while
-// its loop stands still, has no descriptors left or can't keep up with the queue.
+// Package accepting checks whether the process accepts new connections from callers. It watches the accept loop itself,
+// because a process can otherwise seem ready while its accept loop is stalled, it has run out of file descriptors, or
+// the accept backlog is full.
 package accepting
 
 import (
@@ -13,145 +14,146 @@
 	"golang.org/x/sys/unix"
 )
 
-// Loop is the loop that accepts the connections of a listener. It is safe for concurrent use.
+// Loop tracks the accept loop of a listener. It is safe for concurrent use.
 type Loop struct {
 	logger *logrus.Entry
 
 	mu sync.Mutex
-	// raw is the socket that listens; nil before.
-	raw syscall.RawConn
-	// waits is set while the loop waits for a connection, and since is when it began to, or last did.
-	waits bool
-	since time.Time
-	// failed is the error of the last acceptance; nil after one that went well.
-	failed error
-	// unable is why connections were not accepted when that was last asked; nil if they were.
-	unable error
+	// socket is the listening socket; nil before Watch.
+	socket syscall.RawConn
+	// waiting is set while the loop waits in Accept, and stateSince is when that last changed.
+	waiting    bool
+	stateSince time.Time
+	// acceptErr is the error of the last Accept; nil if it succeeded.
+	acceptErr error
+	// lastCheckErr is why connections were not accepted at the last call of Accepting; nil if they were.
+	lastCheckErr error
 }
 
-// Bounds of what counts as accepting.
+// Limits of the readiness check.
 const (
-	// acceptPause is how long the loop may do something else than wait for a connection: it begins to serve one within microseconds.
-	// After a failure the server pauses for longer than this, and its callers for as long.
-	acceptPause = 300 * time.Millisecond
-	// descriptorReserve is how many descriptors have to be left: a request takes two, and a call to the store may come between.
-	descriptorReserve = 8
+	// stallTimeout is how long the loop may be outside Accept. Starting to serve a connection takes microseconds; after
+	// an error net/http backs off for longer than this.
+	stallTimeout = 300 * time.Millisecond
+	// fdReserve is how many file descriptors must be free: a request takes two, and a call to the store may need
+	// another.
+	fdReserve = 8
 )
 
-// Reasons for which no connections are accepted.
+// Reasons why connections are not accepted.
 var (
-	errNotListening  = errors.New("nothing listens")
-	errStalled       = errors.New("the loop that accepts connections stands")
-	errNoDescriptors = errors.New("no descriptors are left")
-	errBacklog       = errors.New("the queue of new connections is full")
+	errNotListening = errors.New("not listening")
+	errStalled      = errors.New("the accept loop is stalled")
+	errNoFDs        = errors.New("too few file descriptors left")
+	errBacklogFull  = errors.New("the accept backlog is full")
 )
 
-// New returns the loop of a process that does not listen yet.
+// New returns the tracker of a process that does not listen yet.
 func New(logger *logrus.Entry) *Loop { return &Loop{logger: logger} }
 
-// Watch returns a listener whose acceptances are seen.
+// Watch returns a listener whose Accept calls are tracked.
 func (l *Loop) Watch(listener net.Listener) net.Listener {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.since = time.Now()
-	if conn, isRaw := listener.(syscall.Conn); isRaw {
+	l.stateSince = time.Now()
+	if conn, ok := listener.(syscall.Conn); ok {
 		raw, err := conn.SyscallConn()
 		if err == nil {
-			l.raw = raw
+			l.socket = raw
 		}
 	}
 	return &watchedListener{listener, l}
 }
 
-// watchedListener tells when it is asked for connections.
+// watchedListener reports its Accept calls to a Loop.
 type watchedListener struct {
 	net.Listener
 	loop *Loop
 }
 
-// Accept is part of net.Listener.
+// Accept implements net.Listener.
 func (l *watchedListener) Accept() (net.Conn, error) {
-	l.loop.turn(true, nil)
+	l.loop.setWaiting(true, nil)
 	conn, err := l.Listener.Accept()
-	l.loop.turn(false, err)
+	l.loop.setWaiting(false, err)
 	return conn, err
 }
 
-// turn notes that the loop begins or ends to wait for a connection.
-func (l *Loop) turn(waits bool, failed error) {
+// setWaiting records the start or the end of an Accept call.
+func (l *Loop) setWaiting(waiting bool, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.waits, l.since = waits, time.Now()
-	if !waits {
-		l.failed = failed
+	l.waiting, l.stateSince = waiting, time.Now()
+	if !waiting {
+		l.acceptErr = err
 	}
 }
 
-// Able tells whether connections are accepted at the moment, and logs when that changes.
-func (l *Loop) Able(now time.Time) bool {
+// Accepting reports whether connections are accepted at the moment, and logs changes.
+func (l *Loop) Accepting(now time.Time) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	unable := l.check(now)
+	err := l.check(now)
 	switch {
-	case unable != nil && l.unable == nil:
-		l.logger.WithError(unable).Warn("New connections of callers are not accepted; the gateway is not ready.")
-	case unable == nil && l.unable != nil:
+	case err != nil && l.lastCheckErr == nil:
+		l.logger.WithError(err).Warn("New connections of callers are not accepted; the gateway is not ready.")
+	case err == nil && l.lastCheckErr != nil:
 		l.logger.Info("New connections of callers are accepted again.")
 	}
-	l.unable = unable
-	return unable == nil
+	l.lastCheckErr = err
+	return err == nil
 }
 
-// check returns why no connections are accepted, or nil. The mutex is held.
+// check returns why no connections are accepted, or nil. mu must be held.
 func (l *Loop) check(now time.Time) error {
 	switch {
-	case l.raw == nil:
+	case l.socket == nil:
 		return errNotListening
-	case l.waits:
-	case l.failed != nil:
-		return errors.Wrap(l.failed, "step accept")
-	case now.Sub(l.since) > acceptPause:
-		return errStalled
+	case l.waiting:
+	case l.acceptErr != nil:
+		return errors.Wrap(l.acceptErr, "accept a connection")
+	case now.Sub(l.stateSince) > stallTimeout:
+		return errors.Wrapf(errStalled, "no call of Accept for %s", now.Sub(l.stateSince))
 	}
-	found := errNotListening
-	// It fails only for a socket that is closed.
-	_ = l.raw.Control(func(descriptor uintptr) {
-		found = errors.CombineErrors(descriptorsLeft(int(descriptor)), roomInBacklog(int(descriptor)))
+	err := errNotListening
+	// Control fails only if the socket is closed.
+	_ = l.socket.Control(func(descriptor uintptr) {
+		err = errors.CombineErrors(checkFDs(int(descriptor)), checkBacklog(int(descriptor)))
 	})
-	return found
+	return err
 }
 
-// descriptorsLeft returns an error when fewer descriptors are left than the reserve. The lowest free one is as many as are in use, at the
-// least.
-func descriptorsLeft(any int) error {
+// checkFDs returns an error if the lowest free file descriptor is within fdReserve of the limit. It does not detect a shortage
+// while a lower descriptor is free.
+func checkFDs(fd int) error {
 	var limit unix.Rlimit
 	if unix.Getrlimit(unix.RLIMIT_NOFILE, &limit) != nil {
 		return nil
 	}
-	lowest, err := unix.FcntlInt(uintptr(any), unix.F_DUPFD_CLOEXEC, 0)
+	lowest, err := unix.FcntlInt(uintptr(fd), unix.F_DUPFD_CLOEXEC, 0)
 	if errors.Is(err, unix.EMFILE) || errors.Is(err, unix.ENFILE) {
-		return errNoDescriptors
+		return errNoFDs
 	}
 	if err != nil {
-		// A platform without the call tells nothing.
+		// The platform does not support the call.
 		return nil
 	}
 	_ = unix.Close(lowest)
-	if uint64(lowest)+descriptorReserve > limit.Cur {
-		return errNoDescriptors
+	if uint64(lowest)+fdReserve > limit.Cur {
+		return errors.Wrapf(errNoFDs, "the lowest free descriptor is %d of %d", lowest, limit.Cur)
 	}
 	return nil
 }
 
-// roomInBacklog returns an error when the queue of connections that wait to be accepted is full.
-func roomInBacklog(listening int) error {
-	info, err := unix.GetsockoptTCPInfo(listening, unix.IPPROTO_TCP, unix.TCP_INFO)
-	// Of a socket that listens these are the length of the queue and its bound.
+// checkBacklog returns an error if the queue of connections waiting for Accept is full.
+func checkBacklog(fd int) error {
+	info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
+	// For a listening socket, Unacked is the length of the accept queue and Sacked its limit.
 	if err != nil || info.State != tcpListen || info.Sacked == 0 || info.Unacked < info.Sacked {
 		return nil
 	}
-	return errBacklog
+	return errors.Wrapf(errBacklogFull, "%d of %d connections are queued", info.Unacked, info.Sacked)
 }
 
-// tcpListen is the state of a socket that listens, as Linux numbers it.
+// tcpListen is TCP_LISTEN, the state of a listening socket on Linux.
 const tcpListen = 10
--- a/internal/accepting/accepting_test.go
+++ b/internal/accepting/accepting_test.go
@@ -12,35 +12,35 @@
 	"golang.org/x/sys/unix"
 )
 
-// listenFor returns a listener that is watched, and what watches it.
-func listenFor(t *testing.T) (*Loop, net.Listener, *net.TCPListener) {
+// newWatchedListener returns a Loop, the listener that it watches, and the underlying TCP listener.
+func newWatchedListener(t *testing.T) (*Loop, net.Listener, *net.TCPListener) {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { _ = listener.Close() })
-	watching := New(logrus.NewEntry(logrus.New()))
-	if watching.Able(time.Now()) {
+	loop := New(logrus.NewEntry(logrus.New()))
+	if loop.Accepting(time.Now()) {
 		t.Error("connections are accepted before anything listens")
 	}
-	return watching, watching.Watch(listener), listener.(*net.TCPListener)
+	return loop, loop.Watch(listener), listener.(*net.TCPListener)
 }
 
-// becomes waits until connections are accepted, or are not.
-func (a *Loop) becomes(t *testing.T, want bool, within time.Duration) {
+// waitFor waits until Accepting returns the wanted value.
+func (l *Loop) waitFor(t *testing.T, want bool, within time.Duration) {
 	t.Helper()
-	for begun := time.Now(); time.Since(begun) < within; time.Sleep(5 * time.Millisecond) {
-		if a.Able(time.Now()) == want {
+	for start := time.Now(); time.Since(start) < within; time.Sleep(5 * time.Millisecond) {
+		if l.Accepting(time.Now()) == want {
 			return
 		}
 	}
-	t.Errorf("not within %s: accepted is %t; %v", within, want, a.unable)
+	t.Errorf("within %s Accepting did not return %t; last check: %v", within, want, l.lastCheckErr)
 }
 
-// TestAStalledLoopAcceptsNothing holds the loop of a server up after it took a connection.
-func TestAStalledLoopAcceptsNothing(t *testing.T) {
-	watching, listener, _ := listenFor(t)
+// TestStalledAcceptLoopIsReported guards against a gateway that is ready while its accept loop is stuck or has ended.
+func TestStalledAcceptLoopIsReported(t *testing.T) {
+	loop, listener, _ := newWatchedListener(t)
 	held, release := make(chan struct{}), make(chan struct{})
 	server := &http.Server{ConnState: func(_ net.Conn, state http.ConnState) {
 		if state == http.StateNew {
@@ -50,46 +50,46 @@
 	}}
 	go func() { _ = server.Serve(listener) }()
 	t.Cleanup(func() { _ = server.Close() })
-	watching.becomes(t, true, time.Second)
+	loop.waitFor(t, true, time.Second)
 	conn, err := net.Dial("tcp4", listener.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
 	<-held
-	watching.becomes(t, false, 2*acceptPause)
+	loop.waitFor(t, false, 2*stallTimeout)
 	close(release)
-	watching.becomes(t, true, time.Second)
+	loop.waitFor(t, true, time.Second)
 	_ = server.Close()
-	watching.becomes(t, false, time.Second)
+	loop.waitFor(t, false, time.Second)
 }
 
-// TestALoopThatFailsAcceptsNothing has acceptances fail as without descriptors.
-func TestALoopThatFailsAcceptsNothing(t *testing.T) {
-	watching, _, _ := listenFor(t)
-	failing := &watchedListener{failingListener{}, watching}
+// TestFailingAcceptIsReported guards against a gateway that is ready while Accept fails for lack of file descriptors.
+func TestFailingAcceptIsReported(t *testing.T) {
+	loop, _, _ := newWatchedListener(t)
+	failing := &watchedListener{failingListener{}, loop}
 	for range 2 {
 		if _, err := failing.Accept(); !errors.Is(err, syscall.EMFILE) {
 			t.Fatalf("got %v", err)
 		}
-		if watching.Able(time.Now()) {
-			t.Error("connections count as accepted right after a failure")
+		if loop.Accepting(time.Now()) {
+			t.Error("Accepting returned true right after a failed Accept")
 		}
 	}
-	watching.turn(true, nil)
-	if !watching.Able(time.Now()) {
-		t.Error("a loop that waits for connections does not count as accepting")
+	loop.setWaiting(true, nil)
+	if !loop.Accepting(time.Now()) {
+		t.Error("Accepting returned false for a loop that waits in Accept")
 	}
 }
 
-// failingListener has no descriptor left.
+// failingListener fails as if no file descriptor were free.
 type failingListener struct{ net.Listener }
 
 func (failingListener) Accept() (net.Conn, error) { return nil, syscall.EMFILE }
 
-// TestAFullBacklogAcceptsNothing opens connections that nobody takes.
-func TestAFullBacklogAcceptsNothing(t *testing.T) {
-	watching, _, listener := listenFor(t)
+// TestFullBacklogIsReported guards against a gateway that is ready while new connections are dropped from a full backlog.
+func TestFullBacklogIsReported(t *testing.T) {
+	loop, _, listener := newWatchedListener(t)
 	raw, err := listener.SyscallConn()
 	if err != nil {
 		t.Fatal(err)
@@ -98,10 +98,10 @@
 	if err := raw.Control(func(descriptor uintptr) { _ = unix.Listen(int(descriptor), backlog) }); err != nil {
 		t.Fatal(err)
 	}
-	// The loop counts as one that waits; that it takes nothing shows in the queue alone.
-	watching.turn(true, nil)
-	if !watching.Able(time.Now()) {
-		t.Error("nothing waits, and connections do not count as accepted")
+	// The loop is marked as waiting, so that only the queue shows that nothing is accepted.
+	loop.setWaiting(true, nil)
+	if !loop.Accepting(time.Now()) {
+		t.Error("Accepting returned false with an empty backlog")
 	}
 	for range backlog + 1 {
 		conn, err := net.Dial("tcp4", listener.Addr().String())
@@ -110,7 +110,7 @@
 		}
 		defer conn.Close()
 	}
-	watching.becomes(t, false, time.Second)
+	loop.waitFor(t, false, time.Second)
 	for range backlog + 1 {
 		conn, err := listener.Accept()
 		if err != nil {
@@ -118,5 +118,5 @@
 		}
 		defer conn.Close()
 	}
-	watching.becomes(t, true, time.Second)
+	loop.waitFor(t, true, time.Second)
 }
--- a/internal/adminapi/api_test.go
+++ b/internal/adminapi/api_test.go
@@ -15,16 +15,16 @@
 	"github.com/granitebay/granitebay/internal/decision"
 )
 
-// fakeBackend gives fixed answers.
+// fakeBackend returns fixed values.
 type fakeBackend struct {
 	Backend
 	document configuration.Document
-	proposed configuration.ProposeResult
-	kept     []decision.Record
-	news     chan decision.Record
+	proposed configuration.ProposalResult
+	retained []decision.Record
+	stream   chan decision.Record
 }
 
-// startedAt is when the fake gateway started.
+// startedAt is the start time of the fake gateway.
 var startedAt = time.Unix(1_700_000_000, 0).UTC()
 
 func (b *fakeBackend) Status() GatewayStatus {
@@ -37,18 +37,18 @@
 func (b *fakeBackend) KnownRequests() []map[string]string {
 	return []map[string]string{{"class": "quick", "repeatable": "true"}}
 }
-func (b *fakeBackend) Propose(_ context.Context, request configuration.EditRequest) configuration.ProposeResult {
+func (b *fakeBackend) Propose(_ context.Context, request configuration.EditRequest) configuration.ProposalResult {
 	result := b.proposed
 	result.ChangeID = request.ChangeID
 	return result
 }
 func (b *fakeBackend) Decisions(since uint64) []decision.Record {
-	return DecisionFilter{Since: since}.Select(b.kept)
+	return DecisionFilter{Since: since}.Select(b.retained)
 }
-func (b *fakeBackend) FollowDecisions() (<-chan decision.Record, func()) { return b.news, func() {} }
+func (b *fakeBackend) FollowDecisions() (<-chan decision.Record, func()) { return b.stream, func() {} }
 
-// serve starts the API on loopback and returns its address.
-func serve(t *testing.T, backend Backend) string {
+// startServer starts the API on loopback and returns its address.
+func startServer(t *testing.T, backend Backend) string {
 	t.Helper()
 	mux := http.NewServeMux()
 	Register(humago.New(mux, huma.DefaultConfig("granitebay", "1")), backend)
@@ -57,8 +57,8 @@
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-// fesDocument returns the example of Fès at a revision.
-func fesDocument(t *testing.T, revision uint64) configuration.Document {
+// exampleDocument returns the Fès example at a revision.
+func exampleDocument(t *testing.T, revision uint64) configuration.Document {
 	t.Helper()
 	document, err := configuration.Example(configuration.ExampleFes)
 	if err != nil {
@@ -68,24 +68,25 @@
 	return document
 }
 
+// TestEditOutcomes guards against an outcome or an HTTP status that does not match what happened to the edit.
 func TestEditOutcomes(t *testing.T) {
 	label := []configuration.Edit{configuration.SetLabel("w1", "pool", "x")}
 	unknownGroup := configuration.DefaultRule()
 	unknownGroup.Name, unknownGroup.Groups, unknownGroup.Precedence = "urgent", []configuration.GroupShare{{Group: "nowhere", Weight: 1}}, 99
 	tests := []struct {
 		desc     string
-		proposed configuration.ProposeResult
+		proposed configuration.ProposalResult
 		request  configuration.EditRequest
 		dryRun   bool
 		want     EditOutcome
 	}{
-		{desc: "accepted", proposed: configuration.ProposeResult{Accepted: true, Revision: 4}, want: EditAccepted},
-		{desc: "nothing to change", proposed: configuration.ProposeResult{Accepted: true, Unchanged: true}, want: EditUnchanged},
-		{desc: "conflict", proposed: configuration.ProposeResult{Conflicts: []configuration.Conflict{{ChangeID: "other"}}}, want: EditConflict},
-		{desc: "old base", proposed: configuration.ProposeResult{Err: configuration.ErrUnknownBase}, want: EditConflict},
-		{desc: "invalid", proposed: configuration.ProposeResult{Err: configuration.FieldErrors{{Field: "spec"}}}, want: EditInvalid},
-		{desc: "store down", proposed: configuration.ProposeResult{Err: configuration.ErrStoreUnavailable}, want: EditUnavailable},
-		{desc: "answer lost", proposed: configuration.ProposeResult{Err: configuration.ErrOutcomeUnknown}, want: EditUnknown},
+		{desc: "accepted", proposed: configuration.ProposalResult{Accepted: true, Revision: 4}, want: EditAccepted},
+		{desc: "nothing to change", proposed: configuration.ProposalResult{Accepted: true, Unchanged: true}, want: EditUnchanged},
+		{desc: "conflict", proposed: configuration.ProposalResult{Conflicts: []configuration.Conflict{{ChangeID: "other"}}}, want: EditConflict},
+		{desc: "old base", proposed: configuration.ProposalResult{Err: configuration.ErrUnknownBase}, want: EditConflict},
+		{desc: "invalid", proposed: configuration.ProposalResult{Err: configuration.FieldErrors{{Field: "spec"}}}, want: EditInvalid},
+		{desc: "store down", proposed: configuration.ProposalResult{Err: configuration.ErrStoreUnavailable}, want: EditUnavailable},
+		{desc: "outcome unknown", proposed: configuration.ProposalResult{Err: configuration.ErrOutcomeUnknown}, want: EditUnknown},
 		{desc: "dry run", dryRun: true, request: configuration.EditRequest{BaseRevision: 3, Edits: label}, want: EditPreview},
 		{
 			desc: "dry run of an invalid edit", dryRun: true, want: EditInvalid,
@@ -95,8 +96,8 @@
 	}
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
-			backend := &fakeBackend{document: fesDocument(t, 3), proposed: test.proposed}
-			client := NewClient([]string{"127.0.0.1:1", serve(t, backend)}, http.DefaultClient)
+			backend := &fakeBackend{document: exampleDocument(t, 3), proposed: test.proposed}
+			client := NewClient([]string{"127.0.0.1:1", startServer(t, backend)}, http.DefaultClient)
 			request := test.request
 			request.ChangeID = "mine"
 			result, err := client.Edit(t.Context(), request, test.dryRun)
@@ -110,33 +111,35 @@
 	}
 }
 
-// serveBroken starts a server that closes each connection without a response.
-func serveBroken(t *testing.T) string {
+// startBrokenServer starts a server that closes each connection without a response.
+func startBrokenServer(t *testing.T) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
 	t.Cleanup(server.Close)
 	return strings.TrimPrefix(server.URL, "http://")
 }
 
-func TestEditOverSeveralGateways(t *testing.T) {
-	unavailable := configuration.ProposeResult{Err: configuration.ErrStoreUnavailable}
-	unknown := configuration.ProposeResult{Err: configuration.ErrOutcomeUnknown}
-	accepted := configuration.ProposeResult{Accepted: true, Revision: 4}
-	answering := func(result configuration.ProposeResult) func(*testing.T) string {
-		return func(t *testing.T) string { return serve(t, &fakeBackend{proposed: result}) }
+// TestEditTriesGatewaysUntilOutcomeIsFinal guards against an edit that is reported as failed although a gateway may have accepted
+// it.
+func TestEditTriesGatewaysUntilOutcomeIsFinal(t *testing.T) {
+	unavailable := configuration.ProposalResult{Err: configuration.ErrStoreUnavailable}
+	unknown := configuration.ProposalResult{Err: configuration.ErrOutcomeUnknown}
+	accepted := configuration.ProposalResult{Accepted: true, Revision: 4}
+	answering := func(result configuration.ProposalResult) func(*testing.T) string {
+		return func(t *testing.T) string { return startServer(t, &fakeBackend{proposed: result}) }
 	}
 	unreachable := func(*testing.T) string { return "127.0.0.1:1" }
 	tests := []struct {
 		desc     string
 		gateways []func(*testing.T) string
-		// want is empty when an error is wanted.
+		// want is empty if an error is expected.
 		want EditOutcome
 	}{
 		{"unavailable, then accepted", []func(*testing.T) string{answering(unavailable), answering(accepted)}, EditAccepted},
 		{"unknown, then accepted", []func(*testing.T) string{answering(unknown), answering(accepted)}, EditAccepted},
 		{"unknown, then unavailable", []func(*testing.T) string{answering(unknown), answering(unavailable)}, EditUnknown},
-		{"broken connection, then unavailable", []func(*testing.T) string{serveBroken, answering(unavailable)}, EditUnknown},
-		{"broken connection, then unreachable", []func(*testing.T) string{serveBroken, unreachable}, EditUnknown},
+		{"broken connection, then unavailable", []func(*testing.T) string{startBrokenServer, answering(unavailable)}, EditUnknown},
+		{"broken connection, then unreachable", []func(*testing.T) string{startBrokenServer, unreachable}, EditUnknown},
 		{"unreachable, then unavailable", []func(*testing.T) string{unreachable, answering(unavailable)}, EditUnavailable},
 		{"unreachable", []func(*testing.T) string{unreachable}, ""},
 		{"no gateways", nil, ""},
@@ -155,8 +158,9 @@
 	}
 }
 
-func TestEditOfUnknownForm(t *testing.T) {
-	address := serve(t, &fakeBackend{document: fesDocument(t, 3)})
+// TestEditWithUnknownFields guards against misspelled fields that are ignored.
+func TestEditWithUnknownFields(t *testing.T) {
+	address := startServer(t, &fakeBackend{document: exampleDocument(t, 3)})
 	body := `{"changeID": "mine", "edits": [{"kind": "put", "rule": {"name": "x", "urgent": true, "priority": "high"}}]}`
 	response, err := http.Post("http://"+address+PathConfigEdits, "application/json", strings.NewReader(body))
 	if err != nil {
@@ -168,18 +172,21 @@
 	}
 }
 
-func TestClientReadsAndReportsErrors(t *testing.T) {
-	client := NewClient([]string{"127.0.0.1:1", serve(t, &fakeBackend{document: fesDocument(t, 3)})}, http.DefaultClient)
+// TestClientSkipsUnreachableGateways guards against a client that stops at an unreachable gateway, and an error that does not
+// name the gateway.
+func TestClientSkipsUnreachableGateways(t *testing.T) {
+	client := NewClient([]string{"127.0.0.1:1", startServer(t, &fakeBackend{document: exampleDocument(t, 3)})}, http.DefaultClient)
 	document, err := client.Configuration(t.Context())
 	if err != nil || document.Revision != 3 || len(document.Rules) != 4 {
 		t.Errorf("configuration %d with %d rules, %v", document.Revision, len(document.Rules), err)
 	}
-	broken := NewClient([]string{serveBroken(t)}, http.DefaultClient)
+	broken := NewClient([]string{startBrokenServer(t)}, http.DefaultClient)
 	if _, err = broken.Configuration(t.Context()); err == nil || !strings.Contains(err.Error(), "ask gateway") {
-		t.Errorf("error %v, want one that names the step and the peer", err)
+		t.Errorf("error %v, want one that names the gateway", err)
 	}
 }
 
+// TestDecisionsAreFilteredAndFollowed guards against decisions that a filter or the start of a stream loses or repeats.
 func TestDecisionsAreFilteredAndFollowed(t *testing.T) {
 	records := []decision.Record{
 		{Sequence: 1, Kind: decision.KindRequest, Subject: "req-1", Outcome: "w1"},
@@ -202,13 +209,13 @@
 	}
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
-			// Two records are kept, and all four come on the channel: the first two twice.
-			backend := &fakeBackend{kept: records[:2], news: make(chan decision.Record, len(records))}
+			// Two records are retained and all four arrive on the channel, so that the first two arrive twice.
+			backend := &fakeBackend{retained: records[:2], stream: make(chan decision.Record, len(records))}
 			for _, record := range records {
-				backend.news <- record
+				backend.stream <- record
 			}
-			close(backend.news)
-			client := NewClient([]string{"127.0.0.1:1", serve(t, backend)}, http.DefaultClient)
+			close(backend.stream)
+			client := NewClient([]string{"127.0.0.1:1", startServer(t, backend)}, http.DefaultClient)
 			var got []uint64
 			_ = client.FollowDecisions(t.Context(), test.filter, func(record decision.Record) error {
 				got = append(got, record.Sequence)
@@ -216,7 +223,7 @@
 			})
 			checkSequences(t, "followed", got, test.want)
 
-			backend.kept = records
+			backend.retained = records
 			list, err := client.Decisions(t.Context(), test.filter)
 			if err != nil {
 				t.Fatal(err)
@@ -242,8 +249,9 @@
 	}
 }
 
-func TestClientTakesAddressesAndURLs(t *testing.T) {
-	address := serve(t, &fakeBackend{})
+// TestClientAcceptsAddressesAndURLs guards against a scheme or a slash in an address that breaks the client.
+func TestClientAcceptsAddressesAndURLs(t *testing.T) {
+	address := startServer(t, &fakeBackend{})
 	for _, given := range []string{address, "http://" + address, "http://" + address + "/"} {
 		client := NewClient([]string{given}, http.DefaultClient)
 		if _, err := client.Status(t.Context()); err != nil {
@@ -255,7 +263,8 @@
 	}
 }
 
-func TestStartOfAStream(t *testing.T) {
+// TestInitialStreamRecords guards against frequent kinds of decisions that displace rare ones at the start of a stream.
+func TestInitialStreamRecords(t *testing.T) {
 	records := []decision.Record{
 		{Sequence: 1, Kind: decision.KindRole}, {Sequence: 2, Kind: decision.KindRequest}, {Sequence: 3, Kind: decision.KindRequest},
 		{Sequence: 4, Kind: decision.KindRequest},
@@ -265,14 +274,14 @@
 		filter StreamFilter
 		want   []uint64
 	}{
-		{"no bound", StreamFilter{}, []uint64{1, 2, 3, 4}},
-		{"routine decisions leave room for rare ones", StreamFilter{Latest: 2}, []uint64{1, 3, 4}},
+		{"no limit", StreamFilter{}, []uint64{1, 2, 3, 4}},
+		{"frequent kinds do not displace rare ones", StreamFilter{Latest: 2}, []uint64{1, 3, 4}},
 		{"with a filter", StreamFilter{Latest: 1, DecisionFilter: DecisionFilter{Kind: "request"}}, []uint64{4}},
 	}
 	for _, test := range tests {
 		t.Run(test.desc, func(t *testing.T) {
 			var got []uint64
-			for _, record := range test.filter.Kept(records) {
+			for _, record := range test.filter.Initial(records) {
 				got = append(got, record.Sequence)
 			}
 			checkSequences(t, "kept", got, test.want)
@@ -280,22 +289,23 @@
 	}
 }
 
-func TestKeptSince(t *testing.T) {
+// TestRetainedSince guards against an explanation that claims to be complete although decisions were dropped.
+func TestRetainedSince(t *testing.T) {
 	later := startedAt.Add(time.Hour)
 	tests := []struct {
-		desc string
-		kept []decision.Record
-		want time.Time
+		desc     string
+		retained []decision.Record
+		want     time.Time
 	}{
 		{"no decision yet", nil, startedAt},
-		{"all since the start", []decision.Record{{Sequence: 1, Time: later}}, startedAt},
+		{"all retained since the start", []decision.Record{{Sequence: 1, Time: later}}, startedAt},
 		{"older ones dropped", []decision.Record{{Sequence: 9, Time: later}}, later},
 	}
 	for _, test := range tests {
-		client := NewClient([]string{serve(t, &fakeBackend{kept: test.kept})}, http.DefaultClient)
+		client := NewClient([]string{startServer(t, &fakeBackend{retained: test.retained})}, http.DefaultClient)
 		explanation, err := client.Explain(t.Context(), "req-1")
-		if err != nil || !explanation.KeptSince.Equal(test.want) {
-			t.Errorf("%s: got %s, %v, want %s", test.desc, explanation.KeptSince, err, test.want)
+		if err != nil || !explanation.RetainedSince.Equal(test.want) {
+			t.Errorf("%s: got %s, %v, want %s", test.desc, explanation.RetainedSince, err, test.want)
 		}
 	}
 }
--- a/internal/adminapi/client_edit.go
+++ b/internal/adminapi/client_edit.go
@@ -12,9 +12,10 @@
 	"github.com/granitebay/granitebay/internal/configuration"
 )
 
-// Edit proposes an edit, or previews it in a dry run. It goes on to the next gateway as long as the outcome is open, which
-// is safe because the change id makes a second proposal the same edit. If one gateway may have accepted the edit and no
-// other settles it, the outcome is EditUnknown. The error is set when no gateway gave a result and none can have accepted.
+// Edit proposes an edit, or previews it in a dry run. It tries the next gateway until one reports a final outcome; this is safe
+// because proposals with the same change id are applied at most once. If a gateway may have accepted the edit and no other one
+// reports a final outcome, the outcome is EditUnknown. The error is set if no gateway returned a result and none can have
+// accepted the edit.
 func (c *Client) Edit(ctx context.Context, request configuration.EditRequest, dryRun bool) (EditResult, error) {
 	body, err := json.Marshal(request)
 	if err != nil {
@@ -24,40 +25,40 @@
 	if dryRun {
 		query.Set("dryRun", "true")
 	}
-	outgoing := call{method: http.MethodPost, path: PathConfigEdits, query: query, body: body}
+	apiRequest := apiCall{method: http.MethodPost, path: PathConfigEdits, query: query, body: body}
 	attempts := editAttempts{dryRun: dryRun, changeID: request.ChangeID}
 	for _, address := range c.addresses {
-		_, data, err := c.once(ctx, address, outgoing)
-		if attempts.note(data, err) {
+		_, data, err := c.tryOne(ctx, address, apiRequest)
+		if attempts.record(data, err) {
 			return attempts.result, nil
 		}
 	}
-	return attempts.end()
+	return attempts.finalResult()
 }
 
-// editAttempts collects what several gateways said of one edit.
+// editAttempts collects the responses of several gateways to one edit.
 type editAttempts struct {
 	dryRun   bool
 	changeID string
-	// result is the latest one.
+	// result is the latest result.
 	result EditResult
-	// inDoubt is set when a gateway may have accepted the edit.
-	inDoubt  bool
-	failures error
+	// maybeAccepted is set if a gateway may have accepted the edit.
+	maybeAccepted bool
+	errs          error
 }
 
-// note takes the response of one gateway and tells whether it settles the edit.
-func (a *editAttempts) note(data []byte, err error) (settled bool) {
+// record adds the response of one gateway and reports whether its outcome is final.
+func (a *editAttempts) record(data []byte, err error) (final bool) {
 	var result EditResult
 	if json.Unmarshal(data, &result) != nil || result.Outcome == "" {
-		a.inDoubt = a.inDoubt || (!a.dryRun && !neverSent(err))
-		a.failures = errors.Join(a.failures, err)
+		a.maybeAccepted = a.maybeAccepted || (!a.dryRun && !notSent(err))
+		a.errs = errors.Join(a.errs, err)
 		return false
 	}
 	a.result = result
 	switch result.Outcome {
 	case EditUnknown:
-		a.inDoubt = true
+		a.maybeAccepted = true
 		return false
 	case EditUnavailable:
 		return false
@@ -66,26 +67,26 @@
 	}
 }
 
-// end returns what is known when no gateway settled the edit.
-func (a *editAttempts) end() (EditResult, error) {
+// finalResult returns the result if no gateway reported a final outcome.
+func (a *editAttempts) finalResult() (EditResult, error) {
 	switch {
-	case a.inDoubt && a.result.Outcome != EditUnknown:
+	case a.maybeAccepted && a.result.Outcome != EditUnknown:
 		return EditResult{
 			Outcome: EditUnknown, ChangeID: a.changeID,
-			Error: errors.Wrap(a.failureOrResult(), "a gateway may have accepted the edit").Error(),
+			Error: errors.Wrap(a.failure(), "a gateway may have accepted the edit").Error(),
 		}, nil
 	case a.result.Outcome != "":
 		return a.result, nil
 	default:
-		return EditResult{}, a.failureOrResult()
+		return EditResult{}, a.failure()
 	}
 }
 
-// failureOrResult returns why the edit is not settled.
-func (a *editAttempts) failureOrResult() error {
+// failure returns why there is no final outcome.
+func (a *editAttempts) failure() error {
 	switch {
-	case a.failures != nil:
-		return a.failures
+	case a.errs != nil:
+		return a.errs
 	case a.result.Error != "":
 		return errors.New(a.result.Error)
 	default:
@@ -93,8 +94,8 @@
 	}
 }
 
-// neverSent tells whether a call failed before anything was sent.
-func neverSent(err error) bool {
-	var operation *net.OpError
-	return errors.As(err, &operation) && operation.Op == "dial"
+// notSent reports whether a call failed before anything was sent.
+func notSent(err error) bool {
+	var opErr *net.OpError
+	return errors.As(err, &opErr) && opErr.Op == "dial"
 }
--- a/internal/adminapi/edits.go
+++ b/internal/adminapi/edits.go
@@ -10,14 +10,14 @@
 	"github.com/granitebay/granitebay/internal/configuration"
 )
 
-// edit runs or previews an edit and returns the HTTP status with the result.
-func edit(ctx context.Context, backend Backend, input *editInput) (int, EditResult) {
+// handleEdit executes or previews an edit and returns the HTTP status and the result.
+func handleEdit(ctx context.Context, backend Backend, input *editInput) (int, EditResult) {
 	request, err := configuration.ParseEditRequest(input.RawBody)
 	if err == nil && request.ChangeID == "" {
 		err = configuration.ErrNoChangeID
 	}
 	if err != nil {
-		return failedEdit(EditResult{ChangeID: request.ChangeID}, err)
+		return errorResult(EditResult{ChangeID: request.ChangeID}, err)
 	}
 	if input.DryRun {
 		return previewEdit(backend, request)
@@ -25,7 +25,7 @@
 	return proposeEdit(ctx, backend, request)
 }
 
-// proposeEdit brings an edit into the store.
+// proposeEdit writes an edit to the store.
 func proposeEdit(ctx context.Context, backend Backend, request configuration.EditRequest) (int, EditResult) {
 	result := EditResult{ChangeID: request.ChangeID}
 	ctx, cancel := context.WithTimeout(ctx, proposeTimeout)
@@ -40,47 +40,48 @@
 		}
 		return http.StatusOK, result
 	case len(proposed.Conflicts) > 0:
-		return conflictingEdit(result, proposed.Conflicts)
+		return conflictResult(result, proposed.Conflicts)
 	default:
-		return failedEdit(result, proposed.Err)
+		return errorResult(result, proposed.Err)
 	}
 }
 
-// proposeTimeout is how long an edit is tried.
+// proposeTimeout limits the time to propose an edit.
 const proposeTimeout = 20 * time.Second
 
-// previewEdit tells what an edit would do.
+// previewEdit returns the effects that an edit would have.
 func previewEdit(backend Backend, request configuration.EditRequest) (int, EditResult) {
 	result := EditResult{ChangeID: request.ChangeID}
 	current := backend.Document()
 	next, conflicts, err := configuration.Preview(current, request, time.Now())
 	if len(conflicts) > 0 {
-		return conflictingEdit(result, conflicts)
+		return conflictResult(result, conflicts)
 	}
 	if err != nil {
-		return failedEdit(result, err)
+		return errorResult(result, err)
 	}
-	consequences, err := configuration.WhatIf(current, next, backend.KnownWorkers(), backend.KnownRequests())
+	consequences, err := configuration.PreviewEffects(current, next, backend.KnownWorkers(), backend.KnownRequests())
 	if err != nil {
-		return failedEdit(result, err)
+		return errorResult(result, err)
 	}
 	result.Outcome, result.Revision, result.Consequences = EditPreview, next.Revision, &consequences
 	return http.StatusOK, result
 }
 
-func conflictingEdit(result EditResult, conflicts []configuration.Conflict) (int, EditResult) {
+func conflictResult(result EditResult, conflicts []configuration.Conflict) (int, EditResult) {
 	result.Outcome, result.Conflicts = EditConflict, conflicts
 	result.Error = "another edit changed the same fields"
 	return http.StatusConflict, result
 }
 
-// failedEdit sorts an error into an outcome.
-func failedEdit(result EditResult, err error) (int, EditResult) {
+// errorResult maps an error to an outcome and an HTTP status. Errors that it does not know mean that the edit was not accepted
+// and may be retried.
+func errorResult(result EditResult, err error) (int, EditResult) {
 	result.Error = err.Error()
-	var faults configuration.FieldErrors
+	var fieldErrors configuration.FieldErrors
 	switch {
-	case errors.As(err, &faults):
-		result.Outcome, result.Faults = EditInvalid, faults
+	case errors.As(err, &fieldErrors):
+		result.Outcome, result.Faults = EditInvalid, fieldErrors
 		return http.StatusUnprocessableEntity, result
 	case errors.IsAny(err, configuration.ErrNoChangeID, configuration.ErrTooLarge):
 		result.Outcome = EditInvalid
--- a/internal/adminapi/stream.go
+++ b/internal/adminapi/stream.go
@@ -9,60 +9,60 @@
 	"github.com/granitebay/granitebay/internal/decision"
 )
 
-// The names of the events on the stream of decisions.
+// Names of the events on the decision stream.
 const (
 	eventDecision  = "decision"
 	eventHeartbeat = "heartbeat"
 )
 
-// heartbeatInterval is the time between two heartbeats on a stream.
+// heartbeatInterval is the interval of heartbeats on a stream.
 const heartbeatInterval = 5 * time.Second
 
-// decisionStream is one client that follows decisions.
+// decisionStream is the decision stream of one client.
 type decisionStream struct {
 	backend Backend
 	filter  StreamFilter
 	send    sse.Sender
-	// sent is the last sequence that was looked at.
-	sent uint64
+	// lastSequence is the sequence of the last decision that was sent or filtered out.
+	lastSequence uint64
 }
 
-// streamDecisions sends the kept decisions that a filter selects and then the new ones, until the client goes away.
+// streamDecisions sends the retained decisions that the filter selects, and then new ones, until the client disconnects.
 func streamDecisions(ctx context.Context, backend Backend, filter StreamFilter, send sse.Sender) {
 	records, stop := backend.FollowDecisions()
 	defer stop()
 	stream := &decisionStream{backend: backend, filter: filter, send: send}
-	// The heartbeat at the start lets the client see that the stream is open.
+	// The initial heartbeat lets the client see that the stream is open.
 	if stream.heartbeat(time.Now()) != nil {
 		return
 	}
-	if stream.kept() != nil {
+	if stream.sendRetained() != nil {
 		return
 	}
 	stream.follow(ctx, records)
 }
 
-// kept sends the decisions with which the stream starts.
-func (s *decisionStream) kept() error {
-	kept := s.backend.Decisions(s.filter.Since)
-	for _, record := range s.filter.Kept(kept) {
+// sendRetained sends the retained decisions.
+func (s *decisionStream) sendRetained() error {
+	retained := s.backend.Decisions(s.filter.Since)
+	for _, record := range s.filter.Initial(retained) {
 		if err := s.send.Data(record); err != nil {
 			return err
 		}
 	}
-	s.sent = s.filter.Since
-	if len(kept) > 0 {
-		s.sent = kept[len(kept)-1].Sequence
+	s.lastSequence = s.filter.Since
+	if len(retained) > 0 {
+		s.lastSequence = retained[len(retained)-1].Sequence
 	}
 	return nil
 }
 
-// forward sends a new decision, unless it was among the kept ones.
-func (s *decisionStream) forward(record decision.Record) error {
-	if record.Sequence <= s.sent {
+// sendNew sends a new decision, unless it was among the retained ones.
+func (s *decisionStream) sendNew(record decision.Record) error {
+	if record.Sequence <= s.lastSequence {
 		return nil
 	}
-	s.sent = record.Sequence
+	s.lastSequence = record.Sequence
 	if !s.filter.Matches(record) {
 		return nil
 	}
@@ -73,7 +73,7 @@
 	return s.send.Data(Heartbeat{Time: now})
 }
 
-// follow forwards new decisions.
+// follow sends new decisions and heartbeats.
 func (s *decisionStream) follow(ctx context.Context, records <-chan decision.Record) {
 	ticker := time.NewTicker(heartbeatInterval)
 	defer ticker.Stop()
@@ -86,7 +86,7 @@
 			if !open {
 				return
 			}
-			err = s.forward(record)
+			err = s.sendNew(record)
 		case now := <-ticker.C:
 			err = s.heartbeat(now)
 		}
--- a/internal/backend/roster.go
+++ b/internal/backend/roster.go
@@ -4,22 +4,26 @@
 
 // RosterSettings configures a roster.
 type RosterSettings struct {
-	// FadeTime is how long a worker stays in use after its record disappeared around an outage of the store. The
-	// outage may have expired the record of a running worker, which records itself again with its next heartbeat.
-	FadeTime time.Duration
-	// OutageMemory is how long after an outage missing records are attributed to it.
-	OutageMemory time.Duration
-	// LostTime is how long a worker stays in use whose record is missing after the store was restored from a backup.
-	// It may have started after the backup was made, and not have recorded itself again yet.
-	LostTime time.Duration
+	// OutageGrace is how long a worker stays in use after its record disappeared during or shortly after an outage of the
+	// store. The record of a running worker may have expired; the worker registers again with its next heartbeat.
+	OutageGrace time.Duration
+	// OutageWindow is how long after an outage missing records are attributed to it.
+	OutageWindow time.Duration
+	// RestoreGrace is how long a worker stays in use whose record is missing after the store was restored from a backup.
+	// It may have started after the backup was made, and not have registered again yet.
+	RestoreGrace time.Duration
 }
 
-// Roster is the list of workers according to the store. It is a pure state machine and not safe for concurrent use.
+// Roster tracks the workers in use: those with a record in the store and, for a while, those whose record was lost. It is
+// a pure state machine and not safe for concurrent use.
 //
-// Invariants: a worker is in use only while its record exists, or, unless it was draining, for FadeTime after its
-// record disappeared within OutageMemory of an outage, or for LostTime if it disappeared within OutageMemory of a
-// restore; each record names one incarnation at a time; and an incarnation that announced that it is leaving is
-// draining, whatever its record says, since the record may be stale for as long as the store is unavailable.
+// Invariants:
+//   - A worker is in use only while its record exists, or, unless it was draining, for OutageGrace after its record
+//     disappeared within OutageWindow of an outage, or for RestoreGrace if it disappeared within OutageWindow of a
+//     restore.
+//   - Each record names one incarnation at a time.
+//   - An incarnation that announced that it is leaving is draining, whatever its record says, since the record may be
+//     stale for as long as the store is unavailable.
 type Roster struct {
 	settings RosterSettings
 	// byRecord holds the workers with a record, by record name; retained holds workers without one, by ID.
@@ -50,11 +54,11 @@
 	}
 }
 
-// Outage records that the store failed.
+// Outage records that the store was unavailable at the given time.
 func (r *Roster) Outage(now time.Time) { r.lastOutage = now }
 
 // Restored records that the store was restored from a backup. Call it before passing on the restored records.
-func (r *Roster) Restored(now time.Time) { r.restoreGraceUntil = now.Add(r.settings.OutageMemory) }
+func (r *Roster) Restored(now time.Time) { r.restoreGraceUntil = now.Add(r.settings.OutageWindow) }
 
 // Reset replaces all records with those of the given workers.
 func (r *Roster) Reset(now time.Time, workers []*Worker) {
@@ -89,9 +93,10 @@
 	r.pending[worker.ID] = worker
 }
 
-// drainingMemory is how long an announcement to leave is kept after the worker is no longer in use. A stale record of
-// the worker may still arrive, from a delayed list or a restored store; after this time the worker has ended.
-const drainingMemory = 10 * time.Minute
+// drainingRetention is how long the announcement that a worker is leaving is kept once the worker is no longer in use. A
+// stale record of the worker may still arrive, from a delayed list or a restored store; after this time the worker has
+// terminated.
+const drainingRetention = 10 * time.Minute
 
 // markDraining records that an incarnation is leaving, which is final, and reports whether that is new.
 func (r *Roster) markDraining(now time.Time, id string) bool {
@@ -99,7 +104,7 @@
 		return false
 	}
 	for otherID, since := range r.drainingSince {
-		if now.Sub(since) > drainingMemory && r.lookup(otherID) == nil {
+		if now.Sub(since) > drainingRetention && r.lookup(otherID) == nil {
 			delete(r.drainingSince, otherID)
 		}
 	}
@@ -107,9 +112,9 @@
 	return true
 }
 
-// Leaves records that an incarnation announced that it is leaving, before its record says so, and reports whether this
-// makes a worker in use draining.
-func (r *Roster) Leaves(now time.Time, id string) bool {
+// AnnounceLeaving records that an incarnation announced that it is leaving, before its record says so, and reports
+// whether this makes a worker in use draining.
+func (r *Roster) AnnounceLeaving(now time.Time, id string) bool {
 	worker := r.lookup(id)
 	if !r.markDraining(now, id) || worker == nil || worker.Draining {
 		return false
@@ -124,7 +129,7 @@
 	return true
 }
 
-// lookup returns the current state of the worker in use with the given ID, or nil.
+// lookup returns the current state of the worker in use with the given ID, as Changes would report it, or nil.
 func (r *Roster) lookup(id string) *Worker {
 	if retained, found := r.retained[id]; found {
 		return retained.worker
@@ -136,7 +141,8 @@
 	return worker
 }
 
-// Remove records that a record disappeared.
+// Remove handles the disappearance of a record. Its worker stays in use for a while if an outage or a restore of the
+// store may be the cause.
 func (r *Roster) Remove(now time.Time, name string) {
 	worker, known := r.byRecord[name]
 	if !known {
@@ -144,19 +150,19 @@
 	}
 	delete(r.byRecord, name)
 	r.pending[worker.ID] = nil
-	recent := !r.lastOutage.IsZero() && now.Sub(r.lastOutage) < r.settings.OutageMemory
-	grace := r.settings.FadeTime
+	isExplained := !r.lastOutage.IsZero() && now.Sub(r.lastOutage) < r.settings.OutageWindow
+	grace := r.settings.OutageGrace
 	if now.Before(r.restoreGraceUntil) {
-		recent, grace = true, r.settings.LostTime
+		isExplained, grace = true, r.settings.RestoreGrace
 	}
-	if recent && !worker.Draining {
+	if isExplained && !worker.Draining {
 		r.retained[worker.ID] = retainedWorker{worker: worker, expiry: now.Add(grace)}
 		r.pending[worker.ID] = worker
 	}
 }
 
-// Drop records that a record became unusable. Its worker is no longer in use.
-func (r *Roster) Drop(name string) {
+// Invalidate records that a record became unusable. Its worker is no longer in use.
+func (r *Roster) Invalidate(name string) {
 	if worker, known := r.byRecord[name]; known {
 		delete(r.byRecord, name)
 		r.pending[worker.ID] = nil
@@ -181,9 +187,9 @@
 		previous := r.reported[id]
 		switch {
 		case worker == nil && previous != nil:
-			changes.Gone = append(changes.Gone, id)
+			changes.Removed = append(changes.Removed, id)
 		case worker != nil && (previous == nil || !previous.Equal(worker)):
-			changes.Put = append(changes.Put, worker)
+			changes.Updated = append(changes.Updated, worker)
 		}
 	}
 	clear(r.pending)
--- a/internal/balance/backoff_test.go
+++ b/internal/balance/backoff_test.go
@@ -25,9 +25,8 @@
 	share float64
 }
 
-// outcomesByName maps the outcomes in scripts.
 var outcomesByName = map[string]Outcome{
-	"good": OutcomeGood, "full": OutcomeFull, "silent": OutcomeSilent, "broken": OutcomeBroken,
+	"good": OutcomeGood, "refused": OutcomeRefused, "timeout": OutcomeTimeout, "malformed": OutcomeMalformed,
 }
 
 // duration parses a duration of a script.
@@ -42,9 +41,9 @@
 // quotaShares returns the share of this gateway by worker, and has no loans.
 type quotaShares func(worker string) float64
 
-func (s quotaShares) Part(worker string, _ float64) float64 { return s(worker) }
-func (quotaShares) Lent(string) int                         { return 0 }
-func (quotaShares) UseLent(string) bool                     { return false }
+func (s quotaShares) Share(worker string, _ float64) float64 { return s(worker) }
+func (quotaShares) Loans(string) int                         { return 0 }
+func (quotaShares) UseLoan(string) bool                      { return false }
 
 // accepting returns the sorted IDs of the workers that can be picked.
 func (r *scriptRun) accepting() []string {
@@ -73,30 +72,30 @@
 			r.balancer.End(r.now, arguments[0], outcomesByName[arguments[1]])
 		}
 	case "unreachable":
-		r.balancer.SetGone(r.now, arguments[0], r.now.Add(time.Second))
+		r.balancer.SetUnreachable(r.now, arguments[0], r.now.Add(time.Second))
 	case "reachable":
-		r.balancer.SetGone(r.now, arguments[0], time.Time{})
+		r.balancer.SetUnreachable(r.now, arguments[0], time.Time{})
 	case "remove":
-		r.balancer.Change(backend.Changes{Gone: arguments})
+		r.balancer.Change(backend.Changes{Removed: arguments})
 	case "add":
-		r.balancer.Change(backend.Changes{Put: []*backend.Worker{r.workers[arguments[0]]}})
+		r.balancer.Change(backend.Changes{Updated: []*backend.Worker{r.workers[arguments[0]]}})
 	case "restart":
 		restarted := *r.workers[arguments[0]]
 		restarted.ID += "@2"
-		r.balancer.Change(backend.Changes{Gone: arguments, Put: []*backend.Worker{&restarted}})
+		r.balancer.Change(backend.Changes{Removed: arguments, Updated: []*backend.Worker{&restarted}})
 	case "accepting":
 		if accepting := r.accepting(); !slices.Equal(accepting, arguments) {
 			return fmt.Sprintf("%v accept requests", accepting)
 		}
 	case "limit":
 		rate, _ := strconv.ParseFloat(arguments[1], 64)
-		r.balancer.Limit(r.now, arguments[0], rate, r.now.Add(-r.duration(arguments[2])))
+		r.balancer.SetLimit(r.now, arguments[0], rate, r.now.Add(-r.duration(arguments[2])))
 	case "no-limit":
-		r.balancer.Unlimit(arguments[0], r.now.Add(-r.duration(arguments[1])))
+		r.balancer.RemoveLimit(arguments[0], r.now.Add(-r.duration(arguments[1])))
 	case "share":
-		r.balancer.EarnLimits(r.now)
+		r.balancer.AccrueLimits(r.now)
 		r.share, _ = strconv.ParseFloat(arguments[0], 64)
-		r.balancer.EarnLimits(r.now)
+		r.balancer.AccrueLimits(r.now)
 	case "spend":
 		spent := 0
 		for r.balancer.Spend(r.now, arguments[0]) && spent < 100 {
@@ -106,18 +105,20 @@
 			return fmt.Sprintf("spent %d requests", spent)
 		}
 	case "accepts-in":
-		full, allFull := r.balancer.FullUntil(r.now, "g", backend.RoleDecode)
+		full, allFull := r.balancer.RoleFullUntil(r.now, "g", backend.RoleDecode)
 		if got := full.Until.Sub(r.now).String(); (allFull && got != arguments[0]) || (!allFull && arguments[0] != "never") {
 			return fmt.Sprintf("accepts in %s, all full: %t", got, allFull)
 		}
 	default:
-		return "unknown step"
+		return fmt.Sprintf("unknown step %q", verb)
 	}
 	return ""
 }
 
+// TestBackOffScripts guards against requests to a worker during its back-off, and against a back-off that ends early.
 func TestBackOffScripts(t *testing.T) { runScripts(t, "testdata/backoff.txtar") }
 
+// TestLimitScripts guards against requests to a worker above its rate limit, and against a limit that is lost.
 func TestLimitScripts(t *testing.T) { runScripts(t, "testdata/limits.txtar") }
 
 // runScripts runs the scripts of a file.
@@ -150,7 +151,8 @@
 	}
 }
 
-// TestBackingOffWorkerIsNeverPicked covers small and large roles, and suspects.
+// TestBackingOffWorkerIsNeverPicked guards against requests to workers during their back-off, in small and large
+// roles, with and without a suspect key.
 func TestBackingOffWorkerIsNeverPicked(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := DefaultSettings()
@@ -168,15 +170,15 @@
 			}
 		}
 		now := epoch.Add(time.Duration(rapid.IntRange(0, 5000).Draw(t, "later")) * time.Millisecond)
-		query := Query{Group: "g", Role: backend.RoleDecode, Request: rapid.String().Draw(t, "request"), Apart: rapid.SampledFrom([]string{"", "a"}).Draw(t, "apart")}
+		query := Query{Group: "g", Role: backend.RoleDecode, Request: rapid.String().Draw(t, "request"), SuspectKey: rapid.SampledFrom([]string{"", "a"}).Draw(t, "suspect key")}
 		if choice, found := balancer.Pick(now, query); found && now.Before(until[choice.Worker.ID]) {
 			t.Fatalf("picked %s, which backs off for %s", choice.Worker.ID, until[choice.Worker.ID].Sub(now))
 		}
 	})
 }
 
-// TestLimitedWorkerGetsNoMoreThanItsLimit covers small and large roles, and suspects. Each worker may get at most the
-// share of this gateway in its limit.
+// TestLimitedWorkerGetsNoMoreThanItsLimit guards against more requests to a worker than the share of this gateway in
+// its limit, in small and large roles, with and without a suspect key.
 func TestLimitedWorkerGetsNoMoreThanItsLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		settings := DefaultSettings()
@@ -189,13 +191,13 @@
 		for id := range set {
 			if rapid.Bool().Draw(t, id) {
 				limits[id] = rapid.Float64Range(0.1, 20).Draw(t, "limit")
-				balancer.Limit(epoch, id, limits[id], epoch)
+				balancer.SetLimit(epoch, id, limits[id], epoch)
 			}
 		}
 		const seconds = 3
 		for step := range seconds * 50 {
 			now := epoch.Add(time.Duration(step) * 20 * time.Millisecond)
-			query := Query{Group: "g", Role: backend.RoleDecode, Request: fmt.Sprint(step), Apart: rapid.SampledFrom([]string{"", "a"}).Draw(t, "apart")}
+			query := Query{Group: "g", Role: backend.RoleDecode, Request: fmt.Sprint(step), SuspectKey: rapid.SampledFrom([]string{"", "a"}).Draw(t, "suspect key")}
 			choice, found := balancer.Pick(now, query)
 			if !found {
 				continue
--- a/internal/balance/index_test.go
+++ b/internal/balance/index_test.go
@@ -12,17 +12,17 @@
 	"github.com/granitebay/granitebay/internal/enginemodel"
 )
 
-// TestIncrementalChangesMatchSetWorkers compares the index after many single changes with that of a balancer that is
-// given the final workers at once.
+// TestIncrementalChangesMatchSetWorkers guards against an index that differs after single changes from that of a
+// balancer that is given the final workers at once.
 func TestIncrementalChangesMatchSetWorkers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		incremental, replaced := New(DefaultSettings(), enginemodel.New(), nil), New(DefaultSettings(), enginemodel.New(), nil)
 		set := backend.Set{}
 		for range rapid.IntRange(1, 60).Draw(t, "changes") {
 			id := fmt.Sprint("w", rapid.IntRange(0, 9).Draw(t, "worker"))
-			changes := backend.Changes{Gone: []string{id}}
+			changes := backend.Changes{Removed: []string{id}}
 			if rapid.IntRange(0, 3).Draw(t, "stays") > 0 {
-				changes = backend.Changes{Put: []*backend.Worker{{
+				changes = backend.Changes{Updated: []*backend.Worker{{
 					ID: id, Group: rapid.SampledFrom([]string{"g", "h"}).Draw(t, "group"),
 					Address:  fmt.Sprint("a", rapid.IntRange(0, 3).Draw(t, "address")),
 					Zone:     rapid.SampledFrom([]string{"y", "z"}).Draw(t, "zone"),
@@ -35,7 +35,7 @@
 		}
 		replaced.SetWorkers(set)
 		if got, want := indexContents(incremental), indexContents(replaced); !maps.EqualFunc(got, want, slices.Equal) {
-			t.Fatalf("after single changes %v, set at once %v", got, want)
+			t.Fatalf("index after single changes: %v, want %v", got, want)
 		}
 	})
 }
--- /dev/null
+++ b/internal/callers/disconnect.go
@@ -0,0 +1,61 @@
+package callers
+
+import (
+	"context"
+	"net/http"
+	"syscall"
+	"time"
+
+	"golang.org/x/sys/unix"
+)
+
+// disconnectPollInterval is how often the connection of an active request is polled for a disconnect. A
+// worker must stop within 0.5 s after the caller closes its connection. Requests shorter than the interval are not polled, and
+// the system call is made only once data of the next request has arrived.
+const disconnectPollInterval = 200 * time.Millisecond
+
+// CancelOnDisconnect returns a handler that cancels the context of a request when its caller closes the connection.
+// net/http detects that only until the first byte of the next request arrives, because it then stops reading until the
+// first request is answered.
+func CancelOnDisconnect(handler http.Handler) http.Handler {
+	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		conn, ok := r.Context().Value(connKey{}).(*connection)
+		if !ok {
+			handler.ServeHTTP(w, r)
+			return
+		}
+		ctx, cancel := context.WithCancel(r.Context())
+		defer cancel()
+		var timer *time.Timer
+		timerSet := make(chan struct{})
+		timer = time.AfterFunc(disconnectPollInterval, func() {
+			<-timerSet
+			if conn.peerClosedWhilePipelined() {
+				cancel()
+				return
+			}
+			if ctx.Err() == nil {
+				timer.Reset(disconnectPollInterval)
+			}
+		})
+		close(timerSet)
+		defer timer.Stop()
+		handler.ServeHTTP(w, r.WithContext(ctx))
+	})
+}
+
+// peerHasClosed reports whether the peer has closed or reset a connection, even if unread data precedes the end.
+func peerHasClosed(conn syscall.Conn) bool {
+	raw, err := conn.SyscallConn()
+	if err != nil {
+		return false
+	}
+	ended := false
+	// Control fails only if this side has closed the connection.
+	_ = raw.Control(func(descriptor uintptr) {
+		fds := []unix.PollFd{{Fd: int32(descriptor), Events: unix.POLLRDHUP}}
+		_, err := unix.Poll(fds, 0)
+		ended = err == nil && fds[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+	})
+	return ended
+}
--- a/internal/capacity/executor_test.go
+++ b/internal/capacity/executor_test.go
@@ -17,10 +17,13 @@
 	"github.com/granitebay/granitebay/internal/decision"
 )
 
+// epoch is the start time of the tests.
 var epoch = time.Unix(1000, 0)
 
+// tick is the time between the steps of an executor.
 const tick = 250 * time.Millisecond
 
+// TestEstimator guards against a need that falls before the demand is known, or that does not follow the demand afterwards.
 func TestEstimator(t *testing.T) {
 	archive, err := txtar.ParseFile("testdata/estimator.txtar")
 	if err != nil {
@@ -36,17 +39,17 @@
 				case "at":
 					end := epoch.Add(time.Duration(parseNumber(t, words[1]) * float64(time.Second)))
 					for ; now.Before(end); now = now.Add(tick) {
-						got, known = estimator.Update(now, Group{Busy: busy, Present: Plan{"z": {Kept: present}}, Certain: true, New: true})
+						got, known = estimator.Update(now, Group{Busy: busy, Present: Plan{"z": {OnDemand: present}}, RecordsComplete: true, NewFleet: true})
 					}
 					busy, present = parseNumber(t, words[3]), int(parseNumber(t, words[5]))
-					got, known = estimator.Update(now, Group{Busy: busy, Present: Plan{"z": {Kept: present}}, Certain: true, New: true})
+					got, known = estimator.Update(now, Group{Busy: busy, Present: Plan{"z": {OnDemand: present}}, RecordsComplete: true, NewFleet: true})
 				case "unknown":
 					if known {
-						t.Errorf("need %d is known, want unknown", got)
+						t.Errorf("at %s: need %d is known, want unknown", now.Sub(epoch), got)
 					}
 				case "need":
 					if want := int(parseNumber(t, words[1])); got != want || !known {
-						t.Errorf("need %d, known %v, want %d at %s", got, known, want, now.Sub(epoch))
+						t.Errorf("at %s: need %d (known: %t), want %d", now.Sub(epoch), got, known, want)
 					}
 				default:
 					t.Fatalf("unknown command %q", line)
@@ -65,12 +68,12 @@
 	return value
 }
 
-// fakePlatform accepts orders and simulates the workers. Calls may be lost or delayed.
+// fakePlatform accepts orders and simulates the workers. Orders may be lost or delayed.
 type fakePlatform struct {
 	t     *rapid.T
 	now   time.Time
 	offer Offer
-	// ordered holds the numbers in force, and present the running workers.
+	// ordered holds the numbers of the orders that were carried out, and present those of the running workers.
 	ordered, present Plan
 	booting          []bootingWorker
 	delayed          []Order
@@ -103,7 +106,7 @@
 	for zone, count := range p.present {
 		present[zone] = count
 	}
-	return []Group{{Name: "g", Offer: p.offer, Boot: bootTime, Present: present, Busy: p.busy, Shown: true, Certain: !p.recordsIncomplete, New: p.newFleet && p.now.Sub(epoch) < 5*time.Second}}
+	return []Group{{Name: "g", Offer: p.offer, BootTime: bootTime, Present: present, Busy: p.busy, MostRegistered: true, RecordsComplete: !p.recordsIncomplete, NewFleet: p.newFleet && p.now.Sub(epoch) < 5*time.Second}}
 }
 
 func (p *fakePlatform) OrderWorkers(_ context.Context, order Order) error {
@@ -111,7 +114,7 @@
 	if p.reliable {
 		return p.apply(order)
 	}
-	switch rapid.SampledFrom([]string{"done", "done", "done", "lost", "late", "unanswered"}).Draw(p.t, "call") {
+	switch rapid.SampledFrom([]string{"done", "done", "done", "lost", "late", "unanswered"}).Draw(p.t, "order") {
 	case "done":
 		return p.apply(order)
 	case "late":
@@ -119,7 +122,7 @@
 	case "unanswered":
 		_ = p.apply(order)
 	}
-	return errors.New("no answer")
+	return errors.New("no response")
 }
 
 // apply carries out an order.
@@ -127,11 +130,11 @@
 	count := p.ordered[order.Zone]
 	if order.Spot {
 		if p.now.Before(p.unavailableUntil[order.Zone]) && order.Workers > count.Spot {
-			return ErrRefused
+			return ErrUnavailable
 		}
 		count.Spot = order.Workers
 	} else {
-		count.Kept = order.Workers
+		count.OnDemand = order.Workers
 	}
 	p.ordered[order.Zone] = count
 	return nil
@@ -150,25 +153,25 @@
 			booting = append(booting, worker)
 			continue
 		}
-		p.addPresent(worker.zone, worker.spot, 1)
+		p.changePresent(worker.zone, worker.spot, 1)
 	}
 	p.booting = booting
 }
 
-// addPresent changes the number of present workers.
-func (p *fakePlatform) addPresent(zone string, spot bool, n int) {
+// changePresent changes the number of present workers.
+func (p *fakePlatform) changePresent(zone string, spot bool, n int) {
 	count := p.present[zone]
 	if spot {
 		count.Spot += n
 	} else {
-		count.Kept += n
+		count.OnDemand += n
 	}
 	p.present[zone] = count
 }
 
 // advancePool boots or removes workers of one kind in a zone.
 func (p *fakePlatform) advancePool(zone string, spot bool) {
-	have, want := p.present[zone].Kept, p.ordered[zone].Kept
+	have, want := p.present[zone].OnDemand, p.ordered[zone].OnDemand
 	if spot {
 		have, want = p.present[zone].Spot, p.ordered[zone].Spot
 	}
@@ -178,7 +181,7 @@
 		}
 	}
 	if want < have {
-		p.addPresent(zone, spot, max(want-have, -p.presentCount(zone, spot)))
+		p.changePresent(zone, spot, max(want-have, -p.presentCount(zone, spot)))
 	}
 	total := p.present[zone].Total()
 	for _, worker := range p.booting {
@@ -186,7 +189,7 @@
 			total++
 		}
 	}
-	for range min(want-have, p.offer.Most-total) {
+	for range min(want-have, p.offer.MaxPerZone-total) {
 		p.booting = append(p.booting, bootingWorker{zone, spot, p.now.Add(bootTime)})
 	}
 }
@@ -195,7 +198,7 @@
 	if spot {
 		return p.present[zone].Spot
 	}
-	return p.present[zone].Kept
+	return p.present[zone].OnDemand
 }
 
 // reclaim removes the spot workers of a zone and makes them unavailable for a while.
@@ -203,19 +206,19 @@
 	count := p.ordered[zone]
 	count.Spot = 0
 	p.ordered[zone] = count
-	p.present[zone] = Count{Kept: p.present[zone].Kept}
+	p.present[zone] = Count{OnDemand: p.present[zone].OnDemand}
 	p.unavailableUntil[zone] = p.now.Add(duration)
 }
 
 func newFakePlatform(t *rapid.T) *fakePlatform {
 	p := &fakePlatform{
 		t: t, now: epoch, ordered: Plan{}, present: Plan{}, unavailableUntil: map[string]time.Time{}, newFleet: true,
-		offer: Offer{Least: 1, Most: 36, SpotPrice: 0.22},
+		offer: Offer{MinPerZone: 1, MaxPerZone: 36, SpotPrice: 0.22},
 	}
 	for i, price := range []float64{1, 0.8, 1.25, 0.9} {
 		name := fmt.Sprint("z", i)
 		p.offer.Zones = append(p.offer.Zones, Zone{Name: name, Price: price})
-		p.ordered[name], p.present[name] = Count{Kept: 18}, Count{Kept: 18}
+		p.ordered[name], p.present[name] = Count{OnDemand: 18}, Count{OnDemand: 18}
 	}
 	return p
 }
@@ -248,7 +251,7 @@
 				holder, fence = 1-holder, fence+1
 			case 1:
 				zone := rapid.SampledFrom(p.offer.Zones).Draw(t, "zone").Name
-				p.reclaim(zone, time.Duration(rapid.IntRange(0, 12).Draw(t, "dry"))*time.Second)
+				p.reclaim(zone, time.Duration(rapid.IntRange(0, 12).Draw(t, "seconds without spot workers"))*time.Second)
 			case 2:
 				p.busy = rapid.Float64Range(0, 45).Draw(t, "busy")
 			case 3:
@@ -269,15 +272,15 @@
 		}
 		status := executors[holder].Status()[0]
 		if fmt.Sprint(p.present) != fmt.Sprint(status.Plan) {
-			t.Fatalf("present %v, planned %v for a need of %d", p.present, status.Plan, status.Need)
+			t.Fatalf("present %v, want the plan %v for a need of %d", p.present, status.Plan, status.Need)
 		}
 		if p.calls != calls {
-			t.Fatalf("%d calls after the plan was reached", p.calls-calls)
+			t.Fatalf("%d orders after the plan was reached, want 0", p.calls-calls)
 		}
 	})
 }
 
-// TestWorkersAreRemovedOnlyAfterReplacement guards against a loss of capacity while kept workers are replaced by spot workers.
+// TestWorkersAreRemovedOnlyAfterReplacement guards against a loss of capacity while on-demand workers are replaced by spot workers.
 func TestWorkersAreRemovedOnlyAfterReplacement(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newFakePlatform(t)
@@ -290,8 +293,8 @@
 				t.Fatalf("only %d of 72 workers are present after %s", total, p.now.Sub(epoch))
 			}
 		}
-		if spot := p.present["z0"].Spot; spot == 0 || p.present["z0"].Kept != 1 {
-			t.Fatalf("present: %v", p.present)
+		if spot := p.present["z0"].Spot; spot == 0 || p.present["z0"].OnDemand != 1 {
+			t.Fatalf("present: %v, want 1 on-demand worker and some spot workers in z0", p.present)
 		}
 	})
 }
@@ -311,7 +314,7 @@
 			e.Step(context.Background(), p.now)
 		}
 		if total := p.present.Total(); total < 50 || p.present["z0"].Spot != 0 {
-			t.Fatalf("present: %v", p.present)
+			t.Fatalf("present: %v, want at least 50 workers and no spot workers in z0", p.present)
 		}
 	})
 }
@@ -321,32 +324,33 @@
 	rapid.Check(t, func(t *rapid.T) {
 		p := newFakePlatform(t)
 		p.reliable = true
-		started := p.present
+		initial := p.present
 		p.present = Plan{}
 		e := newTestExecutor(p, func() (int64, bool) { return 1, true })
 		for i := range 16 {
 			p.recordsIncomplete = i < 14
-			for zone, count := range started {
-				registered := count.Kept
+			for zone, count := range initial {
+				registered := count.OnDemand
 				if p.recordsIncomplete {
-					registered = rapid.IntRange(0, count.Kept).Draw(t, "shown")
+					registered = rapid.IntRange(0, count.OnDemand).Draw(t, "registered")
 				}
-				if registered > p.present[zone].Kept {
-					p.present[zone] = Count{Kept: registered, Spot: p.present[zone].Spot}
+				if registered > p.present[zone].OnDemand {
+					p.present[zone] = Count{OnDemand: registered, Spot: p.present[zone].Spot}
 				}
 			}
 			p.now = p.now.Add(tick)
 			e.Step(context.Background(), p.now)
 			for zone, count := range p.ordered {
-				if count.Kept < started[zone].Kept {
-					t.Fatalf("%d kept workers of zone %s were ordered before all were registered", count.Kept, zone)
+				if count.OnDemand < initial[zone].OnDemand {
+					t.Fatalf("%d on-demand workers of zone %s were ordered before all were registered, want at least %d", count.OnDemand, zone, initial[zone].OnDemand)
 				}
 			}
 		}
 	})
 }
 
-// TestNewHolderRemovesNoWorkers guards against a new holder that removes workers because it has seen only the demand of its own callers.
+// TestNewHolderRemovesNoWorkers guards against a new holder of the controller key that removes workers because it has seen only the demand
+// of its own callers.
 func TestNewHolderRemovesNoWorkers(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newFakePlatform(t)
@@ -367,43 +371,43 @@
 			p.advance()
 			second.Step(context.Background(), p.now)
 			if p.present.Total() < before {
-				t.Fatalf("only %d workers of %d are present", p.present.Total(), before)
+				t.Fatalf("%d workers are present, want at least %d", p.present.Total(), before)
 			}
 		}
 	})
 }
 
-// TestWorkersWithLapsedRecordsAreNotRemoved guards against a new holder that removes workers whose records were lost in an outage of the
-// store.
+// TestWorkersWithLapsedRecordsAreNotRemoved guards against a new holder of the controller key that removes workers whose records expired in
+// an outage of the store.
 func TestWorkersWithLapsedRecordsAreNotRemoved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newFakePlatform(t)
 		p.reliable = true
 		p.newFleet = false
 		for _, zone := range p.offer.Zones {
-			p.ordered[zone.Name] = Count{Kept: 1, Spot: 25}
-			p.present[zone.Name] = Count{Kept: rapid.IntRange(0, 1).Draw(t, "kept"), Spot: rapid.IntRange(0, 25).Draw(t, "spot")}
+			p.ordered[zone.Name] = Count{OnDemand: 1, Spot: 25}
+			p.present[zone.Name] = Count{OnDemand: rapid.IntRange(0, 1).Draw(t, "on-demand"), Spot: rapid.IntRange(0, 25).Draw(t, "spot")}
 		}
 		e := newTestExecutor(p, func() (int64, bool) { return 2, true })
 		for i := range 20 {
 			p.recordsIncomplete = i < 14
 			if !p.recordsIncomplete {
 				for _, zone := range p.offer.Zones {
-					p.present[zone.Name] = Count{Kept: 1, Spot: 25}
+					p.present[zone.Name] = Count{OnDemand: 1, Spot: 25}
 				}
 			}
 			p.now = p.now.Add(tick)
 			e.Step(context.Background(), p.now)
 			for zone, count := range p.ordered {
 				if count.Total() < 25 {
-					t.Fatalf("workers were removed: %+v ordered in zone %s", count, zone)
+					t.Fatalf("%+v ordered in zone %s of group g, want at least 25 workers", count, zone)
 				}
 			}
 		}
 	})
 }
 
-// TestPlanIsReachedSoon checks how fast a fleet of kept workers gets the spot workers of the plan.
+// TestPlanIsReachedSoon guards against taking longer than 11.5 s until a fleet of on-demand workers has the spot workers of the plan.
 func TestPlanIsReachedSoon(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newFakePlatform(t)
@@ -419,30 +423,30 @@
 	})
 }
 
-// TestNewSpotWorkersAreNotRemoved guards against the removal of spot workers, ordered while more kept workers register than a zone may have,
-// before the demand is known.
+// TestNewSpotWorkersAreNotRemoved guards against removing new spot workers before the demand is known, while a zone has more on-demand
+// workers than it may.
 func TestNewSpotWorkersAreNotRemoved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		p := newFakePlatform(t)
 		p.reliable = true
-		p.offer.Most = 30
+		p.offer.MaxPerZone = 30
 		registered := 0
 		e := newTestExecutor(p, func() (int64, bool) { return 1, true })
-		maxima := map[string]int{}
+		maxSpot := map[string]int{}
 		for i := range int(18 * time.Second / tick) {
 			p.recordsIncomplete = i < 14
-			registered = min(registered+rapid.IntRange(1, 9).Draw(t, "shown"), 50)
+			registered = min(registered+rapid.IntRange(1, 9).Draw(t, "registered"), 50)
 			for _, zone := range p.offer.Zones {
-				p.ordered[zone.Name] = Count{Kept: 50, Spot: p.ordered[zone.Name].Spot}
-				p.present[zone.Name] = Count{Kept: registered, Spot: p.ordered[zone.Name].Spot}
+				p.ordered[zone.Name] = Count{OnDemand: 50, Spot: p.ordered[zone.Name].Spot}
+				p.present[zone.Name] = Count{OnDemand: registered, Spot: p.ordered[zone.Name].Spot}
 			}
 			p.now = p.now.Add(tick)
 			e.Step(context.Background(), p.now)
 			for zone, count := range p.ordered {
-				if count.Spot < maxima[zone] {
-					t.Fatalf("zone %s keeps only %d of %d spot workers", zone, count.Spot, maxima[zone])
+				if count.Spot < maxSpot[zone] {
+					t.Fatalf("zone %s has %d spot workers ordered, want at least %d", zone, count.Spot, maxSpot[zone])
 				}
-				maxima[zone] = count.Spot
+				maxSpot[zone] = count.Spot
 			}
 		}
 	})
@@ -453,29 +457,29 @@
 	rapid.Check(t, func(t *rapid.T) {
 		p := newFakePlatform(t)
 		p.reliable = true
-		p.offer.Most = 1600
+		p.offer.MaxPerZone = 1600
 		for _, zone := range p.offer.Zones {
-			p.ordered[zone.Name], p.present[zone.Name] = Count{Kept: 800}, Count{Kept: 800}
+			p.ordered[zone.Name], p.present[zone.Name] = Count{OnDemand: 800}, Count{OnDemand: 800}
 		}
 		e := newTestExecutor(p, func() (int64, bool) { return 1, true })
 		before := map[string]Count{}
 		for zone, count := range p.ordered {
 			before[zone] = count
 		}
-		pace := DefaultSettings().MaxChangeRate
+		maxRate := DefaultSettings().MaxChangeRate
 		for i := range int(20 * time.Second / tick) {
 			p.advance()
 			e.Step(context.Background(), p.now)
 			changed := 0
 			for zone, count := range p.ordered {
-				changed += distance(count.Kept, before[zone].Kept) + distance(count.Spot, before[zone].Spot)
+				changed += distance(count.OnDemand, before[zone].OnDemand) + distance(count.Spot, before[zone].Spot)
 			}
-			if limit := pace * (1 + tick.Seconds()*float64(i+1)); float64(changed) > limit {
-				t.Fatalf("%d workers changed in %s", changed, time.Duration(i+1)*tick)
+			if limit := maxRate * (1 + tick.Seconds()*float64(i+1)); float64(changed) > limit {
+				t.Fatalf("%d workers changed in %s, want at most %.0f", changed, time.Duration(i+1)*tick, limit)
 			}
 		}
 		if p.ordered["z1"].Spot == 0 {
-			t.Fatal("no spot workers were ordered")
+			t.Fatal("no spot workers were ordered in zone z1")
 		}
 	})
 }
--- a/internal/capacity/plan_test.go
+++ b/internal/capacity/plan_test.go
@@ -7,80 +7,83 @@
 	"pgregory.net/rapid"
 )
 
-// drawOffer draws an offer.
+// drawOffer returns a random offer.
 func drawOffer(t *rapid.T) Offer {
 	offer := Offer{SpotPrice: rapid.Float64Range(0.05, 1.2).Draw(t, "spot price")}
-	offer.Least = rapid.IntRange(0, 4).Draw(t, "least")
-	offer.Most = offer.Least + rapid.IntRange(0, 30).Draw(t, "room")
+	offer.MinPerZone = rapid.IntRange(0, 4).Draw(t, "minimum per zone")
+	offer.MaxPerZone = offer.MinPerZone + rapid.IntRange(0, 30).Draw(t, "maximum per zone above the minimum")
 	for i := range rapid.IntRange(1, 6).Draw(t, "zones") {
 		offer.Zones = append(offer.Zones, Zone{
-			Name: fmt.Sprint("z", i), Price: rapid.Float64Range(0.5, 2).Draw(t, "price"), NoSpot: rapid.IntRange(0, 4).Draw(t, "no spot") == 0,
+			Name: fmt.Sprint("z", i), Price: rapid.Float64Range(0.5, 2).Draw(t, "price"), SpotUnavailable: rapid.IntRange(0, 4).Draw(t, "spot unavailable") == 0,
 		})
 	}
 	return offer
 }
 
+// TestPlanRespectsOfferAndZoneLoss guards against plans outside the offer, below the need after a loss, or costlier than necessary if the
+// minimum covers the need.
 func TestPlanRespectsOfferAndZoneLoss(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		offer := drawOffer(t)
 		need := rapid.IntRange(0, 150).Draw(t, "need")
 		plan := NewPlan(offer, need)
-		possible := offer.Most * len(offer.Zones)
+		possible := offer.MaxPerZone * len(offer.Zones)
 		for _, zone := range offer.Zones {
 			count := plan[zone.Name]
-			if count.Total() < offer.Least || count.Total() > offer.Most || (zone.NoSpot && count.Spot > 0) {
+			if count.Total() < offer.MinPerZone || count.Total() > offer.MaxPerZone || (zone.SpotUnavailable && count.Spot > 0) {
 				t.Fatalf("zone %s violates the offer: %+v", zone.Name, count)
 			}
 		}
-		// Kept workers alone can cover the need.
+		// On-demand workers alone can cover the need as far as the offer allows, so every plan must.
 		if remaining := plan.WithoutLargestSpotZone(); remaining < min(need, possible) {
 			t.Fatalf("%d workers remain after a loss, of %d needed and %d possible: %v", remaining, need, possible, plan)
 		}
 		more := NewPlan(offer, need+rapid.IntRange(1, 20).Draw(t, "more"))
 		if more.WithoutLargestSpotZone() < min(plan.WithoutLargestSpotZone(), need) {
-			t.Fatalf("a larger need results in fewer workers: %v, %v", plan, more)
+			t.Fatalf("a larger need results in fewer workers after a loss: %v, %v", plan, more)
 		}
-		kept := Plan{}
+		onDemand := Plan{}
 		for _, zone := range offer.Zones {
-			kept[zone.Name] = Count{Kept: offer.Least}
+			onDemand[zone.Name] = Count{OnDemand: offer.MinPerZone}
 		}
-		if need <= offer.Least*len(offer.Zones) && plan.Cost(offer) > kept.Cost(offer)+1e-9 {
-			t.Fatalf("%v costs more than the minimum, which covers the need", plan)
+		if need <= offer.MinPerZone*len(offer.Zones) && plan.Cost(offer) > onDemand.Cost(offer)+1e-9 {
+			t.Fatalf("%v costs %g, more than the minimum that covers the need, which costs %g", plan, plan.Cost(offer), onDemand.Cost(offer))
 		}
 	})
 }
 
+// TestSpotWorkersAreUsedWhereCheaper guards against on-demand workers where spot workers are cheaper, and the reverse.
 func TestSpotWorkersAreUsedWhereCheaper(t *testing.T) {
 	offer := Offer{
-		Zones: []Zone{{Name: "a", Price: 1}, {Name: "b", Price: 0.8}, {Name: "c", Price: 1.25}, {Name: "d", Price: 0.9}},
-		Least: 1, Most: 36, SpotPrice: 0.22,
+		Zones:      []Zone{{Name: "a", Price: 1}, {Name: "b", Price: 0.8}, {Name: "c", Price: 1.25}, {Name: "d", Price: 0.9}},
+		MinPerZone: 1, MaxPerZone: 36, SpotPrice: 0.22,
 	}
 	for _, c := range []struct {
-		desc       string
-		change     func(*Offer)
-		need       int
-		kept, spot int
+		desc           string
+		change         func(*Offer)
+		need           int
+		onDemand, spot int
 	}{
 		{"one zone may be lost", func(*Offer) {}, 71, 4, 90},
 		{"expensive spot workers", func(o *Offer) { o.SpotPrice = 0.9 }, 71, 71, 0},
 		{"no spot workers available", func(o *Offer) {
 			for i := range o.Zones {
-				o.Zones[i].NoSpot = true
+				o.Zones[i].SpotUnavailable = true
 			}
 		}, 71, 71, 0},
-		{"spot workers in two zones only", func(o *Offer) { o.Zones[0].NoSpot, o.Zones[1].NoSpot = true, true }, 40, 5, 70},
+		{"spot workers in two zones only", func(o *Offer) { o.Zones[0].SpotUnavailable, o.Zones[1].SpotUnavailable = true, true }, 40, 5, 70},
 	} {
 		t.Run(c.desc, func(t *testing.T) {
 			changed := offer
 			changed.Zones = append([]Zone{}, offer.Zones...)
 			c.change(&changed)
 			plan := NewPlan(changed, c.need)
-			kept, spot := 0, 0
+			onDemand, spot := 0, 0
 			for _, count := range plan {
-				kept, spot = kept+count.Kept, spot+count.Spot
+				onDemand, spot = onDemand+count.OnDemand, spot+count.Spot
 			}
-			if kept != c.kept || spot != c.spot {
-				t.Errorf("got %d kept and %d spot workers, want %d and %d: %v", kept, spot, c.kept, c.spot, plan)
+			if onDemand != c.onDemand || spot != c.spot {
+				t.Errorf("got %d on-demand and %d spot workers, want %d and %d: %v", onDemand, spot, c.onDemand, c.spot, plan)
 			}
 		})
 	}
--- a/internal/changefeed/changefeed_test.go
+++ b/internal/changefeed/changefeed_test.go
@@ -82,7 +82,7 @@
 }
 
 // newFollower returns a follower in zone a, and a function that returns the entries it reported.
-func newFollower(tellers ...changefeed.Teller) (*changefeed.Follower, func() []string) {
+func newFollower(upstreams ...changefeed.Upstream) (*changefeed.Follower, func() []string) {
 	var mutex sync.Mutex
 	var reported []string
 	follower := changefeed.NewFollower("me", "a", func(entries, live []string) {
@@ -90,7 +90,7 @@
 		defer mutex.Unlock()
 		reported = append(slices.Clone(entries), live...)
 	})
-	follower.SetTellers(tellers)
+	follower.SetUpstreams(upstreams)
 	return follower, func() []string {
 		mutex.Lock()
 		defer mutex.Unlock()
@@ -98,9 +98,11 @@
 	}
 }
 
+// TestRequestReturnsAtFirstChange guards against a request that waits although a change is known, or that misses a later
+// one.
 func TestRequestReturnsAtFirstChange(t *testing.T) {
 	source := newSource(changeAt(4))
-	follower, entries := newFollower(changefeed.Teller{Name: "x", Zone: "a", Address: serve(t, source)})
+	follower, entries := newFollower(changefeed.Upstream{Name: "x", Zone: "a", Address: serve(t, source)})
 	changes, err := follower.Next(t.Context(), requestAfter(3, time.Second))
 	if err != nil || changes.Revision != 4 || len(changes.Changed) != 1 {
 		t.Fatalf("got %+v, %v", changes, err)
@@ -118,13 +120,15 @@
 	}
 }
 
+// TestUpstreamsOfOwnZoneAlternateAndFailOver guards against querying one upstream only, and against not using another zone
+// when the upstreams of the own zone fail.
 func TestUpstreamsOfOwnZoneAlternateAndFailOver(t *testing.T) {
 	sameZone, otherSameZone, otherZone := newSource(changeAt(4)), newSource(changeAt(4)), newSource(changeAt(4))
 	follower, _ := newFollower(
-		changefeed.Teller{Name: "near", Zone: "a", Address: serve(t, sameZone)},
-		changefeed.Teller{Name: "otherNear", Zone: "a", Address: serve(t, otherSameZone)},
-		changefeed.Teller{Name: "far", Zone: "b", Address: serve(t, otherZone)},
-		changefeed.Teller{Name: "me", Zone: "a", Address: "127.0.0.1:1"},
+		changefeed.Upstream{Name: "sameZone", Zone: "a", Address: serve(t, sameZone)},
+		changefeed.Upstream{Name: "otherSameZone", Zone: "a", Address: serve(t, otherSameZone)},
+		changefeed.Upstream{Name: "otherZone", Zone: "b", Address: serve(t, otherZone)},
+		changefeed.Upstream{Name: "me", Zone: "a", Address: "127.0.0.1:1"},
 	)
 	request := func(times int) {
 		t.Helper()
@@ -148,18 +152,20 @@
 	}
 }
 
-func TestStoreIsTriedWhileAllUpstreamsLostIt(t *testing.T) {
-	lost := changeAt(4)
-	lost.StoreUnavailable = true
-	address := serve(t, newSource(lost))
+// TestStoreIsTriedWhileUnavailableToUpstreams guards against a follower that never calls the store while all its upstreams
+// report it unavailable.
+func TestStoreIsTriedWhileUnavailableToUpstreams(t *testing.T) {
+	unavailable := changeAt(4)
+	unavailable.StoreUnavailable = true
+	address := serve(t, newSource(unavailable))
 	follower, _ := newFollower(
-		changefeed.Teller{Name: "x", Zone: "a", Address: address}, changefeed.Teller{Name: "y", Zone: "a", Address: serve(t, newSource(lost))},
+		changefeed.Upstream{Name: "x", Zone: "a", Address: address}, changefeed.Upstream{Name: "y", Zone: "a", Address: serve(t, newSource(unavailable))},
 	)
 	if _, err := follower.Next(t.Context(), requestAfter(3, 0)); !errors.Is(err, store.ErrNoUpstream) {
 		t.Errorf("first request: got error %v, want an attempt to use the store", err)
 	}
 	if changes, err := follower.Next(t.Context(), requestAfter(3, 0)); err != nil || !changes.StoreUnavailable {
-		t.Errorf("second request: got %+v, %v, want changes of the upstream that lost the store", changes, err)
+		t.Errorf("second request: got %+v, %v, want changes of an upstream that cannot reach the store", changes, err)
 	}
 }
 
@@ -176,6 +182,7 @@
 	}
 }
 
+// TestInvalidRequestsAreRejected guards against serving requests with missing or invalid parameters.
 func TestInvalidRequestsAreRejected(t *testing.T) {
 	address := serve(t, newSource(changeAt(4)))
 	for _, query := range []string{"", "?after=x&hold=0", "?after=1&hold=-1"} {
@@ -197,11 +204,11 @@
 	silentFor := func(ms int64) store.Changes { return store.Changes{Revision: 4, StoreSilence: &ms} }
 	sameZone, otherSameZone, otherZone := newSource(silentFor(500)), newSource(silentFor(500)), newSource(changeAt(9))
 	follower, _ := newFollower(
-		changefeed.Teller{Name: "near", Zone: "a", Address: serve(t, sameZone)},
-		changefeed.Teller{Name: "otherNear", Zone: "a", Address: serve(t, otherSameZone)},
-		changefeed.Teller{Name: "far", Zone: "b", Address: serve(t, otherZone)},
+		changefeed.Upstream{Name: "sameZone", Zone: "a", Address: serve(t, sameZone)},
+		changefeed.Upstream{Name: "otherSameZone", Zone: "a", Address: serve(t, otherSameZone)},
+		changefeed.Upstream{Name: "otherZone", Zone: "b", Address: serve(t, otherZone)},
 	)
-	follower.SetBound(2 * time.Second)
+	follower.SetPropagationBound(2 * time.Second)
 	if changes, err := follower.Next(t.Context(), requestAfter(4, 0)); err != nil || changes.Revision != 4 {
 		t.Errorf("store silent for 0.5 s: got %+v, %v", changes, err)
 	}
@@ -219,11 +226,11 @@
 	}
 }
 
-// TestUnrelatedChangesDoNotEndRequest checks that a request is not answered early when a change does not concern the
-// requester.
+// TestUnrelatedChangesDoNotEndRequest guards against a response to every standby gateway for each change that does not
+// concern it.
 func TestUnrelatedChangesDoNotEndRequest(t *testing.T) {
 	source := newSource(changeAt(4))
-	follower, _ := newFollower(changefeed.Teller{Name: "x", Zone: "a", Address: serve(t, source)})
+	follower, _ := newFollower(changefeed.Upstream{Name: "x", Zone: "a", Address: serve(t, source)})
 	time.AfterFunc(30*time.Millisecond, func() { source.set(store.Changes{Revision: 4}) })
 	started := time.Now()
 	changes, err := follower.Next(t.Context(), requestAfter(4, 150*time.Millisecond))
--- a/internal/cluster/gateways.go
+++ b/internal/cluster/gateways.go
@@ -7,54 +7,55 @@
 	"github.com/granitebay/granitebay/internal/store"
 )
 
-// Connected records that the store answered this process. If this process follows the store itself, its configuration
-// is then up to date; a standby gateway may get answers from the store but no changes from its upstreams.
-func (v *View) Connected(followsStore bool) {
+// StoreAnswered records that the store responded to this process. If this process watches the store itself, its
+// configuration is then up to date. The store also responds to lease renewals of a standby gateway, which says nothing
+// about its configuration.
+func (v *View) StoreAnswered(followsStore bool) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	now := v.now()
 	if followsStore {
 		v.configurationCheckedAt = now
 	}
-	v.gateways.Connected(now)
+	v.gateways.StoreAnswered(now)
 }
 
-// Told records the entries named by another gateway, and those of them that it received heartbeats from.
-func (v *View) Told(entries, live []string) {
+// EntriesReported records the entries reported by another gateway, and those of them that it received heartbeats from.
+func (v *View) EntriesReported(entries, live []string) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	v.gateways.Told(v.now(), entries, live)
+	v.gateways.EntriesReported(v.now(), entries, live)
 }
 
-// IsFresh reports whether the store, or another gateway that can reach it, answered within the given time. Otherwise
-// the configuration may be outdated.
+// IsFresh reports whether the configuration was known to be current within the given time: by UpToDate, or by
+// StoreAnswered if this process watches the store. Otherwise it may be outdated.
 func (v *View) IsFresh(within time.Duration) bool {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	return !v.configurationCheckedAt.IsZero() && v.now().Sub(v.configurationCheckedAt) < within
 }
 
-// IsNew reports whether the whole fleet was started within the given time: there had never been a controller when this
+// IsNewFleet reports whether the whole fleet was started within the given time: there had never been a controller when this
 // process first listed the store.
-func (v *View) IsNew(within time.Duration) bool {
+func (v *View) IsNewFleet(within time.Duration) bool {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
 	return v.fleetIsNew && v.now().Sub(v.listedAt) < within
 }
 
-// Steady returns how long the store has been available to this process or its upstreams. Records that expired during an
-// outage are written again within a few seconds.
-func (v *View) Steady() time.Duration {
+// TimeSinceStoreLoss returns the time since a call of this process or its upstreams to the store last failed, or since the
+// start. Records that expired during an outage are written again within a few seconds.
+func (v *View) TimeSinceStoreLoss() time.Duration {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	return v.now().Sub(v.storeLostAt)
+	return v.now().Sub(v.lastFailureAt)
 }
 
-// Named returns the gateways that callers are directed to.
-func (v *View) Named() []member.Gateway {
+// AdvertisedGateways returns the gateways that callers are directed to.
+func (v *View) AdvertisedGateways() []member.Gateway {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	return v.gateways.Named(v.now())
+	return v.gateways.AdvertisedGateways(v.now())
 }
 
 // Resumed records that this process was suspended.
@@ -71,14 +72,14 @@
 	return v.gateways.Entries(v.now())
 }
 
-// Registered returns the entries as determined by the store alone, regardless of heartbeats.
-func (v *View) Registered() []member.Gateway {
+// RegisteredEntries returns the entries as determined by the store alone, regardless of heartbeats.
+func (v *View) RegisteredEntries() []member.Gateway {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	return v.gateways.Registered(v.now())
+	return v.gateways.RegisteredEntries(v.now())
 }
 
-// Claimants returns the gateways that consider themselves entries while this one does not.
+// Claimants returns the gateways that act as entries although this one does not consider them entries.
 func (v *View) Claimants() []member.Gateway {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
@@ -120,18 +121,18 @@
 	return v.gateways.Reachable(v.now())
 }
 
-// Heard records a heartbeat of another gateway.
-func (v *View) Heard(name string) {
+// HeartbeatReceived records a heartbeat of another gateway.
+func (v *View) HeartbeatReceived(name string) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	v.gateways.Heard(v.now(), name)
+	v.gateways.HeartbeatReceived(v.now(), name)
 }
 
-// Unheard records that another gateway is now standby and stops sending heartbeats.
-func (v *View) Unheard(name string) {
+// BecameStandby records that another gateway is now standby and stops sending heartbeats.
+func (v *View) BecameStandby(name string) {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
-	v.gateways.Unheard(name)
+	v.gateways.BecameStandby(name)
 }
 
 // Leave removes this gateway from the list.
@@ -141,7 +142,7 @@
 	v.gateways.Leave()
 }
 
-// Staleness returns the time since the view was last known to be current.
+// Staleness returns the time since UpToDate was last called.
 func (v *View) Staleness() time.Duration {
 	v.mutex.Lock()
 	defer v.mutex.Unlock()
--- a/internal/cluster/view_test.go
+++ b/internal/cluster/view_test.go
@@ -52,17 +52,17 @@
 	r.workersAtConfiguration = r.workers
 }
 func (r *recorder) WorkersChanged(changes backend.Changes) {
-	r.workers += len(changes.Put) - len(changes.Gone)
+	r.workers += len(changes.Updated) - len(changes.Removed)
 }
 
 func (r *recorder) StoreRestored(int64)                              {}
 func (r *recorder) GatewaysChanged()                                 {}
 func (r *recorder) ControllerChanged(value []byte, _ store.Revision) { r.controller = string(value) }
-func (r *recorder) UsageAgreed([]byte)                               {}
+func (r *recorder) UsageLedgerChanged([]byte)                        {}
 func (r *recorder) BarsListed([]store.Item)                          {}
 func (r *recorder) BarChanged(store.Event)                           {}
 func (r *recorder) Unregistered()                                    { r.unregistered++ }
-func (r *recorder) Confirmed(at time.Time, fleetIsNew bool) {
+func (r *recorder) RegistrationConfirmed(at time.Time, fleetIsNew bool) {
 	r.confirmed, r.fleetIsNew = at, fleetIsNew
 }
 func (r *recorder) Registered() { r.registered++ }
@@ -74,7 +74,7 @@
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	recorded := &recorder{}
-	roster := backend.NewRoster(backend.RosterSettings{FadeTime: 30 * time.Millisecond, OutageMemory: time.Second})
+	roster := backend.NewRoster(backend.RosterSettings{OutageGrace: 30 * time.Millisecond, OutageWindow: time.Second})
 	return NewView(fakeDecoder{}, recorded, member.NewList(member.Gateway{Name: "a"}), roster, ownKey, logger), recorded
 }
 
@@ -83,6 +83,7 @@
 	return store.Event{Item: store.Item{Key: key, Value: []byte(value)}}
 }
 
+// TestStaleConfigurationsAreIgnored guards against replacing the configuration by an older or invalid one.
 func TestStaleConfigurationsAreIgnored(t *testing.T) {
 	view, recorded := newTestView()
 	view.Reset([]store.Item{putEvent("configuration", "333").Item})
@@ -93,6 +94,7 @@
 	}
 }
 
+// TestWorkersFollowRecords guards against workers that are added or removed without a change of their records.
 func TestWorkersFollowRecords(t *testing.T) {
 	view, recorded := newTestView()
 	view.Reset([]store.Item{putEvent("worker/1", "x").Item, putEvent("worker/2", "x").Item})
@@ -102,10 +104,12 @@
 	}
 }
 
+// TestWorkersWithoutRecordsExpireAfterOutage guards against removing all workers when an outage expired their records, and
+// against keeping those that never return.
 func TestWorkersWithoutRecordsExpireAfterOutage(t *testing.T) {
 	view, recorded := newTestView()
 	view.Reset([]store.Item{putEvent("worker/1", "x").Item})
-	view.Lost(errors.New("unavailable"))
+	view.StoreUnavailable(errors.New("unavailable"))
 	view.Reset(nil)
 	workerCount := func() int {
 		view.rosterMutex.Lock()
@@ -121,25 +125,28 @@
 	}
 }
 
-func TestOwnRegistrationAndControllerAreWatched(t *testing.T) {
+// TestOwnRegistrationAndControllerAreReported guards against a deleted registration or controller key that the listener is
+// not told of.
+func TestOwnRegistrationAndControllerAreReported(t *testing.T) {
 	view, recorded := newTestView()
-	view.Reset([]store.Item{putEvent(ownKey, "{}").Item, putEvent(roles.Key, "holder").Item})
+	view.Reset([]store.Item{putEvent(ownKey, "{}").Item, putEvent(roles.ControllerKey, "holder").Item})
 	if recorded.unregistered != 0 || recorded.controller != "holder" {
-		t.Errorf("got %+v", recorded)
+		t.Errorf("after the first list: got %+v", recorded)
 	}
-	view.Apply([]store.Event{{Item: store.Item{Key: ownKey}, Deleted: true}, {Item: store.Item{Key: roles.Key}, Deleted: true}})
+	view.Apply([]store.Event{{Item: store.Item{Key: ownKey}, Deleted: true}, {Item: store.Item{Key: roles.ControllerKey}, Deleted: true}})
 	if recorded.unregistered != 1 || recorded.controller != "" {
-		t.Errorf("got %+v", recorded)
+		t.Errorf("after the deletion: got %+v", recorded)
 	}
 }
 
-// TestPendingRegistrationIsNotReportedMissing guards against every gateway of a starting fleet registering twice.
+// TestPendingRegistrationIsNotReportedMissing guards against reporting a registration as missing before it was first seen,
+// which would make each starting gateway register twice.
 func TestPendingRegistrationIsNotReportedMissing(t *testing.T) {
 	view, recorded := newTestView()
 	own := store.Item{Key: view.ownKey, Value: []byte("{}"), Revision: 5}
 	view.Reset(nil)
 	if recorded.unregistered != 0 {
-		t.Error("a pending registration was reported as gone")
+		t.Error("a pending registration was reported as missing")
 	}
 	view.Apply([]store.Event{{Item: own}})
 	view.Reset([]store.Item{own})
@@ -149,9 +156,8 @@
 	}
 }
 
-// TestRegistrationIsConfirmedWhileListed checks up to which time the registration is confirmed: only for times as of
-// which all changes are known, from when the registration was first seen at its revision, while it is present and the
-// gateway is not leaving.
+// TestRegistrationIsConfirmedWhileListed guards against confirming a registration for a time at which the store may not
+// have held it, or while the gateway is leaving.
 func TestRegistrationIsConfirmedWhileListed(t *testing.T) {
 	view, recorded := newTestView()
 	now := time.Unix(1000, 0)
@@ -159,7 +165,7 @@
 	expect := func(when string, asOf, want time.Time) {
 		t.Helper()
 		recorded.confirmed = time.Time{}
-		view.Current(asOf)
+		view.UpToDate(asOf)
 		if !recorded.confirmed.Equal(want) {
 			t.Errorf("%s: confirmed as of %v, want %v", when, recorded.confirmed, want)
 		}
@@ -177,7 +183,7 @@
 	expect("listed again at the same revision", now.Add(-time.Millisecond), now.Add(-time.Millisecond))
 	view.Apply([]store.Event{own(7)})
 	expect("written again, as of before that", now.Add(-time.Millisecond), time.Time{})
-	view.Lost(errors.New("unavailable"))
+	view.StoreUnavailable(errors.New("unavailable"))
 	advance()
 	expect("while the store is unavailable", now.Add(-time.Second), now.Add(-time.Second))
 	view.Apply([]store.Event{{Item: store.Item{Key: ownKey, Revision: 9}, Deleted: true}})
@@ -192,10 +198,10 @@
 	}
 }
 
-// TestFleetIsNewWithoutControllerHistory checks that a fleet is new if there was no controller history when the store
-// was first listed.
+// TestFleetIsNewWithoutControllerHistory guards against treating a restarted fleet as new, which grants retry credit at
+// once.
 func TestFleetIsNewWithoutControllerHistory(t *testing.T) {
-	history := putEvent(roles.HistoryKey, "{}")
+	history := putEvent(roles.ControllerHistoryKey, "{}")
 	for _, test := range []struct {
 		name     string
 		history  bool
@@ -208,9 +214,9 @@
 		}
 		view.Reset(items)
 		view.Apply([]store.Event{history})
-		view.Current(view.now())
+		view.UpToDate(view.now())
 		if recorded.confirmed.IsZero() || recorded.fleetIsNew != test.expected {
-			t.Errorf("%s: fleet is new: %v", test.name, recorded.fleetIsNew)
+			t.Errorf("%s: fleet is new: %t, want %t", test.name, recorded.fleetIsNew, test.expected)
 		}
 	}
 }
@@ -221,20 +227,20 @@
 	view, _ := newTestView()
 	now := time.Unix(1000, 0)
 	view.now = func() time.Time { return now }
-	view.Current(now)
+	view.UpToDate(now)
 	now = now.Add(4 * time.Second)
-	view.Connected(false)
+	view.StoreAnswered(false)
 	if view.IsFresh(3 * time.Second) {
 		t.Error("a response to a standby gateway made the configuration fresh")
 	}
-	view.Current(now)
+	view.UpToDate(now)
 	if !view.IsFresh(3 * time.Second) {
 		t.Error("changes did not make the configuration fresh")
 	}
 	now = now.Add(4 * time.Second)
-	view.Connected(true)
+	view.StoreAnswered(true)
 	if !view.IsFresh(3 * time.Second) {
-		t.Error("a response to a gateway that follows the store did not make the configuration fresh")
+		t.Error("a response to a gateway that watches the store did not make the configuration fresh")
 	}
 }
 
--- a/internal/demo/changes.go
+++ b/internal/demo/rolechanges.go
@@ -7,15 +7,15 @@
 	"github.com/granitebay/granitebay/internal/decision"
 )
 
-// changes turns the decisions on roles into sentences.
-type changes struct {
+// roleChangeLog collects descriptions of the decisions on worker roles.
+type roleChangeLog struct {
 	mu        sync.Mutex
 	sentences []string
 }
 
-// note takes a decision of any kind.
-func (c *changes) note(record decision.Record) {
-	sentence := sentenceOf(record)
+// record adds a decision; those of other kinds are ignored.
+func (c *roleChangeLog) record(record decision.Record) {
+	sentence := describeRoleDecision(record)
 	if sentence == "" {
 		return
 	}
@@ -24,8 +24,8 @@
 	c.sentences = append(c.sentences, sentence)
 }
 
-// take returns the sentences since the last call.
-func (c *changes) take() []string {
+// drain returns the descriptions added since the last call.
+func (c *roleChangeLog) drain() []string {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	sentences := c.sentences
@@ -33,14 +33,14 @@
 	return sentences
 }
 
-// sentenceOf says what a decision means for the roles; empty if it means nothing.
-func sentenceOf(record decision.Record) string {
+// describeRoleDecision describes a decision on roles; it returns an empty string for other kinds.
+func describeRoleDecision(record decision.Record) string {
 	switch record.Kind {
 	case decision.KindRole:
 		return fmt.Sprintf("%s orders worker %s of group %s to become %s. %s",
 			record.Process, record.Subject, record.Inputs["group"], record.Inputs["role"], record.Reason)
 	case decision.KindAuthority:
-		return fmt.Sprintf("%s gives the orders from now on. %s", record.Process, record.Reason)
+		return fmt.Sprintf("%s now issues the orders. %s", record.Process, record.Reason)
 	default:
 		return ""
 	}
--- a/internal/demo/stream.go
+++ b/internal/demo/stream.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// streamDone is the data of the last event of a whole answer.
+	// streamDone is the data of the final event of a complete answer.
 	streamDone = "[DONE]"
 	// maxEventBytes bounds one line of a stream.
 	maxEventBytes = 1 << 20
@@ -25,9 +25,9 @@
 	} `json:"choices"`
 }
 
-// readStream reads an answer and compares it with the one that belongs to the request.
+// readStream reads a streamed answer and compares it with the expected one.
 func (r *result) readStream(body io.Reader, started time.Time, onFirstToken func(time.Duration)) {
-	check := &answerCheck{expected: expectedAnswer(r.order)}
+	checker := &answerChecker{expected: expectedAnswer(r.request)}
 	lines := bufio.NewScanner(body)
 	lines.Buffer(nil, maxEventBytes)
 	number, event := 0, ""
@@ -40,69 +40,69 @@
 		case string(name) == "event":
 			event = string(data)
 		case string(name) == "data" && event == completions.EventError:
-			r.told = true
-			r.detail = "The stream broke off: " + string(data)
+			r.outcomeReported = true
+			r.detail = "the stream was aborted: " + string(data)
 			return
 		case string(name) != "data":
 		case string(data) == streamDone:
-			r.whole = time.Since(started)
-			r.finish(check)
+			r.latency = time.Since(started)
+			r.finishAnswer(checker)
 			return
 		default:
-			before := check.held
-			r.take(check, number, data)
-			if before == 0 && check.held > 0 && onFirstToken != nil {
+			before := checker.verified
+			r.verifyEvent(checker, number, data)
+			if before == 0 && checker.verified > 0 && onFirstToken != nil {
 				onFirstToken(time.Since(started))
 			}
 		}
 	}
-	r.detail = "The stream ended without a word on the outcome."
+	r.detail = "the stream ended without reporting an outcome"
 	if err := lines.Err(); err != nil {
-		r.detail += " " + err.Error()
+		r.detail += ": " + err.Error()
 	}
 }
 
-// take checks one piece of the answer.
-func (r *result) take(check *answerCheck, number int, data []byte) {
-	if !check.take(number, data) {
+// verifyEvent checks one event and records a mismatch in the result.
+func (r *result) verifyEvent(checker *answerChecker, number int, data []byte) {
+	if !checker.verify(number, data) {
 		r.wrong = true
-		r.detail = check.problem
+		r.detail = checker.problem
 	}
 }
 
-// finish takes the end of a whole answer.
-func (r *result) finish(check *answerCheck) {
+// finishAnswer records the end of a complete answer.
+func (r *result) finishAnswer(checker *answerChecker) {
 	r.outcome = outcomeAnswered
-	r.told = true
-	if !r.wrong && check.held != len(check.expected) {
+	r.outcomeReported = true
+	if !r.wrong && checker.verified != len(checker.expected) {
 		r.wrong = true
-		r.detail = "The answer ended before it was whole."
+		r.detail = "the answer is incomplete"
 	}
 }
 
-// answerCheck compares the pieces of an answer with what they must be.
-type answerCheck struct {
+// answerChecker compares the events of an answer with the expected tokens.
+type answerChecker struct {
 	expected []string
-	// held is the number of tokens that came, all right so far.
-	held    int
-	problem string
+	// verified is the number of correct tokens received so far.
+	verified int
+	problem  string
 }
 
-// take checks one event, by its number in the stream, and tells whether it is right.
-func (a *answerCheck) take(number int, data []byte) bool {
+// verify checks one event, given its number in the stream, and reports whether it is as expected.
+func (a *answerChecker) verify(number int, data []byte) bool {
 	var event completionEvent
 	if err := json.Unmarshal(data, &event); err != nil {
-		a.problem = "An event of the stream cannot be read: " + err.Error()
+		a.problem = "invalid event: " + err.Error()
 		return false
 	}
-	if number != a.held+1 || a.held >= len(a.expected) || len(event.Choices) != 1 {
-		a.problem = "A piece of the answer came out of order or after its end."
+	if number != a.verified+1 || a.verified >= len(a.expected) || len(event.Choices) != 1 {
+		a.problem = "an event arrived out of order or after the end of the answer"
 		return false
 	}
-	if event.Choices[0].Text != a.expected[a.held] {
-		a.problem = "A word of the answer is not the one that belongs there."
+	if event.Choices[0].Text != a.expected[a.verified] {
+		a.problem = "a token differs from the expected answer"
 		return false
 	}
-	a.held++
+	a.verified++
 	return true
 }
--- a/internal/demo/workload_test.go
+++ b/internal/demo/workload_test.go
@@ -14,14 +14,14 @@
 	"github.com/granitebay/granitebay/internal/standin/answers"
 )
 
-func TestWorkloadsFitTheirConfiguration(t *testing.T) {
-	for _, chosen := range deployment.All() {
-		t.Run(chosen.Name, func(t *testing.T) {
-			work, err := workloadOf(chosen.Name)
+func TestWorkloadsMatchConfiguration(t *testing.T) {
+	for _, spec := range deployment.All() {
+		t.Run(spec.Name, func(t *testing.T) {
+			load, err := workloadFor(spec.Name)
 			if err != nil {
 				t.Fatal(err)
 			}
-			document, err := configuration.Example(chosen.Configuration)
+			document, err := configuration.Example(spec.Configuration)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -29,17 +29,17 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			for _, each := range work.classes {
-				labels := map[string]string{"class": each.name, configuration.LabelRepeatable: lo.Ternary(each.once, "false", "true")}
+			for _, each := range load.classes {
+				labels := map[string]string{"class": each.name, configuration.LabelRepeatable: lo.Ternary(each.nonIdempotent, "false", "true")}
 				rule, ok := snapshot.RuleFor(labels)
 				if !ok {
-					t.Errorf("no rule selects class %s", each.name)
+					t.Errorf("no rule matches class %s", each.name)
 				}
 				if longest := rule.Timeout.Std(); each.deadline > longest {
 					t.Errorf("class %s has deadline %s, rule %s allows %s", each.name, each.deadline, rule.Name, longest)
 				}
-				if each.wanted > each.deadline {
-					t.Errorf("class %s is wanted after its deadline", each.name)
+				if each.latencyTarget > each.deadline {
+					t.Errorf("the latency target of class %s exceeds its deadline", each.name)
 				}
 			}
 		})
@@ -48,37 +48,37 @@
 
 func TestMixShiftsWithinTenSeconds(t *testing.T) {
 	for _, name := range deployment.Names() {
-		work, err := workloadOf(name)
+		load, err := workloadFor(name)
 		if err != nil {
 			t.Fatal(err)
 		}
-		before, after := work.rates(0), work.rates(8*time.Second)
+		before, after := load.rates(0), load.rates(8*time.Second)
 		largest := 0.0
-		for index := range work.classes {
+		for index := range load.classes {
 			largest = max(largest, after[index]/lo.Sum(after)-before[index]/lo.Sum(before))
 		}
 		if largest < 0.2 {
-			t.Errorf("%s: no class gains more than %.2f of the requests", name, largest)
+			t.Errorf("%s: the largest gain in share of a class is %.2f, want at least 0.2", name, largest)
 		}
-		for elapsed := time.Duration(0); elapsed < work.period; elapsed += time.Second {
-			if slices.Min(work.rates(elapsed)) < 0 {
-				t.Errorf("%s: a negative rate after %s", name, elapsed)
+		for elapsed := time.Duration(0); elapsed < load.period; elapsed += time.Second {
+			if slices.Min(load.rates(elapsed)) < 0 {
+				t.Errorf("%s: negative rate after %s", name, elapsed)
 			}
 		}
 	}
 }
 
-func TestDrawFollowsTheRates(t *testing.T) {
-	work := fesWorkload()
+func TestPickClassFollowsRates(t *testing.T) {
+	load := fesWorkload()
 	random := rand.New(rand.NewPCG(1, 1))
 	drawn := map[string]int{}
 	const draws = 10000
 	for range draws {
-		kind, _ := work.draw(0, random)
-		drawn[kind.name]++
+		class, _ := load.pickClass(0, random)
+		drawn[class.name]++
 	}
-	rates := work.rates(0)
-	for index, each := range work.classes {
+	rates := load.rates(0)
+	for index, each := range load.classes {
 		want := rates[index] / lo.Sum(rates)
 		if got := float64(drawn[each.name]) / draws; got < want-0.02 || got > want+0.02 {
 			t.Errorf("class %s has share %.3f, want %.3f", each.name, got, want)
@@ -86,18 +86,18 @@
 	}
 }
 
-func TestPromptsOfATenantBeginAlike(t *testing.T) {
+func TestTenantPromptsShareAPrefix(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
-	kind := class{name: "history", promptTokens: 3000, sharedTokens: 600}
-	first, second := prompt(kind, "cafe", random), prompt(kind, "cafe", random)
-	shared := tenantText(kind, "cafe")
+	class := requestClass{name: "history", promptTokens: 3000, sharedTokens: 600}
+	first, second := randomPrompt(class, "cafe", random), randomPrompt(class, "cafe", random)
+	shared := tenantPrefix(class, "cafe")
 	if first == second || !strings.HasPrefix(first, shared+" ") || !strings.HasPrefix(second, shared+" ") {
-		t.Error("prompts of one tenant do not share their beginning alone")
+		t.Error("two prompts of a tenant are equal or do not share the tenant's prefix")
 	}
-	if strings.HasPrefix(prompt(kind, "mill", random), shared) {
-		t.Error("another tenant has the same beginning")
+	if strings.HasPrefix(randomPrompt(class, "mill", random), shared) {
+		t.Error("prompts of different tenants share a prefix")
 	}
 	if got := answers.CountTokens(first); got < 2400 || got > 3600 {
-		t.Errorf("the prompt has %d tokens, want 3000 give or take a fifth", got)
+		t.Errorf("the prompt has %d tokens, want 2400 to 3600", got)
 	}
 }
--- a/internal/forward/attempts_test.go
+++ b/internal/forward/attempts_test.go
@@ -15,20 +15,21 @@
 // fixedBudget grants a fixed number of retries.
 type fixedBudget struct{ left int }
 
-func (c *fixedBudget) spend() bool {
-	if c.left == 0 {
+func (b *fixedBudget) takeRetry() bool {
+	if b.left == 0 {
 		return false
 	}
-	c.left--
+	b.left--
 	return true
 }
 
-// TestAttemptsInvariants checks the invariants of attempts with random failures.
+// TestAttemptsInvariants guards against running a request more often than allowed, and against telling the caller that it did not run when
+// it may have.
 func TestAttemptsInvariants(t *testing.T) {
-	failures := []failure{failureUnreachable, failureRefused, failureMoved, failureSilent, failureBroken, failureError, failureDeadline, failureCallerGone}
+	failures := []failureKind{failureUnreachable, failureRefused, failureMisdirected, failureSilent, failureBroken, failureError, failureDeadline, failureCallerGone}
 	rapid.Check(t, func(t *rapid.T) {
 		rule := &routing.Rule{
-			Kind:        rapid.SampledFrom([]routing.Kind{routing.KindRunOnce, routing.KindRepeatable, routing.KindStream}).Draw(t, "kind"),
+			Kind:        rapid.SampledFrom([]routing.Kind{routing.KindAtMostOnce, routing.KindRepeatable, routing.KindStream}).Draw(t, "kind"),
 			Resumable:   rapid.Bool().Draw(t, "resumable"),
 			MaxAttempts: rapid.IntRange(1, 3).Draw(t, "attempts"),
 		}
@@ -36,46 +37,46 @@
 		retries := &fixedBudget{left: granted}
 		state := attempts{rule: rule}
 		mayHaveRun, reached := 0, 0
-		for try := 0; ; try++ {
-			failed := rapid.SampledFrom(failures).Draw(t, fmt.Sprint("failure ", try))
-			if failed.mayHaveRun() {
+		for attempt := 0; ; attempt++ {
+			failure := rapid.SampledFrom(failures).Draw(t, fmt.Sprint("failure ", attempt))
+			if failure.mayHaveRun() {
 				mayHaveRun++
 			}
-			if failed != failureUnreachable {
+			if failure != failureUnreachable {
 				reached++
 			}
-			state.record(fmt.Sprint(try), failed)
-			decided := state.decide(failed, retries)
+			state.record(fmt.Sprint(attempt), failure)
+			decided := state.decide(failure, retries)
 			if decided == decisionNotRun && mayHaveRun > 0 {
-				t.Fatal("a request that may have run was reported as not run")
+				t.Fatalf("after %v: a request that may have run %d times was reported as not run", failure, mayHaveRun)
 			}
 			if decided != decisionRetry {
 				return
 			}
 			if mayHaveRun > 0 && !rule.Repeatable() {
-				t.Fatal("a request that may run only once was retried")
+				t.Fatalf("after %v: a request that may run only once was retried although it may have run %d times", failure, mayHaveRun)
 			}
 			if mayHaveRun >= rule.MaxAttempts {
-				t.Fatal("the request ran more often than its rule allows")
+				t.Fatalf("after %v: retried although the request may have run %d times, limit %d", failure, mayHaveRun, rule.MaxAttempts)
 			}
 			if used := granted - retries.left; reached > 0 && used == 0 {
-				t.Fatal("the retry was not taken from the budget")
+				t.Fatalf("after %v: the retry was not taken from the budget of %d", failure, granted)
 			}
-			if try >= maxReached+maxUnreachable {
-				t.Fatal("the attempts do not end")
+			if attempt >= maxReachedWorkers+maxUnreachableWorkers {
+				t.Fatalf("after %v: attempt %d was not the last", failure, attempt)
 			}
 		}
 	})
 }
 
-// TestNotRunStatusOfWorkerIsNotForwarded covers workers that respond with a status which would tell the caller that the request did not
-// run, although the worker does not guarantee that.
+// TestNotRunStatusOfWorkerIsNotForwarded guards against forwarding a status that would tell the caller that the request did not run,
+// although the worker does not guarantee that.
 func TestNotRunStatusOfWorkerIsNotForwarded(t *testing.T) {
 	for _, status := range []int{http.StatusServiceUnavailable, http.StatusTooManyRequests, http.StatusRequestTimeout} {
-		workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Answer, error) {
+		workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Response, error) {
 			return wholeResponse(status, "x"), nil
 		}}
-		f := newFixture(t, fixtureOptions{rule: routing.Rule{Kind: routing.KindRunOnce}}, workers)
+		f := newFixture(t, fixtureOptions{rule: routing.Rule{Kind: routing.KindAtMostOnce}}, workers)
 		response, _, err := f.get(t)
 		if err != nil || response.StatusCode != http.StatusBadGateway || len(workers.ranAt) != 1 {
 			t.Errorf("worker status %d: got %v, %v after %d runs", status, response, err, len(workers.ranAt))
--- a/internal/forward/backoff_test.go
+++ b/internal/forward/backoff_test.go
@@ -11,10 +11,11 @@
 	"github.com/granitebay/granitebay/internal/routing"
 )
 
-// backOffWorkers returns workers that refuse all requests and ask for a back-off, until the duration has passed.
+// backOffWorkers returns workers that refuse all requests and ask for a back-off, until the duration has passed. The fixture is passed by
+// reference because it is created after its workers.
 func backOffWorkers(f **fixture, backOff, duration time.Duration) *fakeWorkers {
 	start := time.Now()
-	return &fakeWorkers{run: func(_ context.Context, _ int, worker *backend.Worker, _ RunOptions) (*Answer, error) {
+	return &fakeWorkers{run: func(_ context.Context, _ int, worker *backend.Worker, _ RunOptions) (*Response, error) {
 		if time.Since(start) < duration {
 			(*f).handler.dispatcher.BackOff(worker.ID, backOff)
 			return nil, refusalError
@@ -23,8 +24,9 @@
 	}}
 }
 
-// TestRequestIsRefusedWhileAllWorkersBackOff checks that the Retry-After time is when the first worker accepts requests again.
-func TestRequestIsRefusedWhileAllWorkersBackOff(t *testing.T) {
+// TestRetryAfterIsEndOfFirstBackOff guards against sending requests to workers that back off, and against a Retry-After time that is not
+// the end of the first back-off.
+func TestRetryAfterIsEndOfFirstBackOff(t *testing.T) {
 	for _, engine := range []bool{false, true} {
 		var f *fixture
 		rule := routing.Rule{Kind: routing.KindRepeatable, MaxAttempts: 2, Objective: 300 * time.Millisecond}
@@ -45,7 +47,7 @@
 	}
 }
 
-// TestRequestWaitsForShortBackOff checks that a request waits if a worker accepts it within its objective.
+// TestRequestWaitsForShortBackOff guards against refusing a request although a worker's back-off ends well within its objective.
 func TestRequestWaitsForShortBackOff(t *testing.T) {
 	var f *fixture
 	rule := routing.Rule{Kind: routing.KindRepeatable, MaxAttempts: 2, Objective: time.Second}
@@ -57,11 +59,12 @@
 	}
 }
 
-// TestOtherWorkersServeDuringBackOff checks that one request is retried at another worker and that later ones avoid the first worker.
+// TestOtherWorkersServeDuringBackOff guards against failing a request because of one worker that backs off, and against sending that worker
+// later requests.
 func TestOtherWorkersServeDuringBackOff(t *testing.T) {
 	var f *fixture
 	first := ""
-	workers := &fakeWorkers{run: func(_ context.Context, _ int, worker *backend.Worker, _ RunOptions) (*Answer, error) {
+	workers := &fakeWorkers{run: func(_ context.Context, _ int, worker *backend.Worker, _ RunOptions) (*Response, error) {
 		if first == "" || first == worker.ID {
 			first = worker.ID
 			f.handler.dispatcher.BackOff(worker.ID, time.Minute)
@@ -72,7 +75,7 @@
 	f = newFixture(t, fixtureOptions{rule: routing.Rule{Kind: routing.KindRepeatable, MaxAttempts: 2}, allowance: 10}, workers)
 	for range 20 {
 		if response, _, err := f.get(t); err != nil || response.StatusCode != http.StatusOK {
-			t.Fatalf("got %v, %v", response, err)
+			t.Fatalf("got %v, %v, want status %d", response, err, http.StatusOK)
 		}
 	}
 	if len(workers.ranAt) != 21 {
--- a/internal/forward/enginestate.go
+++ b/internal/forward/enginestate.go
@@ -6,53 +6,54 @@
 
 	"github.com/cockroachdb/errors"
 
-	"github.com/granitebay/granitebay/internal/absence"
 	"github.com/granitebay/granitebay/internal/backend"
 	"github.com/granitebay/granitebay/internal/balance"
+	"github.com/granitebay/granitebay/internal/enginehealth"
 	"github.com/granitebay/granitebay/internal/httpclient"
-	"github.com/granitebay/granitebay/internal/loadshare"
+	"github.com/granitebay/granitebay/internal/peersync"
 	"github.com/granitebay/granitebay/internal/routing"
 )
 
-// engineState is what this gateway knows of engines beyond their records in the store: which have ended, and which have changed their roles
+// engineState is what this gateway knows of engines beyond their records in the store: which are down, and which have changed their roles
 // or are about to. It is guarded by the mutex of the dispatcher.
 type engineState struct {
-	absences *absence.Table
-	// pendingRoles are role changes in progress, ordered by any gateway. reportedRoles are roles that engines reported but that their
-	// records do not show yet.
+	engineHealth *enginehealth.Table
+	// pendingRoles are role changes that a gateway has ordered and that are not complete, by engine id. reportedRoles are roles that engines
+	// reported but that their records do not show yet.
 	pendingRoles, reportedRoles map[string]roleChange
-	returns                     []absence.Return
+	// reregistered are the engines that registered again since the last call of TakeReturned.
+	reregistered []enginehealth.Return
 	// recovered is closed and replaced when an engine accepts requests again.
 	recovered chan struct{}
 	// lossCache caches the lost role of each group, because computing it iterates over all engines of the group.
 	lossCache map[string]cachedLoss
-	// hadDecoders are the groups in which a decode engine has been seen. Before that, a role is not considered lost, since the records may
-	// not have arrived yet.
+	// hadDecoders are the groups in which a decode engine has been seen. Until then, the decode role of a group is not considered lost,
+	// since the records may not have arrived yet.
 	hadDecoders map[string]bool
-	// onChange signals that engines should be queried or that the state has changed; nil if nobody is notified.
+	// onChange is called when an engine has to be queried or the state of an engine has changed; may be nil.
 	onChange func()
 }
 
 // newEngineState returns an empty state.
 func newEngineState() *engineState {
 	return &engineState{
-		absences: absence.New(absence.DefaultSettings()), pendingRoles: map[string]roleChange{}, reportedRoles: map[string]roleChange{},
+		engineHealth: enginehealth.New(enginehealth.DefaultSettings()), pendingRoles: map[string]roleChange{}, reportedRoles: map[string]roleChange{},
 		recovered: make(chan struct{}), lossCache: map[string]cachedLoss{}, hadDecoders: map[string]bool{},
 	}
 }
 
-// reportedRoleRecheck is how long after an engine reported its role it is queried again if its record does not show that role. Records lag
-// by some heartbeats, and are not updated while the store is unavailable.
+// reportedRoleRecheck is the time after which an engine whose record does not show its reported role is queried again. Records lag by some
+// heartbeats, and are not updated while the store is unavailable.
 const reportedRoleRecheck = 10 * time.Second
 
 // cachedLoss is a lost role with the time at which it was computed.
 type cachedLoss struct {
 	at   time.Time
-	loss Loss
+	loss RoleLoss
 }
 
-// availabilityCacheTime is how long losses and saturation are cached unless an update invalidates them.
-const availabilityCacheTime = 10 * time.Millisecond
+// availabilityCacheTTL is the lifetime of entries of lossCache and of the saturation cache.
+const availabilityCacheTTL = 10 * time.Millisecond
 
 // recordDecoders marks the groups of decode engines.
 func (e *engineState) recordDecoders(workers []*backend.Worker) {
@@ -81,21 +82,21 @@
 }
 
 // applyReportedRoles returns the updated workers with the roles that they reported but that their records do not show yet. It also drops
-// the state of removed workers.
-func (e *engineState) applyReportedRoles(now time.Time, put []*backend.Worker, removed []string) []*backend.Worker {
+// reported and pending roles that are out of date, and those of removed workers.
+func (e *engineState) applyReportedRoles(now time.Time, updated []*backend.Worker, removed []string) []*backend.Worker {
 	for _, id := range removed {
 		delete(e.pendingRoles, id)
 		delete(e.reportedRoles, id)
 	}
-	updated := put
-	for i, worker := range put {
+	result := updated
+	for i, worker := range updated {
 		reported, isReported := e.reportedRoles[worker.ID]
 		switch {
 		case isReported && reported.role != worker.Role:
-			if len(updated) > 0 && &updated[0] == &put[0] {
-				updated = slices.Clone(put)
+			if len(result) > 0 && &result[0] == &updated[0] {
+				result = slices.Clone(updated)
 			}
-			updated[i] = withRole(worker, reported.role)
+			result[i] = withRole(worker, reported.role)
 		case isReported:
 			delete(e.reportedRoles, worker.ID)
 		}
@@ -103,7 +104,7 @@
 			delete(e.pendingRoles, worker.ID)
 		}
 	}
-	return updated
+	return result
 }
 
 // expirePendingRoles drops role changes that took too long.
@@ -122,31 +123,31 @@
 	return &changed
 }
 
-// WatchEngines sets a callback that signals that engines should be queried or that their state has changed. It must not block.
-func (d *Dispatcher) WatchEngines(onChange func()) {
+// OnEngineChange sets the callback for engines that have to be queried and for changes of engine state. It must not block.
+func (d *Dispatcher) OnEngineChange(onChange func()) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.engineState.onChange = onChange
 }
 
-// Question is an engine that should be queried.
-type Question struct {
+// EngineQuery is an engine that should be queried.
+type EngineQuery struct {
 	Worker *backend.Worker
-	// Absent is set if the engine is assumed to have ended, and Confirmed if this gateway observed that itself. Other engines are changing
-	// their role.
+	// Absent is set if the engine is considered down, and Confirmed if this gateway observed that itself. If Absent is not set, the role of
+	// the engine is uncertain.
 	Absent, Confirmed bool
 }
 
-// Questions returns the engines to query: those that have ended, those that should have completed a role change, and those whose records do
-// not show their reported roles.
-func (d *Dispatcher) Questions() []Question {
+// EnginesToQuery returns the engines to query: those that are down, those that should have completed a role change, and those whose records
+// do not show their reported roles.
+func (d *Dispatcher) EnginesToQuery() []EngineQuery {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	now := d.now()
-	var questions []Question
-	for _, worker := range d.engineState.absences.Engines() {
-		_, confirmed := d.engineState.absences.Absent(now, worker.ID)
-		questions = append(questions, Question{Worker: worker, Absent: true, Confirmed: confirmed})
+	var queries []EngineQuery
+	for _, worker := range d.engineState.engineHealth.Engines() {
+		_, confirmed := d.engineState.engineHealth.Absent(now, worker.ID)
+		queries = append(queries, EngineQuery{Worker: worker, Absent: true, Confirmed: confirmed})
 	}
 	for id, change := range d.engineState.pendingRoles {
 		worker, found := d.balancer.Worker(id)
@@ -155,34 +156,34 @@
 			continue
 		}
 		if !now.Before(change.readyAt) {
-			questions = append(questions, Question{Worker: worker})
+			queries = append(queries, EngineQuery{Worker: worker})
 		}
 	}
 	for id, reported := range d.engineState.reportedRoles {
 		if worker, found := d.balancer.Worker(id); found && !now.Before(reported.expiresAt) {
-			questions = append(questions, Question{Worker: worker})
+			queries = append(queries, EngineQuery{Worker: worker})
 		}
 	}
-	return questions
+	return queries
 }
 
-// EngineRefuses records that an engine's address refused a connection of this gateway, which means that its process has ended.
-func (d *Dispatcher) EngineRefuses(id string) {
+// RecordRefused records that an engine's address refused a connection of this gateway, which means that its process has ended.
+func (d *Dispatcher) RecordRefused(id string) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.recordRefused(id, true)
 }
 
-// recordRefused records that an engine's address refused a connection. Firsthand observations are sent to the other gateways. The mutex is
-// held.
+// recordRefused records that an engine's address refused a connection. If firsthand, this gateway observed that itself and sends it to the
+// others. The mutex is held.
 func (d *Dispatcher) recordRefused(id string, firsthand bool) {
 	worker, found := d.balancer.Worker(id)
 	if !found || worker.Role == backend.RoleNone {
 		return
 	}
 	now := d.now()
-	isNew := d.engineState.absences.Refused(now, worker, firsthand)
-	d.balancer.SetGone(now, id, d.engineState.absences.Until(id))
+	isNew := d.engineState.engineHealth.Refused(now, worker, firsthand)
+	d.balancer.SetUnreachable(now, id, d.engineState.engineHealth.Until(id))
 	if firsthand && d.peers.notify != nil && len(d.peers.refused) < maxPendingNotices {
 		d.peers.refused = append(d.peers.refused, id)
 		d.peers.notify(isNew)
@@ -192,36 +193,37 @@
 	}
 }
 
-// EngineAnswers records the response of an engine: it is up, and has the role unless it is still changing.
-func (d *Dispatcher) EngineAnswers(id string, role backend.Role, changing bool) {
+// RecordResponse records that an engine responded to a query and is up. Unless changing is set, role is its current role.
+func (d *Dispatcher) RecordResponse(id string, role backend.Role, changing bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	worker, found := d.balancer.Worker(id)
 	if !found {
 		return
 	}
-	if d.markAlive(worker) && d.peers.notify != nil && len(d.peers.answering) < maxPendingNotices {
-		d.peers.answering = append(d.peers.answering, id)
+	if d.markAlive(worker) && d.peers.notify != nil && len(d.peers.recovered) < maxPendingNotices {
+		d.peers.recovered = append(d.peers.recovered, id)
 		d.peers.notify(true)
 	}
 	_, isReported := d.engineState.reportedRoles[id]
+	// Roles that agree with the record, and roles that no gateway ordered, are ignored.
 	if changing || (!isReported && (role == worker.Role || d.engineState.pendingRoles[id].role != role)) {
 		return
 	}
 	d.acceptReportedRole(worker, role)
 	if d.peers.notify != nil && len(d.peers.newRoles) < maxPendingNotices {
-		d.peers.newRoles = append(d.peers.newRoles, loadshare.Changed{Worker: id, Role: string(role)})
+		d.peers.newRoles = append(d.peers.newRoles, peersync.RoleReport{Worker: id, Role: string(role)})
 		d.peers.notify(true)
 	}
 }
 
-// markAlive clears the assumption that an engine has ended, and reports whether there was one. The mutex is held.
+// markAlive marks an engine as up, and reports whether it was considered down. The mutex is held.
 func (d *Dispatcher) markAlive(worker *backend.Worker) bool {
 	now := d.now()
-	if !d.engineState.absences.Answers(now, worker) {
+	if !d.engineState.engineHealth.Responded(now, worker) {
 		return false
 	}
-	d.balancer.SetGone(now, worker.ID, time.Time{})
+	d.balancer.SetUnreachable(now, worker.ID, time.Time{})
 	d.engineState.signalRecovered()
 	d.engineState.notifyChange()
 	return true
@@ -244,28 +246,28 @@
 }
 
 // applyPeerEngines applies the engine state that another gateway sent. The mutex is held.
-func (d *Dispatcher) applyPeerEngines(message *loadshare.Message) {
+func (d *Dispatcher) applyPeerEngines(message *peersync.Message) {
 	now := d.now()
 	for _, id := range message.Refused {
 		d.recordRefused(id, false)
 	}
-	for _, id := range message.Answering {
+	for _, id := range message.Recovered {
 		if worker, found := d.balancer.Worker(id); found {
 			d.markAlive(worker)
 		}
 	}
-	for _, changed := range message.Changed {
+	for _, changed := range message.RoleReports {
 		if worker, found := d.balancer.Worker(changed.Worker); found {
 			d.acceptReportedRole(worker, backend.Role(changed.Role))
 		}
 	}
-	for _, changing := range message.Changing {
+	for _, changing := range message.RoleChanges {
 		worker, found := d.balancer.Worker(changing.Worker)
 		if !found || worker.Role == backend.Role(changing.Role) {
 			continue
 		}
 		until := now.Add(time.Duration(changing.ForMs) * time.Millisecond)
-		d.balancer.SetChanging(worker.ID, until)
+		d.balancer.SetRoleChange(worker.ID, until)
 		if before, known := d.engineState.pendingRoles[worker.ID]; known && before.role == backend.Role(changing.Role) {
 			until = laterOf(until, before.expiresAt)
 		} else {
@@ -285,51 +287,52 @@
 	return b
 }
 
-// Returned returns the engines that registered again since the last call.
-func (d *Dispatcher) Returned() []absence.Return {
+// TakeReturned returns the engines that registered again since the last call.
+func (d *Dispatcher) TakeReturned() []enginehealth.Return {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	returned := d.engineState.returns
-	d.engineState.returns = nil
+	returned := d.engineState.reregistered
+	d.engineState.reregistered = nil
 	return returned
 }
 
-// recordIfRefused records that a worker has ended if the error is a refused connection.
+// recordIfRefused records that an engine is down if the error is a refused connection.
 func (d *Dispatcher) recordIfRefused(worker *backend.Worker, err error) {
 	var transport *httpclient.Error
 	if worker.Role != backend.RoleNone && errors.As(err, &transport) && transport.Refused() {
-		d.EngineRefuses(worker.ID)
+		d.RecordRefused(worker.ID)
 	}
 }
 
-// Loss describes a group that has engines but none that can decode.
-type Loss struct {
-	// Lost decode engines have ended, Changing engines are becoming decode engines, and Readers are prefill engines that are up.
-	Lost, Changing, Readers int
+// RoleLoss describes a group that has engines but none that can decode.
+type RoleLoss struct {
+	// LostDecoders is the number of decode engines that are down, Changing the number of engines that are becoming decode engines, and
+	// PrefillEngines the number of prefill engines that are up.
+	LostDecoders, Changing, PrefillEngines int
 	// Since is when the last decode engine is known to have ended; zero if its record was removed.
 	Since time.Time
-	// Back is when an engine is expected to decode again.
-	Back time.Time
+	// ExpectedAt is when an engine is expected to decode again.
+	ExpectedAt time.Time
 	// Recovered is closed once an engine accepts requests again.
 	Recovered <-chan struct{}
 }
 
-// roleOrderTime is the expected time until a role change is ordered that restores a lost role: the ordering gateway is notified, queries
-// the engines itself and runs its controller.
+// roleOrderTime is the expected time from the loss of a role until a role change is ordered that restores it: the leader has to learn of
+// the loss, query the engines itself and run its role controller.
 const roleOrderTime = 500 * time.Millisecond
 
 // RoleLoss reports whether a group has engines but none that can decode.
-func (d *Dispatcher) RoleLoss(group *routing.Group) (Loss, bool) {
+func (d *Dispatcher) RoleLoss(group *routing.Group) (RoleLoss, bool) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return d.roleLoss(group.Name, group.Engine)
 }
 
 // Losses returns the groups that have no engine that can decode.
-func (d *Dispatcher) Losses() map[string]Loss {
+func (d *Dispatcher) Losses() map[string]RoleLoss {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	losses := map[string]Loss{}
+	losses := map[string]RoleLoss{}
 	for name, engine := range d.engineGroups {
 		if loss, lost := d.roleLoss(name, engine); lost {
 			losses[name] = loss
@@ -339,65 +342,65 @@
 }
 
 // roleLoss is RoleLoss with the mutex held.
-func (d *Dispatcher) roleLoss(group string, engine *routing.Engine) (Loss, bool) {
+func (d *Dispatcher) roleLoss(group string, engine *routing.Engine) (RoleLoss, bool) {
 	if engine == nil || !d.engineState.hadDecoders[group] {
-		return Loss{}, false
+		return RoleLoss{}, false
 	}
 	now := d.now()
-	if cached, isCached := d.engineState.lossCache[group]; isCached && now.Sub(cached.at) < availabilityCacheTime {
+	if cached, isCached := d.engineState.lossCache[group]; isCached && now.Sub(cached.at) < availabilityCacheTTL {
 		return cached.loss, true
 	}
-	loss := Loss{Recovered: d.engineState.recovered}
+	loss := RoleLoss{Recovered: d.engineState.recovered}
 	var changeDone, returnsAt time.Time
 	for worker := range d.balancer.OfGroup(group) {
-		absent, _ := d.engineState.absences.Absent(now, worker.ID)
+		absent, _ := d.engineState.engineHealth.Absent(now, worker.ID)
 		change, isPending := d.engineState.pendingRoles[worker.ID]
 		switch {
 		case worker.Draining:
 		case worker.Role == backend.RoleDecode && absent:
-			loss.Lost++
-			loss.Since = laterOf(loss.Since, d.engineState.absences.Since(worker.ID))
-			at, _ := d.engineState.absences.BackAt(worker.ID)
+			loss.LostDecoders++
+			loss.Since = laterOf(loss.Since, d.engineState.engineHealth.Since(worker.ID))
+			at, _ := d.engineState.engineHealth.ExpectedReturn(worker.ID)
 			returnsAt = earliestSet(returnsAt, at)
 		case worker.Role == backend.RoleDecode && !isPending:
-			return Loss{}, false
+			return RoleLoss{}, false
 		case absent:
 		case isPending && change.role == backend.RoleDecode:
 			loss.Changing++
 			changeDone = earliestSet(changeDone, change.readyAt)
 		case worker.Role == backend.RolePrefill:
-			loss.Readers++
+			loss.PrefillEngines++
 		}
 	}
-	if loss.Lost+loss.Changing+loss.Readers == 0 {
-		return Loss{}, false
+	if loss.LostDecoders+loss.Changing+loss.PrefillEngines == 0 {
+		return RoleLoss{}, false
 	}
-	loss.Back = d.expectedRecovery(now, &loss, engine, changeDone, returnsAt)
+	loss.ExpectedAt = d.expectedRecovery(now, &loss, engine, changeDone, returnsAt)
 	d.engineState.lossCache[group] = cachedLoss{at: now, loss: loss}
 	return loss, true
 }
 
 // expectedRecovery returns when an engine is expected to decode again: when a pending or expected role change completes, or when an engine
-// that ended is back. If that time has passed, the delay is assumed to double.
-func (d *Dispatcher) expectedRecovery(now time.Time, loss *Loss, engine *routing.Engine, changeDone, returnsAt time.Time) time.Time {
+// that is down returns. If that time has passed, recovery is expected to take as long again as it is late by now, within bounds.
+func (d *Dispatcher) expectedRecovery(now time.Time, loss *RoleLoss, engine *routing.Engine, changeDone, returnsAt time.Time) time.Time {
 	changeOrdered := loss.Since.Add(roleOrderTime)
-	if changeDone.IsZero() && loss.Readers > 1 && !loss.Since.IsZero() && now.Before(changeOrdered) {
-		changeDone = changeOrdered.Add(engine.RoleChange)
+	if changeDone.IsZero() && loss.PrefillEngines > 1 && !loss.Since.IsZero() && now.Before(changeOrdered) {
+		changeDone = changeOrdered.Add(engine.RoleChangeTime)
 	}
 	expected := earliestSet(changeDone, returnsAt)
 	switch {
 	case expected.IsZero():
-		return now.Add(roleOrderTime + engine.RoleChange)
+		return now.Add(roleOrderTime + engine.RoleChangeTime)
 	case now.After(expected):
-		return now.Add(min(max(now.Sub(expected), AskEngineEvery), engine.RoleChange+roleOrderTime))
+		return now.Add(min(max(now.Sub(expected), EngineQueryInterval), engine.RoleChangeTime+roleOrderTime))
 	default:
 		return expected
 	}
 }
 
-// AskEngineEvery is how often engines are queried that have ended or should have completed a role change. It is also the minimum remaining
-// time assumed for one that is late.
-const AskEngineEvery = 100 * time.Millisecond
+// EngineQueryInterval is how often engines are queried that are down or should have completed a role change. It is also the minimum
+// remaining time assumed for a recovery that is late.
+const EngineQueryInterval = 100 * time.Millisecond
 
 // earliestSet returns the earlier of two times, ignoring zero times.
 func earliestSet(a, b time.Time) time.Time {
--- a/internal/forward/fleet_load_test.go
+++ b/internal/forward/fleet_load_test.go
@@ -14,8 +14,8 @@
 	"github.com/granitebay/granitebay/internal/routing"
 )
 
-// Parameters of the simulated load of long prompts of a whole fleet. Prompts consist of a shared document and a part of their own; lengths
-// are in tokens.
+// Parameters of the simulated load of long prompts on a whole fleet. Prompts consist of a shared document and a part of their own; lengths
+// are in tokens. Prefilling takes 1/tokensPerMs for each token, and attentionMsPerMillionPairs for a million pairs of tokens.
 const (
 	longPromptsPerSecond       = 140.0
 	documentCount              = 1060
@@ -28,20 +28,20 @@
 	attentionMsPerMillionPairs = 0.324
 )
 
-// simEvent is a scheduled event of a simulation.
-type simEvent struct {
+// scheduledEvent is an event of a simulation.
+type scheduledEvent struct {
 	at  time.Time
 	run func()
 }
 
-// simEventQueue is a heap of events ordered by time.
-type simEventQueue []simEvent
+// scheduledEventQueue is a heap of events ordered by time.
+type scheduledEventQueue []scheduledEvent
 
-func (q simEventQueue) Len() int           { return len(q) }
-func (q simEventQueue) Less(i, j int) bool { return q[i].at.Before(q[j].at) }
-func (q simEventQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
-func (q *simEventQueue) Push(event any)    { *q = append(*q, event.(simEvent)) }
-func (q *simEventQueue) Pop() any {
+func (q scheduledEventQueue) Len() int           { return len(q) }
+func (q scheduledEventQueue) Less(i, j int) bool { return q[i].at.Before(q[j].at) }
+func (q scheduledEventQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
+func (q *scheduledEventQueue) Push(event any)    { *q = append(*q, event.(scheduledEvent)) }
+func (q *scheduledEventQueue) Pop() any {
 	last := (*q)[len(*q)-1]
 	*q = (*q)[:len(*q)-1]
 	return last
@@ -50,11 +50,11 @@
 // loadSimulation simulates gateways that exchange updates.
 type loadSimulation struct {
 	now      time.Time
-	events   simEventQueue
+	events   scheduledEventQueue
 	random   *rand.Rand
 	gateways []*Dispatcher
 	group    *routing.Group
-	// busyUntil is when an engine has prefilled all its prompts, and cached the documents in its cache.
+	// busyUntil is when an engine has prefilled its queue, by engine id. cached holds the documents cached by each engine.
 	busyUntil map[string]time.Time
 	cached    map[string]map[string]bool
 	// everCached are the documents that were cached by any engine.
@@ -66,10 +66,10 @@
 
 // schedule adds an event.
 func (s *loadSimulation) schedule(delay time.Duration, run func()) {
-	heap.Push(&s.events, simEvent{s.now.Add(delay), run})
+	heap.Push(&s.events, scheduledEvent{s.now.Add(delay), run})
 }
 
-// drawTokens draws a length.
+// drawTokens draws a log-normally distributed length with the given mean, at most limit.
 func (s *loadSimulation) drawTokens(mean, spread, limit float64) int {
 	return int(min(mean*math.Exp(spread*s.random.NormFloat64()-spread*spread/2), limit))
 }
@@ -80,11 +80,11 @@
 	own := s.drawTokens(meanOwnTokens, 1.1, 53_200)
 	id := fmt.Sprint("document-", document)
 	request := &Request{ID: fmt.Sprint("r", number), Demand: backend.Demand{
-		PromptTokens: shared[document] + own, Parts: []backend.Part{{ID: id, Tokens: shared[document]}, {ID: fmt.Sprint("own", number), Tokens: own}},
+		PromptTokens: shared[document] + own, Segments: []backend.Segment{{ID: id, Tokens: shared[document]}, {ID: fmt.Sprint("own", number), Tokens: own}},
 	}}
 	gateway := s.gateways[s.random.IntN(len(s.gateways))]
 	arrived := s.now
-	placement, found := gateway.Place(request, s.group, PlaceOptions{Objective: longObjective, Left: longObjective})
+	placement, found := gateway.Place(request, s.group, PlaceOptions{Objective: longObjective, Remaining: longObjective})
 	if !found {
 		return
 	}
@@ -120,7 +120,7 @@
 		gateway.RecordPrefilled(worker, request)
 		runner := placement.Runner
 		if placement.Prefill != nil {
-			placement.Prefill.prefilled()
+			placement.Prefill.responseStarted()
 			placement.Prefill.finish(balance.OutcomeGood)
 			runner, _ = gateway.PlaceRunner(request, s.group, nil, placement.Prefill)
 		}
@@ -136,8 +136,8 @@
 // exchange delivers pending updates to the other gateways after a delay.
 func (s *loadSimulation) exchange() {
 	for i, gateway := range s.gateways {
-		message := gateway.Drain(false)
-		if len(message.Loads) == 0 && len(message.Kept) == 0 {
+		message := gateway.TakeUpdate(false)
+		if len(message.Loads) == 0 && len(message.CachedSegments) == 0 {
 			continue
 		}
 		s.sequence++
@@ -145,29 +145,29 @@
 		s.schedule(peerDelay, func() {
 			for j, other := range s.gateways {
 				if i != j {
-					other.Hear(&message)
+					other.ApplyUpdate(&message)
 				}
 			}
 		})
 	}
 }
 
-// TestLongPromptsReuseCachedDocuments simulates twelve seconds of load on ten thousand engines and checks that cached documents are rarely
-// prefilled again.
+// TestLongPromptsReuseCachedDocuments guards against prefilling documents again that other engines have cached, on ten thousand engines
+// under load.
 func TestLongPromptsReuseCachedDocuments(t *testing.T) {
 	random := rand.New(rand.NewPCG(3, 5))
 	s := &loadSimulation{
 		now: time.Unix(1000, 0), random: random, busyUntil: map[string]time.Time{}, cached: map[string]map[string]bool{}, everCached: map[string]bool{},
-		group: &routing.Group{Name: "g", Engine: &routing.Engine{MemoryTokens: 417_523, BytesPerToken: 163_840, LinkMbps: 1_500_000}},
+		group: &routing.Group{Name: "g", Engine: &routing.Engine{KVCacheTokens: 417_523, BytesPerToken: 163_840, LinkMbps: 1_500_000}},
 	}
 	set := fleetOf(10_000)
-	for zone := range gatewayCount {
+	for i := range gatewayCount {
 		settings := DefaultDispatchSettings()
-		settings.Zone = fmt.Sprint("zone-", zone%6)
+		settings.Zone = fmt.Sprint("zone-", i%6)
 		gateway := NewDispatcher(settings, func() time.Time { return s.now })
 		gateway.SetGroups([]routing.Group{*s.group})
 		gateway.SetWorkers(set)
-		gateway.ShareWith(func(bool) {})
+		gateway.NotifyUpdates(func(bool) {})
 		s.gateways = append(s.gateways, gateway)
 	}
 	shared := make([]int, documentCount)
@@ -182,7 +182,7 @@
 	}
 	arriveNext(0)
 	for s.now.Before(end) {
-		event := heap.Pop(&s.events).(simEvent)
+		event := heap.Pop(&s.events).(scheduledEvent)
 		s.now = event.at
 		event.run()
 	}
--- a/internal/forward/forward_test.go
+++ b/internal/forward/forward_test.go
@@ -19,15 +19,16 @@
 	"github.com/granitebay/granitebay/internal/routing"
 )
 
+// plainProtocol copies the request line and uses a fixed id.
+type plainProtocol struct{ demand backend.Demand }
+
 // Key implements Protocol.
 func (plainProtocol) Key(incoming *http.Request) string { return incoming.Header.Get("Key") }
 
 // Complete implements Protocol.
 func (plainProtocol) Complete(*Request) error { return nil }
 
-// plainProtocol copies the request line and uses a fixed id.
-type plainProtocol struct{ demand backend.Demand }
-
+// Read implements Protocol.
 func (p plainProtocol) Read(incoming *http.Request) (*Request, error) {
 	return &Request{
 		ID: "r1", Method: incoming.Method, Target: incoming.RequestURI, Header: http.Header{}, Demand: p.demand,
@@ -35,10 +36,10 @@
 	}, nil
 }
 
-// fakeWorkers responds by calling functions and records its calls.
+// fakeWorkers implements Workers with functions and records the calls.
 type fakeWorkers struct {
-	run     func(ctx context.Context, number int, worker *backend.Worker, options RunOptions) (*Answer, error)
-	prefill func(ctx context.Context, number int, worker *backend.Worker) (*Prompt, error)
+	run     func(ctx context.Context, number int, worker *backend.Worker, options RunOptions) (*Response, error)
+	prefill func(ctx context.Context, number int, worker *backend.Worker) (*PrefilledPrompt, error)
 
 	// onRun is called for each run; may be nil.
 	onRun func(request *Request)
@@ -46,12 +47,12 @@
 	mutex          sync.Mutex
 	runOptions     []RunOptions
 	ranAt          []string
-	prefillOptions []ReadOptions
+	prefillOptions []PrefillOptions
 	prefilledAt    []string
 	released       []string
 }
 
-func (f *fakeWorkers) Run(ctx context.Context, worker *backend.Worker, request *Request, options RunOptions) (*Answer, error) {
+func (f *fakeWorkers) Run(ctx context.Context, worker *backend.Worker, request *Request, options RunOptions) (*Response, error) {
 	if f.onRun != nil {
 		f.onRun(request)
 	}
@@ -63,7 +64,7 @@
 	return f.run(ctx, number, worker, options)
 }
 
-func (f *fakeWorkers) ReadPrompt(ctx context.Context, worker *backend.Worker, _ *Request, options ReadOptions) (*Prompt, error) {
+func (f *fakeWorkers) Prefill(ctx context.Context, worker *backend.Worker, _ *Request, options PrefillOptions) (*PrefilledPrompt, error) {
 	f.mutex.Lock()
 	f.prefilledAt = append(f.prefilledAt, worker.ID)
 	f.prefillOptions = append(f.prefillOptions, options)
@@ -72,24 +73,24 @@
 	if f.prefill != nil {
 		return f.prefill(ctx, number, worker)
 	}
-	return &Prompt{Reader: worker, Handle: fmt.Sprint("h", number)}, nil
+	return &PrefilledPrompt{Engine: worker, Handle: fmt.Sprint("h", number)}, nil
 }
 
-func (f *fakeWorkers) ReleasePrompt(_ context.Context, prompt *Prompt) {
+func (f *fakeWorkers) ReleasePrompt(_ context.Context, prompt *PrefilledPrompt) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
 	f.released = append(f.released, prompt.Handle)
 }
 
 // wholeResponse returns a complete response.
-func wholeResponse(status int, body string) *Answer {
-	return &Answer{Status: status, Header: http.Header{}, ContentLength: int64(len(body)), Body: io.NopCloser(strings.NewReader(body))}
+func wholeResponse(status int, body string) *Response {
+	return &Response{Status: status, Header: http.Header{}, ContentLength: int64(len(body)), Body: io.NopCloser(strings.NewReader(body))}
 }
 
 // truncatedResponse returns a response that is cut off after the body.
-func truncatedResponse(body string) *Answer {
+func truncatedResponse(body string) *Response {
 	reader := io.MultiReader(strings.NewReader(body), failingReader{})
-	return &Answer{Status: http.StatusOK, Header: http.Header{}, ContentLength: -1, Body: io.NopCloser(reader)}
+	return &Response{Status: http.StatusOK, Header: http.Header{}, ContentLength: -1, Body: io.NopCloser(reader)}
 }
 
 // failingReader fails like a connection that was reset.
@@ -100,7 +101,7 @@
 }
 
 // awaitCancel blocks until the context ends.
-func awaitCancel(ctx context.Context) (*Answer, error) {
+func awaitCancel(ctx context.Context) (*Response, error) {
 	<-ctx.Done()
 	return nil, &httpclient.Error{Step: httpclient.StepAwait, Peer: "w", Cause: context.Cause(ctx)}
 }
@@ -159,7 +160,7 @@
 		t.Fatal(err)
 	}
 	settings := DefaultDispatchSettings()
-	// Half of the allowance can be kept.
+	// A budget stores at most half of its allowance; double it so that options.allowance retries are available.
 	settings.Budget = retrybudget.Settings{Ratio: 0, Allowance: 2 * options.allowance, Window: 10 * time.Second, Safety: 1}
 	dispatcher := NewDispatcher(settings, time.Now)
 	accrueFully(dispatcher)
@@ -183,7 +184,7 @@
 	return f
 }
 
-// accrueFully advances the clock of the retry budgets by a minute, with the share confirmed every second.
+// accrueFully fills the retry budgets by advancing their clock by a minute, with the share confirmed every second.
 func accrueFully(dispatcher *Dispatcher) {
 	start, elapsed := boottime.Now(), time.Duration(0)
 	dispatcher.retries.now = func() time.Time { return start.Add(elapsed) }
@@ -206,8 +207,9 @@
 	return response, string(body), err
 }
 
-func TestRetryAfterFailedAttempt(t *testing.T) {
-	runOnce := routing.Rule{Kind: routing.KindRunOnce}
+// TestAttemptIsRetriedOnlyIfSafe guards against running a request twice that may run once, and against failing one that a worker refused.
+func TestAttemptIsRetriedOnlyIfSafe(t *testing.T) {
+	runOnce := routing.Rule{Kind: routing.KindAtMostOnce}
 	repeatable := routing.Rule{Kind: routing.KindRepeatable, MaxAttempts: 2}
 	cases := []struct {
 		desc       string
@@ -220,13 +222,13 @@
 		{"unreachable", runOnce, connectError, 200, 2},
 		{"reset, may run once", runOnce, resetError, 502, 1},
 		{"reset, repeatable", repeatable, resetError, 200, 2},
-		{"invalid response, may run once", runOnce, &InvalidAnswer{Peer: "w"}, 502, 1},
-		{"invalid response, repeatable", repeatable, &InvalidAnswer{Peer: "w"}, 200, 2},
+		{"invalid response, may run once", runOnce, &InvalidResponse{Peer: "w"}, 502, 1},
+		{"invalid response, repeatable", repeatable, &InvalidResponse{Peer: "w"}, 200, 2},
 	}
 	for _, c := range cases {
 		t.Run(c.desc, func(t *testing.T) {
 			workers := &fakeWorkers{}
-			workers.run = func(_ context.Context, number int, _ *backend.Worker, _ RunOptions) (*Answer, error) {
+			workers.run = func(_ context.Context, number int, _ *backend.Worker, _ RunOptions) (*Response, error) {
 				if number == 1 {
 					return nil, c.first
 				}
@@ -243,16 +245,18 @@
 	}
 }
 
+// TestRefusalByAllWorkersIsReportedAsNotRun guards against refusals that do not tell the caller when to retry.
 func TestRefusalByAllWorkersIsReportedAsNotRun(t *testing.T) {
-	workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Answer, error) { return nil, refusalError }}
+	workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Response, error) { return nil, refusalError }}
 	response, _, err := newFixture(t, fixtureOptions{allowance: 10}, workers).get(t)
 	if err != nil || response.StatusCode != http.StatusServiceUnavailable || response.Header.Get("Retry-After") == "" {
-		t.Fatalf("got %v, %v", response, err)
+		t.Fatalf("got %v, %v, want status %d", response, err, http.StatusServiceUnavailable)
 	}
 }
 
-func TestPossibleRunIsNotReportedAsNotRun(t *testing.T) {
-	workers := &fakeWorkers{run: func(_ context.Context, number int, _ *backend.Worker, _ RunOptions) (*Answer, error) {
+// TestPossibleRunIsReportedAsFailed guards against a 503 when a first worker may have run the request and a second refused it.
+func TestPossibleRunIsReportedAsFailed(t *testing.T) {
+	workers := &fakeWorkers{run: func(_ context.Context, number int, _ *backend.Worker, _ RunOptions) (*Response, error) {
 		if number == 1 {
 			return nil, resetError
 		}
@@ -261,12 +265,13 @@
 	rule := routing.Rule{Kind: routing.KindRepeatable, MaxAttempts: 2}
 	response, _, err := newFixture(t, fixtureOptions{rule: rule, allowance: 10}, workers).get(t)
 	if err != nil || response.StatusCode != http.StatusBadGateway {
-		t.Fatalf("got %v, %v", response, err)
+		t.Fatalf("got %v, %v, want status %d", response, err, http.StatusBadGateway)
 	}
 }
 
+// TestWorkerErrorIsForwardedWhenRetriesFail guards against replacing the error response of a worker by one of the gateway.
 func TestWorkerErrorIsForwardedWhenRetriesFail(t *testing.T) {
-	workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Answer, error) {
+	workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Response, error) {
 		return wholeResponse(500, "sorry"), nil
 	}}
 	rule := routing.Rule{Kind: routing.KindRepeatable, MaxAttempts: 2}
@@ -276,14 +281,15 @@
 	}
 }
 
-func TestRuleTimeoutEndsRequest(t *testing.T) {
-	workers := &fakeWorkers{run: func(ctx context.Context, _ int, _ *backend.Worker, _ RunOptions) (*Answer, error) {
+// TestRequestEndsAtRuleTimeout guards against requests that outlive the timeout of their rule.
+func TestRequestEndsAtRuleTimeout(t *testing.T) {
+	workers := &fakeWorkers{run: func(ctx context.Context, _ int, _ *backend.Worker, _ RunOptions) (*Response, error) {
 		return awaitCancel(ctx)
 	}}
 	start := time.Now()
 	response, _, err := newFixture(t, fixtureOptions{rule: routing.Rule{Timeout: 200 * time.Millisecond}}, workers).get(t)
 	if err != nil || response.StatusCode != http.StatusGatewayTimeout {
-		t.Fatalf("got %v, %v", response, err)
+		t.Fatalf("got %v, %v, want status %d", response, err, http.StatusGatewayTimeout)
 	}
 	if took := time.Since(start); took > 600*time.Millisecond {
 		t.Errorf("the response took %s", took)
@@ -293,7 +299,7 @@
 // TestSilentWorkerIsAbandonedOnlyWithRetry guards against responding with 502 while a silent worker may still respond and no retry is left.
 func TestSilentWorkerIsAbandonedOnlyWithRetry(t *testing.T) {
 	rule := routing.Rule{Kind: routing.KindRepeatable, MaxAttempts: 2, Objective: 50 * time.Millisecond}
-	answerLate := func(ctx context.Context, number int, _ *backend.Worker, _ RunOptions) (*Answer, error) {
+	answerLate := func(ctx context.Context, number int, _ *backend.Worker, _ RunOptions) (*Response, error) {
 		if number > 1 {
 			return wholeResponse(200, "second"), nil
 		}
@@ -312,10 +318,10 @@
 	}
 }
 
-// TestOnlyWorkerIsNotAbandoned checks that the only worker of a group may exceed the response timeout.
+// TestOnlyWorkerIsNotAbandoned guards against abandoning a silent worker when the group has no other.
 func TestOnlyWorkerIsNotAbandoned(t *testing.T) {
 	rule := routing.Rule{Kind: routing.KindRepeatable, MaxAttempts: 2, Objective: 50 * time.Millisecond}
-	f := newFixture(t, fixtureOptions{rule: rule, allowance: 10}, &fakeWorkers{run: func(ctx context.Context, _ int, _ *backend.Worker, _ RunOptions) (*Answer, error) {
+	f := newFixture(t, fixtureOptions{rule: rule, allowance: 10}, &fakeWorkers{run: func(ctx context.Context, _ int, _ *backend.Worker, _ RunOptions) (*Response, error) {
 		select {
 		case <-ctx.Done():
 			return awaitCancel(ctx)
@@ -346,15 +352,15 @@
 	return n, nil
 }
 
-// TestAbandonedResponseIsNotForwarded covers a first event that arrives just as its worker is given up as silent. The caller must not get
-// the beginning of that response.
+// TestAbandonedResponseIsNotForwarded guards against forwarding the beginning of a response that arrives just as its worker is abandoned as
+// silent.
 func TestAbandonedResponseIsNotForwarded(t *testing.T) {
-	workers := &fakeWorkers{run: func(ctx context.Context, number int, _ *backend.Worker, _ RunOptions) (*Answer, error) {
+	workers := &fakeWorkers{run: func(ctx context.Context, number int, _ *backend.Worker, _ RunOptions) (*Response, error) {
 		if number > 1 {
 			return wholeResponse(200, firstEvents+lastEvents), nil
 		}
 		body := io.NopCloser(lateReader{ctx, strings.NewReader(firstEvents)})
-		return &Answer{Status: http.StatusOK, Header: http.Header{}, ContentLength: -1, Body: body}, nil
+		return &Response{Status: http.StatusOK, Header: http.Header{}, ContentLength: -1, Body: body}, nil
 	}}
 	rule := routing.Rule{Kind: routing.KindStream, Resumable: true, MaxAttempts: 2, Objective: 50 * time.Millisecond}
 	_, body, err := newFixture(t, fixtureOptions{rule: rule, allowance: 10}, workers).get(t)
@@ -362,7 +368,7 @@
 		t.Fatalf("got %q, %v", body, err)
 	}
 	if after := workers.runOptions[1].ResumeAfter; after != "" {
-		t.Errorf("a worker was given up as silent after its events up to %s were forwarded", after)
+		t.Errorf("a worker was abandoned as silent after its events up to %s were forwarded", after)
 	}
 }
 
@@ -393,14 +399,14 @@
 	return n, nil
 }
 
-// TestStartedStreamOutlastsResponseTimeout guards against cutting off a stream that has started.
+// TestStartedStreamOutlastsResponseTimeout guards against truncating a stream that has started when the response timeout passes.
 func TestStartedStreamOutlastsResponseTimeout(t *testing.T) {
-	workers := &fakeWorkers{run: func(ctx context.Context, number int, _ *backend.Worker, _ RunOptions) (*Answer, error) {
+	workers := &fakeWorkers{run: func(ctx context.Context, number int, _ *backend.Worker, _ RunOptions) (*Response, error) {
 		if number > 1 {
 			return wholeResponse(200, lastEvents), nil
 		}
 		body := io.NopCloser(&slowReader{ctx: ctx, parts: []string{firstEvents, lastEvents}, pause: 200 * time.Millisecond})
-		return &Answer{Status: http.StatusOK, Header: http.Header{}, ContentLength: -1, Body: body}, nil
+		return &Response{Status: http.StatusOK, Header: http.Header{}, ContentLength: -1, Body: body}, nil
 	}}
 	rule := routing.Rule{Kind: routing.KindStream, Resumable: true, MaxAttempts: 2, Objective: 50 * time.Millisecond}
 	_, body, err := newFixture(t, fixtureOptions{rule: rule, allowance: 10}, workers).get(t)
@@ -409,9 +415,10 @@
 	}
 }
 
-// TestNoRetryAfterCompleteResponse lets the response timeout pass while a complete response is being written.
+// TestNoRetryAfterCompleteResponse guards against a second run and a spent retry when writing a complete response takes longer than the
+// response timeout.
 func TestNoRetryAfterCompleteResponse(t *testing.T) {
-	workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Answer, error) {
+	workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Response, error) {
 		return wholeResponse(200, "answer"), nil
 	}}
 	rule := routing.Rule{Kind: routing.KindRepeatable, MaxAttempts: 2, Objective: 50 * time.Millisecond}
@@ -440,8 +447,9 @@
 	lastEvents  = "id: 3\ndata: c\n\n"
 )
 
+// TestResumableStreamContinuesAfterLastEvent guards against events that are lost or repeated when another worker continues a stream.
 func TestResumableStreamContinuesAfterLastEvent(t *testing.T) {
-	workers := &fakeWorkers{run: func(_ context.Context, number int, _ *backend.Worker, _ RunOptions) (*Answer, error) {
+	workers := &fakeWorkers{run: func(_ context.Context, number int, _ *backend.Worker, _ RunOptions) (*Response, error) {
 		if number == 1 {
 			return truncatedResponse(firstEvents + "id: 3\nda"), nil
 		}
@@ -457,8 +465,9 @@
 	}
 }
 
+// TestTruncatedStreamLooksTruncated guards against a truncated stream that the caller takes for complete.
 func TestTruncatedStreamLooksTruncated(t *testing.T) {
-	workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Answer, error) {
+	workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Response, error) {
 		return truncatedResponse(firstEvents), nil
 	}}
 	_, body, err := newFixture(t, fixtureOptions{rule: routing.Rule{Kind: routing.KindStream}, allowance: 10}, workers).get(t)
@@ -470,12 +479,13 @@
 	}
 }
 
+// TestCallerDisconnectCancelsRun guards against runs that continue after their caller has disconnected.
 func TestCallerDisconnectCancelsRun(t *testing.T) {
 	ended := make(chan error, 1)
-	workers := &fakeWorkers{run: func(ctx context.Context, _ int, _ *backend.Worker, _ RunOptions) (*Answer, error) {
-		answer, err := awaitCancel(ctx)
+	workers := &fakeWorkers{run: func(ctx context.Context, _ int, _ *backend.Worker, _ RunOptions) (*Response, error) {
+		response, err := awaitCancel(ctx)
 		ended <- err
-		return answer, err
+		return response, err
 	}}
 	f := newFixture(t, fixtureOptions{}, workers)
 	ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
@@ -495,10 +505,12 @@
 }
 
 // longPrompt is prefilled on a separate engine.
-var longPrompt = backend.Demand{PromptTokens: 9000, Parts: []backend.Part{{ID: "a", Tokens: 8000}, {ID: "b", Tokens: 1000}}}
+var longPrompt = backend.Demand{PromptTokens: 9000, Segments: []backend.Segment{{ID: "a", Tokens: 8000}, {ID: "b", Tokens: 1000}}}
 
+// TestLongPromptIsPrefilledSeparately guards against prefilling long prompts on decode engines, and against releasing a prompt that is
+// used.
 func TestLongPromptIsPrefilledSeparately(t *testing.T) {
-	workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Answer, error) {
+	workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Response, error) {
 		return wholeResponse(200, lastEvents), nil
 	}}
 	rule := routing.Rule{Kind: routing.KindStream}
@@ -514,7 +526,7 @@
 // TestPromptWithLostHandleIsNotPrefilledAgain guards against prefilling a long prompt twice: the runner fetches the prompt from the cache
 // of the first engine.
 func TestPromptWithLostHandleIsNotPrefilledAgain(t *testing.T) {
-	workers := &fakeWorkers{run: func(_ context.Context, _ int, _ *backend.Worker, options RunOptions) (*Answer, error) {
+	workers := &fakeWorkers{run: func(_ context.Context, _ int, _ *backend.Worker, options RunOptions) (*Response, error) {
 		if options.Prompt != nil {
 			return nil, refusalError
 		}
@@ -530,16 +542,17 @@
 	}
 }
 
+// TestFailedPrefillCountsAsNotRun guards against failing a request because its first prefill call failed.
 func TestFailedPrefillCountsAsNotRun(t *testing.T) {
 	workers := &fakeWorkers{
-		run: func(context.Context, int, *backend.Worker, RunOptions) (*Answer, error) {
+		run: func(context.Context, int, *backend.Worker, RunOptions) (*Response, error) {
 			return wholeResponse(200, lastEvents), nil
 		},
-		prefill: func(_ context.Context, number int, worker *backend.Worker) (*Prompt, error) {
+		prefill: func(_ context.Context, number int, worker *backend.Worker) (*PrefilledPrompt, error) {
 			if number == 1 {
 				return nil, resetError
 			}
-			return &Prompt{Reader: worker, Handle: "h"}, nil
+			return &PrefilledPrompt{Engine: worker, Handle: "h"}, nil
 		},
 	}
 	rule := routing.Rule{Kind: routing.KindStream}
@@ -549,8 +562,9 @@
 	}
 }
 
+// TestGatewayErrorResponses guards against wrong status codes for requests that the gateway rejects itself.
 func TestGatewayErrorResponses(t *testing.T) {
-	workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Answer, error) {
+	workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Response, error) {
 		return wholeResponse(200, "x"), nil
 	}}
 	f := newFixture(t, fixtureOptions{}, workers)
@@ -590,19 +604,19 @@
 	}
 }
 
-// TestSecondPrefillUsesRetry checks that a second prefill call takes one retry from the budget.
+// TestSecondPrefillUsesRetry guards against prefill calls that are repeated without a retry from the budget.
 func TestSecondPrefillUsesRetry(t *testing.T) {
 	for allowance, wantPrefills := range map[float64]int{1: 1, 10: 2} {
-		workers := &fakeWorkers{run: func(_ context.Context, number int, _ *backend.Worker, _ RunOptions) (*Answer, error) {
+		workers := &fakeWorkers{run: func(_ context.Context, number int, _ *backend.Worker, _ RunOptions) (*Response, error) {
 			if number == 1 {
 				return nil, connectError
 			}
 			return wholeResponse(200, lastEvents), nil
 		}}
-		workers.prefill = func(_ context.Context, number int, worker *backend.Worker) (*Prompt, error) {
-			// The delay feeds the model, so that prefilling on a separate engine stays the cheaper plan.
+		workers.prefill = func(_ context.Context, number int, worker *backend.Worker) (*PrefilledPrompt, error) {
+			// Without a delay the model would learn that prefilling takes no time and choose to colocate.
 			time.Sleep(100 * time.Millisecond)
-			return &Prompt{Reader: worker, Handle: fmt.Sprint(number)}, nil
+			return &PrefilledPrompt{Engine: worker, Handle: fmt.Sprint(number)}, nil
 		}
 		rule := routing.Rule{Kind: routing.KindStream}
 		f := newFixture(t, fixtureOptions{rule: rule, engine: true, demand: longPrompt, allowance: allowance - 1}, workers)
@@ -612,19 +626,19 @@
 	}
 }
 
-// TestMovedWorkerIsAvoided guards against repeated requests to an address at which another worker now runs.
-func TestMovedWorkerIsAvoided(t *testing.T) {
+// TestMisdirectedWorkerIsAvoided guards against repeated requests to an address at which another worker now runs.
+func TestMisdirectedWorkerIsAvoided(t *testing.T) {
 	workers := &fakeWorkers{}
-	workers.run = func(_ context.Context, _ int, worker *backend.Worker, _ RunOptions) (*Answer, error) {
+	workers.run = func(_ context.Context, _ int, worker *backend.Worker, _ RunOptions) (*Response, error) {
 		if worker.ID == "0" {
-			return nil, &Refusal{Peer: "w", Status: http.StatusMisdirectedRequest, Moved: true}
+			return nil, &Refusal{Peer: "w", Status: http.StatusMisdirectedRequest, Misdirected: true}
 		}
 		return wholeResponse(200, "answer"), nil
 	}
 	f := newFixture(t, fixtureOptions{allowance: 100}, workers)
 	for range 20 {
 		if response, _, err := f.get(t); err != nil || response.StatusCode != 200 {
-			t.Fatalf("got %v, %v", response, err)
+			t.Fatalf("got %v, %v, want status %d", response, err, 200)
 		}
 	}
 	attempts := 0
@@ -634,22 +648,22 @@
 		}
 	}
 	if attempts > 1 {
-		t.Errorf("the moved worker got %d requests", attempts)
+		t.Errorf("the misdirected worker got %d requests", attempts)
 	}
 }
 
 // TestSilentEngineLeavesTimeForAnother guards against response timeouts that exceed the objective.
 func TestSilentEngineLeavesTimeForAnother(t *testing.T) {
 	workers := &fakeWorkers{
-		run: func(context.Context, int, *backend.Worker, RunOptions) (*Answer, error) {
+		run: func(context.Context, int, *backend.Worker, RunOptions) (*Response, error) {
 			return wholeResponse(200, "answer"), nil
 		},
-		prefill: func(ctx context.Context, number int, worker *backend.Worker) (*Prompt, error) {
+		prefill: func(ctx context.Context, number int, worker *backend.Worker) (*PrefilledPrompt, error) {
 			if number == 1 {
 				<-ctx.Done()
 				return nil, &httpclient.Error{Step: httpclient.StepAwait, Peer: "w", Cause: context.Cause(ctx)}
 			}
-			return &Prompt{Reader: worker, Handle: "h"}, nil
+			return &PrefilledPrompt{Engine: worker, Handle: "h"}, nil
 		},
 	}
 	objective := 250 * time.Millisecond
@@ -661,9 +675,9 @@
 	}
 	f.reports.mutex.Lock()
 	defer f.reports.mutex.Unlock()
-	first := f.reports.last.Tries[0]
-	want := time.Duration(responseTimeoutObjectiveShare*float64(objective)) + time.Duration(responseTimeoutCostFactor*first.Score.Answer*nanosecondsPerSecond)
-	if waited := first.ReadIn; waited < want || waited > want+150*time.Millisecond {
+	first := f.reports.last.Attempts[0]
+	want := time.Duration(responseTimeoutObjectiveShare*float64(objective)) + time.Duration(responseTimeoutCostFactor*first.Score.TimeToFirstToken*nanosecondsPerSecond)
+	if waited := first.PrefillTime; waited < want || waited > want+150*time.Millisecond {
 		t.Errorf("waited %s for the silent engine, want %s", waited, want)
 	}
 }
--- a/internal/forward/handler.go
+++ b/internal/forward/handler.go
@@ -26,12 +26,12 @@
 	StoppingRetryAfter time.Duration
 	// RefusedRetryAfter is the Retry-After time if no worker accepts the request.
 	RefusedRetryAfter time.Duration
-	// VerdictRetryAfter is the Retry-After time of a request that may have crashed workers while that is being determined. It is a little
-	// longer than the check takes.
+	// VerdictRetryAfter is the Retry-After time while the guard determines whether the request crashed workers. It exceeds the duration of
+	// that check.
 	VerdictRetryAfter time.Duration
-	// HoldFraction is the fraction of its objective for which a request may wait for a worker that is expected to accept it within that
-	// time. Holding spares the caller a retry, but a request that waits in vain misses its objective.
-	HoldFraction float64
+	// MaxWaitFraction is the fraction of its objective for which a request may wait for a worker that is expected to accept it within that
+	// time. Waiting saves the caller a retry, but a request that waits in vain misses its objective.
+	MaxWaitFraction float64
 	// MinRemaining is the time before the deadline below which no attempt is started.
 	MinRemaining time.Duration
 }
@@ -43,7 +43,7 @@
 		StoppingRetryAfter: 10 * time.Millisecond,
 		RefusedRetryAfter:  150 * time.Millisecond,
 		VerdictRetryAfter:  250 * time.Millisecond,
-		HoldFraction:       0.5,
+		MaxWaitFraction:    0.5,
 		MinRemaining:       15 * time.Millisecond,
 	}
 }
@@ -70,11 +70,11 @@
 	active           atomic.Int64
 }
 
-// NewHandler returns a handler without a configuration, which refuses every request.
+// NewHandler returns a handler without a routing table, which refuses every request.
 func NewHandler(settings Settings, protocol Protocol, workers Workers, dispatcher *Dispatcher, observer Observer) *Handler {
 	return &Handler{
 		settings: settings, protocol: protocol, workers: workers, dispatcher: dispatcher, observer: observer,
-		tenants: tenantlimit.New(dispatcher.placesOf),
+		tenants: tenantlimit.New(dispatcher.concurrencyShareOf),
 	}
 }
 
@@ -85,27 +85,27 @@
 // date. It must be called before the first request.
 func (h *Handler) SetFreshness(isFresh func() bool) { h.isConfigurationFresh = isFresh }
 
-// GuardWorkers sets the guard that blocks requests which crash workers. It must be called before the first request.
-func (h *Handler) GuardWorkers(guard *poison.Guard) { h.guard = guard }
+// SetGuard sets the guard that blocks requests which crash workers. It must be called before the first request.
+func (h *Handler) SetGuard(guard *poison.Guard) { h.guard = guard }
 
-// CountUsage sets a callback for each request of a tenant that starts running. It must be called before the first request.
-func (h *Handler) CountUsage(onStart func(tenant string)) { h.onTenantStart = onStart }
+// OnTenantStart sets a callback for each request of a tenant that starts running. It must be called before the first request.
+func (h *Handler) OnTenantStart(onStart func(tenant string)) { h.onTenantStart = onStart }
 
-// NameClosers sets the function that returns which side closed the connection of a request. Without it, that is always the caller. It must
-// be called before the first request.
-func (h *Handler) NameClosers(closerOf func(ctx context.Context) Closer) { h.closerOf = closerOf }
+// SetCloserFunc sets the function that returns why the connection of a request was closed. Without it, the caller is always assumed to have
+// closed it. It must be called before the first request.
+func (h *Handler) SetCloserFunc(closerOf func(ctx context.Context) Closer) { h.closerOf = closerOf }
 
-// SetTable installs a configuration for new requests.
+// SetTable sets the routing table for new requests.
 func (h *Handler) SetTable(table *routing.Table) {
 	h.dispatcher.SetGroups(table.Configuration().Groups)
 	h.table.Store(table)
 }
 
-// Table returns the current configuration, or nil.
+// Table returns the current routing table, or nil.
 func (h *Handler) Table() *routing.Table { return h.table.Load() }
 
-// Leave adds "Connection: close" to all responses from now on.
-func (h *Handler) Leave() { h.closeConnections.Store(true) }
+// CloseConnections adds "Connection: close" to all responses from now on.
+func (h *Handler) CloseConnections() { h.closeConnections.Store(true) }
 
 // Stop refuses new requests. Requests in progress are finished.
 func (h *Handler) Stop() {
@@ -121,7 +121,7 @@
 	h.active.Add(1)
 	defer h.active.Add(-1)
 	arrived := time.Now()
-	// The Date header is set by the worker.
+	// A nil value keeps net/http from adding a Date header; the worker's is forwarded.
 	writer.Header()["Date"] = nil
 	if h.closeConnections.Load() {
 		writer.Header().Set("Connection", "close")
@@ -148,8 +148,8 @@
 	return h.serve(writer, incoming, report)
 }
 
-// recordUnanswered records whether the connection ended before the caller had a complete response, and which side closed it. A response
-// generated by the gateway is flushed only after this point, so it is lost if the connection has ended.
+// recordUnanswered records whether the connection ended before the caller had a complete response, and why it was closed. Responses of the
+// gateway itself are still buffered here, so they are lost if the connection has closed.
 func (h *Handler) recordUnanswered(ctx context.Context, report *Report, action connAction) {
 	report.Unanswered = action == connAbort || (ctx.Err() != nil && report.FirstByte.IsZero())
 	switch {
@@ -157,7 +157,7 @@
 	case report.Reason == ReasonPanic:
 		report.ClosedBy = CloserPanic
 	case action == connAbort && report.Reason != ReasonCallerGone:
-		report.ClosedBy = CloserBrokenAnswer
+		report.ClosedBy = CloserTruncatedResponse
 	case h.closerOf != nil:
 		report.ClosedBy = h.closerOf(ctx)
 	}
@@ -220,15 +220,15 @@
 	guarded := &guardedRequest{guard: h.guard, request: request, rule: match.Rule.Name}
 	guardStatus, bar := guarded.status()
 	switch guardStatus {
-	case poison.Judged:
+	case poison.Pending:
 		return respondRetryAfter(writer, report, ReasonVerdictPending, h.settings.VerdictRetryAfter)
 	case poison.Barred:
-		report.Asked = &guarded.digest
-		report.Err = errors.Newf("step admit: %d workers ended while running the request: %s; it is barred until %s", len(bar.Workers),
+		report.RequestDigest = &guarded.digest
+		report.Err = errors.Newf("admit: %d workers crashed while running the request: %s; it is barred until %s", len(bar.Workers),
 			strings.Join(bar.Workers, ", "), bar.Until.UTC().Format(time.RFC3339))
 		return respondError(writer, report, http.StatusUnprocessableEntity, ReasonBarred)
 	}
-	if !h.tenants.Begin(match.Rule.Name, request.Tenant, match.Rule.TenantInFlight) {
+	if !h.tenants.Begin(match.Rule.Name, request.Tenant, match.Rule.MaxTenantInFlight) {
 		return respondRetryAfter(writer, report, ReasonTenantLimit, h.settings.RefusedRetryAfter)
 	}
 	defer h.tenants.End(match.Rule.Name, request.Tenant)
@@ -239,7 +239,7 @@
 		relay:    relay{writer: writer, lastEvent: request.ResumeAfter},
 	}
 	if labelled, isLabelled := protocol.(LabelledProtocol); isLabelled {
-		current.truncationEvent = labelled.BrokenOff
+		current.newTruncationEvent = labelled.TruncationEvent
 	}
 	return current.run(ctx)
 }
@@ -278,7 +278,7 @@
 	if !isLabelled {
 		return nil, routing.Match{}, false
 	}
-	h.recent.note(labels)
+	h.recent.add(labels)
 	match, found := table.MatchLabels(labels)
 	return h.labelled, match, found
 }
@@ -307,8 +307,8 @@
 // deadlineFor returns the deadline of a request.
 func deadlineFor(arrived time.Time, rule *routing.Rule, request *Request) time.Time {
 	limit := rule.Timeout
-	if request.Patience > 0 {
-		limit = min(limit, request.Patience)
+	if request.CallerTimeout > 0 {
+		limit = min(limit, request.CallerTimeout)
 	}
 	return arrived.Add(limit)
 }
--- a/internal/forward/keys_test.go
+++ b/internal/forward/keys_test.go
@@ -23,6 +23,8 @@
 	workerTenant string
 }
 
+// TestCallerKeys guards against serving requests whose key belongs to no tenant, and against rejecting keys while the configuration may be
+// out of date.
 func TestCallerKeys(t *testing.T) {
 	archive, err := txtar.ParseFile("testdata/keys.txtar")
 	if err != nil {
@@ -30,7 +32,7 @@
 	}
 	for _, file := range archive.Files {
 		t.Run(file.Name, func(t *testing.T) {
-			workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Answer, error) {
+			workers := &fakeWorkers{run: func(context.Context, int, *backend.Worker, RunOptions) (*Response, error) {
 				return wholeResponse(200, "answer"), nil
 			}}
 			k := &keyFixture{fixture: newFixture(t, fixtureOptions{}, workers)}
@@ -73,10 +75,10 @@
 	changed.Rules[0].Public = k.public
 	changed.Tenants = nil
 	if words[0] != "-" {
-		var grants []tenant.Grant
+		var grants []tenant.KeyGrant
 		for _, word := range words {
 			name, keys, _ := strings.Cut(word, "=")
-			grants = append(grants, tenant.Grant{Name: name, Keys: strings.FieldsFunc(keys, func(r rune) bool { return r == ',' })})
+			grants = append(grants, tenant.KeyGrant{Name: name, Keys: strings.FieldsFunc(keys, func(r rune) bool { return r == ',' })})
 		}
 		table, err := tenant.NewTable(grants)
 		if err != nil {
--- a/internal/forward/loans_test.go
+++ b/internal/forward/loans_test.go
@@ -4,52 +4,53 @@
 	"testing"
 	"time"
 
-	"github.com/granitebay/granitebay/internal/loadshare"
+	"github.com/granitebay/granitebay/internal/peersync"
 	"github.com/granitebay/granitebay/internal/routing"
 )
 
 // askForLoans returns a dispatcher that holds no share of its workers' limits, after it has asked for loans.
-func askForLoans(t *testing.T) (*Dispatcher, loadshare.Ask, <-chan struct{}) {
+func askForLoans(t *testing.T) (*Dispatcher, peersync.LoanRequest, <-chan struct{}) {
 	t.Helper()
 	f := newFixture(t, fixtureOptions{rule: routing.Rule{Kind: routing.KindRepeatable}}, &fakeWorkers{})
 	d := f.handler.dispatcher
 	d.ShareLimits("one")
-	d.ShareWith(func(bool) {})
+	d.NotifyUpdates(func(bool) {})
 	d.SetHolders([]string{"one", "other"})
 	for _, id := range d.balancer.IDs() {
-		d.Limit(id, 5, 0)
+		d.SetLimit(id, 5, 0)
 	}
 	group := routing.Group{Name: "g"}
 	loanArrived, asked := d.requestLoans(&group)
-	asks, _ := d.DrainLoans()
-	if !asked || len(asks) != 1 || len(asks[0].Workers) == 0 {
-		t.Fatalf("asked: %t, got %+v", asked, asks)
+	requests, _ := d.TakeLoans()
+	if !asked || len(requests) != 1 || len(requests[0].Workers) == 0 {
+		t.Fatalf("asked: %t, got %+v", asked, requests)
 	}
 	if _, again := d.requestLoans(&group); again {
 		t.Error("the dispatcher asked again immediately")
 	}
-	return d, asks[0], loanArrived
+	return d, requests[0], loanArrived
 }
 
-// TestLoanIsUsedOnceByAsker delivers loans twice. Those for other gateways, for earlier requests and late ones must not be used.
-func TestLoanIsUsedOnceByAsker(t *testing.T) {
+// TestLoanIsUsedOnceByBorrower guards against using capacity twice: loans that are delivered twice, are late, or are meant for another
+// gateway or an earlier request.
+func TestLoanIsUsedOnceByBorrower(t *testing.T) {
 	for _, test := range []struct {
 		desc  string
-		alter func(loan *loadshare.Loan)
+		alter func(loan *peersync.Loan)
 		wait  time.Duration
 		used  int
 	}{
-		{desc: "delivered twice", alter: func(*loadshare.Loan) {}, used: 2},
-		{desc: "for another gateway", alter: func(l *loadshare.Loan) { l.Asker = "third" }},
-		{desc: "for an earlier request", alter: func(l *loadshare.Loan) { l.Serial-- }},
-		{desc: "too late", alter: func(*loadshare.Loan) {}, wait: 600 * time.Millisecond},
+		{desc: "delivered twice", alter: func(*peersync.Loan) {}, used: 2},
+		{desc: "for another gateway", alter: func(l *peersync.Loan) { l.Borrower = "third" }},
+		{desc: "for an earlier request", alter: func(l *peersync.Loan) { l.Serial-- }},
+		{desc: "too late", alter: func(*peersync.Loan) {}, wait: 600 * time.Millisecond},
 	} {
-		d, ask, loanArrived := askForLoans(t)
-		worker := ask.Workers[0]
-		loan := loadshare.Loan{Asker: ask.Asker, Serial: ask.Serial, Lender: "other", Worker: worker, Count: 2}
+		d, request, loanArrived := askForLoans(t)
+		worker := request.Workers[0]
+		loan := peersync.Loan{Borrower: request.Borrower, Serial: request.Serial, Lender: "other", Worker: worker, Count: 2}
 		test.alter(&loan)
 		time.Sleep(test.wait)
-		d.HearLoans(nil, []loadshare.Loan{loan, loan})
+		d.ApplyLoans(nil, []peersync.Loan{loan, loan})
 		select {
 		case <-loanArrived:
 		default:
@@ -58,7 +59,7 @@
 			}
 		}
 		used := 0
-		for d.MayAsk(worker) {
+		for d.AllowHealthCheck(worker) {
 			used++
 		}
 		if used != test.used {
@@ -67,15 +68,15 @@
 	}
 }
 
-// TestOnlyHeldCapacityIsLent asks a gateway for a loan that holds no capacity, and one that holds all of it.
+// TestOnlyHeldCapacityIsLent guards against lending capacity that the lender does not hold or still uses.
 func TestOnlyHeldCapacityIsLent(t *testing.T) {
 	f := newFixture(t, fixtureOptions{rule: routing.Rule{Kind: routing.KindRepeatable}}, &fakeWorkers{})
 	d := f.handler.dispatcher
 	d.ShareLimits("one")
 	id := d.balancer.IDs()[0]
-	d.Limit(id, 5, 0)
-	d.HearLoans([]loadshare.Ask{{Asker: "other", Serial: 1, Workers: []string{id, "nobody"}, Wanted: 4}}, nil)
-	if _, loans := d.DrainLoans(); len(loans) != 0 {
+	d.SetLimit(id, 5, 0)
+	d.ApplyLoans([]peersync.LoanRequest{{Borrower: "other", Serial: 1, Workers: []string{id, "nobody"}, MaxRequests: 4}}, nil)
+	if _, loans := d.TakeLoans(); len(loans) != 0 {
 		t.Errorf("a gateway that holds nothing lent %+v", loans)
 	}
 	d.SetHolders([]string{"one"})
@@ -83,11 +84,11 @@
 	d.ConfirmShare(now.Add(-8 * time.Second))
 	d.ConfirmShare(now.Add(-time.Second))
 	time.Sleep(250 * time.Millisecond)
-	d.HearLoans([]loadshare.Ask{{Asker: "other", Serial: 1, Workers: []string{id}, Wanted: 4}}, nil)
-	if _, loans := d.DrainLoans(); len(loans) != 1 || loans[0].Count != 1 || loans[0].Lender != "one" || loans[0].Asker != "other" {
+	d.ApplyLoans([]peersync.LoanRequest{{Borrower: "other", Serial: 1, Workers: []string{id}, MaxRequests: 4}}, nil)
+	if _, loans := d.TakeLoans(); len(loans) != 1 || loans[0].Count != 1 || loans[0].Lender != "one" || loans[0].Borrower != "other" {
 		t.Errorf("a gateway that holds one request lent %+v", loans)
 	}
-	if d.MayAsk(id) {
+	if d.AllowHealthCheck(id) {
 		t.Error("lent capacity can still be used")
 	}
 }
--- a/internal/forward/peers.go
+++ b/internal/forward/peers.go
@@ -5,23 +5,24 @@
 
 	"github.com/granitebay/granitebay/internal/backend"
 	"github.com/granitebay/granitebay/internal/balance"
-	"github.com/granitebay/granitebay/internal/loadshare"
+	"github.com/granitebay/granitebay/internal/peersync"
 )
 
 // peerExchange collects updates for the other gateways and holds the state received from them. It is guarded by the mutex of the
 // dispatcher.
 type peerExchange struct {
-	board *loadshare.Board
+	board *peersync.Board
 	// changedLoads are the workers whose load has changed since the last update.
-	changedLoads   map[string]bool
-	cachedPrefixes []loadshare.Kept
+	changedLoads map[string]bool
+	// cachedPrefixes are segments that engines have cached or are about to cache.
+	cachedPrefixes []peersync.CachedSegment
 	// roleChanges are the role changes that this gateway has ordered.
 	roleChanges map[string]roleChange
-	// ejected are the workers whose ejection other gateways are told of.
+	// ejected are the workers whose ejection is to be sent to the other gateways.
 	ejected []string
-	// refused are engines that refused a connection, answering those that respond again, and newRoles those that reported a new role.
-	refused, answering []string
-	newRoles           []loadshare.Changed
+	// refused are engines that refused a connection, recovered those that respond again, and newRoles those that reported a new role.
+	refused, recovered []string
+	newRoles           []peersync.RoleReport
 	// notify signals that there is something to send; nil if nothing is sent.
 	notify func(urgent bool)
 }
@@ -31,10 +32,10 @@
 
 // newPeerExchange returns an exchange that sends nothing.
 func newPeerExchange() *peerExchange {
-	return &peerExchange{board: loadshare.NewBoard(), changedLoads: map[string]bool{}, roleChanges: map[string]roleChange{}}
+	return &peerExchange{board: peersync.NewBoard(), changedLoads: map[string]bool{}, roleChanges: map[string]roleChange{}}
 }
 
-// peerLoad implements balance.Elsewhere.
+// peerLoad implements balance.RemoteLoad.
 func (p *peerExchange) peerLoad(worker string) backend.Load { return p.board.Load(worker) }
 
 // loadChanged records that this gateway's load at a worker has changed.
@@ -46,8 +47,8 @@
 	p.notify(urgent)
 }
 
-// prefixCached records that a worker has cached a prefix.
-func (p *peerExchange) prefixCached(cached loadshare.Kept) {
+// prefixCached records that a worker has cached a segment, or is about to.
+func (p *peerExchange) prefixCached(cached peersync.CachedSegment) {
 	if p.notify == nil || len(p.cachedPrefixes) >= maxPendingNotices {
 		return
 	}
@@ -58,8 +59,8 @@
 // workerEjected records that a worker was ejected. Only failures that other gateways would see too are sent: workers that do not respond
 // and engines whose responses fail.
 func (p *peerExchange) workerEjected(worker *backend.Worker, outcome balance.Outcome) {
-	visibleToPeers := outcome == balance.OutcomeUnreachable || outcome == balance.OutcomeSilent ||
-		(outcome == balance.OutcomeBroken && worker.Role != backend.RoleNone)
+	visibleToPeers := outcome == balance.OutcomeUnreachable || outcome == balance.OutcomeTimeout ||
+		(outcome == balance.OutcomeMalformed && worker.Role != backend.RoleNone)
 	if p.notify == nil || !visibleToPeers || len(p.ejected) >= maxPendingNotices {
 		return
 	}
@@ -67,35 +68,36 @@
 	p.notify(true)
 }
 
-// ShareWith makes the dispatcher collect updates for other gateways. The callback must not block.
-func (d *Dispatcher) ShareWith(notify func(urgent bool)) {
+// NotifyUpdates makes the dispatcher collect updates for other gateways. The callback must not block.
+func (d *Dispatcher) NotifyUpdates(notify func(urgent bool)) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.peers.notify = notify
 }
 
-// Drain returns the changes since the last call, or the complete state.
-func (d *Dispatcher) Drain(full bool) loadshare.Message {
+// TakeUpdate returns the update for the other gateways: the changes since the last call. If full is set, it contains the load of all loaded
+// workers and the prefill demand as well.
+func (d *Dispatcher) TakeUpdate(full bool) peersync.Message {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	message := loadshare.Message{
-		Kept: d.peers.cachedPrefixes, Failed: d.peers.ejected, Changing: d.pendingRoleChanges(), Changed: d.peers.newRoles,
-		Refused: d.peers.refused, Answering: d.peers.answering,
+	message := peersync.Message{
+		CachedSegments: d.peers.cachedPrefixes, Failed: d.peers.ejected, RoleChanges: d.pendingRoleChanges(), RoleReports: d.peers.newRoles,
+		Refused: d.peers.refused, Recovered: d.peers.recovered,
 	}
 	for _, worker := range d.loadsToSend(full) {
-		message.Loads = append(message.Loads, loadshare.LoadAt(worker, d.balancer.Load(worker)))
+		message.Loads = append(message.Loads, peersync.NewLoad(worker, d.balancer.Load(worker)))
 	}
 	if full {
 		message.Offered = d.demandToSend()
 	}
-	d.peers.cachedPrefixes, d.peers.ejected, d.peers.newRoles, d.peers.refused, d.peers.answering = nil, nil, nil, nil, nil
+	d.peers.cachedPrefixes, d.peers.ejected, d.peers.newRoles, d.peers.refused, d.peers.recovered = nil, nil, nil, nil, nil
 	clear(d.peers.changedLoads)
 	return message
 }
 
 // pendingRoleChanges returns the unfinished role changes that this gateway has ordered. The mutex is held.
-func (d *Dispatcher) pendingRoleChanges() []loadshare.Changing {
-	var pending []loadshare.Changing
+func (d *Dispatcher) pendingRoleChanges() []peersync.RoleChange {
+	var pending []peersync.RoleChange
 	now := d.now()
 	for id, change := range d.peers.roleChanges {
 		worker, found := d.balancer.Worker(id)
@@ -103,7 +105,7 @@
 			delete(d.peers.roleChanges, id)
 			continue
 		}
-		pending = append(pending, loadshare.Changing{
+		pending = append(pending, peersync.RoleChange{
 			Worker: id, Role: string(change.role), ForMs: change.expiresAt.Sub(now).Milliseconds(),
 			ReadyMs: max(change.readyAt.Sub(now).Milliseconds(), 0),
 		})
@@ -111,14 +113,14 @@
 	return pending
 }
 
-// PeersBusy returns the utilization of the other gateways by name.
-func (d *Dispatcher) PeersBusy() map[string]float64 {
+// PeerUtilization returns the utilization of the other gateways by name.
+func (d *Dispatcher) PeerUtilization() map[string]float64 {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
-	return d.peers.board.Busy(d.now())
+	return d.peers.board.Utilization(d.now())
 }
 
-// loadsToSend returns the workers whose load is to be sent, in order: all with load, or those whose load has changed. The mutex is held.
+// loadsToSend returns the sorted ids of all loaded workers if full is set, otherwise of those whose load has changed. The mutex is held.
 func (d *Dispatcher) loadsToSend(full bool) []string {
 	if full {
 		return d.balancer.Loaded()
@@ -131,20 +133,20 @@
 	return workers
 }
 
-// Hear applies an update of another gateway.
-func (d *Dispatcher) Hear(message *loadshare.Message) {
+// ApplyUpdate applies an update of another gateway.
+func (d *Dispatcher) ApplyUpdate(message *peersync.Message) {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	if !d.peers.board.Apply(d.now(), message) {
 		return
 	}
-	for _, cached := range message.Kept {
+	for _, cached := range message.CachedSegments {
 		if worker, found := d.balancer.Worker(cached.Worker); found {
 			d.addCached(worker, cached)
 		}
 	}
 	d.applyPeerEngines(message)
 	for _, worker := range message.Failed {
-		d.balancer.Hearsay(d.now(), worker)
+		d.balancer.RemoteEjection(d.now(), worker)
 	}
 }
